--- a/src/main/java/eiderfork/cli/TrainingCommand.java
+++ b/src/main/java/eiderfork/cli/ClassDataTrainingCommand.java
@@ -1,6 +1,6 @@
 package eiderfork.cli;
 
-import eiderfork.net.TrainingRun;
+import eiderfork.net.ClassDataTraining;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 
@@ -9,10 +9,10 @@
     name = "train",
     hidden = true,
     description = "Runs a controller against stand-ins on loopback for a moment.")
-final class TrainingCommand implements Callable<Integer> {
+final class ClassDataTrainingCommand implements Callable<Integer> {
   @Override
   public Integer call() throws Exception {
-    TrainingRun.run();
+    ClassDataTraining.run();
     return 0;
   }
 }
--- a/src/main/java/eiderfork/cli/Commands.java
+++ b/src/main/java/eiderfork/cli/CommandLineInterface.java
@@ -1,10 +1,10 @@
 package eiderfork.cli;
 
-import eiderfork.config.BadSettings;
-import eiderfork.config.OperatorFile;
+import eiderfork.config.InvalidSettingsException;
 import eiderfork.config.OperatorSettings;
+import eiderfork.config.OperatorSettingsParser;
 import eiderfork.config.Settings;
-import eiderfork.config.SettingsFile;
+import eiderfork.config.SettingsParser;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
 import picocli.CommandLine;
@@ -18,21 +18,21 @@
     name = "eiderfork",
     description = "Scheduler for fleets of machines that serve language models.",
     mixinStandardHelpOptions = true,
-    versionProvider = Commands.Version.class,
+    versionProvider = CommandLineInterface.Version.class,
     synopsisSubcommandLabel = "COMMAND")
-final class Commands {
-  private Commands() {}
+final class CommandLineInterface {
+  private CommandLineInterface() {}
 
   static int run(String[] args) {
     return commandLine().execute(args);
   }
 
   static CommandLine commandLine() {
-    CommandLine line = new CommandLine(new Commands());
+    CommandLine line = new CommandLine(new CommandLineInterface());
     line.addSubcommand(new Serve());
     line.addSubcommand(new Check());
-    line.addSubcommand(new TrainingCommand());
-    line.addSubcommand(new ScaleCommand());
+    line.addSubcommand(new ClassDataTrainingCommand());
+    line.addSubcommand(new LoadTestCommand());
     line.setExecutionExceptionHandler(
         (e, parsed, result) -> {
           parsed.getErr().println(Main.complaint(e));
@@ -45,7 +45,7 @@
   static final class Version implements IVersionProvider {
     @Override
     public String[] getVersion() {
-      String version = Commands.class.getPackage().getImplementationVersion();
+      String version = CommandLineInterface.class.getPackage().getImplementationVersion();
       return new String[] {"eiderfork " + (version == null ? "(not packaged)" : version)};
     }
   }
@@ -61,10 +61,10 @@
         description = "The operators' own settings (EDN); each has a default.")
     private Path operator;
 
-    Settings read() throws BadSettings {
+    Settings read() throws InvalidSettingsException {
       OperatorSettings own =
-          operator == null ? OperatorSettings.DEFAULTS : OperatorFile.read(operator);
-      return SettingsFile.read(settings, own);
+          operator == null ? OperatorSettings.DEFAULTS : OperatorSettingsParser.read(operator);
+      return SettingsParser.read(settings, own);
     }
   }
 
@@ -74,7 +74,7 @@
     @CommandLine.Mixin private Files files;
 
     @Override
-    public Integer call() throws BadSettings, InterruptedException {
+    public Integer call() throws InvalidSettingsException, InterruptedException {
       Main.serve(files.read());
       return 0;
     }
@@ -88,7 +88,7 @@
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
     @Override
-    public Integer call() throws BadSettings {
+    public Integer call() throws InvalidSettingsException {
       Settings settings = files.read();
       spec.commandLine()
           .getOut()
--- a/src/main/java/eiderfork/cli/ScaleCommand.java
+++ b/src/main/java/eiderfork/cli/LoadTestCommand.java
@@ -1,6 +1,6 @@
 package eiderfork.cli;
 
-import eiderfork.scale.ScaleRun;
+import eiderfork.loadtest.LoadTest;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
@@ -13,7 +13,7 @@
 @Command(
     name = "scale",
     description = "Plays a scale run: real controllers among emulated services and workers.")
-final class ScaleCommand implements Callable<Integer> {
+final class LoadTestCommand implements Callable<Integer> {
   private static final int FAILED = 1;
 
   @Parameters(paramLabel = "FILE", description = "The run's file (TOML).")
@@ -43,7 +43,7 @@
   @Override
   public Integer call() throws Exception {
     boolean terminal = System.console() != null;
-    ScaleRun.Outcome outcome = ScaleRun.play(file, deploy, logs, terminal ? System.err : null);
+    LoadTest.Outcome outcome = LoadTest.play(file, deploy, logs, terminal ? System.err : null);
     spec.commandLine().getOut().print(outcome.text());
     spec.commandLine().getOut().flush();
     if (report != null) {
--- a/src/main/java/eiderfork/cli/Main.java
+++ b/src/main/java/eiderfork/cli/Main.java
@@ -1,11 +1,11 @@
 package eiderfork.cli;
 
-import eiderfork.config.BadSettings;
-import eiderfork.config.OperatorFile;
+import eiderfork.config.InvalidSettingsException;
 import eiderfork.config.OperatorSettings;
+import eiderfork.config.OperatorSettingsParser;
 import eiderfork.config.Settings;
-import eiderfork.config.SettingsFile;
-import eiderfork.net.Node;
+import eiderfork.config.SettingsParser;
+import eiderfork.net.ControllerNode;
 import java.nio.file.Path;
 import java.util.Locale;
 import java.util.Set;
@@ -25,7 +25,7 @@
   /** Runs the command that the arguments name and ends the process with its exit code. */
   public static void main(String[] args) {
     logTo(System.getenv("LOG_LEVEL"));
-    System.exit(isPlain(args) ? servePlain(args) : Commands.run(args));
+    System.exit(isPlain(args) ? servePlain(args) : CommandLineInterface.run(args));
   }
 
   /** Whether the arguments are {@code serve SETTINGS} or {@code serve --operator FILE SETTINGS}. */
@@ -39,28 +39,30 @@
   private static int servePlain(String[] args) {
     try {
       OperatorSettings operator =
-          args.length == 2 ? OperatorSettings.DEFAULTS : OperatorFile.read(Path.of(args[2]));
-      serve(SettingsFile.read(Path.of(args[args.length - 1]), operator));
+          args.length == 2
+              ? OperatorSettings.DEFAULTS
+              : OperatorSettingsParser.read(Path.of(args[2]));
+      serve(SettingsParser.read(Path.of(args[args.length - 1]), operator));
       return 0;
-    } catch (BadSettings | InterruptedException | RuntimeException e) {
+    } catch (InvalidSettingsException | InterruptedException | RuntimeException e) {
       System.err.println(complaint(e));
       return exitCode(e);
     }
   }
 
   static void serve(Settings settings) throws InterruptedException {
-    try (Node node = new Node(settings)) {
+    try (ControllerNode node = new ControllerNode(settings)) {
       node.start();
       node.await();
     }
   }
 
   static String complaint(Exception e) {
-    return "eiderfork: " + (e instanceof BadSettings ? e.getMessage() : e.toString());
+    return "eiderfork: " + (e instanceof InvalidSettingsException ? e.getMessage() : e.toString());
   }
 
   static int exitCode(Exception e) {
-    return e instanceof BadSettings ? BAD_SETTINGS : 1;
+    return e instanceof InvalidSettingsException ? BAD_SETTINGS : 1;
   }
 
   private static void logTo(String level) {
--- a/src/main/java/eiderfork/config/OperatorFile.java
+++ b/src/main/java/eiderfork/config/OperatorSettingsParser.java
@@ -13,7 +13,7 @@
 import us.bpsm.edn.parser.Parsers;
 
 /** Reads the operators' own settings: one EDN map, every entry of which may be left out. */
-public final class OperatorFile {
+public final class OperatorSettingsParser {
   private static final Set<String> KNOWN =
       Set.of(
           "round-share",
@@ -37,7 +37,7 @@
   private final String file;
   private final Map<?, ?> map;
 
-  private OperatorFile(String file, Map<?, ?> map) {
+  private OperatorSettingsParser(String file, Map<?, ?> map) {
     this.file = file;
     this.map = map;
   }
@@ -45,34 +45,34 @@
   /**
    * Reads and checks an operators' file.
    *
-   * @throws BadSettings where the file or an entry can't be used
+   * @throws InvalidSettingsException where the file or an entry can't be used
    */
-  public static OperatorSettings read(Path path) throws BadSettings {
+  public static OperatorSettings read(Path path) throws InvalidSettingsException {
     try {
       return parse(path.toString(), Files.readString(path));
     } catch (IOException e) {
-      throw new BadSettings(path.toString(), "", "can't be read");
+      throw new InvalidSettingsException(path.toString(), "", "can't be read");
     }
   }
 
   /**
    * Checks the text of an operators' file; {@code file} is only named in errors.
    *
-   * @throws BadSettings where the text or an entry can't be used
+   * @throws InvalidSettingsException where the text or an entry can't be used
    */
-  public static OperatorSettings parse(String file, String text) throws BadSettings {
+  public static OperatorSettings parse(String file, String text) throws InvalidSettingsException {
     Object value;
     try {
       Parseable in = Parsers.newParseable(text);
       Parser parser = Parsers.newParser(Parsers.defaultConfiguration());
       value = parser.nextValue(in);
     } catch (EdnException e) {
-      throw new BadSettings(file, "", "not EDN: " + e.getMessage());
+      throw new InvalidSettingsException(file, "", "not EDN: " + e.getMessage());
     }
     if (!(value instanceof Map<?, ?> map)) {
-      throw new BadSettings(file, "", "not an EDN map");
+      throw new InvalidSettingsException(file, "", "not an EDN map");
     }
-    OperatorFile it = new OperatorFile(file, map);
+    OperatorSettingsParser it = new OperatorSettingsParser(file, map);
     it.refuseUnknown();
     OperatorSettings d = OperatorSettings.DEFAULTS;
     return new OperatorSettings(
@@ -89,11 +89,12 @@
         it.text("trace-file"));
   }
 
-  private void refuseUnknown() throws BadSettings {
+  private void refuseUnknown() throws InvalidSettingsException {
     for (Object key : map.keySet()) {
       String name = key instanceof Keyword keyword ? keyword.getName() : String.valueOf(key);
       if (!(key instanceof Keyword) || !KNOWN.contains(name)) {
-        throw new BadSettings(file, name, "unknown; known are " + new TreeSet<>(KNOWN));
+        throw new InvalidSettingsException(
+            file, name, "unknown; known are " + new TreeSet<>(KNOWN));
       }
     }
   }
@@ -103,50 +104,50 @@
   }
 
   private double number(String name, double fallback, double least, double most)
-      throws BadSettings {
+      throws InvalidSettingsException {
     Object value = get(name);
     if (value == null) {
       return fallback;
     }
     if (!(value instanceof Number number)
         || !(number.doubleValue() >= least && number.doubleValue() <= most)) {
-      throw new BadSettings(file, name, "not a number from " + least + " to " + most);
+      throw new InvalidSettingsException(file, name, "not a number from " + least + " to " + most);
     }
     return number.doubleValue();
   }
 
-  private int count(String name, int fallback, int most) throws BadSettings {
+  private int count(String name, int fallback, int most) throws InvalidSettingsException {
     double value = number(name, fallback, 0, most);
     if (value != Math.rint(value)) {
-      throw new BadSettings(file, name, "not a whole number");
+      throw new InvalidSettingsException(file, name, "not a whole number");
     }
     return (int) value;
   }
 
   /** A cooldown means nothing where nothing is lent. */
-  private double loanCooldown(double fallback) throws BadSettings {
+  private double loanCooldown(double fallback) throws InvalidSettingsException {
     boolean lending = flag("lending", OperatorSettings.DEFAULTS.lending());
     if (!lending && get("loan-cooldown") != null) {
-      throw new BadSettings(file, "loan-cooldown", "needs :lending true");
+      throw new InvalidSettingsException(file, "loan-cooldown", "needs :lending true");
     }
     return number("loan-cooldown", fallback, LEAST_LOAN_COOLDOWN, MOST_LOAN_COOLDOWN);
   }
 
-  private String text(String name) throws BadSettings {
+  private String text(String name) throws InvalidSettingsException {
     Object value = get(name);
     if (value != null && !(value instanceof String text && !text.isEmpty())) {
-      throw new BadSettings(file, name, "not a text");
+      throw new InvalidSettingsException(file, name, "not a text");
     }
     return (String) value;
   }
 
-  private boolean flag(String name, boolean fallback) throws BadSettings {
+  private boolean flag(String name, boolean fallback) throws InvalidSettingsException {
     Object value = get(name);
     if (value == null) {
       return fallback;
     }
     if (!(value instanceof Boolean flag)) {
-      throw new BadSettings(file, name, "not true or false");
+      throw new InvalidSettingsException(file, name, "not true or false");
     }
     return flag;
   }
--- a/src/main/java/eiderfork/config/SettingsFile.java
+++ b/src/main/java/eiderfork/config/SettingsParser.java
@@ -5,15 +5,15 @@
 import com.fasterxml.jackson.dataformat.toml.TomlMapper;
 import com.google.common.collect.ImmutableList;
 import com.google.common.collect.ImmutableMap;
-import eiderfork.model.AllocSize;
 import eiderfork.model.Job;
+import eiderfork.model.PlainAllocationSize;
 import eiderfork.model.Team;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 
 /** Reads the platform's settings; fields that it does not know are ignored. */
-public final class SettingsFile {
+public final class SettingsParser {
   /** The leader key and the counter of terms are written in one transaction. */
   private static final int SAFE_CHANGES = 2;
 
@@ -28,21 +28,22 @@
 
   private final String file;
 
-  private SettingsFile(String file) {
+  private SettingsParser(String file) {
     this.file = file;
   }
 
   /**
    * Reads and checks a settings file.
    *
-   * @throws BadSettings where the file or a field can't be used
+   * @throws InvalidSettingsException where the file or a field can't be used
    */
-  public static Settings read(Path path, OperatorSettings operator) throws BadSettings {
+  public static Settings read(Path path, OperatorSettings operator)
+      throws InvalidSettingsException {
     String text;
     try {
       text = Files.readString(path);
     } catch (IOException e) {
-      throw new BadSettings(path.toString(), "", "can't be read");
+      throw new InvalidSettingsException(path.toString(), "", "can't be read");
     }
     return parse(path.toString(), text, operator);
   }
@@ -50,20 +51,21 @@
   /**
    * Checks the text of a settings file; {@code file} is only named in errors.
    *
-   * @throws BadSettings where the text or a field can't be used
+   * @throws InvalidSettingsException where the text or a field can't be used
    */
   public static Settings parse(String file, String text, OperatorSettings operator)
-      throws BadSettings {
+      throws InvalidSettingsException {
     JsonNode root;
     try {
       root = new TomlMapper().readTree(text);
     } catch (JsonProcessingException e) {
-      throw new BadSettings(file, "", "not TOML: " + e.getOriginalMessage());
+      throw new InvalidSettingsException(file, "", "not TOML: " + e.getOriginalMessage());
     }
-    return new SettingsFile(file).settings(root, operator);
+    return new SettingsParser(file).settings(root, operator);
   }
 
-  private Settings settings(JsonNode root, OperatorSettings operator) throws BadSettings {
+  private Settings settings(JsonNode root, OperatorSettings operator)
+      throws InvalidSettingsException {
     ImmutableMap.Builder<String, Settings.Endpoint> peers = ImmutableMap.builder();
     ImmutableMap.Builder<String, String> peerZones = ImmutableMap.builder();
     for (JsonNode peer : root.path("others")) {
@@ -130,10 +132,10 @@
    * @param fallback has the figures that the table leaves as they are
    */
   private Settings.StateLimits stateLimits(JsonNode table, String at, JsonNode fallback)
-      throws BadSettings {
+      throws InvalidSettingsException {
     double valueKb = positive(either(table, fallback, "value_kb"), at, "value_kb");
     check(
-        AllocSize.anyFits(Job.MOST_TASKS, MOST_NAME_BYTES, valueKb),
+        PlainAllocationSize.anyFits(Job.MOST_TASKS, MOST_NAME_BYTES, valueKb),
         at,
         "value_kb",
         "too small for the record of any job");
@@ -154,7 +156,7 @@
     return table.has(name) ? table : fallback;
   }
 
-  private ImmutableMap<String, Team> teams(JsonNode deployment) throws BadSettings {
+  private ImmutableMap<String, Team> teams(JsonNode deployment) throws InvalidSettingsException {
     String at = "deployment.teams";
     ImmutableMap.Builder<String, Team> teams = ImmutableMap.builder();
     for (JsonNode team : deployment.path("teams")) {
@@ -171,7 +173,8 @@
     return teams.buildKeepingLast();
   }
 
-  private ImmutableList<Settings.Objective> objectives(JsonNode deployment) throws BadSettings {
+  private ImmutableList<Settings.Objective> objectives(JsonNode deployment)
+      throws InvalidSettingsException {
     String at = "deployment.objectives";
     ImmutableList.Builder<Settings.Objective> objectives = ImmutableList.builder();
     for (JsonNode objective : deployment.path("objectives")) {
@@ -197,9 +200,10 @@
   }
 
   /** Refuses figures that can't work together. */
-  private void check(boolean works, String at, String name, String reason) throws BadSettings {
+  private void check(boolean works, String at, String name, String reason)
+      throws InvalidSettingsException {
     if (!works) {
-      throw new BadSettings(file, path(at, name), reason);
+      throw new InvalidSettingsException(file, path(at, name), reason);
     }
   }
 
@@ -207,42 +211,45 @@
     return at.isEmpty() ? name : at + "." + name;
   }
 
-  private JsonNode table(JsonNode node, String at, String name) throws BadSettings {
+  private JsonNode table(JsonNode node, String at, String name) throws InvalidSettingsException {
     JsonNode value = node.path(name);
     if (!value.isObject()) {
-      throw new BadSettings(file, path(at, name), "missing table");
+      throw new InvalidSettingsException(file, path(at, name), "missing table");
     }
     return value;
   }
 
-  private String text(JsonNode node, String at, String name) throws BadSettings {
+  private String text(JsonNode node, String at, String name) throws InvalidSettingsException {
     JsonNode value = node.path(name);
     if (!value.isTextual() || value.textValue().isEmpty()) {
-      throw new BadSettings(file, path(at, name), value.isMissingNode() ? "missing" : "not a text");
+      throw new InvalidSettingsException(
+          file, path(at, name), value.isMissingNode() ? "missing" : "not a text");
     }
     return value.textValue();
   }
 
-  private double number(JsonNode node, String at, String name, double fallback) throws BadSettings {
+  private double number(JsonNode node, String at, String name, double fallback)
+      throws InvalidSettingsException {
     JsonNode value = node.path(name);
     if (value.isMissingNode()) {
       return fallback;
     }
     if (!value.isNumber() || !(value.doubleValue() >= 0)) {
-      throw new BadSettings(file, path(at, name), "not a number of at least 0");
+      throw new InvalidSettingsException(file, path(at, name), "not a number of at least 0");
     }
     return value.doubleValue();
   }
 
-  private double positive(JsonNode node, String at, String name) throws BadSettings {
+  private double positive(JsonNode node, String at, String name) throws InvalidSettingsException {
     double value = number(node, at, name, 0);
     if (value <= 0) {
-      throw new BadSettings(file, path(at, name), "missing or not above 0");
+      throw new InvalidSettingsException(file, path(at, name), "missing or not above 0");
     }
     return value;
   }
 
-  private Settings.Endpoint endpoint(JsonNode node, String at, String name) throws BadSettings {
+  private Settings.Endpoint endpoint(JsonNode node, String at, String name)
+      throws InvalidSettingsException {
     String value = text(node, at, name);
     int colon = value.lastIndexOf(':');
     try {
@@ -253,6 +260,7 @@
     } catch (NumberFormatException e) {
       // Said below, like a missing port.
     }
-    throw new BadSettings(file, path(at, name), "not an address of the form host:port");
+    throw new InvalidSettingsException(
+        file, path(at, name), "not an address of the form host:port");
   }
 }
--- a/src/main/java/eiderfork/core/AllocRoom.java
+++ b/src/main/java/eiderfork/controller/AllocationSizeLimit.java
@@ -1,20 +1,20 @@
-package eiderfork.core;
+package eiderfork.controller;
 
-import eiderfork.model.AllocSize;
-import eiderfork.model.BitmapAllocSize;
-import eiderfork.model.PackedAllocSize;
+import eiderfork.model.BitmapAllocationSize;
+import eiderfork.model.PackedAllocationSize;
+import eiderfork.model.PlainAllocationSize;
 
 /**
  * Whether one more reservation of a job can be stored. Every record must fit in a form that is
  * written under the limits of now and those to come. Until all members read the packed form it must
  * fit in the plain one as well, under the limits in force.
  */
-final class AllocRoom {
-  private final AllocSize plain;
-  private final PackedAllocSize packed;
+final class AllocationSizeLimit {
+  private final PlainAllocationSize plain;
+  private final PackedAllocationSize packed;
 
   /** Null while a member may not read the bitmap form. */
-  private final BitmapAllocSize bitmap;
+  private final BitmapAllocationSize bitmap;
 
   private final double plainKb;
   private final double shortKb;
@@ -28,7 +28,7 @@
    *     is, whichever is shorter. Neither bound grows when tasks end, so one that held at the last
    *     reservation holds until the next.
    */
-  AllocRoom(JobEntry entry, double plainKb, double shortKb, boolean withBitmaps) {
+  AllocationSizeLimit(JobState entry, double plainKb, double shortKb, boolean withBitmaps) {
     plain = entry.size();
     packed = entry.packedSize();
     bitmap = withBitmaps ? entry.bitmapSize() : null;
--- a/src/main/java/eiderfork/core/AllocWriter.java
+++ b/src/main/java/eiderfork/controller/AllocationWriter.java
@@ -1,14 +1,14 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import com.google.common.collect.ImmutableList;
-import eiderfork.core.context.Context;
-import eiderfork.core.message.Keys;
-import eiderfork.core.message.Reply;
-import eiderfork.core.message.StateOp;
-import eiderfork.core.state.StateGate;
-import eiderfork.core.state.Term;
-import eiderfork.core.state.Urgency;
-import eiderfork.model.Record;
+import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.election.LeaderElection;
+import eiderfork.controller.message.Reply;
+import eiderfork.controller.message.StoreKeys;
+import eiderfork.controller.message.StoreRequest;
+import eiderfork.controller.store.RequestPriority;
+import eiderfork.controller.store.StoreClient;
+import eiderfork.model.StoredRecord;
 import java.util.ArrayList;
 import java.util.List;
 import org.slf4j.Logger;
@@ -18,27 +18,32 @@
  * Writes the alloc records of jobs: one conditional write at a time for a job, repeated under the
  * same conditions until it is known whether it was applied.
  */
-final class AllocWriter {
-  private static final Logger LOG = LoggerFactory.getLogger(AllocWriter.class);
+final class AllocationWriter {
+  private static final Logger LOG = LoggerFactory.getLogger(AllocationWriter.class);
 
   /** A write under way, and what memory holds as settled or reserved once it is applied. */
   private record Write(
-      JobEntry entry,
-      Record.Alloc record,
+      JobState entry,
+      StoredRecord.Alloc record,
       ImmutableList<Reservation> proposed,
       ImmutableList<Reservation> settled,
-      Urgency urgency) {}
+      RequestPriority urgency) {}
 
-  private final Context context;
-  private final StateGate gate;
-  private final Term term;
+  private final ControllerContext context;
+  private final StoreClient gate;
+  private final LeaderElection term;
   private final ClusterVersion version;
-  private final JobTable jobs;
+  private final JobRegistry jobs;
 
   /** What is tried again once its backoff is over. */
   private final List<Runnable> repeats = new ArrayList<>();
 
-  AllocWriter(Context context, StateGate gate, Term term, ClusterVersion version, JobTable jobs) {
+  AllocationWriter(
+      ControllerContext context,
+      StoreClient gate,
+      LeaderElection term,
+      ClusterVersion version,
+      JobRegistry jobs) {
     this.context = context;
     this.gate = gate;
     this.term = term;
@@ -47,8 +52,8 @@
   }
 
   /** Writes what changed of a job, in one conditional write. */
-  void write(JobEntry entry, Urgency urgency) {
-    Record.Alloc record = entry.toRecord();
+  void write(JobState entry, RequestPriority urgency) {
+    StoredRecord.Alloc record = entry.toRecord();
     ImmutableList.Builder<Reservation> proposed = ImmutableList.builder();
     for (Reservation p : entry.placed.values()) {
       if (!p.committed) {
@@ -80,42 +85,45 @@
       return;
     }
     String uid = write.entry.job.uid();
-    StateOp.Change change = StateOp.Change.put(Keys.alloc(uid), inNewestForm(write.record));
+    StoreRequest.Change change =
+        StoreRequest.Change.put(StoreKeys.alloc(uid), inNewestForm(write.record));
     gate.send(
-        new StateOp.Transact(conditions(write.entry), ImmutableList.of(change)),
+        new StoreRequest.Transact(conditions(write.entry), ImmutableList.of(change)),
         write.urgency,
         reply -> answered(write, reply));
   }
 
   /** The record in the shortest form that every member reads. */
-  private Record inNewestForm(Record.Alloc record) {
+  private StoredRecord inNewestForm(StoredRecord.Alloc record) {
     if (version.allows(ClusterVersion.BITMAP_ALLOCS)) {
-      return new Record.BitmapAlloc(record);
+      return new StoredRecord.BitmapAlloc(record);
     }
-    return version.allows(ClusterVersion.PACKED_ALLOCS) ? new Record.PackedAlloc(record) : record;
+    return version.allows(ClusterVersion.PACKED_ALLOCS)
+        ? new StoredRecord.PackedAlloc(record)
+        : record;
   }
 
-  private ImmutableList<StateOp.Condition> conditions(JobEntry entry) {
+  private ImmutableList<StoreRequest.Condition> conditions(JobState entry) {
     String uid = entry.job.uid();
-    ImmutableList.Builder<StateOp.Condition> conditions = ImmutableList.builder();
+    ImmutableList.Builder<StoreRequest.Condition> conditions = ImmutableList.builder();
     conditions.add(term.condition());
-    conditions.add(new StateOp.Condition(Keys.alloc(uid), entry.allocVersion));
-    conditions.add(new StateOp.Condition(Keys.abort(uid), 0));
+    conditions.add(new StoreRequest.Condition(StoreKeys.alloc(uid), entry.allocVersion));
+    conditions.add(new StoreRequest.Condition(StoreKeys.abort(uid), 0));
     if (entry.allocVersion == 0) {
       // An archived job has no alloc record either; nothing of it may start again.
-      conditions.add(new StateOp.Condition(Keys.ended(uid), 0));
+      conditions.add(new StoreRequest.Condition(StoreKeys.ended(uid), 0));
     }
     return conditions.build();
   }
 
   /** Removes the record that a late copy of an archived job's submission has left. */
-  void removeCopy(JobEntry entry) {
-    String key = Keys.job(entry.job.uid());
+  void removeCopy(JobState entry) {
+    String key = StoreKeys.job(entry.job.uid());
     gate.send(
-        new StateOp.Transact(
-            ImmutableList.of(term.condition(), new StateOp.Condition(key, entry.order)),
-            ImmutableList.of(StateOp.Change.remove(key))),
-        Urgency.CLEANUP,
+        new StoreRequest.Transact(
+            ImmutableList.of(term.condition(), new StoreRequest.Condition(key, entry.order)),
+            ImmutableList.of(StoreRequest.Change.remove(key))),
+        RequestPriority.CLEANUP,
         reply -> {});
   }
 
@@ -135,7 +143,7 @@
     }
   }
 
-  private void repeat(JobEntry entry, Runnable again) {
+  private void repeat(JobState entry, Runnable again) {
     entry.writeNotBeforeMs = context.nowMs + entry.writeBackoff.next(context.random);
     repeats.add(
         new Runnable() {
@@ -151,7 +159,7 @@
   }
 
   private void applied(Write write, long stamp) {
-    JobEntry entry = write.entry;
+    JobState entry = write.entry;
     entry.writing = false;
     entry.ending = false;
     entry.writeBackoff.reset();
@@ -175,21 +183,21 @@
   }
 
   private void conflict(Write write, Reply.Conflict conflict) {
-    JobEntry entry = write.entry;
+    JobState entry = write.entry;
     String uid = entry.job.uid();
-    if (conflict.failed().contains(Keys.LEADER)) {
+    if (conflict.failed().contains(StoreKeys.LEADER)) {
       term.conditionFailed();
       return;
     }
-    if (conflict.failed().contains(Keys.ended(uid))) {
+    if (conflict.failed().contains(StoreKeys.ended(uid))) {
       LOG.info("{} is archived; a late copy of its submission brought it back", uid);
       jobs.forget(entry);
       removeCopy(entry);
       return;
     }
-    if (conflict.failed().contains(Keys.alloc(uid))) {
+    if (conflict.failed().contains(StoreKeys.alloc(uid))) {
       // Only the leader writes this key, so an earlier copy of this write has been applied.
-      boolean aborted = conflict.failed().contains(Keys.abort(uid));
+      boolean aborted = conflict.failed().contains(StoreKeys.abort(uid));
       readStored(
           write,
           value -> {
@@ -228,8 +236,8 @@
 
   private void readStored(Write write, java.util.function.Consumer<Reply.Value> then) {
     gate.send(
-        new StateOp.Get(Keys.alloc(write.entry.job.uid())),
-        Urgency.START,
+        new StoreRequest.Get(StoreKeys.alloc(write.entry.job.uid())),
+        RequestPriority.START,
         reply -> {
           if (isStale(write)) {
             return;
@@ -255,7 +263,7 @@
    * tasks have ended, or after a while.
    */
   private void notApplied(Write write) {
-    JobEntry entry = write.entry;
+    JobState entry = write.entry;
     LOG.info("alloc of {} is too large to be written", entry.job.uid());
     entry.writing = false;
     entry.ending = false;
--- a/src/main/java/eiderfork/core/ArrayWaves.java
+++ b/src/main/java/eiderfork/controller/ArrayParallelism.java
@@ -1,7 +1,7 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import eiderfork.config.Settings.Objective;
-import eiderfork.core.context.Context;
+import eiderfork.controller.context.ControllerContext;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
 
@@ -10,7 +10,7 @@
  * time that it has runs in waves: room for all of 25,000 tasks of four seconds at once was rented,
  * and stood idle when they were through.
  */
-final class ArrayWaves {
+final class ArrayParallelism {
   /** The share of the time that the users give an array in which it should be done. */
   private static final double TIME_SHARE = 0.25;
 
@@ -23,14 +23,14 @@
   /** How many times as many tasks as planned for are started where there is room. */
   private static final double START_FACTOR = 1.5;
 
-  private final Context context;
+  private final ControllerContext context;
 
-  ArrayWaves(Context context) {
+  ArrayParallelism(ControllerContext context) {
     this.context = context;
   }
 
   /** How many tasks that wait need room at once. */
-  int wanted(JobEntry entry) {
+  int wanted(JobState entry) {
     return most(entry, 1);
   }
 
@@ -38,11 +38,11 @@
    * How many tasks that wait may be started at once. Where there is room for more than planned, the
    * array is sooner through, but 8,000 tasks of one guest at a time left no processors to others.
    */
-  int startable(JobEntry entry) {
+  int startable(JobState entry) {
     return most(entry, START_FACTOR);
   }
 
-  private int most(JobEntry entry, double factor) {
+  private int most(JobState entry, double factor) {
     int waiting = entry.waiting.cardinality();
     Job job = entry.job;
     double timeS = timeS(job) * TIME_SHARE;
--- a/src/main/java/eiderfork/core/Planner.java
+++ b/src/main/java/eiderfork/controller/Autoscaler.java
@@ -1,12 +1,12 @@
-package eiderfork.core;
+package eiderfork.controller;
 
-import eiderfork.core.context.Context;
-import eiderfork.core.state.StateGate;
+import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.store.StoreClient;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
 import eiderfork.model.MachineType;
-import eiderfork.model.Record;
 import eiderfork.model.Resources;
+import eiderfork.model.StoredRecord;
 import eiderfork.model.Team;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -19,7 +19,7 @@
  * Plans the fleet: packs what waits, and the arrivals to be ready for, onto the machines that are
  * up or on their way, rents for what is left over and returns what nothing was packed on.
  */
-final class Planner {
+final class Autoscaler {
   /** The most machines that the protocol lets one rent ask for. */
   private static final int RENT_MOST = 50;
 
@@ -46,31 +46,31 @@
     }
   }
 
-  private final Context context;
-  private final JobTable jobs;
-  private final Fleet fleet;
+  private final ControllerContext context;
+  private final JobRegistry jobs;
+  private final MachineRegistry fleet;
   private final MachineLiveness liveness;
-  private final LeaseLapses lapses;
-  private final Cloud cloud;
-  private final Placer placer;
-  private final Drain drain;
-  private final ArrayWaves waves;
-  private final BootTimes boots;
-  private final UnneededMachines unneeded;
+  private final LeaseExpiry lapses;
+  private final CloudProvisioner cloud;
+  private final Scheduler placer;
+  private final MachineConsolidation drain;
+  private final ArrayParallelism waves;
+  private final BootTimeEstimator boots;
+  private final ScaleInPolicy unneeded;
   private final FleetLog log;
   private final Map<String, Arrivals> arrivals = new LinkedHashMap<>();
   private long arrivalsSinceMs;
   private int examined;
 
-  Planner(
-      Context context,
-      StateGate gate,
-      JobTable jobs,
-      Fleet fleet,
+  Autoscaler(
+      ControllerContext context,
+      StoreClient gate,
+      JobRegistry jobs,
+      MachineRegistry fleet,
       MachineLiveness liveness,
-      LeaseLapses lapses,
-      Cloud cloud,
-      Placer placer) {
+      LeaseExpiry lapses,
+      CloudProvisioner cloud,
+      Scheduler placer) {
     this.context = context;
     this.jobs = jobs;
     this.fleet = fleet;
@@ -78,10 +78,10 @@
     this.lapses = lapses;
     this.cloud = cloud;
     this.placer = placer;
-    drain = new Drain(context, jobs, fleet, liveness, placer);
-    waves = new ArrayWaves(context);
-    boots = new BootTimes(context);
-    unneeded = new UnneededMachines(context, fleet, liveness, lapses, cloud, boots);
+    drain = new MachineConsolidation(context, jobs, fleet, liveness, placer);
+    waves = new ArrayParallelism(context);
+    boots = new BootTimeEstimator(context);
+    unneeded = new ScaleInPolicy(context, fleet, liveness, lapses, cloud, boots);
     log = new FleetLog(context, gate, jobs, fleet, liveness);
   }
 
@@ -104,11 +104,11 @@
   }
 
   void plan() {
-    List<JobEntry> ranked = placer.ranked();
-    Packing packing =
-        new Packing(context, fleet, cloud, placer.gpuBalance(), bins(), boots.lateKinds(fleet));
+    List<JobState> ranked = placer.ranked();
+    BinPacking packing =
+        new BinPacking(context, fleet, cloud, placer.gpuBalance(), bins(), boots.lateKinds(fleet));
     Map<String, Resources> used = new HashMap<>();
-    for (JobEntry entry : ranked) {
+    for (JobState entry : ranked) {
       if (entry.aborted || entry.aborting || context.nowMs < entry.failures.notBeforeMs()) {
         continue;
       }
@@ -125,21 +125,23 @@
 
   private List<Bin> bins() {
     List<Bin> bins = new ArrayList<>();
-    for (MachineEntry m : fleet.machines()) {
+    for (MachineState m : fleet.machines()) {
       if (m.machine == null || m.room == null || m.returning || m.faulty) {
         continue;
       }
       MachineType type = fleet.type(m);
       boolean coming = m.report() == null && type != null && !boots.isLate(m, type);
       if (coming || liveness.usable(m)) {
-        Cloud.Kind kind = new Cloud.Kind(m.machine.type(), m.machine.zone(), m.machine.spot());
+        CloudProvisioner.Kind kind =
+            new CloudProvisioner.Kind(m.machine.type(), m.machine.zone(), m.machine.spot());
         bins.add(new Bin(m, kind, m.room, m.free()));
       }
     }
-    for (Record.Rent open : cloud.rents().openRents()) {
+    for (StoredRecord.Rent open : cloud.rents().openRents()) {
       MachineType type = fleet.types().get(open.type());
       if (type != null) {
-        Cloud.Kind kind = new Cloud.Kind(open.type(), open.zone(), open.spot());
+        CloudProvisioner.Kind kind =
+            new CloudProvisioner.Kind(open.type(), open.zone(), open.spot());
         for (int i = 0; i < open.count(); i++) {
           bins.add(new Bin(null, kind, type.room(), type.room()));
         }
@@ -149,13 +151,13 @@
     return bins;
   }
 
-  private void packHeadroom(Arrivals a, Packing packing) {
+  private void packHeadroom(Arrivals a, BinPacking packing) {
     int ready = headroom(a);
     int zoneMost = a.sample.spread() ? (ready + 1) / 2 : ready;
     packing.put(a.sample, ready, new HashMap<>(), zoneMost);
   }
 
-  private void pack(JobEntry entry, Packing packing, Map<String, Resources> used) {
+  private void pack(JobState entry, BinPacking packing, Map<String, Resources> used) {
     Job job = entry.job;
     Team team = context.settings.teams().get(job.team());
     if (team == null) {
@@ -164,7 +166,7 @@
     Resources before = used.computeIfAbsent(job.team(), jobs.tally()::used);
     int tasks = team.tasksWithinLimit(before, job.need(), wanted(entry));
     if (tasks > 0) {
-      int put = packing.put(job, tasks, PlacementRules.zonesOf(entry), job.perZone());
+      int put = packing.put(job, tasks, PlacementConstraints.zonesOf(entry), job.perZone());
       used.put(job.team(), before.plus(job.need().times(put)));
     }
   }
@@ -173,7 +175,7 @@
    * How many tasks of a job need room now. One that seems to fail everywhere rents nothing: it is
    * tried where there is room, and gets a machine for one task only after it found none for long.
    */
-  private int wanted(JobEntry entry) {
+  private int wanted(JobState entry) {
     if (entry.failures.isProvenSuspect()) {
       long sinceMs = context.nowMs - entry.failures.notBeforeMs();
       return entry.placed.isEmpty() && sinceMs > SUSPECT_RENT_LEASES * context.leaseMs() ? 1 : 0;
@@ -185,10 +187,10 @@
    * Packs what stands on machines that have been silent for a while: it will want new places when
    * their leases lapse, and machines for that take a boot's time to come.
    */
-  private void packSuspected(Packing packing) {
-    List<MachineEntry> suspected = new ArrayList<>();
+  private void packSuspected(BinPacking packing) {
+    List<MachineState> suspected = new ArrayList<>();
     int live = 0;
-    for (MachineEntry m : fleet.machines()) {
+    for (MachineState m : fleet.machines()) {
       if (m.report() != null && !m.returning) {
         live++;
         if (lapses.suspected(m)) {
@@ -200,10 +202,10 @@
       // It is this node that is cut off.
       return;
     }
-    for (MachineEntry m : suspected) {
+    for (MachineState m : suspected) {
       for (Reservation p : m.placed) {
         if (p.wanted()) {
-          Map<String, Integer> perZone = PlacementRules.zonesOf(p.job);
+          Map<String, Integer> perZone = PlacementConstraints.zonesOf(p.job);
           perZone.merge(m.zone(), -1, Integer::sum);
           packing.put(p.job.job, 1, perZone, p.job.job.perZone());
         }
@@ -238,13 +240,13 @@
     if (!cloud.listed() || cloud.rents().rentsWait()) {
       return;
     }
-    Map<Cloud.Kind, Integer> counts = new LinkedHashMap<>();
+    Map<CloudProvisioner.Kind, Integer> counts = new LinkedHashMap<>();
     wanted.forEach(bin -> counts.merge(bin.kind, 1, Integer::sum));
     counts.forEach(this::rent);
   }
 
   /** Rents of one kind for so many machines, as far as they may be asked for at once. */
-  private void rent(Cloud.Kind kind, int count) {
+  private void rent(CloudProvisioner.Kind kind, int count) {
     int left = count;
     for (int i = 0; i < cloud.rents().mostAtOnce(kind) && left > 0; i++) {
       cloud.rents().rent(kind, Math.min(left, RENT_MOST));
--- a/src/main/java/eiderfork/core/Bin.java
+++ b/src/main/java/eiderfork/controller/Bin.java
@@ -1,13 +1,13 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import eiderfork.model.Resources;
 
 /** A machine that a plan may count on, real or yet to be rented. */
 final class Bin {
   /** Null for one yet to be rented. */
-  final MachineEntry machine;
+  final MachineState machine;
 
-  final Cloud.Kind kind;
+  final CloudProvisioner.Kind kind;
   final Resources room;
 
   /** The share of it that was left when the plan began. */
@@ -16,7 +16,7 @@
   /** What nothing is reserved on nor packed on. */
   Resources left;
 
-  Bin(MachineEntry machine, Cloud.Kind kind, Resources room, Resources left) {
+  Bin(MachineState machine, CloudProvisioner.Kind kind, Resources room, Resources left) {
     this.machine = machine;
     this.kind = kind;
     this.room = room;
--- a/src/main/java/eiderfork/core/Packing.java
+++ b/src/main/java/eiderfork/controller/BinPacking.java
@@ -1,7 +1,7 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import eiderfork.config.Settings.Objective;
-import eiderfork.core.context.Context;
+import eiderfork.controller.context.ControllerContext;
 import eiderfork.model.Job;
 import eiderfork.model.MachineType;
 import it.unimi.dsi.fastutil.objects.Object2IntMap;
@@ -15,30 +15,30 @@
  * The bin packing of one plan: puts tasks onto machines that are up or on their way, first fit, and
  * onto machines yet to be rented where none of these has room.
  */
-final class Packing {
+final class BinPacking {
   /** How much dearer a machine counts whose image fetch takes longer than the job may wait. */
   private static final double SLOW_FETCH_FACTOR = 2;
 
   /** How much dearer a kind of machine counts while one of it is overdue. */
   private static final double LATE_FACTOR = 2;
 
-  private final Context context;
-  private final Fleet fleet;
-  private final Cloud cloud;
-  private final GpuBalance balance;
+  private final ControllerContext context;
+  private final MachineRegistry fleet;
+  private final CloudProvisioner cloud;
+  private final CpusPerGpu balance;
   private final List<Bin> bins;
 
   /** Kinds of machine that come up late now. */
-  private final Set<Cloud.Kind> lateKinds;
+  private final Set<CloudProvisioner.Kind> lateKinds;
 
-  private final BinTree tree;
+  private final FirstFitTree tree;
   private final int knownBins;
 
   /** How many machines of a type each zone has or is to have, by type and zone. */
   private final Object2IntMap<TypeInZone> machines = new Object2IntOpenHashMap<>();
 
   private record TypeInZone(String type, String zone) {
-    static TypeInZone of(Cloud.Kind kind) {
+    static TypeInZone of(CloudProvisioner.Kind kind) {
       return new TypeInZone(kind.type(), kind.zone());
     }
   }
@@ -48,13 +48,13 @@
    * @param lateKinds kinds of which machines are overdue now; others are rented where that costs
    *     less than {@link #LATE_FACTOR} times as much
    */
-  Packing(
-      Context context,
-      Fleet fleet,
-      Cloud cloud,
-      GpuBalance balance,
+  BinPacking(
+      ControllerContext context,
+      MachineRegistry fleet,
+      CloudProvisioner cloud,
+      CpusPerGpu balance,
       List<Bin> bins,
-      Set<Cloud.Kind> lateKinds) {
+      Set<CloudProvisioner.Kind> lateKinds) {
     this.lateKinds = lateKinds;
     this.context = context;
     this.fleet = fleet;
@@ -62,7 +62,7 @@
     this.balance = balance;
     this.bins = bins;
     knownBins = bins.size();
-    tree = new BinTree(bins, balance);
+    tree = new FirstFitTree(bins, balance);
     bins.forEach(bin -> machines.mergeInt(TypeInZone.of(bin.kind), 1, Integer::sum));
   }
 
@@ -172,7 +172,7 @@
         continue;
       }
       for (boolean spot : new boolean[] {false, true}) {
-        Cloud.Kind kind = zoneFor(job, type, spot, perZone, zoneMost);
+        CloudProvisioner.Kind kind = zoneFor(job, type, spot, perZone, zoneMost);
         if (kind == null) {
           continue;
         }
@@ -195,13 +195,13 @@
    * The type in the zone that has the fewest of it among those where the job may have it, or null.
    * Zones where it comes up late now are behind the others.
    */
-  private Cloud.Kind zoneFor(
+  private CloudProvisioner.Kind zoneFor(
       Job job, MachineType type, boolean spot, Map<String, Integer> perZone, int zoneMost) {
-    Cloud.Kind best = null;
+    CloudProvisioner.Kind best = null;
     boolean bestIsLate = true;
     int fewest = Integer.MAX_VALUE;
     for (String zone : type.zones()) {
-      Cloud.Kind kind = new Cloud.Kind(type.name(), zone, spot);
+      CloudProvisioner.Kind kind = new CloudProvisioner.Kind(type.name(), zone, spot);
       int count = machines.getInt(TypeInZone.of(kind));
       boolean late = lateKinds.contains(kind);
       boolean better = late == bestIsLate ? count < fewest : !late;
@@ -214,7 +214,7 @@
     return best;
   }
 
-  private boolean mayRent(Cloud.Kind kind) {
+  private boolean mayRent(CloudProvisioner.Kind kind) {
     return (!kind.spot() || context.settings.operator().spot()) && cloud.rents().inStock(kind);
   }
 
@@ -230,11 +230,12 @@
   }
 
   private static boolean allowed(
-      Job job, Cloud.Kind kind, Map<String, Integer> perZone, int zoneMost) {
-    return allowsKind(job, kind) && PlacementRules.zoneAccepts(job, kind.zone(), perZone, zoneMost);
+      Job job, CloudProvisioner.Kind kind, Map<String, Integer> perZone, int zoneMost) {
+    return allowsKind(job, kind)
+        && PlacementConstraints.zoneAccepts(job, kind.zone(), perZone, zoneMost);
   }
 
-  private static boolean allowsKind(Job job, Cloud.Kind kind) {
+  private static boolean allowsKind(Job job, CloudProvisioner.Kind kind) {
     return job.allowsType(kind.type())
         && job.allowsZone(kind.zone())
         && (job.spot() || !kind.spot());
--- a/src/main/java/eiderfork/core/BootTimes.java
+++ b/src/main/java/eiderfork/controller/BootTimeEstimator.java
@@ -1,14 +1,14 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import com.google.common.collect.HashMultiset;
 import com.google.common.collect.Multiset;
-import eiderfork.core.context.Context;
+import eiderfork.controller.context.ControllerContext;
 import eiderfork.model.MachineType;
 import java.util.HashSet;
 import java.util.Set;
 
 /** Which machines should have come up by now, and which kinds come up late. */
-final class BootTimes {
+final class BootTimeEstimator {
   /** A boot that takes this many times the usual is not counted on any more. */
   private static final double LATE_BOOT = 2.0;
 
@@ -25,19 +25,19 @@
    */
   static final int SILENCE_LEASES = 2;
 
-  private final Context context;
+  private final ControllerContext context;
 
-  BootTimes(Context context) {
+  BootTimeEstimator(ControllerContext context) {
     this.context = context;
   }
 
   /** Whether a machine is not to be counted on any more. */
-  boolean isLate(MachineEntry m, MachineType type) {
+  boolean isLate(MachineState m, MachineType type) {
     return isOverdue(m, type, LATE_BOOT, 0);
   }
 
   /** Whether a machine will not come up at all. */
-  boolean hasFailed(MachineEntry m, MachineType type) {
+  boolean hasFailed(MachineState m, MachineType type) {
     return isOverdue(m, type, FAILED_BOOT, type.bootS() * 1000);
   }
 
@@ -46,33 +46,34 @@
    * have found a new leader yet: it has some leases' time for that, whatever its age. Without this
    * a new leader returned healthy machines in its first seconds.
    */
-  private boolean isOverdue(MachineEntry m, MachineType type, double boots, double graceMs) {
+  private boolean isOverdue(MachineState m, MachineType type, double boots, double graceMs) {
     return m.upMs > 0
         ? context.nowMs - m.upMs > SILENCE_LEASES * context.leaseMs() + graceMs
         : context.nowMs - m.sinceMs > type.bootS() * 1000 * boots;
   }
 
   /** The kinds of machine of which half of those rented lately should be up by now and are not. */
-  Set<Cloud.Kind> lateKinds(Fleet fleet) {
-    Multiset<Cloud.Kind> recent = HashMultiset.create();
-    Multiset<Cloud.Kind> late = HashMultiset.create();
-    for (MachineEntry m : fleet.machines()) {
+  Set<CloudProvisioner.Kind> lateKinds(MachineRegistry fleet) {
+    Multiset<CloudProvisioner.Kind> recent = HashMultiset.create();
+    Multiset<CloudProvisioner.Kind> late = HashMultiset.create();
+    for (MachineState m : fleet.machines()) {
       MachineType type = fleet.type(m);
       if (m.returning || type == null || isOld(m, type)) {
         continue;
       }
-      Cloud.Kind kind = new Cloud.Kind(m.machine.type(), m.machine.zone(), m.machine.spot());
+      CloudProvisioner.Kind kind =
+          new CloudProvisioner.Kind(m.machine.type(), m.machine.zone(), m.machine.spot());
       recent.add(kind);
       if (m.report() == null && isLate(m, type)) {
         late.add(kind);
       }
     }
-    Set<Cloud.Kind> kinds = new HashSet<>(late.elementSet());
+    Set<CloudProvisioner.Kind> kinds = new HashSet<>(late.elementSet());
     kinds.removeIf(kind -> late.count(kind) * 2 < recent.count(kind));
     return kinds;
   }
 
-  private boolean isOld(MachineEntry m, MachineType type) {
+  private boolean isOld(MachineState m, MachineType type) {
     return context.nowMs - m.sinceMs > FAILED_BOOT * type.bootS() * 1000;
   }
 }
--- a/src/main/java/eiderfork/core/LoanRoom.java
+++ b/src/main/java/eiderfork/controller/BorrowedCapacity.java
@@ -1,7 +1,7 @@
-package eiderfork.core;
+package eiderfork.controller;
 
-import eiderfork.core.context.Context;
-import eiderfork.core.lending.LoanCooldowns;
+import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.quota.ReclaimCooldowns;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
 import eiderfork.model.MachineType;
@@ -12,14 +12,14 @@
  * Which work borrows, and what of a machine's room is kept from it. The cooldowns are hints: a new
  * leader begins without them, which costs one more reversal a machine at most.
  */
-final class LoanRoom {
-  private final Context context;
-  private final JobTable jobs;
-  private final Fleet fleet;
-  private final LoanCooldowns cooldowns = new LoanCooldowns();
+final class BorrowedCapacity {
+  private final ControllerContext context;
+  private final JobRegistry jobs;
+  private final MachineRegistry fleet;
+  private final ReclaimCooldowns cooldowns = new ReclaimCooldowns();
   private final boolean on;
 
-  LoanRoom(Context context, JobTable jobs, Fleet fleet) {
+  BorrowedCapacity(ControllerContext context, JobRegistry jobs, MachineRegistry fleet) {
     this.context = context;
     this.jobs = jobs;
     this.fleet = fleet;
@@ -36,7 +36,7 @@
   }
 
   /** Whether the next task of the job would run beyond what its team is guaranteed. */
-  boolean borrows(JobEntry entry) {
+  boolean borrows(JobState entry) {
     if (!on || entry.job.kind() == JobKind.SERVICE) {
       return false;
     }
@@ -50,18 +50,18 @@
    * What of a machine's free room is kept from a job that borrows. What was reclaimed for the job
    * itself is not: an urgent gang that borrows once waited for the room that was made for it.
    */
-  Resources keptFrom(JobEntry borrower, MachineEntry m) {
+  Resources keptFrom(JobState borrower, MachineState m) {
     String own = borrower.job.uid();
     return cooldowns.kept(m.name, context.nowMs, uid -> uid.equals(own) || holdsRoom(uid, m));
   }
 
-  private static boolean holdsRoom(String uid, MachineEntry m) {
+  private static boolean holdsRoom(String uid, MachineState m) {
     return m.placed.stream().anyMatch(p -> p.job.job.uid().equals(uid));
   }
 
   /** Room was reclaimed from a task for another job. */
   void reclaimed(Reservation victim, Job taker) {
-    MachineEntry m = victim.machine;
+    MachineState m = victim.machine;
     MachineType type = fleet.type(m);
     if (type == null) {
       return;
@@ -86,13 +86,13 @@
    * time. It is the first to be reclaimed where nothing else is borrowed, and loses a start and a
    * save each time.
    */
-  boolean isGangCoolingDown(JobEntry gang) {
+  boolean isGangCoolingDown(JobState gang) {
     int times = gang.timesReclaimed(0);
     if (times == 0 || !borrows(gang)) {
       return false;
     }
     long firstMs = cooldownMs(fleet.longestBootMs(gang.job) / 1000);
-    long waitsMs = LoanCooldowns.cooldownMs(times, firstMs);
+    long waitsMs = ReclaimCooldowns.cooldownMs(times, firstMs);
     return context.nowMs - gang.lastReclaimedMs() < waitsMs;
   }
 
@@ -100,12 +100,12 @@
    * Whether a job can't take the room that was made for it, since a write of it is under way.
    * Without this a borrower took it, and others had to be stopped for the job.
    */
-  boolean mayNotTakeYet(JobEntry entry) {
+  boolean mayNotTakeYet(JobState entry) {
     return on && entry.writing;
   }
 
   /** Whether tasks on this machine can be told to stop: it has answered what it was last told. */
-  boolean mayAsk(MachineEntry m) {
+  boolean mayAsk(MachineState m) {
     return !on || m.unanswered == 0;
   }
 }
--- a/src/main/java/eiderfork/core/Cancellations.java
+++ b/src/main/java/eiderfork/controller/CancellationTracker.java
@@ -1,10 +1,10 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import com.github.benmanes.caffeine.cache.Cache;
 import com.github.benmanes.caffeine.cache.Caffeine;
 import com.google.common.collect.ImmutableList;
-import eiderfork.core.context.Context;
-import eiderfork.core.message.CancellationNews;
+import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.message.CancellationGossip;
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.HashMap;
@@ -23,7 +23,7 @@
  * as it is proven that it knows every cancellation confirmed before: from the state service, or
  * from the word of all peers.
  */
-final class Cancellations {
+final class CancellationTracker {
   private static final long NEVER = Long.MIN_VALUE / 4;
 
   /** The most jobs that one message names; with the longest ids it stays far below 64 KiB. */
@@ -51,7 +51,7 @@
     long provenMs = NEVER;
   }
 
-  private final Context context;
+  private final ControllerContext context;
   private final Consumer<String> learned;
   private final long process;
   private final long startedMs;
@@ -76,7 +76,7 @@
   /**
    * @param learned takes each job that turns out to be cancelled, once or more often
    */
-  Cancellations(Context context, Consumer<String> learned) {
+  CancellationTracker(ControllerContext context, Consumer<String> learned) {
     this.context = context;
     this.learned = learned;
     process = context.random.nextLong() | 1;
@@ -148,7 +148,7 @@
   }
 
   /** What this node tells a peer now. */
-  CancellationNews newsFor(String node) {
+  CancellationGossip newsFor(String node) {
     while (!confirmed.isEmpty() && context.nowMs - confirmed.peek().atMs > rememberedMs()) {
       confirmedUids.remove(confirmed.remove().uid);
     }
@@ -169,7 +169,7 @@
     boolean evicted = context.nowMs - peer.evictedMs <= rememberedMs();
     // What was dropped because its time is over matters to nobody.
     long after = unknown.isEmpty() ? lastNumber : unknown.peek().number - 1;
-    return new CancellationNews(
+    return new CancellationGossip(
         process,
         context.nowMs - startedMs,
         after,
@@ -180,7 +180,7 @@
   }
 
   /** A peer said this, by itself or asked. */
-  void heard(String node, CancellationNews news) {
+  void heard(String node, CancellationGossip news) {
     Peer peer = peers.get(node);
     if (peer == null || news.process() == 0) {
       return;
@@ -204,10 +204,10 @@
    * moment of the question, and counts only where the process that answers has run since before
    * this node last had the state service: an earlier one may have confirmed what nobody remembers.
    */
-  void answered(String node, CancellationNews news, long askedMs) {
+  void answered(String node, CancellationGossip news, long askedMs) {
     heard(node, news);
     Peer peer = peers.get(node);
-    long startedMs = context.nowMs - (long) (news.upMs() * (1 - Context.CLOCK_DRIFT));
+    long startedMs = context.nowMs - (long) (news.upMs() * (1 - ControllerContext.CLOCK_DRIFT));
     if (peer != null && news.complete() && startedMs < readMs) {
       peer.provenMs = Math.max(peer.provenMs, askedMs);
     }
@@ -230,7 +230,8 @@
    * behind, and is over within the cancellation time of whatever may have been cancelled unheard.
    */
   boolean mayRenew() {
-    long sinceMs = Context.surely(context.nowMs - provenMs());
-    return sinceMs + Context.surely(context.leaseMs()) + context.stepMs() / 2 < context.cancelMs();
+    long sinceMs = ControllerContext.surely(context.nowMs - provenMs());
+    return sinceMs + ControllerContext.surely(context.leaseMs()) + context.stepMs() / 2
+        < context.cancelMs();
   }
 }
--- a/src/main/java/eiderfork/core/RoomIndex.java
+++ b/src/main/java/eiderfork/controller/CapacityIndex.java
@@ -1,4 +1,4 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import eiderfork.model.Job;
 import eiderfork.model.Resources;
@@ -15,18 +15,18 @@
  * task may fit. What is found still has to be checked, since levels are whole processors and GPUs
  * and a machine may be silent or on its way back to the cloud.
  */
-final class RoomIndex {
+final class CapacityIndex {
   /** Free processors and GPUs are told apart up to this number; the last level has all above. */
   private static final int LEVELS = 65;
 
   /** The machines of one kind. */
   private static final class Group {
-    final Cloud.Kind kind;
+    final CloudProvisioner.Kind kind;
     final RoaringBitmap[] byFreeCpus = new RoaringBitmap[LEVELS];
     final RoaringBitmap[] byFreeGpus = new RoaringBitmap[LEVELS];
     int machines;
 
-    Group(Cloud.Kind kind) {
+    Group(CloudProvisioner.Kind kind) {
       this.kind = kind;
     }
 
@@ -49,8 +49,8 @@
     }
   }
 
-  private final Map<Cloud.Kind, Group> groups = new LinkedHashMap<>();
-  private final FailedSearches failedSearches = new FailedSearches();
+  private final Map<CloudProvisioner.Kind, Group> groups = new LinkedHashMap<>();
+  private final FailedSearchCache failedSearches = new FailedSearchCache();
   private int size;
 
   void clear() {
@@ -60,12 +60,12 @@
   }
 
   /** Searches that found no room, and would find none now. */
-  FailedSearches failedSearches() {
+  FailedSearchCache failedSearches() {
     return failedSearches;
   }
 
   /** A machine has more room than before, or may be used again. */
-  void grew(MachineEntry m) {
+  void grew(MachineState m) {
     if (m.place != null) {
       failedSearches.grew(m);
     }
@@ -88,7 +88,7 @@
   }
 
   /** Takes a machine up, or what has changed of its free room. */
-  void put(MachineEntry m) {
+  void put(MachineState m) {
     Resources free = m.free();
     int cpuLevel = level(free.cpus());
     int gpuLevel = level(free.gpus());
@@ -109,7 +109,7 @@
     Group.add(place.group.byFreeGpus, gpuLevel, m.number);
   }
 
-  void remove(MachineEntry m) {
+  void remove(MachineState m) {
     if (m.place != null) {
       take(m.place, m.number);
       m.place.group.machines--;
@@ -123,8 +123,9 @@
     place.group.byFreeGpus[place.gpuLevel].remove(number);
   }
 
-  private Group group(MachineEntry m) {
-    Cloud.Kind kind = new Cloud.Kind(m.machine.type(), m.machine.zone(), m.machine.spot());
+  private Group group(MachineState m) {
+    CloudProvisioner.Kind kind =
+        new CloudProvisioner.Kind(m.machine.type(), m.machine.zone(), m.machine.spot());
     return groups.computeIfAbsent(kind, Group::new);
   }
 
@@ -138,7 +139,7 @@
     boolean byGpus = need.gpus() > 0;
     int least = level(byGpus ? need.gpus() : need.cpus());
     for (Group group : groups.values()) {
-      Cloud.Kind kind = group.kind;
+      CloudProvisioner.Kind kind = group.kind;
       if (!zones.contains(kind.zone())
           || !job.allowsType(kind.type())
           || kind.spot() && !job.spot()) {
--- a/src/main/java/eiderfork/core/Cloud.java
+++ b/src/main/java/eiderfork/controller/CloudProvisioner.java
@@ -1,17 +1,17 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import com.google.common.collect.ImmutableList;
-import eiderfork.core.context.Context;
-import eiderfork.core.limits.Backoff;
-import eiderfork.core.limits.TokenBucket;
-import eiderfork.core.message.Effect;
-import eiderfork.core.message.Keys;
-import eiderfork.core.message.Reply;
-import eiderfork.core.message.StateOp;
-import eiderfork.core.state.StateGate;
-import eiderfork.core.state.Term;
-import eiderfork.core.state.Urgency;
-import eiderfork.model.HostEntry;
+import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.election.LeaderElection;
+import eiderfork.controller.message.Effect;
+import eiderfork.controller.message.Reply;
+import eiderfork.controller.message.StoreKeys;
+import eiderfork.controller.message.StoreRequest;
+import eiderfork.controller.ratelimit.Backoff;
+import eiderfork.controller.ratelimit.TokenBucket;
+import eiderfork.controller.store.RequestPriority;
+import eiderfork.controller.store.StoreClient;
+import eiderfork.model.ListedMachine;
 import java.util.LinkedHashMap;
 import java.util.Map;
 import org.slf4j.Logger;
@@ -21,8 +21,8 @@
  * The leader's dealings with the cloud. Every rent and return stands in the state service before it
  * is asked for; one without an answer is asked for again under the same name until it is settled.
  */
-final class Cloud {
-  private static final Logger LOG = LoggerFactory.getLogger(Cloud.class);
+final class CloudProvisioner {
+  private static final Logger LOG = LoggerFactory.getLogger(CloudProvisioner.class);
 
   /** The share of the cloud's limit that is used, so that a clock's drift never exceeds it. */
   private static final double RATE_SHARE = 0.9;
@@ -39,13 +39,13 @@
   /** A kind of machine that may be out of stock. */
   record Kind(String type, String zone, boolean spot) {}
 
-  private final Context context;
-  private final Term term;
-  private final StateGate gate;
-  private final Fleet fleet;
+  private final ControllerContext context;
+  private final LeaderElection term;
+  private final StoreClient gate;
+  private final MachineRegistry fleet;
   private final TokenBucket calls;
-  private final MachineRents rents;
-  private final MachineReturns returns;
+  private final ScaleOutRequests rents;
+  private final ScaleInRequests returns;
   private long typesNextMs;
   private boolean typesAsking;
   private boolean typesStored;
@@ -63,7 +63,7 @@
   /** What was read of a list: it comes page by page, each a call within the cloud's rate. */
   private static final class Listing {
     final long startedMs;
-    final Map<String, HostEntry> entries = new LinkedHashMap<>();
+    final Map<String, ListedMachine> entries = new LinkedHashMap<>();
     String last = "";
 
     Listing(long startedMs) {
@@ -74,16 +74,17 @@
   /** Whether a whole list has been taken in this term. */
   private boolean listed;
 
-  Cloud(Context context, Term term, StateGate gate, Fleet fleet) {
+  CloudProvisioner(
+      ControllerContext context, LeaderElection term, StoreClient gate, MachineRegistry fleet) {
     this.context = context;
     this.term = term;
     this.gate = gate;
     this.fleet = fleet;
     double rps = context.settings.cloudLimits().rps() * RATE_SHARE;
     calls = new TokenBucket(rps, Math.max(1, rps * 2), context.nowMs);
-    CloudReservations reservations = new CloudReservations(term, gate);
-    rents = new MachineRents(context, term, fleet, reservations, calls);
-    returns = new MachineReturns(context, term, fleet, reservations, calls);
+    ProvisioningIntents reservations = new ProvisioningIntents(term, gate);
+    rents = new ScaleOutRequests(context, term, fleet, reservations, calls);
+    returns = new ScaleInRequests(context, term, fleet, reservations, calls);
     listBackoff = new Backoff(context.stepMs(), context.listLagMs());
     typesBackoff = new Backoff(context.stepMs(), context.listLagMs());
   }
@@ -105,12 +106,12 @@
   }
 
   /** What is rented. */
-  MachineRents rents() {
+  ScaleOutRequests rents() {
     return rents;
   }
 
   /** What is given back. */
-  MachineReturns returns() {
+  ScaleInRequests returns() {
     return returns;
   }
 
@@ -138,7 +139,7 @@
   }
 
   /** How long a call to the cloud may take. */
-  static long timeoutMs(Context context) {
+  static long timeoutMs(ControllerContext context) {
     return context.stepMs() * TIMEOUT_STEPS;
   }
 
@@ -165,10 +166,10 @@
   private void storeTypes() {
     typesStored = true;
     gate.send(
-        new StateOp.Transact(
+        new StoreRequest.Transact(
             ImmutableList.of(term.condition()),
-            ImmutableList.of(StateOp.Change.put(Keys.TYPES, fleet.typesRecord()))),
-        Urgency.CLEANUP,
+            ImmutableList.of(StoreRequest.Change.put(StoreKeys.TYPES, fleet.typesRecord()))),
+        RequestPriority.CLEANUP,
         reply -> typesStored = reply instanceof Reply.Committed);
   }
 
@@ -196,7 +197,7 @@
       return;
     }
     String before = of.last;
-    for (HostEntry entry : hosts.entries()) {
+    for (ListedMachine entry : hosts.entries()) {
       of.entries.put(entry.machine().name(), entry);
       of.last = entry.machine().name();
     }
--- a/src/main/java/eiderfork/core/ClusterVersion.java
+++ b/src/main/java/eiderfork/controller/ClusterVersion.java
@@ -1,14 +1,14 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import com.google.common.collect.ImmutableList;
-import eiderfork.core.context.Context;
-import eiderfork.core.message.Keys;
-import eiderfork.core.message.Reply;
-import eiderfork.core.message.StateOp;
-import eiderfork.core.state.StateGate;
-import eiderfork.core.state.Term;
-import eiderfork.core.state.Urgency;
-import eiderfork.model.Record;
+import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.election.LeaderElection;
+import eiderfork.controller.message.Reply;
+import eiderfork.controller.message.StoreKeys;
+import eiderfork.controller.message.StoreRequest;
+import eiderfork.controller.store.RequestPriority;
+import eiderfork.controller.store.StoreClient;
+import eiderfork.model.StoredRecord;
 import java.util.HashMap;
 import java.util.Map;
 import org.slf4j.Logger;
@@ -40,9 +40,9 @@
   /** The version of this program. It counts up with each form that the one before can't read. */
   static final int CURRENT = BITMAP_ALLOCS;
 
-  private final Context context;
-  private final StateGate gate;
-  private final Term term;
+  private final ControllerContext context;
+  private final StoreClient gate;
+  private final LeaderElection term;
   private final Map<String, Integer> peers = new HashMap<>();
   private final int own;
   private int stored = FIRST;
@@ -53,14 +53,14 @@
   /**
    * @param own the version of this node, which tests set to an earlier one
    */
-  ClusterVersion(Context context, StateGate gate, Term term, int own) {
+  ClusterVersion(ControllerContext context, StoreClient gate, LeaderElection term, int own) {
     this.own = own;
     this.context = context;
     this.gate = gate;
     this.term = term;
   }
 
-  ClusterVersion(Context context, StateGate gate, Term term) {
+  ClusterVersion(ControllerContext context, StoreClient gate, LeaderElection term) {
     this(context, gate, term, CURRENT);
   }
 
@@ -100,7 +100,7 @@
   }
 
   /** The state service holds this version. */
-  void read(Record.StoredVersion record, long stamp) {
+  void read(StoredRecord.StoredVersion record, long stamp) {
     stored = Math.max(stored, record.version());
     storedStamp = Math.max(storedStamp, stamp);
   }
@@ -111,11 +111,11 @@
    */
   void load(Runnable then) {
     gate.send(
-        new StateOp.Get(Keys.VERSION),
-        Urgency.SUBMIT,
+        new StoreRequest.Get(StoreKeys.VERSION),
+        RequestPriority.SUBMIT,
         reply -> {
           if (reply instanceof Reply.Value value
-              && value.record() instanceof Record.StoredVersion record) {
+              && value.record() instanceof StoredRecord.StoredVersion record) {
             read(record, value.version());
           }
           then.run();
@@ -133,12 +133,13 @@
   private void store() {
     storing = true;
     nextStoreMs = context.nowMs + context.stepMs();
-    Record.StoredVersion record = new Record.StoredVersion(CURRENT);
+    StoredRecord.StoredVersion record = new StoredRecord.StoredVersion(CURRENT);
     gate.send(
-        new StateOp.Transact(
-            ImmutableList.of(term.condition(), new StateOp.Condition(Keys.VERSION, storedStamp)),
-            ImmutableList.of(StateOp.Change.put(Keys.VERSION, record))),
-        Urgency.FLEET,
+        new StoreRequest.Transact(
+            ImmutableList.of(
+                term.condition(), new StoreRequest.Condition(StoreKeys.VERSION, storedStamp)),
+            ImmutableList.of(StoreRequest.Change.put(StoreKeys.VERSION, record))),
+        RequestPriority.FLEET,
         reply -> {
           storing = false;
           if (reply instanceof Reply.Committed committed) {
--- a/src/main/java/eiderfork/core/Controller.java
+++ b/src/main/java/eiderfork/controller/Controller.java
@@ -1,20 +1,20 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import com.google.common.collect.ImmutableList;
 import eiderfork.config.Settings;
-import eiderfork.core.context.Context;
-import eiderfork.core.message.Effect;
-import eiderfork.core.message.Input;
-import eiderfork.core.message.PeerView;
-import eiderfork.core.message.Reply;
-import eiderfork.core.message.UserAnswer;
-import eiderfork.core.standby.CommittedCopy;
-import eiderfork.core.standby.Standby;
-import eiderfork.core.state.JobPages;
-import eiderfork.core.state.ReadBarrier;
-import eiderfork.core.state.StateGate;
-import eiderfork.core.state.StateReader;
-import eiderfork.core.state.Term;
+import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.election.LeaderElection;
+import eiderfork.controller.message.Effect;
+import eiderfork.controller.message.Input;
+import eiderfork.controller.message.PeerStatus;
+import eiderfork.controller.message.Reply;
+import eiderfork.controller.message.UserResponse;
+import eiderfork.controller.recovery.JobPageReader;
+import eiderfork.controller.recovery.RangeReader;
+import eiderfork.controller.standby.Standby;
+import eiderfork.controller.standby.StandbyReplica;
+import eiderfork.controller.store.ReadBarrier;
+import eiderfork.controller.store.StoreClient;
 import java.util.List;
 import java.util.random.RandomGenerator;
 import org.slf4j.Logger;
@@ -24,43 +24,43 @@
  * A controller node as a state machine: takes timed inputs and returns what to send, write and
  * answer. It knows no clock, thread or socket.
  */
-public final class Controller implements Term.Listener {
+public final class Controller implements LeaderElection.Listener {
   private static final Logger LOG = LoggerFactory.getLogger(Controller.class);
 
   /** Ticks in a step: the finest grain of anything timed. */
   private static final int TICKS_PER_STEP = 20;
 
-  private final Context context;
-  private final StateGate gate;
-  private final Term term;
-  private final JobTable jobs;
-  private final Fleet fleet;
+  private final ControllerContext context;
+  private final StoreClient gate;
+  private final LeaderElection term;
+  private final JobRegistry jobs;
+  private final MachineRegistry fleet;
   private final MachineLiveness liveness;
-  private final WorkerControl workers;
-  private final Placer placer;
-  private final Cloud cloud;
-  private final Planner planner;
+  private final WorkerCommander workers;
+  private final Scheduler placer;
+  private final CloudProvisioner cloud;
+  private final Autoscaler planner;
   private final ClusterVersion version;
-  private final Peers peers;
+  private final PeerMonitor peers;
   private final ReadBarrier readBarrier;
-  private final Cancellations cancellations;
+  private final CancellationTracker cancellations;
   private final LeaseProxy leaseProxy;
-  private final UserRequests users;
-  private final StateReader reader;
-  private final JobArchive archive;
-  private final EndedJobSweep sweep;
-  private final CommittedState committed;
+  private final UserRequestHandler users;
+  private final RangeReader reader;
+  private final JobArchiver archive;
+  private final FinishedJobSweeper sweep;
+  private final LeaderRecovery committed;
   private final Standby standby;
-  private final HintSender hints;
-  private final TakeoverTimer timer;
+  private final MachineHintPublisher hints;
+  private final FailoverTimer timer;
 
   private boolean rebuilt;
   private boolean roundWanted;
   private long nextRoundMs;
   private long nextPlanMs;
 
-  private final Hearing hearing;
-  private final WorkerReports reports;
+  private final WorkerReachability hearing;
+  private final HeartbeatHandler reports;
 
   /**
    * Makes a controller that follows until it is elected.
@@ -74,33 +74,33 @@
 
   /** Makes a controller that tells its peers, and holds itself to, this version. */
   Controller(Settings settings, RandomGenerator random, long nowMs, int ownVersion) {
-    context = new Context(settings, random, nowMs);
-    gate = new StateGate(context);
-    term = new Term(context, gate, this);
+    context = new ControllerContext(settings, random, nowMs);
+    gate = new StoreClient(context);
+    term = new LeaderElection(context, gate, this);
     version = new ClusterVersion(context, gate, term, ownVersion);
-    jobs = new JobTable(context, gate, term, version);
-    fleet = new Fleet(context, jobs);
-    cancellations = new Cancellations(context, this::cancelled);
-    peers = new Peers(context, term, cancellations, version);
+    jobs = new JobRegistry(context, gate, term, version);
+    fleet = new MachineRegistry(context, jobs);
+    cancellations = new CancellationTracker(context, this::cancelled);
+    peers = new PeerMonitor(context, term, cancellations, version);
     term.hearsNodes(peers::lost, peers::othersReached);
     leaseProxy = new LeaseProxy(context, gate, term, peers, cancellations);
     liveness = new MachineLiveness(context, term);
-    hearing = new Hearing(context, term, fleet, liveness, peers, leaseProxy);
-    reader = new StateReader(gate, term);
-    SessionLog sessionLog = new SessionLog(context);
-    LeaseLapses lapses =
-        new LeaseLapses(
+    hearing = new WorkerReachability(context, term, fleet, liveness, peers, leaseProxy);
+    reader = new RangeReader(gate, term);
+    WorkerLeaseLog sessionLog = new WorkerLeaseLog(context);
+    LeaseExpiry lapses =
+        new LeaseExpiry(
             context, fleet, peers, liveness, sessionLog, reader::readProxied, this::kick);
     workers =
-        new WorkerControl(
+        new WorkerCommander(
             context, term, jobs, fleet, cancellations, liveness, lapses, sessionLog, this::kick);
-    reports = new WorkerReports(context, term, workers, cancellations, leaseProxy, hearing);
-    placer = new Placer(context, term, gate, jobs, fleet, liveness, version);
-    cloud = new Cloud(context, term, gate, fleet);
-    planner = new Planner(context, gate, jobs, fleet, liveness, lapses, cloud, placer);
+    reports = new HeartbeatHandler(context, term, workers, cancellations, leaseProxy, hearing);
+    placer = new Scheduler(context, term, gate, jobs, fleet, liveness, version);
+    cloud = new CloudProvisioner(context, term, gate, fleet);
+    planner = new Autoscaler(context, gate, jobs, fleet, liveness, lapses, cloud, placer);
     readBarrier = new ReadBarrier(context, gate, this::changed, cancellations::caughtUp);
     users =
-        new UserRequests(
+        new UserRequestHandler(
             context,
             term,
             gate,
@@ -111,12 +111,12 @@
             cancellations,
             version,
             this::kick);
-    JobPages pages = new JobPages(reader);
-    sweep = new EndedJobSweep(context, term, jobs, fleet, cancellations, pages);
-    archive = new JobArchive(context, gate, term, version, jobs, cancellations, sweep);
-    standby = new Standby(context, term, new CommittedCopy(context, gate));
+    JobPageReader pages = new JobPageReader(reader);
+    sweep = new FinishedJobSweeper(context, term, jobs, fleet, cancellations, pages);
+    archive = new JobArchiver(context, gate, term, version, jobs, cancellations, sweep);
+    standby = new Standby(context, term, new StandbyReplica(context, gate));
     committed =
-        new CommittedState(
+        new LeaderRecovery(
             context,
             gate,
             term,
@@ -133,8 +133,8 @@
             standby,
             this::rebuilt,
             this::kick);
-    hints = new HintSender(context, term, gate, fleet, standby);
-    timer = new TakeoverTimer(context, term);
+    hints = new MachineHintPublisher(context, term, gate, fleet, standby);
+    timer = new FailoverTimer(context, term);
   }
 
   /** Takes one input at {@code nowMs} of a steady clock, and says what follows from it. */
@@ -210,7 +210,7 @@
 
   /** Answers a peer's questions together, once the last of them is answered. */
   private void queries(Input.PeerQueries asked) {
-    UserAnswer[] answers = new UserAnswer[asked.uids().size()];
+    UserResponse[] answers = new UserResponse[asked.uids().size()];
     int[] open = {answers.length};
     for (int i = 0; i < answers.length; i++) {
       int at = i;
@@ -231,8 +231,8 @@
   }
 
   /** What this node tells of itself to a peer. */
-  private PeerView view(String peer) {
-    return new PeerView(
+  private PeerStatus view(String peer) {
+    return new PeerStatus(
         context.settings.node(),
         term.number(),
         term.leading(),
--- a/src/main/java/eiderfork/core/GpuBalance.java
+++ b/src/main/java/eiderfork/controller/CpusPerGpu.java
@@ -1,4 +1,4 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import eiderfork.model.Resources;
 
@@ -8,9 +8,9 @@
  *
  * @param cpusPerGpu 0 while there is no GPU work
  */
-record GpuBalance(double cpusPerGpu) {
+record CpusPerGpu(double cpusPerGpu) {
   /** The balance where nobody wants GPUs: none counts as stranded. */
-  static final GpuBalance NONE = new GpuBalance(0);
+  static final CpusPerGpu NONE = new CpusPerGpu(0);
 
   /** The size of a task, in GPUs or in the processors that go with one. */
   double weight(Resources need) {
--- a/src/main/java/eiderfork/core/Deadlines.java
+++ b/src/main/java/eiderfork/controller/DeadlineEstimator.java
@@ -1,6 +1,6 @@
-package eiderfork.core;
+package eiderfork.controller;
 
-import eiderfork.core.context.Context;
+import eiderfork.controller.context.ControllerContext;
 import eiderfork.model.Job;
 import eiderfork.model.MachineType;
 import java.util.HashMap;
@@ -14,14 +14,14 @@
  * <p>The time counts from when this leader learned of the job, which is a moment after its
  * submission or, after a takeover, later; that makes the order a hint and decides no rule.
  */
-final class Deadlines {
-  private final Context context;
-  private final Fleet fleet;
+final class DeadlineEstimator {
+  private final ControllerContext context;
+  private final MachineRegistry fleet;
 
   /** How many times their deadline jobs of a class may take; looked up once. */
   private final Map<String, List<Double>> timesByClass = new HashMap<>();
 
-  Deadlines(Context context, Fleet fleet) {
+  DeadlineEstimator(ControllerContext context, MachineRegistry fleet) {
     this.context = context;
     this.fleet = fleet;
   }
@@ -30,7 +30,7 @@
    * The latest moment at which the job may start to meet the strictest of its deadlines that it can
    * still meet; empty where it has none, or can meet none any more.
    */
-  OptionalLong latestStartMs(JobEntry entry) {
+  OptionalLong latestStartMs(JobState entry) {
     Job job = entry.job;
     if (job.deadlineS() == null) {
       return OptionalLong.empty();
@@ -48,7 +48,7 @@
    * Whether a task of the job that starts now and is lost on its way can't be run again in time:
    * such work belongs on machines that are not taken back.
    */
-  boolean leavesNoSecondRun(JobEntry entry) {
+  boolean leavesNoSecondRun(JobState entry) {
     OptionalLong latestMs = latestStartMs(entry);
     return latestMs.isPresent()
         && latestMs.getAsLong() - context.nowMs < toMs(entry.job.estimateS());
@@ -73,7 +73,7 @@
     return timesByClass.computeIfAbsent(job.jobClass(), context.settings::deadlineTimes);
   }
 
-  private static long endMs(JobEntry entry, double times) {
+  private static long endMs(JobState entry, double times) {
     return entry.sinceMs + toMs(times * entry.job.deadlineS());
   }
 
--- a/src/main/java/eiderfork/core/JobTurns.java
+++ b/src/main/java/eiderfork/controller/DispatchEligibility.java
@@ -1,12 +1,12 @@
-package eiderfork.core;
+package eiderfork.controller;
 
-import eiderfork.core.context.Context;
-import eiderfork.core.state.StateGate;
-import eiderfork.core.state.Urgency;
+import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.store.RequestPriority;
+import eiderfork.controller.store.StoreClient;
 import eiderfork.model.JobKind;
 
 /** Whether a job's tasks may be placed, and what ended of it written, in this round. */
-final class JobTurns {
+final class DispatchEligibility {
   /** Writes that wait for less than this share of a step leave room for what is not urgent. */
   private static final double IDLE_SHARE = 0.2;
 
@@ -15,21 +15,21 @@
    */
   private static final int ENDS_STEPS = 5;
 
-  private final Context context;
-  private final StateGate gate;
-  private final JobTable jobs;
+  private final ControllerContext context;
+  private final StoreClient gate;
+  private final JobRegistry jobs;
 
-  JobTurns(Context context, StateGate gate, JobTable jobs) {
+  DispatchEligibility(ControllerContext context, StoreClient gate, JobRegistry jobs) {
     this.context = context;
     this.gate = gate;
     this.jobs = jobs;
   }
 
-  boolean mayWrite(JobEntry entry) {
+  boolean mayWrite(JobState entry) {
     return entry.mayWrite(context.nowMs);
   }
 
-  boolean mayPlace(JobEntry entry) {
+  boolean mayPlace(JobState entry) {
     return !entry.waiting.isEmpty()
         && context.nowMs >= entry.failures.notBeforeMs()
         && !collectsStarts(entry)
@@ -42,14 +42,14 @@
    * one by one would each be followed by a start, a write and a run of reservations of its own,
    * which take more of the record than a few longer runs.
    */
-  boolean collectsStarts(JobEntry entry) {
+  boolean collectsStarts(JobState entry) {
     return entry.job.kind() == JobKind.ARRAY
         && entry.lastAttempt > 0
         && context.nowMs - entry.writtenMs < collectMs();
   }
 
   /** Whether one task of a job that seems to fail everywhere is under way and may show better. */
-  private boolean awaitsItsTrial(JobEntry entry) {
+  private boolean awaitsItsTrial(JobState entry) {
     if (!entry.failures.isSuspected()) {
       return false;
     }
@@ -62,19 +62,19 @@
     return !entry.placed.isEmpty();
   }
 
-  static Urgency startUrgency(JobEntry entry) {
-    return entry.job.kind() == JobKind.ARRAY ? Urgency.BATCH : Urgency.START;
+  static RequestPriority startUrgency(JobState entry) {
+    return entry.job.kind() == JobKind.ARRAY ? RequestPriority.BATCH : RequestPriority.START;
   }
 
   /** Writes what only ended, once it was collected for long enough; whether some is left. */
-  boolean writeEnds(JobEntry entry) {
+  boolean writeEnds(JobState entry) {
     if (!mayWrite(entry)) {
       return entry.writing && entry.dirty;
     }
     if (entry.dirty && entry.allFinished()) {
-      jobs.write(entry, Urgency.START);
+      jobs.write(entry, RequestPriority.START);
     } else if (entry.dirty && mayWriteEndsOfSome(entry)) {
-      jobs.write(entry, Urgency.BATCH);
+      jobs.write(entry, RequestPriority.BATCH);
     }
     return entry.dirty;
   }
@@ -86,9 +86,9 @@
    * users were told 6 to 12 s late that their arrays were done. They are not left for long, since a
    * team's tasks count until their ends are written.
    */
-  private boolean mayWriteEndsOfSome(JobEntry entry) {
+  private boolean mayWriteEndsOfSome(JobState entry) {
     long sinceWrittenMs = context.nowMs - entry.writtenMs;
-    long waitMs = gate.waitMs(Urgency.BATCH);
+    long waitMs = gate.waitMs(RequestPriority.BATCH);
     return sinceWrittenMs >= collectMs() && waitMs <= IDLE_SHARE * context.stepMs()
         || sinceWrittenMs >= ENDS_STEPS * context.stepMs() && waitMs <= context.stepMs();
   }
--- a/src/main/java/eiderfork/core/FailedSearches.java
+++ b/src/main/java/eiderfork/controller/FailedSearchCache.java
@@ -1,4 +1,4 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import com.google.common.collect.ImmutableSet;
 import eiderfork.model.Job;
@@ -14,10 +14,10 @@
  * hundreds of jobs of a few sizes wait for a full fleet, and searches for each once took the whole
  * processor.
  */
-final class FailedSearches {
+final class FailedSearchCache {
   /** The kinds of machine that were searched. */
   private record Where(ImmutableSet<String> types, boolean spot, String zone) {
-    boolean has(MachineEntry m) {
+    boolean has(MachineState m) {
       return zone.equals(m.zone())
           && (types == null || types.contains(m.machine.type()))
           && (spot || !m.machine.spot());
@@ -57,7 +57,7 @@
   }
 
   /** Gives up what a machine with more room than before may contradict. */
-  void grew(MachineEntry m) {
+  void grew(MachineState m) {
     for (Map.Entry<Where, List<Resources>> each : smallest.entrySet()) {
       if (each.getKey().has(m) && each.getValue().removeIf(size -> size.fitsIn(m.free()))) {
         givenUp++;
--- a/src/main/java/eiderfork/core/TakeoverTimer.java
+++ b/src/main/java/eiderfork/controller/FailoverTimer.java
@@ -1,19 +1,19 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import com.google.common.collect.ImmutableList;
-import eiderfork.core.context.Context;
-import eiderfork.core.message.Effect;
-import eiderfork.core.state.Term;
+import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.election.LeaderElection;
+import eiderfork.controller.message.Effect;
 import java.util.List;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Measures the phases of a takeover, up to the first worker that is answered with a command. */
-final class TakeoverTimer {
-  private static final Logger LOG = LoggerFactory.getLogger(TakeoverTimer.class);
+final class FailoverTimer {
+  private static final Logger LOG = LoggerFactory.getLogger(FailoverTimer.class);
 
-  private final Context context;
-  private final Term term;
+  private final ControllerContext context;
+  private final LeaderElection term;
   private long vacantMs;
   private long electedMs;
   private long stateMs;
@@ -21,7 +21,7 @@
   private boolean fromCopy;
   private boolean running;
 
-  TakeoverTimer(Context context, Term term) {
+  FailoverTimer(ControllerContext context, LeaderElection term) {
     this.context = context;
     this.term = term;
   }
--- a/src/main/java/eiderfork/core/FailureHistory.java
+++ b/src/main/java/eiderfork/controller/FailureHistory.java
@@ -1,6 +1,6 @@
-package eiderfork.core;
+package eiderfork.controller;
 
-import eiderfork.model.Record;
+import eiderfork.model.StoredRecord;
 import it.unimi.dsi.fastutil.ints.Int2IntOpenHashMap;
 import it.unimi.dsi.fastutil.ints.Int2LongOpenHashMap;
 import java.util.Collections;
@@ -103,11 +103,11 @@
    * A new leader takes the job up. Its predecessor's history is lost, but a job of many attempts of
    * which nothing is done, and one task is reserved at most, goes on being tried with one task.
    */
-  void restored(Record.Alloc alloc, int tasks) {
+  void restored(StoredRecord.Alloc alloc, int tasks) {
     long lastAttempt = alloc.lastAttempt();
     countedAttempt = lastAttempt;
     int reserved = 0;
-    for (Record.Span span : alloc.reserved()) {
+    for (StoredRecord.Span span : alloc.reserved()) {
       reserved += span.to() - span.from() + 1;
     }
     boolean seemsOnTrial = alloc.finished().isEmpty() && reserved <= 1 && reserved < tasks;
--- a/src/main/java/eiderfork/core/JobRanking.java
+++ b/src/main/java/eiderfork/controller/FairShareOrder.java
@@ -1,6 +1,6 @@
-package eiderfork.core;
+package eiderfork.controller;
 
-import eiderfork.core.context.Context;
+import eiderfork.controller.context.ControllerContext;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
 import eiderfork.model.Resources;
@@ -14,11 +14,11 @@
 
 /**
  * Puts the jobs that have something to do in the order in which they are served: work within its
- * team's guarantee first, then by priority, then by {@link TurnOrder}.
+ * team's guarantee first, then by priority, then by {@link QueueOrder}.
  */
-final class JobRanking {
+final class FairShareOrder {
   /** A job with what decides its place. */
-  private record Turn(JobEntry entry, boolean guaranteed, long turnMs) implements Comparable<Turn> {
+  private record Turn(JobState entry, boolean guaranteed, long turnMs) implements Comparable<Turn> {
     @Override
     public int compareTo(Turn other) {
       if (guaranteed != other.guaranteed) {
@@ -33,43 +33,43 @@
     }
   }
 
-  private final Context context;
-  private final TurnOrder turnOrder;
+  private final ControllerContext context;
+  private final QueueOrder turnOrder;
 
-  JobRanking(Context context, Deadlines deadlines) {
+  FairShareOrder(ControllerContext context, DeadlineEstimator deadlines) {
     this.context = context;
-    turnOrder = new TurnOrder(context, deadlines);
+    turnOrder = new QueueOrder(context, deadlines);
   }
 
   /** The jobs that have something to place or to write, the most urgent first. */
-  List<JobEntry> rank(JobTable jobs) {
-    List<JobEntry> work = jobs.withWork();
-    Set<JobEntry> guaranteed = guaranteed(work, jobs.tally());
+  List<JobState> rank(JobRegistry jobs) {
+    List<JobState> work = jobs.withWork();
+    Set<JobState> guaranteed = guaranteed(work, jobs.tally());
     int mostTasks = mostArrayTasks(work);
     List<Turn> turns = new ArrayList<>(work.size());
-    for (JobEntry entry : work) {
+    for (JobState entry : work) {
       long turnMs = turnOrder.turnMs(entry, mostTasks);
       turns.add(new Turn(entry, guaranteed.contains(entry), turnMs));
     }
     turns.sort(null);
-    List<JobEntry> ranked = new ArrayList<>(turns.size());
+    List<JobState> ranked = new ArrayList<>(turns.size());
     turns.forEach(turn -> ranked.add(turn.entry));
     return ranked;
   }
 
   /** The jobs that fit into their team's guarantee beside its more urgent and earlier ones. */
-  private Set<JobEntry> guaranteed(List<JobEntry> work, UsageTally tally) {
-    List<JobEntry> byUrgency = new ArrayList<>();
-    for (JobEntry entry : work) {
+  private Set<JobState> guaranteed(List<JobState> work, ResourceUsage tally) {
+    List<JobState> byUrgency = new ArrayList<>();
+    for (JobState entry : work) {
       Team team = context.settings.teams().get(entry.job.team());
       if (team != null && team.hasGuarantee()) {
         byUrgency.add(entry);
       }
     }
-    byUrgency.sort(JobRanking::byUrgency);
-    Set<JobEntry> guaranteed = new ReferenceOpenHashSet<>();
+    byUrgency.sort(FairShareOrder::byUrgency);
+    Set<JobState> guaranteed = new ReferenceOpenHashSet<>();
     Map<String, Resources> wantedByTeam = new HashMap<>();
-    for (JobEntry entry : byUrgency) {
+    for (JobState entry : byUrgency) {
       Job job = entry.job;
       Resources waiting = job.need().times(entry.waiting.cardinality());
       Resources wanted = wantedByTeam.merge(job.team(), waiting, Resources::plus);
@@ -85,19 +85,19 @@
    * What counts as used beside what waits. A task that was lost waits again before its end is
    * committed; counted twice, a team that lost tasks once came behind those that borrowed its room.
    */
-  private Resources used(UsageTally tally, String team) {
+  private Resources used(ResourceUsage tally, String team) {
     return context.settings.operator().lending() ? tally.held(team) : tally.used(team);
   }
 
-  private static int byUrgency(JobEntry a, JobEntry b) {
+  private static int byUrgency(JobState a, JobState b) {
     int byPriority = a.job.priority().compareTo(b.job.priority());
     return byPriority != 0 ? byPriority : Long.compare(a.order, b.order);
   }
 
   /** The most tasks that any array has waiting. */
-  private static int mostArrayTasks(List<JobEntry> work) {
+  private static int mostArrayTasks(List<JobState> work) {
     int most = 1;
-    for (JobEntry entry : work) {
+    for (JobState entry : work) {
       if (entry.job.kind() == JobKind.ARRAY) {
         most = Math.max(most, entry.waiting.cardinality());
       }
--- a/src/main/java/eiderfork/core/SettledJobs.java
+++ b/src/main/java/eiderfork/controller/FinalStatusCache.java
@@ -1,4 +1,4 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import com.github.benmanes.caffeine.cache.Cache;
 import com.github.benmanes.caffeine.cache.Caffeine;
@@ -8,7 +8,7 @@
  * The jobs that this node has seen to be over. That never changes, so their state may be told at
  * any time, also without the state service.
  */
-final class SettledJobs {
+final class FinalStatusCache {
   /** More than users ask about at a time; one takes some hundred bytes. */
   private static final int MOST = 4096;
 
--- a/src/main/java/eiderfork/core/EndedJobSweep.java
+++ b/src/main/java/eiderfork/controller/FinishedJobSweeper.java
@@ -1,12 +1,12 @@
-package eiderfork.core;
+package eiderfork.controller;
 
-import eiderfork.core.context.Context;
-import eiderfork.core.message.Keys;
-import eiderfork.core.message.Reply;
-import eiderfork.core.state.JobPages;
-import eiderfork.core.state.Term;
-import eiderfork.core.state.Urgency;
-import eiderfork.model.Record;
+import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.election.LeaderElection;
+import eiderfork.controller.message.Reply;
+import eiderfork.controller.message.StoreKeys;
+import eiderfork.controller.recovery.JobPageReader;
+import eiderfork.controller.store.RequestPriority;
+import eiderfork.model.StoredRecord;
 import java.util.HashMap;
 import java.util.Map;
 
@@ -14,13 +14,13 @@
  * Brings ended jobs that a new leader found no room for in its memory back to it, some at a time,
  * so that they are archived, too. Meanwhile they are answered for from their records.
  */
-final class EndedJobSweep {
-  private final Context context;
-  private final Term term;
-  private final JobTable jobs;
-  private final Fleet fleet;
-  private final Cancellations cancellations;
-  private final JobPages pages;
+final class FinishedJobSweeper {
+  private final ControllerContext context;
+  private final LeaderElection term;
+  private final JobRegistry jobs;
+  private final MachineRegistry fleet;
+  private final CancellationTracker cancellations;
+  private final JobPageReader pages;
 
   /** The id after which the next page begins; null where every ended job is in memory. */
   private String next;
@@ -28,13 +28,13 @@
   private boolean reading;
   private long generation;
 
-  EndedJobSweep(
-      Context context,
-      Term term,
-      JobTable jobs,
-      Fleet fleet,
-      Cancellations cancellations,
-      JobPages pages) {
+  FinishedJobSweeper(
+      ControllerContext context,
+      LeaderElection term,
+      JobRegistry jobs,
+      MachineRegistry fleet,
+      CancellationTracker cancellations,
+      JobPageReader pages) {
     this.context = context;
     this.term = term;
     this.jobs = jobs;
@@ -60,10 +60,10 @@
    *
    * @param after the id after which the page began
    */
-  void trim(JobPages.JobPage page, String after) {
+  void trim(JobPageReader.JobPage page, String after) {
     int most = context.settings.operator().mostEndedJobs();
     for (Reply.Item item : page.jobs()) {
-      JobEntry entry = jobs.get(Keys.tail(item.key()));
+      JobState entry = jobs.get(StoreKeys.tail(item.key()));
       if (jobs.ended().size() <= most) {
         return;
       }
@@ -90,7 +90,7 @@
     pages.read(
         next,
         term.number(),
-        Urgency.CLEANUP,
+        RequestPriority.CLEANUP,
         page -> {
           if (of == generation) {
             reading = false;
@@ -101,20 +101,20 @@
   }
 
   /** Takes those that are over and unknown; others come with the watch, if they are new. */
-  private void take(JobPages.JobPage page) {
+  private void take(JobPageReader.JobPage page) {
     Map<String, Reply.Item> allocs = new HashMap<>();
-    page.allocs().forEach(item -> allocs.put(Keys.tail(item.key()), item));
+    page.allocs().forEach(item -> allocs.put(StoreKeys.tail(item.key()), item));
     for (Reply.Item item : page.jobs()) {
-      String uid = Keys.tail(item.key());
-      if (jobs.get(uid) == null && item.record() instanceof Record.JobSpec spec) {
+      String uid = StoreKeys.tail(item.key());
+      if (jobs.get(uid) == null && item.record() instanceof StoredRecord.JobSpec spec) {
         Reply.Item alloc = allocs.get(uid);
         if (alloc == null && cancellations.contains(uid)) {
           jobs.add(spec.job(), item.version());
           jobs.markAborted(uid);
-        } else if (alloc != null && alloc.record() instanceof Record.Alloc it && it.done()) {
+        } else if (alloc != null && alloc.record() instanceof StoredRecord.Alloc it && it.done()) {
           jobs.restore(jobs.add(spec.job(), item.version()), it, alloc.version(), fleet);
         } else if (alloc != null
-            && alloc.record() instanceof Record.Alloc it
+            && alloc.record() instanceof StoredRecord.Alloc it
             && cancellations.contains(uid)) {
           jobs.add(spec.job(), item.version());
           jobs.markAborted(uid);
--- a/src/main/java/eiderfork/core/EndedJobs.java
+++ b/src/main/java/eiderfork/controller/FinishedJobs.java
@@ -1,17 +1,17 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import com.google.common.collect.Iterables;
 import java.util.LinkedHashMap;
 import java.util.Map;
 
 /** The jobs in a leader's memory that are over and of which no reservation is left. */
-final class EndedJobs {
+final class FinishedJobs {
   /** A job, and since when this leader knows that nothing of it is left. */
-  record Ended(JobEntry entry, long sinceMs) {}
+  record Ended(JobState entry, long sinceMs) {}
 
   private final Map<String, Ended> jobs = new LinkedHashMap<>();
 
-  void add(JobEntry entry, long nowMs) {
+  void add(JobState entry, long nowMs) {
     jobs.putIfAbsent(entry.job.uid(), new Ended(entry, nowMs));
   }
 
@@ -23,7 +23,7 @@
     jobs.clear();
   }
 
-  boolean contains(JobEntry entry) {
+  boolean contains(JobState entry) {
     return jobs.containsKey(entry.job.uid());
   }
 
--- a/src/main/java/eiderfork/core/BinTree.java
+++ b/src/main/java/eiderfork/controller/FirstFitTree.java
@@ -1,4 +1,4 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import eiderfork.model.Resources;
 import it.unimi.dsi.fastutil.objects.Object2IntMap;
@@ -13,7 +13,7 @@
  * node has left. The first bin that takes a task is found without a look at those that are full: a
  * plan for thousands of machines and tasks once looked at each machine for each job.
  */
-final class BinTree {
+final class FirstFitTree {
   /** Kinds of machine past this number share the last bit. */
   private static final int MOST_KINDS = Long.SIZE;
 
@@ -23,8 +23,8 @@
   private record Wanted(Resources need, long kinds, boolean sparing, Predicate<Bin> accepts) {}
 
   private final List<Bin> bins;
-  private final GpuBalance balance;
-  private final Object2IntMap<Cloud.Kind> kindNumbers = new Object2IntOpenHashMap<>();
+  private final CpusPerGpu balance;
+  private final Object2IntMap<CloudProvisioner.Kind> kindNumbers = new Object2IntOpenHashMap<>();
 
   /** A power of two; the node of bin i is capacity + i, the root is 1. */
   private int capacity = FIRST_CAPACITY;
@@ -42,7 +42,7 @@
   /**
    * @param bins the list that the tree stands on; lengthened by {@link #add} alone from now on
    */
-  BinTree(List<Bin> bins, GpuBalance balance) {
+  FirstFitTree(List<Bin> bins, CpusPerGpu balance) {
     this.bins = bins;
     this.balance = balance;
     kindNumbers.defaultReturnValue(-1);
@@ -93,7 +93,7 @@
     kinds[node] = kinds[a] | kinds[b];
   }
 
-  private int kindNumber(Cloud.Kind kind) {
+  private int kindNumber(CloudProvisioner.Kind kind) {
     int number = kindNumbers.getInt(kind);
     if (number < 0) {
       number = Math.min(kindNumbers.size(), MOST_KINDS - 1);
@@ -126,9 +126,9 @@
   }
 
   /** The kinds of which there are bins, and that are accepted, as bits. */
-  long kinds(Predicate<Cloud.Kind> accepted) {
+  long kinds(Predicate<CloudProvisioner.Kind> accepted) {
     long bits = 0;
-    for (Object2IntMap.Entry<Cloud.Kind> each : kindNumbers.object2IntEntrySet()) {
+    for (Object2IntMap.Entry<CloudProvisioner.Kind> each : kindNumbers.object2IntEntrySet()) {
       if (accepted.test(each.getKey())) {
         bits |= 1L << each.getIntValue();
       }
--- a/src/main/java/eiderfork/core/FleetLog.java
+++ b/src/main/java/eiderfork/controller/FleetLog.java
@@ -1,7 +1,7 @@
-package eiderfork.core;
+package eiderfork.controller;
 
-import eiderfork.core.context.Context;
-import eiderfork.core.state.StateGate;
+import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.store.StoreClient;
 import java.util.Map;
 import java.util.TreeMap;
 import org.slf4j.Logger;
@@ -11,14 +11,19 @@
 final class FleetLog {
   private static final Logger LOG = LoggerFactory.getLogger(FleetLog.class);
 
-  private final Context context;
-  private final StateGate gate;
-  private final JobTable jobs;
-  private final Fleet fleet;
+  private final ControllerContext context;
+  private final StoreClient gate;
+  private final JobRegistry jobs;
+  private final MachineRegistry fleet;
   private final MachineLiveness liveness;
   private long nextMs;
 
-  FleetLog(Context context, StateGate gate, JobTable jobs, Fleet fleet, MachineLiveness liveness) {
+  FleetLog(
+      ControllerContext context,
+      StoreClient gate,
+      JobRegistry jobs,
+      MachineRegistry fleet,
+      MachineLiveness liveness) {
     this.context = context;
     this.gate = gate;
     this.jobs = jobs;
@@ -33,7 +38,7 @@
     }
     nextMs = context.nowMs + context.leaseMs();
     Map<String, int[]> kinds = new TreeMap<>();
-    for (MachineEntry m : fleet.machines()) {
+    for (MachineState m : fleet.machines()) {
       if (m.machine == null || m.room == null) {
         continue;
       }
@@ -46,7 +51,7 @@
       n[3] += (int) (m.free().cpus() > 0 ? m.free().cpus() : 0);
     }
     Map<String, int[]> classes = new TreeMap<>();
-    for (JobEntry entry : jobs.active()) {
+    for (JobState entry : jobs.active()) {
       int[] n = classes.computeIfAbsent(entry.job.jobClass(), k -> new int[2]);
       n[0] += entry.placed.size();
       n[1] += entry.waiting.cardinality();
--- a/src/main/java/eiderfork/core/RoundRoom.java
+++ b/src/main/java/eiderfork/controller/FreeCapacity.java
@@ -1,4 +1,4 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import eiderfork.model.Job;
 import eiderfork.model.Resources;
@@ -17,21 +17,21 @@
  * The room that machines have left beside the claims on it. Within a round it only shrinks, apart
  * from claims and reservations that are taken back.
  */
-final class RoundRoom {
+final class FreeCapacity {
   /** Room on a machine that is being made for a job; nobody else may take it meanwhile. */
-  record Claim(JobEntry entry, MachineEntry machine, long untilMs) {}
+  record Claim(JobState entry, MachineState machine, long untilMs) {}
 
-  private final Fleet fleet;
-  private final Predicate<MachineEntry> usable;
+  private final MachineRegistry fleet;
+  private final Predicate<MachineState> usable;
 
-  private final Predicate<MachineEntry> keepsClaims;
-  private final LoanRoom loans;
+  private final Predicate<MachineState> keepsClaims;
+  private final BorrowedCapacity loans;
 
   /** Counts the changes of claims. */
   private long claimChanges;
 
   /** What claims take of the machines that have any. */
-  private final Map<MachineEntry, Resources> claimed = new Reference2ObjectOpenHashMap<>();
+  private final Map<MachineState, Resources> claimed = new Reference2ObjectOpenHashMap<>();
 
   private final List<Claim> claims = new ArrayList<>();
 
@@ -39,10 +39,10 @@
    * What the searches of this round that leave some of the free room alone have proved, by what
    * they leave. It holds for no longer: the room that they find also grows where GPUs are taken.
    */
-  private final Map<SearchLimits, FailedSearches> limitedSearches = new HashMap<>();
+  private final Map<SearchConstraints, FailedSearchCache> limitedSearches = new HashMap<>();
 
   /** The machines that may be used in this round; null until they are asked for. */
-  private List<MachineEntry> machines;
+  private List<MachineState> machines;
 
   private int examined;
   private long nowMs;
@@ -52,11 +52,11 @@
    * @param keepsClaims whether room that is being made on a machine may still be waited for
    * @param loans what of a machine's room is kept from borrowers
    */
-  RoundRoom(
-      Fleet fleet,
-      Predicate<MachineEntry> usable,
-      Predicate<MachineEntry> keepsClaims,
-      LoanRoom loans) {
+  FreeCapacity(
+      MachineRegistry fleet,
+      Predicate<MachineState> usable,
+      Predicate<MachineState> keepsClaims,
+      BorrowedCapacity loans) {
     this.fleet = fleet;
     this.usable = usable;
     this.keepsClaims = keepsClaims;
@@ -102,7 +102,7 @@
   }
 
   /** Opens the room claimed for a job to it, and returns the claims. */
-  List<Claim> takeClaims(JobEntry entry) {
+  List<Claim> takeClaims(JobState entry) {
     List<Claim> own = new ArrayList<>();
     for (Iterator<Claim> all = claims.iterator(); all.hasNext(); ) {
       Claim claim = all.next();
@@ -116,7 +116,7 @@
     return own;
   }
 
-  boolean hasClaims(JobEntry entry) {
+  boolean hasClaims(JobState entry) {
     for (Claim claim : claims) {
       if (claim.entry == entry) {
         return true;
@@ -126,7 +126,7 @@
   }
 
   /** Whether room on this machine is claimed for the job. */
-  boolean hasClaim(JobEntry entry, MachineEntry m) {
+  boolean hasClaim(JobState entry, MachineState m) {
     return claims.stream().anyMatch(claim -> claim.entry == entry && claim.machine == m);
   }
 
@@ -160,15 +160,15 @@
     index().grew(claim.machine);
   }
 
-  private RoomIndex index() {
+  private CapacityIndex index() {
     return fleet.sets().roomIndex();
   }
 
   /** All machines that may be used, in the order in which they became known. */
-  List<MachineEntry> machines() {
+  List<MachineState> machines() {
     if (machines == null) {
       machines = new ArrayList<>();
-      for (MachineEntry m : fleet.machines()) {
+      for (MachineState m : fleet.machines()) {
         if (usable.test(m)) {
           machines.add(m);
         }
@@ -178,35 +178,35 @@
   }
 
   /** The machines in these zones on which a task of the job may find room. */
-  List<MachineEntry> candidates(Job job, Collection<String> zones) {
-    List<MachineEntry> found = new ArrayList<>();
+  List<MachineState> candidates(Job job, Collection<String> zones) {
+    List<MachineState> found = new ArrayList<>();
     index().forEachCandidate(job, zones, number -> found.add(fleet.get(number)));
     return found;
   }
 
-  boolean isUsable(MachineEntry m) {
+  boolean isUsable(MachineState m) {
     return usable.test(m);
   }
 
   /** What neither reservations nor claims take. */
-  Resources of(MachineEntry m) {
+  Resources of(MachineState m) {
     Resources taken = claimed.get(m);
     return taken == null ? m.free() : m.free().minus(taken);
   }
 
   /** The same, without what is kept from this job where it borrows. */
-  Resources of(MachineEntry m, JobEntry entry, boolean borrows) {
+  Resources of(MachineState m, JobState entry, boolean borrows) {
     return borrows ? of(m).minus(loans.keptFrom(entry, m)) : of(m);
   }
 
   /** What searches have proved to find no room. */
-  FailedSearches failedSearches() {
+  FailedSearchCache failedSearches() {
     return index().failedSearches();
   }
 
   /** What searches of this round that leave some room alone have proved to find no room. */
-  FailedSearches limitedSearches(SearchLimits limits) {
-    return limitedSearches.computeIfAbsent(limits, l -> new FailedSearches());
+  FailedSearchCache limitedSearches(SearchConstraints limits) {
+    return limitedSearches.computeIfAbsent(limits, l -> new FailedSearchCache());
   }
 
   /** Counts a look at a machine for a job. */
@@ -220,11 +220,12 @@
   }
 
   /** The zones that may take one more task of a job. */
-  Set<String> openZones(JobEntry entry, Map<String, Integer> perZone) {
+  Set<String> openZones(JobState entry, Map<String, Integer> perZone) {
     Job job = entry.job;
     Set<String> open = new LinkedHashSet<>();
     for (String zone : index().zones()) {
-      if (job.allowsZone(zone) && PlacementRules.zoneAccepts(job, zone, perZone, job.perZone())) {
+      if (job.allowsZone(zone)
+          && PlacementConstraints.zoneAccepts(job, zone, perZone, job.perZone())) {
         open.add(zone);
       }
     }
@@ -232,14 +233,14 @@
   }
 
   /** Whether the job may have one more task on this machine, if there is room. */
-  boolean allowed(JobEntry entry, MachineEntry m, Map<String, Integer> perZone) {
+  boolean allowed(JobState entry, MachineState m, Map<String, Integer> perZone) {
     Job job = entry.job;
-    if (!PlacementRules.kindAllowed(job, m)) {
+    if (!PlacementConstraints.kindAllowed(job, m)) {
       return false;
     }
     if (entry.failures.avoids(m.name, nowMs) && entry.failures.machines().size() < index().size()) {
       return false;
     }
-    return PlacementRules.zoneAccepts(job, m.zone(), perZone, job.perZone());
+    return PlacementConstraints.zoneAccepts(job, m.zone(), perZone, job.perZone());
   }
 }
--- a/src/main/java/eiderfork/core/Gang.java
+++ b/src/main/java/eiderfork/controller/Gang.java
@@ -1,4 +1,4 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -18,10 +18,10 @@
 
   private static final Logger LOG = LoggerFactory.getLogger(Gang.class);
 
-  private final JobEntry job;
+  private final JobState job;
   private Stop stop = Stop.NONE;
 
-  Gang(JobEntry job) {
+  Gang(JobState job) {
     this.job = job;
   }
 
--- a/src/main/java/eiderfork/core/GangPlacer.java
+++ b/src/main/java/eiderfork/controller/GangScheduler.java
@@ -1,4 +1,4 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import eiderfork.model.Job;
 import java.util.ArrayList;
@@ -10,18 +10,19 @@
 import org.slf4j.LoggerFactory;
 
 /** Finds room for all tasks of a gang at once, or reserves nothing. */
-final class GangPlacer {
-  private static final Logger LOG = LoggerFactory.getLogger(GangPlacer.class);
+final class GangScheduler {
+  private static final Logger LOG = LoggerFactory.getLogger(GangScheduler.class);
 
-  private final JobTable jobs;
-  private final RoundRoom room;
+  private final JobRegistry jobs;
+  private final FreeCapacity room;
   private final RandomGenerator random;
   private final double fullSearchMost;
 
   /**
    * @param fullSearchMost past this many looks at machines in a round a search takes a sample
    */
-  GangPlacer(JobTable jobs, RoundRoom room, RandomGenerator random, double fullSearchMost) {
+  GangScheduler(
+      JobRegistry jobs, FreeCapacity room, RandomGenerator random, double fullSearchMost) {
     this.jobs = jobs;
     this.room = room;
     this.random = random;
@@ -29,7 +30,8 @@
   }
 
   /** Proposes reservations for the whole gang; whether there was room for it. */
-  boolean place(JobEntry entry, MachineScore score, AllocRoom stored, SearchLimits limits) {
+  boolean place(
+      JobState entry, MachineScorer score, AllocationSizeLimit stored, SearchConstraints limits) {
     for (Map<String, Integer> perZone : zoneChoices(entry)) {
       if (holdsAll(entry, perZone, limits) && placeIn(perZone, entry, score, stored, limits)) {
         return true;
@@ -39,7 +41,7 @@
   }
 
   /** Has room made for the whole gang; whether that is under way. */
-  boolean makeRoom(JobEntry entry, Preemption preemption) {
+  boolean makeRoom(JobState entry, PreemptionPlanner preemption) {
     for (Map<String, Integer> perZone : zoneChoices(entry)) {
       if (preemption.makeRoomForAll(entry, perZone)) {
         return true;
@@ -53,7 +55,7 @@
    * tried in one after the other: the best machine for its first task may stand where the others
    * find no room.
    */
-  private List<Map<String, Integer>> zoneChoices(JobEntry entry) {
+  private List<Map<String, Integer>> zoneChoices(JobState entry) {
     List<Map<String, Integer>> choices = new ArrayList<>();
     if (!entry.job.oneZone()) {
       choices.add(new HashMap<>());
@@ -68,10 +70,10 @@
   }
 
   /** Whether the machines have room for every task, before any of them is looked at closely. */
-  private boolean holdsAll(JobEntry entry, Map<String, Integer> perZone, SearchLimits limits) {
+  private boolean holdsAll(JobState entry, Map<String, Integer> perZone, SearchConstraints limits) {
     Job job = entry.job;
     Map<String, Integer> fitting = new HashMap<>();
-    for (MachineEntry machine : room.candidates(job, room.openZones(entry, perZone))) {
+    for (MachineState machine : room.candidates(job, room.openZones(entry, perZone))) {
       room.countExamined();
       int fits = room.of(machine, entry, limits.borrows()).count(job.need());
       if (fits > 0 && room.isUsable(machine) && room.allowed(entry, machine, perZone)) {
@@ -87,16 +89,16 @@
 
   private boolean placeIn(
       Map<String, Integer> perZone,
-      JobEntry entry,
-      MachineScore score,
-      AllocRoom stored,
-      SearchLimits limits) {
+      JobState entry,
+      MachineScorer score,
+      AllocationSizeLimit stored,
+      SearchConstraints limits) {
     long attempt = entry.nextAttempt();
     List<Reservation> proposed = new ArrayList<>();
     MachineSearch search =
         new MachineSearch(room, score, random, fullSearchMost, entry, perZone, false, limits);
     for (int index = 0; index < entry.job.tasks(); index++) {
-      MachineEntry machine = search.best();
+      MachineState machine = search.best();
       if (machine == null || !stored.fits(index, attempt, machine.name)) {
         proposed.forEach(jobs::withdraw);
         return false;
--- a/src/main/java/eiderfork/core/SparedGpus.java
+++ b/src/main/java/eiderfork/controller/GpuHeadroom.java
@@ -1,24 +1,24 @@
-package eiderfork.core;
+package eiderfork.controller;
 
-import eiderfork.core.context.Context;
+import eiderfork.controller.context.ControllerContext;
 import eiderfork.model.JobKind;
 import java.util.List;
 
 /** Which jobs have to leave free GPUs the processors that GPU work takes, while such work waits. */
-final class SparedGpus {
-  private final Context context;
+final class GpuHeadroom {
+  private final ControllerContext context;
   private boolean gpusWanted;
 
-  SparedGpus(Context context) {
+  GpuHeadroom(ControllerContext context) {
     this.context = context;
   }
 
   /** Begins a round with these jobs. */
-  void begin(List<JobEntry> ranked) {
-    gpusWanted = ranked.stream().anyMatch(SparedGpus::waitsForGpus);
+  void begin(List<JobState> ranked) {
+    gpusWanted = ranked.stream().anyMatch(GpuHeadroom::waitsForGpus);
   }
 
-  private static boolean waitsForGpus(JobEntry entry) {
+  private static boolean waitsForGpus(JobState entry) {
     return !entry.waiting.isEmpty() && entry.job.need().gpus() > 0;
   }
 
@@ -27,8 +27,8 @@
    * 132 GPUs of spot machines idle for minutes, since work of one priority does not preempt. Such
    * an array does not wait for ever, and less long where it has not begun.
    */
-  boolean isFrom(JobEntry entry) {
-    long sparesMs = TurnOrder.LATE_TURN_MS * (entry.lastAttempt == 0 ? 1 : 2);
+  boolean isFrom(JobState entry) {
+    long sparesMs = QueueOrder.LATE_TURN_MS * (entry.lastAttempt == 0 ? 1 : 2);
     boolean overdue = context.nowMs - entry.sinceMs > sparesMs;
     boolean withoutGpus = entry.job.kind() == JobKind.ARRAY && entry.job.need().gpus() <= 0;
     return gpusWanted && withoutGpus && !overdue;
--- a/src/main/java/eiderfork/core/WorkerReports.java
+++ b/src/main/java/eiderfork/controller/HeartbeatHandler.java
@@ -1,50 +1,50 @@
-package eiderfork.core;
+package eiderfork.controller;
 
-import eiderfork.core.context.Context;
-import eiderfork.core.message.Effect;
-import eiderfork.core.message.Input;
-import eiderfork.core.state.Term;
-import eiderfork.model.Report;
+import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.election.LeaderElection;
+import eiderfork.controller.message.Effect;
+import eiderfork.controller.message.Input;
+import eiderfork.model.Heartbeat;
 
 /**
  * Workers' reports as they come to this node: answered where it may, sent to the leader where it
  * may not, and kept waiting for a moment where that may change.
  */
-final class WorkerReports {
+final class HeartbeatHandler {
   /**
    * How long a worker that has lost the leader may wait here for another one, in steps. It is three
    * quarters of what a worker waits for an answer, and less than a leader's lease.
    */
   private static final int LOST_LEADER_STEPS = 3;
 
-  private final Context context;
-  private final Term term;
-  private final WorkerControl workers;
-  private final Cancellations cancellations;
+  private final ControllerContext context;
+  private final LeaderElection term;
+  private final WorkerCommander workers;
+  private final CancellationTracker cancellations;
   private final LeaseProxy leaseProxy;
-  private final Hearing hearing;
-  private final ParkedReports parked;
-  private final WorkerRedirects redirects;
+  private final WorkerReachability hearing;
+  private final PendingHeartbeats parked;
+  private final WorkerRedirector redirects;
 
-  WorkerReports(
-      Context context,
-      Term term,
-      WorkerControl workers,
-      Cancellations cancellations,
+  HeartbeatHandler(
+      ControllerContext context,
+      LeaderElection term,
+      WorkerCommander workers,
+      CancellationTracker cancellations,
       LeaseProxy leaseProxy,
-      Hearing hearing) {
+      WorkerReachability hearing) {
     this.context = context;
     this.term = term;
     this.workers = workers;
     this.cancellations = cancellations;
     this.leaseProxy = leaseProxy;
     this.hearing = hearing;
-    parked = new ParkedReports(context);
-    redirects = new WorkerRedirects(context, term);
+    parked = new PendingHeartbeats(context);
+    redirects = new WorkerRedirector(context, term);
   }
 
   /** A report comes. */
-  void take(long ticket, Report report) {
+  void take(long ticket, Heartbeat report) {
     hearing.heard(report.machine().name());
     if (answer(ticket, report)) {
       return;
@@ -69,7 +69,7 @@
   }
 
   /** Answers a worker where this node may, as the leader or in its place; whether it did. */
-  private boolean answer(long ticket, Report report) {
+  private boolean answer(long ticket, Heartbeat report) {
     if (term.leading() && cancellations.mayRenew()) {
       workers.report(ticket, report);
       return true;
@@ -88,7 +88,7 @@
    *
    * @return whether the report need not wait any more
    */
-  private boolean answerOrRedirect(ParkedReports.Parked it) {
+  private boolean answerOrRedirect(PendingHeartbeats.Parked it) {
     if (answer(it.ticket(), it.report())) {
       return true;
     }
@@ -100,7 +100,7 @@
   }
 
   /** How long a report may wait here, by what this node knows now. */
-  private long patienceMs(Report report) {
+  private long patienceMs(Heartbeat report) {
     boolean mayAnswer = leaseProxy.mayAnswer(report);
     if (redirects.hasLostLeader(report) && !mayAnswer) {
       return LOST_LEADER_STEPS * context.stepMs();
@@ -119,7 +119,7 @@
     return term.leading() ? term.sure() : term.leader() == null;
   }
 
-  private void redirect(long ticket, Report report) {
+  private void redirect(long ticket, Heartbeat report) {
     leaseProxy.sentAway(report);
     context.emit(new Effect.RedirectWorker(ticket, redirects.target(report)));
   }
--- a/src/main/java/eiderfork/core/ReportReconciler.java
+++ b/src/main/java/eiderfork/controller/HeartbeatReconciler.java
@@ -1,10 +1,10 @@
-package eiderfork.core;
+package eiderfork.controller;
 
-import eiderfork.core.context.Context;
-import eiderfork.core.state.Term;
+import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.election.LeaderElection;
 import eiderfork.model.Attempt;
 import eiderfork.model.MachineType;
-import eiderfork.model.TaskReport;
+import eiderfork.model.TaskStatus;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -12,8 +12,8 @@
 import org.slf4j.LoggerFactory;
 
 /** Brings reservations up to what workers report, and settles those that a report proves over. */
-final class ReportReconciler {
-  private static final Logger LOG = LoggerFactory.getLogger(ReportReconciler.class);
+final class HeartbeatReconciler {
+  private static final Logger LOG = LoggerFactory.getLogger(HeartbeatReconciler.class);
 
   /** Jobs that must fail on a machine, and on no other, to condemn it. */
   private static final int FAULTY_ERRORS = 2;
@@ -21,13 +21,18 @@
   /** The same where other work goes on beside them. */
   private static final int FAULTY_ERRORS_BESIDE_WORK = 4;
 
-  private final Context context;
-  private final Term term;
-  private final JobTable jobs;
-  private final Fleet fleet;
+  private final ControllerContext context;
+  private final LeaderElection term;
+  private final JobRegistry jobs;
+  private final MachineRegistry fleet;
   private final Runnable kick;
 
-  ReportReconciler(Context context, Term term, JobTable jobs, Fleet fleet, Runnable kick) {
+  HeartbeatReconciler(
+      ControllerContext context,
+      LeaderElection term,
+      JobRegistry jobs,
+      MachineRegistry fleet,
+      Runnable kick) {
     this.context = context;
     this.term = term;
     this.jobs = jobs;
@@ -36,28 +41,28 @@
   }
 
   /** Brings the reservations up to what the newest report shows. */
-  void reconcile(MachineEntry m) {
+  void reconcile(MachineState m) {
     if (m.report() == null) {
       return;
     }
-    Map<Attempt, TaskReport> shown = new HashMap<>();
-    for (TaskReport task : m.tasks()) {
+    Map<Attempt, TaskStatus> shown = new HashMap<>();
+    for (TaskStatus task : m.tasks()) {
       shown.put(task.attempt(), task);
     }
     for (Reservation p : List.copyOf(m.placed)) {
-      TaskReport task = shown.get(p.id());
+      TaskStatus task = shown.get(p.id());
       if (task == null) {
         absent(m, p);
       } else if (task.ended()) {
         ended(m, p, task);
       } else {
-        if (task.state() == TaskReport.State.RUNNING && p.runningSinceMs == 0) {
+        if (task.state() == TaskStatus.State.RUNNING && p.runningSinceMs == 0) {
           p.runningSinceMs = context.nowMs;
           // A new leader learns from what runs which images a machine has.
           noteImage(m, p);
           m.fetchedAtMs.put(p.job.job.image(), context.nowMs);
         }
-        if (task.state() == TaskReport.State.FETCHING
+        if (task.state() == TaskStatus.State.FETCHING
             && !m.fetchedAtMs.containsKey(p.job.job.image())) {
           m.images.remove(p.job.job.image());
           noteImage(m, p);
@@ -65,7 +70,7 @@
         p.seen = task.state();
         if (p.job.gang != null) {
           reconcileGang(m, p);
-        } else if (p.seen == TaskReport.State.SAVING && context.settings.operator().lending()) {
+        } else if (p.seen == TaskStatus.State.SAVING && context.settings.operator().lending()) {
           reconcileSave(p);
         }
       }
@@ -84,18 +89,18 @@
     }
   }
 
-  private void reconcileGang(MachineEntry m, Reservation p) {
-    if (p.seen == TaskReport.State.SAVING && p.wanted()) {
+  private void reconcileGang(MachineState m, Reservation p) {
+    if (p.seen == TaskStatus.State.SAVING && p.wanted()) {
       // An older leader has begun to stop the gang; tasks that are not told in time lose the save.
       p.job.gang.save();
       jobs.changed(p.job);
-    } else if (m.report().noticeS() != null && p.seen == TaskReport.State.RUNNING && p.wanted()) {
+    } else if (m.report().noticeS() != null && p.seen == TaskStatus.State.RUNNING && p.wanted()) {
       p.job.gang.machineNoticed(m.report().noticeS());
       jobs.changed(p.job);
     }
   }
 
-  private void absent(MachineEntry m, Reservation p) {
+  private void absent(MachineState m, Reservation p) {
     if (!p.committed) {
       return;
     }
@@ -115,8 +120,8 @@
     }
   }
 
-  private void ended(MachineEntry m, Reservation p, TaskReport task) {
-    JobEntry job = p.job;
+  private void ended(MachineState m, Reservation p, TaskStatus task) {
+    JobState job = p.job;
     switch (task.cause()) {
       case DONE -> {
         m.errors.clear();
@@ -141,7 +146,7 @@
   }
 
   /** Whether the machine is to blame for the failure, or the job. */
-  private void blame(MachineEntry m, JobEntry job) {
+  private void blame(MachineState m, JobState job) {
     if (job.failures.isJobAtFault()) {
       // It fails everywhere: no machine is to blame for it.
       forgive(job);
@@ -152,12 +157,12 @@
   }
 
   /** A job ends well here: where it failed before, the machine is to blame. */
-  private void confirmBlame(MachineEntry m, JobEntry job) {
+  private void confirmBlame(MachineState m, JobState job) {
     if (job.failures.isJobAtFault() || job.failures.isSuspected()) {
       return;
     }
     for (String name : job.failures.machines()) {
-      MachineEntry failed = fleet.get(name);
+      MachineState failed = fleet.get(name);
       if (failed != null && failed != m && failed.errors.contains(job.job.uid())) {
         failed.confirmedErrors.add(job.job.uid());
         condemnIfFaulty(failed);
@@ -169,7 +174,7 @@
    * Two jobs with a mistake may come to a good machine first. Where other work goes on, all that
    * runs there is given up only if they ended well elsewhere, or once more jobs have failed.
    */
-  private static void condemnIfFaulty(MachineEntry m) {
+  private static void condemnIfFaulty(MachineState m) {
     int needed = othersGoOn(m) ? FAULTY_ERRORS_BESIDE_WORK : FAULTY_ERRORS;
     boolean faulty = m.errors.size() >= needed || m.confirmedErrors.size() >= FAULTY_ERRORS;
     if (faulty && !m.faulty) {
@@ -178,18 +183,18 @@
     }
   }
 
-  private static boolean othersGoOn(MachineEntry m) {
+  private static boolean othersGoOn(MachineState m) {
     for (Reservation p : m.placed) {
-      if (p.seen == TaskReport.State.RUNNING && !m.errors.contains(p.job.job.uid())) {
+      if (p.seen == TaskStatus.State.RUNNING && !m.errors.contains(p.job.job.uid())) {
         return true;
       }
     }
     return false;
   }
 
-  private void forgive(JobEntry job) {
+  private void forgive(JobState job) {
     for (String name : job.failures.machines()) {
-      MachineEntry other = fleet.get(name);
+      MachineState other = fleet.get(name);
       if (other != null) {
         other.errors.remove(job.job.uid());
         other.confirmedErrors.remove(job.job.uid());
@@ -198,13 +203,13 @@
   }
 
   /** Raises the token, so that no unanswered command is executed any more. */
-  void raise(MachineEntry m) {
+  void raise(MachineState m) {
     m.token = Math.max(m.token, term.firstToken()) + 1;
     m.setUrgent();
   }
 
   /** The machine is given this task's image, or shows that it has it. */
-  void noteImage(MachineEntry m, Reservation p) {
+  void noteImage(MachineState m, Reservation p) {
     MachineType type = fleet.type(m);
     String image = p.job.job.image();
     if (type == null || image == null) {
--- a/src/main/java/eiderfork/core/ImageFetch.java
+++ b/src/main/java/eiderfork/controller/ImageFetchEstimator.java
@@ -1,21 +1,21 @@
-package eiderfork.core;
+package eiderfork.controller;
 
-import eiderfork.core.context.Context;
+import eiderfork.controller.context.ControllerContext;
 import eiderfork.model.Job;
 import eiderfork.model.MachineType;
 
 /** Estimates how long tasks wait for their images, by what machines were given before. */
-final class ImageFetch {
-  private final Context context;
-  private final Fleet fleet;
+final class ImageFetchEstimator {
+  private final ControllerContext context;
+  private final MachineRegistry fleet;
 
-  ImageFetch(Context context, Fleet fleet) {
+  ImageFetchEstimator(ControllerContext context, MachineRegistry fleet) {
     this.context = context;
     this.fleet = fleet;
   }
 
   /** How long a task of this job would wait for its image here. */
-  double waitS(Job job, MachineEntry m) {
+  double waitS(Job job, MachineState m) {
     MachineType type = fleet.type(m);
     if (job.image() == null || type == null) {
       return 0;
@@ -31,7 +31,7 @@
   }
 
   /** How long the fetch of an image that the machine was given still takes. */
-  private double leftS(MachineEntry m, String image) {
+  private double leftS(MachineState m, String image) {
     return Math.max(0, (m.fetchedAtMs.getLong(image) - context.nowMs) / 1000.0);
   }
 }
--- a/src/main/java/eiderfork/core/Submissions.java
+++ b/src/main/java/eiderfork/controller/JobAdmission.java
@@ -1,20 +1,20 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import com.google.common.collect.ImmutableList;
 import com.google.common.collect.ImmutableMap;
-import eiderfork.core.context.Context;
-import eiderfork.core.message.Keys;
-import eiderfork.core.message.Reply;
-import eiderfork.core.message.StateOp;
-import eiderfork.core.message.UserAnswer;
-import eiderfork.core.state.StateGate;
-import eiderfork.core.state.Urgency;
+import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.message.Reply;
+import eiderfork.controller.message.StoreKeys;
+import eiderfork.controller.message.StoreRequest;
+import eiderfork.controller.message.UserResponse;
+import eiderfork.controller.store.RequestPriority;
+import eiderfork.controller.store.StoreClient;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
 import eiderfork.model.JobStatus;
 import eiderfork.model.MachineType;
-import eiderfork.model.Record;
 import eiderfork.model.Resources;
+import eiderfork.model.StoredRecord;
 import eiderfork.model.Team;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -24,33 +24,33 @@
 import java.util.function.ObjLongConsumer;
 
 /** Judges submissions and writes those that can run; each job is stored once, by whatever node. */
-final class Submissions {
+final class JobAdmission {
   /** When to come back with a job that waits for the last node to be upgraded. */
   private static final int VERSION_RETRY_S = 2;
 
-  private final Context context;
-  private final StateGate gate;
-  private final Fleet fleet;
+  private final ControllerContext context;
+  private final StoreClient gate;
+  private final MachineRegistry fleet;
   private final ClusterVersion version;
-  private final StoredJobs storedJobs;
-  private final WaitLimit waitLimit;
+  private final StoredJobReader storedJobs;
+  private final QueueTimeLimit waitLimit;
   private final ObjLongConsumer<Job> accepted;
 
   /** Submissions whose write is under way, with those that wait for its end. */
-  private final Map<String, List<Consumer<UserAnswer>>> submitting = new HashMap<>();
+  private final Map<String, List<Consumer<UserResponse>>> submitting = new HashMap<>();
 
   private ImmutableMap<String, MachineType> storedTypes = ImmutableMap.of();
 
   /**
    * @param accepted takes each job that was stored from here, with the revision of that
    */
-  Submissions(
-      Context context,
-      StateGate gate,
-      Fleet fleet,
+  JobAdmission(
+      ControllerContext context,
+      StoreClient gate,
+      MachineRegistry fleet,
       ClusterVersion version,
-      StoredJobs storedJobs,
-      WaitLimit waitLimit,
+      StoredJobReader storedJobs,
+      QueueTimeLimit waitLimit,
       ObjLongConsumer<Job> accepted) {
     this.context = context;
     this.gate = gate;
@@ -67,17 +67,17 @@
   }
 
   /** Takes a submission where memory does not hold all that is committed. */
-  void submitUnknown(Job job, Consumer<UserAnswer> answer) {
+  void submitUnknown(Job job, Consumer<UserResponse> answer) {
     // A known job is never judged again, so it is looked up first; not behind the polls, which
     // once held submissions up for seconds at nodes that could not reach the leader.
     storedJobs.status(
         job.uid(),
-        Urgency.SUBMIT,
+        RequestPriority.SUBMIT,
         status -> {
           if (status == null) {
-            answer.accept(UserAnswer.unavailable());
+            answer.accept(UserResponse.unavailable());
           } else if (status.isPresent()) {
-            answer.accept(UserAnswer.ok(status.get()));
+            answer.accept(UserResponse.ok(status.get()));
           } else if (types().isEmpty()) {
             loadTypes(() -> submitNew(job, answer));
           } else {
@@ -92,10 +92,11 @@
 
   private void loadTypes(Runnable then) {
     gate.send(
-        new StateOp.Get(Keys.TYPES),
-        Urgency.SUBMIT,
+        new StoreRequest.Get(StoreKeys.TYPES),
+        RequestPriority.SUBMIT,
         reply -> {
-          if (reply instanceof Reply.Value value && value.record() instanceof Record.Types it) {
+          if (reply instanceof Reply.Value value
+              && value.record() instanceof StoredRecord.Types it) {
             ImmutableMap.Builder<String, MachineType> builder = ImmutableMap.builder();
             it.types().forEach(type -> builder.put(type.name(), type));
             storedTypes = builder.buildKeepingLast();
@@ -105,7 +106,7 @@
   }
 
   /** Takes a submission of a job that is not known here. */
-  void submitNew(Job job, Consumer<UserAnswer> answer) {
+  void submitNew(Job job, Consumer<UserResponse> answer) {
     if (waitForVersion(job)) {
       version.load(() -> submitIfCurrent(job, answer));
     } else {
@@ -113,17 +114,17 @@
     }
   }
 
-  private void submitIfCurrent(Job job, Consumer<UserAnswer> answer) {
+  private void submitIfCurrent(Job job, Consumer<UserResponse> answer) {
     if (waitForVersion(job)) {
-      answer.accept(UserAnswer.later(VERSION_RETRY_S, "not every node runs the new version yet"));
+      answer.accept(UserResponse.later(VERSION_RETRY_S, "not every node runs the new version yet"));
     } else {
       submitAllowed(job, answer);
     }
   }
 
-  private void submitAllowed(Job job, Consumer<UserAnswer> answer) {
+  private void submitAllowed(Job job, Consumer<UserResponse> answer) {
     if (types().isEmpty()) {
-      answer.accept(UserAnswer.later(2, "the machine types are not known yet"));
+      answer.accept(UserResponse.later(2, "the machine types are not known yet"));
       return;
     }
     String error = impossible(job);
@@ -131,70 +132,71 @@
       // Memory may lag behind a peer that took this job; only an unknown job may be refused.
       storedJobs.status(
           job.uid(),
-          Urgency.SUBMIT,
+          RequestPriority.SUBMIT,
           status -> {
             if (status == null) {
-              answer.accept(UserAnswer.unavailable());
+              answer.accept(UserResponse.unavailable());
             } else if (status.isPresent()) {
-              answer.accept(UserAnswer.ok(status.get()));
+              answer.accept(UserResponse.ok(status.get()));
             } else {
-              answer.accept(UserAnswer.refused(422, error));
+              answer.accept(UserResponse.refused(422, error));
             }
           });
       return;
     }
-    List<Consumer<UserAnswer>> waiting = submitting.get(job.uid());
+    List<Consumer<UserResponse>> waiting = submitting.get(job.uid());
     if (waiting != null) {
       waiting.add(answer);
       return;
     }
-    if (waitLimit.refuses(gate.waitMs(Urgency.SUBMIT), answer)) {
+    if (waitLimit.refuses(gate.waitMs(RequestPriority.SUBMIT), answer)) {
       return;
     }
     waiting = new ArrayList<>();
     waiting.add(answer);
     submitting.put(job.uid(), waiting);
     gate.send(
-        new StateOp.Transact(
+        new StoreRequest.Transact(
             ImmutableList.of(
-                new StateOp.Condition(Keys.job(job.uid()), 0),
+                new StoreRequest.Condition(StoreKeys.job(job.uid()), 0),
                 // Carried out late, this write may come after the job was done and archived.
-                new StateOp.Condition(Keys.ended(job.uid()), 0)),
-            ImmutableList.of(StateOp.Change.put(Keys.job(job.uid()), new Record.JobSpec(job)))),
-        Urgency.SUBMIT,
+                new StoreRequest.Condition(StoreKeys.ended(job.uid()), 0)),
+            ImmutableList.of(
+                StoreRequest.Change.put(StoreKeys.job(job.uid()), new StoredRecord.JobSpec(job)))),
+        RequestPriority.SUBMIT,
         reply -> submitted(job, reply));
   }
 
   private void submitted(Job job, Reply reply) {
-    List<Consumer<UserAnswer>> waiting = submitting.remove(job.uid());
+    List<Consumer<UserResponse>> waiting = submitting.remove(job.uid());
     if (reply instanceof Reply.Committed committed) {
       accepted.accept(job, committed.revision());
-      JobStatus status = JobEntry.status(job, Record.Alloc.EMPTY, 0);
-      waiting.get(0).accept(UserAnswer.created(status));
-      waiting.stream().skip(1).forEach(each -> each.accept(UserAnswer.ok(status)));
+      JobStatus status = JobState.status(job, StoredRecord.Alloc.EMPTY, 0);
+      waiting.get(0).accept(UserResponse.created(status));
+      waiting.stream().skip(1).forEach(each -> each.accept(UserResponse.ok(status)));
     } else if (reply instanceof Reply.Conflict) {
-      answerAsStored(job.uid(), UserAnswer.unavailable(), waiting);
+      answerAsStored(job.uid(), UserResponse.unavailable(), waiting);
     } else if (reply instanceof Reply.Refused refused && refused.isMalformed()) {
       // A peer may have stored it before the service's limits fell.
-      UserAnswer never = UserAnswer.refused(400, "larger than what can be stored");
+      UserResponse never = UserResponse.refused(400, "larger than what can be stored");
       answerAsStored(job.uid(), never, waiting);
     } else {
       // It may be written yet; the user's own repeat finds out.
-      waiting.forEach(each -> each.accept(UserAnswer.unavailable()));
+      waiting.forEach(each -> each.accept(UserResponse.unavailable()));
     }
   }
 
   /** Answers with the job as it is stored, or with {@code otherwise} where it is not. */
   private void answerAsStored(
-      String uid, UserAnswer otherwise, List<Consumer<UserAnswer>> waiting) {
+      String uid, UserResponse otherwise, List<Consumer<UserResponse>> waiting) {
     storedJobs.status(
         uid,
-        Urgency.SUBMIT,
+        RequestPriority.SUBMIT,
         status -> {
-          UserAnswer said =
+          UserResponse said =
               status == null
-                  ? UserAnswer.unavailable()
-                  : status.map(UserAnswer::ok).orElse(otherwise);
+                  ? UserResponse.unavailable()
+                  : status.map(UserResponse::ok).orElse(otherwise);
           waiting.forEach(each -> each.accept(said));
         });
   }
--- a/src/main/java/eiderfork/core/JobArchive.java
+++ b/src/main/java/eiderfork/controller/JobArchiver.java
@@ -1,15 +1,15 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import com.google.common.collect.ImmutableList;
-import eiderfork.core.context.Context;
-import eiderfork.core.message.Keys;
-import eiderfork.core.message.Reply;
-import eiderfork.core.message.StateOp;
-import eiderfork.core.state.StateGate;
-import eiderfork.core.state.Term;
-import eiderfork.core.state.Urgency;
+import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.election.LeaderElection;
+import eiderfork.controller.message.Reply;
+import eiderfork.controller.message.StoreKeys;
+import eiderfork.controller.message.StoreRequest;
+import eiderfork.controller.store.RequestPriority;
+import eiderfork.controller.store.StoreClient;
 import eiderfork.model.JobStatus;
-import eiderfork.model.Record;
+import eiderfork.model.StoredRecord;
 import java.util.ArrayList;
 import java.util.List;
 import org.slf4j.Logger;
@@ -24,21 +24,21 @@
  * record is never removed, and every write that could bring the job back, carried out however late,
  * has the condition that it is not there.
  */
-final class JobArchive {
-  private static final Logger LOG = LoggerFactory.getLogger(JobArchive.class);
+final class JobArchiver {
+  private static final Logger LOG = LoggerFactory.getLogger(JobArchiver.class);
 
   /** The archived record, and the job's own, alloc and cancellation records, which go. */
   private static final int MOST_CHANGES_PER_JOB = 4;
 
   private static final long TELL_MS = 60_000;
 
-  private final Context context;
-  private final StateGate gate;
-  private final Term term;
+  private final ControllerContext context;
+  private final StoreClient gate;
+  private final LeaderElection term;
   private final ClusterVersion version;
-  private final JobTable jobs;
-  private final Cancellations cancellations;
-  private final EndedJobSweep sweep;
+  private final JobRegistry jobs;
+  private final CancellationTracker cancellations;
+  private final FinishedJobSweeper sweep;
 
   private int mostPerBatch;
   private boolean moving;
@@ -47,14 +47,14 @@
   private long archivedSinceTold;
   private long generation;
 
-  JobArchive(
-      Context context,
-      StateGate gate,
-      Term term,
+  JobArchiver(
+      ControllerContext context,
+      StoreClient gate,
+      LeaderElection term,
       ClusterVersion version,
-      JobTable jobs,
-      Cancellations cancellations,
-      EndedJobSweep sweep) {
+      JobRegistry jobs,
+      CancellationTracker cancellations,
+      FinishedJobSweeper sweep) {
     this.context = context;
     this.gate = gate;
     this.term = term;
@@ -88,7 +88,7 @@
     if (moving || !gate.hasSpareWrites(changesOfBatch())) {
       return;
     }
-    List<JobEntry> batch = due();
+    List<JobState> batch = due();
     if (batch.isEmpty()) {
       nextTryMs = context.nowMs + context.stepMs() / 5;
     } else {
@@ -100,13 +100,13 @@
     return mostPerBatch * MOST_CHANGES_PER_JOB;
   }
 
-  private List<JobEntry> due() {
+  private List<JobState> due() {
     long stayMs = (long) (1000 * context.settings.operator().endedJobsStayS());
     // While some are not in memory for want of room, all that are there make room for them.
     int most = sweep.isOpen() ? 0 : context.settings.operator().mostEndedJobs();
     int excess = jobs.ended().size() - most;
-    List<JobEntry> batch = new ArrayList<>();
-    for (EndedJobs.Ended ended : jobs.ended().oldestFirst()) {
+    List<JobState> batch = new ArrayList<>();
+    for (FinishedJobs.Ended ended : jobs.ended().oldestFirst()) {
       boolean isDue = excess-- > 0 || context.nowMs - ended.sinceMs() >= stayMs;
       if (!isDue || batch.size() >= mostPerBatch) {
         break;
@@ -118,28 +118,28 @@
     return batch;
   }
 
-  private void move(List<JobEntry> batch) {
-    ImmutableList.Builder<StateOp.Condition> conditions = ImmutableList.builder();
-    ImmutableList.Builder<StateOp.Change> changes = ImmutableList.builder();
+  private void move(List<JobState> batch) {
+    ImmutableList.Builder<StoreRequest.Condition> conditions = ImmutableList.builder();
+    ImmutableList.Builder<StoreRequest.Change> changes = ImmutableList.builder();
     conditions.add(term.condition());
-    for (JobEntry entry : batch) {
+    for (JobState entry : batch) {
       String uid = entry.job.uid();
-      conditions.add(new StateOp.Condition(Keys.alloc(uid), entry.allocVersion));
-      conditions.add(new StateOp.Condition(Keys.ended(uid), 0));
-      changes.add(StateOp.Change.put(Keys.ended(uid), finalState(entry)));
-      changes.add(StateOp.Change.remove(Keys.job(uid)));
+      conditions.add(new StoreRequest.Condition(StoreKeys.alloc(uid), entry.allocVersion));
+      conditions.add(new StoreRequest.Condition(StoreKeys.ended(uid), 0));
+      changes.add(StoreRequest.Change.put(StoreKeys.ended(uid), finalState(entry)));
+      changes.add(StoreRequest.Change.remove(StoreKeys.job(uid)));
       if (entry.allocVersion > 0) {
-        changes.add(StateOp.Change.remove(Keys.alloc(uid)));
+        changes.add(StoreRequest.Change.remove(StoreKeys.alloc(uid)));
       }
       if (entry.aborted) {
-        changes.add(StateOp.Change.remove(Keys.abort(uid)));
+        changes.add(StoreRequest.Change.remove(StoreKeys.abort(uid)));
       }
     }
     moving = true;
     long of = generation;
     gate.send(
-        new StateOp.Transact(conditions.build(), changes.build()),
-        Urgency.CLEANUP,
+        new StoreRequest.Transact(conditions.build(), changes.build()),
+        RequestPriority.CLEANUP,
         reply -> {
           if (of == generation) {
             moving = false;
@@ -148,12 +148,12 @@
         });
   }
 
-  private static Record.EndedJob finalState(JobEntry entry) {
+  private static StoredRecord.EndedJob finalState(JobState entry) {
     JobStatus status = entry.status();
-    return new Record.EndedJob(status.stance(), status.done());
+    return new StoredRecord.EndedJob(status.stance(), status.done());
   }
 
-  private void answered(List<JobEntry> batch, Reply reply) {
+  private void answered(List<JobState> batch, Reply reply) {
     if (reply instanceof Reply.Committed) {
       batch.forEach(this::archived);
       moveNext();
@@ -168,25 +168,25 @@
     }
   }
 
-  private void conflict(List<JobEntry> batch, Reply.Conflict conflict) {
-    if (conflict.failed().contains(Keys.LEADER)) {
+  private void conflict(List<JobState> batch, Reply.Conflict conflict) {
+    if (conflict.failed().contains(StoreKeys.LEADER)) {
       term.conditionFailed();
       return;
     }
-    for (JobEntry entry : batch) {
+    for (JobState entry : batch) {
       String uid = entry.job.uid();
-      if (conflict.failed().contains(Keys.ended(uid))) {
+      if (conflict.failed().contains(StoreKeys.ended(uid))) {
         // An earlier copy of a move was carried out without an answer, or this is a late copy.
         archived(entry);
         jobs.removeCopy(entry);
-      } else if (conflict.failed().contains(Keys.alloc(uid))) {
+      } else if (conflict.failed().contains(StoreKeys.alloc(uid))) {
         LOG.error("alloc of {} is not what this leader holds; the job is not archived", uid);
         jobs.ended().remove(uid);
       }
     }
   }
 
-  private void archived(JobEntry entry) {
+  private void archived(JobState entry) {
     archivedSinceTold++;
     jobs.forget(entry);
     cancellations.archived(entry.job.uid());
--- a/src/main/java/eiderfork/core/JobTable.java
+++ b/src/main/java/eiderfork/controller/JobRegistry.java
@@ -1,16 +1,16 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import com.google.common.collect.Interner;
 import com.google.common.collect.Interners;
-import eiderfork.core.context.Context;
-import eiderfork.core.limits.Backoff;
-import eiderfork.core.state.StateGate;
-import eiderfork.core.state.Term;
-import eiderfork.core.state.Urgency;
+import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.election.LeaderElection;
+import eiderfork.controller.ratelimit.Backoff;
+import eiderfork.controller.store.RequestPriority;
+import eiderfork.controller.store.StoreClient;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
 import eiderfork.model.MachineType;
-import eiderfork.model.Record;
+import eiderfork.model.StoredRecord;
 import it.unimi.dsi.fastutil.objects.ReferenceLinkedOpenHashSet;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -22,30 +22,31 @@
 import java.util.Set;
 
 /** The jobs of a leader: what is reserved for them, what has ended and what waits. */
-final class JobTable {
-  private final Context context;
-  private final AllocWriter writer;
-  private final Map<String, JobEntry> jobs = new LinkedHashMap<>();
+final class JobRegistry {
+  private final ControllerContext context;
+  private final AllocationWriter writer;
+  private final Map<String, JobState> jobs = new LinkedHashMap<>();
 
   /** Jobs that still have something to do, so that rounds skip the long past. */
-  private final Map<String, JobEntry> active = new LinkedHashMap<>();
+  private final Map<String, JobState> active = new LinkedHashMap<>();
 
   /** Those of them that may have something to place or to write. */
-  private final ReferenceLinkedOpenHashSet<JobEntry> backlog = new ReferenceLinkedOpenHashSet<>();
+  private final ReferenceLinkedOpenHashSet<JobState> backlog = new ReferenceLinkedOpenHashSet<>();
 
-  private final UsageTally tally = new UsageTally();
+  private final ResourceUsage tally = new ResourceUsage();
 
-  private final EndedJobs ended = new EndedJobs();
+  private final FinishedJobs ended = new FinishedJobs();
 
   /** Profiles in use; those of jobs that have left memory go with them. */
-  private final Interner<TaskProfile> profiles = Interners.newWeakInterner();
+  private final Interner<PlacementProfile> profiles = Interners.newWeakInterner();
 
   /** Jobs of which a stored record can't be read. */
   private final Set<String> frozen = new HashSet<>();
 
-  JobTable(Context context, StateGate gate, Term term, ClusterVersion version) {
+  JobRegistry(
+      ControllerContext context, StoreClient gate, LeaderElection term, ClusterVersion version) {
     this.context = context;
-    writer = new AllocWriter(context, gate, term, version, this);
+    writer = new AllocationWriter(context, gate, term, version, this);
   }
 
   void clear() {
@@ -63,7 +64,7 @@
    */
   void freeze(String uid) {
     frozen.add(uid);
-    JobEntry entry = jobs.get(uid);
+    JobState entry = jobs.get(uid);
     if (entry != null) {
       entry.freeze();
       changed(entry);
@@ -72,44 +73,44 @@
 
   /** Whether a job is frozen; a cancellation that was read still ends it. */
   boolean isFrozen(String uid) {
-    JobEntry entry = jobs.get(uid);
+    JobState entry = jobs.get(uid);
     return frozen.contains(uid) && !(entry != null && entry.aborted);
   }
 
-  JobEntry get(String uid) {
+  JobState get(String uid) {
     return jobs.get(uid);
   }
 
-  Collection<JobEntry> active() {
+  Collection<JobState> active() {
     return active.values();
   }
 
   /** The active jobs that have something to place or to write. */
-  List<JobEntry> withWork() {
+  List<JobState> withWork() {
     backlog.removeIf(entry -> !entry.hasWork());
     return new ArrayList<>(backlog);
   }
 
   /** What the tasks of active jobs take. */
-  UsageTally tally() {
+  ResourceUsage tally() {
     return tally;
   }
 
   /** Takes up what has changed of a job's tasks, or of whether it has something to do. */
-  void changed(JobEntry entry) {
+  void changed(JobState entry) {
     tally.update(entry);
     if (entry.active && entry.hasWork()) {
       backlog.add(entry);
     }
   }
 
-  private void activate(JobEntry entry) {
+  private void activate(JobState entry) {
     entry.active = true;
     active.put(entry.job.uid(), entry);
     changed(entry);
   }
 
-  private void deactivate(JobEntry entry) {
+  private void deactivate(JobState entry) {
     entry.active = false;
     active.remove(entry.job.uid(), entry);
     backlog.remove(entry);
@@ -117,22 +118,22 @@
   }
 
   /** The jobs that are over and of which nothing is left. */
-  EndedJobs ended() {
+  FinishedJobs ended() {
     return ended;
   }
 
   /** Drops a job that memory has no use for any more. */
-  void forget(JobEntry entry) {
+  void forget(JobState entry) {
     String uid = entry.job.uid();
     if (jobs.remove(uid, entry)) {
       deactivate(entry);
       ended.remove(uid);
-      List.copyOf(entry.placed.values()).forEach(JobTable::drop);
+      List.copyOf(entry.placed.values()).forEach(JobRegistry::drop);
     }
   }
 
   /** Removes what a late copy of an archived job's submission has left of it. */
-  void removeCopy(JobEntry entry) {
+  void removeCopy(JobState entry) {
     writer.removeCopy(entry);
   }
 
@@ -141,33 +142,33 @@
   }
 
   /** Takes a job that the state service holds; a known one stays as it is. */
-  JobEntry add(Job job, long order) {
-    JobEntry known = jobs.get(job.uid());
+  JobState add(Job job, long order) {
+    JobState known = jobs.get(job.uid());
     if (known != null) {
       return known;
     }
     Backoff writeBackoff = new Backoff(context.stepMs() / 5, context.stepMs() * 2);
     Backoff sizeBackoff = new Backoff(context.stepMs(), context.leaseMs());
-    TaskProfile profile = profiles.intern(TaskProfile.of(job));
+    PlacementProfile profile = profiles.intern(PlacementProfile.of(job));
     FailureHistory failures = new FailureHistory(context.stepMs());
-    JobEntry entry =
-        new JobEntry(job, profile, order, context.nowMs, writeBackoff, sizeBackoff, failures);
+    JobState entry =
+        new JobState(job, profile, order, context.nowMs, writeBackoff, sizeBackoff, failures);
     jobs.put(job.uid(), entry);
     activate(entry);
     return entry;
   }
 
   /** Takes the reservations of a rebuilt job. */
-  void restore(JobEntry entry, Record.Alloc alloc, long version, Fleet fleet) {
+  void restore(JobState entry, StoredRecord.Alloc alloc, long version, MachineRegistry fleet) {
     entry.committed = alloc;
     entry.allocVersion = version;
     entry.lastAttempt = alloc.lastAttempt();
-    for (Record.Range range : alloc.finished()) {
+    for (StoredRecord.Range range : alloc.finished()) {
       entry.finished.set(range.from(), range.to() + 1);
       entry.waiting.clear(range.from(), range.to() + 1);
     }
-    for (Record.Span span : alloc.reserved()) {
-      MachineEntry machine = fleet.known(span.machine());
+    for (StoredRecord.Span span : alloc.reserved()) {
+      MachineState machine = fleet.known(span.machine());
       for (int index = span.from(); index <= span.to(); index++) {
         Reservation p = new Reservation(entry, index, span.attempt(), machine);
         p.committed = true;
@@ -195,7 +196,7 @@
   }
 
   /** An older leader may have seen a part of a gang end, and ended before it did what follows. */
-  private static void restoreGang(JobEntry entry) {
+  private static void restoreGang(JobState entry) {
     if (entry.gang == null || entry.aborted || entry.committed.done()) {
       return;
     }
@@ -211,12 +212,12 @@
    * written. The alloc record of a cancelled service keeps its reservations, so a new leader knows
    * more than what runs now: without this, replicas went to machines that had to fetch first.
    */
-  void noteImages(Fleet fleet) {
-    List<JobEntry> byAge = new ArrayList<>(jobs.values());
+  void noteImages(MachineRegistry fleet) {
+    List<JobState> byAge = new ArrayList<>(jobs.values());
     byAge.sort(Comparator.comparingLong(entry -> entry.allocVersion));
-    for (JobEntry entry : byAge) {
-      for (Record.Span span : entry.committed.reserved()) {
-        MachineEntry m = fleet.get(span.machine());
+    for (JobState entry : byAge) {
+      for (StoredRecord.Span span : entry.committed.reserved()) {
+        MachineState m = fleet.get(span.machine());
         if (m != null && entry.job.image() != null) {
           MachineType type = fleet.type(m);
           double cacheGb = type == null ? Double.MAX_VALUE : type.cacheGb();
@@ -227,7 +228,7 @@
   }
 
   void markAborted(String uid) {
-    JobEntry entry = jobs.get(uid);
+    JobState entry = jobs.get(uid);
     if (entry == null || entry.aborted) {
       return;
     }
@@ -246,20 +247,20 @@
   }
 
   /** Takes a job that is over, and of which nothing is left, out of what rounds look at. */
-  void retireIfOver(JobEntry entry) {
+  void retireIfOver(JobState entry) {
     if (entry.over() && entry.placed.isEmpty() && !entry.writing) {
       retire(entry);
     }
   }
 
-  private void retire(JobEntry entry) {
+  private void retire(JobState entry) {
     deactivate(entry);
     ended.add(entry, context.nowMs);
   }
 
   /** A reservation is settled: the task has ended, or surely is not on its machine any more. */
   void release(Reservation p, boolean done) {
-    JobEntry entry = p.job;
+    JobState entry = p.job;
     if (entry.placed.get(p.index) != p) {
       return;
     }
@@ -286,7 +287,7 @@
   }
 
   /** The tasks of a gang complete together: where one is done, all are. */
-  private static void finishGang(JobEntry entry) {
+  private static void finishGang(JobState entry) {
     for (Reservation other : List.copyOf(entry.placed.values())) {
       drop(other);
       entry.uncommitted.add(other);
@@ -334,7 +335,7 @@
    * Whether a worker must keep this attempt in its reports, because what is committed does not say
    * yet how it ended. A cleared attempt would start anew on a late repeat of its command.
    */
-  boolean mustKeep(JobEntry entry, long attempt, int index) {
+  boolean mustKeep(JobState entry, long attempt, int index) {
     for (Reservation p : entry.uncommitted) {
       if (p.index == index && p.attempt == attempt) {
         return true;
@@ -343,7 +344,7 @@
     return false;
   }
 
-  Reservation propose(JobEntry entry, int index, long attempt, MachineEntry machine) {
+  Reservation propose(JobState entry, int index, long attempt, MachineState machine) {
     Reservation p = new Reservation(entry, index, attempt, machine);
     if (entry.gang != null && entry.gang.mayBegin()) {
       entry.gang.begin();
@@ -358,7 +359,7 @@
   }
 
   /** Writes what changed of a job, in one conditional write. */
-  void write(JobEntry entry, Urgency urgency) {
+  void write(JobState entry, RequestPriority urgency) {
     writer.write(entry, urgency);
   }
 
@@ -367,7 +368,7 @@
   }
 
   /** Drops reservations that were never committed, of a job that was cancelled meanwhile. */
-  void dropUncommitted(JobEntry entry) {
+  void dropUncommitted(JobState entry) {
     for (Reservation p : List.copyOf(entry.placed.values())) {
       if (!p.committed) {
         drop(p);
--- a/src/main/java/eiderfork/core/JobEntry.java
+++ b/src/main/java/eiderfork/controller/JobState.java
@@ -1,16 +1,16 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import com.google.common.collect.ImmutableList;
-import eiderfork.core.limits.Backoff;
-import eiderfork.model.AllocSize;
-import eiderfork.model.BitmapAllocSize;
+import eiderfork.controller.ratelimit.Backoff;
+import eiderfork.model.AllocationSize;
+import eiderfork.model.BitmapAllocationSize;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
 import eiderfork.model.JobStatus;
-import eiderfork.model.PackedAllocSize;
-import eiderfork.model.Record;
-import eiderfork.model.RecordSize;
-import eiderfork.model.TaskReport;
+import eiderfork.model.PackedAllocationSize;
+import eiderfork.model.PlainAllocationSize;
+import eiderfork.model.StoredRecord;
+import eiderfork.model.TaskStatus;
 import it.unimi.dsi.fastutil.ints.Int2IntOpenHashMap;
 import it.unimi.dsi.fastutil.ints.Int2ObjectAVLTreeMap;
 import it.unimi.dsi.fastutil.ints.Int2ObjectSortedMap;
@@ -19,11 +19,11 @@
 import java.util.Set;
 
 /** A job as the leader holds it. */
-final class JobEntry {
+final class JobState {
   final Job job;
 
   /** The same object for all jobs of this profile. */
-  final TaskProfile profile;
+  final PlacementProfile profile;
 
   /** Jobs of one rank go in the order in which the state service took them. */
   final long order;
@@ -32,7 +32,7 @@
   final long sinceMs;
 
   /** What the state service holds, and the version it holds it under. */
-  Record.Alloc committed = Record.Alloc.EMPTY;
+  StoredRecord.Alloc committed = StoredRecord.Alloc.EMPTY;
 
   long allocVersion;
   boolean aborted;
@@ -43,13 +43,13 @@
   /** What is in memory differs from what is committed. */
   boolean dirty;
 
-  /** The job still has something to do; changed by {@link JobTable} alone. */
+  /** The job still has something to do; changed by {@link JobRegistry} alone. */
   boolean active;
 
   /** How many of the tasks placed are being stopped; changed by {@link Reservation} alone. */
   int stoppingTasks;
 
-  /** What {@link UsageTally} has counted of it: its tasks, and itself. */
+  /** What {@link ResourceUsage} has counted of it: its tasks, and itself. */
   TaskCounts tallied = TaskCounts.NONE;
 
   boolean talliedActive;
@@ -103,9 +103,9 @@
 
   private long lastReclaimedMs;
 
-  JobEntry(
+  JobState(
       Job job,
-      TaskProfile profile,
+      PlacementProfile profile,
       long order,
       long sinceMs,
       Backoff writeBackoff,
@@ -261,14 +261,14 @@
   }
 
   /** A gang does not run before all of its tasks do; a replica that fetches is on its way. */
-  private boolean isShownRunning(TaskReport.State seen) {
-    if (seen == null || seen == TaskReport.State.ENDED) {
+  private boolean isShownRunning(TaskStatus.State seen) {
+    if (seen == null || seen == TaskStatus.State.ENDED) {
       return false;
     }
-    return gang == null || seen != TaskReport.State.FETCHING && seen != TaskReport.State.GATHERING;
+    return gang == null || seen != TaskStatus.State.FETCHING && seen != TaskStatus.State.GATHERING;
   }
 
-  static JobStatus status(Job job, Record.Alloc alloc, int running) {
+  static JobStatus status(Job job, StoredRecord.Alloc alloc, int running) {
     int done = committedDone(alloc);
     if (alloc.done()) {
       return new JobStatus(job.uid(), JobStatus.Stance.DONE, job.tasks(), 0);
@@ -280,38 +280,38 @@
         running);
   }
 
-  static int committedDone(Record.Alloc alloc) {
+  static int committedDone(StoredRecord.Alloc alloc) {
     int n = 0;
-    for (Record.Range range : alloc.finished()) {
+    for (StoredRecord.Range range : alloc.finished()) {
       n += range.to() - range.from() + 1;
     }
     return n;
   }
 
   /** What the plain form of the alloc record may take, with all that is reserved now. */
-  AllocSize size() {
-    AllocSize size = new AllocSize(job.tasks(), finishedRanges());
+  PlainAllocationSize size() {
+    PlainAllocationSize size = new PlainAllocationSize(job.tasks(), finishedRanges());
     addPlaced(size);
     return size;
   }
 
   /** The same for the packed form. */
-  PackedAllocSize packedSize() {
-    PackedAllocSize size = new PackedAllocSize(job.tasks(), finishedRanges());
+  PackedAllocationSize packedSize() {
+    PackedAllocationSize size = new PackedAllocationSize(job.tasks(), finishedRanges());
     addPlaced(size);
     return size;
   }
 
   /** The same for the bitmap form. */
-  BitmapAllocSize bitmapSize() {
-    BitmapAllocSize size = new BitmapAllocSize(job.tasks(), finished);
+  BitmapAllocationSize bitmapSize() {
+    BitmapAllocationSize size = new BitmapAllocationSize(job.tasks(), finished);
     for (Reservation p : placed.values()) {
       size.addStanding(p.index, p.attempt, p.machine.name);
     }
     return size;
   }
 
-  private void addPlaced(RecordSize size) {
+  private void addPlaced(AllocationSize size) {
     for (Reservation p : placed.values()) {
       size.add(p.index, p.attempt, p.machine.name);
     }
@@ -328,32 +328,32 @@
   }
 
   /** The alloc record that says what is in memory now. */
-  Record.Alloc toRecord() {
-    ImmutableList.Builder<Record.Span> spans = ImmutableList.builder();
-    Record.Span open = null;
+  StoredRecord.Alloc toRecord() {
+    ImmutableList.Builder<StoredRecord.Span> spans = ImmutableList.builder();
+    StoredRecord.Span open = null;
     for (Reservation p : placed.values()) {
       String machine = p.machine.name;
       if (open != null
           && open.to() == p.index - 1
           && open.attempt() == p.attempt
           && open.machine().equals(machine)) {
-        open = new Record.Span(open.from(), p.index, p.attempt, machine);
+        open = new StoredRecord.Span(open.from(), p.index, p.attempt, machine);
       } else {
         if (open != null) {
           spans.add(open);
         }
-        open = new Record.Span(p.index, p.index, p.attempt, machine);
+        open = new StoredRecord.Span(p.index, p.index, p.attempt, machine);
       }
     }
     if (open != null) {
       spans.add(open);
     }
-    ImmutableList.Builder<Record.Range> ranges = ImmutableList.builder();
+    ImmutableList.Builder<StoredRecord.Range> ranges = ImmutableList.builder();
     for (int from = finished.nextSetBit(0); from >= 0; ) {
       int end = finished.nextClearBit(from);
-      ranges.add(new Record.Range(from, end - 1));
+      ranges.add(new StoredRecord.Range(from, end - 1));
       from = finished.nextSetBit(end);
     }
-    return new Record.Alloc(lastAttempt, allFinished(), spans.build(), ranges.build());
+    return new StoredRecord.Alloc(lastAttempt, allFinished(), spans.build(), ranges.build());
   }
 }
--- a/src/main/java/eiderfork/core/CommittedState.java
+++ b/src/main/java/eiderfork/controller/LeaderRecovery.java
@@ -1,20 +1,20 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import com.google.common.collect.ImmutableList;
-import eiderfork.core.context.Context;
-import eiderfork.core.message.Keys;
-import eiderfork.core.message.Reply;
-import eiderfork.core.message.StateOp;
-import eiderfork.core.standby.CommittedCopy;
-import eiderfork.core.standby.Standby;
-import eiderfork.core.state.JobPages;
-import eiderfork.core.state.ReadBarrier;
-import eiderfork.core.state.StateGate;
-import eiderfork.core.state.StateReader;
-import eiderfork.core.state.Term;
-import eiderfork.core.state.Urgency;
+import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.election.LeaderElection;
+import eiderfork.controller.message.Reply;
+import eiderfork.controller.message.StoreKeys;
+import eiderfork.controller.message.StoreRequest;
+import eiderfork.controller.recovery.JobPageReader;
+import eiderfork.controller.recovery.RangeReader;
+import eiderfork.controller.standby.Standby;
+import eiderfork.controller.standby.StandbyReplica;
+import eiderfork.controller.store.ReadBarrier;
+import eiderfork.controller.store.RequestPriority;
+import eiderfork.controller.store.StoreClient;
 import eiderfork.model.Job;
-import eiderfork.model.Record;
+import eiderfork.model.StoredRecord;
 import java.util.function.Consumer;
 import java.util.function.LongConsumer;
 import org.slf4j.Logger;
@@ -24,31 +24,31 @@
  * Brings a new leader's memory up to what is committed, part by part, and keeps it so: jobs and
  * cancellations are written by other nodes, too.
  */
-final class CommittedState {
-  private static final Logger LOG = LoggerFactory.getLogger(CommittedState.class);
+final class LeaderRecovery {
+  private static final Logger LOG = LoggerFactory.getLogger(LeaderRecovery.class);
 
   /** Cancellations come first: no worker's lease is renewed before they are known. */
   private static final ImmutableList<String> READ_BEFORE_JOBS =
-      ImmutableList.of(Keys.ABORT, Keys.VERSION, Keys.TYPES);
+      ImmutableList.of(StoreKeys.ABORT, StoreKeys.VERSION, StoreKeys.TYPES);
 
   /** How many jobs of a copy are taken up at a tick: some hundred milliseconds of a slow core. */
   private static final int COPIED_JOBS_PER_TICK = 1500;
 
   private static final ImmutableList<String> READ_AFTER_JOBS =
-      ImmutableList.of(Keys.RENT, Keys.RETURN);
+      ImmutableList.of(StoreKeys.RENT, StoreKeys.RETURN);
 
-  private final Context context;
-  private final StateGate gate;
-  private final Term term;
-  private final StateReader reader;
-  private final JobPages pages;
-  private final EndedJobSweep sweep;
-  private final JobTable jobs;
-  private final Fleet fleet;
-  private final Cloud cloud;
-  private final Planner planner;
+  private final ControllerContext context;
+  private final StoreClient gate;
+  private final LeaderElection term;
+  private final RangeReader reader;
+  private final JobPageReader pages;
+  private final FinishedJobSweeper sweep;
+  private final JobRegistry jobs;
+  private final MachineRegistry fleet;
+  private final CloudProvisioner cloud;
+  private final Autoscaler planner;
   private final ReadBarrier readBarrier;
-  private final Cancellations cancellations;
+  private final CancellationTracker cancellations;
   private final ClusterVersion version;
   private final Standby standby;
   private final Consumer<Boolean> rebuilt;
@@ -59,19 +59,19 @@
    *     was used
    * @param kick is called where a round has something new to place
    */
-  CommittedState(
-      Context context,
-      StateGate gate,
-      Term term,
-      StateReader reader,
-      JobPages pages,
-      EndedJobSweep sweep,
-      JobTable jobs,
-      Fleet fleet,
-      Cloud cloud,
-      Planner planner,
+  LeaderRecovery(
+      ControllerContext context,
+      StoreClient gate,
+      LeaderElection term,
+      RangeReader reader,
+      JobPageReader pages,
+      FinishedJobSweeper sweep,
+      JobRegistry jobs,
+      MachineRegistry fleet,
+      CloudProvisioner cloud,
+      Autoscaler planner,
       ReadBarrier readBarrier,
-      Cancellations cancellations,
+      CancellationTracker cancellations,
       ClusterVersion version,
       Standby standby,
       Consumer<Boolean> rebuilt,
@@ -100,7 +100,7 @@
    */
   void rebuild() {
     long number = term.number();
-    CommittedCopy copy = standby.copy();
+    StandbyReplica copy = standby.copy();
     if (!copy.isFollowing()) {
       readEverything(number);
       return;
@@ -121,26 +121,26 @@
    * that workers who wait are answered; jobs come some at a tick, since all of them at once once
    * kept the workers of a large cell waiting for longer than a read does.
    */
-  private void takeCopy(CommittedCopy copy, long number) {
-    copy.items(Keys.ABORT).forEach(this::restore);
-    cancellations.caughtUp(copy.caughtUpMs(Keys.ABORT));
-    copy.items(Keys.VERSION).forEach(this::restore);
-    copy.items(Keys.TYPES).forEach(this::restore);
-    reader.later(() -> takeJobs(copy, number, Keys.JOB));
+  private void takeCopy(StandbyReplica copy, long number) {
+    copy.items(StoreKeys.ABORT).forEach(this::restore);
+    cancellations.caughtUp(copy.caughtUpMs(StoreKeys.ABORT));
+    copy.items(StoreKeys.VERSION).forEach(this::restore);
+    copy.items(StoreKeys.TYPES).forEach(this::restore);
+    reader.later(() -> takeJobs(copy, number, StoreKeys.JOB));
   }
 
   /** Takes up some of a copy's jobs; those that are over are left to the sweep. */
-  private void takeJobs(CommittedCopy copy, long number, String after) {
+  private void takeJobs(StandbyReplica copy, long number, String after) {
     int taken = 0;
     String last = after;
-    for (Reply.Item item : copy.itemsAfter(Keys.JOB, after)) {
+    for (Reply.Item item : copy.itemsAfter(StoreKeys.JOB, after)) {
       if (taken >= COPIED_JOBS_PER_TICK) {
         String goOn = last;
         reader.later(() -> takeJobs(copy, number, goOn));
         return;
       }
       last = item.key();
-      Reply.Item alloc = copy.item(Keys.ALLOC, Keys.alloc(Keys.tail(item.key())));
+      Reply.Item alloc = copy.item(StoreKeys.ALLOC, StoreKeys.alloc(StoreKeys.tail(item.key())));
       if (isOver(item, alloc)) {
         sweep.leave();
       } else {
@@ -159,9 +159,10 @@
 
   /** Whether nothing is to be done about a job any more, and nothing known of its machines. */
   private boolean isOver(Reply.Item job, Reply.Item alloc) {
-    boolean stored = alloc != null && alloc.record() instanceof Record.Alloc;
-    Record.Alloc held = stored ? (Record.Alloc) alloc.record() : Record.Alloc.EMPTY;
-    boolean cancelled = cancellations.contains(Keys.tail(job.key()));
+    boolean stored = alloc != null && alloc.record() instanceof StoredRecord.Alloc;
+    StoredRecord.Alloc held =
+        stored ? (StoredRecord.Alloc) alloc.record() : StoredRecord.Alloc.EMPTY;
+    boolean cancelled = cancellations.contains(StoreKeys.tail(job.key()));
     return held.done() || cancelled && held.reserved().isEmpty();
   }
 
@@ -187,7 +188,7 @@
         number,
         this::restore,
         revision -> {
-          if (prefix.equals(Keys.ABORT)) {
+          if (prefix.equals(StoreKeys.ABORT)) {
             // Pages are read one after the other, so only the first moment is sure.
             cancellations.caughtUp(askedMs);
           }
@@ -204,7 +205,7 @@
     pages.read(
         after,
         number,
-        Urgency.START,
+        RequestPriority.START,
         page -> {
           page.jobs().forEach(this::restore);
           page.allocs().forEach(this::restore);
@@ -222,31 +223,31 @@
     jobs.noteImages(fleet);
     LOG.info("rebuilt: {} jobs, {} machines", jobs.size(), fleet.machines().size());
     rebuilt.accept(copied);
-    follow(Keys.JOB, number, revision);
-    follow(Keys.ABORT, number, revision);
+    follow(StoreKeys.JOB, number, revision);
+    follow(StoreKeys.ABORT, number, revision);
     kick.run();
   }
 
   private void restore(Reply.Item item) {
-    Record record = item.record();
-    if (record instanceof Record.Unreadable it) {
+    StoredRecord record = item.record();
+    if (record instanceof StoredRecord.Unreadable it) {
       unreadable(item.key(), it);
-    } else if (record instanceof Record.JobSpec spec) {
+    } else if (record instanceof StoredRecord.JobSpec spec) {
       add(spec.job(), item.version());
-    } else if (record instanceof Record.Alloc alloc) {
-      JobEntry entry = jobs.get(Keys.tail(item.key()));
+    } else if (record instanceof StoredRecord.Alloc alloc) {
+      JobState entry = jobs.get(StoreKeys.tail(item.key()));
       if (entry != null) {
         jobs.restore(entry, alloc, item.version(), fleet);
       }
-    } else if (record instanceof Record.Aborted aborted) {
+    } else if (record instanceof StoredRecord.Aborted aborted) {
       cancellations.read(aborted.uid());
-    } else if (record instanceof Record.Rent rent) {
+    } else if (record instanceof StoredRecord.Rent rent) {
       cloud.rents().restore(rent);
-    } else if (record instanceof Record.Return back) {
+    } else if (record instanceof StoredRecord.Return back) {
       cloud.returns().restore(item.key(), back);
-    } else if (record instanceof Record.StoredVersion stored) {
+    } else if (record instanceof StoredRecord.StoredVersion stored) {
       version.read(stored, item.version());
-    } else if (record instanceof Record.Types types) {
+    } else if (record instanceof StoredRecord.Types types) {
       fleet.types(types.types());
     }
   }
@@ -256,21 +257,21 @@
     long askedMs = context.nowMs;
     gate.send(
         // Short, so that a lost reply does not leave memory behind for long.
-        new StateOp.Watch(prefix, revision, 2 * context.stepMs()),
-        Urgency.SUBMIT,
+        new StoreRequest.Watch(prefix, revision, 2 * context.stepMs()),
+        RequestPriority.SUBMIT,
         reply -> {
           if (!reader.leads(number)) {
             return;
           }
           if (reply instanceof Reply.Changes changes) {
             changes.items().forEach(this::changed);
-            if (prefix.equals(Keys.ABORT)) {
+            if (prefix.equals(StoreKeys.ABORT)) {
               cancellations.caughtUp(askedMs);
               // The service forgets old changes; the readBarrier asks after none that came before.
               readBarrier.start(changes.revision());
             }
             follow(prefix, number, changes.revision());
-          } else if (StateGate.mustReadAnew(reply)) {
+          } else if (StoreClient.mustReadAnew(reply)) {
             reader.scan(prefix, "", number, this::changed, seen -> follow(prefix, number, seen));
           } else {
             reader.later(() -> follow(prefix, number, revision));
@@ -279,10 +280,10 @@
   }
 
   /** A job that memory can't hold truly is frozen, and the rest goes on without it. */
-  private void unreadable(String key, Record.Unreadable record) {
+  private void unreadable(String key, StoredRecord.Unreadable record) {
     LOG.error("{} can't be read and is left as it is: {}", key, record.why());
-    if (key.startsWith(Keys.JOB) || key.startsWith(Keys.ALLOC)) {
-      jobs.freeze(Keys.tail(key));
+    if (key.startsWith(StoreKeys.JOB) || key.startsWith(StoreKeys.ALLOC)) {
+      jobs.freeze(StoreKeys.tail(key));
     }
   }
 
@@ -290,25 +291,25 @@
   void changed(Reply.Item item) {
     if (item.record() == null) {
       removed(item.key());
-    } else if (item.record() instanceof Record.Unreadable it) {
+    } else if (item.record() instanceof StoredRecord.Unreadable it) {
       unreadable(item.key(), it);
-    } else if (item.record() instanceof Record.JobSpec spec) {
+    } else if (item.record() instanceof StoredRecord.JobSpec spec) {
       if (jobs.get(spec.job().uid()) == null) {
         add(spec.job(), item.version());
         planner.arrived(spec.job());
         kick.run();
       }
-    } else if (item.record() instanceof Record.Aborted aborted) {
+    } else if (item.record() instanceof StoredRecord.Aborted aborted) {
       cancellations.read(aborted.uid());
     }
   }
 
   /** Records of jobs and cancellations are removed only where the job is archived. */
   private void removed(String key) {
-    if (key.startsWith(Keys.ABORT)) {
-      cancellations.archived(Keys.tail(key));
-    } else if (key.startsWith(Keys.JOB) && jobs.get(Keys.tail(key)) != null) {
-      jobs.forget(jobs.get(Keys.tail(key)));
+    if (key.startsWith(StoreKeys.ABORT)) {
+      cancellations.archived(StoreKeys.tail(key));
+    } else if (key.startsWith(StoreKeys.JOB) && jobs.get(StoreKeys.tail(key)) != null) {
+      jobs.forget(jobs.get(StoreKeys.tail(key)));
     }
   }
 
--- a/src/main/java/eiderfork/core/LeaseLapses.java
+++ b/src/main/java/eiderfork/controller/LeaseExpiry.java
@@ -1,6 +1,6 @@
-package eiderfork.core;
+package eiderfork.controller;
 
-import eiderfork.core.context.Context;
+import eiderfork.controller.context.ControllerContext;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
@@ -10,7 +10,7 @@
  * Settles the tasks of machines whose workers' leases have surely lapsed, unless a {@link
  * LeaseProxy} renewed them.
  */
-final class LeaseLapses {
+final class LeaseExpiry {
   /** The share of a lease after which machines for the tasks of a silent one are planned. */
   private static final double SUSPECT_SHARE = 0.5;
 
@@ -18,7 +18,7 @@
   private static final double APART_SUSPECT_SHARE = 0.75;
 
   /** A lease that has lapsed, and from when it ran. */
-  private record Lapse(MachineEntry machine, long leaseFromMs) {
+  private record Lapse(MachineState machine, long leaseFromMs) {
     /**
      * Whether it is still the machine's lease. Of one that began later, and may have lapsed by now,
      * an older read of the records says nothing.
@@ -28,11 +28,11 @@
     }
   }
 
-  private final Context context;
-  private final Fleet fleet;
-  private final Peers peers;
+  private final ControllerContext context;
+  private final MachineRegistry fleet;
+  private final PeerMonitor peers;
   private final MachineLiveness liveness;
-  private final SessionLog log;
+  private final WorkerLeaseLog log;
   private final Consumer<Consumer<Set<String>>> readProxied;
   private final Runnable kick;
   private boolean readingProxied;
@@ -42,12 +42,12 @@
    * @param readProxied reads which machines other nodes answer in this one's place
    * @param kick is called where a round has something new to place
    */
-  LeaseLapses(
-      Context context,
-      Fleet fleet,
-      Peers peers,
+  LeaseExpiry(
+      ControllerContext context,
+      MachineRegistry fleet,
+      PeerMonitor peers,
       MachineLiveness liveness,
-      SessionLog log,
+      WorkerLeaseLog log,
       Consumer<Consumer<Set<String>>> readProxied,
       Runnable kick) {
     this.context = context;
@@ -65,7 +65,7 @@
   }
 
   /** Whether another node answered the machine's worker in this one's place not long ago. */
-  boolean proxied(MachineEntry m) {
+  boolean proxied(MachineState m) {
     return m.proxiedMs > 0 && context.nowMs - m.proxiedMs <= 2 * context.stepMs();
   }
 
@@ -73,7 +73,7 @@
    * Whether a machine that is silent may be lost. For a while it is not where its whole zone can't
    * be reached, and nodes there may answer for this one.
    */
-  boolean suspected(MachineEntry m) {
+  boolean suspected(MachineState m) {
     double share = peers.apart(m.zone()) ? APART_SUSPECT_SHARE : SUSPECT_SHARE;
     return !proxied(m) && liveness.silentForMs(m) > context.leaseMs() * share;
   }
@@ -86,7 +86,7 @@
     List<Lapse> over = new ArrayList<>();
     boolean silent = false;
     long suspectMs = (long) (context.leaseMs() * SUSPECT_SHARE);
-    for (MachineEntry m : fleet.notRenewedFor(suspectMs)) {
+    for (MachineState m : fleet.notRenewedFor(suspectMs)) {
       if (!m.placed.isEmpty()) {
         if (lapsed(m)) {
           over.add(new Lapse(m, m.session.leaseFromMs()));
@@ -117,13 +117,13 @@
       return;
     }
     for (String name : names) {
-      MachineEntry m = fleet.get(name);
+      MachineState m = fleet.get(name);
       if (m != null) {
         m.proxiedMs = context.nowMs;
       }
     }
     for (Lapse lapse : over) {
-      MachineEntry m = lapse.machine;
+      MachineState m = lapse.machine;
       if (fleet.get(m.name) != m) {
         continue;
       }
@@ -137,7 +137,7 @@
     }
   }
 
-  private void settle(MachineEntry m, long readMs) {
+  private void settle(MachineState m, long readMs) {
     log.lapsed(m, readMs);
     fleet.settleAll(m);
     kick.run();
@@ -149,7 +149,7 @@
    * was one: a leader that took over while a zone was cut off once left the zone's replicas
    * unplaced until the cut was over.
    */
-  boolean lapsed(MachineEntry m) {
+  boolean lapsed(MachineState m) {
     if (!m.session.mayBeOver(context.nowMs, context.leaseMs())) {
       return false;
     }
--- a/src/main/java/eiderfork/core/LeaseProxy.java
+++ b/src/main/java/eiderfork/controller/LeaseProxy.java
@@ -1,18 +1,18 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import com.google.common.collect.ImmutableList;
-import eiderfork.core.context.Context;
-import eiderfork.core.message.Effect;
-import eiderfork.core.message.Keys;
-import eiderfork.core.message.Reply;
-import eiderfork.core.message.StateOp;
-import eiderfork.core.state.StateGate;
-import eiderfork.core.state.Term;
-import eiderfork.core.state.Urgency;
+import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.election.LeaderElection;
+import eiderfork.controller.message.Effect;
+import eiderfork.controller.message.Reply;
+import eiderfork.controller.message.StoreKeys;
+import eiderfork.controller.message.StoreRequest;
+import eiderfork.controller.store.RequestPriority;
+import eiderfork.controller.store.StoreClient;
 import eiderfork.model.Command;
-import eiderfork.model.Record;
-import eiderfork.model.Report;
-import eiderfork.model.TaskReport;
+import eiderfork.model.Heartbeat;
+import eiderfork.model.StoredRecord;
+import eiderfork.model.TaskStatus;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -49,11 +49,11 @@
   /** Quotes and comma around a name. */
   private static final int AROUND = 3;
 
-  private final Context context;
-  private final StateGate gate;
-  private final Term term;
-  private final Peers peers;
-  private final Cancellations cancellations;
+  private final ControllerContext context;
+  private final StoreClient gate;
+  private final LeaderElection term;
+  private final PeerMonitor peers;
+  private final CancellationTracker cancellations;
   private final String prefix;
   private final long lifeMs;
 
@@ -78,7 +78,12 @@
   /** When a worker was last sent to the leader from here, and where it came back. */
   private final Map<String, Long> sentAwayMs = new HashMap<>();
 
-  LeaseProxy(Context context, StateGate gate, Term term, Peers peers, Cancellations cancellations) {
+  LeaseProxy(
+      ControllerContext context,
+      StoreClient gate,
+      LeaderElection term,
+      PeerMonitor peers,
+      CancellationTracker cancellations) {
     this.context = context;
     this.gate = gate;
     this.term = term;
@@ -86,7 +91,7 @@
     this.cancellations = cancellations;
     // A name of this process alone: a late write of an earlier one changes nothing of its records.
     prefix =
-        Keys.LEASE_PROXY
+        StoreKeys.LEASE_PROXY
             + context.settings.node()
             + "/"
             + Long.toHexString(context.random.nextLong())
@@ -99,7 +104,7 @@
    * worker has something to lose, stands in this zone, and the leader is out of reach from here: as
    * all of its zone is, or as the worker found that was sent there.
    */
-  boolean mayAnswer(Report report) {
+  boolean mayAnswer(Heartbeat report) {
     String name = report.machine().name();
     if (term.leading()
         || report.tasks().isEmpty()
@@ -133,18 +138,18 @@
   }
 
   /** Whether the answer may go out now, to a worker that this node takes. */
-  boolean ready(Report report) {
-    long endMs = context.nowMs + Context.surely(context.leaseMs()) + context.stepMs() / 2;
+  boolean ready(Heartbeat report) {
+    long endMs = context.nowMs + ControllerContext.surely(context.leaseMs()) + context.stepMs() / 2;
     return named.contains(report.machine().name())
         && endMs < leaseSureUntilMs
         && cancellations.mayRenew();
   }
 
   /** Renews the worker's lease under the token that it shows, and ends what was cancelled. */
-  void answer(long ticket, Report report) {
+  void answer(long ticket, Heartbeat report) {
     answeredMs = context.nowMs;
     ImmutableList.Builder<Command> stops = ImmutableList.builder();
-    for (TaskReport task : report.tasks()) {
+    for (TaskStatus task : report.tasks()) {
       if (!task.ended() && cancellations.contains(task.attempt().task().job())) {
         stops.add(new Command.Kill(task.attempt(), 0));
       }
@@ -153,7 +158,7 @@
   }
 
   /** A worker was sent to the leader. */
-  void sentAway(Report report) {
+  void sentAway(Heartbeat report) {
     if (!report.tasks().isEmpty()) {
       sentAwayMs.put(report.machine().name(), context.nowMs);
     }
@@ -198,10 +203,11 @@
     if (!active) {
       return;
     }
-    if (context.nowMs - answeredMs > Context.surely(context.leaseMs()) + context.stepMs()) {
+    if (context.nowMs - answeredMs
+        > ControllerContext.surely(context.leaseMs()) + context.stepMs()) {
       LOG.info("no worker needs to be answered in the leader's place any more");
       if (lease != 0) {
-        gate.send(new StateOp.Release(lease), Urgency.LEASE, reply -> {});
+        gate.send(new StoreRequest.Release(lease), RequestPriority.LEASE, reply -> {});
       }
       stop();
       cancellations.forget();
@@ -221,8 +227,8 @@
     long askedMs = context.nowMs;
     long renewed = lease;
     gate.send(
-        renewed == 0 ? new StateOp.Grant(lifeMs) : new StateOp.Renew(renewed),
-        Urgency.LEASE,
+        renewed == 0 ? new StoreRequest.Grant(lifeMs) : new StoreRequest.Renew(renewed),
+        RequestPriority.LEASE,
         reply -> {
           if (of != generation) {
             return;
@@ -230,7 +236,7 @@
           leasing = false;
           if (reply instanceof Reply.Leased leased) {
             lease = renewed == 0 ? leased.lease() : renewed;
-            leaseSureUntilMs = askedMs + lifeMs - (Context.surely(lifeMs) - lifeMs);
+            leaseSureUntilMs = askedMs + lifeMs - (ControllerContext.surely(lifeMs) - lifeMs);
             nextRenewMs = askedMs + lifeMs / RENEWALS;
           } else if (reply instanceof Reply.Refused refused && refused.status() == 404) {
             // The records went with it; what they named needs new ones.
@@ -260,13 +266,13 @@
     long under = lease;
     String key = prefix + ++records;
     gate.send(
-        new StateOp.Transact(
+        new StoreRequest.Transact(
             // A key is written once, so that a late write takes no name away.
-            ImmutableList.of(new StateOp.Condition(key, 0)),
+            ImmutableList.of(new StoreRequest.Condition(key, 0)),
             ImmutableList.of(
-                new StateOp.Change(
-                    key, new Record.ProxiedLeases(ImmutableList.copyOf(batch)), under))),
-        Urgency.LEASE,
+                new StoreRequest.Change(
+                    key, new StoredRecord.ProxiedLeases(ImmutableList.copyOf(batch)), under))),
+        RequestPriority.LEASE,
         reply -> {
           if (of != generation) {
             return;
@@ -288,8 +294,8 @@
   /** Reads which jobs were cancelled, and then follows it. */
   private void readCancellations(long of, String after, long firstAskedMs, long firstRevision) {
     gate.send(
-        new StateOp.Scan(Keys.ABORT, after),
-        Urgency.LEASE,
+        new StoreRequest.Scan(StoreKeys.ABORT, after),
+        RequestPriority.LEASE,
         reply -> {
           if (of != generation) {
             return;
@@ -316,8 +322,8 @@
   private void followCancellations(long of, long revision) {
     long askedMs = context.nowMs;
     gate.send(
-        new StateOp.Watch(Keys.ABORT, revision, 2 * context.stepMs()),
-        Urgency.LEASE,
+        new StoreRequest.Watch(StoreKeys.ABORT, revision, 2 * context.stepMs()),
+        RequestPriority.LEASE,
         reply -> {
           if (of != generation) {
             return;
@@ -326,7 +332,7 @@
             changes.items().forEach(this::cancelled);
             cancellations.caughtUp(askedMs);
             followCancellations(of, changes.revision());
-          } else if (StateGate.mustReadAnew(reply)) {
+          } else if (StoreClient.mustReadAnew(reply)) {
             readCancellations(of, "", context.nowMs, -1);
           } else {
             later(of, () -> followCancellations(of, revision));
@@ -336,8 +342,8 @@
 
   private void cancelled(Reply.Item item) {
     if (item.record() == null) {
-      cancellations.archived(Keys.tail(item.key()));
-    } else if (item.record() instanceof Record.Aborted aborted) {
+      cancellations.archived(StoreKeys.tail(item.key()));
+    } else if (item.record() instanceof StoredRecord.Aborted aborted) {
       cancellations.read(aborted.uid());
     }
   }
--- a/src/main/java/eiderfork/core/Drain.java
+++ b/src/main/java/eiderfork/controller/MachineConsolidation.java
@@ -1,11 +1,11 @@
-package eiderfork.core;
+package eiderfork.controller;
 
-import eiderfork.core.context.Context;
+import eiderfork.controller.context.ControllerContext;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
 import eiderfork.model.MachineType;
 import eiderfork.model.Resources;
-import eiderfork.model.TaskReport;
+import eiderfork.model.TaskStatus;
 import it.unimi.dsi.fastutil.objects.Reference2ObjectOpenHashMap;
 import java.util.ArrayList;
 import java.util.Collections;
@@ -22,8 +22,8 @@
  * half-empty machines, and none of these would ever become idle. One at a time, and only where
  * every replica finds room and its image on a fuller machine, beside what waits and the headroom.
  */
-final class Drain {
-  private static final Logger LOG = LoggerFactory.getLogger(Drain.class);
+final class MachineConsolidation {
+  private static final Logger LOG = LoggerFactory.getLogger(MachineConsolidation.class);
 
   /** The most of a machine that may be in use for it to be emptied. */
   private static final double MOST_USED = 0.6;
@@ -42,13 +42,18 @@
    */
   private static final int TRIES = 8;
 
-  private final Context context;
-  private final JobTable jobs;
-  private final Fleet fleet;
+  private final ControllerContext context;
+  private final JobRegistry jobs;
+  private final MachineRegistry fleet;
   private final MachineLiveness liveness;
-  private final Placer placer;
+  private final Scheduler placer;
 
-  Drain(Context context, JobTable jobs, Fleet fleet, MachineLiveness liveness, Placer placer) {
+  MachineConsolidation(
+      ControllerContext context,
+      JobRegistry jobs,
+      MachineRegistry fleet,
+      MachineLiveness liveness,
+      Scheduler placer) {
     this.context = context;
     this.jobs = jobs;
     this.fleet = fleet;
@@ -57,9 +62,9 @@
   }
 
   /** Looks at what a plan has left over; nothing is emptied while the fleet is {@code growing}. */
-  void plan(Packing packing, boolean growing) {
+  void plan(BinPacking packing, boolean growing) {
     int emptying = 0;
-    for (MachineEntry m : fleet.machines()) {
+    for (MachineState m : fleet.machines()) {
       if (m.draining && context.nowMs - m.drainingSinceMs > EMPTYING_STEPS * context.stepMs()) {
         // Something holds on to it; it is used again.
         m.draining = m.returning;
@@ -74,8 +79,8 @@
       return;
     }
     List<Bin> candidates = candidates(packing);
-    Set<MachineEntry> spare = spare(candidates, packing);
-    for (MachineEntry m : fleet.machines()) {
+    Set<MachineState> spare = spare(candidates, packing);
+    for (MachineState m : fleet.machines()) {
       if (!spare.contains(m)) {
         m.spareSinceMs = 0;
       } else if (m.spareSinceMs == 0) {
@@ -96,7 +101,7 @@
   }
 
   /** The machines that may be emptied, those first that save most. */
-  private List<Bin> candidates(Packing packing) {
+  private List<Bin> candidates(BinPacking packing) {
     List<Bin> candidates = new ArrayList<>();
     for (Bin bin : packing.known()) {
       if (mayEmpty(bin)) {
@@ -108,8 +113,8 @@
   }
 
   /** Those of which all tasks fit elsewhere, beside the tasks of the ones before. */
-  private Set<MachineEntry> spare(List<Bin> candidates, Packing packing) {
-    Set<MachineEntry> spare = new HashSet<>();
+  private Set<MachineState> spare(List<Bin> candidates, BinPacking packing) {
+    Set<MachineState> spare = new HashSet<>();
     Map<Bin, Resources> taken = new Reference2ObjectOpenHashMap<>();
     boolean several = atOnce() > 1;
     for (Bin bin : tries(candidates)) {
@@ -126,7 +131,7 @@
     return spare;
   }
 
-  private boolean isSpareForLong(MachineEntry m) {
+  private boolean isSpareForLong(MachineState m) {
     double keepMs = fleet.type(m).bootS() * 1000 * context.settings.operator().idleShare();
     return m.spareSinceMs > 0 && context.nowMs - m.spareSinceMs >= keepMs;
   }
@@ -156,12 +161,12 @@
   }
 
   private boolean mayEmpty(Bin bin) {
-    MachineEntry m = bin.machine;
+    MachineState m = bin.machine;
     if (m == null
         || m.placed.isEmpty()
         || fleet.type(m) == null
         || !liveness.usable(m)
-        || context.nowMs - m.sinceMs < UnneededMachines.MIN_CHARGE_MS
+        || context.nowMs - m.sinceMs < ScaleInPolicy.MIN_CHARGE_MS
         || !bin.left.equals(m.free())
         || bin.left.shareOf(bin.room) < 1 - MOST_USED) {
       return false;
@@ -171,7 +176,7 @@
           p.job.job.kind() == JobKind.SERVICE
               && p.committed
               && p.wanted()
-              && p.seen == TaskReport.State.RUNNING
+              && p.seen == TaskStatus.State.RUNNING
               && context.nowMs - p.runningSinceMs > SETTLED_MS;
       if (!settled) {
         return false;
@@ -187,7 +192,7 @@
    * machines of eight GPUs each, half of them free, for the processors of 30.
    */
   private boolean fitsElsewhere(
-      Bin from, Packing packing, Map<Bin, Resources> left, Set<MachineEntry> emptied) {
+      Bin from, BinPacking packing, Map<Bin, Resources> left, Set<MachineState> emptied) {
     for (Reservation p : from.machine.placed) {
       Bin best = fullestTarget(p.job.job, from, packing, left, emptied);
       if (best == null) {
@@ -200,7 +205,7 @@
 
   /** The machine for a moved task that has the least left beside it, or null. */
   private Bin fullestTarget(
-      Job job, Bin from, Packing packing, Map<Bin, Resources> left, Set<MachineEntry> emptied) {
+      Job job, Bin from, BinPacking packing, Map<Bin, Resources> left, Set<MachineState> emptied) {
     Bin[] best = new Bin[1];
     double[] bestLeft = new double[1];
     packing.forEachWithRoom(
@@ -245,7 +250,7 @@
     return !job.spread() && !job.oneZone() && job.allowsZone(zone);
   }
 
-  private void empty(MachineEntry m) {
+  private void empty(MachineState m) {
     LOG.info("emptying {}, its {} tasks fit elsewhere", m.name, m.placed.size());
     m.draining = true;
     m.drainingSinceMs = context.nowMs;
