--- a/src/main/java/eiderfork/core/HintSender.java
+++ b/src/main/java/eiderfork/controller/MachineHintPublisher.java
@@ -1,15 +1,15 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import com.google.common.collect.ImmutableList;
-import eiderfork.core.context.Context;
-import eiderfork.core.message.Effect;
-import eiderfork.core.message.HintMessage;
-import eiderfork.core.message.MachineHint;
-import eiderfork.core.standby.HintStore;
-import eiderfork.core.standby.Standby;
-import eiderfork.core.state.StateGate;
-import eiderfork.core.state.Term;
-import eiderfork.core.state.Urgency;
+import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.election.LeaderElection;
+import eiderfork.controller.message.Effect;
+import eiderfork.controller.message.MachineHint;
+import eiderfork.controller.message.MachineHintBatch;
+import eiderfork.controller.standby.MachineHintStore;
+import eiderfork.controller.standby.Standby;
+import eiderfork.controller.store.RequestPriority;
+import eiderfork.controller.store.StoreClient;
 import eiderfork.model.MachineType;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -21,7 +21,7 @@
  * Tells the standbys which images the machines have, some machines with each message, so that all
  * are told of within a lease; nothing while writes wait, since hints are worth less than those.
  */
-final class HintSender {
+final class MachineHintPublisher {
   /** The images told of a machine; older ones are not missed. */
   private static final int MOST_IMAGES = 8;
 
@@ -30,10 +30,10 @@
 
   private static final int IMAGE_BYTES = 24;
 
-  private final Context context;
-  private final Term term;
-  private final StateGate gate;
-  private final Fleet fleet;
+  private final ControllerContext context;
+  private final LeaderElection term;
+  private final StoreClient gate;
+  private final MachineRegistry fleet;
   private final Standby standby;
 
   /** Standbys that have not answered the last message. */
@@ -45,7 +45,12 @@
   /** The machine told of last. */
   private int lastMachine;
 
-  HintSender(Context context, Term term, StateGate gate, Fleet fleet, Standby standby) {
+  MachineHintPublisher(
+      ControllerContext context,
+      LeaderElection term,
+      StoreClient gate,
+      MachineRegistry fleet,
+      Standby standby) {
     this.context = context;
     this.term = term;
     this.gate = gate;
@@ -66,16 +71,16 @@
       return;
     }
     nextMs = context.nowMs + context.stepMs();
-    if (gate.waitMs(Urgency.BATCH) > context.stepMs() || fleet.machines().isEmpty()) {
+    if (gate.waitMs(RequestPriority.BATCH) > context.stepMs() || fleet.machines().isEmpty()) {
       return;
     }
-    HintMessage message = new HintMessage(term.number(), ++number, nextHints());
+    MachineHintBatch message = new MachineHintBatch(term.number(), ++number, nextHints());
     for (String node : standby.of(context.settings.node())) {
       send(node, message);
     }
   }
 
-  private void send(String node, HintMessage message) {
+  private void send(String node, MachineHintBatch message) {
     if (!open.add(node)) {
       return;
     }
@@ -97,7 +102,7 @@
     ImmutableList.Builder<MachineHint> hints = ImmutableList.builder();
     int bytes = 0;
     for (int i = 0; i < most && bytes < MOST_BYTES; i++) {
-      MachineEntry m = fleet.after(lastMachine);
+      MachineState m = fleet.after(lastMachine);
       lastMachine = m.number;
       MachineHint hint = hint(m);
       hints.add(hint);
@@ -109,7 +114,7 @@
     return hints.build();
   }
 
-  private MachineHint hint(MachineEntry m) {
+  private MachineHint hint(MachineState m) {
     List<MachineHint.ImageHint> images = new ArrayList<>();
     for (Map.Entry<String, Double> image : m.images.entrySet()) {
       long readyInMs = m.fetchedAtMs.getLong(image.getKey()) - context.nowMs;
@@ -121,10 +126,10 @@
   }
 
   /** Takes what an earlier leader has told of machines that this one knows. */
-  void apply(HintStore hints) {
+  void apply(MachineHintStore hints) {
     hints.forEach(
         (hint, toldMs) -> {
-          MachineEntry m = fleet.get(hint.machine());
+          MachineState m = fleet.get(hint.machine());
           MachineType type = m == null ? null : fleet.type(m);
           if (type != null) {
             for (MachineHint.ImageHint image : hint.images()) {
@@ -135,7 +140,7 @@
   }
 
   private static void apply(
-      MachineEntry m, MachineType type, MachineHint.ImageHint image, long toldMs) {
+      MachineState m, MachineType type, MachineHint.ImageHint image, long toldMs) {
     boolean known = m.images.containsKey(image.image());
     if (!known) {
       m.touchImage(image.image(), image.gb(), type.cacheGb());
--- a/src/main/java/eiderfork/core/MachineSets.java
+++ b/src/main/java/eiderfork/controller/MachineIndexes.java
@@ -1,4 +1,4 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import java.util.function.IntPredicate;
 import org.roaringbitmap.RoaringBitmap;
@@ -7,7 +7,7 @@
  * Sets of a leader's machines, by their numbers, that are kept up to date as machines change.
  * Nothing has to pass over all machines to find the few that need something.
  */
-final class MachineSets {
+final class MachineIndexes {
   /** Machines to which a command should go out now. */
   private final RoaringBitmap urgent = new RoaringBitmap();
 
@@ -17,7 +17,7 @@
   /** Machines with direct commands under way. */
   private final RoaringBitmap commanding = new RoaringBitmap();
 
-  private final RoomIndex roomIndex = new RoomIndex();
+  private final CapacityIndex roomIndex = new CapacityIndex();
 
   void clear() {
     urgent.clear();
@@ -27,12 +27,12 @@
   }
 
   /** A machine is new; nothing is known of what it has seen. */
-  void added(MachineEntry m) {
+  void added(MachineState m) {
     unshown.add(m.number);
   }
 
   /** A machine is gone. */
-  void removed(MachineEntry m) {
+  void removed(MachineState m) {
     urgent.remove(m.number);
     unshown.remove(m.number);
     commanding.remove(m.number);
@@ -40,19 +40,19 @@
   }
 
   /** The machine takes this term's commands. */
-  void shown(MachineEntry m) {
+  void shown(MachineState m) {
     unshown.remove(m.number);
   }
 
-  void urgent(MachineEntry m, boolean value) {
+  void urgent(MachineState m, boolean value) {
     set(urgent, m, value);
   }
 
-  void commanding(MachineEntry m, boolean value) {
+  void commanding(MachineState m, boolean value) {
     set(commanding, m, value);
   }
 
-  private static void set(RoaringBitmap set, MachineEntry m, boolean value) {
+  private static void set(RoaringBitmap set, MachineState m, boolean value) {
     if (value) {
       set.add(m.number);
     } else {
@@ -83,7 +83,7 @@
   }
 
   /** Where there is room. */
-  RoomIndex roomIndex() {
+  CapacityIndex roomIndex() {
     return roomIndex;
   }
 }
--- a/src/main/java/eiderfork/core/MachineLiveness.java
+++ b/src/main/java/eiderfork/controller/MachineLiveness.java
@@ -1,7 +1,7 @@
-package eiderfork.core;
+package eiderfork.controller;
 
-import eiderfork.core.context.Context;
-import eiderfork.core.state.Term;
+import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.election.LeaderElection;
 
 /** What the leader knows of whether machines are alive, obey it and may be given tasks. */
 final class MachineLiveness {
@@ -13,10 +13,10 @@
 
   private static final double SILENT_STEPS = 1.35;
 
-  private final Context context;
-  private final Term term;
+  private final ControllerContext context;
+  private final LeaderElection term;
 
-  MachineLiveness(Context context, Term term) {
+  MachineLiveness(ControllerContext context, LeaderElection term) {
     this.context = context;
     this.term = term;
   }
@@ -27,21 +27,21 @@
   }
 
   /** Whether the worker takes this term's commands, so that no older leader can reach it. */
-  boolean shown(MachineEntry m) {
+  boolean shown(MachineState m) {
     return m.report() != null && m.report().token() >= term.firstToken();
   }
 
-  boolean heard(MachineEntry m) {
+  boolean heard(MachineState m) {
     return m.session.heardMs() > 0 && context.nowMs - m.session.heardMs() <= silentMs();
   }
 
   /** How long ago the machine last reported or was answered in this term. */
-  long silentForMs(MachineEntry m) {
+  long silentForMs(MachineState m) {
     return context.nowMs - Math.max(m.session.heardMs(), m.session.leaseFromMs());
   }
 
   /** Reports come but commands do not arrive. */
-  boolean deaf(MachineEntry m) {
+  boolean deaf(MachineState m) {
     return m.deafSinceMs > 0 && context.nowMs - m.deafSinceMs > silentMs();
   }
 
@@ -49,11 +49,11 @@
    * Whether tasks may be placed here. A worker that is reached by direct commands alone is heard
    * after its lease has lapsed; what started then was settled with what the lapse has ended.
    */
-  boolean usable(MachineEntry m) {
+  boolean usable(MachineState m) {
     return inService(m) && heard(m) && !deaf(m) && m.unanswered < 2 && !leaseMayBeOver(m);
   }
 
-  private boolean leaseMayBeOver(MachineEntry m) {
+  private boolean leaseMayBeOver(MachineState m) {
     return m.session.mayBeOver(context.nowMs, context.leaseMs());
   }
 
@@ -62,11 +62,11 @@
    * answered what it was told. It need not be heard: after a takeover workers report to nobody for
    * seconds while they look for the leader.
    */
-  boolean keepsClaims(MachineEntry m) {
+  boolean keepsClaims(MachineState m) {
     return inService(m) && m.unanswered == 0;
   }
 
-  private boolean inService(MachineEntry m) {
+  private boolean inService(MachineState m) {
     return m.room != null
         && shown(m)
         && !m.returning
--- a/src/main/java/eiderfork/core/Fleet.java
+++ b/src/main/java/eiderfork/controller/MachineRegistry.java
@@ -1,14 +1,14 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import com.google.common.collect.ImmutableList;
 import com.google.common.collect.ImmutableMap;
-import eiderfork.core.context.Context;
-import eiderfork.model.HostEntry;
+import eiderfork.controller.context.ControllerContext;
+import eiderfork.model.Heartbeat;
 import eiderfork.model.Job;
+import eiderfork.model.ListedMachine;
 import eiderfork.model.Machine;
 import eiderfork.model.MachineType;
-import eiderfork.model.Record;
-import eiderfork.model.Report;
+import eiderfork.model.StoredRecord;
 import it.unimi.dsi.fastutil.ints.Int2ObjectOpenHashMap;
 import it.unimi.dsi.fastutil.objects.ReferenceLinkedOpenHashSet;
 import java.util.ArrayList;
@@ -21,21 +21,21 @@
 import org.slf4j.LoggerFactory;
 
 /** The machines of a leader. */
-final class Fleet {
-  private static final Logger LOG = LoggerFactory.getLogger(Fleet.class);
-
-  private final Context context;
-  private final JobTable jobs;
-  private final Map<String, MachineEntry> machines = new LinkedHashMap<>();
-  private final Int2ObjectOpenHashMap<MachineEntry> byNumber = new Int2ObjectOpenHashMap<>();
-  private final MachineSets sets = new MachineSets();
+final class MachineRegistry {
+  private static final Logger LOG = LoggerFactory.getLogger(MachineRegistry.class);
+
+  private final ControllerContext context;
+  private final JobRegistry jobs;
+  private final Map<String, MachineState> machines = new LinkedHashMap<>();
+  private final Int2ObjectOpenHashMap<MachineState> byNumber = new Int2ObjectOpenHashMap<>();
+  private final MachineIndexes sets = new MachineIndexes();
   private int lastNumber;
 
   /** Machines not seen in this term, and the others in the order in which their leases began. */
-  private final ReferenceLinkedOpenHashSet<MachineEntry> unseen =
+  private final ReferenceLinkedOpenHashSet<MachineState> unseen =
       new ReferenceLinkedOpenHashSet<>();
 
-  private final ReferenceLinkedOpenHashSet<MachineEntry> byLease =
+  private final ReferenceLinkedOpenHashSet<MachineState> byLease =
       new ReferenceLinkedOpenHashSet<>();
 
   /**
@@ -52,7 +52,7 @@
 
   private ImmutableMap<String, MachineType> types = ImmutableMap.of();
 
-  Fleet(Context context, JobTable jobs) {
+  MachineRegistry(ControllerContext context, JobRegistry jobs) {
     this.context = context;
     this.jobs = jobs;
   }
@@ -78,14 +78,14 @@
   }
 
   /** The machines by what has to be done about them. */
-  MachineSets sets() {
+  MachineIndexes sets() {
     return sets;
   }
 
   /** The machine known next after the one with this number, or the first; there has to be one. */
-  MachineEntry after(int number) {
+  MachineState after(int number) {
     for (int i = number + 1; i <= lastNumber; i++) {
-      MachineEntry m = byNumber.get(i);
+      MachineState m = byNumber.get(i);
       if (m != null) {
         return m;
       }
@@ -94,12 +94,12 @@
   }
 
   /** The machine with this number. */
-  MachineEntry get(int number) {
+  MachineState get(int number) {
     return byNumber.get(number);
   }
 
   /** A report of the machine is answered now, which may renew its worker's lease. */
-  void answered(MachineEntry m) {
+  void answered(MachineState m) {
     m.session.renewed(context.nowMs);
     movedToLast(m);
   }
@@ -109,7 +109,7 @@
    *
    * @return whether it is the first that is seen of its session
    */
-  boolean reported(MachineEntry m, Report newest) {
+  boolean reported(MachineState m, Heartbeat newest) {
     boolean firstOfSession = m.reported(newest, context.nowMs);
     if (firstOfSession) {
       movedToLast(m);
@@ -117,15 +117,15 @@
     return firstOfSession;
   }
 
-  private void movedToLast(MachineEntry m) {
+  private void movedToLast(MachineState m) {
     unseen.remove(m);
     byLease.addAndMoveToLast(m);
   }
 
   /** The machines whose lease was not renewed for that long, or that were not seen in this term. */
-  List<MachineEntry> notRenewedFor(long ms) {
-    List<MachineEntry> found = new ArrayList<>(unseen);
-    for (MachineEntry m : byLease) {
+  List<MachineState> notRenewedFor(long ms) {
+    List<MachineState> found = new ArrayList<>(unseen);
+    for (MachineState m : byLease) {
       if (context.nowMs - m.session.leaseFromMs() <= ms) {
         break;
       }
@@ -135,11 +135,11 @@
     return found;
   }
 
-  Collection<MachineEntry> machines() {
+  Collection<MachineState> machines() {
     return machines.values();
   }
 
-  MachineEntry get(String name) {
+  MachineState get(String name) {
     return machines.get(name);
   }
 
@@ -159,29 +159,29 @@
   }
 
   /** The machine types as the state service holds them. */
-  Record.Types typesRecord() {
-    return new Record.Types(types.values().asList());
+  StoredRecord.Types typesRecord() {
+    return new StoredRecord.Types(types.values().asList());
   }
 
-  MachineType type(MachineEntry m) {
+  MachineType type(MachineState m) {
     return m.machine == null ? null : types.get(m.machine.type());
   }
 
   /** The entry of a machine, made where there is none. */
-  MachineEntry known(String name) {
+  MachineState known(String name) {
     return machines.computeIfAbsent(name, this::add);
   }
 
-  private MachineEntry add(String name) {
-    MachineEntry m = new MachineEntry(name, ++lastNumber, sets, context.nowMs);
+  private MachineState add(String name) {
+    MachineState m = new MachineState(name, ++lastNumber, sets, context.nowMs);
     byNumber.put(m.number, m);
     sets.added(m);
     unseen.add(m);
     return m;
   }
 
-  MachineEntry known(Machine machine) {
-    MachineEntry m = known(machine.name());
+  MachineState known(Machine machine) {
+    MachineState m = known(machine.name());
     if (m.machine == null || m.machine.addr() == null) {
       m.machine = machine;
       fillRoom(m);
@@ -189,7 +189,7 @@
     return m;
   }
 
-  private void fillRoom(MachineEntry m) {
+  private void fillRoom(MachineState m) {
     MachineType type = type(m);
     if (type != null) {
       m.room(type.room());
@@ -197,7 +197,7 @@
   }
 
   /** The machine and everything on it is gone. */
-  void remove(MachineEntry m, String why) {
+  void remove(MachineState m, String why) {
     LOG.info("machine {} is gone: {}", m.name, why);
     settleAll(m);
     machines.remove(m.name);
@@ -215,7 +215,7 @@
   }
 
   /** None of the tasks reserved on this machine is there any more, nor can they start. */
-  void settleAll(MachineEntry m) {
+  void settleAll(MachineState m) {
     for (Reservation p : List.copyOf(m.placed)) {
       jobs.release(p, false);
       m.remove(p);
@@ -226,30 +226,30 @@
    * Takes a whole machine list, asked for at {@code askedMs}. A list may be as old as twice the
    * lag, so a machine missing from it is gone only if it was alive before that time.
    */
-  void listing(Map<String, HostEntry> entries, long askedMs) {
+  void listing(Map<String, ListedMachine> entries, long askedMs) {
     forgetLongGone();
     long describesMs = askedMs - 2 * context.listLagMs();
-    for (HostEntry entry : entries.values()) {
+    for (ListedMachine entry : entries.values()) {
       String name = entry.machine().name();
       if (isGone(name)) {
         continue;
       }
-      MachineEntry m = known(entry.machine());
+      MachineState m = known(entry.machine());
       m.listed = true;
       m.aliveMs = Math.max(m.aliveMs, describesMs);
       m.sinceMs = Math.min(m.sinceMs, context.nowMs - (long) (entry.ageS() * 1000));
-      m.booting = m.report() == null && entry.state() == HostEntry.State.BOOTING;
-      if (entry.state() == HostEntry.State.RUNNING && m.upMs == 0) {
+      m.booting = m.report() == null && entry.state() == ListedMachine.State.BOOTING;
+      if (entry.state() == ListedMachine.State.RUNNING && m.upMs == 0) {
         m.upMs = context.nowMs;
       }
-      if (entry.state() == HostEntry.State.FAILED) {
+      if (entry.state() == ListedMachine.State.FAILED) {
         if (!m.placed.isEmpty()) {
           settleAll(m);
         }
         m.faulty = true;
       }
     }
-    for (MachineEntry m : List.copyOf(machines.values())) {
+    for (MachineState m : List.copyOf(machines.values())) {
       if (!entries.containsKey(m.name) && m.aliveMs < describesMs) {
         remove(m, "the cloud lists it no more");
       }
--- a/src/main/java/eiderfork/core/MachineScore.java
+++ b/src/main/java/eiderfork/controller/MachineScorer.java
@@ -1,7 +1,7 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import eiderfork.config.Settings.Objective;
-import eiderfork.core.context.Context;
+import eiderfork.controller.context.ControllerContext;
 import eiderfork.model.Job;
 import eiderfork.model.Resources;
 
@@ -9,7 +9,7 @@
  * How good machines are for one more task of a job; the lower the better. Made anew for each
  * search, so that what depends on the job alone is looked up once.
  */
-final class MachineScore {
+final class MachineScorer {
   /** A stranded GPU weighs as much as an image wait of this many steps. */
   private static final double STRANDED_STEPS = 100;
 
@@ -18,8 +18,8 @@
    */
   private static final double STEP_SHARE = 0.25;
 
-  private final ImageFetch imageFetch;
-  private final GpuBalance balance;
+  private final ImageFetchEstimator imageFetch;
+  private final CpusPerGpu balance;
   private final Job job;
 
   /** Machines of the kind that the job should leave to others, spot or ordinary. */
@@ -27,12 +27,12 @@
 
   private final double imageStepS;
 
-  MachineScore(
-      Context context,
-      ImageFetch imageFetch,
-      GpuBalance balance,
-      Deadlines deadlines,
-      JobEntry entry) {
+  MachineScorer(
+      ControllerContext context,
+      ImageFetchEstimator imageFetch,
+      CpusPerGpu balance,
+      DeadlineEstimator deadlines,
+      JobState entry) {
     this.imageFetch = imageFetch;
     this.balance = balance;
     job = entry.job;
@@ -54,7 +54,7 @@
    *
    * @param free what the machine has left before the task
    */
-  double of(MachineEntry m, Resources free) {
+  double of(MachineState m, Resources free) {
     double stranded = balance.strandedBy(job.need(), free);
     double steps = Math.floor(imageFetch.waitS(job, m) / imageStepS);
     double fullness = free.minus(job.need()).shareOf(m.room);
--- a/src/main/java/eiderfork/core/MachineSearch.java
+++ b/src/main/java/eiderfork/controller/MachineSearch.java
@@ -1,4 +1,4 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import eiderfork.model.Resources;
 import java.util.Collections;
@@ -15,7 +15,7 @@
  * at once, and again only after it has taken a task.
  */
 final class MachineSearch {
-  private record Found(MachineEntry machine, double score) {
+  private record Found(MachineState machine, double score) {
     int order() {
       return machine.number;
     }
@@ -24,10 +24,10 @@
   /** How many machines a sample has for each task. */
   private static final int SAMPLE = 8;
 
-  private final RoundRoom room;
-  private final MachineScore score;
-  private final JobEntry entry;
-  private final SearchLimits limits;
+  private final FreeCapacity room;
+  private final MachineScorer score;
+  private final JobState entry;
+  private final SearchConstraints limits;
   private final Map<String, Integer> perZone;
   private final PriorityQueue<Found> found =
       new PriorityQueue<>(Comparator.comparingDouble(Found::score).thenComparingInt(Found::order));
@@ -46,14 +46,14 @@
    * @param limits which free room is left alone
    */
   MachineSearch(
-      RoundRoom room,
-      MachineScore score,
+      FreeCapacity room,
+      MachineScorer score,
       RandomGenerator random,
       double mostExamined,
-      JobEntry entry,
+      JobState entry,
       Map<String, Integer> perZone,
       boolean believe,
-      SearchLimits limits) {
+      SearchConstraints limits) {
     this.room = room;
     this.limits = limits;
     this.score = score;
@@ -70,7 +70,7 @@
       sampled = false;
       return;
     }
-    List<MachineEntry> all = room.candidates(entry.job, open);
+    List<MachineState> all = room.candidates(entry.job, open);
     int sample = SAMPLE * entry.waiting.cardinality();
     sampled = room.examined() > mostExamined && all.size() > sample;
     if (sampled) {
@@ -79,7 +79,7 @@
       }
       all = all.subList(0, sample);
     }
-    for (MachineEntry m : all) {
+    for (MachineState m : all) {
       look(m);
     }
     if (!sampled) {
@@ -92,10 +92,10 @@
     }
   }
 
-  private void look(MachineEntry m) {
+  private void look(MachineState m) {
     room.countExamined();
     Resources left = room.of(m);
-    if (!entry.job.need().fitsIn(left) || !PlacementRules.kindAllowed(entry.job, m)) {
+    if (!entry.job.need().fitsIn(left) || !PlacementConstraints.kindAllowed(entry.job, m)) {
       return;
     }
     if (!room.isUsable(m)) {
@@ -111,12 +111,12 @@
     }
   }
 
-  private boolean fitsBesideLoans(MachineEntry m) {
+  private boolean fitsBesideLoans(MachineState m) {
     return !limits.borrows() || entry.job.need().fitsIn(room.of(m, entry, true));
   }
 
   /** The best machine for one more task, or null where none fits. */
-  MachineEntry best() {
+  MachineState best() {
     // A zone that is full for this job stays so, since its tasks only grow in number.
     while (!found.isEmpty()
         && !(room.allowed(entry, found.peek().machine, perZone)
--- a/src/main/java/eiderfork/core/MachineEntry.java
+++ b/src/main/java/eiderfork/controller/MachineState.java
@@ -1,8 +1,8 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import com.google.common.collect.ImmutableList;
+import eiderfork.model.Heartbeat;
 import eiderfork.model.Machine;
-import eiderfork.model.Report;
 import eiderfork.model.Resources;
 import it.unimi.dsi.fastutil.objects.Object2LongOpenHashMap;
 import java.util.HashSet;
@@ -12,16 +12,16 @@
 import java.util.Set;
 
 /** A machine as the leader holds it. */
-final class MachineEntry {
+final class MachineState {
   final String name;
 
   /** Ascends with the order in which the leader learned of its machines. */
   final int number;
 
-  private final MachineSets sets;
+  private final MachineIndexes sets;
 
   /** Where the machine stands in the index of free room; null while it is not in it. */
-  RoomIndex.Place place;
+  CapacityIndex.Place place;
 
   /** Null while only the name is known, from a rent or a reservation. */
   Machine machine;
@@ -38,8 +38,11 @@
   /** What no reservation takes; null while the room is not known. */
   private Resources free;
 
-  /** The worker's session and its lease; changed by {@link #reported} and {@link Fleet} alone. */
-  final WorkerSession session = new WorkerSession();
+  /**
+   * The worker's session and its lease; changed by {@link #reported} and {@link MachineRegistry}
+   * alone.
+   */
+  final WorkerIncarnation session = new WorkerIncarnation();
 
   /** The token that commands go out with now. */
   long token;
@@ -116,7 +119,7 @@
   /** When the fetch of an image should be over. */
   final Object2LongOpenHashMap<String> fetchedAtMs = new Object2LongOpenHashMap<>();
 
-  MachineEntry(String name, int number, MachineSets sets, long nowMs) {
+  MachineState(String name, int number, MachineIndexes sets, long nowMs) {
     this.name = name;
     this.number = number;
     this.sets = sets;
@@ -133,12 +136,12 @@
   }
 
   /** The newest report of this term, null before the first. */
-  Report report() {
+  Heartbeat report() {
     return session.report();
   }
 
   /** Takes what is known from the rent alone; the address comes with the first report or list. */
-  void rentedAs(Cloud.Kind kind, eiderfork.model.MachineType type) {
+  void rentedAs(CloudProvisioner.Kind kind, eiderfork.model.MachineType type) {
     machine = new Machine(name, null, kind.type(), kind.zone(), kind.spot());
     room(type == null ? null : type.room());
   }
@@ -155,7 +158,7 @@
    *
    * @return whether it is the first that is seen of its session
    */
-  boolean reported(Report newest, long nowMs) {
+  boolean reported(Heartbeat newest, long nowMs) {
     boolean firstOfAll = report() == null;
     boolean firstOfSession = session.take(newest, nowMs);
     if (firstOfAll) {
@@ -219,7 +222,7 @@
     return free;
   }
 
-  ImmutableList<eiderfork.model.TaskReport> tasks() {
+  ImmutableList<eiderfork.model.TaskStatus> tasks() {
     return report() == null ? ImmutableList.of() : report().tasks();
   }
 
--- a/src/main/java/eiderfork/core/Peers.java
+++ b/src/main/java/eiderfork/controller/PeerMonitor.java
@@ -1,25 +1,25 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import eiderfork.config.Settings;
-import eiderfork.core.context.Context;
-import eiderfork.core.message.Effect;
-import eiderfork.core.message.PeerView;
-import eiderfork.core.message.Reply;
-import eiderfork.core.state.Term;
+import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.election.LeaderElection;
+import eiderfork.controller.message.Effect;
+import eiderfork.controller.message.PeerStatus;
+import eiderfork.controller.message.Reply;
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.function.Function;
 
 /** What the peers say of themselves, and what this node tells them. */
-final class Peers {
+final class PeerMonitor {
   /** A ping each step; this many may be missed before a peer counts as out of reach. */
   private static final double REACH_PINGS = 3;
 
-  private record Seen(PeerView view, long atMs) {}
+  private record Seen(PeerStatus view, long atMs) {}
 
-  private final Context context;
-  private final Term term;
-  private final Cancellations cancellations;
+  private final ControllerContext context;
+  private final LeaderElection term;
+  private final CancellationTracker cancellations;
   private final ClusterVersion version;
   private final Map<String, Seen> seen = new LinkedHashMap<>();
   private final Map<String, Boolean> asking = new LinkedHashMap<>();
@@ -30,7 +30,11 @@
   private long yieldedTo;
   private long nextMs;
 
-  Peers(Context context, Term term, Cancellations cancellations, ClusterVersion version) {
+  PeerMonitor(
+      ControllerContext context,
+      LeaderElection term,
+      CancellationTracker cancellations,
+      ClusterVersion version) {
     this.context = context;
     this.term = term;
     this.cancellations = cancellations;
@@ -41,7 +45,7 @@
   }
 
   /** Pings every peer that has answered the last ping, with what {@code view} tells it. */
-  void tick(Function<String, PeerView> view) {
+  void tick(Function<String, PeerStatus> view) {
     if (context.nowMs < nextMs) {
       return;
     }
@@ -52,7 +56,7 @@
       }
       asking.put(node, true);
       long askedMs = context.nowMs;
-      PeerView own = view.apply(node);
+      PeerStatus own = view.apply(node);
       context.ask(
           call -> new Effect.AskPeerPing(call, node, own, context.stepMs()),
           reply -> {
@@ -69,7 +73,7 @@
     }
   }
 
-  void heard(PeerView view) {
+  void heard(PeerStatus view) {
     Settings settings = context.settings;
     if (!settings.peers().containsKey(view.node())) {
       return;
@@ -82,7 +86,7 @@
     }
   }
 
-  private void yielded(String node, PeerView view) {
+  private void yielded(String node, PeerStatus view) {
     if (!term.leading()) {
       return;
     }
--- a/src/main/java/eiderfork/core/ParkedReports.java
+++ b/src/main/java/eiderfork/controller/PendingHeartbeats.java
@@ -1,25 +1,25 @@
-package eiderfork.core;
+package eiderfork.controller;
 
-import eiderfork.core.context.Context;
-import eiderfork.model.Report;
+import eiderfork.controller.context.ControllerContext;
+import eiderfork.model.Heartbeat;
 import java.util.ArrayDeque;
 import java.util.Iterator;
 import java.util.Queue;
 import java.util.function.Predicate;
 
 /** Reports that can't be answered yet, in the order in which they came. */
-final class ParkedReports {
+final class PendingHeartbeats {
   /** A report that waits. */
-  record Parked(long ticket, Report report, long sinceMs) {}
+  record Parked(long ticket, Heartbeat report, long sinceMs) {}
 
-  private final Context context;
+  private final ControllerContext context;
   private final Queue<Parked> reports = new ArrayDeque<>();
 
-  ParkedReports(Context context) {
+  PendingHeartbeats(ControllerContext context) {
     this.context = context;
   }
 
-  void add(long ticket, Report report) {
+  void add(long ticket, Heartbeat report) {
     reports.add(new Parked(ticket, report, context.nowMs));
   }
 
--- a/src/main/java/eiderfork/core/Reclaims.java
+++ b/src/main/java/eiderfork/controller/PendingReclaims.java
@@ -1,8 +1,8 @@
-package eiderfork.core;
+package eiderfork.controller;
 
-import eiderfork.core.context.Context;
-import eiderfork.core.lending.Amount;
-import eiderfork.core.lending.TeamId;
+import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.quota.QuotaAmount;
+import eiderfork.controller.quota.TeamId;
 import java.util.Iterator;
 import java.util.LinkedHashMap;
 import java.util.Map;
@@ -13,20 +13,20 @@
  * The tasks that are to be stopped right after their next checkpoint. They are hints: nothing was
  * sent for them, and a new leader judges anew.
  */
-final class Reclaims {
-  private static final Logger LOG = LoggerFactory.getLogger(Reclaims.class);
+final class PendingReclaims {
+  private static final Logger LOG = LoggerFactory.getLogger(PendingReclaims.class);
 
-  private record Pending(JobEntry taker, long stopAtMs) {}
+  private record Pending(JobState taker, long stopAtMs) {}
 
-  private final Context context;
-  private final JobTable jobs;
-  private final RoundRoom room;
+  private final ControllerContext context;
+  private final JobRegistry jobs;
+  private final FreeCapacity room;
   private final Map<Reservation, Pending> pending = new LinkedHashMap<>();
 
   /** Counts the changes of what is pending. */
   private long changes;
 
-  Reclaims(Context context, JobTable jobs, RoundRoom room) {
+  PendingReclaims(ControllerContext context, JobRegistry jobs, FreeCapacity room) {
     this.context = context;
     this.jobs = jobs;
     this.room = room;
@@ -38,7 +38,7 @@
   }
 
   /** Has a task stopped for a job once it has written its next checkpoint. */
-  void stopLater(Reservation victim, JobEntry taker, double delayS) {
+  void stopLater(Reservation victim, JobState taker, double delayS) {
     changes++;
     pending.put(victim, new Pending(taker, context.nowMs + Math.round(delayS * 1000)));
   }
@@ -59,8 +59,8 @@
   }
 
   /** What is to be stopped of a team's work. */
-  Amount of(TeamId team) {
-    Amount sum = Amount.NONE;
+  QuotaAmount of(TeamId team) {
+    QuotaAmount sum = QuotaAmount.NONE;
     for (Reservation victim : pending.keySet()) {
       if (victim.job.job.team().equals(team.name())) {
         sum = sum.plus(amount(victim));
@@ -70,9 +70,9 @@
   }
 
   /** What ends with a task: itself, or its whole gang. */
-  static Amount amount(Reservation victim) {
+  static QuotaAmount amount(Reservation victim) {
     int tasks = victim.job.gang == null ? 1 : victim.job.placed.size();
-    return Amount.of(victim.job.job.need()).times(tasks);
+    return QuotaAmount.of(victim.job.job.need()).times(tasks);
   }
 
   /** Stops what has come to its checkpoint, and drops what nobody waits for any more. */
@@ -94,7 +94,7 @@
     }
   }
 
-  private void stopNow(Reservation victim, JobEntry taker) {
+  private void stopNow(Reservation victim, JobState taker) {
     LOG.info("{} has written a checkpoint and ends for {}", victim.id(), taker.job.uid());
     if (victim.job.gang == null) {
       victim.endWithoutSave();
--- a/src/main/java/eiderfork/core/PlacementRules.java
+++ b/src/main/java/eiderfork/controller/PlacementConstraints.java
@@ -1,18 +1,18 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import eiderfork.model.Job;
 import java.util.HashMap;
 import java.util.Map;
 
 /** Where a job allows its tasks to run, given its other tasks. */
-final class PlacementRules {
+final class PlacementConstraints {
   /** The key of tasks in {@link #zonesOf} whose machine is known by name only. */
   private static final String UNKNOWN_ZONE = "";
 
-  private PlacementRules() {}
+  private PlacementConstraints() {}
 
   /** How many tasks of a job each zone holds. */
-  static Map<String, Integer> zonesOf(JobEntry entry) {
+  static Map<String, Integer> zonesOf(JobState entry) {
     Map<String, Integer> perZone = new HashMap<>();
     for (Reservation p : entry.placed.values()) {
       String zone = p.machine.zone();
@@ -34,7 +34,7 @@
   }
 
   /** Whether the job's tasks may run on this kind of machine, in its zone. */
-  static boolean kindAllowed(Job job, MachineEntry m) {
+  static boolean kindAllowed(Job job, MachineState m) {
     return job.allowsType(m.machine.type())
         && job.allowsZone(m.zone())
         && (job.spot() || !m.machine.spot());
--- a/src/main/java/eiderfork/core/Preemption.java
+++ b/src/main/java/eiderfork/controller/PreemptionPlanner.java
@@ -1,8 +1,8 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import com.google.common.collect.ImmutableSet;
-import eiderfork.core.context.Context;
-import eiderfork.core.lending.Preference;
+import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.quota.VictimPreference;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
 import eiderfork.model.Priority;
@@ -18,11 +18,12 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Makes room for jobs that find none: stops what {@link StopPolicy} lets it, gangs as a whole, or
- * moves replicas that fit elsewhere, whichever costs least. What is freed is claimed for the job.
+ * Makes room for jobs that find none: stops what {@link PreemptionPolicy} lets it, gangs as a
+ * whole, or moves replicas that fit elsewhere, whichever costs least. What is freed is claimed for
+ * the job.
  */
-final class Preemption {
-  private static final Logger LOG = LoggerFactory.getLogger(Preemption.class);
+final class PreemptionPlanner {
+  private static final Logger LOG = LoggerFactory.getLogger(PreemptionPlanner.class);
 
   /** How long room is claimed for a job while what holds it stops, in steps. */
   private static final int CLAIM_STEPS = 5;
@@ -36,15 +37,15 @@
       String zone,
       String image,
       Object takerKind,
-      Preference upTo) {}
+      VictimPreference upTo) {}
 
   /** What stopping or moving some tasks of a machine would cost. */
-  private record Option(MachineEntry machine, List<Victim> victims, double loss) {
+  private record Option(MachineState machine, List<Victim> victims, double loss) {
     int order() {
       return machine.number;
     }
 
-    List<StopPolicy.Choice> stopped() {
+    List<PreemptionPolicy.Choice> stopped() {
       return victims.stream().filter(v -> v.choice != null).map(v -> v.choice).toList();
     }
 
@@ -59,15 +60,15 @@
    *
    * @param choice how it is stopped; null for a replica that is moved
    */
-  private record Victim(Reservation placed, StopPolicy.Choice choice, double loss) {}
+  private record Victim(Reservation placed, PreemptionPolicy.Choice choice, double loss) {}
 
-  private final Context context;
-  private final JobTable jobs;
-  private final RoundRoom room;
-  private final ImageFetch imageFetch;
-  private final GpuBalance balance;
-  private final StopPolicy policy;
-  private final ReplicaMoves moves;
+  private final ControllerContext context;
+  private final JobRegistry jobs;
+  private final FreeCapacity room;
+  private final ImageFetchEstimator imageFetch;
+  private final CpusPerGpu balance;
+  private final PreemptionPolicy policy;
+  private final ReplicaMigration moves;
   private final double mostExamined;
 
   /** The replicas that move for the gang that room is being made for. */
@@ -82,18 +83,18 @@
   private boolean mayStop;
 
   /** Up to which kind of work victims are looked for now. */
-  private Preference upTo;
+  private VictimPreference upTo;
 
   /**
    * @param mostExamined past this many looks at machines no more room is made in this round
    */
-  Preemption(
-      Context context,
-      JobTable jobs,
-      RoundRoom room,
-      ImageFetch imageFetch,
-      GpuBalance balance,
-      StopPolicy policy,
+  PreemptionPlanner(
+      ControllerContext context,
+      JobRegistry jobs,
+      FreeCapacity room,
+      ImageFetchEstimator imageFetch,
+      CpusPerGpu balance,
+      PreemptionPolicy policy,
       double mostExamined) {
     this.context = context;
     this.jobs = jobs;
@@ -102,7 +103,7 @@
     this.balance = balance;
     this.policy = policy;
     this.mostExamined = mostExamined;
-    moves = new ReplicaMoves(context, room, imageFetch, balance);
+    moves = new ReplicaMigration(context, room, imageFetch, balance);
   }
 
   /** How many looks at machines were taken for this. */
@@ -114,7 +115,7 @@
    * For how many tasks room was found, on machines where the image comes within {@code imageS}. For
    * a better place than there is, only replicas are moved: what an array has done is worth more.
    */
-  int makeRoom(JobEntry entry, int wanted, Map<String, Integer> perZone, double imageS) {
+  int makeRoom(JobState entry, int wanted, Map<String, Integer> perZone, double imageS) {
     int made = makeRoomUnconfirmed(entry, wanted, perZone, imageS);
     policy.confirm(entry);
     moved.clear();
@@ -127,7 +128,7 @@
    *
    * @param perZone the zones to be tried, with no tasks in them yet
    */
-  boolean makeRoomForAll(JobEntry entry, Map<String, Integer> perZone) {
+  boolean makeRoomForAll(JobState entry, Map<String, Integer> perZone) {
     int wanted = entry.job.tasks();
     Set<Hopeless> provedBefore = Set.copyOf(hopeless);
     if (makeRoomUnconfirmed(entry, wanted, perZone, Double.MAX_VALUE) == wanted) {
@@ -145,7 +146,7 @@
   }
 
   private int makeRoomUnconfirmed(
-      JobEntry entry, int wanted, Map<String, Integer> perZone, double imageS) {
+      JobState entry, int wanted, Map<String, Integer> perZone, double imageS) {
     boolean isArray = entry.job.kind() == JobKind.ARRAY;
     if (isArray && !policy.mayTakeForArray(entry)) {
       return 0;
@@ -153,7 +154,7 @@
     mayStop = imageS == Double.MAX_VALUE;
     int most = policy.mostTasks(entry, wanted);
     int made = 0;
-    for (Preference preference : policy.preferences(entry)) {
+    for (VictimPreference preference : policy.preferences(entry)) {
       upTo = preference;
       if (made < most && examined() <= mostExamined) {
         made += makeRoomUpTo(entry, most - made, perZone, imageS);
@@ -164,7 +165,7 @@
 
   /** Each machine is looked at once for a job, and again only when it is chosen. */
   private int makeRoomUpTo(
-      JobEntry entry, int wanted, Map<String, Integer> perZone, double imageS) {
+      JobState entry, int wanted, Map<String, Integer> perZone, double imageS) {
     Set<String> open = room.openZones(entry, perZone);
     open.removeIf(zone -> hopeless.contains(hopeless(entry, zone)));
     if (open.isEmpty()) {
@@ -173,7 +174,7 @@
     PriorityQueue<Option> options =
         new PriorityQueue<>(
             Comparator.comparingDouble(Option::loss).thenComparingInt(Option::order));
-    for (MachineEntry m : room.machines()) {
+    for (MachineState m : room.machines()) {
       if (open.contains(m.zone())
           && room.allowed(entry, m, perZone)
           && imageFetch.waitS(entry.job, m) <= imageS) {
@@ -193,7 +194,7 @@
     return wanted;
   }
 
-  private void choose(JobEntry entry, Option best) {
+  private void choose(JobState entry, Option best) {
     moves.confirm();
     for (Victim victim : best.victims) {
       if (victim.choice == null) {
@@ -207,10 +208,10 @@
     policy.stop(entry, best.machine, best.stopped());
     long untilMs =
         context.nowMs + CLAIM_STEPS * context.stepMs() + Math.round(best.delayS() * 1000);
-    room.claim(new RoundRoom.Claim(entry, best.machine, untilMs));
+    room.claim(new FreeCapacity.Claim(entry, best.machine, untilMs));
   }
 
-  private Hopeless hopeless(JobEntry entry, String zone) {
+  private Hopeless hopeless(JobState entry, String zone) {
     Job job = entry.job;
     return new Hopeless(
         job.need(),
@@ -224,7 +225,7 @@
   }
 
   /** In none of the zones that would take one more task can room be made. */
-  private void note(JobEntry entry, Set<String> open, Map<String, Integer> perZone) {
+  private void note(JobState entry, Set<String> open, Map<String, Integer> perZone) {
     if (!entry.failures.machines().isEmpty()) {
       return;
     }
@@ -239,7 +240,7 @@
   }
 
   /** The cheapest option as it is now; the room that moves need may be taken meanwhile. */
-  private Option best(JobEntry entry, PriorityQueue<Option> options, Map<String, Integer> perZone) {
+  private Option best(JobState entry, PriorityQueue<Option> options, Map<String, Integer> perZone) {
     while (!options.isEmpty()) {
       Option top = options.remove();
       if (!room.allowed(entry, top.machine, perZone)) {
@@ -255,7 +256,7 @@
   }
 
   /** The tasks that have to go from a machine so that one of the job fits, or null. */
-  private Option option(JobEntry entry, MachineEntry m) {
+  private Option option(JobState entry, MachineState m) {
     Job job = entry.job;
     examined++;
     room.countExamined();
@@ -296,15 +297,15 @@
     return new Option(m, victims, loss);
   }
 
-  private void addVictim(List<Victim> able, JobEntry entry, Reservation p) {
-    StopPolicy.Choice choice = mayStop ? policy.choice(entry, p, upTo) : null;
+  private void addVictim(List<Victim> able, JobState entry, Reservation p) {
+    PreemptionPolicy.Choice choice = mayStop ? policy.choice(entry, p, upTo) : null;
     double loss = choice == null ? moves.loss(entry.job, p, !mayStop) : choice.loss();
     if (loss < Double.MAX_VALUE) {
       able.add(new Victim(p, choice, loss));
     }
   }
 
-  private boolean take(JobEntry entry, Victim victim) {
+  private boolean take(JobState entry, Victim victim) {
     return victim.choice == null
         ? moves.take(victim.placed)
         : policy.take(entry, victim.choice, upTo);
@@ -326,7 +327,7 @@
    * What the wait for an image throws away. Without it a replica of four GPUs once took the room of
    * an array on a machine that was still fetching other images, and waited 62 s for its own.
    */
-  private double imageLoss(Job job, MachineEntry m) {
+  private double imageLoss(Job job, MachineState m) {
     return imageFetch.waitS(job, m) * balance.weight(job.need());
   }
 }
--- a/src/main/java/eiderfork/core/PriorityStops.java
+++ b/src/main/java/eiderfork/controller/PriorityPreemptionPolicy.java
@@ -1,21 +1,21 @@
-package eiderfork.core;
+package eiderfork.controller;
 
-import eiderfork.core.context.Context;
-import eiderfork.core.lending.Ground;
-import eiderfork.core.lending.Preference;
-import eiderfork.core.lending.StopMode;
-import eiderfork.core.lending.StopPlan;
+import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.quota.PreemptionMode;
+import eiderfork.controller.quota.PreemptionPlan;
+import eiderfork.controller.quota.PreemptionReason;
+import eiderfork.controller.quota.VictimPreference;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
-import eiderfork.model.TaskReport;
+import eiderfork.model.TaskStatus;
 import java.util.ArrayList;
 import java.util.List;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Stops batch work of a lower priority, whoever's it is. Guarantees are not looked at. */
-final class PriorityStops implements StopPolicy {
-  private static final Logger LOG = LoggerFactory.getLogger(PriorityStops.class);
+final class PriorityPreemptionPolicy implements PreemptionPolicy {
+  private static final Logger LOG = LoggerFactory.getLogger(PriorityPreemptionPolicy.class);
 
   /** How long a gang is away when it is stopped, in steps. */
   private static final double AWAY_STEPS = 2;
@@ -23,15 +23,19 @@
   /** How many runs of a task its job's deadline is worth when it is decided which one to stop. */
   static final double LATE_RUNS = 4;
 
-  private final Context context;
-  private final JobTable jobs;
-  private final GpuBalance balance;
-  private final Deadlines deadlines;
+  private final ControllerContext context;
+  private final JobRegistry jobs;
+  private final CpusPerGpu balance;
+  private final DeadlineEstimator deadlines;
 
   /** What was stopped and not confirmed yet. */
   private final List<Reservation> chosen = new ArrayList<>();
 
-  PriorityStops(Context context, JobTable jobs, GpuBalance balance, Deadlines deadlines) {
+  PriorityPreemptionPolicy(
+      ControllerContext context,
+      JobRegistry jobs,
+      CpusPerGpu balance,
+      DeadlineEstimator deadlines) {
     this.context = context;
     this.jobs = jobs;
     this.balance = balance;
@@ -39,32 +43,32 @@
   }
 
   @Override
-  public boolean mayTakeForArray(JobEntry taker) {
+  public boolean mayTakeForArray(JobState taker) {
     return false;
   }
 
   @Override
-  public int mostTasks(JobEntry taker, int wanted) {
+  public int mostTasks(JobState taker, int wanted) {
     return wanted;
   }
 
   @Override
-  public List<Preference> preferences(JobEntry taker) {
-    return List.of(Preference.BORROWED_BATCH);
+  public List<VictimPreference> preferences(JobState taker) {
+    return List.of(VictimPreference.BORROWED_BATCH);
   }
 
   @Override
-  public Object takerKind(JobEntry taker) {
+  public Object takerKind(JobState taker) {
     return "";
   }
 
   @Override
-  public boolean borrows(JobEntry taker) {
+  public boolean borrows(JobState taker) {
     return false;
   }
 
   @Override
-  public boolean mayAsk(MachineEntry m) {
+  public boolean mayAsk(MachineState m) {
     return true;
   }
 
@@ -77,15 +81,16 @@
   public void beginOption() {}
 
   @Override
-  public Choice choice(JobEntry taker, Reservation p, Preference upTo) {
+  public Choice choice(JobState taker, Reservation p, VictimPreference upTo) {
     Job its = p.job.job;
     boolean mayStop =
         its.kind() != JobKind.SERVICE && its.priority().compareTo(taker.job.priority()) > 0;
     if (!mayStop) {
       return null;
     }
-    StopPlan plan = new StopPlan(StopMode.SAVE, 0, lostS(p));
-    return new Choice(p, Ground.PRIORITY, plan, plan.lostS() * balance.weight(its.need()));
+    PreemptionPlan plan = new PreemptionPlan(PreemptionMode.SAVE, 0, lostS(p));
+    return new Choice(
+        p, PreemptionReason.PRIORITY, plan, plan.lostS() * balance.weight(its.need()));
   }
 
   private double lostS(Reservation p) {
@@ -93,7 +98,7 @@
     if (p.job.gang != null) {
       return gangLostS(p);
     }
-    if (p.seen != TaskReport.State.RUNNING || p.runningSinceMs == 0) {
+    if (p.seen != TaskStatus.State.RUNNING || p.runningSinceMs == 0) {
       return 0;
     }
     double ranS = (context.nowMs - p.runningSinceMs) / 1000.0;
@@ -120,12 +125,12 @@
   }
 
   @Override
-  public boolean take(JobEntry taker, Choice choice, Preference upTo) {
+  public boolean take(JobState taker, Choice choice, VictimPreference upTo) {
     return true;
   }
 
   @Override
-  public void stop(JobEntry taker, MachineEntry m, List<Choice> choices) {
+  public void stop(JobState taker, MachineState m, List<Choice> choices) {
     for (Choice choice : choices) {
       LOG.info("stopping {} on {} for {}", choice.task().id(), m.name, taker.job.uid());
       jobs.stop(choice.task());
@@ -135,7 +140,7 @@
   }
 
   @Override
-  public void confirm(JobEntry taker) {
+  public void confirm(JobState taker) {
     chosen.clear();
   }
 
--- a/src/main/java/eiderfork/core/CloudReservations.java
+++ b/src/main/java/eiderfork/controller/ProvisioningIntents.java
@@ -1,21 +1,21 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import com.google.common.collect.ImmutableList;
-import eiderfork.core.message.Keys;
-import eiderfork.core.message.Reply;
-import eiderfork.core.message.StateOp;
-import eiderfork.core.state.StateGate;
-import eiderfork.core.state.Term;
-import eiderfork.core.state.Urgency;
-import eiderfork.model.Record;
+import eiderfork.controller.election.LeaderElection;
+import eiderfork.controller.message.Reply;
+import eiderfork.controller.message.StoreKeys;
+import eiderfork.controller.message.StoreRequest;
+import eiderfork.controller.store.RequestPriority;
+import eiderfork.controller.store.StoreClient;
+import eiderfork.model.StoredRecord;
 import java.util.function.BooleanSupplier;
 
 /** The records that stand in the state service before the cloud is asked for anything. */
-final class CloudReservations {
-  private final Term term;
-  private final StateGate gate;
+final class ProvisioningIntents {
+  private final LeaderElection term;
+  private final StoreClient gate;
 
-  CloudReservations(Term term, StateGate gate) {
+  ProvisioningIntents(LeaderElection term, StoreClient gate) {
     this.term = term;
     this.gate = gate;
   }
@@ -25,12 +25,13 @@
    *
    * @param live whether it is still wanted
    */
-  void reserve(String key, Record record, BooleanSupplier live, Runnable done, Runnable failed) {
+  void reserve(
+      String key, StoredRecord record, BooleanSupplier live, Runnable done, Runnable failed) {
     gate.send(
-        new StateOp.Transact(
-            ImmutableList.of(term.condition(), new StateOp.Condition(key, 0)),
-            ImmutableList.of(StateOp.Change.put(key, record))),
-        Urgency.FLEET,
+        new StoreRequest.Transact(
+            ImmutableList.of(term.condition(), new StoreRequest.Condition(key, 0)),
+            ImmutableList.of(StoreRequest.Change.put(key, record))),
+        RequestPriority.FLEET,
         reply -> {
           if (!live.getAsBoolean() || !term.leading()) {
             return;
@@ -38,7 +39,7 @@
           if (reply instanceof Reply.Committed) {
             done.run();
           } else if (reply instanceof Reply.Conflict conflict) {
-            if (conflict.failed().contains(Keys.LEADER)) {
+            if (conflict.failed().contains(StoreKeys.LEADER)) {
               term.conditionFailed();
             } else {
               // The key is this term's own: an earlier copy of this write has been applied.
@@ -55,9 +56,9 @@
   /** Removes a reservation that is settled. */
   void drop(String key) {
     gate.send(
-        new StateOp.Transact(
-            ImmutableList.of(term.condition()), ImmutableList.of(StateOp.Change.remove(key))),
-        Urgency.CLEANUP,
+        new StoreRequest.Transact(
+            ImmutableList.of(term.condition()), ImmutableList.of(StoreRequest.Change.remove(key))),
+        RequestPriority.CLEANUP,
         reply -> {
           if (reply instanceof Reply.Conflict) {
             term.conditionFailed();
--- a/src/main/java/eiderfork/core/TurnOrder.java
+++ b/src/main/java/eiderfork/controller/QueueOrder.java
@@ -1,7 +1,7 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import eiderfork.config.Settings.Objective;
-import eiderfork.core.context.Context;
+import eiderfork.controller.context.ControllerContext;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
 import java.util.OptionalLong;
@@ -13,7 +13,7 @@
  * which it may start to be in time (earliest deadline first, less the run and the image). What
  * can't be in time any more goes behind what can, but not for ever.
  */
-final class TurnOrder {
+final class QueueOrder {
   /** The share of the time it has that an array may yield to smaller ones of its rank. */
   private static final double YIELD_SHARE = 0.5;
 
@@ -29,10 +29,10 @@
   /** Longer than any job lives: what is put off by this comes behind all others of its rank. */
   private static final long BEHIND_ALL_MS = 1L << 50;
 
-  private final Context context;
-  private final Deadlines deadlines;
+  private final ControllerContext context;
+  private final DeadlineEstimator deadlines;
 
-  TurnOrder(Context context, Deadlines deadlines) {
+  QueueOrder(ControllerContext context, DeadlineEstimator deadlines) {
     this.context = context;
     this.deadlines = deadlines;
   }
@@ -40,7 +40,7 @@
   /**
    * @param mostTasks the most tasks that any array has waiting
    */
-  long turnMs(JobEntry entry, int mostTasks) {
+  long turnMs(JobState entry, int mostTasks) {
     Job job = entry.job;
     if (job.kind() == JobKind.SERVICE) {
       return entry.sinceMs;
--- a/src/main/java/eiderfork/core/WaitLimit.java
+++ b/src/main/java/eiderfork/controller/QueueTimeLimit.java
@@ -1,29 +1,29 @@
-package eiderfork.core;
+package eiderfork.controller;
 
-import eiderfork.core.context.Context;
-import eiderfork.core.message.UserAnswer;
+import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.message.UserResponse;
 import java.util.function.Consumer;
 
 /** Refuses requests at once that would wait too long for their turn at the state service. */
-final class WaitLimit {
+final class QueueTimeLimit {
   /** How long a request may wait, in steps; later ones are told when to come back. */
   private static final double WAIT_STEPS = 0.8;
 
-  private final Context context;
+  private final ControllerContext context;
 
-  WaitLimit(Context context) {
+  QueueTimeLimit(ControllerContext context) {
     this.context = context;
   }
 
   /**
    * Answers a request that would wait for {@code waitMs} where that is too long; whether it was.
    */
-  boolean refuses(long waitMs, Consumer<UserAnswer> answer) {
+  boolean refuses(long waitMs, Consumer<UserResponse> answer) {
     if (waitMs <= context.stepMs() * WAIT_STEPS) {
       return false;
     }
     int laterS = (int) Math.max(1, Math.ceil(waitMs / 1000.0));
-    answer.accept(UserAnswer.later(laterS, "too many requests"));
+    answer.accept(UserResponse.later(laterS, "too many requests"));
     return true;
   }
 }
--- a/src/main/java/eiderfork/core/Lending.java
+++ b/src/main/java/eiderfork/controller/QuotaBorrowing.java
@@ -1,21 +1,21 @@
-package eiderfork.core;
+package eiderfork.controller;
 
-import eiderfork.core.context.Context;
+import eiderfork.controller.context.ControllerContext;
 
 /**
- * GPUs lent to batch work: puts together what the rules of {@code core.lending} need, for one
+ * GPUs lent to batch work: puts together what the rules of {@code controller.quota} need, for one
  * leader. Nothing is stored for it. What is lent follows from reservations, guarantees and demand.
  */
-final class Lending {
-  private final Context context;
-  private final JobTable jobs;
-  private final Fleet fleet;
+final class QuotaBorrowing {
+  private final ControllerContext context;
+  private final JobRegistry jobs;
+  private final MachineRegistry fleet;
   private final MachineLiveness liveness;
-  private final Deadlines deadlines;
-  private final LoanRoom loans;
-  private final Reclaims reclaims;
-  private final TeamAccounts accounts;
-  private final LendingLog log;
+  private final DeadlineEstimator deadlines;
+  private final BorrowedCapacity loans;
+  private final PendingReclaims reclaims;
+  private final TeamUsageTracker accounts;
+  private final QuotaReclaimLog log;
   private final boolean on;
 
   /** When this leader began to decide; 0 for not yet. */
@@ -24,23 +24,23 @@
   /** The machines have shown what an older leader stopped, or had the time to. */
   private boolean mayReclaim;
 
-  Lending(
-      Context context,
-      JobTable jobs,
-      Fleet fleet,
+  QuotaBorrowing(
+      ControllerContext context,
+      JobRegistry jobs,
+      MachineRegistry fleet,
       MachineLiveness liveness,
-      Deadlines deadlines,
-      RoundRoom room,
-      LoanRoom loans) {
+      DeadlineEstimator deadlines,
+      FreeCapacity room,
+      BorrowedCapacity loans) {
     this.context = context;
     this.jobs = jobs;
     this.fleet = fleet;
     this.liveness = liveness;
     this.deadlines = deadlines;
     this.loans = loans;
-    reclaims = new Reclaims(context, jobs, room);
-    accounts = new TeamAccounts(context, jobs, fleet, room, reclaims);
-    log = new LendingLog(context);
+    reclaims = new PendingReclaims(context, jobs, room);
+    accounts = new TeamUsageTracker(context, jobs, fleet, room, reclaims);
+    log = new QuotaReclaimLog(context);
     on = context.settings.operator().lending();
   }
 
@@ -55,11 +55,11 @@
   }
 
   /** What may be stopped for jobs in a round. */
-  StopPolicy stops(GpuBalance balance) {
+  PreemptionPolicy stops(CpusPerGpu balance) {
     return on
-        ? new LendingStops(
+        ? new QuotaPreemptionPolicy(
             context, jobs, fleet, balance, deadlines, accounts, reclaims, loans, log, mayReclaim)
-        : new PriorityStops(context, jobs, balance, deadlines);
+        : new PriorityPreemptionPolicy(context, jobs, balance, deadlines);
   }
 
   /**
@@ -77,12 +77,12 @@
   }
 
   /** Whether the next task of the job would run beyond what its team is guaranteed. */
-  boolean borrows(JobEntry entry) {
+  boolean borrows(JobState entry) {
     return loans.borrows(entry);
   }
 
   /** Whether the job is a gang that may not borrow again yet. */
-  boolean isGangCoolingDown(JobEntry entry) {
+  boolean isGangCoolingDown(JobState entry) {
     return on && loans.isGangCoolingDown(entry);
   }
 
--- a/src/main/java/eiderfork/core/LendingStops.java
+++ b/src/main/java/eiderfork/controller/QuotaPreemptionPolicy.java
@@ -1,20 +1,20 @@
-package eiderfork.core;
+package eiderfork.controller;
 
-import eiderfork.core.context.Context;
-import eiderfork.core.lending.Checkpoints;
-import eiderfork.core.lending.LendingLedger;
-import eiderfork.core.lending.Preference;
-import eiderfork.core.lending.ReclaimRules;
-import eiderfork.core.lending.StopMode;
-import eiderfork.core.lending.StopPlan;
-import eiderfork.core.lending.Taker;
-import eiderfork.core.lending.TeamId;
-import eiderfork.core.lending.Verdict;
-import eiderfork.core.lending.Victim;
+import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.quota.CheckpointPolicy;
+import eiderfork.controller.quota.PreemptionDecision;
+import eiderfork.controller.quota.PreemptionMode;
+import eiderfork.controller.quota.PreemptionPlan;
+import eiderfork.controller.quota.PreemptionVictim;
+import eiderfork.controller.quota.Preemptor;
+import eiderfork.controller.quota.QuotaLedger;
+import eiderfork.controller.quota.ReclaimPolicy;
+import eiderfork.controller.quota.TeamId;
+import eiderfork.controller.quota.VictimPreference;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
 import eiderfork.model.Resources;
-import eiderfork.model.TaskReport;
+import eiderfork.model.TaskStatus;
 import eiderfork.model.Team;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -25,49 +25,49 @@
  * Stops work by the rules of lending: what other teams run beyond their guarantees for a team that
  * lacks its own, and less urgent batch work where no team's guarantee is touched.
  */
-final class LendingStops implements StopPolicy {
+final class QuotaPreemptionPolicy implements PreemptionPolicy {
   /** How long a gang is away when it is stopped, in steps. */
   private static final double AWAY_STEPS = 2;
 
   /** How late a start may be seen, in report intervals. */
   private static final double SEEN_LATE_REPORTS = 1.25;
 
-  private final Context context;
-  private final JobTable jobs;
-  private final Fleet fleet;
-  private final GpuBalance balance;
-  private final Deadlines deadlines;
-  private final TeamAccounts accounts;
-  private final Reclaims reclaims;
-  private final LoanRoom loans;
-  private final LendingLog log;
+  private final ControllerContext context;
+  private final JobRegistry jobs;
+  private final MachineRegistry fleet;
+  private final CpusPerGpu balance;
+  private final DeadlineEstimator deadlines;
+  private final TeamUsageTracker accounts;
+  private final PendingReclaims reclaims;
+  private final BorrowedCapacity loans;
+  private final QuotaReclaimLog log;
   private final boolean mayReclaim;
 
   /** What was stopped and not confirmed yet. */
   private final List<Choice> chosen = new ArrayList<>();
 
   /** The ledger with what was taken of the machine that is looked at; null while nothing was. */
-  private LendingLedger trial;
+  private QuotaLedger trial;
 
   /** The gangs that were taken there. */
-  private final Set<JobEntry> trialGangs = new HashSet<>();
+  private final Set<JobState> trialGangs = new HashSet<>();
 
   /** The job that room is made for, as it was judged by this ledger. */
-  private JobEntry judgedEntry;
+  private JobState judgedEntry;
 
-  private LendingLedger judgedBy;
-  private Taker judged;
+  private QuotaLedger judgedBy;
+  private Preemptor judged;
 
-  LendingStops(
-      Context context,
-      JobTable jobs,
-      Fleet fleet,
-      GpuBalance balance,
-      Deadlines deadlines,
-      TeamAccounts accounts,
-      Reclaims reclaims,
-      LoanRoom loans,
-      LendingLog log,
+  QuotaPreemptionPolicy(
+      ControllerContext context,
+      JobRegistry jobs,
+      MachineRegistry fleet,
+      CpusPerGpu balance,
+      DeadlineEstimator deadlines,
+      TeamUsageTracker accounts,
+      PendingReclaims reclaims,
+      BorrowedCapacity loans,
+      QuotaReclaimLog log,
       boolean mayReclaim) {
     this.context = context;
     this.jobs = jobs;
@@ -81,8 +81,8 @@
     this.mayReclaim = mayReclaim;
   }
 
-  private Taker taker(JobEntry entry) {
-    LendingLedger ledger = accounts.ledger();
+  private Preemptor taker(JobState entry) {
+    QuotaLedger ledger = accounts.ledger();
     if (judgedEntry != entry || judgedBy != ledger) {
       judgedEntry = entry;
       judgedBy = ledger;
@@ -92,18 +92,18 @@
   }
 
   @Override
-  public boolean mayTakeForArray(JobEntry entry) {
-    Taker taker = taker(entry);
+  public boolean mayTakeForArray(JobState entry) {
+    Preemptor taker = taker(entry);
     return mayReclaim && taker.withinGuarantee() && accounts.ledger().othersBorrow(taker.team());
   }
 
   /** No more than the team's limit leaves beside the room that is being made for it already. */
   @Override
-  public int mostTasks(JobEntry entry, int wanted) {
+  public int mostTasks(JobState entry, int wanted) {
     Job job = entry.job;
     Team team = context.settings.teams().get(job.team());
     Resources used = jobs.tally().used(job.team());
-    for (RoundRoom.Claim claim : accounts.claims()) {
+    for (FreeCapacity.Claim claim : accounts.claims()) {
       if (claim.entry().job.team().equals(job.team())) {
         used = used.plus(claim.entry().job.need());
       }
@@ -112,31 +112,31 @@
   }
 
   @Override
-  public List<Preference> preferences(JobEntry entry) {
-    Taker taker = taker(entry);
+  public List<VictimPreference> preferences(JobState entry) {
+    Preemptor taker = taker(entry);
     if (!taker.withinGuarantee()) {
-      return List.of(Preference.BORROWED_BATCH);
+      return List.of(VictimPreference.BORROWED_BATCH);
     }
     return taker.waitedForBoot()
-        ? List.of(Preference.values())
+        ? List.of(VictimPreference.values())
         : List.of(
-            Preference.BORROWED_BATCH,
-            Preference.PARTLY_BORROWED_BATCH,
-            Preference.GUARANTEED_BATCH);
+            VictimPreference.BORROWED_BATCH,
+            VictimPreference.PARTLY_BORROWED_BATCH,
+            VictimPreference.GUARANTEED_BATCH);
   }
 
   @Override
-  public Object takerKind(JobEntry entry) {
+  public Object takerKind(JobState entry) {
     return taker(entry);
   }
 
   @Override
-  public boolean borrows(JobEntry entry) {
+  public boolean borrows(JobState entry) {
     return loans.borrows(entry);
   }
 
   @Override
-  public boolean mayAsk(MachineEntry m) {
+  public boolean mayAsk(MachineState m) {
     return loans.mayAsk(m);
   }
 
@@ -146,7 +146,7 @@
     if (reclaims.isPending(p)) {
       return true;
     }
-    long marginMs = WorkerControl.SAVE_MARGIN_STEPS * context.stepMs();
+    long marginMs = WorkerCommander.SAVE_MARGIN_STEPS * context.stepMs();
     return !p.wanted() && loans.mayAsk(p.machine) && !p.isSaveOverdue(context.nowMs, marginMs);
   }
 
@@ -157,46 +157,48 @@
   }
 
   @Override
-  public Choice choice(JobEntry entry, Reservation p, Preference upTo) {
+  public Choice choice(JobState entry, Reservation p, VictimPreference upTo) {
     Job its = p.job.job;
-    if (its.kind() == JobKind.SERVICE && upTo != Preference.BORROWED_REPLICA) {
+    if (its.kind() == JobKind.SERVICE && upTo != VictimPreference.BORROWED_REPLICA) {
       return null;
     }
-    Taker taker = taker(entry);
-    Verdict.Allowed allowed = judge(taker, p, accounts.ledger(), upTo);
+    Preemptor taker = taker(entry);
+    PreemptionDecision.Allowed allowed = judge(taker, p, accounts.ledger(), upTo);
     if (allowed == null) {
       return null;
     }
-    StopPlan plan = plan(p, taker);
+    PreemptionPlan plan = plan(p, taker);
     return new Choice(p, allowed.ground(), plan, loss(p, plan));
   }
 
-  private Verdict.Allowed judge(Taker taker, Reservation p, LendingLedger ledger, Preference upTo) {
-    Verdict verdict = ReclaimRules.judge(taker, victim(p), ledger);
-    if (verdict instanceof Verdict.Refused refused) {
+  private PreemptionDecision.Allowed judge(
+      Preemptor taker, Reservation p, QuotaLedger ledger, VictimPreference upTo) {
+    PreemptionDecision verdict = ReclaimPolicy.judge(taker, victim(p), ledger);
+    if (verdict instanceof PreemptionDecision.Refused refused) {
       log.refused(refused.reason());
       return null;
     }
-    Verdict.Allowed allowed = (Verdict.Allowed) verdict;
+    PreemptionDecision.Allowed allowed = (PreemptionDecision.Allowed) verdict;
     return allowed.preference().compareTo(upTo) <= 0 ? allowed : null;
   }
 
-  private static Victim victim(Reservation p) {
+  private static PreemptionVictim victim(Reservation p) {
     Job its = p.job.job;
-    return new Victim(new TeamId(its.team()), its.kind(), its.priority(), Reclaims.amount(p));
+    return new PreemptionVictim(
+        new TeamId(its.team()), its.kind(), its.priority(), PendingReclaims.amount(p));
   }
 
-  private StopPlan plan(Reservation p, Taker taker) {
+  private PreemptionPlan plan(Reservation p, Preemptor taker) {
     Job its = p.job.job;
     if (its.kind() == JobKind.SERVICE) {
       // It is away until a machine comes for it, whether it serves already or not.
-      return new StopPlan(StopMode.AT_ONCE, 0, fleet.longestBootMs(its) / 1000);
+      return new PreemptionPlan(PreemptionMode.AT_ONCE, 0, fleet.longestBootMs(its) / 1000);
     }
-    if (p.seen != TaskReport.State.RUNNING || p.runningSinceMs == 0) {
-      return StopPlan.NOTHING_LOST;
+    if (p.seen != TaskStatus.State.RUNNING || p.runningSinceMs == 0) {
+      return PreemptionPlan.NOTHING_LOST;
     }
-    return StopPlan.cheapest(
-        new Checkpoints(its.checkpointS(), its.saveS()),
+    return PreemptionPlan.cheapest(
+        new CheckpointPolicy(its.checkpointS(), its.saveS()),
         (context.nowMs - p.runningSinceMs) / 1000.0,
         p.isStartSeen(),
         taker.mayWaitS(),
@@ -204,28 +206,29 @@
   }
 
   /** What was reclaimed before weighs more, so that it is not always the same that is stopped. */
-  private double loss(Reservation p, StopPlan plan) {
+  private double loss(Reservation p, PreemptionPlan plan) {
     Job its = p.job.job;
-    double lateS = deadlines.lateIfRunAgain(p) ? its.estimateS() * PriorityStops.LATE_RUNS : 0;
+    double lateS =
+        deadlines.lateIfRunAgain(p) ? its.estimateS() * PriorityPreemptionPolicy.LATE_RUNS : 0;
     double costS = plan.costS() + lateS;
     if (p.job.gang != null) {
-      costS = (costS + AWAY_STEPS * context.stepS()) * PriorityStops.tasksForEachHere(p);
+      costS = (costS + AWAY_STEPS * context.stepS()) * PriorityPreemptionPolicy.tasksForEachHere(p);
     }
     return costS * balance.weight(its.need()) * (1 + p.job.timesReclaimed(p.index));
   }
 
   @Override
-  public boolean take(JobEntry entry, Choice choice, Preference upTo) {
+  public boolean take(JobState entry, Choice choice, VictimPreference upTo) {
     Reservation p = choice.task();
     if (trialGangs.contains(p.job)) {
       return true;
     }
-    LendingLedger before = trial == null ? accounts.ledger() : trial;
+    QuotaLedger before = trial == null ? accounts.ledger() : trial;
     if (trial != null && judge(taker(entry), p, before, upTo) == null) {
       return false;
     }
     trial = before.trial();
-    trial.stop(new TeamId(p.job.job.team()), Reclaims.amount(p));
+    trial.stop(new TeamId(p.job.job.team()), PendingReclaims.amount(p));
     if (p.job.gang != null) {
       trialGangs.add(p.job);
     }
@@ -233,7 +236,7 @@
   }
 
   @Override
-  public void stop(JobEntry entry, MachineEntry m, List<Choice> choices) {
+  public void stop(JobState entry, MachineState m, List<Choice> choices) {
     for (Choice choice : choices) {
       Reservation p = choice.task();
       if (!p.wanted() || reclaims.isPending(p)) {
@@ -241,10 +244,10 @@
         continue;
       }
       chosen.add(choice);
-      if (choice.plan().mode() == StopMode.AFTER_CHECKPOINT) {
+      if (choice.plan().mode() == PreemptionMode.AFTER_CHECKPOINT) {
         reclaims.stopLater(p, entry, choice.plan().delayS());
       } else {
-        if (p.job.gang == null && choice.plan().mode() == StopMode.AT_ONCE) {
+        if (p.job.gang == null && choice.plan().mode() == PreemptionMode.AT_ONCE) {
           p.endWithoutSave();
         }
         jobs.stop(p);
@@ -254,7 +257,7 @@
   }
 
   @Override
-  public void confirm(JobEntry entry) {
+  public void confirm(JobState entry) {
     for (Choice choice : chosen) {
       Reservation p = choice.task();
       p.job.noteReclaimed(p.index, context.nowMs);
--- a/src/main/java/eiderfork/core/LendingLog.java
+++ b/src/main/java/eiderfork/controller/QuotaReclaimLog.java
@@ -1,8 +1,8 @@
-package eiderfork.core;
+package eiderfork.controller;
 
-import eiderfork.core.context.Context;
-import eiderfork.core.lending.TeamAccount;
-import eiderfork.core.lending.Verdict;
+import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.quota.PreemptionDecision;
+import eiderfork.controller.quota.TeamUsage;
 import eiderfork.model.Job;
 import java.util.EnumMap;
 import java.util.List;
@@ -12,17 +12,18 @@
 import org.slf4j.LoggerFactory;
 
 /** Tells operators what is reclaimed, what is refused and what teams borrow. */
-final class LendingLog {
-  private static final Logger LOG = LoggerFactory.getLogger(LendingLog.class);
+final class QuotaReclaimLog {
+  private static final Logger LOG = LoggerFactory.getLogger(QuotaReclaimLog.class);
 
   private static final long INTERVAL_MS = 60_000;
 
-  private final Context context;
-  private final Map<Verdict.Refusal, Long> refusals = new EnumMap<>(Verdict.Refusal.class);
+  private final ControllerContext context;
+  private final Map<PreemptionDecision.Refusal, Long> refusals =
+      new EnumMap<>(PreemptionDecision.Refusal.class);
   private long reclaims;
   private long nextMs;
 
-  LendingLog(Context context) {
+  QuotaReclaimLog(ControllerContext context) {
     this.context = context;
   }
 
@@ -32,7 +33,7 @@
   }
 
   /** A task, or a gang, is reclaimed for a job. */
-  void reclaimed(Job taker, StopPolicy.Choice choice) {
+  void reclaimed(Job taker, PreemptionPolicy.Choice choice) {
     reclaims++;
     Job its = choice.task().job.job;
     LOG.info(
@@ -51,17 +52,17 @@
   }
 
   /** Some work was found that may not be stopped for a job. */
-  void refused(Verdict.Refusal reason) {
+  void refused(PreemptionDecision.Refusal reason) {
     refusals.merge(reason, 1L, Long::sum);
   }
 
   /** Once a minute: what each team uses and borrows, and how often what was refused. */
-  void tell(Supplier<List<TeamAccount>> accounts) {
+  void tell(Supplier<List<TeamUsage>> accounts) {
     if (context.nowMs < nextMs) {
       return;
     }
     nextMs = context.nowMs + INTERVAL_MS;
-    for (TeamAccount account : accounts.get()) {
+    for (TeamUsage account : accounts.get()) {
       LOG.info(
           "lending team={} guaranteed_gpus={} used_gpus={} borrowed_gpus={} asked_gpus={}"
               + " lacked_gpus={} used_cpus={} borrowed_cpus={}",
--- a/src/main/java/eiderfork/core/ReplicaMoves.java
+++ b/src/main/java/eiderfork/controller/ReplicaMigration.java
@@ -1,10 +1,10 @@
-package eiderfork.core;
+package eiderfork.controller;
 
-import eiderfork.core.context.Context;
+import eiderfork.controller.context.ControllerContext;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
 import eiderfork.model.Resources;
-import eiderfork.model.TaskReport;
+import eiderfork.model.TaskStatus;
 import it.unimi.dsi.fastutil.objects.Reference2ObjectOpenHashMap;
 import java.util.HashMap;
 import java.util.List;
@@ -12,7 +12,7 @@
 import java.util.Set;
 
 /** Finds replicas that may move away for a job, and the room that they move to. */
-final class ReplicaMoves {
+final class ReplicaMigration {
   /** How long a replica is away while it moves, in steps. */
   private static final double MOVE_STEPS = 2;
 
@@ -21,31 +21,35 @@
 
   /** Machines of a zone that may take replicas of a profile; those before the first are full. */
   private static final class Targets {
-    final List<MachineEntry> machines;
+    final List<MachineState> machines;
     int first;
 
-    Targets(List<MachineEntry> machines) {
+    Targets(List<MachineState> machines) {
       this.machines = machines;
     }
   }
 
-  private final Context context;
-  private final RoundRoom room;
-  private final ImageFetch imageFetch;
-  private final GpuBalance balance;
+  private final ControllerContext context;
+  private final FreeCapacity room;
+  private final ImageFetchEstimator imageFetch;
+  private final CpusPerGpu balance;
 
-  private final Map<TaskProfile, Map<String, Targets>> targets =
+  private final Map<PlacementProfile, Map<String, Targets>> targets =
       new Reference2ObjectOpenHashMap<>();
 
   /** What moved replicas will take where they go; it only guards against moving too many. */
-  private final Map<MachineEntry, Resources> filling = new HashMap<>();
+  private final Map<MachineState, Resources> filling = new HashMap<>();
 
   /** The same for the option that is being looked at. */
-  private final Map<MachineEntry, Resources> trying = new HashMap<>();
+  private final Map<MachineState, Resources> trying = new HashMap<>();
 
   private int examined;
 
-  ReplicaMoves(Context context, RoundRoom room, ImageFetch imageFetch, GpuBalance balance) {
+  ReplicaMigration(
+      ControllerContext context,
+      FreeCapacity room,
+      ImageFetchEstimator imageFetch,
+      CpusPerGpu balance) {
     this.context = context;
     this.room = room;
     this.imageFetch = imageFetch;
@@ -82,11 +86,11 @@
     boolean gpusMove =
         forImage
             && its.priority().compareTo(job.priority()) > 0
-            && context.nowMs - p.runningSinceMs > Drain.SETTLED_MS;
+            && context.nowMs - p.runningSinceMs > MachineConsolidation.SETTLED_MS;
     boolean movable =
         its.kind() == JobKind.SERVICE
             && (its.need().gpus() <= 0 || gpusMove)
-            && p.seen == TaskReport.State.RUNNING
+            && p.seen == TaskStatus.State.RUNNING
             && its.need().shareOf(p.machine.room) < job.need().shareOf(p.machine.room)
             && context.nowMs - p.runningSinceMs > MOVABLE_STEPS * context.stepMs();
     double weight = balance.weight(its.need());
@@ -102,7 +106,7 @@
             .computeIfAbsent(p.job.profile, profile -> new HashMap<>())
             .computeIfAbsent(zone, z -> new Targets(room.candidates(job, Set.of(z))));
     for (int i = open.first; i < open.machines.size(); i++) {
-      MachineEntry m = open.machines.get(i);
+      MachineState m = open.machines.get(i);
       examined++;
       room.countExamined();
       Resources left = room.of(m).minus(filling.getOrDefault(m, Resources.NONE));
--- a/src/main/java/eiderfork/core/Forwards.java
+++ b/src/main/java/eiderfork/controller/RequestForwarder.java
@@ -1,10 +1,10 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import com.google.common.collect.ImmutableList;
-import eiderfork.core.context.Context;
-import eiderfork.core.message.Effect;
-import eiderfork.core.message.Reply;
-import eiderfork.core.message.UserAnswer;
+import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.message.Effect;
+import eiderfork.controller.message.Reply;
+import eiderfork.controller.message.UserResponse;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
@@ -16,29 +16,29 @@
  * job every few seconds, so that questions are most of what a node is sent; passed on one by one
  * they took most of the processor of a fleet of a thousand jobs.
  */
-final class Forwards {
+final class RequestForwarder {
   /** The most questions in a request; with the longest ids they stay far below 64 KiB. */
   private static final int MOST = 256;
 
   /** How long a peer may take over what is passed on, in steps. */
   static final double STEPS = 0.5;
 
-  private record Question(String uid, Consumer<UserAnswer> answer, Runnable here) {}
+  private record Question(String uid, Consumer<UserResponse> answer, Runnable here) {}
 
-  private final Context context;
+  private final ControllerContext context;
   private final Queue<Question> waiting = new ArrayDeque<>();
 
-  Forwards(Context context) {
+  RequestForwarder(ControllerContext context) {
     this.context = context;
   }
 
   /** How long a peer may take over what is passed on. */
-  static long timeoutMs(Context context) {
+  static long timeoutMs(ControllerContext context) {
     return (long) (context.stepMs() * STEPS);
   }
 
   /** Passes a question on at the next tick; {@code here} is run where that brings no answer. */
-  void add(String uid, Consumer<UserAnswer> answer, Runnable here) {
+  void add(String uid, Consumer<UserResponse> answer, Runnable here) {
     waiting.add(new Question(uid, answer, here));
   }
 
@@ -66,7 +66,7 @@
           boolean all =
               reply instanceof Reply.PeerAnswers it && it.answers().size() == batch.size();
           for (int i = 0; i < batch.size(); i++) {
-            UserAnswer said = all ? ((Reply.PeerAnswers) reply).answers().get(i) : null;
+            UserResponse said = all ? ((Reply.PeerAnswers) reply).answers().get(i) : null;
             if (said != null && said.status() != 503) {
               batch.get(i).answer.accept(said);
             } else {
--- a/src/main/java/eiderfork/core/Reservation.java
+++ b/src/main/java/eiderfork/controller/Reservation.java
@@ -1,15 +1,15 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import eiderfork.model.Attempt;
 import eiderfork.model.TaskId;
-import eiderfork.model.TaskReport;
+import eiderfork.model.TaskStatus;
 
 /** A task's reservation on a machine, from the round that proposes it until it is settled. */
 final class Reservation {
-  final JobEntry job;
+  final JobState job;
   final int index;
   final long attempt;
-  final MachineEntry machine;
+  final MachineState machine;
 
   /** The reservation stands in the state service; nothing is sent before. */
   boolean committed;
@@ -21,7 +21,7 @@
   private boolean withoutSave;
 
   /** The last state seen of it on the machine, null for none. */
-  TaskReport.State seen;
+  TaskStatus.State seen;
 
   /** The largest token and session that its start was sent with; 0 for never in this term. */
   long sentToken;
@@ -34,7 +34,7 @@
   /** When the task was first seen saving, 0 for not yet. */
   private long savingSinceMs;
 
-  Reservation(JobEntry job, int index, long attempt, MachineEntry machine) {
+  Reservation(JobState job, int index, long attempt, MachineState machine) {
     this.job = job;
     this.index = index;
     this.attempt = attempt;
--- a/src/main/java/eiderfork/core/UsageTally.java
+++ b/src/main/java/eiderfork/controller/ResourceUsage.java
@@ -1,4 +1,4 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import eiderfork.model.Job;
 import eiderfork.model.Resources;
@@ -9,17 +9,17 @@
  * What the tasks of active jobs take, by team, and what GPU work takes beside its GPUs; kept as
  * jobs change.
  */
-final class UsageTally {
-  private final TaskTally used = new TaskTally();
-  private final TaskTally stopping = new TaskTally();
-  private final TaskTally settled = new TaskTally();
+final class ResourceUsage {
+  private final TaskSizeCounter used = new TaskSizeCounter();
+  private final TaskSizeCounter stopping = new TaskSizeCounter();
+  private final TaskSizeCounter settled = new TaskSizeCounter();
   private final Object2IntMap<Resources> gpuTasks = new Object2IntOpenHashMap<>();
 
   /** Counts the changes, so that what was made of the tally can be kept until the next one. */
   private long changes;
 
   /** Null while it has to be made anew. */
-  private GpuBalance balance;
+  private CpusPerGpu balance;
 
   void clear() {
     used.clear();
@@ -31,7 +31,7 @@
   }
 
   /** Takes up what has changed of a job. */
-  void update(JobEntry entry) {
+  void update(JobState entry) {
     Job job = entry.job;
     TaskCounts counts = entry.active ? entry.counts() : TaskCounts.NONE;
     TaskCounts before = entry.tallied;
@@ -45,7 +45,7 @@
     if (entry.active != entry.talliedActive) {
       entry.talliedActive = entry.active;
       if (job.need().gpus() > 0) {
-        TaskTally.add(gpuTasks, job.need(), entry.active ? job.tasks() : -job.tasks());
+        TaskSizeCounter.add(gpuTasks, job.need(), entry.active ? job.tasks() : -job.tasks());
         balance = null;
       }
     }
@@ -77,10 +77,10 @@
   }
 
   /** How many processors the GPU work of now takes beside each GPU. */
-  GpuBalance balance() {
+  CpusPerGpu balance() {
     if (balance == null) {
-      Resources sum = TaskTally.sum(gpuTasks);
-      balance = new GpuBalance(sum.gpus() > 0 ? sum.cpus() / sum.gpus() : 0);
+      Resources sum = TaskSizeCounter.sum(gpuTasks);
+      balance = new CpusPerGpu(sum.gpus() > 0 ? sum.cpus() / sum.gpus() : 0);
     }
     return balance;
   }
--- a/src/main/java/eiderfork/core/UnneededMachines.java
+++ b/src/main/java/eiderfork/controller/ScaleInPolicy.java
@@ -1,31 +1,31 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import com.google.common.collect.ImmutableList;
-import eiderfork.core.context.Context;
+import eiderfork.controller.context.ControllerContext;
 import eiderfork.model.MachineType;
 import it.unimi.dsi.fastutil.objects.Reference2ObjectOpenHashMap;
 import java.util.List;
 import java.util.Map;
 
 /** Gives back machines that no plan needs, that are lost or that can't be used. */
-final class UnneededMachines {
+final class ScaleInPolicy {
   /** A returned machine costs this long at least. */
   static final long MIN_CHARGE_MS = 60_000;
 
-  private final Context context;
-  private final Fleet fleet;
+  private final ControllerContext context;
+  private final MachineRegistry fleet;
   private final MachineLiveness liveness;
-  private final LeaseLapses lapses;
-  private final Cloud cloud;
-  private final BootTimes boots;
+  private final LeaseExpiry lapses;
+  private final CloudProvisioner cloud;
+  private final BootTimeEstimator boots;
 
-  UnneededMachines(
-      Context context,
-      Fleet fleet,
+  ScaleInPolicy(
+      ControllerContext context,
+      MachineRegistry fleet,
       MachineLiveness liveness,
-      LeaseLapses lapses,
-      Cloud cloud,
-      BootTimes boots) {
+      LeaseExpiry lapses,
+      CloudProvisioner cloud,
+      BootTimeEstimator boots) {
     this.context = context;
     this.fleet = fleet;
     this.liveness = liveness;
@@ -36,7 +36,7 @@
 
   /** Gives back what the plan needs no more. */
   void giveBack(List<Bin> bins) {
-    Map<MachineEntry, Bin> packed = new Reference2ObjectOpenHashMap<>();
+    Map<MachineState, Bin> packed = new Reference2ObjectOpenHashMap<>();
     for (Bin bin : bins) {
       if (bin.machine != null && bin.machine.placed.isEmpty()) {
         packed.put(bin.machine, bin);
@@ -44,7 +44,7 @@
     }
     int silent = 0;
     int live = 0;
-    for (MachineEntry m : fleet.machines()) {
+    for (MachineState m : fleet.machines()) {
       if (m.report() != null) {
         live++;
         silent += liveness.heard(m) ? 0 : 1;
@@ -52,7 +52,7 @@
     }
     // When most are silent at once it is this node that is cut off, not they that are lost.
     boolean believe = silent * 2 <= live;
-    for (MachineEntry m : ImmutableList.copyOf(fleet.machines())) {
+    for (MachineState m : ImmutableList.copyOf(fleet.machines())) {
       if (m.returning || m.machine == null) {
         continue;
       }
@@ -67,7 +67,8 @@
         }
       } else if (believe
           && !lapses.proxied(m)
-          && liveness.silentForMs(m) > BootTimes.SILENCE_LEASES * context.leaseMs() + bootMs) {
+          && liveness.silentForMs(m)
+              > BootTimeEstimator.SILENCE_LEASES * context.leaseMs() + bootMs) {
         cloud.returns().giveBackSilent(m, "it is silent");
       } else if (believe && liveness.heard(m) && liveness.deaf(m) && deafTooLong(m)) {
         cloud.returns().giveBack(m, "commands do not reach it");
@@ -90,7 +91,7 @@
     }
   }
 
-  private boolean deafTooLong(MachineEntry m) {
+  private boolean deafTooLong(MachineState m) {
     return context.nowMs - m.deafSinceMs > context.leaseMs();
   }
 }
--- a/src/main/java/eiderfork/core/MachineReturns.java
+++ b/src/main/java/eiderfork/controller/ScaleInRequests.java
@@ -1,14 +1,14 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import com.google.common.collect.ImmutableList;
-import eiderfork.core.context.Context;
-import eiderfork.core.limits.Backoff;
-import eiderfork.core.limits.TokenBucket;
-import eiderfork.core.message.Effect;
-import eiderfork.core.message.Keys;
-import eiderfork.core.message.Reply;
-import eiderfork.core.state.Term;
-import eiderfork.model.Record;
+import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.election.LeaderElection;
+import eiderfork.controller.message.Effect;
+import eiderfork.controller.message.Reply;
+import eiderfork.controller.message.StoreKeys;
+import eiderfork.controller.ratelimit.Backoff;
+import eiderfork.controller.ratelimit.TokenBucket;
+import eiderfork.model.StoredRecord;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
@@ -19,8 +19,8 @@
 import org.slf4j.LoggerFactory;
 
 /** Gives machines back to the cloud, under reservations of their own. */
-final class MachineReturns {
-  private static final Logger LOG = LoggerFactory.getLogger(MachineReturns.class);
+final class ScaleInRequests {
+  private static final Logger LOG = LoggerFactory.getLogger(ScaleInRequests.class);
 
   /** The most machines that the protocol lets one return name. */
   private static final int RETURN_MOST = 100;
@@ -51,10 +51,10 @@
     }
   }
 
-  private final Context context;
-  private final Term term;
-  private final Fleet fleet;
-  private final CloudReservations reservations;
+  private final ControllerContext context;
+  private final LeaderElection term;
+  private final MachineRegistry fleet;
+  private final ProvisioningIntents reservations;
   private final TokenBucket calls;
   private final Map<String, Return> returns = new LinkedHashMap<>();
   private final Set<String> toReturn = new HashSet<>();
@@ -63,8 +63,12 @@
   /**
    * @param calls the budget of calls to the cloud
    */
-  MachineReturns(
-      Context context, Term term, Fleet fleet, CloudReservations reservations, TokenBucket calls) {
+  ScaleInRequests(
+      ControllerContext context,
+      LeaderElection term,
+      MachineRegistry fleet,
+      ProvisioningIntents reservations,
+      TokenBucket calls) {
     this.context = context;
     this.term = term;
     this.fleet = fleet;
@@ -84,7 +88,7 @@
   }
 
   /** Takes up a return that an earlier leader reserved, and may have asked for. */
-  void restore(String key, Record.Return record) {
+  void restore(String key, StoredRecord.Return record) {
     Return it = new Return(key, record.machines(), newBackoff());
     it.committed = true;
     it.maybeDone = true;
@@ -98,12 +102,12 @@
     if (!toReturn.isEmpty()) {
       ImmutableList<String> batch = returnBatch();
       batch.forEach(toReturn::remove);
-      String key = Keys.RETURN + "t" + term.number() + "-" + ++names;
+      String key = StoreKeys.RETURN + "t" + term.number() + "-" + ++names;
       Return it = new Return(key, batch, newBackoff());
       returns.put(key, it);
       reservations.reserve(
           key,
-          new Record.Return(batch),
+          new StoredRecord.Return(batch),
           () -> returns.get(key) == it,
           () -> it.committed = true,
           () -> {
@@ -122,7 +126,7 @@
   }
 
   /** Gives a machine back because nothing is heard of it; it is kept if that ends in time. */
-  void giveBackSilent(MachineEntry m, String why) {
+  void giveBackSilent(MachineState m, String why) {
     m.returnedSilentMs = context.nowMs;
     giveBack(m, why);
   }
@@ -147,7 +151,7 @@
   }
 
   private boolean revive(String name) {
-    MachineEntry m = fleet.get(name);
+    MachineState m = fleet.get(name);
     if (m == null || m.returnedSilentMs == 0 || m.session.heardMs() <= m.returnedSilentMs) {
       return false;
     }
@@ -157,7 +161,7 @@
     return true;
   }
 
-  void giveBack(MachineEntry m, String why) {
+  void giveBack(MachineState m, String why) {
     if (!m.returning) {
       LOG.info("returning {}: {}", m.name, why);
       m.returning = true;
@@ -184,7 +188,7 @@
   private void ask(Return it) {
     it.asking = true;
     context.ask(
-        call -> new Effect.AskReturn(call, it.machines, Cloud.timeoutMs(context)),
+        call -> new Effect.AskReturn(call, it.machines, CloudProvisioner.timeoutMs(context)),
         reply -> {
           it.asking = false;
           if (returns.get(it.key) != it) {
@@ -193,7 +197,7 @@
           if (reply instanceof Reply.Returned) {
             returns.remove(it.key);
             for (String name : it.machines) {
-              MachineEntry m = fleet.get(name);
+              MachineState m = fleet.get(name);
               if (m != null) {
                 fleet.remove(m, "returned");
               }
--- a/src/main/java/eiderfork/core/MachineRents.java
+++ b/src/main/java/eiderfork/controller/ScaleOutRequests.java
@@ -1,14 +1,14 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import com.google.common.collect.ImmutableList;
-import eiderfork.core.context.Context;
-import eiderfork.core.limits.Backoff;
-import eiderfork.core.limits.TokenBucket;
-import eiderfork.core.message.Effect;
-import eiderfork.core.message.Keys;
-import eiderfork.core.message.Reply;
-import eiderfork.core.state.Term;
-import eiderfork.model.Record;
+import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.election.LeaderElection;
+import eiderfork.controller.message.Effect;
+import eiderfork.controller.message.Reply;
+import eiderfork.controller.message.StoreKeys;
+import eiderfork.controller.ratelimit.Backoff;
+import eiderfork.controller.ratelimit.TokenBucket;
+import eiderfork.model.StoredRecord;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -21,12 +21,12 @@
  * Rents machines under reservations of their own. A rent without an answer is asked for again under
  * the same name until it is settled.
  */
-final class MachineRents {
-  private static final Logger LOG = LoggerFactory.getLogger(MachineRents.class);
+final class ScaleOutRequests {
+  private static final Logger LOG = LoggerFactory.getLogger(ScaleOutRequests.class);
 
   /** How a rent stands. */
   private static final class Rent {
-    final Record.Rent record;
+    final StoredRecord.Rent record;
     ImmutableList<String> machines;
     boolean committed;
     boolean asked;
@@ -34,31 +34,35 @@
     long nextMs;
     final Backoff backoff;
 
-    Rent(Record.Rent record, Backoff backoff) {
+    Rent(StoredRecord.Rent record, Backoff backoff) {
       this.record = record;
       this.backoff = backoff;
     }
   }
 
-  private final Context context;
-  private final Term term;
-  private final Fleet fleet;
-  private final CloudReservations reservations;
+  private final ControllerContext context;
+  private final LeaderElection term;
+  private final MachineRegistry fleet;
+  private final ProvisioningIntents reservations;
   private final TokenBucket calls;
   private final Map<String, Rent> rents = new LinkedHashMap<>();
-  private final Map<Cloud.Kind, Long> emptyUntilMs = new HashMap<>();
-  private final Map<Cloud.Kind, Backoff> emptyBackoff = new HashMap<>();
+  private final Map<CloudProvisioner.Kind, Long> emptyUntilMs = new HashMap<>();
+  private final Map<CloudProvisioner.Kind, Backoff> emptyBackoff = new HashMap<>();
 
   /** How many rents of a kind may be open at once, where the cloud has filled the ones before. */
-  private final Map<Cloud.Kind, Integer> atOnce = new HashMap<>();
+  private final Map<CloudProvisioner.Kind, Integer> atOnce = new HashMap<>();
 
   private int names;
 
   /**
    * @param calls the budget of calls to the cloud
    */
-  MachineRents(
-      Context context, Term term, Fleet fleet, CloudReservations reservations, TokenBucket calls) {
+  ScaleOutRequests(
+      ControllerContext context,
+      LeaderElection term,
+      MachineRegistry fleet,
+      ProvisioningIntents reservations,
+      TokenBucket calls) {
     this.context = context;
     this.term = term;
     this.fleet = fleet;
@@ -80,7 +84,7 @@
   }
 
   /** Takes up a rent that an earlier leader reserved. */
-  void restore(Record.Rent record) {
+  void restore(StoredRecord.Rent record) {
     Rent rent = new Rent(record, newBackoff());
     rent.committed = true;
     rents.put(record.requestName(), rent);
@@ -100,8 +104,8 @@
   }
 
   /** Rents whose machines are not known yet. */
-  List<Record.Rent> openRents() {
-    List<Record.Rent> open = new ArrayList<>();
+  List<StoredRecord.Rent> openRents() {
+    List<StoredRecord.Rent> open = new ArrayList<>();
     for (Rent rent : rents.values()) {
       if (rent.machines == null) {
         open.add(rent.record);
@@ -120,18 +124,19 @@
     return false;
   }
 
-  boolean inStock(Cloud.Kind kind) {
+  boolean inStock(CloudProvisioner.Kind kind) {
     return emptyUntilMs.getOrDefault(kind, 0L) <= context.nowMs;
   }
 
-  void rent(Cloud.Kind kind, int count) {
+  void rent(CloudProvisioner.Kind kind, int count) {
     String requestName = "t" + term.number() + "-" + ++names;
-    Record.Rent record = new Record.Rent(requestName, kind.type(), kind.zone(), kind.spot(), count);
+    StoredRecord.Rent record =
+        new StoredRecord.Rent(requestName, kind.type(), kind.zone(), kind.spot(), count);
     LOG.info("renting {} of {}", count, kind);
     Rent rent = new Rent(record, newBackoff());
     rents.put(requestName, rent);
     reservations.reserve(
-        Keys.RENT + requestName,
+        StoreKeys.RENT + requestName,
         record,
         () -> rents.get(requestName) == rent,
         () -> rent.committed = true,
@@ -141,10 +146,11 @@
   private void ask(Rent rent) {
     rent.asking = true;
     rent.asked = true;
-    Record.Rent record = rent.record;
-    Cloud.Kind kind = new Cloud.Kind(record.type(), record.zone(), record.spot());
+    StoredRecord.Rent record = rent.record;
+    CloudProvisioner.Kind kind =
+        new CloudProvisioner.Kind(record.type(), record.zone(), record.spot());
     context.ask(
-        call -> new Effect.AskRent(call, record, Cloud.timeoutMs(context)),
+        call -> new Effect.AskRent(call, record, CloudProvisioner.timeoutMs(context)),
         reply -> {
           rent.asking = false;
           if (rents.get(record.requestName()) != rent) {
@@ -160,7 +166,7 @@
                 rented.machines());
             for (String name : rented.machines()) {
               if (!fleet.isGone(name)) {
-                MachineEntry m = fleet.known(name);
+                MachineState m = fleet.known(name);
                 m.booting = m.report() == null;
                 m.aliveMs = context.nowMs;
                 if (m.machine == null) {
@@ -178,12 +184,12 @@
             // No capacity, and nothing was rented: the reservation is over.
             shortOf(kind);
             rents.remove(record.requestName());
-            reservations.drop(Keys.RENT + record.requestName());
+            reservations.drop(StoreKeys.RENT + record.requestName());
           } else if (reply instanceof Reply.Refused refused && refused.status() == 400) {
             LOG.error("the cloud calls the rent {} malformed", record);
             shortOf(kind);
             rents.remove(record.requestName());
-            reservations.drop(Keys.RENT + record.requestName());
+            reservations.drop(StoreKeys.RENT + record.requestName());
           } else {
             rent.nextMs = context.nowMs + rent.backoff.next(context.random);
           }
@@ -195,12 +201,12 @@
    * was filled, since calls for what the cloud may not have take the turns of others; no more than
    * the rate lets through in a step.
    */
-  int mostAtOnce(Cloud.Kind kind) {
+  int mostAtOnce(CloudProvisioner.Kind kind) {
     int most = (int) Math.max(1, context.settings.cloudLimits().rps() * context.stepS());
     return Math.min(most, 1 + atOnce.getOrDefault(kind, 0));
   }
 
-  private void shortOf(Cloud.Kind kind) {
+  private void shortOf(CloudProvisioner.Kind kind) {
     atOnce.remove(kind);
     Backoff backoff =
         emptyBackoff.computeIfAbsent(
@@ -216,12 +222,12 @@
       }
       boolean found = true;
       for (String name : rent.machines) {
-        MachineEntry m = fleet.get(name);
+        MachineState m = fleet.get(name);
         found &= m == null || m.listed;
       }
       if (found) {
         rents.remove(rent.record.requestName());
-        reservations.drop(Keys.RENT + rent.record.requestName());
+        reservations.drop(StoreKeys.RENT + rent.record.requestName());
       }
     }
   }
--- a/src/main/java/eiderfork/core/Placer.java
+++ b/src/main/java/eiderfork/controller/Scheduler.java
@@ -1,9 +1,9 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import eiderfork.config.Settings.Objective;
-import eiderfork.core.context.Context;
-import eiderfork.core.state.StateGate;
-import eiderfork.core.state.Term;
+import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.election.LeaderElection;
+import eiderfork.controller.store.StoreClient;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
 import eiderfork.model.Resources;
@@ -15,8 +15,8 @@
 import org.slf4j.LoggerFactory;
 
 /** Decides what runs where: in rounds, the most urgent job first, the fullest fit. */
-final class Placer {
-  private static final Logger LOG = LoggerFactory.getLogger(Placer.class);
+final class Scheduler {
+  private static final Logger LOG = LoggerFactory.getLogger(Scheduler.class);
 
   /** How many machines a whole core looks at in a second, for a job each; a low estimate. */
   private static final double EXAMINED_PER_CORE_S = 1_000_000;
@@ -27,36 +27,36 @@
    */
   private static final double SEARCH_SHARE = 0.1;
 
-  private final Context context;
-  private final Term term;
-  private final StateGate gate;
-  private final JobTable jobs;
-  private final Fleet fleet;
+  private final ControllerContext context;
+  private final LeaderElection term;
+  private final StoreClient gate;
+  private final JobRegistry jobs;
+  private final MachineRegistry fleet;
   private final MachineLiveness liveness;
   private final ClusterVersion version;
-  private final JobRanking ranking;
-  private final ImageFetch imageFetch;
-  private final Deadlines deadlines;
+  private final FairShareOrder ranking;
+  private final ImageFetchEstimator imageFetch;
+  private final DeadlineEstimator deadlines;
 
   private final Map<String, Resources> usedByTeam = new HashMap<>();
-  private final RoundRoom room;
-  private final JobTurns turns;
-  private final ArrayWaves waves;
-  private final GangPlacer gangPlacer;
-  private final SparedGpus spared;
-  private final Lending lending;
+  private final FreeCapacity room;
+  private final DispatchEligibility turns;
+  private final ArrayParallelism waves;
+  private final GangScheduler gangPlacer;
+  private final GpuHeadroom spared;
+  private final QuotaBorrowing lending;
 
   /** Before this time no room is made, since making it has taken its share of the processor. */
   private long makeRoomNotBeforeMs;
 
   private final double fullSearchMost;
 
-  Placer(
-      Context context,
-      Term term,
-      StateGate gate,
-      JobTable jobs,
-      Fleet fleet,
+  Scheduler(
+      ControllerContext context,
+      LeaderElection term,
+      StoreClient gate,
+      JobRegistry jobs,
+      MachineRegistry fleet,
       MachineLiveness liveness,
       ClusterVersion version) {
     this.context = context;
@@ -66,33 +66,33 @@
     this.fleet = fleet;
     this.liveness = liveness;
     this.version = version;
-    deadlines = new Deadlines(context, fleet);
-    ranking = new JobRanking(context, deadlines);
-    imageFetch = new ImageFetch(context, fleet);
+    deadlines = new DeadlineEstimator(context, fleet);
+    ranking = new FairShareOrder(context, deadlines);
+    imageFetch = new ImageFetchEstimator(context, fleet);
     fullSearchMost =
         EXAMINED_PER_CORE_S
             * context.settings.controller().cpuShare()
             * context.stepS()
             * SEARCH_SHARE;
-    LoanRoom loans = new LoanRoom(context, jobs, fleet);
+    BorrowedCapacity loans = new BorrowedCapacity(context, jobs, fleet);
     boolean lends = context.settings.operator().lending();
     room =
-        new RoundRoom(
+        new FreeCapacity(
             fleet, liveness::usable, lends ? liveness::keepsClaims : liveness::usable, loans);
-    lending = new Lending(context, jobs, fleet, liveness, deadlines, room, loans);
-    turns = new JobTurns(context, gate, jobs);
-    waves = new ArrayWaves(context);
-    spared = new SparedGpus(context);
-    gangPlacer = new GangPlacer(jobs, room, context.random, fullSearchMost);
+    lending = new QuotaBorrowing(context, jobs, fleet, liveness, deadlines, room, loans);
+    turns = new DispatchEligibility(context, gate, jobs);
+    waves = new ArrayParallelism(context);
+    spared = new GpuHeadroom(context);
+    gangPlacer = new GangScheduler(jobs, room, context.random, fullSearchMost);
   }
 
   /** The balance of processors and GPUs that the jobs ask for. */
-  GpuBalance gpuBalance() {
+  CpusPerGpu gpuBalance() {
     return jobs.tally().balance();
   }
 
   /** How long tasks wait for their images. */
-  ImageFetch imageFetch() {
+  ImageFetchEstimator imageFetch() {
     return imageFetch;
   }
 
@@ -109,32 +109,33 @@
    */
   boolean round() {
     boolean left = false;
-    List<JobEntry> ranked = ranked();
+    List<JobState> ranked = ranked();
     room.begin(context.nowMs);
     boolean collecting = ranked.stream().anyMatch(turns::collectsStarts);
     if (ranked.stream().noneMatch(turns::mayPlace)) {
       // Only ends are to be written.
-      for (JobEntry entry : ranked) {
+      for (JobState entry : ranked) {
         left |= turns.writeEnds(entry);
       }
       return left || collecting;
     }
     spared.begin(ranked);
-    StopPolicy stops = lending.stops(gpuBalance());
-    Preemption preemption =
-        new Preemption(context, jobs, room, imageFetch, gpuBalance(), stops, fullSearchMost);
-    for (JobEntry entry : ranked) {
+    PreemptionPolicy stops = lending.stops(gpuBalance());
+    PreemptionPlanner preemption =
+        new PreemptionPlanner(context, jobs, room, imageFetch, gpuBalance(), stops, fullSearchMost);
+    for (JobState entry : ranked) {
       int before = entry.placed.size();
       if (turns.mayWrite(entry) && turns.mayPlace(entry)) {
         if (entry.gang == null) {
-          SearchLimits limits = new SearchLimits(spared.isFrom(entry), lending.borrows(entry));
+          SearchConstraints limits =
+              new SearchConstraints(spared.isFrom(entry), lending.borrows(entry));
           place(entry, preemption, limits, stops.mayTakeForArray(entry));
         } else {
-          placeGang(entry, preemption, new SearchLimits(false, lending.borrows(entry)));
+          placeGang(entry, preemption, new SearchConstraints(false, lending.borrows(entry)));
         }
       }
       if (entry.placed.size() > before) {
-        jobs.write(entry, JobTurns.startUrgency(entry));
+        jobs.write(entry, DispatchEligibility.startUrgency(entry));
       } else {
         left |= turns.writeEnds(entry);
       }
@@ -147,7 +148,7 @@
   }
 
   /** The jobs with something to do, the most urgent first. */
-  List<JobEntry> ranked() {
+  List<JobState> ranked() {
     usedByTeam.clear();
     return ranking.rank(jobs);
   }
@@ -171,20 +172,23 @@
   }
 
   private void place(
-      JobEntry entry, Preemption preemption, SearchLimits limits, boolean mayTakeForArray) {
+      JobState entry,
+      PreemptionPlanner preemption,
+      SearchConstraints limits,
+      boolean mayTakeForArray) {
     if (surelyFindsNothing(entry, mayTakeForArray)) {
       return;
     }
     Job job = entry.job;
     Team team = context.settings.teams().get(job.team());
-    Map<String, Integer> perZone = PlacementRules.zonesOf(entry);
+    Map<String, Integer> perZone = PlacementConstraints.zonesOf(entry);
     Resources used = used(job.team());
-    List<RoundRoom.Claim> own = room.takeClaims(entry);
+    List<FreeCapacity.Claim> own = room.takeClaims(entry);
     boolean noRoom = false;
     int startable = waves.startable(entry);
     long attempt = entry.nextAttempt();
-    AllocRoom stored = allocRoom(entry);
-    MachineScore score = new MachineScore(context, imageFetch, gpuBalance(), deadlines, entry);
+    AllocationSizeLimit stored = allocRoom(entry);
+    MachineScorer score = new MachineScorer(context, imageFetch, gpuBalance(), deadlines, entry);
     MachineSearch search =
         new MachineSearch(
             room, score, context.random, fullSearchMost, entry, perZone, own.isEmpty(), limits);
@@ -194,7 +198,7 @@
       if (startable-- <= 0 || team == null || !team.withinLimit(used.plus(job.need()))) {
         break;
       }
-      MachineEntry m = search.best();
+      MachineState m = search.best();
       if (m != null && !stored.fits(index, attempt, m.name)) {
         break;
       }
@@ -233,14 +237,14 @@
    * Whether searches have proved that the job finds no room, and no room may be made for it now.
    * Thousands of jobs wait while machines boot, in round after round.
    */
-  private boolean surelyFindsNothing(JobEntry entry, boolean mayTakeForArray) {
+  private boolean surelyFindsNothing(JobState entry, boolean mayTakeForArray) {
     boolean mayTake = entry.job.kind() != JobKind.ARRAY || mayTakeForArray;
     boolean mayMakeRoom = mayTake && context.nowMs >= makeRoomNotBeforeMs;
     return !mayMakeRoom && !room.hasClaims(entry) && room.knownFull(entry.job);
   }
 
   /** Places a gang as a whole, or has room made for the whole of it. */
-  private void placeGang(JobEntry entry, Preemption preemption, SearchLimits limits) {
+  private void placeGang(JobState entry, PreemptionPlanner preemption, SearchConstraints limits) {
     Job job = entry.job;
     Team team = context.settings.teams().get(job.team());
     Resources used = used(job.team());
@@ -249,8 +253,8 @@
     if (!mayBegin || team == null || !team.withinLimit(with)) {
       return;
     }
-    List<RoundRoom.Claim> own = room.takeClaims(entry);
-    MachineScore score = new MachineScore(context, imageFetch, gpuBalance(), deadlines, entry);
+    List<FreeCapacity.Claim> own = room.takeClaims(entry);
+    MachineScorer score = new MachineScorer(context, imageFetch, gpuBalance(), deadlines, entry);
     if (gangPlacer.place(entry, score, allocRoom(entry), limits)) {
       usedByTeam.put(job.team(), with);
     } else if (!own.isEmpty()) {
@@ -260,15 +264,15 @@
     }
   }
 
-  private AllocRoom allocRoom(JobEntry entry) {
+  private AllocationSizeLimit allocRoom(JobState entry) {
     double plainKb =
         version.allows(ClusterVersion.PACKED_ALLOCS) ? Double.POSITIVE_INFINITY : gate.valueKb();
     boolean bitmap = version.allows(ClusterVersion.BITMAP_ALLOCS);
-    return new AllocRoom(entry, plainKb, context.settings.alwaysStorableKb(), bitmap);
+    return new AllocationSizeLimit(entry, plainKb, context.settings.alwaysStorableKb(), bitmap);
   }
 
   /** Whether the image takes longer to come here than the job's class may wait. */
-  private boolean late(Job job, MachineEntry m) {
+  private boolean late(Job job, MachineState m) {
     return imageFetch.waitS(job, m) > waitAimS(job);
   }
 
@@ -282,9 +286,9 @@
    * the claim lasts.
    */
   private boolean waitsForBetter(
-      JobEntry entry,
-      List<RoundRoom.Claim> own,
-      Preemption preemption,
+      JobState entry,
+      List<FreeCapacity.Claim> own,
+      PreemptionPlanner preemption,
       Map<String, Integer> perZone) {
     if (!own.isEmpty()) {
       return true;
@@ -298,8 +302,8 @@
   }
 
   private int makeRoom(
-      Preemption preemption,
-      JobEntry entry,
+      PreemptionPlanner preemption,
+      JobState entry,
       int wanted,
       Map<String, Integer> perZone,
       double imageS) {
--- a/src/main/java/eiderfork/core/SearchLimits.java
+++ b/src/main/java/eiderfork/controller/SearchConstraints.java
@@ -1,4 +1,4 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 /**
  * Which free room a search leaves alone.
@@ -6,9 +6,9 @@
  * @param sparesGpus free GPUs keep the processors that GPU work takes
  * @param borrows room that was reclaimed lately is not taken
  */
-record SearchLimits(boolean sparesGpus, boolean borrows) {
+record SearchConstraints(boolean sparesGpus, boolean borrows) {
   /** All free room is taken. */
-  static final SearchLimits NONE = new SearchLimits(false, false);
+  static final SearchConstraints NONE = new SearchConstraints(false, false);
 
   /** Whether some room is left alone. */
   boolean any() {
--- a/src/main/java/eiderfork/core/StoredJobs.java
+++ b/src/main/java/eiderfork/controller/StoredJobReader.java
@@ -1,21 +1,21 @@
-package eiderfork.core;
+package eiderfork.controller;
 
-import eiderfork.core.message.Keys;
-import eiderfork.core.message.Reply;
-import eiderfork.core.message.StateOp;
-import eiderfork.core.state.StateGate;
-import eiderfork.core.state.Urgency;
+import eiderfork.controller.message.Reply;
+import eiderfork.controller.message.StoreKeys;
+import eiderfork.controller.message.StoreRequest;
+import eiderfork.controller.store.RequestPriority;
+import eiderfork.controller.store.StoreClient;
 import eiderfork.model.Job;
 import eiderfork.model.JobStatus;
-import eiderfork.model.Record;
+import eiderfork.model.StoredRecord;
 import java.util.Optional;
 import java.util.function.Consumer;
 
 /** Reads jobs and what became of them from the state service. */
-final class StoredJobs {
-  private final StateGate gate;
+final class StoredJobReader {
+  private final StoreClient gate;
 
-  StoredJobs(StateGate gate) {
+  StoredJobReader(StoreClient gate) {
     this.gate = gate;
   }
 
@@ -26,14 +26,15 @@
    * cancellation is read before the alloc record, and the archive last, wherever the alloc record
    * was not there.
    */
-  void status(String uid, Urgency urgency, Consumer<Optional<JobStatus>> then) {
+  void status(String uid, RequestPriority urgency, Consumer<Optional<JobStatus>> then) {
     gate.send(
-        new StateOp.Get(Keys.job(uid)),
+        new StoreRequest.Get(StoreKeys.job(uid)),
         urgency,
         reply -> {
-          if (!(reply instanceof Reply.Value spec) || spec.record() instanceof Record.Unreadable) {
+          if (!(reply instanceof Reply.Value spec)
+              || spec.record() instanceof StoredRecord.Unreadable) {
             then.accept(null);
-          } else if (!(spec.record() instanceof Record.JobSpec it)) {
+          } else if (!(spec.record() instanceof StoredRecord.JobSpec it)) {
             archived(uid, urgency, then);
           } else {
             aborted(uid, urgency, aborted -> status(it.job(), aborted, urgency, then));
@@ -42,7 +43,7 @@
   }
 
   private void status(
-      Job job, Boolean aborted, Urgency urgency, Consumer<Optional<JobStatus>> then) {
+      Job job, Boolean aborted, RequestPriority urgency, Consumer<Optional<JobStatus>> then) {
     if (aborted == null) {
       then.accept(null);
       return;
@@ -69,15 +70,15 @@
   }
 
   /** Reads the final state of an archived job: null where the service did not say. */
-  void archived(String uid, Urgency urgency, Consumer<Optional<JobStatus>> then) {
+  void archived(String uid, RequestPriority urgency, Consumer<Optional<JobStatus>> then) {
     gate.send(
-        new StateOp.Get(Keys.ended(uid)),
+        new StoreRequest.Get(StoreKeys.ended(uid)),
         urgency,
         reply -> {
           if (!(reply instanceof Reply.Value value)
-              || value.record() instanceof Record.Unreadable) {
+              || value.record() instanceof StoredRecord.Unreadable) {
             then.accept(null);
-          } else if (value.record() instanceof Record.EndedJob it) {
+          } else if (value.record() instanceof StoredRecord.EndedJob it) {
             then.accept(Optional.of(new JobStatus(uid, it.stance(), it.done(), 0)));
           } else {
             then.accept(Optional.empty());
@@ -86,42 +87,42 @@
   }
 
   /** A job's state by its records. */
-  static JobStatus status(Job job, Record.Alloc alloc, boolean aborted) {
+  static JobStatus status(Job job, StoredRecord.Alloc alloc, boolean aborted) {
     int reserved = 0;
-    for (Record.Span span : alloc.reserved()) {
+    for (StoredRecord.Span span : alloc.reserved()) {
       reserved += span.to() - span.from() + 1;
     }
     if (aborted) {
-      return new JobStatus(job.uid(), JobStatus.Stance.ABORTED, JobEntry.committedDone(alloc), 0);
+      return new JobStatus(job.uid(), JobStatus.Stance.ABORTED, JobState.committedDone(alloc), 0);
     }
-    return JobEntry.status(job, alloc, reserved);
+    return JobState.status(job, alloc, reserved);
   }
 
   /** Takes a job's alloc record and its version; null where the service did not say. */
   interface AllocTaker {
-    void take(Record.Alloc alloc, long version);
+    void take(StoredRecord.Alloc alloc, long version);
   }
 
   /** Reads the alloc record of a job, the empty one where there is none. */
-  void alloc(Job job, Urgency urgency, AllocTaker then) {
+  void alloc(Job job, RequestPriority urgency, AllocTaker then) {
     gate.send(
-        new StateOp.Get(Keys.alloc(job.uid())),
+        new StoreRequest.Get(StoreKeys.alloc(job.uid())),
         urgency,
         reply -> {
           if (!(reply instanceof Reply.Value value)
-              || value.record() instanceof Record.Unreadable) {
+              || value.record() instanceof StoredRecord.Unreadable) {
             then.take(null, 0);
-          } else if (value.record() instanceof Record.Alloc alloc) {
+          } else if (value.record() instanceof StoredRecord.Alloc alloc) {
             then.take(alloc, value.version());
           } else {
-            then.take(Record.Alloc.EMPTY, 0);
+            then.take(StoredRecord.Alloc.EMPTY, 0);
           }
         });
   }
 
-  private void aborted(String uid, Urgency urgency, Consumer<Boolean> then) {
+  private void aborted(String uid, RequestPriority urgency, Consumer<Boolean> then) {
     gate.send(
-        new StateOp.Get(Keys.abort(uid)),
+        new StoreRequest.Get(StoreKeys.abort(uid)),
         urgency,
         reply -> then.accept(reply instanceof Reply.Value value ? value.record() != null : null));
   }
--- a/src/main/java/eiderfork/core/TaskCounts.java
+++ b/src/main/java/eiderfork/controller/TaskCounts.java
@@ -1,4 +1,4 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 /**
  * How many tasks of a job count for its team.
--- a/src/main/java/eiderfork/core/TaskTally.java
+++ b/src/main/java/eiderfork/controller/TaskSizeCounter.java
@@ -1,4 +1,4 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import eiderfork.model.Resources;
 import it.unimi.dsi.fastutil.objects.Object2IntMap;
@@ -10,7 +10,7 @@
  * Tasks of each team, counted by their size. Sums are made of the counts: sums of decimal amounts
  * that were changed a million times would be off.
  */
-final class TaskTally {
+final class TaskSizeCounter {
   private final Map<String, Object2IntMap<Resources>> tasksByTeam = new HashMap<>();
   private final Map<String, Resources> sumByTeam = new HashMap<>();
 
--- a/src/main/java/eiderfork/core/TeamAccounts.java
+++ b/src/main/java/eiderfork/controller/TeamUsageTracker.java
@@ -1,13 +1,13 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import eiderfork.config.Settings.Objective;
-import eiderfork.core.context.Context;
-import eiderfork.core.lending.Amount;
-import eiderfork.core.lending.Guarantee;
-import eiderfork.core.lending.LendingLedger;
-import eiderfork.core.lending.Taker;
-import eiderfork.core.lending.TeamAccount;
-import eiderfork.core.lending.TeamId;
+import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.quota.GuaranteedQuota;
+import eiderfork.controller.quota.Preemptor;
+import eiderfork.controller.quota.QuotaAmount;
+import eiderfork.controller.quota.QuotaLedger;
+import eiderfork.controller.quota.TeamId;
+import eiderfork.controller.quota.TeamUsage;
 import eiderfork.model.Job;
 import eiderfork.model.Team;
 import java.util.ArrayList;
@@ -16,21 +16,26 @@
 import java.util.Map;
 
 /** Keeps the ledger of lending up to date with the jobs, the claims and what is to be stopped. */
-final class TeamAccounts {
+final class TeamUsageTracker {
   /** The share of the time in which a task should start that may go into a checkpoint's wait. */
   private static final double WAIT_SHARE = 0.5;
 
-  private final Context context;
-  private final JobTable jobs;
-  private final Fleet fleet;
-  private final RoundRoom room;
-  private final Reclaims reclaims;
-  private LendingLedger ledger;
+  private final ControllerContext context;
+  private final JobRegistry jobs;
+  private final MachineRegistry fleet;
+  private final FreeCapacity room;
+  private final PendingReclaims reclaims;
+  private QuotaLedger ledger;
 
   /** The changes of jobs, claims and reclaims that the ledger was made of. */
   private long madeOf;
 
-  TeamAccounts(Context context, JobTable jobs, Fleet fleet, RoundRoom room, Reclaims reclaims) {
+  TeamUsageTracker(
+      ControllerContext context,
+      JobRegistry jobs,
+      MachineRegistry fleet,
+      FreeCapacity room,
+      PendingReclaims reclaims) {
     this.context = context;
     this.jobs = jobs;
     this.fleet = fleet;
@@ -43,61 +48,62 @@
   }
 
   /** The ledger as things stand now; made anew only after something has changed. */
-  LendingLedger ledger() {
+  QuotaLedger ledger() {
     long changes = jobs.tally().changes() + room.claimChanges() + reclaims.changes();
     if (ledger == null || changes != madeOf) {
-      ledger = new LendingLedger(accounts(Map.of()));
+      ledger = new QuotaLedger(accounts(Map.of()));
       madeOf = changes;
     }
     return ledger;
   }
 
   /** The room that is being made for jobs. */
-  List<RoundRoom.Claim> claims() {
+  List<FreeCapacity.Claim> claims() {
     return room.claims();
   }
 
   /** The accounts with what the waiting tasks of each team ask for. */
-  List<TeamAccount> withAsked() {
-    Map<String, Amount> asked = new HashMap<>();
-    for (JobEntry entry : jobs.withWork()) {
-      Amount waiting = Amount.of(entry.job.need()).times(entry.waiting.cardinality());
-      asked.merge(entry.job.team(), waiting, Amount::plus);
+  List<TeamUsage> withAsked() {
+    Map<String, QuotaAmount> asked = new HashMap<>();
+    for (JobState entry : jobs.withWork()) {
+      QuotaAmount waiting = QuotaAmount.of(entry.job.need()).times(entry.waiting.cardinality());
+      asked.merge(entry.job.team(), waiting, QuotaAmount::plus);
     }
     return accounts(asked);
   }
 
-  private List<TeamAccount> accounts(Map<String, Amount> asked) {
-    Map<String, Amount> promised = new HashMap<>();
-    for (RoundRoom.Claim claim : room.claims()) {
+  private List<TeamUsage> accounts(Map<String, QuotaAmount> asked) {
+    Map<String, QuotaAmount> promised = new HashMap<>();
+    for (FreeCapacity.Claim claim : room.claims()) {
       Job job = claim.entry().job;
-      promised.merge(job.team(), Amount.of(job.need()), Amount::plus);
+      promised.merge(job.team(), QuotaAmount.of(job.need()), QuotaAmount::plus);
     }
-    List<TeamAccount> accounts = new ArrayList<>();
+    List<TeamUsage> accounts = new ArrayList<>();
     for (Team team : context.settings.teams().values()) {
       TeamId id = new TeamId(team.name());
-      Amount stopping = Amount.of(jobs.tally().stopping(team.name())).plus(reclaims.of(id));
+      QuotaAmount stopping =
+          QuotaAmount.of(jobs.tally().stopping(team.name())).plus(reclaims.of(id));
       accounts.add(
-          new TeamAccount(
+          new TeamUsage(
               id,
-              Guarantee.of(team),
-              new Amount(team.gpusMax(), team.cpusMax()),
-              Amount.of(jobs.tally().held(team.name())),
+              GuaranteedQuota.of(team),
+              new QuotaAmount(team.gpusMax(), team.cpusMax()),
+              QuotaAmount.of(jobs.tally().held(team.name())),
               stopping,
-              promised.getOrDefault(team.name(), Amount.NONE),
-              asked.getOrDefault(team.name(), Amount.NONE)));
+              promised.getOrDefault(team.name(), QuotaAmount.NONE),
+              asked.getOrDefault(team.name(), QuotaAmount.NONE)));
     }
     return accounts;
   }
 
   /** The job as one that room is to be made for. */
-  Taker taker(JobEntry entry) {
+  Preemptor taker(JobState entry) {
     Job job = entry.job;
     TeamId team = new TeamId(job.team());
-    TeamAccount account = ledger().account(team);
-    Amount need = Amount.of(job.need()).times(entry.gang == null ? 1 : unclaimed(entry));
+    TeamUsage account = ledger().account(team);
+    QuotaAmount need = QuotaAmount.of(job.need()).times(entry.gang == null ? 1 : unclaimed(entry));
     boolean waitedForBoot = context.nowMs - entry.sinceMs >= fleet.longestBootMs(job);
-    return new Taker(
+    return new Preemptor(
         team,
         job.kind(),
         job.priority(),
@@ -107,7 +113,7 @@
   }
 
   /** How many of a gang's tasks have no room promised yet. */
-  private long unclaimed(JobEntry entry) {
+  private long unclaimed(JobState entry) {
     long claimed = room.claims().stream().filter(claim -> claim.entry() == entry).count();
     return Math.max(0, entry.job.tasks() - claimed);
   }
--- a/src/main/java/eiderfork/core/UserRequests.java
+++ b/src/main/java/eiderfork/controller/UserRequestHandler.java
@@ -1,14 +1,14 @@
-package eiderfork.core;
+package eiderfork.controller;
 
-import eiderfork.core.context.Context;
-import eiderfork.core.message.Effect;
-import eiderfork.core.message.Input;
-import eiderfork.core.message.Reply;
-import eiderfork.core.message.UserAnswer;
-import eiderfork.core.state.ReadBarrier;
-import eiderfork.core.state.StateGate;
-import eiderfork.core.state.Term;
-import eiderfork.core.state.Urgency;
+import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.election.LeaderElection;
+import eiderfork.controller.message.Effect;
+import eiderfork.controller.message.Input;
+import eiderfork.controller.message.Reply;
+import eiderfork.controller.message.UserResponse;
+import eiderfork.controller.store.ReadBarrier;
+import eiderfork.controller.store.RequestPriority;
+import eiderfork.controller.store.StoreClient;
 import eiderfork.model.Job;
 import eiderfork.model.JobStatus;
 import java.util.function.Consumer;
@@ -19,39 +19,39 @@
  * What users ask. The leader answers from memory while its lease surely holds; any other node
  * passes the request to the leader, and acts on the state service itself where that fails.
  */
-final class UserRequests {
-  private static final Logger LOG = LoggerFactory.getLogger(UserRequests.class);
+final class UserRequestHandler {
+  private static final Logger LOG = LoggerFactory.getLogger(UserRequestHandler.class);
 
   /** When to ask again for a job of which a record can't be read: an operator has to act first. */
   private static final int RECORD_RETRY_S = 30;
 
-  private final Context context;
-  private final Term term;
-  private final StateGate gate;
-  private final JobTable jobs;
-  private final Planner planner;
+  private final ControllerContext context;
+  private final LeaderElection term;
+  private final StoreClient gate;
+  private final JobRegistry jobs;
+  private final Autoscaler planner;
   private final ReadBarrier readBarrier;
-  private final Cancellations cancellations;
+  private final CancellationTracker cancellations;
   private final ClusterVersion version;
   private final Runnable kick;
 
-  private final WaitLimit waitLimit;
-  private final StoredJobs storedJobs;
-  private final Submissions submissions;
-  private final JobCancellation aborts;
-  private final Forwards forwards;
-  private final SettledJobs settled = new SettledJobs();
+  private final QueueTimeLimit waitLimit;
+  private final StoredJobReader storedJobs;
+  private final JobAdmission submissions;
+  private final JobCanceller aborts;
+  private final RequestForwarder forwards;
+  private final FinalStatusCache settled = new FinalStatusCache();
   private boolean ready;
 
-  UserRequests(
-      Context context,
-      Term term,
-      StateGate gate,
-      JobTable jobs,
-      Fleet fleet,
-      Planner planner,
+  UserRequestHandler(
+      ControllerContext context,
+      LeaderElection term,
+      StoreClient gate,
+      JobRegistry jobs,
+      MachineRegistry fleet,
+      Autoscaler planner,
       ReadBarrier readBarrier,
-      Cancellations cancellations,
+      CancellationTracker cancellations,
       ClusterVersion version,
       Runnable kick) {
     this.context = context;
@@ -63,12 +63,12 @@
     this.cancellations = cancellations;
     this.version = version;
     this.kick = kick;
-    forwards = new Forwards(context);
-    waitLimit = new WaitLimit(context);
-    storedJobs = new StoredJobs(gate);
+    forwards = new RequestForwarder(context);
+    waitLimit = new QueueTimeLimit(context);
+    storedJobs = new StoredJobReader(gate);
     submissions =
-        new Submissions(context, gate, fleet, version, storedJobs, waitLimit, this::accepted);
-    aborts = new JobCancellation(gate, jobs, storedJobs);
+        new JobAdmission(context, gate, fleet, version, storedJobs, waitLimit, this::accepted);
+    aborts = new JobCanceller(gate, jobs, storedJobs);
   }
 
   /** Whether memory holds all that is committed. */
@@ -85,9 +85,9 @@
    */
   private JobStatus over(String uid) {
     JobStatus known = settled.get(uid);
-    JobEntry entry = jobs.get(uid);
+    JobState entry = jobs.get(uid);
     if (known == null && cancellations.contains(uid) && mayTrustCancellation(uid, entry)) {
-      int done = entry == null ? 0 : JobEntry.committedDone(entry.committed);
+      int done = entry == null ? 0 : JobState.committedDone(entry.committed);
       return new JobStatus(uid, JobStatus.Stance.ABORTED, done, 0);
     }
     return known;
@@ -97,22 +97,22 @@
    * Whether a cancellation that was read is the job's last word. A late write of an older version
    * may have put one there after the job was done and archived.
    */
-  private boolean mayTrustCancellation(String uid, JobEntry entry) {
+  private boolean mayTrustCancellation(String uid, JobState entry) {
     return cancellations.wasConfirmed(uid) || entry != null && isSurelyUnarchived(entry);
   }
 
-  private boolean isSurelyUnarchived(JobEntry entry) {
+  private boolean isSurelyUnarchived(JobState entry) {
     return entry.isKnownUnarchived() || !version.isSettledOn(ClusterVersion.ARCHIVED_JOBS);
   }
 
   /** Takes a user's request, or one that a peer passed on, which is passed on no further. */
-  void take(Input request, boolean passOn, Consumer<UserAnswer> asker) {
+  void take(Input request, boolean passOn, Consumer<UserResponse> asker) {
     JobStatus over = over(uid(request));
     if (over != null) {
-      asker.accept(UserAnswer.ok(over));
+      asker.accept(UserResponse.ok(over));
       return;
     }
-    Consumer<UserAnswer> answer =
+    Consumer<UserResponse> answer =
         it -> {
           if (it.job() != null) {
             settled.note(it.job());
@@ -136,7 +136,8 @@
       forwards.add(query.uid(), answer, () -> here(request, answer));
     } else {
       context.ask(
-          call -> new Effect.AskPeerRequest(call, leader, request, Forwards.timeoutMs(context)),
+          call ->
+              new Effect.AskPeerRequest(call, leader, request, RequestForwarder.timeoutMs(context)),
           reply -> {
             if (reply instanceof Reply.PeerAnswer it && it.answer().status() != 503) {
               answer.accept(it.answer());
@@ -169,9 +170,9 @@
     return request instanceof Input.Query query ? query.uid() : ((Input.Abort) request).uid();
   }
 
-  private void here(Input request, Consumer<UserAnswer> answer) {
+  private void here(Input request, Consumer<UserResponse> answer) {
     if (jobs.isFrozen(uid(request))) {
-      answer.accept(UserAnswer.later(RECORD_RETRY_S, "a stored record of the job can't be read"));
+      answer.accept(UserResponse.later(RECORD_RETRY_S, "a stored record of the job can't be read"));
     } else if (request instanceof Input.Submit submit) {
       submit(submit.job(), answer);
     } else if (request instanceof Input.Query query) {
@@ -181,17 +182,17 @@
     }
   }
 
-  private void query(String uid, Consumer<UserAnswer> answer) {
-    JobEntry entry = jobs.get(uid);
+  private void query(String uid, Consumer<UserResponse> answer) {
+    JobState entry = jobs.get(uid);
     if (fromMemory() && entry != null && !isSurelyUnarchived(entry)) {
       queryArchive(entry, answer);
     } else if (fromMemory() && entry != null && entry.over()) {
-      answer.accept(UserAnswer.ok(entry.status()));
+      answer.accept(UserResponse.ok(entry.status()));
     } else if (fromMemory() && entry != null && !entry.ending) {
       readBarrier.pass(
           caughtUp -> {
             if (caughtUp && fromMemory() && jobs.get(uid) == entry && !entry.ending) {
-              answer.accept(UserAnswer.ok(entry.status()));
+              answer.accept(UserResponse.ok(entry.status()));
             } else {
               queryStored(uid, answer);
             }
@@ -202,21 +203,21 @@
   }
 
   /** Answers from the archive, or from memory once the job is known not to be there. */
-  private void queryArchive(JobEntry entry, Consumer<UserAnswer> answer) {
+  private void queryArchive(JobState entry, Consumer<UserResponse> answer) {
     if (waitLimit.refuses(gate.readWaitMs(), answer)) {
       return;
     }
     String uid = entry.job.uid();
     storedJobs.archived(
         uid,
-        Urgency.READ,
+        RequestPriority.READ,
         status -> {
           if (status == null) {
-            answer.accept(UserAnswer.unavailable());
+            answer.accept(UserResponse.unavailable());
           } else if (status.isPresent()) {
             jobs.forget(entry);
             jobs.removeCopy(entry);
-            answer.accept(UserAnswer.ok(status.get()));
+            answer.accept(UserResponse.ok(status.get()));
           } else {
             entry.proveUnarchived();
             query(uid, answer);
@@ -225,25 +226,25 @@
   }
 
   /** Memory may lag behind a peer that took the job, so only the state service denies one. */
-  private void queryStored(String uid, Consumer<UserAnswer> answer) {
+  private void queryStored(String uid, Consumer<UserResponse> answer) {
     if (waitLimit.refuses(gate.readWaitMs(), answer)) {
       return;
     }
     storedJobs.status(
         uid,
-        Urgency.READ,
+        RequestPriority.READ,
         status -> {
           if (status == null) {
-            answer.accept(UserAnswer.unavailable());
+            answer.accept(UserResponse.unavailable());
           } else if (status.isEmpty()) {
-            answer.accept(UserAnswer.refused(404, "no such job"));
+            answer.accept(UserResponse.refused(404, "no such job"));
           } else {
-            answer.accept(UserAnswer.ok(status.get()));
+            answer.accept(UserResponse.ok(status.get()));
           }
         });
   }
 
-  private void submit(Job job, Consumer<UserAnswer> answer) {
+  private void submit(Job job, Consumer<UserResponse> answer) {
     if (fromMemory() && jobs.get(job.uid()) != null) {
       query(job.uid(), answer);
     } else if (fromMemory()) {
--- a/src/main/java/eiderfork/core/WorkerControl.java
+++ b/src/main/java/eiderfork/controller/WorkerCommander.java
@@ -1,14 +1,14 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import com.google.common.collect.ImmutableList;
-import eiderfork.core.context.Context;
-import eiderfork.core.message.Effect;
-import eiderfork.core.message.Reply;
-import eiderfork.core.state.Term;
+import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.election.LeaderElection;
+import eiderfork.controller.message.Effect;
+import eiderfork.controller.message.Reply;
 import eiderfork.model.Attempt;
 import eiderfork.model.Command;
-import eiderfork.model.Report;
-import eiderfork.model.TaskReport;
+import eiderfork.model.Heartbeat;
+import eiderfork.model.TaskStatus;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -20,33 +20,33 @@
  * The leader's dealings with workers: compares what is reserved with what is reported, and sends
  * the commands that bring the two together.
  */
-final class WorkerControl {
-  private static final Logger LOG = LoggerFactory.getLogger(WorkerControl.class);
+final class WorkerCommander {
+  private static final Logger LOG = LoggerFactory.getLogger(WorkerCommander.class);
 
   /** How much longer than it should a save may take before it is given up, in steps. */
   static final int SAVE_MARGIN_STEPS = 3;
 
-  private final Context context;
-  private final Term term;
-  private final JobTable jobs;
-  private final Fleet fleet;
-  private final Cancellations cancellations;
+  private final ControllerContext context;
+  private final LeaderElection term;
+  private final JobRegistry jobs;
+  private final MachineRegistry fleet;
+  private final CancellationTracker cancellations;
   private final MachineLiveness liveness;
-  private final LeaseLapses lapses;
-  private final SessionLog log;
-  private final ReportReconciler reconciler;
+  private final LeaseExpiry lapses;
+  private final WorkerLeaseLog log;
+  private final HeartbeatReconciler reconciler;
   private boolean rebuilt;
   private long electedMs;
 
-  WorkerControl(
-      Context context,
-      Term term,
-      JobTable jobs,
-      Fleet fleet,
-      Cancellations cancellations,
+  WorkerCommander(
+      ControllerContext context,
+      LeaderElection term,
+      JobRegistry jobs,
+      MachineRegistry fleet,
+      CancellationTracker cancellations,
       MachineLiveness liveness,
-      LeaseLapses lapses,
-      SessionLog log,
+      LeaseExpiry lapses,
+      WorkerLeaseLog log,
       Runnable kick) {
     this.context = context;
     this.term = term;
@@ -56,7 +56,7 @@
     this.liveness = liveness;
     this.lapses = lapses;
     this.log = log;
-    reconciler = new ReportReconciler(context, term, jobs, fleet, kick);
+    reconciler = new HeartbeatReconciler(context, term, jobs, fleet, kick);
   }
 
   void elected() {
@@ -67,7 +67,7 @@
   }
 
   /** Brings the reservations on a machine up to what its newest report shows. */
-  void reconcile(MachineEntry m) {
+  void reconcile(MachineState m) {
     reconciler.reconcile(m);
   }
 
@@ -76,11 +76,11 @@
   }
 
   /** A worker reports to this node, which leads. */
-  void report(long ticket, Report report) {
+  void report(long ticket, Heartbeat report) {
     String name = report.machine().name();
     if (report.token() >= term.endOfTokens()) {
       // Another leader rules this worker, so this one's term is over.
-      term.outdated(report.token() >> Term.SEQUENCE_BITS);
+      term.outdated(report.token() >> LeaderElection.SEQUENCE_BITS);
       context.emit(new Effect.RedirectWorker(ticket, null));
       return;
     }
@@ -88,7 +88,7 @@
       context.emit(new Effect.RedirectWorker(ticket, null));
       return;
     }
-    MachineEntry m = fleet.known(report.machine());
+    MachineState m = fleet.known(report.machine());
     boolean news = absorb(m, report, false);
     if (m.token == 0) {
       m.token = term.firstToken() + 1;
@@ -118,8 +118,8 @@
     if (rebuilt && jobs.get(uid) != null) {
       return;
     }
-    for (MachineEntry m : fleet.machines()) {
-      for (TaskReport task : m.tasks()) {
+    for (MachineState m : fleet.machines()) {
+      for (TaskStatus task : m.tasks()) {
         if (!task.ended() && task.attempt().task().job().equals(uid)) {
           m.setUrgent();
         }
@@ -131,9 +131,9 @@
    * The tasks of cancelled jobs, stopped at once. This is right without the state service and
    * before anything is rebuilt: a confirmed cancellation is final.
    */
-  private ImmutableList<Command> stops(MachineEntry m) {
+  private ImmutableList<Command> stops(MachineState m) {
     ImmutableList.Builder<Command> list = ImmutableList.builder();
-    for (TaskReport task : m.tasks()) {
+    for (TaskStatus task : m.tasks()) {
       if (!task.ended() && cancellations.contains(task.attempt().task().job())) {
         list.add(new Command.Kill(task.attempt(), 0));
       }
@@ -142,11 +142,11 @@
   }
 
   /** Takes a report, or the one in a direct answer, if it is the newest; whether it was. */
-  private boolean absorb(MachineEntry m, Report report, boolean byCommand) {
+  private boolean absorb(MachineState m, Heartbeat report, boolean byCommand) {
     if (!m.session.isNews(report)) {
       return false;
     }
-    Report before = m.report();
+    Heartbeat before = m.report();
     boolean sameTasks = saysNothingNew(m, report);
     long leaseBeforeMs = m.session.leaseFromMs();
     boolean begun = fleet.reported(m, sameTasks ? report.withTasks(before.tasks()) : report);
@@ -180,8 +180,8 @@
    * Whether a report has the tasks of the one before, which agreed with what is reserved. Most
    * reports do, and nothing follows from them but that the machine is alive.
    */
-  private static boolean saysNothingNew(MachineEntry m, Report report) {
-    Report before = m.report();
+  private static boolean saysNothingNew(MachineState m, Heartbeat report) {
+    Heartbeat before = m.report();
     return m.agrees
         && report.session() == before.session()
         && report.token() == before.token()
@@ -190,7 +190,7 @@
   }
 
   /** What searches have proved does not hold for a machine that they passed over. */
-  private void noteUsable(MachineEntry m) {
+  private void noteUsable(MachineState m) {
     if (m.passedOver && liveness.usable(m)) {
       m.passedOver = false;
       fleet.sets().roomIndex().grew(m);
@@ -198,7 +198,7 @@
   }
 
   /** The commands that a worker needs now. */
-  private ImmutableList<Command> commands(MachineEntry m) {
+  private ImmutableList<Command> commands(MachineState m) {
     ImmutableList.Builder<Command> list = ImmutableList.builder();
     Set<Attempt> held = new HashSet<>();
     for (Reservation p : m.placed) {
@@ -207,13 +207,13 @@
       }
     }
     boolean agrees = m.tasks().size() == m.placed.size();
-    for (TaskReport task : m.tasks()) {
+    for (TaskStatus task : m.tasks()) {
       Attempt attempt = task.attempt();
       if (jobs.isFrozen(attempt.task().job())) {
         agrees = false;
         continue;
       }
-      JobEntry job = jobs.get(attempt.task().job());
+      JobState job = jobs.get(attempt.task().job());
       Reservation p = job == null ? null : job.placed.get(attempt.task().index());
       boolean ours = p != null && held.contains(attempt);
       agrees &= ours && p.wanted() && p.job.gang == null && isUnderWay(task);
@@ -255,8 +255,8 @@
         && p.isSaveOverdue(context.nowMs, SAVE_MARGIN_STEPS * context.stepMs());
   }
 
-  private static boolean isUnderWay(TaskReport task) {
-    return task.state() == TaskReport.State.RUNNING || task.state() == TaskReport.State.FETCHING;
+  private static boolean isUnderWay(TaskStatus task) {
+    return task.state() == TaskStatus.State.RUNNING || task.state() == TaskStatus.State.FETCHING;
   }
 
   void tick() {
@@ -272,7 +272,7 @@
       if (free <= 0) {
         return;
       }
-      MachineEntry m = fleet.get(number);
+      MachineState m = fleet.get(number);
       if (m.addr() == null || m.isCommanding() || context.nowMs < m.commandNotBeforeMs) {
         continue;
       }
@@ -292,7 +292,7 @@
     }
   }
 
-  private void reach(MachineEntry m) {
+  private void reach(MachineState m) {
     m.setCommanding(true);
     if (m.report() == null) {
       context.ask(
@@ -304,7 +304,7 @@
     }
   }
 
-  private void stop(MachineEntry m) {
+  private void stop(MachineState m) {
     ImmutableList<Command> stops = stops(m);
     if (!stops.isEmpty()) {
       m.setCommanding(true);
@@ -312,7 +312,7 @@
     }
   }
 
-  private void command(MachineEntry m) {
+  private void command(MachineState m) {
     boolean raiseOnly = m.token > m.report().token();
     ImmutableList<Command> commands = commands(m);
     List<Command> prompt = new ArrayList<>();
@@ -331,7 +331,7 @@
     send(m, ImmutableList.copyOf(prompt));
   }
 
-  private void send(MachineEntry m, ImmutableList<Command> commands) {
+  private void send(MachineState m, ImmutableList<Command> commands) {
     log.commanded(m, commands, true);
     long token = m.token;
     long session = m.session.number();
@@ -341,7 +341,7 @@
         reply -> commanded(m, reply, token));
   }
 
-  private void commanded(MachineEntry m, Reply reply, long token) {
+  private void commanded(MachineState m, Reply reply, long token) {
     if (fleet.get(m.name) != m || !term.leading()) {
       return;
     }
@@ -349,7 +349,7 @@
     if (reply instanceof Reply.WorkerAnswer says) {
       m.unanswered = 0;
       if (says.report().token() >= term.endOfTokens()) {
-        term.outdated(says.report().token() >> Term.SEQUENCE_BITS);
+        term.outdated(says.report().token() >> LeaderElection.SEQUENCE_BITS);
         return;
       }
       absorb(m, says.report(), true);
--- a/src/main/java/eiderfork/core/WorkerSession.java
+++ b/src/main/java/eiderfork/controller/WorkerIncarnation.java
@@ -1,22 +1,22 @@
-package eiderfork.core;
+package eiderfork.controller;
 
-import eiderfork.core.context.Context;
-import eiderfork.model.Report;
+import eiderfork.controller.context.ControllerContext;
+import eiderfork.model.Heartbeat;
 
 /**
  * The newest session of a machine's worker that this leader knows of, and what it knows of the
  * session's lease. A lease belongs to one session: when it is over, the worker forgets its tasks
  * and begins the next session, which has a lease of its own from then on.
  */
-final class WorkerSession {
+final class WorkerIncarnation {
   /** The newest report of this term, null before the first. */
-  private Report report;
+  private Heartbeat report;
 
   private long heardMs;
   private long leaseFromMs;
 
   /** The newest report of this term, null before the first. */
-  Report report() {
+  Heartbeat report() {
     return report;
   }
 
@@ -39,7 +39,7 @@
   }
 
   /** Whether the report is newer than all that is known of the worker. */
-  boolean isNews(Report other) {
+  boolean isNews(Heartbeat other) {
     return report == null || other.newerThan(report.session(), report.seq());
   }
 
@@ -48,7 +48,7 @@
    *
    * @return whether it is the first that is seen of its session
    */
-  boolean take(Report newest, long nowMs) {
+  boolean take(Heartbeat newest, long nowMs) {
     boolean first = report == null || newest.session() != report.session();
     report = newest;
     heardMs = nowMs;
@@ -77,6 +77,6 @@
    */
   boolean isSurelyOver(long nowMs, long leaseMs, long notBeforeMs, long marginMs) {
     long fromMs = Math.max(leaseFromMs, notBeforeMs);
-    return nowMs - fromMs > Context.surely(leaseMs) + marginMs;
+    return nowMs - fromMs > ControllerContext.surely(leaseMs) + marginMs;
   }
 }
--- a/src/main/java/eiderfork/core/SessionLog.java
+++ b/src/main/java/eiderfork/controller/WorkerLeaseLog.java
@@ -1,8 +1,8 @@
-package eiderfork.core;
+package eiderfork.controller;
 
-import eiderfork.core.context.Context;
+import eiderfork.controller.context.ControllerContext;
 import eiderfork.model.Command;
-import eiderfork.model.TaskReport;
+import eiderfork.model.TaskStatus;
 import java.util.List;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -12,15 +12,15 @@
  * or started. Where a cut ends thousands of leases at once, some lines a step are written and the
  * rest is counted.
  */
-final class SessionLog {
-  private static final Logger LOG = LoggerFactory.getLogger(SessionLog.class);
+final class WorkerLeaseLog {
+  private static final Logger LOG = LoggerFactory.getLogger(WorkerLeaseLog.class);
 
   /** The most lines that are written in a step. */
   private static final int LINES_IN_STEP = 20;
 
   private static final long INTERVAL_MS = 60_000;
 
-  private final Context context;
+  private final ControllerContext context;
 
   private long begunByReport;
   private long begunByCommand;
@@ -35,7 +35,7 @@
   private long stepEndsMs;
   private long nextMs;
 
-  SessionLog(Context context) {
+  WorkerLeaseLog(ControllerContext context) {
     this.context = context;
   }
 
@@ -72,7 +72,7 @@
    * @param beforeMs from when the lease of the session before may have run
    * @param byCommand the answer to a direct command shows it, and no report
    */
-  void begun(MachineEntry m, long before, long beforeMs, boolean byCommand) {
+  void begun(MachineState m, long before, long beforeMs, boolean byCommand) {
     if (byCommand) {
       begunByCommand++;
     } else {
@@ -96,10 +96,10 @@
    *
    * @param readMs how long the read of the lease proxies' records took, 0 for none
    */
-  void lapsed(MachineEntry m, long readMs) {
+  void lapsed(MachineState m, long readMs) {
     int running = 0;
     for (Reservation task : m.placed) {
-      running += task.seen == TaskReport.State.RUNNING ? 1 : 0;
+      running += task.seen == TaskStatus.State.RUNNING ? 1 : 0;
     }
     lapses++;
     settled += m.placed.size();
@@ -128,7 +128,7 @@
   }
 
   /** Commands go to a worker, by an answer to its report or directly. */
-  void commanded(MachineEntry m, List<Command> commands, boolean directly) {
+  void commanded(MachineState m, List<Command> commands, boolean directly) {
     if (LOG.isDebugEnabled() && !commands.isEmpty()) {
       LOG.debug(
           "command machine={} session={} token={} by={} heard_ms={} lease_ms={} commands={}",
--- a/src/main/java/eiderfork/core/Hearing.java
+++ b/src/main/java/eiderfork/controller/WorkerReachability.java
@@ -1,7 +1,7 @@
-package eiderfork.core;
+package eiderfork.controller;
 
-import eiderfork.core.context.Context;
-import eiderfork.core.state.Term;
+import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.election.LeaderElection;
 import java.util.HashMap;
 import java.util.Map;
 import org.slf4j.Logger;
@@ -11,8 +11,8 @@
  * Which workers report to this node. A leader that most of them can't reach gives the lead up to a
  * peer that hears more.
  */
-final class Hearing {
-  private static final Logger LOG = LoggerFactory.getLogger(Hearing.class);
+final class WorkerReachability {
+  private static final Logger LOG = LoggerFactory.getLogger(WorkerReachability.class);
 
   /** How long a new leader waits for the first report of any machine, in steps. */
   private static final int FIRST_REPORTS_STEPS = 4;
@@ -23,11 +23,11 @@
   /** Of fewer machines all may be silent by chance. */
   private static final int FEWEST_FOR_SILENCE = 3;
 
-  private final Context context;
-  private final Term term;
-  private final Fleet fleet;
+  private final ControllerContext context;
+  private final LeaderElection term;
+  private final MachineRegistry fleet;
   private final MachineLiveness liveness;
-  private final Peers peers;
+  private final PeerMonitor peers;
   private final LeaseProxy leaseProxy;
 
   /** When each machine last reported here, whether this node leads or not. */
@@ -38,12 +38,12 @@
   private long electedMs;
   private long awakeMs;
 
-  Hearing(
-      Context context,
-      Term term,
-      Fleet fleet,
+  WorkerReachability(
+      ControllerContext context,
+      LeaderElection term,
+      MachineRegistry fleet,
       MachineLiveness liveness,
-      Peers peers,
+      PeerMonitor peers,
       LeaseProxy leaseProxy) {
     this.context = context;
     this.term = term;
@@ -87,7 +87,7 @@
     int known = 0;
     int heard = 0;
     int tasked = 0;
-    for (MachineEntry m : fleet.machines()) {
+    for (MachineState m : fleet.machines()) {
       if (m.report() != null && !m.returning) {
         known++;
         heard += liveness.heard(m) ? 1 : 0;
--- a/src/main/java/eiderfork/core/WorkerRedirects.java
+++ b/src/main/java/eiderfork/controller/WorkerRedirector.java
@@ -1,8 +1,8 @@
-package eiderfork.core;
+package eiderfork.controller;
 
-import eiderfork.core.context.Context;
-import eiderfork.core.state.Term;
-import eiderfork.model.Report;
+import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.election.LeaderElection;
+import eiderfork.model.Heartbeat;
 import java.util.HashMap;
 import java.util.Map;
 
@@ -14,21 +14,21 @@
  * new leader may come, and where it comes back from the leader a second time it is sent on without
  * a name: the next node that it tries may be one that could lead.
  */
-final class WorkerRedirects {
+final class WorkerRedirector {
   /** What a worker was told last. */
   private record Sent(long term, long atMs) {}
 
-  private final Context context;
-  private final Term term;
+  private final ControllerContext context;
+  private final LeaderElection term;
   private final Map<String, Sent> sent = new HashMap<>();
 
-  WorkerRedirects(Context context, Term term) {
+  WorkerRedirector(ControllerContext context, LeaderElection term) {
     this.context = context;
     this.term = term;
   }
 
   /** Whether a worker with tasks was with the leader of now and has left it. */
-  boolean hasLostLeader(Report report) {
+  boolean hasLostLeader(Heartbeat report) {
     return !term.leading()
         && term.leader() != null
         && !report.tasks().isEmpty()
@@ -37,7 +37,7 @@
   }
 
   /** The node that a worker is sent to, or null for the next one that it knows. */
-  String target(Report report) {
+  String target(Heartbeat report) {
     String leader = term.leader();
     if (leader == null || leader.equals(context.settings.node())) {
       return null;
--- a/src/main/java/eiderfork/core/context/Context.java
+++ b/src/main/java/eiderfork/controller/context/ControllerContext.java
@@ -1,8 +1,8 @@
-package eiderfork.core.context;
+package eiderfork.controller.context;
 
 import eiderfork.config.Settings;
-import eiderfork.core.message.Effect;
-import eiderfork.core.message.Reply;
+import eiderfork.controller.message.Effect;
+import eiderfork.controller.message.Reply;
 import it.unimi.dsi.fastutil.longs.Long2ObjectOpenHashMap;
 import java.util.ArrayList;
 import java.util.List;
@@ -11,7 +11,7 @@
 import java.util.random.RandomGenerator;
 
 /** What the parts of one controller share: the time of the input, its effects, open calls. */
-public final class Context {
+public final class ControllerContext {
   public final Settings settings;
   public final RandomGenerator random;
 
@@ -23,7 +23,7 @@
   private long lastCall;
 
   /** Makes what the parts of a controller share. */
-  public Context(Settings settings, RandomGenerator random, long nowMs) {
+  public ControllerContext(Settings settings, RandomGenerator random, long nowMs) {
     this.settings = settings;
     this.random = random;
     this.nowMs = nowMs;
--- a/src/main/java/eiderfork/core/state/NodeOrder.java
+++ b/src/main/java/eiderfork/controller/election/CandidateOrder.java
@@ -1,4 +1,4 @@
-package eiderfork.core.state;
+package eiderfork.controller.election;
 
 import eiderfork.config.Settings;
 import java.util.ArrayList;
@@ -10,13 +10,13 @@
  * that {@code node-10} comes after {@code node-9}. It is a hint for who should lead; no rule hangs
  * on it.
  */
-public record NodeOrder(List<String> nodes, Settings settings) {
+public record CandidateOrder(List<String> nodes, Settings settings) {
   /** The order of all nodes that the settings name. */
-  public static NodeOrder of(Settings settings) {
+  public static CandidateOrder of(Settings settings) {
     List<String> nodes = new ArrayList<>(settings.peers().keySet());
     nodes.add(settings.node());
     nodes.sort(Comparator.comparingInt(String::length).thenComparing(Comparator.naturalOrder()));
-    return new NodeOrder(List.copyOf(nodes), settings);
+    return new CandidateOrder(List.copyOf(nodes), settings);
   }
 
   /** The node that workers try after this one. */
--- a/src/main/java/eiderfork/core/state/Term.java
+++ b/src/main/java/eiderfork/controller/election/LeaderElection.java
@@ -1,12 +1,14 @@
-package eiderfork.core.state;
+package eiderfork.controller.election;
 
 import com.google.common.collect.ImmutableList;
-import eiderfork.core.context.Context;
-import eiderfork.core.limits.Backoff;
-import eiderfork.core.message.Keys;
-import eiderfork.core.message.Reply;
-import eiderfork.core.message.StateOp;
-import eiderfork.model.Record;
+import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.message.Reply;
+import eiderfork.controller.message.StoreKeys;
+import eiderfork.controller.message.StoreRequest;
+import eiderfork.controller.ratelimit.Backoff;
+import eiderfork.controller.store.RequestPriority;
+import eiderfork.controller.store.StoreClient;
+import eiderfork.model.StoredRecord;
 import java.util.function.Predicate;
 import java.util.function.UnaryOperator;
 import org.slf4j.Logger;
@@ -16,8 +18,8 @@
  * Who leads. The leader key hangs on a short lease in the state service; the transaction that takes
  * it counts up the term.
  */
-public final class Term {
-  private static final Logger LOG = LoggerFactory.getLogger(Term.class);
+public final class LeaderElection {
+  private static final Logger LOG = LoggerFactory.getLogger(LeaderElection.class);
 
   /** What the owner of the term does on a change of it. */
   public interface Listener {
@@ -57,8 +59,8 @@
   /** How much of its lease a leader leaves unused, for slow clocks and late replies. */
   private static final double LEASE_MARGIN = 0.1;
 
-  private final Context context;
-  private final StateGate gate;
+  private final ControllerContext context;
+  private final StoreClient gate;
   private final Listener listener;
   private final long leaseMs;
   private final Backoff backoff;
@@ -74,7 +76,7 @@
   private long nextMs;
   private long standDownUntilMs;
 
-  /** Whether other nodes should rather lead, see {@link NodeOrder}. */
+  /** Whether other nodes should rather lead, see {@link CandidateOrder}. */
   private final boolean yields;
 
   /** The node that workers try after this one. */
@@ -98,7 +100,7 @@
   private long vacantSeenMs = -1;
 
   /** Makes a term that this node follows in; {@code listener} is told of changes. */
-  public Term(Context context, StateGate gate, Listener listener) {
+  public LeaderElection(ControllerContext context, StoreClient gate, Listener listener) {
     this.context = context;
     this.gate = gate;
     this.listener = listener;
@@ -106,7 +108,7 @@
     leaseMs = (long) (mostMs * context.settings.operator().stateLeaseShare());
     backoff = new Backoff(leaseMs / 20, leaseMs / 4);
     nextMs = context.nowMs;
-    NodeOrder order = NodeOrder.of(context.settings);
+    CandidateOrder order = CandidateOrder.of(context.settings);
     yields = !order.nextStandsInOtherZone();
     nextNode = order.next();
   }
@@ -142,8 +144,8 @@
   }
 
   /** The condition under which a leader's write is carried out in its own term alone. */
-  public StateOp.Condition condition() {
-    return new StateOp.Condition(Keys.LEADER, leaderVersion);
+  public StoreRequest.Condition condition() {
+    return new StoreRequest.Condition(StoreKeys.LEADER, leaderVersion);
   }
 
   /** Renews the lease, or looks for a lead that is vacant. */
@@ -202,7 +204,7 @@
     long old = lease;
     lose();
     standDownUntilMs = context.nowMs + quietMs;
-    gate.send(new StateOp.Release(old), Urgency.LEASE, reply -> {});
+    gate.send(new StoreRequest.Release(old), RequestPriority.LEASE, reply -> {});
   }
 
   /** A peer says that it leads. */
@@ -220,8 +222,8 @@
     nextMs = sentMs + leaseMs / RENEWALS;
     long renewed = lease;
     gate.send(
-        new StateOp.Renew(renewed),
-        Urgency.LEASE,
+        new StoreRequest.Renew(renewed),
+        RequestPriority.LEASE,
         reply -> {
           renewing = false;
           if (!leading() || lease != renewed) {
@@ -269,15 +271,15 @@
   private void read() {
     busy = true;
     gate.send(
-        new StateOp.Get(Keys.LEADER),
-        Urgency.LEASE,
+        new StoreRequest.Get(StoreKeys.LEADER),
+        RequestPriority.LEASE,
         reply -> {
           if (!(reply instanceof Reply.Value value)) {
             later();
             return;
           }
           backoff.reset();
-          if (value.record() instanceof Record.Leadership it) {
+          if (value.record() instanceof StoredRecord.Leadership it) {
             follow(it, value.version());
           } else if (context.nowMs < standDownUntilMs || leavesToOthers()) {
             later();
@@ -307,7 +309,7 @@
   }
 
   /** Waits for the leader key to change. */
-  private void follow(Record.Leadership it, long version) {
+  private void follow(StoredRecord.Leadership it, long version) {
     vacantSinceMs = -1;
     if (!it.node().equals(leader) || it.term() != term) {
       LOG.info("following {} in term {}", it.node(), it.term());
@@ -316,8 +318,8 @@
     lastLeader = leader;
     term = Math.max(term, it.term());
     gate.send(
-        new StateOp.Watch(Keys.LEADER, version, leaseMs),
-        Urgency.LEASE,
+        new StoreRequest.Watch(StoreKeys.LEADER, version, leaseMs),
+        RequestPriority.LEASE,
         reply -> {
           busy = false;
           nextMs = context.nowMs;
@@ -336,11 +338,11 @@
     phase = Phase.STANDING;
     leader = null;
     gate.send(
-        new StateOp.Get(Keys.TERM),
-        Urgency.LEASE,
+        new StoreRequest.Get(StoreKeys.TERM),
+        RequestPriority.LEASE,
         reply -> {
           if (reply instanceof Reply.Value value) {
-            long last = value.record() instanceof Record.Term t ? t.term() : 0;
+            long last = value.record() instanceof StoredRecord.Term t ? t.term() : 0;
             grant(last, value.version());
           } else {
             later();
@@ -351,8 +353,8 @@
   private void grant(long last, long termVersion) {
     long grantSentMs = context.nowMs;
     gate.send(
-        new StateOp.Grant(leaseMs),
-        Urgency.LEASE,
+        new StoreRequest.Grant(leaseMs),
+        RequestPriority.LEASE,
         reply -> {
           if (reply instanceof Reply.Leased leased) {
             take(leased.lease(), grantSentMs, last + 1, termVersion);
@@ -365,14 +367,15 @@
   private void take(long newLease, long grantSentMs, long newTerm, long termVersion) {
     String node = context.settings.node();
     gate.send(
-        new StateOp.Transact(
+        new StoreRequest.Transact(
             ImmutableList.of(
-                new StateOp.Condition(Keys.LEADER, 0),
-                new StateOp.Condition(Keys.TERM, termVersion)),
+                new StoreRequest.Condition(StoreKeys.LEADER, 0),
+                new StoreRequest.Condition(StoreKeys.TERM, termVersion)),
             ImmutableList.of(
-                new StateOp.Change(Keys.LEADER, new Record.Leadership(node, newTerm), newLease),
-                StateOp.Change.put(Keys.TERM, new Record.Term(newTerm)))),
-        Urgency.LEASE,
+                new StoreRequest.Change(
+                    StoreKeys.LEADER, new StoredRecord.Leadership(node, newTerm), newLease),
+                StoreRequest.Change.put(StoreKeys.TERM, new StoredRecord.Term(newTerm)))),
+        RequestPriority.LEASE,
         reply -> {
           if (reply instanceof Reply.Committed committed) {
             busy = false;
@@ -390,7 +393,7 @@
             listener.elected();
           } else {
             // Unanswered, it may still apply: the lease then runs out, since nobody renews it.
-            gate.send(new StateOp.Release(newLease), Urgency.LEASE, ignored -> {});
+            gate.send(new StoreRequest.Release(newLease), RequestPriority.LEASE, ignored -> {});
             later();
           }
         });
--- a/src/main/java/eiderfork/core/message/CancellationNews.java
+++ b/src/main/java/eiderfork/controller/message/CancellationGossip.java
@@ -1,4 +1,4 @@
-package eiderfork.core.message;
+package eiderfork.controller.message;
 
 import com.google.common.collect.ImmutableList;
 
@@ -15,7 +15,7 @@
  * @param heardProcess the receiver's process of which the sender heard last
  * @param heardUpTo the number up to which the sender knows what that process confirmed
  */
-public record CancellationNews(
+public record CancellationGossip(
     long process,
     long upMs,
     long after,
@@ -24,8 +24,8 @@
     long heardProcess,
     long heardUpTo) {
   /** Of a peer that says nothing of cancellations. */
-  public static final CancellationNews NONE =
-      new CancellationNews(0, 0, 0, ImmutableList.of(), false, 0, 0);
+  public static final CancellationGossip NONE =
+      new CancellationGossip(0, 0, 0, ImmutableList.of(), false, 0, 0);
 
   /** The number of the last confirmation that the receiver knows with this message. */
   public long upTo() {
--- a/src/main/java/eiderfork/core/message/Effect.java
+++ b/src/main/java/eiderfork/controller/message/Effect.java
@@ -1,8 +1,8 @@
-package eiderfork.core.message;
+package eiderfork.controller.message;
 
 import com.google.common.collect.ImmutableList;
 import eiderfork.model.Command;
-import eiderfork.model.Record;
+import eiderfork.model.StoredRecord;
 
 /** What a controller wants done. */
 public sealed interface Effect {
@@ -22,13 +22,13 @@
   }
 
   /** Asks the state service. */
-  record AskState(long call, StateOp op, long timeoutMs) implements Call {}
+  record AskState(long call, StoreRequest op, long timeoutMs) implements Call {}
 
   /** Asks the cloud for its machine types. */
   record AskTypes(long call, long timeoutMs) implements Call {}
 
   /** Asks the cloud for machines. */
-  record AskRent(long call, Record.Rent rent, long timeoutMs) implements Call {}
+  record AskRent(long call, StoredRecord.Rent rent, long timeoutMs) implements Call {}
 
   /** Returns machines to the cloud. */
   record AskReturn(long call, ImmutableList<String> machines, long timeoutMs) implements Call {}
@@ -50,7 +50,7 @@
   record AskInspect(long call, String addr, long timeoutMs) implements Call {}
 
   /** Tells a peer this node's view and asks for its own. */
-  record AskPeerPing(long call, String node, PeerView view, long timeoutMs) implements Call {}
+  record AskPeerPing(long call, String node, PeerStatus view, long timeoutMs) implements Call {}
 
   /** Passes a user's request on to a peer. */
   record AskPeerRequest(long call, String node, Input request, long timeoutMs) implements Call {}
@@ -60,7 +60,8 @@
       implements Call {}
 
   /** Tells a standby what is not committed. */
-  record AskPeerHints(long call, String node, HintMessage hints, long timeoutMs) implements Call {}
+  record AskPeerHints(long call, String node, MachineHintBatch hints, long timeoutMs)
+      implements Call {}
 
   /** A peer's hints were taken. */
   record AnswerPeerHints(long ticket) implements Answer {}
@@ -72,10 +73,10 @@
   record Phase(String name, long fromMs, long toMs) {}
 
   /** Answers queries that a peer passed on, in their order. */
-  record AnswerPeerQueries(long ticket, ImmutableList<UserAnswer> answers) implements Answer {}
+  record AnswerPeerQueries(long ticket, ImmutableList<UserResponse> answers) implements Answer {}
 
   /** Answers a user or, for a request that was passed on, a peer. */
-  record AnswerUser(long ticket, UserAnswer answer) implements Answer {}
+  record AnswerUser(long ticket, UserResponse answer) implements Answer {}
 
   /** Answers a health check. */
   record AnswerHealth(long ticket, boolean healthy, String why) implements Answer {}
@@ -87,5 +88,5 @@
   record RedirectWorker(long ticket, String leader) implements Answer {}
 
   /** Answers a peer's ping. */
-  record AnswerPing(long ticket, PeerView view) implements Answer {}
+  record AnswerPing(long ticket, PeerStatus view) implements Answer {}
 }
--- a/src/main/java/eiderfork/core/message/Input.java
+++ b/src/main/java/eiderfork/controller/message/Input.java
@@ -1,8 +1,8 @@
-package eiderfork.core.message;
+package eiderfork.controller.message;
 
 import com.google.common.collect.ImmutableList;
+import eiderfork.model.Heartbeat;
 import eiderfork.model.Job;
-import eiderfork.model.Report;
 
 /** What happens to a controller. */
 public sealed interface Input {
@@ -22,7 +22,7 @@
   record HealthCheck(long ticket) implements Input {}
 
   /** A worker reports. */
-  record WorkerReport(long ticket, Report report) implements Input {}
+  record WorkerReport(long ticket, Heartbeat report) implements Input {}
 
   /** A submission, query or cancellation passed on by a peer. */
   record PeerRequest(long ticket, Input request) implements Input {}
@@ -31,10 +31,10 @@
   record PeerQueries(long ticket, ImmutableList<String> uids) implements Input {}
 
   /** A peer tells its view and asks for this node's. */
-  record PeerPing(long ticket, PeerView view) implements Input {}
+  record PeerPing(long ticket, PeerStatus view) implements Input {}
 
   /** The leader tells this node, which may stand by for it, what is not committed. */
-  record PeerHints(long ticket, HintMessage hints) implements Input {}
+  record PeerHints(long ticket, MachineHintBatch hints) implements Input {}
 
   /** The reply to a call that an effect asked for. */
   record Answered(long call, Reply reply) implements Input {}
--- a/src/main/java/eiderfork/core/message/MachineHint.java
+++ b/src/main/java/eiderfork/controller/message/MachineHint.java
@@ -1,4 +1,4 @@
-package eiderfork.core.message;
+package eiderfork.controller.message;
 
 import com.google.common.collect.ImmutableList;
 
--- a/src/main/java/eiderfork/core/message/HintMessage.java
+++ b/src/main/java/eiderfork/controller/message/MachineHintBatch.java
@@ -1,4 +1,4 @@
-package eiderfork.core.message;
+package eiderfork.controller.message;
 
 import com.google.common.collect.ImmutableList;
 
@@ -8,4 +8,4 @@
  * @param term the term of the leader
  * @param number counts up with each message of a term
  */
-public record HintMessage(long term, long number, ImmutableList<MachineHint> machines) {}
+public record MachineHintBatch(long term, long number, ImmutableList<MachineHint> machines) {}
--- a/src/main/java/eiderfork/core/message/PeerView.java
+++ b/src/main/java/eiderfork/controller/message/PeerStatus.java
@@ -1,4 +1,4 @@
-package eiderfork.core.message;
+package eiderfork.controller.message;
 
 /**
  * What a node tells its peers about itself.
@@ -8,11 +8,11 @@
  * @param version the version that the node runs
  * @param news the cancellations that it confirmed and the receiver may not know
  */
-public record PeerView(
+public record PeerStatus(
     String node,
     long term,
     boolean leading,
     long stateAgeMs,
     int machinesHeard,
     int version,
-    CancellationNews news) {}
+    CancellationGossip news) {}
--- a/src/main/java/eiderfork/core/message/Reply.java
+++ b/src/main/java/eiderfork/controller/message/Reply.java
@@ -1,10 +1,10 @@
-package eiderfork.core.message;
+package eiderfork.controller.message;
 
 import com.google.common.collect.ImmutableList;
-import eiderfork.model.HostEntry;
+import eiderfork.model.Heartbeat;
+import eiderfork.model.ListedMachine;
 import eiderfork.model.MachineType;
-import eiderfork.model.Record;
-import eiderfork.model.Report;
+import eiderfork.model.StoredRecord;
 
 /** What came of a call to another party. */
 public sealed interface Reply {
@@ -34,10 +34,10 @@
   record Conflict(ImmutableList<String> failed) implements Reply {}
 
   /** {@code record} is null where the key does not exist. */
-  record Value(Record record, long version) implements Reply {}
+  record Value(StoredRecord record, long version) implements Reply {}
 
   /** A key of the state service; {@code record} is null where the key was removed. */
-  record Item(String key, Record record, long version) {}
+  record Item(String key, StoredRecord record, long version) {}
 
   /** A part of a range of keys, as of the revision. */
   record Page(ImmutableList<Item> items, boolean more, long revision) implements Reply {}
@@ -61,20 +61,20 @@
   record Returned() implements Reply {}
 
   /** A part of the cloud's machine list. */
-  record Hosts(ImmutableList<HostEntry> entries, boolean more) implements Reply {}
+  record Hosts(ImmutableList<ListedMachine> entries, boolean more) implements Reply {}
 
   /** A worker's report, sent back for commands ({@code executed}) or instead of them. */
-  record WorkerAnswer(boolean executed, Report report) implements Reply {}
+  record WorkerAnswer(boolean executed, Heartbeat report) implements Reply {}
 
   /** A peer's view, in answer to a ping. */
-  record PeerPong(PeerView view) implements Reply {}
+  record PeerPong(PeerStatus view) implements Reply {}
 
   /** A standby has taken hints. */
   record PeerTookHints() implements Reply {}
 
   /** A peer's answer to a request that was passed on to it. */
-  record PeerAnswer(UserAnswer answer) implements Reply {}
+  record PeerAnswer(UserResponse answer) implements Reply {}
 
   /** A peer's answers to queries that were passed on to it, in their order. */
-  record PeerAnswers(ImmutableList<UserAnswer> answers) implements Reply {}
+  record PeerAnswers(ImmutableList<UserResponse> answers) implements Reply {}
 }
--- a/src/main/java/eiderfork/core/message/Keys.java
+++ b/src/main/java/eiderfork/controller/message/StoreKeys.java
@@ -1,7 +1,7 @@
-package eiderfork.core.message;
+package eiderfork.controller.message;
 
 /** The keys in the state service. */
-public final class Keys {
+public final class StoreKeys {
   public static final String LEADER = "leader";
   public static final String TERM = "term";
   public static final String TYPES = "types";
@@ -17,7 +17,7 @@
   public static final String VERSION = "cluster-version";
   public static final String LEASE_PROXY = "deputy/";
 
-  private Keys() {}
+  private StoreKeys() {}
 
   /** The key of a submission. */
   public static String job(String uid) {
--- a/src/main/java/eiderfork/core/message/StateOp.java
+++ b/src/main/java/eiderfork/controller/message/StoreRequest.java
@@ -1,17 +1,17 @@
-package eiderfork.core.message;
+package eiderfork.controller.message;
 
 import com.google.common.collect.ImmutableList;
-import eiderfork.model.Record;
+import eiderfork.model.StoredRecord;
 
 /** A request to the state service. */
-public sealed interface StateOp {
+public sealed interface StoreRequest {
   /** The key has this version; 0 where it does not exist. */
   record Condition(String key, long version) {}
 
   /** A change: {@code record} null removes the key; lease 0 is none. */
-  record Change(String key, Record record, long lease) {
+  record Change(String key, StoredRecord record, long lease) {
     /** Writes a key that hangs on no lease. */
-    public static Change put(String key, Record record) {
+    public static Change put(String key, StoredRecord record) {
       return new Change(key, record, 0);
     }
 
@@ -23,23 +23,23 @@
 
   /** Applies all changes if all conditions hold, or nothing. */
   record Transact(ImmutableList<Condition> conditions, ImmutableList<Change> changes)
-      implements StateOp {}
+      implements StoreRequest {}
 
   /** Reads one key. */
-  record Get(String key) implements StateOp {}
+  record Get(String key) implements StoreRequest {}
 
   /** Reads a page of the keys with this prefix, beginning after {@code after}. */
-  record Scan(String prefix, String after) implements StateOp {}
+  record Scan(String prefix, String after) implements StoreRequest {}
 
   /** Waits for changes of keys with this prefix after a revision. */
-  record Watch(String prefix, long after, long waitMs) implements StateOp {}
+  record Watch(String prefix, long after, long waitMs) implements StoreRequest {}
 
   /** Asks for a new lease. */
-  record Grant(long lifeMs) implements StateOp {}
+  record Grant(long lifeMs) implements StoreRequest {}
 
   /** Renews a lease. */
-  record Renew(long lease) implements StateOp {}
+  record Renew(long lease) implements StoreRequest {}
 
   /** Ends a lease, and with it the keys attached to it. */
-  record Release(long lease) implements StateOp {}
+  record Release(long lease) implements StoreRequest {}
 }
--- a/src/main/java/eiderfork/core/lending/Checkpoints.java
+++ b/src/main/java/eiderfork/controller/quota/CheckpointPolicy.java
@@ -1,4 +1,4 @@
-package eiderfork.core.lending;
+package eiderfork.controller.quota;
 
 /**
  * How a task saves its progress.
@@ -6,7 +6,7 @@
  * @param intervalS the progress after which it saves by itself; 0 for never
  * @param saveS how long it takes to save when it is stopped
  */
-public record Checkpoints(double intervalS, double saveS) {
+public record CheckpointPolicy(double intervalS, double saveS) {
   /** Whether the task saves at all. */
   public boolean exist() {
     return intervalS > 0;
--- a/src/main/java/eiderfork/core/lending/Guarantee.java
+++ b/src/main/java/eiderfork/controller/quota/GuaranteedQuota.java
@@ -1,4 +1,4 @@
-package eiderfork.core.lending;
+package eiderfork.controller.quota;
 
 import eiderfork.model.Resources;
 import eiderfork.model.Team;
@@ -8,10 +8,10 @@
  * alone are guaranteed, processors are not counted; where processors alone are, every GPU is
  * borrowed.
  */
-public record Guarantee(double gpus, double cpus) {
+public record GuaranteedQuota(double gpus, double cpus) {
   /** The guarantee that the settings name for a team. */
-  public static Guarantee of(Team team) {
-    return new Guarantee(team.gpus(), team.cpus());
+  public static GuaranteedQuota of(Team team) {
+    return new GuaranteedQuota(team.gpus(), team.cpus());
   }
 
   /** Whether nothing is guaranteed. */
@@ -20,42 +20,42 @@
   }
 
   /** Whether all that is used lies within the guarantee. */
-  public boolean covers(Amount used) {
+  public boolean covers(QuotaAmount used) {
     return !isNone() && !beyond(used).isPositive();
   }
 
   /** What of the amount used lies beyond the guarantee, which is what the team borrows. */
-  public Amount beyond(Amount used) {
+  public QuotaAmount beyond(QuotaAmount used) {
     boolean countsCpus = isNone() || cpus > 0;
-    return new Amount(
+    return new QuotaAmount(
         Math.max(0, used.gpus() - gpus), countsCpus ? Math.max(0, used.cpus() - cpus) : 0);
   }
 
   /** Whether work of this size takes anything that is guaranteed. */
-  public boolean concerns(Amount need) {
+  public boolean concerns(QuotaAmount need) {
     return gpus > 0 && need.gpus() > 0 || cpus > 0 && need.cpus() > 0;
   }
 
   /** Whether a team that uses this much keeps its whole guarantee without {@code stopped}. */
-  public boolean isKeptWithout(Amount stopped, Amount used) {
-    Amount left = used.minus(stopped);
+  public boolean isKeptWithout(QuotaAmount stopped, QuotaAmount used) {
+    QuotaAmount left = used.minus(stopped);
     boolean gpusKept = gpus <= 0 || stopped.gpus() <= 0 || left.gpus() >= gpus - Resources.DUST;
     boolean cpusKept = cpus <= 0 || stopped.cpus() <= 0 || left.cpus() >= cpus - Resources.DUST;
     return gpusKept && cpusKept;
   }
 
   /** Whether all of {@code stopped} is borrowed by a team that uses this much. */
-  public boolean isBorrowed(Amount stopped, Amount used) {
+  public boolean isBorrowed(QuotaAmount stopped, QuotaAmount used) {
     return isNone() || isKeptWithout(stopped, used) && takesOfBeyond(stopped, used);
   }
 
   /** Whether a part of {@code stopped} is borrowed by a team that uses this much. */
-  public boolean isPartlyBorrowed(Amount stopped, Amount used) {
+  public boolean isPartlyBorrowed(QuotaAmount stopped, QuotaAmount used) {
     return isNone() || takesOfBeyond(stopped, used);
   }
 
-  private boolean takesOfBeyond(Amount stopped, Amount used) {
-    Amount beyond = beyond(used);
+  private boolean takesOfBeyond(QuotaAmount stopped, QuotaAmount used) {
+    QuotaAmount beyond = beyond(used);
     return stopped.gpus() > 0 && beyond.gpus() > Resources.DUST
         || stopped.cpus() > 0 && beyond.cpus() > Resources.DUST;
   }
--- a/src/main/java/eiderfork/core/lending/Verdict.java
+++ b/src/main/java/eiderfork/controller/quota/PreemptionDecision.java
@@ -1,12 +1,13 @@
-package eiderfork.core.lending;
+package eiderfork.controller.quota;
 
 /** Whether some work may be stopped for a job. */
-public sealed interface Verdict {
+public sealed interface PreemptionDecision {
   /** It may. */
-  record Allowed(Ground ground, Preference preference) implements Verdict {}
+  record Allowed(PreemptionReason ground, VictimPreference preference)
+      implements PreemptionDecision {}
 
   /** It may not. */
-  record Refused(Refusal reason) implements Verdict {}
+  record Refused(Refusal reason) implements PreemptionDecision {}
 
   /** Why it may not be stopped. */
   enum Refusal {
--- a/src/main/java/eiderfork/core/lending/StopMode.java
+++ b/src/main/java/eiderfork/controller/quota/PreemptionMode.java
@@ -1,7 +1,7 @@
-package eiderfork.core.lending;
+package eiderfork.controller.quota;
 
 /** How a task is stopped. */
-public enum StopMode {
+public enum PreemptionMode {
   /** At once: what was done since the last checkpoint is lost. */
   AT_ONCE,
   /** It is given the time that it needs to save. */
--- a/src/main/java/eiderfork/core/lending/Victim.java
+++ b/src/main/java/eiderfork/controller/quota/PreemptionVictim.java
@@ -1,4 +1,4 @@
-package eiderfork.core.lending;
+package eiderfork.controller.quota;
 
 import eiderfork.model.JobKind;
 import eiderfork.model.Priority;
@@ -8,7 +8,7 @@
  *
  * @param amount what ends with it: one task, or all tasks of a gang
  */
-public record Victim(TeamId team, JobKind kind, Priority priority, Amount amount) {
+public record PreemptionVictim(TeamId team, JobKind kind, Priority priority, QuotaAmount amount) {
   /** Whether it is batch work, which can be run again, and not a replica. */
   public boolean isBatch() {
     return kind != JobKind.SERVICE;
--- a/src/main/java/eiderfork/core/lending/Taker.java
+++ b/src/main/java/eiderfork/controller/quota/Preemptor.java
@@ -1,4 +1,4 @@
-package eiderfork.core.lending;
+package eiderfork.controller.quota;
 
 import eiderfork.model.JobKind;
 import eiderfork.model.Priority;
@@ -10,7 +10,7 @@
  * @param mayWaitS how long it may wait for a victim to reach its checkpoint
  * @param waitedForBoot whether it has waited for so long that a rented machine would have come
  */
-public record Taker(
+public record Preemptor(
     TeamId team,
     JobKind kind,
     Priority priority,
--- a/src/main/java/eiderfork/core/lending/LendingLedger.java
+++ b/src/main/java/eiderfork/controller/quota/QuotaLedger.java
@@ -1,4 +1,4 @@
-package eiderfork.core.lending;
+package eiderfork.controller.quota;
 
 import java.util.Collection;
 import java.util.HashMap;
@@ -9,46 +9,46 @@
  * The accounts of all teams, brought along within a plan: a victim is judged after those that were
  * chosen before it.
  */
-public final class LendingLedger {
-  private final Map<TeamId, TeamAccount> accounts = new HashMap<>();
+public final class QuotaLedger {
+  private final Map<TeamId, TeamUsage> accounts = new HashMap<>();
 
   /** Begins with these accounts. */
-  public LendingLedger(Collection<TeamAccount> accounts) {
+  public QuotaLedger(Collection<TeamUsage> accounts) {
     accounts.forEach(account -> this.accounts.put(account.team(), account));
   }
 
-  private LendingLedger(Map<TeamId, TeamAccount> accounts) {
+  private QuotaLedger(Map<TeamId, TeamUsage> accounts) {
     this.accounts.putAll(accounts);
   }
 
   /** The account of a team, or null. */
-  public TeamAccount account(TeamId team) {
+  public TeamUsage account(TeamId team) {
     return accounts.get(team);
   }
 
   /** All accounts. */
-  public Collection<TeamAccount> accounts() {
+  public Collection<TeamUsage> accounts() {
     return List.copyOf(accounts.values());
   }
 
   /** A ledger that goes on from here and leaves this one as it is. */
-  public LendingLedger trial() {
-    return new LendingLedger(accounts);
+  public QuotaLedger trial() {
+    return new QuotaLedger(accounts);
   }
 
   /** Work of this size of a team is to be stopped. */
-  public void stop(TeamId team, Amount stopped) {
+  public void stop(TeamId team, QuotaAmount stopped) {
     accounts.computeIfPresent(team, (id, account) -> account.withStopped(stopped));
   }
 
   /** Room of this size is being made, or was taken, for a team. */
-  public void promise(TeamId team, Amount room) {
+  public void promise(TeamId team, QuotaAmount room) {
     accounts.computeIfPresent(team, (id, account) -> account.withPromised(room));
   }
 
   /** Whether any team but this one uses something beyond its guarantee. */
   public boolean othersBorrow(TeamId team) {
-    for (TeamAccount account : accounts.values()) {
+    for (TeamUsage account : accounts.values()) {
       if (!account.team().equals(team) && account.guarantee().beyond(account.kept()).isPositive()) {
         return true;
       }
--- a/src/main/java/eiderfork/core/lending/LoanCooldowns.java
+++ b/src/main/java/eiderfork/controller/quota/ReclaimCooldowns.java
@@ -1,4 +1,4 @@
-package eiderfork.core.lending;
+package eiderfork.controller.quota;
 
 import eiderfork.model.Resources;
 import java.util.ArrayList;
@@ -15,7 +15,7 @@
  * most {@value #MOST_LEVEL} + t / ({@value #FADE_COOLDOWNS} b) reversals in t seconds, and each of
  * its GPUs is reclaimed at most once for each.
  */
-public final class LoanCooldowns {
+public final class ReclaimCooldowns {
   /** The cooldown doubles this often at most, counted from 1. */
   static final int MOST_LEVEL = 4;
 
--- a/src/main/java/eiderfork/core/lending/ReclaimRules.java
+++ b/src/main/java/eiderfork/controller/quota/ReclaimPolicy.java
@@ -1,8 +1,8 @@
-package eiderfork.core.lending;
+package eiderfork.controller.quota;
 
-import eiderfork.core.lending.Verdict.Allowed;
-import eiderfork.core.lending.Verdict.Refusal;
-import eiderfork.core.lending.Verdict.Refused;
+import eiderfork.controller.quota.PreemptionDecision.Allowed;
+import eiderfork.controller.quota.PreemptionDecision.Refusal;
+import eiderfork.controller.quota.PreemptionDecision.Refused;
 import eiderfork.model.JobKind;
 
 /**
@@ -11,12 +11,13 @@
  * for work that lies beyond another's. What can't be stopped in part, and lies beyond the guarantee
  * in part only, may be stopped for work within another's guarantee once nothing else would do.
  */
-public final class ReclaimRules {
-  private ReclaimRules() {}
+public final class ReclaimPolicy {
+  private ReclaimPolicy() {}
 
   /** Whether the victim may be stopped for the taker, as the ledger stands now. */
-  public static Verdict judge(Taker taker, Victim victim, LendingLedger ledger) {
-    TeamAccount lender = ledger.account(victim.team());
+  public static PreemptionDecision judge(
+      Preemptor taker, PreemptionVictim victim, QuotaLedger ledger) {
+    TeamUsage lender = ledger.account(victim.team());
     boolean sameTeam = taker.team().equals(victim.team());
     boolean borrowed =
         lender != null && lender.guarantee().isPartlyBorrowed(victim.amount(), lender.kept());
@@ -26,19 +27,21 @@
     return byPriority(taker, victim, lender, sameTeam);
   }
 
-  private static Verdict byGuarantee(Taker taker, Victim victim, TeamAccount lender) {
+  private static PreemptionDecision byGuarantee(
+      Preemptor taker, PreemptionVictim victim, TeamUsage lender) {
     if (victim.isBatch()) {
       boolean wholly = lender.guarantee().isBorrowed(victim.amount(), lender.kept());
       return new Allowed(
-          Ground.GUARANTEE, wholly ? Preference.BORROWED_BATCH : Preference.PARTLY_BORROWED_BATCH);
+          PreemptionReason.GUARANTEE,
+          wholly ? VictimPreference.BORROWED_BATCH : VictimPreference.PARTLY_BORROWED_BATCH);
     }
     return taker.waitedForBoot()
-        ? new Allowed(Ground.GUARANTEE, Preference.BORROWED_REPLICA)
+        ? new Allowed(PreemptionReason.GUARANTEE, VictimPreference.BORROWED_REPLICA)
         : new Refused(Refusal.REPLICA_NOT_YET);
   }
 
-  private static Verdict byPriority(
-      Taker taker, Victim victim, TeamAccount lender, boolean sameTeam) {
+  private static PreemptionDecision byPriority(
+      Preemptor taker, PreemptionVictim victim, TeamUsage lender, boolean sameTeam) {
     boolean moreUrgent = victim.priority().compareTo(taker.priority()) > 0;
     // Arrays stop nothing for their priority alone: their turn comes.
     if (!moreUrgent || !victim.isBatch() || taker.kind() == JobKind.ARRAY) {
@@ -47,10 +50,10 @@
     boolean keepsGuarantee =
         lender == null || lender.guarantee().isKeptWithout(victim.amount(), lender.kept());
     if (sameTeam || keepsGuarantee) {
-      return new Allowed(Ground.PRIORITY, Preference.BORROWED_BATCH);
+      return new Allowed(PreemptionReason.PRIORITY, VictimPreference.BORROWED_BATCH);
     }
     return taker.withinGuarantee()
-        ? new Allowed(Ground.PRIORITY, Preference.GUARANTEED_BATCH)
+        ? new Allowed(PreemptionReason.PRIORITY, VictimPreference.GUARANTEED_BATCH)
         : new Refused(Refusal.LENDER_AT_GUARANTEE);
   }
 }
--- a/src/main/java/eiderfork/core/lending/TeamId.java
+++ b/src/main/java/eiderfork/controller/quota/TeamId.java
@@ -1,4 +1,4 @@
-package eiderfork.core.lending;
+package eiderfork.controller.quota;
 
 /** The name of a team, to which guarantee, limit and usage belong. */
 public record TeamId(String name) {
--- a/src/main/java/eiderfork/core/lending/TeamAccount.java
+++ b/src/main/java/eiderfork/controller/quota/TeamUsage.java
@@ -1,4 +1,4 @@
-package eiderfork.core.lending;
+package eiderfork.controller.quota;
 
 /**
  * What a team is guaranteed, uses and asks for at a moment.
@@ -8,27 +8,27 @@
  * @param promised room that is being made or was placed for the team since {@code used} was counted
  * @param asked what its waiting tasks would take
  */
-public record TeamAccount(
+public record TeamUsage(
     TeamId team,
-    Guarantee guarantee,
-    Amount limit,
-    Amount used,
-    Amount stopping,
-    Amount promised,
-    Amount asked) {
+    GuaranteedQuota guarantee,
+    QuotaAmount limit,
+    QuotaAmount used,
+    QuotaAmount stopping,
+    QuotaAmount promised,
+    QuotaAmount asked) {
   /** What the team goes on using once all that is stopping has ended. */
-  public Amount kept() {
+  public QuotaAmount kept() {
     return used.minus(stopping);
   }
 
   /** What it uses beyond its guarantee. */
-  public Amount borrowed() {
+  public QuotaAmount borrowed() {
     return guarantee.beyond(used);
   }
 
   /** What it asks for and is not given, as far as the guarantee covers it. */
-  public Amount lackedWithinGuarantee() {
-    return new Amount(
+  public QuotaAmount lackedWithinGuarantee() {
+    return new QuotaAmount(
         lacked(guarantee.gpus(), used.gpus(), asked.gpus()),
         lacked(guarantee.cpus(), used.cpus(), asked.cpus()));
   }
@@ -38,15 +38,15 @@
   }
 
   /** Whether work of this size fits into the guarantee beside all that is used and promised. */
-  public boolean coversAlso(Amount need) {
+  public boolean coversAlso(QuotaAmount need) {
     return guarantee.concerns(need) && guarantee.covers(used.plus(promised).plus(need));
   }
 
-  TeamAccount withStopped(Amount stopped) {
-    return new TeamAccount(team, guarantee, limit, used, stopping.plus(stopped), promised, asked);
+  TeamUsage withStopped(QuotaAmount stopped) {
+    return new TeamUsage(team, guarantee, limit, used, stopping.plus(stopped), promised, asked);
   }
 
-  TeamAccount withPromised(Amount more) {
-    return new TeamAccount(team, guarantee, limit, used, stopping, promised.plus(more), asked);
+  TeamUsage withPromised(QuotaAmount more) {
+    return new TeamUsage(team, guarantee, limit, used, stopping, promised.plus(more), asked);
   }
 }
--- a/src/main/java/eiderfork/core/lending/Preference.java
+++ b/src/main/java/eiderfork/controller/quota/VictimPreference.java
@@ -1,7 +1,7 @@
-package eiderfork.core.lending;
+package eiderfork.controller.quota;
 
 /** Which work is stopped first; the next kind only where the one before it makes no room. */
-public enum Preference {
+public enum VictimPreference {
   /** Batch work whose end leaves its team all of its guarantee. */
   BORROWED_BATCH,
   /**
--- a/src/main/java/eiderfork/core/limits/Backoff.java
+++ b/src/main/java/eiderfork/controller/ratelimit/Backoff.java
@@ -1,4 +1,4 @@
-package eiderfork.core.limits;
+package eiderfork.controller.ratelimit;
 
 import java.util.random.RandomGenerator;
 
--- a/src/main/java/eiderfork/core/limits/TokenBucket.java
+++ b/src/main/java/eiderfork/controller/ratelimit/TokenBucket.java
@@ -1,4 +1,4 @@
-package eiderfork.core.limits;
+package eiderfork.controller.ratelimit;
 
 /** The budget for one outside limit. */
 public final class TokenBucket {
--- a/src/main/java/eiderfork/core/state/JobPages.java
+++ b/src/main/java/eiderfork/controller/recovery/JobPageReader.java
@@ -1,14 +1,15 @@
-package eiderfork.core.state;
+package eiderfork.controller.recovery;
 
 import com.google.common.collect.ImmutableList;
-import eiderfork.core.message.Keys;
-import eiderfork.core.message.Reply;
+import eiderfork.controller.message.Reply;
+import eiderfork.controller.message.StoreKeys;
+import eiderfork.controller.store.RequestPriority;
 
 /**
  * Reads stored jobs a page at a time, each page with the alloc records of its jobs, so that a
  * reader can let go of what it has no use for before it reads on.
  */
-public final class JobPages {
+public final class JobPageReader {
   /**
    * A page of submissions, and the alloc records between the page before and this one's end.
    *
@@ -23,10 +24,10 @@
     void take(JobPage page);
   }
 
-  private final StateReader reader;
+  private final RangeReader reader;
 
   /** Makes a reader of jobs on one of ranges of keys. */
-  public JobPages(StateReader reader) {
+  public JobPageReader(RangeReader reader) {
     this.reader = reader;
   }
 
@@ -36,16 +37,16 @@
    * @param after the id of the job after which the page begins; empty for the first page
    * @param number the term in which this node leads
    */
-  public void read(String after, long number, Urgency urgency, Taker taker) {
+  public void read(String after, long number, RequestPriority urgency, Taker taker) {
     reader.page(
-        Keys.JOB,
-        keyAfter(Keys.JOB, after),
+        StoreKeys.JOB,
+        keyAfter(StoreKeys.JOB, after),
         number,
         urgency,
         page -> {
           String last = null;
           if (page.more()) {
-            last = Keys.tail(page.items().get(page.items().size() - 1).key());
+            last = StoreKeys.tail(page.items().get(page.items().size() - 1).key());
           }
           readAllocs(page.items(), after, last, ImmutableList.builder(), number, urgency, taker);
         });
@@ -61,17 +62,17 @@
       String last,
       ImmutableList.Builder<Reply.Item> allocs,
       long number,
-      Urgency urgency,
+      RequestPriority urgency,
       Taker taker) {
     reader.page(
-        Keys.ALLOC,
-        keyAfter(Keys.ALLOC, after),
+        StoreKeys.ALLOC,
+        keyAfter(StoreKeys.ALLOC, after),
         number,
         urgency,
         page -> {
           String uid = after;
           for (Reply.Item item : page.items()) {
-            uid = Keys.tail(item.key());
+            uid = StoreKeys.tail(item.key());
             if (last == null || uid.compareTo(last) <= 0) {
               allocs.add(item);
             }
--- a/src/main/java/eiderfork/core/state/StateReader.java
+++ b/src/main/java/eiderfork/controller/recovery/RangeReader.java
@@ -1,9 +1,12 @@
-package eiderfork.core.state;
+package eiderfork.controller.recovery;
 
-import eiderfork.core.message.Keys;
-import eiderfork.core.message.Reply;
-import eiderfork.core.message.StateOp;
-import eiderfork.model.Record;
+import eiderfork.controller.election.LeaderElection;
+import eiderfork.controller.message.Reply;
+import eiderfork.controller.message.StoreKeys;
+import eiderfork.controller.message.StoreRequest;
+import eiderfork.controller.store.RequestPriority;
+import eiderfork.controller.store.StoreClient;
+import eiderfork.model.StoredRecord;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -12,13 +15,13 @@
 import java.util.function.LongConsumer;
 
 /** A leader's reads of whole ranges of keys. One that fails is tried again at the next tick. */
-public final class StateReader {
-  private final StateGate gate;
-  private final Term term;
+public final class RangeReader {
+  private final StoreClient gate;
+  private final LeaderElection term;
   private final List<Runnable> again = new ArrayList<>();
 
   /** Makes a reader that reads while this node leads. */
-  public StateReader(StateGate gate, Term term) {
+  public RangeReader(StoreClient gate, LeaderElection term) {
     this.gate = gate;
     this.term = term;
   }
@@ -57,7 +60,7 @@
         prefix,
         after,
         number,
-        Urgency.START,
+        RequestPriority.START,
         page -> {
           page.items().forEach(taker);
           if (page.more()) {
@@ -71,9 +74,13 @@
 
   /** Reads one page of the keys under a prefix, as often as it takes while this node leads. */
   public void page(
-      String prefix, String after, long number, Urgency urgency, Consumer<Reply.Page> taker) {
+      String prefix,
+      String after,
+      long number,
+      RequestPriority urgency,
+      Consumer<Reply.Page> taker) {
     gate.send(
-        new StateOp.Scan(prefix, after),
+        new StoreRequest.Scan(prefix, after),
         urgency,
         reply -> {
           if (!leads(number)) {
@@ -92,11 +99,11 @@
     Set<String> names = new HashSet<>();
     boolean[] whole = {true};
     scan(
-        Keys.LEASE_PROXY,
+        StoreKeys.LEASE_PROXY,
         "",
         term.number(),
         item -> {
-          if (item.record() instanceof Record.ProxiedLeases it) {
+          if (item.record() instanceof StoredRecord.ProxiedLeases it) {
             names.addAll(it.machines());
           } else {
             whole[0] = false;
--- a/src/main/java/eiderfork/core/standby/HintStore.java
+++ b/src/main/java/eiderfork/controller/standby/MachineHintStore.java
@@ -1,7 +1,7 @@
-package eiderfork.core.standby;
+package eiderfork.controller.standby;
 
-import eiderfork.core.message.HintMessage;
-import eiderfork.core.message.MachineHint;
+import eiderfork.controller.message.MachineHint;
+import eiderfork.controller.message.MachineHintBatch;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.function.BiConsumer;
@@ -10,7 +10,7 @@
  * What the leader has told of machines beside what is committed. A hint may be old, lost or wrong;
  * it is used for better guesses alone.
  */
-public final class HintStore {
+public final class MachineHintStore {
   private record Told(MachineHint hint, long atMs) {}
 
   private final Map<String, Told> machines = new HashMap<>();
@@ -18,7 +18,7 @@
   private long lastNumber;
 
   /** Makes an empty store. */
-  public HintStore() {}
+  public MachineHintStore() {}
 
   /** Forgets everything. */
   public void clear() {
@@ -27,7 +27,7 @@
   }
 
   /** Takes a message of a leader; one that is older than the last says nothing. */
-  public void take(HintMessage message, long nowMs) {
+  public void take(MachineHintBatch message, long nowMs) {
     boolean newer =
         message.term() > term || message.term() == term && message.number() > lastNumber;
     if (!newer) {
