--- a/src/main/java/eiderfork/core/standby/RecordWeight.java
+++ b/src/main/java/eiderfork/controller/standby/RecordFootprint.java
@@ -1,11 +1,11 @@
-package eiderfork.core.standby;
+package eiderfork.controller.standby;
 
-import eiderfork.core.message.Reply;
+import eiderfork.controller.message.Reply;
 import eiderfork.model.Job;
-import eiderfork.model.Record;
+import eiderfork.model.StoredRecord;
 
 /** What a copied record takes of memory, as an estimate on the high side. */
-final class RecordWeight {
+final class RecordFootprint {
   /** The entry of a map, the item, and the key's text without its characters. */
   private static final int ITEM_BYTES = 160;
 
@@ -15,23 +15,23 @@
   private static final int NAME_BYTES = 64;
   private static final int OTHER_BYTES = 128;
 
-  private RecordWeight() {}
+  private RecordFootprint() {}
 
   /** The bytes that an item takes. */
   static long bytes(Reply.Item item) {
     return ITEM_BYTES + item.key().length() + bytes(item.record());
   }
 
-  private static long bytes(Record record) {
-    if (record instanceof Record.JobSpec it) {
+  private static long bytes(StoredRecord record) {
+    if (record instanceof StoredRecord.JobSpec it) {
       return JOB_BYTES + texts(it.job());
     }
-    if (record instanceof Record.Alloc it) {
+    if (record instanceof StoredRecord.Alloc it) {
       return OTHER_BYTES
           + (long) SPAN_BYTES * it.reserved().size()
           + (long) RANGE_BYTES * it.finished().size();
     }
-    if (record instanceof Record.Return it) {
+    if (record instanceof StoredRecord.Return it) {
       return OTHER_BYTES + (long) NAME_BYTES * it.machines().size();
     }
     return OTHER_BYTES;
--- a/src/main/java/eiderfork/core/standby/BrokenCopy.java
+++ b/src/main/java/eiderfork/controller/standby/ReplicaInvalidException.java
@@ -1,10 +1,10 @@
-package eiderfork.core.standby;
+package eiderfork.controller.standby;
 
 /** The copy can't be proved to be what is committed; the message says why. */
-final class BrokenCopy extends Exception {
+final class ReplicaInvalidException extends Exception {
   private static final long serialVersionUID = 1;
 
-  BrokenCopy(String why) {
+  ReplicaInvalidException(String why) {
     super(why);
   }
 }
--- a/src/main/java/eiderfork/core/standby/CopiedRange.java
+++ b/src/main/java/eiderfork/controller/standby/ReplicatedRange.java
@@ -1,12 +1,12 @@
-package eiderfork.core.standby;
+package eiderfork.controller.standby;
 
-import eiderfork.core.message.Reply;
-import eiderfork.model.Record;
+import eiderfork.controller.message.Reply;
+import eiderfork.model.StoredRecord;
 import java.util.Collection;
 import java.util.TreeMap;
 
 /** The keys under one prefix as of a revision: read once, then kept by the answers of watches. */
-final class CopiedRange {
+final class ReplicatedRange {
   private static final long NOT_READ = -1;
 
   private final String prefix;
@@ -16,7 +16,7 @@
   private long caughtUpMs;
   private long bytes;
 
-  CopiedRange(String prefix) {
+  ReplicatedRange(String prefix) {
     this.prefix = prefix;
   }
 
@@ -62,9 +62,9 @@
    * Takes a page of the first read. What changes while pages are read comes again with the watch
    * that follows on the first page.
    *
-   * @throws BrokenCopy where it holds what can't be read
+   * @throws ReplicaInvalidException where it holds what can't be read
    */
-  void take(Reply.Page page, long askedMs) throws BrokenCopy {
+  void take(Reply.Page page, long askedMs) throws ReplicaInvalidException {
     if (revision == NOT_READ) {
       revision = page.revision();
       caughtUpMs = askedMs;
@@ -78,18 +78,19 @@
   /**
    * Takes the answer of a watch for what came after a revision.
    *
-   * @throws BrokenCopy where the answer does not follow on what was taken
+   * @throws ReplicaInvalidException where the answer does not follow on what was taken
    */
-  void take(Reply.Changes changes, long after, long askedMs) throws BrokenCopy {
+  void take(Reply.Changes changes, long after, long askedMs) throws ReplicaInvalidException {
     // An answer from before a page was read would set back what the page had.
     if (after != revision || changes.revision() < Math.max(after, newestPage)) {
-      throw new BrokenCopy("an answer for " + prefix + " does not follow on the one before");
+      throw new ReplicaInvalidException(
+          "an answer for " + prefix + " does not follow on the one before");
     }
     long last = after;
     for (Reply.Item change : changes.items()) {
       boolean follows = change.version() > after && change.version() >= last;
       if (!follows || change.version() > changes.revision()) {
-        throw new BrokenCopy("changes of " + prefix + " are out of order");
+        throw new ReplicaInvalidException("changes of " + prefix + " are out of order");
       }
       last = change.version();
       apply(change);
@@ -98,7 +99,7 @@
     caughtUpMs = askedMs;
   }
 
-  private void apply(Reply.Item change) throws BrokenCopy {
+  private void apply(Reply.Item change) throws ReplicaInvalidException {
     if (change.record() == null) {
       remove(change.key());
     } else {
@@ -106,19 +107,19 @@
     }
   }
 
-  private void put(Reply.Item item) throws BrokenCopy {
-    if (item.record() instanceof Record.Unreadable it) {
-      throw new BrokenCopy(item.key() + " can't be read: " + it.why());
+  private void put(Reply.Item item) throws ReplicaInvalidException {
+    if (item.record() instanceof StoredRecord.Unreadable it) {
+      throw new ReplicaInvalidException(item.key() + " can't be read: " + it.why());
     }
     remove(item.key());
     items.put(item.key(), item);
-    bytes += RecordWeight.bytes(item);
+    bytes += RecordFootprint.bytes(item);
   }
 
   private void remove(String key) {
     Reply.Item removed = items.remove(key);
     if (removed != null) {
-      bytes -= RecordWeight.bytes(removed);
+      bytes -= RecordFootprint.bytes(removed);
     }
   }
 }
--- a/src/main/java/eiderfork/core/standby/Standby.java
+++ b/src/main/java/eiderfork/controller/standby/Standby.java
@@ -1,8 +1,8 @@
-package eiderfork.core.standby;
+package eiderfork.controller.standby;
 
 import com.google.common.collect.ImmutableList;
-import eiderfork.core.context.Context;
-import eiderfork.core.state.Term;
+import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.election.LeaderElection;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -12,10 +12,10 @@
 
   private static final long TELL_MS = 60_000;
 
-  private final Context context;
-  private final Term term;
-  private final CommittedCopy copy;
-  private final HintStore hints = new HintStore();
+  private final ControllerContext context;
+  private final LeaderElection term;
+  private final StandbyReplica copy;
+  private final MachineHintStore hints = new MachineHintStore();
 
   /** The node that led last, as far as known; null before the first. */
   private String lastLeader;
@@ -23,7 +23,7 @@
   private long tellNextMs;
 
   /** Makes a node that stands by where the operators' settings want it. */
-  public Standby(Context context, Term term, CommittedCopy copy) {
+  public Standby(ControllerContext context, LeaderElection term, StandbyReplica copy) {
     this.context = context;
     this.term = term;
     this.copy = copy;
@@ -36,7 +36,7 @@
 
   /** The nodes that stand by for this leader. */
   public ImmutableList<String> of(String leader) {
-    return StandbyOrder.of(context.settings, leader);
+    return StandbyRanking.of(context.settings, leader);
   }
 
   /** Whether a vacant lead is another's before it is this node's. */
@@ -48,12 +48,12 @@
   }
 
   /** The copy of what is committed. */
-  public CommittedCopy copy() {
+  public StandbyReplica copy() {
     return copy;
   }
 
   /** What the leader has told. */
-  public HintStore hints() {
+  public MachineHintStore hints() {
     return hints;
   }
 
--- a/src/main/java/eiderfork/core/standby/StandbyOrder.java
+++ b/src/main/java/eiderfork/controller/standby/StandbyRanking.java
@@ -1,8 +1,8 @@
-package eiderfork.core.standby;
+package eiderfork.controller.standby;
 
 import com.google.common.collect.ImmutableList;
 import eiderfork.config.Settings;
-import eiderfork.core.state.NodeOrder;
+import eiderfork.controller.election.CandidateOrder;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -10,12 +10,12 @@
  * Which nodes stand by for a leader: the ones behind it in the order of nodes, those of other zones
  * first, so that a zone that fails does not take both. Every node finds the same from its settings.
  */
-public final class StandbyOrder {
-  private StandbyOrder() {}
+public final class StandbyRanking {
+  private StandbyRanking() {}
 
   /** The nodes that stand by for this leader, the first one in front. */
   public static ImmutableList<String> of(Settings settings, String leader) {
-    List<String> nodes = NodeOrder.of(settings).nodes();
+    List<String> nodes = CandidateOrder.of(settings).nodes();
     int at = nodes.indexOf(leader);
     if (at < 0) {
       return ImmutableList.of();
--- a/src/main/java/eiderfork/core/standby/CommittedCopy.java
+++ b/src/main/java/eiderfork/controller/standby/StandbyReplica.java
@@ -1,12 +1,12 @@
-package eiderfork.core.standby;
+package eiderfork.controller.standby;
 
 import com.google.common.collect.ImmutableList;
-import eiderfork.core.context.Context;
-import eiderfork.core.message.Keys;
-import eiderfork.core.message.Reply;
-import eiderfork.core.message.StateOp;
-import eiderfork.core.state.StateGate;
-import eiderfork.core.state.Urgency;
+import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.message.Reply;
+import eiderfork.controller.message.StoreKeys;
+import eiderfork.controller.message.StoreRequest;
+import eiderfork.controller.store.RequestPriority;
+import eiderfork.controller.store.StoreClient;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.LinkedHashMap;
@@ -26,13 +26,19 @@
  * peers may write at any time, submissions and cancellations, is followed as by any leader. Where
  * anything is missing from the sequence the copy is dropped, and everything is read instead.
  */
-public final class CommittedCopy {
-  private static final Logger LOG = LoggerFactory.getLogger(CommittedCopy.class);
+public final class StandbyReplica {
+  private static final Logger LOG = LoggerFactory.getLogger(StandbyReplica.class);
 
   /** In the order in which a new leader takes them up. */
   private static final ImmutableList<String> PREFIXES =
       ImmutableList.of(
-          Keys.ABORT, Keys.VERSION, Keys.TYPES, Keys.JOB, Keys.ALLOC, Keys.RENT, Keys.RETURN);
+          StoreKeys.ABORT,
+          StoreKeys.VERSION,
+          StoreKeys.TYPES,
+          StoreKeys.JOB,
+          StoreKeys.ALLOC,
+          StoreKeys.RENT,
+          StoreKeys.RETURN);
 
   /** The share of the state service's rate of requests that the watches may take. */
   private static final double REQUEST_SHARE = 0.05;
@@ -61,9 +67,9 @@
 
   private record Later(long atMs, Runnable what) {}
 
-  private final Context context;
-  private final StateGate gate;
-  private final Map<String, CopiedRange> ranges = new LinkedHashMap<>();
+  private final ControllerContext context;
+  private final StoreClient gate;
+  private final Map<String, ReplicatedRange> ranges = new LinkedHashMap<>();
   private final List<Later> later = new ArrayList<>();
   private Phase phase = Phase.NONE;
   private long generation;
@@ -71,7 +77,7 @@
   private String droppedWhy = "never read";
 
   /** Makes a copy that holds nothing. */
-  public CommittedCopy(Context context, StateGate gate) {
+  public StandbyReplica(ControllerContext context, StoreClient gate) {
     this.context = context;
     this.gate = gate;
   }
@@ -87,7 +93,7 @@
       LOG.info("a copy of what is committed is read");
       generation++;
       phase = Phase.READING;
-      PREFIXES.forEach(prefix -> ranges.put(prefix, new CopiedRange(prefix)));
+      PREFIXES.forEach(prefix -> ranges.put(prefix, new ReplicatedRange(prefix)));
       read(0, "", generation);
     }
   }
@@ -140,11 +146,11 @@
   // Reading.
 
   private void read(int at, String after, long of) {
-    CopiedRange range = ranges.get(PREFIXES.get(at));
+    ReplicatedRange range = ranges.get(PREFIXES.get(at));
     long askedMs = context.nowMs;
     gate.send(
-        new StateOp.Scan(range.prefix(), after),
-        Urgency.CLEANUP,
+        new StoreRequest.Scan(range.prefix(), after),
+        RequestPriority.CLEANUP,
         reply -> {
           if (of != generation) {
             return;
@@ -156,7 +162,7 @@
           try {
             range.take(page, askedMs);
             checkMemory();
-          } catch (BrokenCopy e) {
+          } catch (ReplicaInvalidException e) {
             broken(e.getMessage());
             return;
           }
@@ -174,12 +180,12 @@
 
   // Following.
 
-  private void follow(CopiedRange range, long of) {
+  private void follow(ReplicatedRange range, long of) {
     long askedMs = context.nowMs;
     long after = range.revision();
     gate.send(
-        new StateOp.Watch(range.prefix(), after, WATCH_STEPS * context.stepMs()),
-        Urgency.CLEANUP,
+        new StoreRequest.Watch(range.prefix(), after, WATCH_STEPS * context.stepMs()),
+        RequestPriority.CLEANUP,
         reply -> {
           if (of != generation) {
             return;
@@ -190,7 +196,7 @@
             } else {
               checkKept(range, reply);
             }
-          } catch (BrokenCopy e) {
+          } catch (ReplicaInvalidException e) {
             broken(e.getMessage());
             return;
           }
@@ -198,26 +204,27 @@
         });
   }
 
-  private void takeChanges(CopiedRange range, Reply.Changes changes, long after, long askedMs)
-      throws BrokenCopy {
-    if (range.prefix().equals(Keys.VERSION) && !changes.items().isEmpty()) {
+  private void takeChanges(ReplicatedRange range, Reply.Changes changes, long after, long askedMs)
+      throws ReplicaInvalidException {
+    if (range.prefix().equals(StoreKeys.VERSION) && !changes.items().isEmpty()) {
       // Records of a form that came with it may be in what was read before.
-      throw new BrokenCopy("the cluster's version has moved");
+      throw new ReplicaInvalidException("the cluster's version has moved");
     }
     range.take(changes, after, askedMs);
     checkMemory();
   }
 
-  private static void checkKept(CopiedRange range, Reply reply) throws BrokenCopy {
-    if (StateGate.mustReadAnew(reply)) {
-      throw new BrokenCopy("changes of " + range.prefix() + " are not to be had any more");
+  private static void checkKept(ReplicatedRange range, Reply reply) throws ReplicaInvalidException {
+    if (StoreClient.mustReadAnew(reply)) {
+      throw new ReplicaInvalidException(
+          "changes of " + range.prefix() + " are not to be had any more");
     }
   }
 
-  private void checkMemory() throws BrokenCopy {
+  private void checkMemory() throws ReplicaInvalidException {
     double mostMb = context.settings.controller().memoryMb() * MEMORY_SHARE;
     if (memoryMb() > mostMb) {
-      throw new BrokenCopy("it takes more than " + Math.round(mostMb) + " MB");
+      throw new ReplicaInvalidException("it takes more than " + Math.round(mostMb) + " MB");
     }
   }
 
@@ -234,18 +241,18 @@
     later.clear();
     phase = Phase.CATCHING_UP;
     int[] open = {ranges.size()};
-    for (CopiedRange range : ranges.values()) {
+    for (ReplicatedRange range : ranges.values()) {
       catchUp(range, atLeast, generation, open, then);
     }
   }
 
   private void catchUp(
-      CopiedRange range, long atLeast, long of, int[] open, Consumer<Boolean> then) {
+      ReplicatedRange range, long atLeast, long of, int[] open, Consumer<Boolean> then) {
     long askedMs = context.nowMs;
     long after = range.revision();
     gate.send(
-        new StateOp.Watch(range.prefix(), after, 0),
-        Urgency.START,
+        new StoreRequest.Watch(range.prefix(), after, 0),
+        RequestPriority.START,
         reply -> {
           if (of != generation) {
             return;
@@ -256,7 +263,7 @@
             } else {
               checkKept(range, reply);
             }
-          } catch (BrokenCopy e) {
+          } catch (ReplicaInvalidException e) {
             broken(e.getMessage());
             then.accept(false);
             return;
@@ -291,12 +298,12 @@
 
   /** Every change of every range up to this revision has been taken. */
   public long revision() {
-    return ranges.values().stream().mapToLong(CopiedRange::revision).min().orElse(0);
+    return ranges.values().stream().mapToLong(ReplicatedRange::revision).min().orElse(0);
   }
 
   /** What the copy takes of memory, as an estimate on the high side. */
   public double memoryMb() {
-    return ranges.values().stream().mapToLong(CopiedRange::bytes).sum() / MB;
+    return ranges.values().stream().mapToLong(ReplicatedRange::bytes).sum() / MB;
   }
 
   /** How the copy stands, for an operator. */
@@ -304,8 +311,8 @@
     if (phase != Phase.FOLLOWING) {
       return phase == Phase.NONE ? "none, " + droppedWhy : "being read";
     }
-    int keys = ranges.values().stream().mapToInt(CopiedRange::size).sum();
-    long oldestMs = ranges.values().stream().mapToLong(CopiedRange::caughtUpMs).min().orElse(0);
+    int keys = ranges.values().stream().mapToInt(ReplicatedRange::size).sum();
+    long oldestMs = ranges.values().stream().mapToLong(ReplicatedRange::caughtUpMs).min().orElse(0);
     return String.format(
         java.util.Locale.ROOT,
         "%d keys at revision %d, %.1f s behind, %.1f MB",
--- a/src/main/java/eiderfork/core/state/ReadBarrier.java
+++ b/src/main/java/eiderfork/controller/store/ReadBarrier.java
@@ -1,9 +1,9 @@
-package eiderfork.core.state;
+package eiderfork.controller.store;
 
-import eiderfork.core.context.Context;
-import eiderfork.core.message.Keys;
-import eiderfork.core.message.Reply;
-import eiderfork.core.message.StateOp;
+import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.message.Reply;
+import eiderfork.controller.message.StoreKeys;
+import eiderfork.controller.message.StoreRequest;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
@@ -16,8 +16,8 @@
  * request serves every question that waits.
  */
 public final class ReadBarrier {
-  private final Context context;
-  private final StateGate gate;
+  private final ControllerContext context;
+  private final StoreClient gate;
   private final Consumer<Reply.Item> taker;
   private final LongConsumer caughtUpTo;
   private List<Consumer<Boolean>> waiting = new ArrayList<>();
@@ -30,7 +30,10 @@
    * @param caughtUpTo takes the moment of which all cancellations have been taken
    */
   public ReadBarrier(
-      Context context, StateGate gate, Consumer<Reply.Item> taker, LongConsumer caughtUpTo) {
+      ControllerContext context,
+      StoreClient gate,
+      Consumer<Reply.Item> taker,
+      LongConsumer caughtUpTo) {
     this.context = context;
     this.gate = gate;
     this.taker = taker;
@@ -71,8 +74,8 @@
     List<Consumer<Boolean>> served = waiting;
     waiting = new ArrayList<>();
     gate.send(
-        new StateOp.Watch(Keys.ABORT, revision, 0),
-        Urgency.SUBMIT,
+        new StoreRequest.Watch(StoreKeys.ABORT, revision, 0),
+        RequestPriority.SUBMIT,
         reply -> {
           boolean caughtUp = of == round && reply instanceof Reply.Changes;
           if (caughtUp) {
--- a/src/main/java/eiderfork/core/state/Urgency.java
+++ b/src/main/java/eiderfork/controller/store/RequestPriority.java
@@ -1,7 +1,7 @@
-package eiderfork.core.state;
+package eiderfork.controller.store;
 
 /** In what order calls to the state service go out when not all can. */
-public enum Urgency {
+public enum RequestPriority {
   /** Grants and renewals of leases, elections, and what holds leases. */
   LEASE,
   /** Cancellations by users. */
--- a/src/main/java/eiderfork/core/state/StateGate.java
+++ b/src/main/java/eiderfork/controller/store/StoreClient.java
@@ -1,11 +1,11 @@
-package eiderfork.core.state;
+package eiderfork.controller.store;
 
 import eiderfork.config.Settings;
-import eiderfork.core.context.Context;
-import eiderfork.core.limits.TokenBucket;
-import eiderfork.core.message.Effect;
-import eiderfork.core.message.Reply;
-import eiderfork.core.message.StateOp;
+import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.message.Effect;
+import eiderfork.controller.message.Reply;
+import eiderfork.controller.message.StoreRequest;
+import eiderfork.controller.ratelimit.TokenBucket;
 import java.util.ArrayDeque;
 import java.util.EnumMap;
 import java.util.LongSummaryStatistics;
@@ -16,8 +16,8 @@
 import org.slf4j.LoggerFactory;
 
 /** The way to the state service: keeps its limits, the most urgent call first. */
-public final class StateGate {
-  private static final Logger LOG = LoggerFactory.getLogger(StateGate.class);
+public final class StoreClient {
+  private static final Logger LOG = LoggerFactory.getLogger(StoreClient.class);
 
   /** A slow answer takes a few hundred milliseconds; past this many steps it is lost. */
   private static final double TIMEOUT_STEPS = 1.5;
@@ -31,30 +31,31 @@
    */
   private static final double LEADER_REQUESTS = 0.5;
 
-  private record Waiting(StateOp op, int writes, long sinceMs, Consumer<Reply> then) {}
+  private record Waiting(StoreRequest op, int writes, long sinceMs, Consumer<Reply> then) {}
 
-  private final Context context;
+  private final ControllerContext context;
   private final TokenBucket requests;
   private final TokenBucket writes;
-  private final Map<Urgency, Queue<Waiting>> queues = new EnumMap<>(Urgency.class);
+  private final Map<RequestPriority, Queue<Waiting>> queues = new EnumMap<>(RequestPriority.class);
 
   /** How long the writes of each urgency waited for their turn since this was last told. */
-  private final Map<Urgency, LongSummaryStatistics> waits = new EnumMap<>(Urgency.class);
+  private final Map<RequestPriority, LongSummaryStatistics> waits =
+      new EnumMap<>(RequestPriority.class);
 
   /** Whether the service has been seen to hold to the lower limits that the settings announce. */
   private boolean lowered;
 
   private boolean leading;
 
-  private final int[] queuedWrites = new int[Urgency.values().length];
+  private final int[] queuedWrites = new int[RequestPriority.values().length];
   private long lastServedMs;
 
   /** Makes the way to the state service of a node that follows. */
-  public StateGate(Context context) {
+  public StoreClient(ControllerContext context) {
     this.context = context;
     requests = new TokenBucket(1, 1, context.nowMs);
     writes = new TokenBucket(1, 1, context.nowMs);
-    for (Urgency urgency : Urgency.values()) {
+    for (RequestPriority urgency : RequestPriority.values()) {
       queues.put(urgency, new ArrayDeque<>());
       waits.put(urgency, new LongSummaryStatistics());
     }
@@ -92,15 +93,15 @@
   }
 
   /** Sends an operation once its turn has come, and has {@code then} take its reply. */
-  public void send(StateOp op, Urgency urgency, Consumer<Reply> then) {
-    int cost = op instanceof StateOp.Transact t ? t.changes().size() : 0;
+  public void send(StoreRequest op, RequestPriority urgency, Consumer<Reply> then) {
+    int cost = op instanceof StoreRequest.Transact t ? t.changes().size() : 0;
     queues.get(urgency).add(new Waiting(op, cost, context.nowMs, then));
     queuedWrites[urgency.ordinal()] += cost;
     pump();
   }
 
   /** How long a write of this urgency would wait for its turn. */
-  public long waitMs(Urgency urgency) {
+  public long waitMs(RequestPriority urgency) {
     double ahead = 0;
     for (int i = 0; i <= urgency.ordinal(); i++) {
       ahead += queuedWrites[i];
@@ -154,11 +155,11 @@
 
   /** Sends what waits, as far as the limits allow now. */
   public void pump() {
-    for (Map.Entry<Urgency, Queue<Waiting>> entry : queues.entrySet()) {
+    for (Map.Entry<RequestPriority, Queue<Waiting>> entry : queues.entrySet()) {
       Queue<Waiting> queue = entry.getValue();
       while (!queue.isEmpty()) {
         Waiting next = queue.peek();
-        boolean lease = entry.getKey() == Urgency.LEASE;
+        boolean lease = entry.getKey() == RequestPriority.LEASE;
         // A lease renewal goes out whatever the budget says: without the lease nothing else does.
         if (!lease && !requests.has(1, context.nowMs)) {
           return;
@@ -179,7 +180,7 @@
 
   private void dispatch(Waiting waiting) {
     long timeout = (long) (context.stepMs() * TIMEOUT_STEPS);
-    if (waiting.op instanceof StateOp.Watch watch) {
+    if (waiting.op instanceof StoreRequest.Watch watch) {
       timeout += watch.waitMs();
     }
     long timeoutMs = timeout;
@@ -191,7 +192,7 @@
         });
   }
 
-  private void note(StateOp op, Reply reply) {
+  private void note(StoreRequest op, Reply reply) {
     boolean refused = reply instanceof Reply.Refused it && (it.status() == 503 || it.isOverLimit());
     noteLowered(op, reply);
     if (refused && ((Reply.Refused) reply).isOverLimit()) {
@@ -208,9 +209,9 @@
    * refused for its size or rate tells that the lower ones are in force. A lease that has ended is
    * refused in the same way, and tells nothing.
    */
-  private void noteLowered(StateOp op, Reply reply) {
+  private void noteLowered(StoreRequest op, Reply reply) {
     if (lowered
-        || !(op instanceof StateOp.Transact transact)
+        || !(op instanceof StoreRequest.Transact transact)
         || !(reply instanceof Reply.Refused refused)) {
       return;
     }
--- a/src/main/java/eiderfork/core/limits/package-info.java
+++ /dev/null
@@ -1,2 +0,0 @@
-/** Limits on rates, and pauses between tries. */
-package eiderfork.core.limits;
--- a/src/main/java/eiderfork/scale/ByteCounter.java
+++ b/src/main/java/eiderfork/loadtest/ByteCounter.java
@@ -1,4 +1,4 @@
-package eiderfork.scale;
+package eiderfork.loadtest;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelDuplexHandler;
--- a/src/main/java/eiderfork/scale/CellCounters.java
+++ b/src/main/java/eiderfork/loadtest/CellCounters.java
@@ -1,4 +1,4 @@
-package eiderfork.scale;
+package eiderfork.loadtest;
 
 /** What happened in a cell since the run began; written by the cell's own thread alone. */
 final class CellCounters implements Cloneable {
--- a/src/main/java/eiderfork/scale/CellPlan.java
+++ b/src/main/java/eiderfork/loadtest/CellLayout.java
@@ -1,4 +1,4 @@
-package eiderfork.scale;
+package eiderfork.loadtest;
 
 import com.google.common.collect.ImmutableList;
 import com.google.common.collect.ImmutableMap;
@@ -7,16 +7,16 @@
 import eiderfork.model.Team;
 
 /** What a cell consists of by the run's file: its zones, machine types and teams. */
-final class CellPlan {
+final class CellLayout {
   /** A team's limit and guarantee, as multiples of an equal share of the cell. */
   private static final double LIMIT_SHARES = 2;
 
   private static final double GUARANTEE_SHARES = 0.5;
 
-  private final ScaleSettings run;
+  private final LoadTestSettings run;
   private final int number;
 
-  CellPlan(ScaleSettings run, int number) {
+  CellLayout(LoadTestSettings run, int number) {
     this.run = run;
     this.number = number;
   }
@@ -33,7 +33,7 @@
       zones.add(zone(i));
     }
     ImmutableList.Builder<MachineType> types = ImmutableList.builder();
-    for (ScaleSettings.MachineKind it : run.machineTypes()) {
+    for (LoadTestSettings.MachineKind it : run.machineTypes()) {
       types.add(
           new MachineType(
               it.name(),
@@ -52,7 +52,7 @@
   ImmutableMap<String, Team> teams() {
     double cpus = 0;
     double gpus = 0;
-    for (ScaleSettings.MachineKind it : run.machineTypes()) {
+    for (LoadTestSettings.MachineKind it : run.machineTypes()) {
       cpus += it.cpus() * it.share() * run.cells().workers();
       gpus += it.gpus() * it.share() * run.cells().workers();
     }
--- a/src/main/java/eiderfork/scale/ControllerSettings.java
+++ b/src/main/java/eiderfork/loadtest/ControllerSettingsWriter.java
@@ -1,4 +1,4 @@
-package eiderfork.scale;
+package eiderfork.loadtest;
 
 import eiderfork.config.Settings.Endpoint;
 import eiderfork.model.Team;
@@ -7,17 +7,17 @@
 import java.util.Locale;
 
 /** Writes the platform's settings file for the controllers of a cell. */
-final class ControllerSettings {
+final class ControllerSettingsWriter {
   /** Sockets beside one for each worker. */
   private static final int SPARE_SOCKETS = 6000;
 
   /** A controller with its zone and addresses. */
   record Member(String name, String zone, Endpoint publicAddress, Endpoint peerAddress) {}
 
-  private ControllerSettings() {}
+  private ControllerSettingsWriter() {}
 
   static String of(
-      ScaleSettings run,
+      LoadTestSettings run,
       List<Member> members,
       int self,
       Endpoint state,
@@ -64,7 +64,7 @@
     text.append("[deployment.resources]\n");
     // Nothing holds the process to its share of a core.
     put(text, "cpu_share", 1.0);
-    put(text, "memory_mb", MachineLimits.controllerMb(run.cells().workers()));
+    put(text, "memory_mb", HostResourceLimits.controllerMb(run.cells().workers()));
     text.append("sockets = ").append(run.cells().workers() + SPARE_SOCKETS).append('\n');
     return text.toString();
   }
--- a/src/main/java/eiderfork/scale/CpuTimes.java
+++ b/src/main/java/eiderfork/loadtest/CpuTimes.java
@@ -1,4 +1,4 @@
-package eiderfork.scale;
+package eiderfork.loadtest;
 
 import java.io.IOException;
 import java.nio.file.Files;
--- a/src/main/java/eiderfork/scale/Cell.java
+++ b/src/main/java/eiderfork/loadtest/EmulatedCell.java
@@ -1,4 +1,4 @@
-package eiderfork.scale;
+package eiderfork.loadtest;
 
 import com.google.common.collect.ImmutableMap;
 import eiderfork.config.Settings.Endpoint;
@@ -37,7 +37,7 @@
  * A region: its controllers' processes, and on one thread its emulated state service, cloud,
  * workers and users. Fields without a word on it belong to that thread.
  */
-final class Cell implements EmulatedCloud.Machines {
+final class EmulatedCell implements EmulatedCloud.Machines {
   private static final int BACKLOG = 4096;
   private static final long TICK_MS = 50;
   private static final long SECOND_MS = 1000;
@@ -73,8 +73,8 @@
   final EventLoop loop;
   final UniformRandomProvider random;
   final CellCounters counters = new CellCounters();
-  final Catalogue catalogue = new Catalogue();
-  final SafetyChecker checker;
+  final JobCatalog catalogue = new JobCatalog();
+  final InvariantChecker checker;
   final ByteCounter workerBytes = new ByteCounter(counters);
   final Histogram startMs = new Histogram(MOST_MS, 3);
   final Histogram urgentStartMs = new Histogram(MOST_MS, 3);
@@ -86,18 +86,18 @@
 
   final List<RecoveryTimer> recoveries = new ArrayList<>();
 
-  private final ScaleSettings settings;
+  private final LoadTestSettings settings;
   private final MultiThreadIoEventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private final List<ControllerProcess> controllers = new ArrayList<>();
   private final Map<String, Integer> controllerIndex = new HashMap<>();
-  private final EmulatedState state;
+  private final EmulatedStore state;
   private final EmulatedCloud cloud;
   private final EmulatedUsers users;
-  private final CellPlan plan;
+  private final CellLayout plan;
   private final ImmutableMap<String, Team> teams;
-  private final Map<String, HollowWorker> workers = new LinkedHashMap<>();
-  private final Map<String, HollowWorker> byAddress = new HashMap<>();
+  private final Map<String, EmulatedWorker> workers = new LinkedHashMap<>();
+  private final Map<String, EmulatedWorker> byAddress = new HashMap<>();
   private final Deque<String> freeAddresses = new ArrayDeque<>();
   private final Map<String, Standing> standing = new HashMap<>();
   private final Map<String, BitSet> everStarted = new HashMap<>();
@@ -108,15 +108,15 @@
   private long loadBeganMs = Long.MAX_VALUE;
   private long lastTickMs;
 
-  Cell(ScaleSettings settings, int number) {
+  EmulatedCell(LoadTestSettings settings, int number) {
     this.settings = settings;
     this.number = number;
     loop = group.next();
     random = RandomSource.XO_RO_SHI_RO_128_PP.create(settings.seed() * 1000 + number);
-    plan = new CellPlan(settings, number);
+    plan = new CellLayout(settings, number);
     teams = plan.teams();
-    checker = new SafetyChecker((long) (1000 * settings.workers().cancelS()), teams);
-    state = new EmulatedState(settings.state(), loop, random, counters);
+    checker = new InvariantChecker((long) (1000 * settings.workers().cancelS()), teams);
+    state = new EmulatedStore(settings.state(), loop, random, counters);
     cloud = new EmulatedCloud(settings, plan.types(), loop, random, counters, this);
     users = new EmulatedUsers(this, settings);
   }
@@ -133,17 +133,18 @@
     for (int i = 0; i < addresses; i++) {
       listenForWorker(any);
     }
-    List<ControllerSettings.Member> members = new ArrayList<>();
+    List<ControllerSettingsWriter.Member> members = new ArrayList<>();
     for (int i = 0; i < settings.cells().controllers(); i++) {
       String zone = plan.zone(i % settings.cells().zones());
       members.add(
-          new ControllerSettings.Member(
+          new ControllerSettingsWriter.Member(
               "region-" + number + "-controller-" + i, zone, ports.next(), ports.next()));
     }
     for (int i = 0; i < members.size(); i++) {
-      ControllerSettings.Member member = members.get(i);
+      ControllerSettingsWriter.Member member = members.get(i);
       String text =
-          ControllerSettings.of(settings, members, i, stateAddress, cloudAddress, teams.values());
+          ControllerSettingsWriter.of(
+              settings, members, i, stateAddress, cloudAddress, teams.values());
       controllers.add(
           new ControllerProcess(
               member.name(), member.zone(), member.publicAddress(), directory, command, text));
@@ -158,7 +159,7 @@
     HttpServer server =
         new HttpServer(
             exchange -> {
-              HollowWorker worker = byAddress.get(address[0]);
+              EmulatedWorker worker = byAddress.get(address[0]);
               if (worker != null) {
                 worker.handle(exchange);
               }
@@ -176,7 +177,7 @@
   void begin() {
     loop.execute(
         () -> {
-          loadBeganMs = Clock.nowMs();
+          loadBeganMs = SteadyClock.nowMs();
           users.begin();
         });
     loop.scheduleWithFixedDelay(this::tick, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
@@ -194,9 +195,9 @@
   // On the cell's thread.
 
   private void tick() {
-    users.tick((Clock.nowMs() - loadBeganMs) / 1000.0);
+    users.tick((SteadyClock.nowMs() - loadBeganMs) / 1000.0);
     state.tick();
-    long nowMs = Clock.nowMs();
+    long nowMs = SteadyClock.nowMs();
     if (lastTickMs > 0) {
       lagMs.recordValue(Math.max(0, nowMs - lastTickMs - TICK_MS));
     }
@@ -207,14 +208,14 @@
 
   private void second() {
     users.probeAll();
-    checker.tick(Clock.nowMs());
+    checker.tick(SteadyClock.nowMs());
   }
 
   /** Which controller most workers report to. */
   int leader() {
     int[] votes = new int[controllers.size()];
     int most = 0;
-    for (HollowWorker worker : workers.values()) {
+    for (EmulatedWorker worker : workers.values()) {
       votes[worker.node()]++;
       most = votes[worker.node()] > votes[most] ? worker.node() : most;
     }
@@ -251,7 +252,7 @@
 
   /** Replicas of services that should stand for a while already and don't. */
   int missingReplicas() {
-    long nowMs = Clock.nowMs();
+    long nowMs = SteadyClock.nowMs();
     int missing = 0;
     for (Standing it : standing.values()) {
       if (it.acceptedMs < nowMs - YOUNG_MS) {
@@ -262,9 +263,9 @@
   }
 
   /** Begins to measure how long a trouble is felt. */
-  void troubleBegins(ScaleSettings.Trouble trouble) {
+  void troubleBegins(LoadTestSettings.Trouble trouble) {
     recoveries.forEach(RecoveryTimer::stop);
-    recoveries.add(new RecoveryTimer(trouble, term(), missingReplicas(), Clock.nowMs()));
+    recoveries.add(new RecoveryTimer(trouble, term(), missingReplicas(), SteadyClock.nowMs()));
   }
 
   private long term() {
@@ -272,20 +273,20 @@
   }
 
   /** Cuts workers off from everything, or ends that. */
-  void cutOff(Predicate<HollowWorker> which, boolean cut) {
-    for (HollowWorker worker : workers.values()) {
+  void cutOff(Predicate<EmulatedWorker> which, boolean cut) {
+    for (EmulatedWorker worker : workers.values()) {
       if (which.test(worker)) {
         worker.cutOff(cut);
       }
     }
   }
 
-  static boolean isInFirstRack(HollowWorker worker) {
+  static boolean isInFirstRack(EmulatedWorker worker) {
     return worker.rack == 0;
   }
 
   /** Whether a worker is in one of every three racks. */
-  static boolean isInFirstThird(HollowWorker worker) {
+  static boolean isInFirstThird(EmulatedWorker worker) {
     return worker.rack % 3 == 0;
   }
 
@@ -312,14 +313,14 @@
   @Override
   public void up(Machine machine, MachineType type) {
     int racks = settings.cells().racksPerZone() * settings.cells().zones();
-    HollowWorker worker = new HollowWorker(machine, type, lastRack++ % racks, this);
+    EmulatedWorker worker = new EmulatedWorker(machine, type, lastRack++ % racks, this);
     workers.put(machine.name(), worker);
     byAddress.put(machine.addr(), worker);
   }
 
   @Override
   public void gone(Machine machine) {
-    HollowWorker worker = workers.remove(machine.name());
+    EmulatedWorker worker = workers.remove(machine.name());
     if (worker != null) {
       worker.stop();
       byAddress.remove(machine.addr());
@@ -329,11 +330,11 @@
 
   void tokenSeen(long token) {
     newestToken = Math.max(newestToken, token);
-    recoveries.forEach(timer -> timer.termSeen(term(), Clock.nowMs()));
+    recoveries.forEach(timer -> timer.termSeen(term(), SteadyClock.nowMs()));
   }
 
-  void taskStarted(HollowWorker worker, Attempt attempt, Catalogue.Entry entry) {
-    long nowMs = Clock.nowMs();
+  void taskStarted(EmulatedWorker worker, Attempt attempt, JobCatalog.Entry entry) {
+    long nowMs = SteadyClock.nowMs();
     counters.starts++;
     runningTasks++;
     checker.started(worker.machine.name(), attempt, nowMs);
@@ -348,14 +349,14 @@
     }
   }
 
-  private Histogram histogram(Catalogue.Entry entry) {
+  private Histogram histogram(JobCatalog.Entry entry) {
     if (entry.submittedMs() - loadBeganMs < 1000 * settings.phases().rampS()) {
       return rampStartMs;
     }
     return entry.jobClass().urgent() ? urgentStartMs : startMs;
   }
 
-  void taskGone(HollowWorker worker, Attempt attempt, boolean done) {
+  void taskGone(EmulatedWorker worker, Attempt attempt, boolean done) {
     runningTasks--;
     counters.ends += done ? 1 : 0;
     checker.gone(worker.machine.name(), attempt, done);
@@ -370,7 +371,7 @@
   }
 
   /** A user is about to submit a job for the first time. */
-  void submitting(Catalogue.Entry entry) {
+  void submitting(JobCatalog.Entry entry) {
     catalogue.add(entry);
     checker.submitting(entry.job());
     counters.submissions++;
@@ -379,8 +380,8 @@
     }
   }
 
-  void accepted(Catalogue.Entry entry, long askedMs) {
-    long nowMs = Clock.nowMs();
+  void accepted(JobCatalog.Entry entry, long askedMs) {
+    long nowMs = SteadyClock.nowMs();
     counters.accepted++;
     liveJobs.add(entry.job().uid());
     acceptMs.recordValue(Math.min(MOST_MS, nowMs - entry.submittedMs()));
--- a/src/main/java/eiderfork/scale/EmulatedCloud.java
+++ b/src/main/java/eiderfork/loadtest/EmulatedCloud.java
@@ -1,14 +1,14 @@
-package eiderfork.scale;
+package eiderfork.loadtest;
 
 import com.google.common.collect.ImmutableList;
-import eiderfork.core.limits.TokenBucket;
-import eiderfork.model.HostEntry;
+import eiderfork.controller.ratelimit.TokenBucket;
+import eiderfork.model.ListedMachine;
 import eiderfork.model.Machine;
 import eiderfork.model.MachineType;
-import eiderfork.model.Record;
+import eiderfork.model.StoredRecord;
 import eiderfork.net.HttpServer;
-import eiderfork.wire.BadMessage;
-import eiderfork.wire.CloudServerWire;
+import eiderfork.wire.CloudServerCodec;
+import eiderfork.wire.MalformedMessageException;
 import io.netty.channel.EventLoop;
 import io.netty.handler.codec.http.QueryStringDecoder;
 import java.nio.charset.StandardCharsets;
@@ -48,7 +48,7 @@
 
   private static final class Rented {
     final Machine machine;
-    final long rentedMs = Clock.nowMs();
+    final long rentedMs = SteadyClock.nowMs();
     long upMs = Long.MAX_VALUE;
     long failedMs = Long.MAX_VALUE;
     long goneMs = Long.MAX_VALUE;
@@ -57,15 +57,15 @@
       this.machine = machine;
     }
 
-    HostEntry.State state(long atMs) {
+    ListedMachine.State state(long atMs) {
       if (failedMs != Long.MAX_VALUE && atMs >= failedMs + FAILURE_SEEN_MS) {
-        return HostEntry.State.FAILED;
+        return ListedMachine.State.FAILED;
       }
-      return atMs >= upMs ? HostEntry.State.RUNNING : HostEntry.State.BOOTING;
+      return atMs >= upMs ? ListedMachine.State.RUNNING : ListedMachine.State.BOOTING;
     }
   }
 
-  private final ScaleSettings.Cloud settings;
+  private final LoadTestSettings.Cloud settings;
   private final EventLoop loop;
   private final UniformRandomProvider random;
   private final CellCounters counters;
@@ -82,7 +82,7 @@
   private int lastNumber;
 
   EmulatedCloud(
-      ScaleSettings settings,
+      LoadTestSettings settings,
       List<MachineType> offered,
       EventLoop loop,
       UniformRandomProvider random,
@@ -93,7 +93,8 @@
     this.random = random;
     this.counters = counters;
     this.machines = machines;
-    requests = new TokenBucket(settings.cloud().rps(), 2 * settings.cloud().rps(), Clock.nowMs());
+    requests =
+        new TokenBucket(settings.cloud().rps(), 2 * settings.cloud().rps(), SteadyClock.nowMs());
     for (int i = 0; i < offered.size(); i++) {
       MachineType type = offered.get(i);
       types.put(type.name(), type);
@@ -106,28 +107,28 @@
 
   void handle(HttpServer.Exchange exchange) {
     counters.cloudRequests++;
-    if (!requests.take(1, Clock.nowMs())) {
+    if (!requests.take(1, SteadyClock.nowMs())) {
       counters.cloudRefused++;
       exchange.answer(429, TROUBLE, 0);
       return;
     }
     try {
       if (exchange.path.equals("/flavors")) {
-        exchange.answer(200, CloudServerWire.types(List.copyOf(types.values())), 0);
+        exchange.answer(200, CloudServerCodec.types(List.copyOf(types.values())), 0);
       } else if (exchange.path.equals("/hosts")) {
-        rent(exchange, CloudServerWire.rent(exchange.body));
+        rent(exchange, CloudServerCodec.rent(exchange.body));
       } else if (exchange.path.equals("/hosts/return")) {
-        CloudServerWire.machines(exchange.body).forEach(this::giveBack);
-        exchange.answer(200, CloudServerWire.machines(List.of()), 0);
+        CloudServerCodec.machines(exchange.body).forEach(this::giveBack);
+        exchange.answer(200, CloudServerCodec.machines(List.of()), 0);
       } else {
         list(exchange, new QueryStringDecoder(exchange.path));
       }
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       exchange.answer(400, TROUBLE, 0);
     }
   }
 
-  private void rent(HttpServer.Exchange exchange, Record.Rent request) {
+  private void rent(HttpServer.Exchange exchange, StoredRecord.Rent request) {
     ImmutableList<String> before = answered.get(request.requestName());
     if (before == null) {
       before = rentNew(request);
@@ -136,11 +137,11 @@
       exchange.answer(503, NO_CAPACITY, 0);
     } else {
       answered.put(request.requestName(), before);
-      exchange.answer(200, CloudServerWire.machines(before), 0);
+      exchange.answer(200, CloudServerCodec.machines(before), 0);
     }
   }
 
-  private ImmutableList<String> rentNew(Record.Rent request) {
+  private ImmutableList<String> rentNew(StoredRecord.Rent request) {
     String kind = request.type() + " " + request.zone();
     // Spot machines come from the same stock and are not taken back here.
     int left = closedZones.contains(request.zone()) ? 0 : free.getOrDefault(kind, 0);
@@ -166,7 +167,7 @@
   private void boot(String name) {
     Rented it = rented.get(name);
     if (it != null && it.goneMs == Long.MAX_VALUE && it.failedMs == Long.MAX_VALUE) {
-      it.upMs = Clock.nowMs();
+      it.upMs = SteadyClock.nowMs();
       machines.up(it.machine, types.get(it.machine.type()));
     }
   }
@@ -176,7 +177,7 @@
     if (it == null || it.goneMs != Long.MAX_VALUE) {
       return;
     }
-    it.goneMs = Clock.nowMs();
+    it.goneMs = SteadyClock.nowMs();
     free.merge(it.machine.type() + " " + it.machine.zone(), 1, Integer::sum);
     machines.gone(it.machine);
   }
@@ -187,7 +188,7 @@
     Collection<Rented> all = List.copyOf(rented.values());
     for (Rented it : all) {
       if (it.machine.zone().equals(zone) && it.goneMs == Long.MAX_VALUE) {
-        it.failedMs = Math.min(it.failedMs, Clock.nowMs());
+        it.failedMs = Math.min(it.failedMs, SteadyClock.nowMs());
         machines.gone(it.machine);
       }
     }
@@ -200,8 +201,8 @@
   private void list(HttpServer.Exchange exchange, QueryStringDecoder query) {
     List<String> after = query.parameters().get("After");
     int page = Integer.parseInt(query.parameters().get("Page").get(0));
-    long atMs = Clock.nowMs() - (long) (1000 * settings.listLagS());
-    List<HostEntry> entries = new ArrayList<>();
+    long atMs = SteadyClock.nowMs() - (long) (1000 * settings.listLagS());
+    List<ListedMachine> entries = new ArrayList<>();
     boolean more = false;
     var range = after == null ? rented : rented.tailMap(after.get(0), false);
     for (Rented it : range.values()) {
@@ -212,8 +213,8 @@
         more = true;
         break;
       }
-      entries.add(new HostEntry(it.machine, it.state(atMs), (atMs - it.rentedMs) / 1000.0));
+      entries.add(new ListedMachine(it.machine, it.state(atMs), (atMs - it.rentedMs) / 1000.0));
     }
-    exchange.answer(200, CloudServerWire.hosts(entries, more), 0);
+    exchange.answer(200, CloudServerCodec.hosts(entries, more), 0);
   }
 }
--- a/src/main/java/eiderfork/scale/EmulatedState.java
+++ b/src/main/java/eiderfork/loadtest/EmulatedStore.java
@@ -1,13 +1,13 @@
-package eiderfork.scale;
+package eiderfork.loadtest;
 
-import eiderfork.core.limits.TokenBucket;
-import eiderfork.core.message.StateOp;
+import eiderfork.controller.message.StoreRequest;
+import eiderfork.controller.ratelimit.TokenBucket;
 import eiderfork.net.HttpServer;
-import eiderfork.wire.BadMessage;
-import eiderfork.wire.StateServerWire;
-import eiderfork.wire.StateServerWire.RawChange;
-import eiderfork.wire.StateServerWire.RawItem;
-import eiderfork.wire.StateServerWire.RawTransaction;
+import eiderfork.wire.MalformedMessageException;
+import eiderfork.wire.StoreServerCodec;
+import eiderfork.wire.StoreServerCodec.RawChange;
+import eiderfork.wire.StoreServerCodec.RawItem;
+import eiderfork.wire.StoreServerCodec.RawTransaction;
 import io.netty.channel.EventLoop;
 import io.netty.handler.codec.http.QueryStringDecoder;
 import java.nio.charset.StandardCharsets;
@@ -25,7 +25,7 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /** A state service: conditional writes, leases, watches, and limits on rate and size. */
-final class EmulatedState {
+final class EmulatedStore {
   /** How many changes a watch may lie behind. */
   private static final int MOST_LOGGED = 10_000;
 
@@ -47,7 +47,7 @@
 
   private record Watch(HttpServer.Exchange exchange, String prefix, long after, long endsMs) {}
 
-  private final ScaleSettings.State limits;
+  private final LoadTestSettings.State limits;
   private final EventLoop loop;
   private final UniformRandomProvider random;
   private final CellCounters counters;
@@ -60,8 +60,8 @@
   private long revision = 1;
   private long lastLease;
 
-  EmulatedState(
-      ScaleSettings.State limits,
+  EmulatedStore(
+      LoadTestSettings.State limits,
       EventLoop loop,
       UniformRandomProvider random,
       CellCounters counters) {
@@ -69,8 +69,8 @@
     this.loop = loop;
     this.random = random;
     this.counters = counters;
-    requests = new TokenBucket(limits.rps(), limits.rps(), Clock.nowMs());
-    writes = new TokenBucket(limits.writeRps(), limits.writeRps(), Clock.nowMs());
+    requests = new TokenBucket(limits.rps(), limits.rps(), SteadyClock.nowMs());
+    writes = new TokenBucket(limits.writeRps(), limits.writeRps(), SteadyClock.nowMs());
   }
 
   /** Stores a value as if it had been written before the run. */
@@ -85,30 +85,30 @@
   void handle(HttpServer.Exchange exchange) {
     counters.stateRequests++;
     counters.stateBytesIn += exchange.body.length;
-    if (!requests.take(1, Clock.nowMs())) {
+    if (!requests.take(1, SteadyClock.nowMs())) {
       counters.stateRefused++;
       answer(exchange, 429, EMPTY);
       return;
     }
     try {
       dispatch(exchange);
-    } catch (BadMessage | NumberFormatException e) {
+    } catch (MalformedMessageException | NumberFormatException e) {
       answer(exchange, 400, EMPTY);
     }
   }
 
-  private void dispatch(HttpServer.Exchange exchange) throws BadMessage {
+  private void dispatch(HttpServer.Exchange exchange) throws MalformedMessageException {
     String path = exchange.path;
     if (path.startsWith("/keys/")) {
       get(exchange, path.substring("/keys/".length()));
     } else if (path.startsWith("/keys?")) {
       page(exchange, new QueryStringDecoder(path));
     } else if (path.equals("/multi")) {
-      transact(exchange, StateServerWire.transaction(exchange.body));
+      transact(exchange, StoreServerCodec.transaction(exchange.body));
     } else if (path.startsWith("/follow?")) {
       follow(exchange, new QueryStringDecoder(path));
     } else if (path.equals("/leases")) {
-      grant(exchange, StateServerWire.leaseMs(exchange.body));
+      grant(exchange, StoreServerCodec.leaseMs(exchange.body));
     } else if (path.startsWith("/leases/")) {
       lease(exchange, path.substring("/leases/".length()));
     } else {
@@ -119,10 +119,10 @@
   private void get(HttpServer.Exchange exchange, String key) {
     Stored stored = keys.get(key);
     if (stored == null) {
-      answer(exchange, 404, StateServerWire.revision(revision));
+      answer(exchange, 404, StoreServerCodec.revision(revision));
     } else {
       RawItem item = new RawItem(key, stored.value, stored.version);
-      answer(exchange, 200, StateServerWire.item(item));
+      answer(exchange, 200, StoreServerCodec.item(item));
     }
   }
 
@@ -151,13 +151,13 @@
       Stored stored = entry.getValue();
       items.add(new RawItem(entry.getKey(), stored.value, stored.version));
     }
-    answer(exchange, 200, StateServerWire.page(items, more, revision));
+    answer(exchange, 200, StoreServerCodec.page(items, more, revision));
   }
 
   private void transact(HttpServer.Exchange exchange, RawTransaction transaction) {
     int changes = transaction.changes().size();
     counters.stateWrites += changes;
-    if (!writes.take(changes, Clock.nowMs())) {
+    if (!writes.take(changes, SteadyClock.nowMs())) {
       counters.stateRefused++;
       answer(exchange, 429, EMPTY);
       return;
@@ -167,7 +167,7 @@
       return;
     }
     List<String> failed = new ArrayList<>();
-    for (StateOp.Condition condition : transaction.conditions()) {
+    for (StoreRequest.Condition condition : transaction.conditions()) {
       Stored stored = keys.get(condition.key());
       if ((stored == null ? 0 : stored.version) != condition.version()) {
         failed.add(condition.key());
@@ -175,7 +175,7 @@
     }
     if (!failed.isEmpty()) {
       counters.stateConflicts++;
-      answer(exchange, 409, StateServerWire.failed(failed, revision));
+      answer(exchange, 409, StoreServerCodec.failed(failed, revision));
       return;
     }
     if (changes > 0) {
@@ -183,7 +183,7 @@
       transaction.changes().forEach(this::apply);
       serveWatches(transaction.changes().stream().map(RawChange::key).toList());
     }
-    answer(exchange, 200, StateServerWire.revision(revision));
+    answer(exchange, 200, StoreServerCodec.revision(revision));
   }
 
   private boolean isWithinLimits(RawTransaction transaction) {
@@ -229,8 +229,8 @@
       answer(exchange, 410, EMPTY);
       return;
     }
-    Watch watch = new Watch(exchange, prefix, after, Clock.nowMs() + blockMs);
-    if (!serve(watch, Clock.nowMs())) {
+    Watch watch = new Watch(exchange, prefix, after, SteadyClock.nowMs() + blockMs);
+    if (!serve(watch, SteadyClock.nowMs())) {
       watches.add(watch);
     }
   }
@@ -250,12 +250,12 @@
     if (changes.isEmpty() && nowMs < watch.endsMs) {
       return false;
     }
-    answer(watch.exchange, 200, StateServerWire.log(changes, revision));
+    answer(watch.exchange, 200, StoreServerCodec.log(changes, revision));
     return true;
   }
 
   private void serveWatches(List<String> changed) {
-    long nowMs = Clock.nowMs();
+    long nowMs = SteadyClock.nowMs();
     watches.removeIf(
         watch ->
             changed.stream().anyMatch(key -> key.startsWith(watch.prefix)) && serve(watch, nowMs));
@@ -263,9 +263,9 @@
 
   private void grant(HttpServer.Exchange exchange, long lifeMs) {
     Lease lease = new Lease(lifeMs);
-    lease.endsMs = Clock.nowMs() + lifeMs;
+    lease.endsMs = SteadyClock.nowMs() + lifeMs;
     leases.put(++lastLease, lease);
-    answer(exchange, 200, StateServerWire.lease(lastLease));
+    answer(exchange, 200, StoreServerCodec.lease(lastLease));
   }
 
   private void lease(HttpServer.Exchange exchange, String rest) {
@@ -275,8 +275,8 @@
     if (lease == null) {
       answer(exchange, 404, EMPTY);
     } else if (renews) {
-      lease.endsMs = Clock.nowMs() + lease.lifeMs;
-      answer(exchange, 200, StateServerWire.lease(id));
+      lease.endsMs = SteadyClock.nowMs() + lease.lifeMs;
+      answer(exchange, 200, StoreServerCodec.lease(id));
     } else {
       end(id);
       answer(exchange, 200, EMPTY);
@@ -295,7 +295,7 @@
 
   /** Ends leases and watches whose time is over. */
   void tick() {
-    long nowMs = Clock.nowMs();
+    long nowMs = SteadyClock.nowMs();
     List<Long> over = new ArrayList<>();
     leases.forEach(
         (id, lease) -> {
--- a/src/main/java/eiderfork/scale/EmulatedUsers.java
+++ b/src/main/java/eiderfork/loadtest/EmulatedUsers.java
@@ -1,4 +1,4 @@
-package eiderfork.scale;
+package eiderfork.loadtest;
 
 import com.google.common.collect.ImmutableSet;
 import eiderfork.model.Job;
@@ -7,9 +7,9 @@
 import eiderfork.model.Priority;
 import eiderfork.model.Resources;
 import eiderfork.net.HttpClient;
-import eiderfork.wire.BadMessage;
-import eiderfork.wire.UserClientWire;
-import eiderfork.wire.UserWire;
+import eiderfork.wire.MalformedMessageException;
+import eiderfork.wire.UserClientCodec;
+import eiderfork.wire.UserCodec;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -31,8 +31,8 @@
   /** Ids are drawn from so many that two are hardly ever alike. */
   private static final long IDS = 1_000_000_000_000_000L;
 
-  private final Cell cell;
-  private final ScaleSettings settings;
+  private final EmulatedCell cell;
+  private final LoadTestSettings settings;
   private final HttpClient client;
   private final int[] failedProbes;
 
@@ -43,7 +43,7 @@
   private double lateDue;
   private long lastTickMs;
 
-  EmulatedUsers(Cell cell, ScaleSettings settings) {
+  EmulatedUsers(EmulatedCell cell, LoadTestSettings settings) {
     this.cell = cell;
     this.settings = settings;
     client = new HttpClient(cell.loop, CONNECTIONS);
@@ -58,7 +58,7 @@
       client.send(
           cell.controllers().get(node).publicAddress(),
           "GET",
-          UserWire.HEALTH,
+          UserCodec.HEALTH,
           null,
           PROBE_MS,
           (status, body) -> failedProbes[node] = status == 200 ? 0 : failedProbes[node] + 1);
@@ -91,15 +91,15 @@
    * would have been due while the controllers started.
    */
   void begin() {
-    lastTickMs = Clock.nowMs();
+    lastTickMs = SteadyClock.nowMs();
   }
 
   /** Submits what is due, {@code elapsedS} after the beginning of the load. */
   void tick(double elapsedS) {
-    long nowMs = Clock.nowMs();
+    long nowMs = SteadyClock.nowMs();
     double seconds = (nowMs - lastTickMs) / 1000.0;
     lastTickMs = nowMs;
-    for (ScaleSettings.JobClass jobClass : settings.classes()) {
+    for (LoadTestSettings.JobClass jobClass : settings.classes()) {
       double jobs = due.merge(jobClass.name(), rate(jobClass, elapsedS) * seconds, Double::sum);
       for (; jobs >= 1; jobs--) {
         submit(jobClass);
@@ -114,8 +114,8 @@
     }
   }
 
-  private double rate(ScaleSettings.JobClass jobClass, double elapsedS) {
-    ScaleSettings.Phases phases = settings.phases();
+  private double rate(LoadTestSettings.JobClass jobClass, double elapsedS) {
+    LoadTestSettings.Phases phases = settings.phases();
     if (elapsedS < phases.rampS()) {
       return jobClass.first() / phases.rampS();
     }
@@ -124,7 +124,7 @@
     return jobClass.perS() + (peak ? jobClass.peakPerS() : 0);
   }
 
-  private Job job(ScaleSettings.JobClass jobClass) {
+  private Job job(LoadTestSettings.JobClass jobClass) {
     boolean service = jobClass.kind().equals("service");
     String image = jobClass.name() + "-" + cell.random.nextInt(jobClass.images());
     return new Job(
@@ -148,20 +148,20 @@
         null);
   }
 
-  private void submit(ScaleSettings.JobClass jobClass) {
+  private void submit(LoadTestSettings.JobClass jobClass) {
     Job job = job(jobClass);
     boolean service = job.kind() == JobKind.SERVICE;
     long taskMs = service ? 0 : (long) (1000 * jobClass.runS());
-    Catalogue.Entry entry = new Catalogue.Entry(job, jobClass, Clock.nowMs(), taskMs);
+    JobCatalog.Entry entry = new JobCatalog.Entry(job, jobClass, SteadyClock.nowMs(), taskMs);
     cell.submitting(entry);
-    trySubmit(entry, UserClientWire.submission(job));
+    trySubmit(entry, UserClientCodec.submission(job));
   }
 
-  private void trySubmit(Catalogue.Entry entry, byte[] body) {
-    long askedMs = Clock.nowMs();
+  private void trySubmit(JobCatalog.Entry entry, byte[] body) {
+    long askedMs = SteadyClock.nowMs();
     send(
         "POST",
-        UserWire.RUNS,
+        UserCodec.RUNS,
         body,
         SUBMIT_MS,
         (status, said) -> {
@@ -181,7 +181,7 @@
         });
   }
 
-  private void live(Catalogue.Entry entry) {
+  private void live(JobCatalog.Entry entry) {
     String uid = entry.job().uid();
     double standS = entry.jobClass().runS();
     if (entry.job().kind() == JobKind.SERVICE && standS > 0) {
@@ -214,12 +214,12 @@
   }
 
   private void ask(String uid, Consumer<JobStatus> then) {
-    long askedMs = Clock.nowMs();
+    long askedMs = SteadyClock.nowMs();
     boolean acceptedBefore = cell.checker.isAccepted(uid);
     cell.counters.polls++;
     send(
         "GET",
-        UserWire.RUNS + "/" + uid,
+        UserCodec.RUNS + "/" + uid,
         null,
         POLL_MS,
         (status, body) -> {
@@ -235,7 +235,7 @@
         });
   }
 
-  private void cancel(Catalogue.Entry entry) {
+  private void cancel(JobCatalog.Entry entry) {
     String uid = entry.job().uid();
     cell.checker.cancelling(uid);
     cell.cancelAsked(uid);
@@ -244,10 +244,10 @@
   }
 
   private void tryCancel(String uid) {
-    long askedMs = Clock.nowMs();
+    long askedMs = SteadyClock.nowMs();
     send(
         "POST",
-        UserWire.RUNS + "/" + uid + UserWire.ABORT,
+        UserCodec.RUNS + "/" + uid + UserCodec.ABORT,
         "{}".getBytes(StandardCharsets.UTF_8),
         SUBMIT_MS,
         (status, body) -> {
@@ -262,10 +262,10 @@
 
   private JobStatus told(byte[] body, long askedMs) {
     try {
-      JobStatus status = UserClientWire.status(body);
-      cell.checker.told(status, askedMs, Clock.nowMs());
+      JobStatus status = UserClientCodec.status(body);
+      cell.checker.told(status, askedMs, SteadyClock.nowMs());
       return status;
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       return null;
     }
   }
--- a/src/main/java/eiderfork/scale/HollowWorker.java
+++ b/src/main/java/eiderfork/loadtest/EmulatedWorker.java
@@ -1,18 +1,18 @@
-package eiderfork.scale;
+package eiderfork.loadtest;
 
 import com.google.common.collect.ImmutableList;
 import eiderfork.model.Attempt;
 import eiderfork.model.Command;
+import eiderfork.model.Heartbeat;
 import eiderfork.model.Machine;
 import eiderfork.model.MachineType;
-import eiderfork.model.Report;
 import eiderfork.model.Resources;
-import eiderfork.model.TaskReport;
+import eiderfork.model.TaskStatus;
 import eiderfork.net.HttpClient;
 import eiderfork.net.HttpServer;
-import eiderfork.wire.BadMessage;
-import eiderfork.wire.WorkerClientWire;
-import eiderfork.wire.WorkerWire;
+import eiderfork.wire.MalformedMessageException;
+import eiderfork.wire.WorkerClientCodec;
+import eiderfork.wire.WorkerCodec;
 import io.netty.util.concurrent.ScheduledFuture;
 import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
@@ -22,22 +22,22 @@
 import java.util.concurrent.TimeUnit;
 
 /** A worker without work: keeps the protocol's sessions, leases and tokens; tasks are delays. */
-final class HollowWorker {
+final class EmulatedWorker {
   private static final long LEAST_BETWEEN_REPORTS_MS = 500;
   private static final long ANSWER_MS = 4000;
   private static final long NEXT_NODE_MS = 1000;
   private static final byte[] EMPTY = "{}".getBytes(StandardCharsets.UTF_8);
 
   private static final class Task {
-    TaskReport.State state = TaskReport.State.FETCHING;
-    TaskReport.Cause cause;
+    TaskStatus.State state = TaskStatus.State.FETCHING;
+    TaskStatus.Cause cause;
     Resources need = Resources.NONE;
   }
 
   final Machine machine;
   final int rack;
   private final MachineType type;
-  private final Cell cell;
+  private final EmulatedCell cell;
   private final HttpClient client;
   private final Map<Attempt, Task> tasks = new LinkedHashMap<>();
   private final Map<String, Long> imageReadyMs = new HashMap<>();
@@ -46,7 +46,7 @@
   private long session = 1;
   private long sequence;
   private long token;
-  private long leaseFromMs = Clock.nowMs();
+  private long leaseFromMs = SteadyClock.nowMs();
   private long lastReportMs;
   private long tokenReportedMs;
   private boolean reporting;
@@ -55,7 +55,7 @@
   private boolean cutOff;
   private boolean gone;
 
-  HollowWorker(Machine machine, MachineType type, int rack, Cell cell) {
+  EmulatedWorker(Machine machine, MachineType type, int rack, EmulatedCell cell) {
     this.machine = machine;
     this.type = type;
     this.rack = rack;
@@ -91,7 +91,7 @@
   private void dropTasks() {
     tasks.forEach(
         (attempt, task) -> {
-          if (task.state == TaskReport.State.RUNNING) {
+          if (task.state == TaskStatus.State.RUNNING) {
             cell.taskGone(this, attempt, false);
           }
         });
@@ -127,22 +127,22 @@
   private void changed() {
     changed = true;
     if (!reporting) {
-      reportIn(Math.max(0, lastReportMs + LEAST_BETWEEN_REPORTS_MS - Clock.nowMs()));
+      reportIn(Math.max(0, lastReportMs + LEAST_BETWEEN_REPORTS_MS - SteadyClock.nowMs()));
     }
   }
 
-  private Report report() {
-    ImmutableList.Builder<TaskReport> list = ImmutableList.builder();
+  private Heartbeat report() {
+    ImmutableList.Builder<TaskStatus> list = ImmutableList.builder();
     tasks.forEach(
-        (attempt, task) -> list.add(new TaskReport(attempt, task.state, task.cause, false)));
-    return new Report(machine, session, ++sequence, token, null, list.build());
+        (attempt, task) -> list.add(new TaskStatus(attempt, task.state, task.cause, false)));
+    return new Heartbeat(machine, session, ++sequence, token, null, list.build());
   }
 
   private void sendReport() {
     if (gone || reporting) {
       return;
     }
-    long sentMs = Clock.nowMs();
+    long sentMs = SteadyClock.nowMs();
     lastReportMs = sentMs;
     changed = false;
     reporting = true;
@@ -151,14 +151,14 @@
           () -> answered(sentMs, session, 0, EMPTY), ANSWER_MS, TimeUnit.MILLISECONDS);
       return;
     }
-    byte[] body = WorkerClientWire.report(report());
+    byte[] body = WorkerClientCodec.report(report());
     cell.counters.reports++;
     cell.counters.reportedTasks += tasks.size();
     long ofSession = session;
     client.send(
         cell.controllers().get(node).publicAddress(),
         "POST",
-        WorkerWire.REPORT,
+        WorkerCodec.REPORT,
         body,
         ANSWER_MS,
         (status, said) -> answered(sentMs, ofSession, cutOff ? 0 : status, said));
@@ -171,18 +171,18 @@
     }
     try {
       if (status == 200) {
-        taken(sentMs, ofSession, WorkerClientWire.commands(body));
+        taken(sentMs, ofSession, WorkerClientCodec.commands(body));
         if (changed) {
           changed();
         } else {
           reportRegularly();
         }
       } else if (status == 421) {
-        redirected(WorkerClientWire.leader(body));
+        redirected(WorkerClientCodec.leader(body));
       } else {
         tryNextNode();
       }
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       tryNextNode();
     }
   }
@@ -202,7 +202,7 @@
     reportIn(NEXT_NODE_MS);
   }
 
-  private void taken(long sentMs, long ofSession, WorkerClientWire.Commands commands) {
+  private void taken(long sentMs, long ofSession, WorkerClientCodec.Commands commands) {
     if (ofSession != session || commands.token() < token) {
       return;
     }
@@ -215,8 +215,8 @@
     if (newer > token) {
       token = newer;
       cell.tokenSeen(token);
-      if (Clock.nowMs() - tokenReportedMs > cell.leaseMs() / 2) {
-        tokenReportedMs = Clock.nowMs();
+      if (SteadyClock.nowMs() - tokenReportedMs > cell.leaseMs() / 2) {
+        tokenReportedMs = SteadyClock.nowMs();
         changed = true;
       }
     }
@@ -228,23 +228,23 @@
     if (gone || cutOff) {
       return;
     }
-    if (exchange.path.equals(WorkerWire.INSPECT)) {
-      exchange.answer(200, WorkerClientWire.report(report()), 0);
+    if (exchange.path.equals(WorkerCodec.INSPECT)) {
+      exchange.answer(200, WorkerClientCodec.report(report()), 0);
       return;
     }
     try {
-      var commands = WorkerClientWire.commands(exchange.body);
+      var commands = WorkerClientCodec.commands(exchange.body);
       boolean valid = commands.token() >= token && commands.session() == session;
       if (valid) {
         cell.counters.directCommands += commands.commands().size();
         seen(commands.token());
         commands.commands().forEach(this::execute);
       }
-      exchange.answer(valid ? 200 : 409, WorkerClientWire.report(report()), 0);
+      exchange.answer(valid ? 200 : 409, WorkerClientCodec.report(report()), 0);
       if (changed) {
         changed();
       }
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       exchange.answer(400, EMPTY, 0);
     }
   }
@@ -258,10 +258,10 @@
         run(command.attempt());
       }
     } else if (command instanceof Command.Kill) {
-      if (task != null && task.state != TaskReport.State.ENDED) {
-        end(command.attempt(), task, TaskReport.Cause.STOPPED);
+      if (task != null && task.state != TaskStatus.State.ENDED) {
+        end(command.attempt(), task, TaskStatus.Cause.STOPPED);
       }
-    } else if (task != null && task.state == TaskReport.State.ENDED) {
+    } else if (task != null && task.state == TaskStatus.State.ENDED) {
       tasks.remove(command.attempt());
     }
   }
@@ -270,17 +270,17 @@
     Task task = new Task();
     tasks.put(attempt, task);
     changed = true;
-    Catalogue.Entry entry = cell.catalogue.get(attempt.task().job());
+    JobCatalog.Entry entry = cell.catalogue.get(attempt.task().job());
     if (entry == null) {
-      end(attempt, task, TaskReport.Cause.UNKNOWN);
+      end(attempt, task, TaskStatus.Cause.UNKNOWN);
     } else if (isHereAlready(attempt)) {
-      end(attempt, task, TaskReport.Cause.BUSY);
+      end(attempt, task, TaskStatus.Cause.BUSY);
     } else if (!used.plus(entry.job().need()).fitsIn(type.room())) {
-      end(attempt, task, TaskReport.Cause.NO_ROOM);
+      end(attempt, task, TaskStatus.Cause.NO_ROOM);
     } else {
       task.need = entry.job().need();
       used = used.plus(task.need);
-      long waitMs = Math.max(1, imageReadyMs(entry) - Clock.nowMs());
+      long waitMs = Math.max(1, imageReadyMs(entry) - SteadyClock.nowMs());
       cell.loop.schedule(() -> start(attempt, task, entry), waitMs, TimeUnit.MILLISECONDS);
     }
   }
@@ -289,27 +289,27 @@
     for (Map.Entry<Attempt, Task> other : tasks.entrySet()) {
       if (!other.getKey().equals(attempt)
           && other.getKey().task().equals(attempt.task())
-          && other.getValue().state != TaskReport.State.ENDED) {
+          && other.getValue().state != TaskStatus.State.ENDED) {
         return true;
       }
     }
     return false;
   }
 
-  private long imageReadyMs(Catalogue.Entry entry) {
+  private long imageReadyMs(JobCatalog.Entry entry) {
     double fetchS = entry.job().imageGb() / type.fetchGbPerS();
     return imageReadyMs.computeIfAbsent(
-        entry.job().image(), image -> Clock.nowMs() + (long) (1000 * fetchS));
+        entry.job().image(), image -> SteadyClock.nowMs() + (long) (1000 * fetchS));
   }
 
-  private void start(Attempt attempt, Task task, Catalogue.Entry entry) {
-    if (gone || tasks.get(attempt) != task || task.state != TaskReport.State.FETCHING) {
+  private void start(Attempt attempt, Task task, JobCatalog.Entry entry) {
+    if (gone || tasks.get(attempt) != task || task.state != TaskStatus.State.FETCHING) {
       return;
     }
-    task.state = TaskReport.State.RUNNING;
+    task.state = TaskStatus.State.RUNNING;
     cell.taskStarted(this, attempt, entry);
     if (cell.isFinished(attempt.task())) {
-      end(attempt, task, TaskReport.Cause.DONE);
+      end(attempt, task, TaskStatus.Cause.DONE);
     } else if (entry.taskMs() > 0) {
       cell.loop.schedule(() -> finish(attempt, task), entry.taskMs(), TimeUnit.MILLISECONDS);
     }
@@ -317,28 +317,28 @@
   }
 
   private void finish(Attempt attempt, Task task) {
-    if (!gone && tasks.get(attempt) == task && task.state == TaskReport.State.RUNNING) {
-      end(attempt, task, TaskReport.Cause.DONE);
+    if (!gone && tasks.get(attempt) == task && task.state == TaskStatus.State.RUNNING) {
+      end(attempt, task, TaskStatus.Cause.DONE);
       changed();
     }
   }
 
-  private void end(Attempt attempt, Task task, TaskReport.Cause cause) {
-    boolean wasRunning = task.state == TaskReport.State.RUNNING;
-    task.state = TaskReport.State.ENDED;
+  private void end(Attempt attempt, Task task, TaskStatus.Cause cause) {
+    boolean wasRunning = task.state == TaskStatus.State.RUNNING;
+    task.state = TaskStatus.State.ENDED;
     task.cause = cause;
     used = used.minus(task.need);
     task.need = Resources.NONE;
     changed = true;
     if (wasRunning) {
-      cell.taskGone(this, attempt, cause == TaskReport.Cause.DONE);
+      cell.taskGone(this, attempt, cause == TaskStatus.Cause.DONE);
     }
   }
 
   /** What runs on this machine now. */
   List<Attempt> running() {
     return tasks.entrySet().stream()
-        .filter(it -> it.getValue().state == TaskReport.State.RUNNING)
+        .filter(it -> it.getValue().state == TaskStatus.State.RUNNING)
         .map(Map.Entry::getKey)
         .toList();
   }
--- a/src/main/java/eiderfork/scale/TroubleMaker.java
+++ b/src/main/java/eiderfork/loadtest/FaultInjector.java
@@ -1,4 +1,4 @@
-package eiderfork.scale;
+package eiderfork.loadtest;
 
 import java.io.IOException;
 import java.util.ArrayList;
@@ -7,22 +7,22 @@
 import java.util.function.Predicate;
 
 /** Makes a run's failures at their times, and mends them. */
-final class TroubleMaker {
+final class FaultInjector {
   private record Restart(ControllerProcess controller, long atMs) {}
 
   /** What mends a trouble, carried out on its cell's thread. */
-  private record Mending(Cell cell, Runnable what, long atMs) {}
+  private record Mending(EmulatedCell cell, Runnable what, long atMs) {}
 
   /** Those that are still to come, the next one first. */
-  private final List<ScaleSettings.Trouble> troubles;
+  private final List<LoadTestSettings.Trouble> troubles;
 
-  private final List<Cell> cells;
+  private final List<EmulatedCell> cells;
   private final List<Restart> restarts = new ArrayList<>();
   private final List<Mending> mendings = new ArrayList<>();
 
-  TroubleMaker(List<ScaleSettings.Trouble> troubles, List<Cell> cells) {
+  FaultInjector(List<LoadTestSettings.Trouble> troubles, List<EmulatedCell> cells) {
     this.troubles = new ArrayList<>(troubles);
-    this.troubles.sort(Comparator.comparingDouble(ScaleSettings.Trouble::atS));
+    this.troubles.sort(Comparator.comparingDouble(LoadTestSettings.Trouble::atS));
     this.cells = cells;
   }
 
@@ -39,9 +39,9 @@
 
   private void makeDue(double elapsedS) throws InterruptedException {
     while (!troubles.isEmpty() && troubles.get(0).atS() <= elapsedS) {
-      ScaleSettings.Trouble trouble = troubles.remove(0);
-      Cell cell = cells.get(trouble.cell());
-      ScaleRun.on(
+      LoadTestSettings.Trouble trouble = troubles.remove(0);
+      EmulatedCell cell = cells.get(trouble.cell());
+      LoadTest.on(
           cell,
           () -> {
             cell.troubleBegins(trouble);
@@ -51,12 +51,13 @@
     }
   }
 
-  private void make(ScaleSettings.Trouble trouble, Cell cell) throws InterruptedException {
+  private void make(LoadTestSettings.Trouble trouble, EmulatedCell cell)
+      throws InterruptedException {
     switch (trouble.kind()) {
-      case "leader" -> kill(cell.controllers().get(ScaleRun.on(cell, cell::leader)), trouble);
+      case "leader" -> kill(cell.controllers().get(LoadTest.on(cell, cell::leader)), trouble);
       case "controllers" -> cell.controllers().forEach(each -> kill(each, trouble));
-      case "rack" -> cutOff(trouble, cell, Cell::isInFirstRack);
-      case "third" -> cutOff(trouble, cell, Cell::isInFirstThird);
+      case "rack" -> cutOff(trouble, cell, EmulatedCell::isInFirstRack);
+      case "third" -> cutOff(trouble, cell, EmulatedCell::isInFirstThird);
       case "workers" -> cutOff(trouble, cell, worker -> true);
       case "zone" -> {
         makeAndMend(trouble, cell, cell::closeZone, cell::openZone);
@@ -68,33 +69,35 @@
     }
   }
 
-  private void cutOff(ScaleSettings.Trouble trouble, Cell cell, Predicate<HollowWorker> which) {
+  private void cutOff(
+      LoadTestSettings.Trouble trouble, EmulatedCell cell, Predicate<EmulatedWorker> which) {
     makeAndMend(trouble, cell, () -> cell.cutOff(which, true), () -> cell.cutOff(which, false));
   }
 
-  private void makeAndMend(ScaleSettings.Trouble trouble, Cell cell, Runnable make, Runnable mend) {
+  private void makeAndMend(
+      LoadTestSettings.Trouble trouble, EmulatedCell cell, Runnable make, Runnable mend) {
     cell.loop.execute(make);
     mendings.add(new Mending(cell, mend, untilMs(trouble)));
   }
 
-  private static long untilMs(ScaleSettings.Trouble trouble) {
-    return Clock.nowMs() + (long) (1000 * trouble.forS());
+  private static long untilMs(LoadTestSettings.Trouble trouble) {
+    return SteadyClock.nowMs() + (long) (1000 * trouble.forS());
   }
 
-  private void kill(ControllerProcess controller, ScaleSettings.Trouble trouble) {
+  private void kill(ControllerProcess controller, LoadTestSettings.Trouble trouble) {
     restarts.add(new Restart(controller, untilMs(trouble)));
     controller.kill();
   }
 
   private void undoDue() throws IOException {
     for (Restart it : List.copyOf(restarts)) {
-      if (Clock.nowMs() >= it.atMs && !it.controller.isAlive()) {
+      if (SteadyClock.nowMs() >= it.atMs && !it.controller.isAlive()) {
         it.controller.start();
         restarts.remove(it);
       }
     }
     for (Mending it : List.copyOf(mendings)) {
-      if (Clock.nowMs() >= it.atMs) {
+      if (SteadyClock.nowMs() >= it.atMs) {
         it.cell.loop.execute(it.what);
         mendings.remove(it);
       }
--- a/src/main/java/eiderfork/scale/FreePorts.java
+++ b/src/main/java/eiderfork/loadtest/FreePorts.java
@@ -1,4 +1,4 @@
-package eiderfork.scale;
+package eiderfork.loadtest;
 
 import eiderfork.config.Settings.Endpoint;
 import java.io.IOException;
--- a/src/main/java/eiderfork/scale/MachineLimits.java
+++ b/src/main/java/eiderfork/loadtest/HostResourceLimits.java
@@ -1,11 +1,11 @@
-package eiderfork.scale;
+package eiderfork.loadtest;
 
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 
 /** Refuses runs that would take more of this machine than they may. */
-final class MachineLimits {
+final class HostResourceLimits {
   /** What a controller's process may come to in a small cell, and for each worker, in megabytes. */
   private static final double SMALL_CONTROLLER_MB = 176;
 
@@ -14,7 +14,7 @@
   private static final int MOST_PROCESSES = 300;
   private static final double MOST_MEMORY_SHARE = 0.5;
 
-  private MachineLimits() {}
+  private HostResourceLimits() {}
 
   /**
    * Why the run may not start on a machine with that much memory; null where it may.
--- a/src/main/java/eiderfork/scale/SafetyChecker.java
+++ b/src/main/java/eiderfork/loadtest/InvariantChecker.java
@@ -1,4 +1,4 @@
-package eiderfork.scale;
+package eiderfork.loadtest;
 
 import eiderfork.model.Attempt;
 import eiderfork.model.Job;
@@ -18,7 +18,7 @@
  * Holds a cell's workers and users against the protocol's rules. It sees what workers did and what
  * users were told, and nothing of the controllers. Times are in milliseconds of one steady clock.
  */
-final class SafetyChecker {
+final class InvariantChecker {
   /** A rule that can be broken. */
   enum Rule {
     /** A task started on one machine while it was on another. */
@@ -65,7 +65,7 @@
   private final List<Breach> breaches = new ArrayList<>();
   private long breachCount;
 
-  SafetyChecker(long cancelMs, Map<String, Team> teams) {
+  InvariantChecker(long cancelMs, Map<String, Team> teams) {
     this.cancelMs = cancelMs;
     this.teams = teams;
   }
--- a/src/main/java/eiderfork/scale/Catalogue.java
+++ b/src/main/java/eiderfork/loadtest/JobCatalog.java
@@ -1,13 +1,13 @@
-package eiderfork.scale;
+package eiderfork.loadtest;
 
 import eiderfork.model.Job;
 import java.util.HashMap;
 import java.util.Map;
 
 /** The jobs that users of a cell uploaded, as workers fetch them, with how long their tasks run. */
-final class Catalogue {
+final class JobCatalog {
   /** A job, when its user first tried to submit it, and how long a task runs; 0 without end. */
-  record Entry(Job job, ScaleSettings.JobClass jobClass, long submittedMs, long taskMs) {}
+  record Entry(Job job, LoadTestSettings.JobClass jobClass, long submittedMs, long taskMs) {}
 
   private final Map<String, Entry> entries = new HashMap<>();
 
--- a/src/main/java/eiderfork/scale/ScaleRun.java
+++ b/src/main/java/eiderfork/loadtest/LoadTest.java
@@ -1,8 +1,8 @@
-package eiderfork.scale;
+package eiderfork.loadtest;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.dataformat.toml.TomlMapper;
-import eiderfork.config.BadSettings;
+import eiderfork.config.InvalidSettingsException;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.lang.management.ManagementFactory;
@@ -19,7 +19,7 @@
 import org.HdrHistogram.Histogram;
 
 /** Plays a scale run and makes its report. */
-public final class ScaleRun {
+public final class LoadTest {
   private static final long SAMPLE_MS = 500;
   private static final long PROGRESS_MS = 5000;
   private static final long START_MS = 30_000;
@@ -29,21 +29,21 @@
       CellCounters counters, double[] cpuS, long atMs, double ownCpuS, CpuTimes machine) {}
 
   private final String file;
-  private final ScaleSettings settings;
+  private final LoadTestSettings settings;
   private final List<String> command;
   private final PrintStream progress;
   private final Path directory;
-  private final List<Cell> cells = new ArrayList<>();
-  private final List<ScaleReport.Phase> phases = new ArrayList<>();
-  private final TroubleMaker troubles;
+  private final List<EmulatedCell> cells = new ArrayList<>();
+  private final List<LoadTestReport.Phase> phases = new ArrayList<>();
+  private final FaultInjector troubles;
   private final Map<ControllerProcess, Double> mostMemoryMb = new HashMap<>();
   private final Map<ControllerProcess, Integer> endedByItself = new HashMap<>();
   private List<Snapshot> phaseBegan;
   private long beganMs;
 
-  private ScaleRun(
+  private LoadTest(
       String file,
-      ScaleSettings settings,
+      LoadTestSettings settings,
       List<String> command,
       Path directory,
       PrintStream progress) {
@@ -52,7 +52,7 @@
     this.command = command;
     this.directory = directory;
     this.progress = progress;
-    troubles = new TroubleMaker(settings.troubles(), cells);
+    troubles = new FaultInjector(settings.troubles(), cells);
   }
 
   /**
@@ -63,44 +63,44 @@
    * @param logs where the controllers' settings and logs go; null for a folder that is removed
    * @param progress takes a line every few seconds; null for none
    * @return the summary as text and as JSON, and whether all was well
-   * @throws BadSettings where the file can't be used or asks too much of this machine
+   * @throws InvalidSettingsException where the file can't be used or asks too much of this machine
    * @throws IOException where a controller does not start
    */
   public static Outcome play(Path path, Path deploy, Path logs, PrintStream progress)
-      throws BadSettings, IOException, InterruptedException {
-    ScaleSettings settings = ScaleFile.read(path);
+      throws InvalidSettingsException, IOException, InterruptedException {
+    LoadTestSettings settings = LoadTestFile.read(path);
     double ownMb = Runtime.getRuntime().maxMemory() / 1024.0 / 1024.0;
     String objection =
-        MachineLimits.objection(
+        HostResourceLimits.objection(
             settings.controllerCount(),
             settings.cells().workers(),
             ownMb,
-            MachineLimits.machineMb());
+            HostResourceLimits.machineMb());
     if (objection != null) {
-      throw new BadSettings(path.toString(), "cells", objection);
+      throw new InvalidSettingsException(path.toString(), "cells", objection);
     }
     Path directory = logs == null ? Files.createTempDirectory("eiderfork-scale") : logs;
     Files.createDirectories(directory);
-    ScaleRun run = new ScaleRun(path.toString(), settings, runCommand(deploy), directory, progress);
+    LoadTest run = new LoadTest(path.toString(), settings, runCommand(deploy), directory, progress);
     Thread cleanUp = new Thread(() -> run.cleanUp(logs == null));
     Runtime.getRuntime().addShutdownHook(cleanUp);
     try {
-      ScaleReport report = run.play();
+      LoadTestReport report = run.play();
       return new Outcome(report.toText(), report.toJson(), report.isGood());
     } finally {
       run.cleanUp(logs == null);
       Runtime.getRuntime().removeShutdownHook(cleanUp);
-      run.cells.forEach(Cell::close);
+      run.cells.forEach(EmulatedCell::close);
     }
   }
 
   /** The summary of a run, and whether no rule was broken and no process ended by itself. */
   public record Outcome(String text, String json, boolean good) {}
 
-  private static List<String> runCommand(Path deploy) throws BadSettings, IOException {
+  private static List<String> runCommand(Path deploy) throws InvalidSettingsException, IOException {
     JsonNode run = new TomlMapper().readTree(Files.readString(deploy)).path("run");
     if (!run.isTextual()) {
-      throw new BadSettings(deploy.toString(), "run", "missing");
+      throw new InvalidSettingsException(deploy.toString(), "run", "missing");
     }
     return List.of(run.textValue().trim().split(" +"));
   }
@@ -122,7 +122,7 @@
   }
 
   private void killAll() {
-    for (Cell cell : cells) {
+    for (EmulatedCell cell : cells) {
       for (ControllerProcess controller : cell.controllers()) {
         try {
           controller.end();
@@ -138,13 +138,13 @@
   }
 
   private static long nowMs() {
-    return Clock.nowMs();
+    return SteadyClock.nowMs();
   }
 
-  private ScaleReport play() throws IOException, InterruptedException {
+  private LoadTestReport play() throws IOException, InterruptedException {
     FreePorts ports = new FreePorts();
     for (int i = 0; i < settings.cells().count(); i++) {
-      Cell cell = new Cell(settings, i);
+      EmulatedCell cell = new EmulatedCell(settings, i);
       cells.add(cell);
       cell.prepare(directory, command, ports);
     }
@@ -155,7 +155,7 @@
       awaitHealthy(controller);
     }
     beganMs = nowMs();
-    cells.forEach(Cell::begin);
+    cells.forEach(EmulatedCell::begin);
     phaseBegan = snapshots();
     playPhases();
     return report();
@@ -183,7 +183,7 @@
   }
 
   private void playPhases() throws IOException, InterruptedException {
-    ScaleSettings.Phases at = settings.phases();
+    LoadTestSettings.Phases at = settings.phases();
     playUntil("ramp", at.rampS());
     playUntil("steady", at.peakAtS());
     playUntil("peak", at.peakAtS() + at.peakS());
@@ -213,7 +213,7 @@
   }
 
   /** Runs something on a cell's own thread. */
-  static <T> T on(Cell cell, Callable<T> what) throws InterruptedException {
+  static <T> T on(EmulatedCell cell, Callable<T> what) throws InterruptedException {
     try {
       return cell.loop.submit(what).get();
     } catch (ExecutionException e) {
@@ -226,7 +226,7 @@
     int tasks = 0;
     int missing = 0;
     long breaches = 0;
-    for (Cell cell : cells) {
+    for (EmulatedCell cell : cells) {
       workers += on(cell, cell::workerCount);
       tasks += on(cell, cell::runningTaskCount);
       missing += on(cell, cell::missingReplicas);
@@ -253,7 +253,7 @@
     double ownCpuS = ownCpuS();
     CpuTimes machine = CpuTimes.read();
     List<Snapshot> all = new ArrayList<>();
-    for (Cell cell : cells) {
+    for (EmulatedCell cell : cells) {
       double[] cpuS = cell.controllers().stream().mapToDouble(ControllerProcess::cpuS).toArray();
       all.add(new Snapshot(on(cell, () -> cell.counters.clone()), cpuS, nowMs(), ownCpuS, machine));
     }
@@ -273,7 +273,7 @@
     phaseBegan = now;
   }
 
-  private ScaleReport.Phase phase(String name, Cell cell, Snapshot from, Snapshot to)
+  private LoadTestReport.Phase phase(String name, EmulatedCell cell, Snapshot from, Snapshot to)
       throws InterruptedException {
     double seconds = (to.atMs - from.atMs) / 1000.0;
     int leader = on(cell, cell::leader);
@@ -281,7 +281,7 @@
     for (int i = 0; i < to.cpuS.length; i++) {
       followers += i == leader ? 0 : to.cpuS[i] - from.cpuS[i];
     }
-    return new ScaleReport.Phase(
+    return new LoadTestReport.Phase(
         name,
         cell.number,
         seconds,
@@ -297,34 +297,34 @@
         to.counters.minus(from.counters));
   }
 
-  private ScaleReport report() throws InterruptedException {
-    List<ScaleReport.Latency> latencies =
+  private LoadTestReport report() throws InterruptedException {
+    List<LoadTestReport.Latency> latencies =
         List.of(
-            ScaleReport.Latency.of("start, during the ramp", all(cell -> cell.rampStartMs)),
-            ScaleReport.Latency.of("start, after the ramp", all(cell -> cell.startMs)),
-            ScaleReport.Latency.of("start of urgent work", all(cell -> cell.urgentStartMs)),
-            ScaleReport.Latency.of("submission accepted", all(cell -> cell.acceptMs)));
+            LoadTestReport.Latency.of("start, during the ramp", all(cell -> cell.rampStartMs)),
+            LoadTestReport.Latency.of("start, after the ramp", all(cell -> cell.startMs)),
+            LoadTestReport.Latency.of("start of urgent work", all(cell -> cell.urgentStartMs)),
+            LoadTestReport.Latency.of("submission accepted", all(cell -> cell.acceptMs)));
     Histogram lag = all(cell -> cell.lagMs);
     List<RecoveryTimer.Result> recoveries = new ArrayList<>();
-    List<SafetyChecker.Breach> breaches = new ArrayList<>();
+    List<InvariantChecker.Breach> breaches = new ArrayList<>();
     long breachCount = 0;
-    for (Cell cell : cells) {
+    for (EmulatedCell cell : cells) {
       recoveries.addAll(
           on(cell, () -> cell.recoveries.stream().map(RecoveryTimer::result).toList()));
       breaches.addAll(on(cell, () -> cell.checker.breaches()));
       breachCount += on(cell, () -> cell.checker.breachCount());
     }
-    List<ScaleReport.ProcessFigures> processes =
+    List<LoadTestReport.ProcessFigures> processes =
         controllers().stream()
             .map(
                 it ->
-                    new ScaleReport.ProcessFigures(
+                    new LoadTestReport.ProcessFigures(
                         it.name(),
                         it.cpuS(),
                         mostMemoryMb.getOrDefault(it, 0.0),
                         endedByItself.getOrDefault(it, 0)))
             .toList();
-    return new ScaleReport(
+    return new LoadTestReport(
         file,
         settings,
         Runtime.getRuntime().availableProcessors(),
@@ -338,10 +338,10 @@
         breaches);
   }
 
-  private Histogram all(java.util.function.Function<Cell, Histogram> of)
+  private Histogram all(java.util.function.Function<EmulatedCell, Histogram> of)
       throws InterruptedException {
     Histogram sum = null;
-    for (Cell cell : cells) {
+    for (EmulatedCell cell : cells) {
       Histogram copy = on(cell, () -> of.apply(cell).copy());
       if (sum == null) {
         sum = copy;
--- a/src/main/java/eiderfork/scale/ScaleFile.java
+++ b/src/main/java/eiderfork/loadtest/LoadTestFile.java
@@ -1,4 +1,4 @@
-package eiderfork.scale;
+package eiderfork.loadtest;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.DeserializationFeature;
@@ -6,7 +6,7 @@
 import com.fasterxml.jackson.databind.PropertyNamingStrategies;
 import com.fasterxml.jackson.databind.exc.UnrecognizedPropertyException;
 import com.fasterxml.jackson.dataformat.toml.TomlMapper;
-import eiderfork.config.BadSettings;
+import eiderfork.config.InvalidSettingsException;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -15,7 +15,7 @@
 import java.util.stream.Collectors;
 
 /** Reads and checks the file of a scale run; unknown and impossible entries are refused. */
-public final class ScaleFile {
+public final class LoadTestFile {
   private static final Set<String> JOB_KINDS = Set.of("service", "array");
   private static final Set<String> PRIORITIES = Set.of("production", "high", "standard", "low");
   private static final Set<String> TROUBLES =
@@ -23,44 +23,44 @@
 
   private final String file;
 
-  private ScaleFile(String file) {
+  private LoadTestFile(String file) {
     this.file = file;
   }
 
   /**
    * Reads the file of a scale run.
    *
-   * @throws BadSettings with file, field and reason where it can't be used
+   * @throws InvalidSettingsException with file, field and reason where it can't be used
    */
-  public static ScaleSettings read(Path path) throws BadSettings {
+  public static LoadTestSettings read(Path path) throws InvalidSettingsException {
     try {
       return parse(path.toString(), Files.readString(path));
     } catch (IOException e) {
-      throw new BadSettings(path.toString(), "", "can't be read");
+      throw new InvalidSettingsException(path.toString(), "", "can't be read");
     }
   }
 
   /**
    * Checks the text of a file; {@code file} is only named in errors.
    *
-   * @throws BadSettings with file, field and reason where it can't be used
+   * @throws InvalidSettingsException with file, field and reason where it can't be used
    */
-  public static ScaleSettings parse(String file, String text) throws BadSettings {
+  public static LoadTestSettings parse(String file, String text) throws InvalidSettingsException {
     TomlMapper mapper =
         TomlMapper.builder()
             .propertyNamingStrategy(PropertyNamingStrategies.SNAKE_CASE)
             .enable(DeserializationFeature.FAIL_ON_MISSING_CREATOR_PROPERTIES)
             .build();
     try {
-      ScaleSettings settings = mapper.readValue(text, ScaleSettings.class);
-      new ScaleFile(file).check(settings);
+      LoadTestSettings settings = mapper.readValue(text, LoadTestSettings.class);
+      new LoadTestFile(file).check(settings);
       return settings;
     } catch (UnrecognizedPropertyException e) {
-      throw new BadSettings(file, field(e), "unknown");
+      throw new InvalidSettingsException(file, field(e), "unknown");
     } catch (JsonMappingException e) {
-      throw new BadSettings(file, field(e), firstLine(e));
+      throw new InvalidSettingsException(file, field(e), firstLine(e));
     } catch (JsonProcessingException e) {
-      throw new BadSettings(file, "", "not TOML: " + firstLine(e));
+      throw new InvalidSettingsException(file, "", "not TOML: " + firstLine(e));
     }
   }
 
@@ -77,7 +77,7 @@
         .replace(".[", "[");
   }
 
-  private void check(ScaleSettings it) throws BadSettings {
+  private void check(LoadTestSettings it) throws InvalidSettingsException {
     positive(it.runS(), "run_s");
     atLeast(it.preloadedEndedJobs(), 0, "preloaded_ended_jobs");
     atLeast(it.preloadedArchivedJobs(), 0, "preloaded_archived_jobs");
@@ -105,7 +105,7 @@
     checkTroubles(it);
   }
 
-  private void checkCells(ScaleSettings.Cells cells) throws BadSettings {
+  private void checkCells(LoadTestSettings.Cells cells) throws InvalidSettingsException {
     atLeast(cells.count(), 1, "cells.count");
     atLeast(cells.zones(), 1, "cells.zones");
     atLeast(cells.racksPerZone(), 1, "cells.racks_per_zone");
@@ -114,7 +114,8 @@
     atLeast(cells.teams(), 1, "cells.teams");
   }
 
-  private void checkTypes(List<ScaleSettings.MachineKind> types) throws BadSettings {
+  private void checkTypes(List<LoadTestSettings.MachineKind> types)
+      throws InvalidSettingsException {
     atLeast(types.size(), 1, "machine_types");
     for (int i = 0; i < types.size(); i++) {
       String at = "machine_types[" + i + "].";
@@ -126,11 +127,12 @@
     }
   }
 
-  private void checkClasses(List<ScaleSettings.JobClass> classes) throws BadSettings {
+  private void checkClasses(List<LoadTestSettings.JobClass> classes)
+      throws InvalidSettingsException {
     atLeast(classes.size(), 1, "classes");
     for (int i = 0; i < classes.size(); i++) {
       String at = "classes[" + i + "].";
-      ScaleSettings.JobClass it = classes.get(i);
+      LoadTestSettings.JobClass it = classes.get(i);
       oneOf(it.kind(), JOB_KINDS, at + "kind");
       oneOf(it.priority(), PRIORITIES, at + "priority");
       atLeast(it.tasks(), 1, at + "tasks");
@@ -144,38 +146,40 @@
     }
   }
 
-  private void checkTroubles(ScaleSettings settings) throws BadSettings {
-    List<ScaleSettings.Trouble> troubles = settings.troubles();
+  private void checkTroubles(LoadTestSettings settings) throws InvalidSettingsException {
+    List<LoadTestSettings.Trouble> troubles = settings.troubles();
     for (int i = 0; i < troubles.size(); i++) {
       String at = "troubles[" + i + "].";
-      ScaleSettings.Trouble it = troubles.get(i);
+      LoadTestSettings.Trouble it = troubles.get(i);
       oneOf(it.kind(), TROUBLES, at + "kind");
       atLeast(it.forS(), 0, at + "for_s");
       atLeast(it.cell(), 0, at + "cell");
       if (it.cell() >= settings.cells().count()) {
-        throw new BadSettings(file, at + "cell", "there are fewer cells");
+        throw new InvalidSettingsException(file, at + "cell", "there are fewer cells");
       }
       if (it.atS() < 0 || it.atS() > settings.runS()) {
-        throw new BadSettings(file, at + "at_s", "not within run_s");
+        throw new InvalidSettingsException(file, at + "at_s", "not within run_s");
       }
     }
   }
 
-  private void positive(double value, String field) throws BadSettings {
+  private void positive(double value, String field) throws InvalidSettingsException {
     if (!(value > 0)) {
-      throw new BadSettings(file, field, "not above 0");
+      throw new InvalidSettingsException(file, field, "not above 0");
     }
   }
 
-  private void atLeast(double value, double least, String field) throws BadSettings {
+  private void atLeast(double value, double least, String field) throws InvalidSettingsException {
     if (!(value >= least)) {
-      throw new BadSettings(file, field, "less than " + least);
+      throw new InvalidSettingsException(file, field, "less than " + least);
     }
   }
 
-  private void oneOf(String value, Set<String> known, String field) throws BadSettings {
+  private void oneOf(String value, Set<String> known, String field)
+      throws InvalidSettingsException {
     if (!known.contains(value)) {
-      throw new BadSettings(file, field, "not one of " + new java.util.TreeSet<>(known));
+      throw new InvalidSettingsException(
+          file, field, "not one of " + new java.util.TreeSet<>(known));
     }
   }
 }
--- a/src/main/java/eiderfork/scale/ScaleReport.java
+++ b/src/main/java/eiderfork/loadtest/LoadTestReport.java
@@ -1,4 +1,4 @@
-package eiderfork.scale;
+package eiderfork.loadtest;
 
 import com.fasterxml.jackson.annotation.JsonAutoDetect.Visibility;
 import com.fasterxml.jackson.annotation.PropertyAccessor;
@@ -17,9 +17,9 @@
  * @param emulatorLagP99Ms by how much the emulation itself ran late; large values say that the
  *     machine and not the service gave out
  */
-record ScaleReport(
+record LoadTestReport(
     String file,
-    ScaleSettings settings,
+    LoadTestSettings settings,
     int cores,
     List<Phase> phases,
     List<Latency> latencies,
@@ -28,7 +28,7 @@
     double emulatorLagP99Ms,
     double emulatorLagMaxMs,
     long breachCount,
-    List<SafetyChecker.Breach> breaches) {
+    List<InvariantChecker.Breach> breaches) {
 
   /**
    * What happened in a cell during a phase.
--- a/src/main/java/eiderfork/scale/ScaleSettings.java
+++ b/src/main/java/eiderfork/loadtest/LoadTestSettings.java
@@ -1,9 +1,9 @@
-package eiderfork.scale;
+package eiderfork.loadtest;
 
 import java.util.List;
 
 /**
- * What a scale run is made of; read from a TOML file by {@link ScaleFile}. Times are in seconds.
+ * What a scale run is made of; read from a TOML file by {@link LoadTestFile}. Times are in seconds.
  *
  * @param seed of all random numbers of the emulation
  * @param runS how long load is offered, all troubles included
@@ -11,7 +11,7 @@
  * @param preloadedEndedJobs jobs per cell that the state service holds as done from the start
  * @param preloadedArchivedJobs further ones that are archived already
  */
-public record ScaleSettings(
+public record LoadTestSettings(
     long seed,
     double runS,
     Cells cells,
--- a/src/main/java/eiderfork/scale/PreloadedJobs.java
+++ b/src/main/java/eiderfork/loadtest/PreloadedJobs.java
@@ -1,14 +1,14 @@
-package eiderfork.scale;
+package eiderfork.loadtest;
 
 import com.google.common.collect.ImmutableList;
-import eiderfork.core.message.Keys;
+import eiderfork.controller.message.StoreKeys;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
 import eiderfork.model.JobStatus;
 import eiderfork.model.Priority;
-import eiderfork.model.Record;
 import eiderfork.model.Resources;
-import eiderfork.wire.StateServerWire;
+import eiderfork.model.StoredRecord;
+import eiderfork.wire.StoreServerCodec;
 import org.apache.commons.rng.UniformRandomProvider;
 
 /** Jobs of one task that have ended before the run, as a leader of this version stores them. */
@@ -24,20 +24,23 @@
     return "run-" + (FIRST_ID + random.nextLong(IDS));
   }
 
-  static void storeArchived(EmulatedState state, int count, UniformRandomProvider random) {
-    String value = StateServerWire.value(new Record.EndedJob(JobStatus.Stance.DONE, 1));
+  static void storeArchived(EmulatedStore state, int count, UniformRandomProvider random) {
+    String value = StoreServerCodec.value(new StoredRecord.EndedJob(JobStatus.Stance.DONE, 1));
     for (int i = 0; i < count; i++) {
-      state.preload(Keys.ENDED + uid(random), value);
+      state.preload(StoreKeys.ENDED + uid(random), value);
     }
   }
 
-  static void storeEnded(EmulatedState state, int count, UniformRandomProvider random) {
+  static void storeEnded(EmulatedStore state, int count, UniformRandomProvider random) {
     for (int i = 0; i < count; i++) {
       String uid = uid(random);
-      Record.Alloc alloc =
-          new Record.Alloc(1, true, ImmutableList.of(), ImmutableList.of(new Record.Range(0, 0)));
-      state.preload(Keys.JOB + uid, StateServerWire.value(new Record.JobSpec(job(uid))));
-      state.preload(Keys.ALLOC + uid, StateServerWire.value(new Record.PackedAlloc(alloc)));
+      StoredRecord.Alloc alloc =
+          new StoredRecord.Alloc(
+              1, true, ImmutableList.of(), ImmutableList.of(new StoredRecord.Range(0, 0)));
+      state.preload(
+          StoreKeys.JOB + uid, StoreServerCodec.value(new StoredRecord.JobSpec(job(uid))));
+      state.preload(
+          StoreKeys.ALLOC + uid, StoreServerCodec.value(new StoredRecord.PackedAlloc(alloc)));
     }
   }
 
--- a/src/main/java/eiderfork/scale/RecoveryTimer.java
+++ b/src/main/java/eiderfork/loadtest/RecoveryTimer.java
@@ -1,4 +1,4 @@
-package eiderfork.scale;
+package eiderfork.loadtest;
 
 /**
  * Measures how long a trouble is felt: until a leader of a later term commands workers, until a
@@ -15,7 +15,7 @@
       int missingBefore,
       double asBeforeS) {}
 
-  private final ScaleSettings.Trouble trouble;
+  private final LoadTestSettings.Trouble trouble;
   private final long termBefore;
   private final int missingBefore;
   private final long beganMs;
@@ -26,7 +26,7 @@
   private int mostMissing;
   private boolean stopped;
 
-  RecoveryTimer(ScaleSettings.Trouble trouble, long termBefore, int missingBefore, long nowMs) {
+  RecoveryTimer(LoadTestSettings.Trouble trouble, long termBefore, int missingBefore, long nowMs) {
     this.trouble = trouble;
     this.termBefore = termBefore;
     this.missingBefore = missingBefore;
--- a/src/main/java/eiderfork/scale/Clock.java
+++ b/src/main/java/eiderfork/loadtest/SteadyClock.java
@@ -1,8 +1,8 @@
-package eiderfork.scale;
+package eiderfork.loadtest;
 
 /** The steady time of the emulation. */
-final class Clock {
-  private Clock() {}
+final class SteadyClock {
+  private SteadyClock() {}
 
   static long nowMs() {
     return System.nanoTime() / 1_000_000;
--- a/src/main/java/eiderfork/model/RecordSize.java
+++ b/src/main/java/eiderfork/model/AllocationSize.java
@@ -1,10 +1,10 @@
 package eiderfork.model;
 
 /**
- * An upper bound of what one form of an {@link Record.Alloc} takes, now and however its tasks end,
- * so that a reservation is only made where every later record fits into a value.
+ * An upper bound of what one form of an {@link StoredRecord.Alloc} takes, now and however its tasks
+ * end, so that a reservation is only made where every later record fits into a value.
  */
-public interface RecordSize {
+public interface AllocationSize {
   /** Counts one more reservation, of the task with this index. */
   void add(int index, long attempt, String machine);
 
--- a/src/main/java/eiderfork/model/BitmapAllocSize.java
+++ b/src/main/java/eiderfork/model/BitmapAllocationSize.java
@@ -5,8 +5,8 @@
 import java.util.Set;
 
 /**
- * The bound on the bitmap form of an {@link Record.Alloc}: two compressed bitmaps of the tasks, and
- * one row for each run of reservations.
+ * The bound on the bitmap form of an {@link StoredRecord.Alloc}: two compressed bitmaps of the
+ * tasks, and one row for each run of reservations.
  *
  * <p>Nothing of it grows when a task ends. Runs are counted among the reserved tasks alone, so that
  * a task that leaves one never splits it. A compressed bitmap has one word for each that is neither
@@ -14,7 +14,7 @@
  * unfinished task can change, and each of them accounts for two words at most: itself and a marker
  * of what follows it, or the markers of the stretch that it is and of the one that follows.
  */
-public final class BitmapAllocSize implements RecordSize {
+public final class BitmapAllocationSize implements AllocationSize {
   /** The last attempt, the mark of a job that is done, and the edges of columns and bitmaps. */
   private static final int FRAME_BYTES = 64;
 
@@ -66,7 +66,7 @@
    * @param tasks how many tasks the job has
    * @param finished which of them have finished
    */
-  public BitmapAllocSize(int tasks, BitSet finished) {
+  public BitmapAllocationSize(int tasks, BitSet finished) {
     this.tasks = tasks;
     endOfWords = (finished.length() + TASKS_PER_WORD - 1) / TASKS_PER_WORD;
     unfinishedWords = new BitSet();
@@ -118,9 +118,9 @@
     int moreSeries = series.contains(named) ? 0 : bytesOf(named);
     // A run's attempt is told as how far it lies behind the newest one.
     int run =
-        Varint.bytes(tasks)
-            + Varint.bytes(attempt)
-            + Varint.bytes(Math.max(numberBound, named.bound()))
+        VarintSize.bytes(tasks)
+            + VarintSize.bytes(attempt)
+            + VarintSize.bytes(Math.max(numberBound, named.bound()))
             + SERIES_INDEX_BYTES;
     int allRuns = runs + runsOfOneMore(index, attempt, machine);
     int bytes = FRAME_BYTES + seriesBytes + moreSeries + bitmapBytes(index) + allRuns * run;
--- a/src/main/java/eiderfork/model/Report.java
+++ b/src/main/java/eiderfork/model/Heartbeat.java
@@ -3,17 +3,17 @@
 import com.google.common.collect.ImmutableList;
 
 /** A worker's report; the larger (session, seq) is the newer one. */
-public record Report(
+public record Heartbeat(
     Machine machine,
     long session,
     long seq,
     long token,
     Double noticeS,
-    ImmutableList<TaskReport> tasks) {
+    ImmutableList<TaskStatus> tasks) {
 
   /** This report with an equal list of tasks, so that memory holds one list for both. */
-  public Report withTasks(ImmutableList<TaskReport> equalTasks) {
-    return new Report(machine, session, seq, token, noticeS, equalTasks);
+  public Heartbeat withTasks(ImmutableList<TaskStatus> equalTasks) {
+    return new Heartbeat(machine, session, seq, token, noticeS, equalTasks);
   }
 
   /** Whether this report was made after the message with that session and sequence number. */
--- a/src/main/java/eiderfork/model/PackedAllocSize.java
+++ b/src/main/java/eiderfork/model/PackedAllocationSize.java
@@ -4,10 +4,10 @@
 import java.util.Set;
 
 /**
- * The bound on the packed form of an {@link Record.Alloc}: columns of variable-length integers in
- * Base64.
+ * The bound on the packed form of an {@link StoredRecord.Alloc}: columns of variable-length
+ * integers in Base64.
  */
-public final class PackedAllocSize implements RecordSize {
+public final class PackedAllocationSize implements AllocationSize {
   /**
    * The last attempt, the mark of a job that is done, and where each of the columns begins and
    * ends.
@@ -43,7 +43,7 @@
    * @param tasks how many tasks the job has
    * @param finishedRanges how many separate ranges of its tasks have finished
    */
-  public PackedAllocSize(int tasks, int finishedRanges) {
+  public PackedAllocationSize(int tasks, int finishedRanges) {
     this.tasks = tasks;
     this.finishedRanges = finishedRanges;
   }
@@ -64,10 +64,10 @@
     NumberedName name = NumberedName.of(machine);
     int more = bytesOf(name);
     // An attempt is told as how far it lies behind the newest, which is more the older it is.
-    int attempts = (reserved + 1) * Varint.bytes(Math.max(newestAttempt, attempt));
+    int attempts = (reserved + 1) * VarintSize.bytes(Math.max(newestAttempt, attempt));
     int moreSeries = series.contains(name.series()) ? 0 : bytesOf(name.series());
     int ranges = finishedRanges + reserved + 1 + 1;
-    int finishedBytes = Math.min(tasks / TASKS_PER_BYTE + 1, ranges * 2 * Varint.bytes(tasks));
+    int finishedBytes = Math.min(tasks / TASKS_PER_BYTE + 1, ranges * 2 * VarintSize.bytes(tasks));
     int bytes =
         FRAME_BYTES + reservedBytes + more + attempts + seriesBytes + moreSeries + finishedBytes;
     return bytes * TEXT_PER_BYTE + AROUND_TEXT <= valueKb * 1024 * VALUE_SHARE;
@@ -75,7 +75,7 @@
 
   /** A run of tasks takes no more than its tasks alone, so it does not matter how they end. */
   private int bytesOf(NumberedName name) {
-    return Varint.bytes(tasks) + Varint.bytes(name.series().bound()) + SMALL_COLUMNS_BYTES;
+    return VarintSize.bytes(tasks) + VarintSize.bytes(name.series().bound()) + SMALL_COLUMNS_BYTES;
   }
 
   private static int bytesOf(NumberedName.Series series) {
--- a/src/main/java/eiderfork/model/AllocSize.java
+++ b/src/main/java/eiderfork/model/PlainAllocationSize.java
@@ -3,8 +3,8 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** The bound on the plain form of an {@link Record.Alloc}, which every version reads. */
-public final class AllocSize implements RecordSize {
+/** The bound on the plain form of an {@link StoredRecord.Alloc}, which every version reads. */
+public final class PlainAllocationSize implements AllocationSize {
   /** Braces, field names, the last attempt and the mark of a job that is done. */
   private static final int FRAME = 96;
 
@@ -30,7 +30,7 @@
    * @param tasks how many tasks the job has
    * @param finishedRanges how many separate ranges of its tasks have finished
    */
-  public AllocSize(int tasks, int finishedRanges) {
+  public PlainAllocationSize(int tasks, int finishedRanges) {
     this.tasks = tasks;
     this.finishedRanges = finishedRanges;
   }
@@ -67,7 +67,8 @@
 
   /** Whether values of this size let a job of that many tasks run at all, one by one. */
   public static boolean anyFits(int tasks, int nameBytes, double valueKb) {
-    return new AllocSize(tasks, 1).fits(0, Long.MAX_VALUE, "m".repeat(nameBytes), valueKb);
+    return new PlainAllocationSize(tasks, 1)
+        .fits(0, Long.MAX_VALUE, "m".repeat(nameBytes), valueKb);
   }
 
   private static int digits(long n) {
--- a/src/main/java/eiderfork/model/Record.java
+++ b/src/main/java/eiderfork/model/StoredRecord.java
@@ -3,22 +3,22 @@
 import com.google.common.collect.ImmutableList;
 
 /** What the state service holds under a key. */
-public sealed interface Record {
+public sealed interface StoredRecord {
 
   /** A job as its user submitted it; written once. */
-  record JobSpec(Job job) implements Record {}
+  record JobSpec(Job job) implements StoredRecord {}
 
   /** The leader key: who leads, and in which term. */
-  record Leadership(String node, long term) implements Record {}
+  record Leadership(String node, long term) implements StoredRecord {}
 
   /** A value that this version can't read; what it stands for is left as it is. */
-  record Unreadable(String why) implements Record {}
+  record Unreadable(String why) implements StoredRecord {}
 
   /** The counter of terms. */
-  record Term(long term) implements Record {}
+  record Term(long term) implements StoredRecord {}
 
   /** A confirmed cancellation of a job; written once and never removed. */
-  record Aborted(String uid) implements Record {}
+  record Aborted(String uid) implements StoredRecord {}
 
   /** Tasks {@code from} to {@code to}, both included, reserved on a machine as one attempt. */
   record Span(int from, int to, long attempt, String machine) {}
@@ -33,7 +33,7 @@
    */
   record Alloc(
       long lastAttempt, boolean done, ImmutableList<Span> reserved, ImmutableList<Range> finished)
-      implements Record {
+      implements StoredRecord {
     /** The record of a job that nothing was ever reserved for. */
     public static final Alloc EMPTY = new Alloc(0, false, ImmutableList.of(), ImmutableList.of());
   }
@@ -42,34 +42,34 @@
    * The same record in a form that takes a fraction of the space. Versions before the second can't
    * read it; it is read back as the record that it holds.
    */
-  record PackedAlloc(Alloc alloc) implements Record {}
+  record PackedAlloc(Alloc alloc) implements StoredRecord {}
 
   /**
    * The same record in the packed or the bitmap form, whichever is shorter. Versions before the
    * fourth can't read the bitmap one; both are read back as the record that they hold.
    */
-  record BitmapAlloc(Alloc alloc) implements Record {}
+  record BitmapAlloc(Alloc alloc) implements StoredRecord {}
 
   /** A rent reserved before the cloud is asked, under the name that the request carries. */
   record Rent(String requestName, String type, String zone, boolean spot, int count)
-      implements Record {}
+      implements StoredRecord {}
 
   /** A return reserved before the cloud is asked. */
-  record Return(ImmutableList<String> machines) implements Record {}
+  record Return(ImmutableList<String> machines) implements StoredRecord {}
 
   /** Machines whose workers a node answers in the place of a leader that they can't reach. */
-  record ProxiedLeases(ImmutableList<String> machines) implements Record {}
+  record ProxiedLeases(ImmutableList<String> machines) implements StoredRecord {}
 
   /**
    * The final state of a job that was archived: its other records are gone.
    *
    * @param done how many of its tasks had completed
    */
-  record EndedJob(JobStatus.Stance stance, int done) implements Record {}
+  record EndedJob(JobStatus.Stance stance, int done) implements StoredRecord {}
 
   /** The newest version that every member of the cluster runs. */
-  record StoredVersion(int version) implements Record {}
+  record StoredVersion(int version) implements StoredRecord {}
 
   /** The machine types, kept for nodes that must judge a submission without the cloud. */
-  record Types(ImmutableList<MachineType> types) implements Record {}
+  record Types(ImmutableList<MachineType> types) implements StoredRecord {}
 }
--- a/src/main/java/eiderfork/model/TaskReport.java
+++ b/src/main/java/eiderfork/model/TaskStatus.java
@@ -1,7 +1,7 @@
 package eiderfork.model;
 
 /** What a worker says of one attempt; {@code cause} is null unless it has ended. */
-public record TaskReport(Attempt attempt, State state, Cause cause, boolean saved) {
+public record TaskStatus(Attempt attempt, State state, Cause cause, boolean saved) {
   /** What an attempt is doing on its machine. */
   public enum State {
     FETCHING,
--- a/src/main/java/eiderfork/model/Varint.java
+++ b/src/main/java/eiderfork/model/VarintSize.java
@@ -1,10 +1,10 @@
 package eiderfork.model;
 
 /** The size of integers in Avro's binary form: zigzag, seven bits a byte. */
-final class Varint {
+final class VarintSize {
   private static final int BITS_PER_BYTE = 7;
 
-  private Varint() {}
+  private VarintSize() {}
 
   /** How many bytes a number of this size, or its negative, takes at most. */
   static int bytes(long number) {
--- a/src/main/java/eiderfork/net/TrainingRun.java
+++ b/src/main/java/eiderfork/net/ClassDataTraining.java
@@ -2,7 +2,7 @@
 
 import eiderfork.config.OperatorSettings;
 import eiderfork.config.Settings.Endpoint;
-import eiderfork.config.SettingsFile;
+import eiderfork.config.SettingsParser;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
 import java.io.IOException;
@@ -17,7 +17,7 @@
  * ordinary paths. The build records the classes that this loads, since on a sliver of a core
  * loading them is most of a start.
  */
-public final class TrainingRun {
+public final class ClassDataTraining {
   /** One controller asks, over a handful of connections. */
   private static final int STAND_IN_BACKLOG = 16;
 
@@ -29,7 +29,7 @@
   private final MultiThreadIoEventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
 
-  private TrainingRun() {}
+  private ClassDataTraining() {}
 
   /**
    * Runs the training run once.
@@ -39,7 +39,7 @@
   public static void run() throws Exception {
     for (int left = TRIES; ; left--) {
       try {
-        new TrainingRun().play();
+        new ClassDataTraining().play();
         return;
       } catch (IOException e) {
         // Another program took a port between the look for a free one and its use.
@@ -93,7 +93,9 @@
         sockets = 600
         """
             .formatted(publicPort, peerPort, services);
-    Node node = new Node(SettingsFile.parse("training-run", settings, OperatorSettings.DEFAULTS));
+    ControllerNode node =
+        new ControllerNode(
+            SettingsParser.parse("training-run", settings, OperatorSettings.DEFAULTS));
     node.start();
     HttpClient client = new HttpClient(group.next(), 1);
     Endpoint to = new Endpoint("127.0.0.1", publicPort);
--- a/src/main/java/eiderfork/net/Node.java
+++ b/src/main/java/eiderfork/net/ControllerNode.java
@@ -2,18 +2,18 @@
 
 import eiderfork.config.Settings;
 import eiderfork.config.Settings.Endpoint;
-import eiderfork.core.Controller;
-import eiderfork.core.message.Effect;
-import eiderfork.core.message.Input;
-import eiderfork.core.message.Reply;
-import eiderfork.core.message.UserAnswer;
+import eiderfork.controller.Controller;
+import eiderfork.controller.message.Effect;
+import eiderfork.controller.message.Input;
+import eiderfork.controller.message.Reply;
+import eiderfork.controller.message.UserResponse;
 import eiderfork.model.Job;
-import eiderfork.wire.BadMessage;
-import eiderfork.wire.CloudWire;
-import eiderfork.wire.PeerWire;
-import eiderfork.wire.StateWire;
-import eiderfork.wire.UserWire;
-import eiderfork.wire.WorkerWire;
+import eiderfork.wire.CloudCodec;
+import eiderfork.wire.MalformedMessageException;
+import eiderfork.wire.PeerCodec;
+import eiderfork.wire.StoreCodec;
+import eiderfork.wire.UserCodec;
+import eiderfork.wire.WorkerCodec;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -23,9 +23,12 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** A controller node on the network: one event loop that feeds the core and does as it says. */
-public final class Node implements AutoCloseable {
-  private static final Logger LOG = LoggerFactory.getLogger(Node.class);
+/**
+ * A controller node on the network: one event loop that feeds a controller and carries out its
+ * effects.
+ */
+public final class ControllerNode implements AutoCloseable {
+  private static final Logger LOG = LoggerFactory.getLogger(ControllerNode.class);
 
   private static final byte[] NOTHING = new byte[0];
   private static final long NANOS_PER_MS = 1_000_000;
@@ -39,8 +42,8 @@
   private final EventLoop loop = group.next();
   private final HttpClient client;
   private final Controller controller;
-  private final InputMeter meter = new InputMeter();
-  private final TakeoverTracer tracer;
+  private final EventLoopMetrics meter = new EventLoopMetrics();
+  private final FailoverTracer tracer;
   private final Long2ObjectOpenHashMap<HttpServer.Exchange> open = new Long2ObjectOpenHashMap<>();
   private long tickets;
 
@@ -49,10 +52,10 @@
       new Long2ObjectOpenHashMap<>();
 
   /** Makes a node that does nothing until it is started. */
-  public Node(Settings settings) {
+  public ControllerNode(Settings settings) {
     this.settings = settings;
     client = new HttpClient(loop, settings.controller().outbound());
-    tracer = TakeoverTracer.of(settings.node(), settings.operator().traceFile());
+    tracer = FailoverTracer.of(settings.node(), settings.operator().traceFile());
     controller = new Controller(settings, ThreadLocalRandom.current(), nowMs());
   }
 
@@ -70,7 +73,7 @@
     loop.scheduleWithFixedDelay(this::tick, 0, tickMs, TimeUnit.MILLISECONDS);
     loop.scheduleWithFixedDelay(
         client::sweep, 1, (long) settings.workers().leaseS(), TimeUnit.SECONDS);
-    HeapWatch heap = new HeapWatch(HeapWatch.OWN, settings.controller().memoryMb());
+    HeapMonitor heap = new HeapMonitor(HeapMonitor.OWN, settings.controller().memoryMb());
     loop.scheduleWithFixedDelay(heap::check, 1, 1, TimeUnit.SECONDS);
     loop.scheduleWithFixedDelay(
         () -> LOG.info("work of the last minute: {}", meter.tell()),
@@ -104,7 +107,7 @@
       meter.took(input, System.nanoTime() - beganNs);
     } catch (RuntimeException e) {
       // The state in memory can't be trusted any more; a fresh process rebuilds it.
-      LOG.error("the core failed on {}", input, e);
+      LOG.error("controller-failed input={}", input, e);
       Runtime.getRuntime().halt(70);
     }
   }
@@ -117,44 +120,44 @@
   }
 
   private static void refuse(HttpServer.Exchange exchange, int status, String error) {
-    exchange.answer(status, UserWire.error(error), 0);
+    exchange.answer(status, UserCodec.error(error), 0);
   }
 
   private void publicRequest(HttpServer.Exchange exchange) {
     int query = exchange.path.indexOf('?');
     String path = query < 0 ? exchange.path : exchange.path.substring(0, query);
     try {
-      if (path.equals(WorkerWire.REPORT)) {
+      if (path.equals(WorkerCodec.REPORT)) {
         if (method(exchange, "POST")) {
-          var report = WorkerWire.report(exchange.body);
+          var report = WorkerCodec.report(exchange.body);
           take(new Input.WorkerReport(ticket(exchange), report));
         }
-      } else if (path.equals(UserWire.HEALTH)) {
+      } else if (path.equals(UserCodec.HEALTH)) {
         if (method(exchange, "GET")) {
           take(new Input.HealthCheck(ticket(exchange)));
         }
-      } else if (path.equals(UserWire.RUNS)) {
+      } else if (path.equals(UserCodec.RUNS)) {
         if (method(exchange, "POST")) {
-          Job job = UserWire.job(exchange.body);
+          Job job = UserCodec.job(exchange.body);
           take(new Input.Submit(ticket(exchange), job, exchange.body));
         }
-      } else if (path.startsWith(UserWire.RUNS + "/")) {
-        jobRequest(exchange, path.substring(UserWire.RUNS.length() + 1));
+      } else if (path.startsWith(UserCodec.RUNS + "/")) {
+        jobRequest(exchange, path.substring(UserCodec.RUNS.length() + 1));
       } else {
         refuse(exchange, 404, "no such path");
       }
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       refuse(exchange, 400, e.getMessage());
     }
   }
 
   private void jobRequest(HttpServer.Exchange exchange, String rest) {
-    boolean abort = rest.endsWith(UserWire.ABORT);
-    String uid = abort ? rest.substring(0, rest.length() - UserWire.ABORT.length()) : rest;
+    boolean abort = rest.endsWith(UserCodec.ABORT);
+    String uid = abort ? rest.substring(0, rest.length() - UserCodec.ABORT.length()) : rest;
     if (uid.contains("/")) {
       refuse(exchange, 404, "no such path");
     } else if (method(exchange, abort ? "POST" : "GET")) {
-      if (!UserWire.isUid(uid)) {
+      if (!UserCodec.isUid(uid)) {
         refuse(exchange, 404, "no such job");
       } else if (abort) {
         take(new Input.Abort(ticket(exchange), uid));
@@ -175,23 +178,23 @@
   private void peerRequest(HttpServer.Exchange exchange) {
     meter.peerAsked(exchange.body.length);
     try {
-      if (exchange.path.equals(PeerWire.PING)) {
-        var view = PeerWire.view(exchange.body);
+      if (exchange.path.equals(PeerCodec.PING)) {
+        var view = PeerCodec.view(exchange.body);
         take(new Input.PeerPing(ticket(exchange), view));
-      } else if (exchange.path.equals(PeerWire.QUERIES)) {
-        var uids = PeerWire.queries(exchange.body);
+      } else if (exchange.path.equals(PeerCodec.QUERIES)) {
+        var uids = PeerCodec.queries(exchange.body);
         take(new Input.PeerQueries(ticket(exchange), uids));
-      } else if (exchange.path.equals(PeerWire.HINTS)) {
-        var hints = PeerWire.hints(exchange.body);
+      } else if (exchange.path.equals(PeerCodec.HINTS)) {
+        var hints = PeerCodec.hints(exchange.body);
         take(new Input.PeerHints(ticket(exchange), hints));
-      } else if (exchange.path.equals(PeerWire.REQUEST)) {
-        Input request = PeerWire.request(exchange.body);
+      } else if (exchange.path.equals(PeerCodec.REQUEST)) {
+        Input request = PeerCodec.request(exchange.body);
         passedOn.put(++tickets, exchange);
         take(new Input.PeerRequest(tickets, request));
       } else {
         refuse(exchange, 404, "no such path");
       }
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       refuse(exchange, 400, e.getMessage());
     }
   }
@@ -200,53 +203,71 @@
 
   private void carryOut(Effect effect) {
     if (effect instanceof Effect.AskState it) {
-      StateWire.Request request = StateWire.request(it.op());
+      StoreCodec.Request request = StoreCodec.request(it.op());
       ask(
           it,
           settings.state(),
           request.method(),
           request.path(),
           request.body(),
-          (status, body) -> StateWire.reply(it.op(), status, body));
+          (status, body) -> StoreCodec.reply(it.op(), status, body));
     } else if (effect instanceof Effect.AskTypes it) {
-      ask(it, settings.cloud(), "GET", CloudWire.TYPES, null, CloudWire::types);
+      ask(it, settings.cloud(), "GET", CloudCodec.TYPES, null, CloudCodec::types);
     } else if (effect instanceof Effect.AskRent it) {
-      byte[] body = CloudWire.rent(it.rent());
-      ask(it, settings.cloud(), "POST", CloudWire.HOSTS, body, CloudWire::rented);
+      byte[] body = CloudCodec.rent(it.rent());
+      ask(it, settings.cloud(), "POST", CloudCodec.HOSTS, body, CloudCodec::rented);
     } else if (effect instanceof Effect.AskReturn it) {
-      byte[] body = CloudWire.giveBack(it.machines());
+      byte[] body = CloudCodec.giveBack(it.machines());
       ask(
           it,
           settings.cloud(),
           "POST",
-          CloudWire.RETURN,
+          CloudCodec.RETURN,
           body,
-          (status, said) -> CloudWire.returned(status));
+          (status, said) -> CloudCodec.returned(status));
     } else if (effect instanceof Effect.AskHosts it) {
-      ask(it, settings.cloud(), "GET", CloudWire.hostsPath(it.after()), null, CloudWire::hosts);
+      ask(it, settings.cloud(), "GET", CloudCodec.hostsPath(it.after()), null, CloudCodec::hosts);
     } else if (effect instanceof Effect.AskCommands it) {
-      byte[] body = WorkerWire.commands(it.token(), it.session(), it.commands());
-      ask(it, endpoint(it.addr()), "POST", WorkerWire.COMMANDS, body, Node::workerSays);
+      byte[] body = WorkerCodec.commands(it.token(), it.session(), it.commands());
+      ask(it, endpoint(it.addr()), "POST", WorkerCodec.COMMANDS, body, ControllerNode::workerSays);
     } else if (effect instanceof Effect.AskInspect it) {
-      ask(it, endpoint(it.addr()), "GET", WorkerWire.INSPECT, null, Node::workerSays);
+      ask(it, endpoint(it.addr()), "GET", WorkerCodec.INSPECT, null, ControllerNode::workerSays);
     } else if (effect instanceof Effect.AskPeerPing it) {
-      byte[] body = PeerWire.view(it.view());
-      ask(it, settings.peers().get(it.node()), "POST", PeerWire.PING, body, Node::peerSays);
+      byte[] body = PeerCodec.view(it.view());
+      ask(
+          it,
+          settings.peers().get(it.node()),
+          "POST",
+          PeerCodec.PING,
+          body,
+          ControllerNode::peerSays);
     } else if (effect instanceof Effect.AskPeerRequest it) {
-      byte[] body = PeerWire.request(it.request());
-      ask(it, settings.peers().get(it.node()), "POST", PeerWire.REQUEST, body, Node::peerAnswered);
+      byte[] body = PeerCodec.request(it.request());
+      ask(
+          it,
+          settings.peers().get(it.node()),
+          "POST",
+          PeerCodec.REQUEST,
+          body,
+          ControllerNode::peerAnswered);
     } else if (effect instanceof Effect.AskPeerQueries it) {
-      byte[] body = PeerWire.queries(it.uids());
+      byte[] body = PeerCodec.queries(it.uids());
       ask(
           it,
           settings.peers().get(it.node()),
           "POST",
-          PeerWire.QUERIES,
+          PeerCodec.QUERIES,
           body,
-          Node::peerAnsweredAll);
+          ControllerNode::peerAnsweredAll);
     } else if (effect instanceof Effect.AskPeerHints it) {
-      byte[] body = PeerWire.hints(it.hints());
-      ask(it, settings.peers().get(it.node()), "POST", PeerWire.HINTS, body, Node::peerTookHints);
+      byte[] body = PeerCodec.hints(it.hints());
+      ask(
+          it,
+          settings.peers().get(it.node()),
+          "POST",
+          PeerCodec.HINTS,
+          body,
+          ControllerNode::peerTookHints);
     } else if (effect instanceof Effect.TookOver it) {
       tracer.trace(it);
     } else {
@@ -256,27 +277,27 @@
 
   private void answer(Effect effect) {
     if (effect instanceof Effect.AnswerUser it) {
-      UserAnswer answer = it.answer();
+      UserResponse answer = it.answer();
       HttpServer.Exchange peer = passedOn.remove(it.ticket());
       if (peer != null) {
-        answerPeer(peer, PeerWire.answer(answer));
+        answerPeer(peer, PeerCodec.answer(answer));
       } else {
         HttpServer.Exchange user = open.remove(it.ticket());
-        user.answer(answer.status(), UserWire.body(answer), answer.retryAfterS());
+        user.answer(answer.status(), UserCodec.body(answer), answer.retryAfterS());
       }
     } else if (effect instanceof Effect.AnswerPeerQueries it) {
-      answerPeer(open.remove(it.ticket()), PeerWire.answers(it.answers()));
+      answerPeer(open.remove(it.ticket()), PeerCodec.answers(it.answers()));
     } else if (effect instanceof Effect.AnswerPeerHints it) {
       answerPeer(open.remove(it.ticket()), NOTHING);
     } else if (effect instanceof Effect.AnswerHealth it) {
-      byte[] body = UserWire.health(it.healthy(), it.why());
+      byte[] body = UserCodec.health(it.healthy(), it.why());
       open.remove(it.ticket()).answer(it.healthy() ? 200 : 503, body, 0);
     } else if (effect instanceof Effect.AnswerWorker it) {
-      open.remove(it.ticket()).answer(200, WorkerWire.answer(it.token(), it.commands()), 0);
+      open.remove(it.ticket()).answer(200, WorkerCodec.answer(it.token(), it.commands()), 0);
     } else if (effect instanceof Effect.RedirectWorker it) {
-      open.remove(it.ticket()).answer(421, WorkerWire.redirect(it.leader()), 0);
+      open.remove(it.ticket()).answer(421, WorkerCodec.redirect(it.leader()), 0);
     } else if (effect instanceof Effect.AnswerPing it) {
-      answerPeer(open.remove(it.ticket()), PeerWire.view(it.view()));
+      answerPeer(open.remove(it.ticket()), PeerCodec.view(it.view()));
     }
   }
 
@@ -286,7 +307,7 @@
   }
 
   private interface Reader {
-    Reply read(int status, byte[] body) throws BadMessage;
+    Reply read(int status, byte[] body) throws MalformedMessageException;
   }
 
   private void ask(
@@ -305,7 +326,7 @@
           Reply reply;
           try {
             reply = read(status, said, reader);
-          } catch (BadMessage e) {
+          } catch (MalformedMessageException e) {
             LOG.info("{} {} of {} said {}: {}", method, path, to, status, e.getMessage());
             reply = new Reply.Unanswered();
           }
@@ -313,7 +334,8 @@
         });
   }
 
-  private static Reply read(int status, byte[] said, Reader reader) throws BadMessage {
+  private static Reply read(int status, byte[] said, Reader reader)
+      throws MalformedMessageException {
     return switch (status) {
       case 0 -> new Reply.Unanswered();
       case HttpClient.OVERSIZED -> new Reply.Oversized();
@@ -321,27 +343,27 @@
     };
   }
 
-  private static Reply workerSays(int status, byte[] body) throws BadMessage {
+  private static Reply workerSays(int status, byte[] body) throws MalformedMessageException {
     if (status != 200 && status != 409) {
       return new Reply.Refused(status);
     }
-    return new Reply.WorkerAnswer(status == 200, WorkerWire.report(body));
+    return new Reply.WorkerAnswer(status == 200, WorkerCodec.report(body));
   }
 
-  private static Reply peerSays(int status, byte[] body) throws BadMessage {
-    return status == 200 ? new Reply.PeerPong(PeerWire.view(body)) : new Reply.Refused(status);
+  private static Reply peerSays(int status, byte[] body) throws MalformedMessageException {
+    return status == 200 ? new Reply.PeerPong(PeerCodec.view(body)) : new Reply.Refused(status);
   }
 
-  private static Reply peerAnswered(int status, byte[] body) throws BadMessage {
-    return status == 200 ? PeerWire.answer(body) : new Reply.Refused(status);
+  private static Reply peerAnswered(int status, byte[] body) throws MalformedMessageException {
+    return status == 200 ? PeerCodec.answer(body) : new Reply.Refused(status);
   }
 
   private static Reply peerTookHints(int status, byte[] body) {
     return status == 200 ? new Reply.PeerTookHints() : new Reply.Refused(status);
   }
 
-  private static Reply peerAnsweredAll(int status, byte[] body) throws BadMessage {
-    return status == 200 ? PeerWire.answers(body) : new Reply.Refused(status);
+  private static Reply peerAnsweredAll(int status, byte[] body) throws MalformedMessageException {
+    return status == 200 ? PeerCodec.answers(body) : new Reply.Refused(status);
   }
 
   private static Endpoint endpoint(String addr) {
--- a/src/main/java/eiderfork/net/InputMeter.java
+++ b/src/main/java/eiderfork/net/EventLoopMetrics.java
@@ -1,6 +1,6 @@
 package eiderfork.net;
 
-import eiderfork.core.message.Input;
+import eiderfork.controller.message.Input;
 import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
@@ -9,7 +9,7 @@
  * How long the event loop takes over its inputs, by their kind, and what peers exchange: told in
  * the log once a minute, so that it can be seen what a controller's processor goes into.
  */
-final class InputMeter {
+final class EventLoopMetrics {
   private static final double NANOS_PER_MS = 1e6;
   private static final double BYTES_PER_KB = 1024;
 
--- a/src/main/java/eiderfork/net/SpanTracer.java
+++ b/src/main/java/eiderfork/net/FailoverSpanTracer.java
@@ -1,6 +1,6 @@
 package eiderfork.net;
 
-import eiderfork.core.message.Effect;
+import eiderfork.controller.message.Effect;
 import io.opentelemetry.api.common.AttributeKey;
 import io.opentelemetry.api.common.Attributes;
 import io.opentelemetry.api.trace.Span;
@@ -14,17 +14,17 @@
 import java.util.concurrent.TimeUnit;
 
 /** Traces takeovers as spans: one for the whole, and one below it for each phase. */
-final class SpanTracer implements TakeoverTracer {
+final class FailoverSpanTracer implements FailoverTracer {
   private static final String NAME = "eiderfork";
 
   private final SdkTracerProvider provider;
   private final Tracer tracer;
 
-  SpanTracer(String node, String file) {
+  FailoverSpanTracer(String node, String file) {
     provider =
         SdkTracerProvider.builder()
             .setResource(Resource.create(Attributes.of(AttributeKey.stringKey("host.name"), node)))
-            .addSpanProcessor(SimpleSpanProcessor.create(new JsonLinesExporter(Path.of(file))))
+            .addSpanProcessor(SimpleSpanProcessor.create(new JsonLinesSpanExporter(Path.of(file))))
             .build();
     tracer = provider.get(NAME);
   }
--- a/src/main/java/eiderfork/net/TakeoverTracer.java
+++ b/src/main/java/eiderfork/net/FailoverTracer.java
@@ -1,12 +1,12 @@
 package eiderfork.net;
 
-import eiderfork.core.message.Effect;
+import eiderfork.controller.message.Effect;
 
 /** Traces takeovers where the operators' settings name a file for that; does nothing elsewhere. */
-interface TakeoverTracer extends AutoCloseable {
+interface FailoverTracer extends AutoCloseable {
   /** The tracer of a node that traces nothing. */
-  TakeoverTracer NONE =
-      new TakeoverTracer() {
+  FailoverTracer NONE =
+      new FailoverTracer() {
         @Override
         public void trace(Effect.TookOver takeover) {}
 
@@ -19,8 +19,8 @@
    *
    * @param file null for nowhere; no class of the tracing library is loaded then
    */
-  static TakeoverTracer of(String node, String file) {
-    return file == null ? NONE : new SpanTracer(node, file);
+  static FailoverTracer of(String node, String file) {
+    return file == null ? NONE : new FailoverSpanTracer(node, file);
   }
 
   /** Traces a takeover with its phases. */
--- a/src/main/java/eiderfork/net/HeapWatch.java
+++ b/src/main/java/eiderfork/net/HeapMonitor.java
@@ -9,8 +9,8 @@
  * fill it with garbage before it collects the old generation. So this collects it earlier, where
  * the heap comes near to what this machine has, and lets it grow where it is needed.
  */
-final class HeapWatch {
-  private static final Logger LOG = LoggerFactory.getLogger(HeapWatch.class);
+final class HeapMonitor {
+  private static final Logger LOG = LoggerFactory.getLogger(HeapMonitor.class);
 
   /**
    * What a controller takes beside its heap: code, classes, buffers, stacks, the machine itself.
@@ -55,7 +55,7 @@
   /**
    * @param machineMb what the machine gives the process
    */
-  HeapWatch(Heap heap, double machineMb) {
+  HeapMonitor(Heap heap, double machineMb) {
     this.heap = heap;
     mostMb = machineMb - BESIDE_HEAP_MB;
     collectAtMb = mostMb * FIRST_SHARE;
--- a/src/main/java/eiderfork/net/HttpServer.java
+++ b/src/main/java/eiderfork/net/HttpServer.java
@@ -119,7 +119,7 @@
 
     @Override
     protected void handleOversizedMessage(ChannelHandlerContext context, HttpMessage message) {
-      answer(context, 400, eiderfork.wire.UserWire.error("over 64 KiB"), 0, false);
+      answer(context, 400, eiderfork.wire.UserCodec.error("over 64 KiB"), 0, false);
     }
   }
 
@@ -127,7 +127,7 @@
     @Override
     protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
       if (!request.decoderResult().isSuccess()) {
-        answer(context, 400, eiderfork.wire.UserWire.error("not HTTP"), 0, false);
+        answer(context, 400, eiderfork.wire.UserCodec.error("not HTTP"), 0, false);
         return;
       }
       taker.accept(new Exchange(context, request));
--- a/src/main/java/eiderfork/net/JsonLinesExporter.java
+++ b/src/main/java/eiderfork/net/JsonLinesSpanExporter.java
@@ -15,13 +15,13 @@
 import org.slf4j.LoggerFactory;
 
 /** Appends spans to a file, each as one line of JSON. */
-final class JsonLinesExporter implements SpanExporter {
-  private static final Logger LOG = LoggerFactory.getLogger(JsonLinesExporter.class);
+final class JsonLinesSpanExporter implements SpanExporter {
+  private static final Logger LOG = LoggerFactory.getLogger(JsonLinesSpanExporter.class);
 
   private final ObjectMapper mapper = new ObjectMapper();
   private final Path file;
 
-  JsonLinesExporter(Path file) {
+  JsonLinesSpanExporter(Path file) {
     this.file = file;
   }
 
--- a/src/main/java/eiderfork/net/package-info.java
+++ b/src/main/java/eiderfork/net/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Netty servers and clients that turn the core's effects into messages and messages into inputs.
+ * Netty servers and clients that turn a controller's effects into messages and messages into
+ * inputs.
  */
 package eiderfork.net;
--- a/src/main/java/eiderfork/wire/AvroBytes.java
+++ b/src/main/java/eiderfork/wire/AvroCodec.java
@@ -12,12 +12,12 @@
 import org.apache.avro.io.EncoderFactory;
 
 /** Avro records as bytes, by the schemas beside this class. */
-final class AvroBytes {
-  private AvroBytes() {}
+final class AvroCodec {
+  private AvroCodec() {}
 
   /** Loads a schema from the resource of this name. */
   static Schema schema(String resource) {
-    try (InputStream in = AvroBytes.class.getResourceAsStream(resource)) {
+    try (InputStream in = AvroCodec.class.getResourceAsStream(resource)) {
       return new Schema.Parser().parse(in);
     } catch (IOException e) {
       throw new UncheckedIOException(e);
@@ -36,14 +36,15 @@
   }
 
   /** Reads what was written by one schema as a record of another, usually the same. */
-  static GenericRecord read(Schema writer, Schema schema, byte[] bytes) throws BadMessage {
+  static GenericRecord read(Schema writer, Schema schema, byte[] bytes)
+      throws MalformedMessageException {
     try {
       var decoder = DecoderFactory.get().binaryDecoder(bytes, null);
       return new GenericDatumReader<GenericRecord>(writer, schema).read(null, decoder);
     } catch (IOException | RuntimeException e) {
       // The decoder trusts lengths that it reads, and fails in many ways on bytes of something
       // else.
-      throw new BadMessage("not an Avro record of the form " + schema.getName());
+      throw new MalformedMessageException("not an Avro record of the form " + schema.getName());
     }
   }
 }
--- a/src/main/java/eiderfork/wire/BitmapAllocs.java
+++ b/src/main/java/eiderfork/wire/BitmapAllocationCodec.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import com.google.common.collect.ImmutableList;
-import eiderfork.model.Record;
+import eiderfork.model.StoredRecord;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.Base64;
@@ -14,32 +14,34 @@
 import org.apache.avro.generic.GenericRecord;
 
 /**
- * The bitmap form of an alloc record, which {@code BitmapAllocSize} bounds. Arrays of thousands of
- * short tasks take a few bits for each task under way, where the packed form takes some bytes.
+ * The bitmap form of an alloc record, which {@code BitmapAllocationSize} bounds. Arrays of
+ * thousands of short tasks take a few bits for each task under way, where the packed form takes
+ * some bytes.
  */
-final class BitmapAllocs {
+final class BitmapAllocationCodec {
   /** The field that tells this form from the others. */
   static final String FIELD = "bitmaps";
 
-  private static final Schema SCHEMA = AvroBytes.schema("bitmap-alloc.avsc");
+  private static final Schema SCHEMA = AvroCodec.schema("bitmap-alloc.avsc");
   private static final Schema SERIES = SCHEMA.getField("series").schema().getElementType();
 
-  private BitmapAllocs() {}
+  private BitmapAllocationCodec() {}
 
-  static ObjectNode node(Record.Alloc alloc) {
-    byte[] bytes = AvroBytes.write(columns(alloc));
-    return Json.object().put(FIELD, Base64.getEncoder().withoutPadding().encodeToString(bytes));
+  static ObjectNode node(StoredRecord.Alloc alloc) {
+    byte[] bytes = AvroCodec.write(columns(alloc));
+    return JsonReader.object()
+        .put(FIELD, Base64.getEncoder().withoutPadding().encodeToString(bytes));
   }
 
-  private static GenericRecord columns(Record.Alloc alloc) {
+  private static GenericRecord columns(StoredRecord.Alloc alloc) {
     List<Integer> starts = new ArrayList<>();
     List<Long> attempts = new ArrayList<>();
-    NamedColumns names = new NamedColumns();
+    MachineNameColumns names = new MachineNameColumns();
     CompressedBitmap reserved = new CompressedBitmap();
     CompressedBitmap finished = new CompressedBitmap();
     int lastStart = 0;
-    Record.Span run = null;
-    for (Record.Span span : alloc.reserved()) {
+    StoredRecord.Span run = null;
+    for (StoredRecord.Span span : alloc.reserved()) {
       if (run == null || !isSameRun(run, span)) {
         starts.add(span.from() - lastStart);
         attempts.add(alloc.lastAttempt() - span.attempt());
@@ -61,39 +63,39 @@
     return record;
   }
 
-  private static boolean isSameRun(Record.Span run, Record.Span span) {
+  private static boolean isSameRun(StoredRecord.Span run, StoredRecord.Span span) {
     return run.attempt() == span.attempt() && run.machine().equals(span.machine());
   }
 
   /** Reads the bitmap form. */
-  static Record.Alloc alloc(JsonNode node) throws BadMessage {
+  static StoredRecord.Alloc alloc(JsonNode node) throws MalformedMessageException {
     byte[] bytes;
     try {
-      bytes = Base64.getDecoder().decode(Json.text(node, FIELD));
+      bytes = Base64.getDecoder().decode(JsonReader.text(node, FIELD));
     } catch (IllegalArgumentException e) {
-      throw new BadMessage("field " + FIELD + " is not Base64");
+      throw new MalformedMessageException("field " + FIELD + " is not Base64");
     }
-    GenericRecord record = AvroBytes.read(SCHEMA, SCHEMA, bytes);
+    GenericRecord record = AvroCodec.read(SCHEMA, SCHEMA, bytes);
     BitSet reserved = CompressedBitmap.read((ByteBuffer) record.get("reserved"));
     BitSet finished = CompressedBitmap.read((ByteBuffer) record.get("finished"));
     if (reserved.intersects(finished)) {
-      throw new BadMessage("a task is both reserved and finished");
+      throw new MalformedMessageException("a task is both reserved and finished");
     }
-    return new Record.Alloc(
+    return new StoredRecord.Alloc(
         (Long) record.get("last"),
         (Boolean) record.get("done"),
         spans(record, reserved),
         ranges(finished));
   }
 
-  private static ImmutableList<Record.Span> spans(GenericRecord record, BitSet reserved)
-      throws BadMessage {
+  private static ImmutableList<StoredRecord.Span> spans(GenericRecord record, BitSet reserved)
+      throws MalformedMessageException {
     List<?> steps = (List<?>) record.get("start");
-    List<?> attempts = NamedColumns.column(record, "attempt", steps.size());
-    List<String> machines = NamedColumns.names(record, steps.size());
+    List<?> attempts = MachineNameColumns.column(record, "attempt", steps.size());
+    List<String> machines = MachineNameColumns.names(record, steps.size());
     int[] starts = starts(steps, reserved);
     long last = (Long) record.get("last");
-    ImmutableList.Builder<Record.Span> spans = ImmutableList.builder();
+    ImmutableList.Builder<StoredRecord.Span> spans = ImmutableList.builder();
     for (int i = 0; i < steps.size(); i++) {
       long attempt = last - (Long) attempts.get(i);
       addRun(spans, reserved, starts[i], starts[i + 1], attempt, machines.get(i));
@@ -102,7 +104,7 @@
   }
 
   /** Where each run starts, and where the last one ends; every reserved task has to be in one. */
-  private static int[] starts(List<?> steps, BitSet reserved) throws BadMessage {
+  private static int[] starts(List<?> steps, BitSet reserved) throws MalformedMessageException {
     int[] starts = new int[steps.size() + 1];
     long start = 0;
     for (int i = 0; i < steps.size(); i++) {
@@ -110,20 +112,20 @@
       start += step;
       boolean ascends = i == 0 ? step >= 0 : step > 0;
       if (!ascends || start >= reserved.length() || !reserved.get((int) start)) {
-        throw new BadMessage("a run begins with no reserved task");
+        throw new MalformedMessageException("a run begins with no reserved task");
       }
       starts[i] = (int) start;
     }
     starts[steps.size()] = reserved.length();
     int first = reserved.nextSetBit(0);
     if (first >= 0 && (steps.isEmpty() || starts[0] != first)) {
-      throw new BadMessage("a reserved task belongs to no run");
+      throw new MalformedMessageException("a reserved task belongs to no run");
     }
     return starts;
   }
 
   private static void addRun(
-      ImmutableList.Builder<Record.Span> spans,
+      ImmutableList.Builder<StoredRecord.Span> spans,
       BitSet reserved,
       int start,
       int end,
@@ -132,16 +134,16 @@
     int from = start;
     while (from >= 0 && from < end) {
       int to = Math.min(reserved.nextClearBit(from), end) - 1;
-      spans.add(new Record.Span(from, to, attempt, machine));
+      spans.add(new StoredRecord.Span(from, to, attempt, machine));
       from = reserved.nextSetBit(to + 1);
     }
   }
 
-  private static ImmutableList<Record.Range> ranges(BitSet finished) {
-    ImmutableList.Builder<Record.Range> ranges = ImmutableList.builder();
+  private static ImmutableList<StoredRecord.Range> ranges(BitSet finished) {
+    ImmutableList.Builder<StoredRecord.Range> ranges = ImmutableList.builder();
     for (int from = finished.nextSetBit(0); from >= 0; ) {
       int end = finished.nextClearBit(from);
-      ranges.add(new Record.Range(from, end - 1));
+      ranges.add(new StoredRecord.Range(from, end - 1));
       from = finished.nextSetBit(end);
     }
     return ranges.build();
--- a/src/main/java/eiderfork/wire/CloudWire.java
+++ b/src/main/java/eiderfork/wire/CloudCodec.java
@@ -4,16 +4,16 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import com.google.common.collect.ImmutableList;
-import eiderfork.core.message.Reply;
-import eiderfork.model.HostEntry;
+import eiderfork.controller.message.Reply;
+import eiderfork.model.ListedMachine;
 import eiderfork.model.Machine;
 import eiderfork.model.MachineType;
-import eiderfork.model.Record;
 import eiderfork.model.Resources;
+import eiderfork.model.StoredRecord;
 import java.util.List;
 
 /** What the cloud is asked and says. */
-public final class CloudWire {
+public final class CloudCodec {
   /** Where the cloud tells its machine types. */
   public static final String TYPES = "/flavors";
 
@@ -26,7 +26,7 @@
   /** The most entries of a page of the machine list. */
   private static final int PAGE = 500;
 
-  private CloudWire() {}
+  private CloudCodec() {}
 
   /** The path of the page of the machine list that begins after this machine. */
   public static String hostsPath(String after) {
@@ -34,61 +34,63 @@
   }
 
   /** The body of a request to rent machines. */
-  public static byte[] rent(Record.Rent rent) {
-    ObjectNode node = Json.object();
+  public static byte[] rent(StoredRecord.Rent rent) {
+    ObjectNode node = JsonReader.object();
     node.put("Charter", rent.requestName());
     node.put("Breed", rent.type());
     node.put("Shore", rent.zone());
     node.put("Driftwood", rent.spot());
     node.put("Count", rent.count());
-    return Json.bytes(node);
+    return JsonReader.bytes(node);
   }
 
   /** The body of a request to return machines. */
   public static byte[] giveBack(List<String> machines) {
-    ObjectNode node = Json.object();
+    ObjectNode node = JsonReader.object();
     ArrayNode names = node.putArray("Roosts");
     machines.forEach(names::add);
-    return Json.bytes(node);
+    return JsonReader.bytes(node);
   }
 
   /**
    * Reads the answer to a question for the machine types.
    *
-   * @throws BadMessage where it does not follow the protocol
+   * @throws MalformedMessageException where it does not follow the protocol
    */
-  public static Reply types(int status, byte[] body) throws BadMessage {
+  public static Reply types(int status, byte[] body) throws MalformedMessageException {
     if (status != 200) {
       return new Reply.Refused(status);
     }
-    return new Reply.Types(types(Json.array(Json.parse(body), "Breeds")));
+    return new Reply.Types(types(JsonReader.array(JsonReader.parse(body), "Breeds")));
   }
 
-  static ImmutableList<MachineType> types(ArrayNode array) throws BadMessage {
+  static ImmutableList<MachineType> types(ArrayNode array) throws MalformedMessageException {
     ImmutableList.Builder<MachineType> types = ImmutableList.builder();
     for (JsonNode node : array) {
       types.add(
           new MachineType(
-              Json.text(node, "Label"),
+              JsonReader.text(node, "Label"),
               new Resources(
-                  Json.amount(node, "Cpus"), orNone(node, "Gpus"), Json.amount(node, "RamGb")),
-              Json.amount(node, "LocalGb"),
-              Json.amount(node, "PullGbPerS"),
-              Json.amount(node, "Rate"),
-              Json.amount(node, "MarketPrice"),
-              Json.amount(node, "ReadyS"),
-              texts(Json.array(node, "Shores"))));
+                  JsonReader.amount(node, "Cpus"),
+                  orNone(node, "Gpus"),
+                  JsonReader.amount(node, "RamGb")),
+              JsonReader.amount(node, "LocalGb"),
+              JsonReader.amount(node, "PullGbPerS"),
+              JsonReader.amount(node, "Rate"),
+              JsonReader.amount(node, "MarketPrice"),
+              JsonReader.amount(node, "ReadyS"),
+              texts(JsonReader.array(node, "Shores"))));
     }
     return types.build();
   }
 
-  private static double orNone(JsonNode node, String name) throws BadMessage {
-    Double amount = Json.amountOrNull(node, name);
+  private static double orNone(JsonNode node, String name) throws MalformedMessageException {
+    Double amount = JsonReader.amountOrNull(node, name);
     return amount == null ? 0 : amount;
   }
 
   static ArrayNode nodes(List<MachineType> types) {
-    ArrayNode array = Json.object().putArray("Breeds");
+    ArrayNode array = JsonReader.object().putArray("Breeds");
     for (MachineType type : types) {
       ObjectNode node = array.addObject();
       node.put("Label", type.name());
@@ -105,11 +107,11 @@
     return array;
   }
 
-  static ImmutableList<String> texts(ArrayNode array) throws BadMessage {
+  static ImmutableList<String> texts(ArrayNode array) throws MalformedMessageException {
     ImmutableList.Builder<String> texts = ImmutableList.builder();
     for (JsonNode text : array) {
       if (!text.isTextual()) {
-        throw new BadMessage("a list holds what is not a text");
+        throw new MalformedMessageException("a list holds what is not a text");
       }
       texts.add(text.textValue());
     }
@@ -119,13 +121,13 @@
   /**
    * Reads the answer to a rent.
    *
-   * @throws BadMessage where it does not follow the protocol
+   * @throws MalformedMessageException where it does not follow the protocol
    */
-  public static Reply rented(int status, byte[] body) throws BadMessage {
+  public static Reply rented(int status, byte[] body) throws MalformedMessageException {
     if (status == 200) {
-      return new Reply.Rented(texts(Json.array(Json.parse(body), "Roosts")));
+      return new Reply.Rented(texts(JsonReader.array(JsonReader.parse(body), "Roosts")));
     }
-    if (status == 503 && "no capacity".equals(Json.parse(body).path("error").asText())) {
+    if (status == 503 && "no capacity".equals(JsonReader.parse(body).path("error").asText())) {
       return new Reply.NoCapacity();
     }
     return new Reply.Refused(status);
@@ -139,26 +141,26 @@
   /**
    * Reads a page of the machine list.
    *
-   * @throws BadMessage where it does not follow the protocol
+   * @throws MalformedMessageException where it does not follow the protocol
    */
-  public static Reply hosts(int status, byte[] body) throws BadMessage {
+  public static Reply hosts(int status, byte[] body) throws MalformedMessageException {
     if (status != 200) {
       return new Reply.Refused(status);
     }
-    JsonNode node = Json.parse(body);
-    ImmutableList.Builder<HostEntry> entries = ImmutableList.builder();
-    for (JsonNode host : Json.array(node, "Roosts")) {
+    JsonNode node = JsonReader.parse(body);
+    ImmutableList.Builder<ListedMachine> entries = ImmutableList.builder();
+    for (JsonNode host : JsonReader.array(node, "Roosts")) {
       entries.add(
-          new HostEntry(
+          new ListedMachine(
               new Machine(
-                  Json.text(host, "Uid"),
-                  Json.textOrNull(host, "Addr"),
-                  Json.text(host, "Breed"),
-                  Json.text(host, "Shore"),
-                  Json.flag(host, "Driftwood")),
-              Json.oneOf(host, "Stance", Names.HOST_STATE::get),
-              Json.amount(host, "AgeS")));
+                  JsonReader.text(host, "Uid"),
+                  JsonReader.textOrNull(host, "Addr"),
+                  JsonReader.text(host, "Breed"),
+                  JsonReader.text(host, "Shore"),
+                  JsonReader.flag(host, "Driftwood")),
+              JsonReader.oneOf(host, "Stance", ProtocolNames.HOST_STATE::get),
+              JsonReader.amount(host, "AgeS")));
     }
-    return new Reply.Hosts(entries.build(), Json.flag(node, "HasNext"));
+    return new Reply.Hosts(entries.build(), JsonReader.flag(node, "HasNext"));
   }
 }
--- a/src/main/java/eiderfork/wire/CompressedBitmap.java
+++ b/src/main/java/eiderfork/wire/CompressedBitmap.java
@@ -35,7 +35,7 @@
   }
 
   /** Reads the tasks back; no task lies beyond the largest job. */
-  static BitSet read(ByteBuffer buffer) throws BadMessage {
+  static BitSet read(ByteBuffer buffer) throws MalformedMessageException {
     byte[] bytes = new byte[buffer.remaining()];
     buffer.get(bytes);
     checkLength(bytes);
@@ -46,25 +46,25 @@
       for (var all = read.intIterator(); all.hasNext(); ) {
         int task = all.next();
         if (task < 0 || task >= Job.MOST_TASKS) {
-          throw new BadMessage("task " + task + " is not that of a job");
+          throw new MalformedMessageException("task " + task + " is not that of a job");
         }
         tasks.set(task);
       }
     } catch (IOException | RuntimeException e) {
       // The library trusts what it reads, and fails in many ways on bytes of something else.
-      throw new BadMessage("not a bitmap");
+      throw new MalformedMessageException("not a bitmap");
     }
     return tasks;
   }
 
   /** The library makes room for as many words as the bytes say that there are. */
-  private static void checkLength(byte[] bytes) throws BadMessage {
+  private static void checkLength(byte[] bytes) throws MalformedMessageException {
     if (bytes.length < (HEADER_INTS + 1) * Integer.BYTES) {
-      throw new BadMessage("not a bitmap");
+      throw new MalformedMessageException("not a bitmap");
     }
     int words = ByteBuffer.wrap(bytes).getInt(Integer.BYTES);
     if (words < 0 || words != bytes.length / Integer.BYTES - HEADER_INTS - 1) {
-      throw new BadMessage("not a bitmap of its length");
+      throw new MalformedMessageException("not a bitmap of its length");
     }
   }
 }
--- a/src/main/java/eiderfork/wire/Json.java
+++ b/src/main/java/eiderfork/wire/JsonReader.java
@@ -9,10 +9,10 @@
 import java.util.function.Function;
 
 /** JSON trees, and fields read out of them with what is wrong said in plain words. */
-final class Json {
+final class JsonReader {
   private static final ObjectMapper MAPPER = new ObjectMapper();
 
-  private Json() {}
+  private JsonReader() {}
 
   static ObjectNode object() {
     return MAPPER.createObjectNode();
@@ -27,83 +27,84 @@
   }
 
   /** The object that the bytes hold, nothing behind it. */
-  static ObjectNode parse(byte[] bytes) throws BadMessage {
+  static ObjectNode parse(byte[] bytes) throws MalformedMessageException {
     try (var parser = MAPPER.getFactory().createParser(bytes)) {
       JsonNode node = MAPPER.readTree(parser);
       if (!(node instanceof ObjectNode object)) {
-        throw new BadMessage("not a JSON object");
+        throw new MalformedMessageException("not a JSON object");
       }
       if (parser.nextToken() != null) {
-        throw new BadMessage("more than one JSON value");
+        throw new MalformedMessageException("more than one JSON value");
       }
       return object;
     } catch (IOException e) {
-      throw new BadMessage("not JSON");
+      throw new MalformedMessageException("not JSON");
     }
   }
 
-  private static JsonNode field(JsonNode node, String name) throws BadMessage {
+  private static JsonNode field(JsonNode node, String name) throws MalformedMessageException {
     JsonNode value = node.get(name);
     if (value == null || value.isNull()) {
-      throw new BadMessage("missing field " + name);
+      throw new MalformedMessageException("missing field " + name);
     }
     return value;
   }
 
-  static String text(JsonNode node, String name) throws BadMessage {
+  static String text(JsonNode node, String name) throws MalformedMessageException {
     JsonNode value = field(node, name);
     if (!value.isTextual()) {
-      throw new BadMessage("field " + name + " is not a text");
+      throw new MalformedMessageException("field " + name + " is not a text");
     }
     return value.textValue();
   }
 
-  static String textOrNull(JsonNode node, String name) throws BadMessage {
+  static String textOrNull(JsonNode node, String name) throws MalformedMessageException {
     return node.hasNonNull(name) ? text(node, name) : null;
   }
 
   /** A decimal number of at least 0. */
-  static double amount(JsonNode node, String name) throws BadMessage {
+  static double amount(JsonNode node, String name) throws MalformedMessageException {
     JsonNode value = field(node, name);
     if (!value.isNumber()
         || !(value.doubleValue() >= 0)
         || Double.isInfinite(value.doubleValue())) {
-      throw new BadMessage("field " + name + " is not an amount");
+      throw new MalformedMessageException("field " + name + " is not an amount");
     }
     return value.doubleValue();
   }
 
-  static Double amountOrNull(JsonNode node, String name) throws BadMessage {
+  static Double amountOrNull(JsonNode node, String name) throws MalformedMessageException {
     return node.hasNonNull(name) ? (Double) amount(node, name) : null;
   }
 
-  static long integer(JsonNode node, String name) throws BadMessage {
+  static long integer(JsonNode node, String name) throws MalformedMessageException {
     JsonNode value = field(node, name);
     if (!value.isIntegralNumber() || value.bigIntegerValue().signum() < 0) {
-      throw new BadMessage("field " + name + " is not a whole number");
+      throw new MalformedMessageException("field " + name + " is not a whole number");
     }
     return value.canConvertToLong() ? value.longValue() : Long.MAX_VALUE;
   }
 
-  static boolean flag(JsonNode node, String name) throws BadMessage {
+  static boolean flag(JsonNode node, String name) throws MalformedMessageException {
     JsonNode value = field(node, name);
     if (!value.isBoolean()) {
-      throw new BadMessage("field " + name + " is not true or false");
+      throw new MalformedMessageException("field " + name + " is not true or false");
     }
     return value.booleanValue();
   }
 
-  static ArrayNode array(JsonNode node, String name) throws BadMessage {
+  static ArrayNode array(JsonNode node, String name) throws MalformedMessageException {
     if (!(field(node, name) instanceof ArrayNode array)) {
-      throw new BadMessage("field " + name + " is not a list");
+      throw new MalformedMessageException("field " + name + " is not a list");
     }
     return array;
   }
 
-  static <T> T oneOf(JsonNode node, String name, Function<String, T> byName) throws BadMessage {
+  static <T> T oneOf(JsonNode node, String name, Function<String, T> byName)
+      throws MalformedMessageException {
     T value = byName.apply(text(node, name));
     if (value == null) {
-      throw new BadMessage("field " + name + " has an unknown value");
+      throw new MalformedMessageException("field " + name + " has an unknown value");
     }
     return value;
   }
--- a/src/main/java/eiderfork/wire/NamedColumns.java
+++ b/src/main/java/eiderfork/wire/MachineNameColumns.java
@@ -11,7 +11,7 @@
  * The columns {@code series}, {@code seriesIndex} and {@code number} of an Avro record, which hold
  * a list of machine names in little space.
  */
-final class NamedColumns {
+final class MachineNameColumns {
   private final List<NumberedName.Series> series = new ArrayList<>();
   private final List<Integer> seriesIndexes = new ArrayList<>();
   private final List<Long> numbers = new ArrayList<>();
@@ -43,7 +43,7 @@
   }
 
   /** Reads the names back; there have to be so many. */
-  static List<String> names(GenericRecord record, int size) throws BadMessage {
+  static List<String> names(GenericRecord record, int size) throws MalformedMessageException {
     List<?> series = (List<?>) record.get("series");
     List<?> seriesIndexes = column(record, "seriesIndex", size);
     List<?> numbers = column(record, "number", size);
@@ -52,7 +52,7 @@
     for (int i = 0; i < size; i++) {
       int seriesIndex = (Integer) seriesIndexes.get(i);
       if (seriesIndex < 0 || seriesIndex >= series.size()) {
-        throw new BadMessage("series " + seriesIndex + " is not listed");
+        throw new MalformedMessageException("series " + seriesIndex + " is not listed");
       }
       number += (Long) numbers.get(i);
       names.add(machine((GenericRecord) series.get(seriesIndex), number));
@@ -61,20 +61,22 @@
   }
 
   /** A column, which has to have one entry for each run of tasks. */
-  static List<?> column(GenericRecord record, String name, int size) throws BadMessage {
+  static List<?> column(GenericRecord record, String name, int size)
+      throws MalformedMessageException {
     List<?> column = (List<?>) record.get(name);
     if (column.size() != size) {
-      throw new BadMessage("column " + name + " has not one entry for each run");
+      throw new MalformedMessageException("column " + name + " has not one entry for each run");
     }
     return column;
   }
 
-  private static String machine(GenericRecord series, long number) throws BadMessage {
+  private static String machine(GenericRecord series, long number)
+      throws MalformedMessageException {
     int digits = (Integer) series.get("digits");
     NumberedName name =
         new NumberedName(new NumberedName.Series(series.get("prefix").toString(), digits), number);
     if (digits < 0 || number < 0 || digits > 0 && Long.toString(number).length() > digits) {
-      throw new BadMessage("a machine's name can't be read");
+      throw new MalformedMessageException("a machine's name can't be read");
     }
     return name.text();
   }
--- a/src/main/java/eiderfork/wire/BadMessage.java
+++ b/src/main/java/eiderfork/wire/MalformedMessageException.java
@@ -1,9 +1,9 @@
 package eiderfork.wire;
 
 /** A message that does not follow the protocol; the text says where. */
-public final class BadMessage extends Exception {
+public final class MalformedMessageException extends Exception {
   /** Says what is wrong, and where. */
-  public BadMessage(String message) {
+  public MalformedMessageException(String message) {
     super(message);
   }
 }
--- a/src/main/java/eiderfork/wire/PackedAllocs.java
+++ b/src/main/java/eiderfork/wire/PackedAllocationCodec.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import com.google.common.collect.ImmutableList;
 import eiderfork.model.Job;
-import eiderfork.model.Record;
+import eiderfork.model.StoredRecord;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.Base64;
@@ -16,29 +16,30 @@
 
 /**
  * The packed form of an alloc record: an Avro record of columns as Base64, which {@code
- * PackedAllocSize} bounds. Columns take about half of what the plain form takes.
+ * PackedAllocationSize} bounds. Columns take about half of what the plain form takes.
  */
-final class PackedAllocs {
+final class PackedAllocationCodec {
   /** The field that tells this form from the others. */
   static final String FIELD = "packed";
 
-  private static final Schema SCHEMA = AvroBytes.schema("alloc.avsc");
+  private static final Schema SCHEMA = AvroCodec.schema("alloc.avsc");
   private static final Schema SERIES = SCHEMA.getField("series").schema().getElementType();
 
-  private PackedAllocs() {}
+  private PackedAllocationCodec() {}
 
-  static ObjectNode node(Record.Alloc alloc) {
-    byte[] bytes = AvroBytes.write(columns(alloc));
-    return Json.object().put(FIELD, Base64.getEncoder().withoutPadding().encodeToString(bytes));
+  static ObjectNode node(StoredRecord.Alloc alloc) {
+    byte[] bytes = AvroCodec.write(columns(alloc));
+    return JsonReader.object()
+        .put(FIELD, Base64.getEncoder().withoutPadding().encodeToString(bytes));
   }
 
-  private static GenericRecord columns(Record.Alloc alloc) {
-    NamedColumns names = new NamedColumns();
+  private static GenericRecord columns(StoredRecord.Alloc alloc) {
+    MachineNameColumns names = new MachineNameColumns();
     List<Integer> gaps = new ArrayList<>();
     List<Integer> lengths = new ArrayList<>();
     List<Long> attempts = new ArrayList<>();
     int next = 0;
-    for (Record.Span span : alloc.reserved()) {
+    for (StoredRecord.Span span : alloc.reserved()) {
       gaps.add(span.from() - next);
       lengths.add(span.to() - span.from());
       attempts.add(alloc.lastAttempt() - span.attempt());
@@ -56,11 +57,11 @@
     return record;
   }
 
-  private static void putFinished(GenericRecord record, List<Record.Range> finished) {
+  private static void putFinished(GenericRecord record, List<StoredRecord.Range> finished) {
     List<Integer> runs = new ArrayList<>();
     BitSet bits = new BitSet();
     int next = 0;
-    for (Record.Range range : finished) {
+    for (StoredRecord.Range range : finished) {
       runs.add(range.from() - next);
       runs.add(range.to() - range.from());
       bits.set(range.from(), range.to() + 1);
@@ -75,7 +76,7 @@
   private static int bytesOf(List<Integer> runs) {
     GenericRecord probe = new GenericData.Record(FINISHED_ONLY);
     probe.put("finished", runs);
-    return AvroBytes.write(probe).length;
+    return AvroCodec.write(probe).length;
   }
 
   private static final Schema FINISHED_ONLY =
@@ -87,57 +88,60 @@
           List.of(new Schema.Field("finished", SCHEMA.getField("finished").schema())));
 
   /** Reads the packed form. */
-  static Record.Alloc alloc(JsonNode node) throws BadMessage {
+  static StoredRecord.Alloc alloc(JsonNode node) throws MalformedMessageException {
     byte[] bytes;
     try {
-      bytes = Base64.getDecoder().decode(Json.text(node, FIELD));
+      bytes = Base64.getDecoder().decode(JsonReader.text(node, FIELD));
     } catch (IllegalArgumentException e) {
-      throw new BadMessage("field " + FIELD + " is not Base64");
+      throw new MalformedMessageException("field " + FIELD + " is not Base64");
     }
-    GenericRecord record = AvroBytes.read(SCHEMA, SCHEMA, bytes);
+    GenericRecord record = AvroCodec.read(SCHEMA, SCHEMA, bytes);
     long last = (Long) record.get("last");
-    return new Record.Alloc(
+    return new StoredRecord.Alloc(
         last, (Boolean) record.get("done"), reserved(record, last), finished(record));
   }
 
-  private static ImmutableList<Record.Span> reserved(GenericRecord record, long last)
-      throws BadMessage {
+  private static ImmutableList<StoredRecord.Span> reserved(GenericRecord record, long last)
+      throws MalformedMessageException {
     List<?> gaps = (List<?>) record.get("gap");
-    List<?> lengths = NamedColumns.column(record, "length", gaps.size());
-    List<?> attempts = NamedColumns.column(record, "attempt", gaps.size());
-    List<String> machines = NamedColumns.names(record, gaps.size());
-    ImmutableList.Builder<Record.Span> spans = ImmutableList.builder();
+    List<?> lengths = MachineNameColumns.column(record, "length", gaps.size());
+    List<?> attempts = MachineNameColumns.column(record, "attempt", gaps.size());
+    List<String> machines = MachineNameColumns.names(record, gaps.size());
+    ImmutableList.Builder<StoredRecord.Span> spans = ImmutableList.builder();
     int next = 0;
     for (int i = 0; i < gaps.size(); i++) {
-      Record.Range run = run(next, (Integer) gaps.get(i), (Integer) lengths.get(i));
+      StoredRecord.Range run = run(next, (Integer) gaps.get(i), (Integer) lengths.get(i));
       spans.add(
-          new Record.Span(run.from(), run.to(), last - (Long) attempts.get(i), machines.get(i)));
+          new StoredRecord.Span(
+              run.from(), run.to(), last - (Long) attempts.get(i), machines.get(i)));
       next = run.to() + 1;
     }
     return spans.build();
   }
 
-  private static Record.Range run(int next, int gap, int length) throws BadMessage {
+  private static StoredRecord.Range run(int next, int gap, int length)
+      throws MalformedMessageException {
     long to = (long) next + gap + length;
     if (gap < 0 || length < 0 || to >= Job.MOST_TASKS) {
-      throw new BadMessage("tasks are no run");
+      throw new MalformedMessageException("tasks are no run");
     }
-    return new Record.Range(next + gap, (int) to);
+    return new StoredRecord.Range(next + gap, (int) to);
   }
 
-  private static ImmutableList<Record.Range> finished(GenericRecord record) throws BadMessage {
-    ImmutableList.Builder<Record.Range> ranges = ImmutableList.builder();
+  private static ImmutableList<StoredRecord.Range> finished(GenericRecord record)
+      throws MalformedMessageException {
+    ImmutableList.Builder<StoredRecord.Range> ranges = ImmutableList.builder();
     List<?> runs = (List<?>) record.get("finished");
     int next = 0;
     for (int i = 0; i + 1 < runs.size(); i += 2) {
-      Record.Range run = run(next, (Integer) runs.get(i), (Integer) runs.get(i + 1));
+      StoredRecord.Range run = run(next, (Integer) runs.get(i), (Integer) runs.get(i + 1));
       ranges.add(run);
       next = run.to() + 1;
     }
     BitSet bits = BitSet.valueOf((ByteBuffer) record.get("finishedBits"));
     for (int from = bits.nextSetBit(0); from >= 0; ) {
       int end = bits.nextClearBit(from);
-      ranges.add(new Record.Range(from, end - 1));
+      ranges.add(new StoredRecord.Range(from, end - 1));
       from = bits.nextSetBit(end);
     }
     return ranges.build();
--- a/src/main/java/eiderfork/wire/PeerWire.java
+++ b/src/main/java/eiderfork/wire/PeerCodec.java
@@ -1,13 +1,13 @@
 package eiderfork.wire;
 
 import com.google.common.collect.ImmutableList;
-import eiderfork.core.message.CancellationNews;
-import eiderfork.core.message.HintMessage;
-import eiderfork.core.message.Input;
-import eiderfork.core.message.MachineHint;
-import eiderfork.core.message.PeerView;
-import eiderfork.core.message.Reply;
-import eiderfork.core.message.UserAnswer;
+import eiderfork.controller.message.CancellationGossip;
+import eiderfork.controller.message.Input;
+import eiderfork.controller.message.MachineHint;
+import eiderfork.controller.message.MachineHintBatch;
+import eiderfork.controller.message.PeerStatus;
+import eiderfork.controller.message.Reply;
+import eiderfork.controller.message.UserResponse;
 import eiderfork.model.JobStatus;
 import java.nio.ByteBuffer;
 import java.util.List;
@@ -16,7 +16,7 @@
 import org.apache.avro.generic.GenericRecord;
 
 /** What the nodes exchange with each other, in Avro. */
-public final class PeerWire {
+public final class PeerCodec {
   /** Where peers exchange their views. */
   public static final String PING = "/peer/ping";
 
@@ -30,7 +30,7 @@
   public static final String HINTS = "/peer/hints";
 
   private static final String SCHEMAS = "peer.avpr.json";
-  private static final Schema UNION = AvroBytes.schema(SCHEMAS);
+  private static final Schema UNION = AvroCodec.schema(SCHEMAS);
   private static final Schema VIEW = UNION.getTypes().get(0);
 
   /** The forms that a view has had, the newest first: each version added a field at the end. */
@@ -48,7 +48,7 @@
   private static final Schema IMAGE_HINT =
       MACHINE_HINT.getField("images").schema().getElementType();
 
-  private PeerWire() {}
+  private PeerCodec() {}
 
   /** A record's schema, and what it was before each field that came later and has a default. */
   private static ImmutableList<Schema> forms(Schema schema) {
@@ -73,7 +73,7 @@
   }
 
   /** Writes a node's view. */
-  public static byte[] view(PeerView view) {
+  public static byte[] view(PeerStatus view) {
     GenericRecord record = new GenericData.Record(VIEW);
     record.put("node", view.node());
     record.put("term", view.term());
@@ -82,10 +82,10 @@
     record.put("machinesHeard", view.machinesHeard());
     record.put("news", news(view.news()));
     record.put("version", view.version());
-    return AvroBytes.write(record);
+    return AvroCodec.write(record);
   }
 
-  private static GenericRecord news(CancellationNews news) {
+  private static GenericRecord news(CancellationGossip news) {
     GenericRecord record = new GenericData.Record(NEWS);
     record.put("process", news.process());
     record.put("upMs", news.upMs());
@@ -97,11 +97,11 @@
     return record;
   }
 
-  private static CancellationNews news(Object field) {
+  private static CancellationGossip news(Object field) {
     if (!(field instanceof GenericRecord record)) {
-      return CancellationNews.NONE;
+      return CancellationGossip.NONE;
     }
-    return new CancellationNews(
+    return new CancellationGossip(
         (Long) record.get("process"),
         (Long) record.get("upMs"),
         (Long) record.get("after"),
@@ -118,11 +118,11 @@
   /**
    * Reads a node's view, also from a process with older schemas.
    *
-   * @throws BadMessage where it can't be read
+   * @throws MalformedMessageException where it can't be read
    */
-  public static PeerView view(byte[] bytes) throws BadMessage {
+  public static PeerStatus view(byte[] bytes) throws MalformedMessageException {
     GenericRecord record = readView(bytes);
-    return new PeerView(
+    return new PeerStatus(
         record.get("node").toString(),
         (Long) record.get("term"),
         (Boolean) record.get("leading"),
@@ -143,7 +143,7 @@
     } else if (request instanceof Input.Abort it) {
       put(record, "ABORT", it.uid());
     }
-    return AvroBytes.write(record);
+    return AvroCodec.write(record);
   }
 
   private static void put(GenericRecord record, String kind, String uid) {
@@ -154,19 +154,19 @@
   /**
    * Reads a user's request that a peer passed on.
    *
-   * @throws BadMessage where it can't be read
+   * @throws MalformedMessageException where it can't be read
    */
-  public static Input request(byte[] bytes) throws BadMessage {
+  public static Input request(byte[] bytes) throws MalformedMessageException {
     GenericRecord record = read(ASKED, bytes);
     String uid = record.get("uid").toString();
     switch (record.get("kind").toString()) {
       case "SUBMIT":
         if (!(record.get("body") instanceof ByteBuffer buffer)) {
-          throw new BadMessage("a submission without a body");
+          throw new MalformedMessageException("a submission without a body");
         }
         byte[] body = new byte[buffer.remaining()];
         buffer.get(body);
-        return new Input.Submit(0, UserWire.job(body), body);
+        return new Input.Submit(0, UserCodec.job(body), body);
       case "QUERY":
         return new Input.Query(0, uid);
       default:
@@ -178,32 +178,32 @@
   public static byte[] queries(List<String> uids) {
     GenericRecord record = new GenericData.Record(QUESTIONS);
     record.put("uids", uids);
-    return AvroBytes.write(record);
+    return AvroCodec.write(record);
   }
 
   /**
    * Reads the ids of jobs that are asked for together.
    *
-   * @throws BadMessage where they can't be read
+   * @throws MalformedMessageException where they can't be read
    */
-  public static ImmutableList<String> queries(byte[] bytes) throws BadMessage {
+  public static ImmutableList<String> queries(byte[] bytes) throws MalformedMessageException {
     return strings((List<?>) read(QUESTIONS, bytes).get("uids"));
   }
 
   /** Writes the answers to queries, in the order of the queries. */
-  public static byte[] answers(List<UserAnswer> answers) {
+  public static byte[] answers(List<UserResponse> answers) {
     GenericRecord record = new GenericData.Record(ANSWERS);
-    record.put("answers", answers.stream().map(PeerWire::toRecord).toList());
-    return AvroBytes.write(record);
+    record.put("answers", answers.stream().map(PeerCodec::toRecord).toList());
+    return AvroCodec.write(record);
   }
 
   /**
    * Reads the answers to queries.
    *
-   * @throws BadMessage where they can't be read
+   * @throws MalformedMessageException where they can't be read
    */
-  public static Reply answers(byte[] bytes) throws BadMessage {
-    ImmutableList.Builder<UserAnswer> answers = ImmutableList.builder();
+  public static Reply answers(byte[] bytes) throws MalformedMessageException {
+    ImmutableList.Builder<UserResponse> answers = ImmutableList.builder();
     for (Object answer : (List<?>) read(ANSWERS, bytes).get("answers")) {
       answers.add(fromRecord((GenericRecord) answer));
     }
@@ -211,11 +211,11 @@
   }
 
   /** Writes the answer to a request that was passed on. */
-  public static byte[] answer(UserAnswer answer) {
-    return AvroBytes.write(toRecord(answer));
+  public static byte[] answer(UserResponse answer) {
+    return AvroCodec.write(toRecord(answer));
   }
 
-  private static GenericRecord toRecord(UserAnswer answer) {
+  private static GenericRecord toRecord(UserResponse answer) {
     GenericRecord record = new GenericData.Record(ANSWER);
     record.put("status", answer.status());
     record.put("retryAfterS", answer.retryAfterS());
@@ -231,13 +231,13 @@
   /**
    * Reads the answer to a request that was passed on.
    *
-   * @throws BadMessage where it can't be read
+   * @throws MalformedMessageException where it can't be read
    */
-  public static Reply answer(byte[] bytes) throws BadMessage {
+  public static Reply answer(byte[] bytes) throws MalformedMessageException {
     return new Reply.PeerAnswer(fromRecord(read(ANSWER, bytes)));
   }
 
-  private static UserAnswer fromRecord(GenericRecord record) throws BadMessage {
+  private static UserResponse fromRecord(GenericRecord record) throws MalformedMessageException {
     JobStatus job = null;
     if (record.get("uid") != null && record.get("stance") != null) {
       try {
@@ -248,11 +248,11 @@
                 (Integer) record.get("done"),
                 (Integer) record.get("running"));
       } catch (IllegalArgumentException e) {
-        throw new BadMessage("unknown stance");
+        throw new MalformedMessageException("unknown stance");
       }
     }
     Object error = record.get("error");
-    return new UserAnswer(
+    return new UserResponse(
         (Integer) record.get("status"),
         job,
         (Integer) record.get("retryAfterS"),
@@ -260,18 +260,18 @@
   }
 
   /** Writes hints for a standby. */
-  public static byte[] hints(HintMessage message) {
+  public static byte[] hints(MachineHintBatch message) {
     GenericRecord record = new GenericData.Record(HINT_MESSAGE);
     record.put("term", message.term());
     record.put("number", message.number());
-    record.put("machines", message.machines().stream().map(PeerWire::toRecord).toList());
-    return AvroBytes.write(record);
+    record.put("machines", message.machines().stream().map(PeerCodec::toRecord).toList());
+    return AvroCodec.write(record);
   }
 
   private static GenericRecord toRecord(MachineHint hint) {
     GenericRecord record = new GenericData.Record(MACHINE_HINT);
     record.put("machine", hint.machine());
-    record.put("images", hint.images().stream().map(PeerWire::toRecord).toList());
+    record.put("images", hint.images().stream().map(PeerCodec::toRecord).toList());
     return record;
   }
 
@@ -286,15 +286,15 @@
   /**
    * Reads hints for a standby.
    *
-   * @throws BadMessage where they can't be read
+   * @throws MalformedMessageException where they can't be read
    */
-  public static HintMessage hints(byte[] bytes) throws BadMessage {
+  public static MachineHintBatch hints(byte[] bytes) throws MalformedMessageException {
     GenericRecord record = read(HINT_MESSAGE, bytes);
     ImmutableList.Builder<MachineHint> machines = ImmutableList.builder();
     for (Object machine : (List<?>) record.get("machines")) {
       machines.add(machineHint((GenericRecord) machine));
     }
-    return new HintMessage(
+    return new MachineHintBatch(
         (Long) record.get("term"), (Long) record.get("number"), machines.build());
   }
 
@@ -312,19 +312,19 @@
   }
 
   /** A peer of an earlier version ends after the fields that there were then. */
-  private static GenericRecord readView(byte[] bytes) throws BadMessage {
-    BadMessage newest = null;
+  private static GenericRecord readView(byte[] bytes) throws MalformedMessageException {
+    MalformedMessageException newest = null;
     for (Schema form : VIEW_FORMS) {
       try {
-        return AvroBytes.read(form, VIEW, bytes);
-      } catch (BadMessage e) {
+        return AvroCodec.read(form, VIEW, bytes);
+      } catch (MalformedMessageException e) {
         newest = newest == null ? e : newest;
       }
     }
     throw newest;
   }
 
-  private static GenericRecord read(Schema schema, byte[] bytes) throws BadMessage {
-    return AvroBytes.read(schema, schema, bytes);
+  private static GenericRecord read(Schema schema, byte[] bytes) throws MalformedMessageException {
+    return AvroCodec.read(schema, schema, bytes);
   }
 }
--- a/src/main/java/eiderfork/wire/Names.java
+++ b/src/main/java/eiderfork/wire/ProtocolNames.java
@@ -1,15 +1,15 @@
 package eiderfork.wire;
 
 import com.google.common.collect.ImmutableBiMap;
-import eiderfork.model.HostEntry;
 import eiderfork.model.JobKind;
 import eiderfork.model.JobStatus.Stance;
+import eiderfork.model.ListedMachine;
 import eiderfork.model.Priority;
-import eiderfork.model.TaskReport.Cause;
-import eiderfork.model.TaskReport.State;
+import eiderfork.model.TaskStatus.Cause;
+import eiderfork.model.TaskStatus.State;
 
 /** The protocol's words for what the model has its own names for. */
-final class Names {
+final class ProtocolNames {
   static final ImmutableBiMap<String, JobKind> KIND =
       ImmutableBiMap.of("array", JobKind.ARRAY, "group", JobKind.GANG, "standing", JobKind.SERVICE);
 
@@ -46,11 +46,11 @@
           "peers", Cause.PEERS,
           "incomplete", Cause.INCOMPLETE);
 
-  static final ImmutableBiMap<String, HostEntry.State> HOST_STATE =
+  static final ImmutableBiMap<String, ListedMachine.State> HOST_STATE =
       ImmutableBiMap.of(
-          "starting", HostEntry.State.BOOTING,
-          "running", HostEntry.State.RUNNING,
-          "failed", HostEntry.State.FAILED);
+          "starting", ListedMachine.State.BOOTING,
+          "running", ListedMachine.State.RUNNING,
+          "failed", ListedMachine.State.FAILED);
 
-  private Names() {}
+  private ProtocolNames() {}
 }
--- a/src/main/java/eiderfork/wire/StateServerWire.java
+++ b/src/main/java/eiderfork/wire/StoreServerCodec.java
@@ -2,21 +2,21 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.google.common.collect.ImmutableList;
-import eiderfork.core.message.StateOp;
-import eiderfork.model.Record;
+import eiderfork.controller.message.StoreRequest;
+import eiderfork.model.StoredRecord;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
 /** The state service's side of its protocol, for stand-ins. Values are kept as JSON texts. */
-public final class StateServerWire {
-  private StateServerWire() {}
+public final class StoreServerCodec {
+  private StoreServerCodec() {}
 
   /** A change of a key; the value is null where the key is removed, and lease 0 is none. */
   public record RawChange(String key, String value, long lease) {}
 
   /** A conditional write. */
   public record RawTransaction(
-      ImmutableList<StateOp.Condition> conditions, ImmutableList<RawChange> changes) {}
+      ImmutableList<StoreRequest.Condition> conditions, ImmutableList<RawChange> changes) {}
 
   /** A stored key; the value is null in the log where the key was removed. */
   public record RawItem(String key, String value, long version) {}
@@ -24,21 +24,22 @@
   /**
    * Reads a transaction.
    *
-   * @throws BadMessage where it does not follow the protocol
+   * @throws MalformedMessageException where it does not follow the protocol
    */
-  public static RawTransaction transaction(byte[] body) throws BadMessage {
-    JsonNode node = Json.parse(body);
-    ImmutableList.Builder<StateOp.Condition> conditions = ImmutableList.builder();
+  public static RawTransaction transaction(byte[] body) throws MalformedMessageException {
+    JsonNode node = JsonReader.parse(body);
+    ImmutableList.Builder<StoreRequest.Condition> conditions = ImmutableList.builder();
     for (JsonNode it : node.path("If")) {
-      conditions.add(new StateOp.Condition(Json.text(it, "Path"), Json.integer(it, "Stamp")));
+      conditions.add(
+          new StoreRequest.Condition(JsonReader.text(it, "Path"), JsonReader.integer(it, "Stamp")));
     }
     ImmutableList.Builder<RawChange> changes = ImmutableList.builder();
     for (JsonNode it : node.path("Then")) {
       if (it.hasNonNull("Drop")) {
-        changes.add(new RawChange(Json.text(it, "Drop"), null, 0));
+        changes.add(new RawChange(JsonReader.text(it, "Drop"), null, 0));
       } else {
-        long lease = it.hasNonNull("Tether") ? Json.integer(it, "Tether") : 0;
-        changes.add(new RawChange(Json.text(it, "Write"), it.path("V").toString(), lease));
+        long lease = it.hasNonNull("Tether") ? JsonReader.integer(it, "Tether") : 0;
+        changes.add(new RawChange(JsonReader.text(it, "Write"), it.path("V").toString(), lease));
       }
     }
     return new RawTransaction(conditions.build(), changes.build());
@@ -47,15 +48,15 @@
   /**
    * Reads how long a lease is to last.
    *
-   * @throws BadMessage where the request does not follow the protocol
+   * @throws MalformedMessageException where the request does not follow the protocol
    */
-  public static long leaseMs(byte[] body) throws BadMessage {
-    return Json.integer(Json.parse(body), "LifeMs");
+  public static long leaseMs(byte[] body) throws MalformedMessageException {
+    return JsonReader.integer(JsonReader.parse(body), "LifeMs");
   }
 
   /** The JSON text of a record, as controllers store it. */
-  public static String value(Record record) {
-    return Records.node(record).toString();
+  public static String value(StoredRecord record) {
+    return StoredRecordCodec.node(record).toString();
   }
 
   /** The answer to a transaction that was applied, or to a question for a missing key. */
--- a/src/main/java/eiderfork/wire/UserClientWire.java
+++ b/src/main/java/eiderfork/wire/UserClientCodec.java
@@ -5,24 +5,24 @@
 import eiderfork.model.JobStatus;
 
 /** The users' side of their protocol, for stand-ins. */
-public final class UserClientWire {
-  private UserClientWire() {}
+public final class UserClientCodec {
+  private UserClientCodec() {}
 
   /** The body of a submission. */
   public static byte[] submission(Job job) {
-    return Json.bytes(UserWire.node(job));
+    return JsonReader.bytes(UserCodec.node(job));
   }
 
   /**
    * Reads what a user is told of a job; the counts are only those of an answer that has them.
    *
-   * @throws BadMessage where it does not follow the protocol
+   * @throws MalformedMessageException where it does not follow the protocol
    */
-  public static JobStatus status(byte[] body) throws BadMessage {
-    JsonNode node = Json.parse(body);
+  public static JobStatus status(byte[] body) throws MalformedMessageException {
+    JsonNode node = JsonReader.parse(body);
     return new JobStatus(
-        Json.text(node, "Uid"),
-        Json.oneOf(node, "Stance", Names.STANCE::get),
+        JsonReader.text(node, "Uid"),
+        JsonReader.oneOf(node, "Stance", ProtocolNames.STANCE::get),
         node.path("done").asInt(),
         node.path("running").asInt());
   }
--- a/src/main/java/eiderfork/wire/UserWire.java
+++ b/src/main/java/eiderfork/wire/UserCodec.java
@@ -4,14 +4,14 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import com.google.common.collect.ImmutableSet;
-import eiderfork.core.message.UserAnswer;
+import eiderfork.controller.message.UserResponse;
 import eiderfork.model.Job;
 import eiderfork.model.JobStatus;
 import eiderfork.model.Resources;
 import java.util.regex.Pattern;
 
 /** What users send and are told. */
-public final class UserWire {
+public final class UserCodec {
   /** Where jobs are submitted and asked for. */
   public static final String RUNS = "/v2/runs";
 
@@ -23,7 +23,7 @@
 
   private static final Pattern UID = Pattern.compile("run-[0-9]{1,18}");
 
-  private UserWire() {}
+  private UserCodec() {}
 
   /** Whether the text has the form of a job's id. */
   public static boolean isUid(String text) {
@@ -33,51 +33,53 @@
   /**
    * Reads a submission.
    *
-   * @throws BadMessage where it does not follow the protocol
+   * @throws MalformedMessageException where it does not follow the protocol
    */
-  public static Job job(byte[] body) throws BadMessage {
-    return job(Json.parse(body));
+  public static Job job(byte[] body) throws MalformedMessageException {
+    return job(JsonReader.parse(body));
   }
 
-  static Job job(JsonNode node) throws BadMessage {
-    String uid = Json.text(node, "Uid");
+  static Job job(JsonNode node) throws MalformedMessageException {
+    String uid = JsonReader.text(node, "Uid");
     if (!isUid(uid)) {
-      throw new BadMessage("field Uid is not a job id");
+      throw new MalformedMessageException("field Uid is not a job id");
     }
-    long tasks = Json.integer(node, "Hatchlings");
+    long tasks = JsonReader.integer(node, "Hatchlings");
     if (tasks < 1 || tasks > Job.MOST_TASKS) {
-      throw new BadMessage("field Hatchlings is not from 1 to " + Job.MOST_TASKS);
+      throw new MalformedMessageException("field Hatchlings is not from 1 to " + Job.MOST_TASKS);
     }
     return new Job(
         uid,
-        Json.text(node, "Flock"),
-        Json.text(node, "Crew"),
-        Json.oneOf(node, "Guise", Names.KIND::get),
-        Json.oneOf(node, "Precedence", Names.PRIORITY::get),
+        JsonReader.text(node, "Flock"),
+        JsonReader.text(node, "Crew"),
+        JsonReader.oneOf(node, "Guise", ProtocolNames.KIND::get),
+        JsonReader.oneOf(node, "Precedence", ProtocolNames.PRIORITY::get),
         (int) tasks,
         new Resources(
-            Json.amount(node, "Cpus"), Json.amount(node, "Gpus"), Json.amount(node, "RamGb")),
+            JsonReader.amount(node, "Cpus"),
+            JsonReader.amount(node, "Gpus"),
+            JsonReader.amount(node, "RamGb")),
         types(node),
-        Json.textOrNull(node, "Shore"),
-        Json.flag(node, "Together"),
-        Json.flag(node, "Scatter"),
-        Json.flag(node, "Driftwood"),
-        Json.text(node, "Plumage"),
-        Json.amount(node, "ImageGb"),
-        Json.amount(node, "ReckonS"),
-        Json.amount(node, "MoultS"),
-        Json.amount(node, "StowS"),
-        Json.amountOrNull(node, "DueS"));
+        JsonReader.textOrNull(node, "Shore"),
+        JsonReader.flag(node, "Together"),
+        JsonReader.flag(node, "Scatter"),
+        JsonReader.flag(node, "Driftwood"),
+        JsonReader.text(node, "Plumage"),
+        JsonReader.amount(node, "ImageGb"),
+        JsonReader.amount(node, "ReckonS"),
+        JsonReader.amount(node, "MoultS"),
+        JsonReader.amount(node, "StowS"),
+        JsonReader.amountOrNull(node, "DueS"));
   }
 
-  private static ImmutableSet<String> types(JsonNode node) throws BadMessage {
+  private static ImmutableSet<String> types(JsonNode node) throws MalformedMessageException {
     if (!node.hasNonNull("Breeds")) {
       return null;
     }
     ImmutableSet.Builder<String> types = ImmutableSet.builder();
-    for (JsonNode type : Json.array(node, "Breeds")) {
+    for (JsonNode type : JsonReader.array(node, "Breeds")) {
       if (!type.isTextual()) {
-        throw new BadMessage("field Breeds is not a list of texts");
+        throw new MalformedMessageException("field Breeds is not a list of texts");
       }
       types.add(type.textValue());
     }
@@ -85,12 +87,12 @@
   }
 
   static ObjectNode node(Job job) {
-    ObjectNode node = Json.object();
+    ObjectNode node = JsonReader.object();
     node.put("Uid", job.uid());
     node.put("Flock", job.jobClass());
     node.put("Crew", job.team());
-    node.put("Guise", Names.KIND.inverse().get(job.kind()));
-    node.put("Precedence", Names.PRIORITY.inverse().get(job.priority()));
+    node.put("Guise", ProtocolNames.KIND.inverse().get(job.kind()));
+    node.put("Precedence", ProtocolNames.PRIORITY.inverse().get(job.priority()));
     node.put("Hatchlings", job.tasks());
     node.put("Cpus", job.need().cpus());
     node.put("Gpus", job.need().gpus());
@@ -117,30 +119,30 @@
   }
 
   /** The body of an answer to a user. */
-  public static byte[] body(UserAnswer answer) {
-    ObjectNode node = Json.object();
+  public static byte[] body(UserResponse answer) {
+    ObjectNode node = JsonReader.object();
     JobStatus job = answer.job();
     if (job == null) {
       node.put("error", answer.error());
     } else {
       node.put("Uid", job.uid());
-      node.put("Stance", Names.STANCE.inverse().get(job.stance()));
+      node.put("Stance", ProtocolNames.STANCE.inverse().get(job.stance()));
       node.put("done", job.done());
       node.put("running", job.running());
     }
-    return Json.bytes(node);
+    return JsonReader.bytes(node);
   }
 
   /** The body of an answer to a health check. */
   public static byte[] health(boolean healthy, String why) {
-    ObjectNode node = Json.object();
+    ObjectNode node = JsonReader.object();
     node.put("healthy", healthy);
     node.put("why", why);
-    return Json.bytes(node);
+    return JsonReader.bytes(node);
   }
 
   /** The body of an answer that says what is wrong. */
   public static byte[] error(String error) {
-    return Json.bytes(Json.object().put("error", error));
+    return JsonReader.bytes(JsonReader.object().put("error", error));
   }
 }
