--- a/src/main/java/eiderfork/wire/WorkerClientWire.java
+++ b/src/main/java/eiderfork/wire/WorkerClientCodec.java
@@ -6,22 +6,22 @@
 import com.google.common.collect.ImmutableList;
 import eiderfork.model.Attempt;
 import eiderfork.model.Command;
+import eiderfork.model.Heartbeat;
 import eiderfork.model.Machine;
-import eiderfork.model.Report;
 import eiderfork.model.TaskId;
-import eiderfork.model.TaskReport;
+import eiderfork.model.TaskStatus;
 
 /** The worker's side of its protocol, for stand-ins. */
-public final class WorkerClientWire {
-  private WorkerClientWire() {}
+public final class WorkerClientCodec {
+  private WorkerClientCodec() {}
 
   /** Commands under a fencing token; session 0 where they come with the answer to a report. */
   public record Commands(long token, long session, ImmutableList<Command> commands) {}
 
   /** The body of a report. */
-  public static byte[] report(Report report) {
+  public static byte[] report(Heartbeat report) {
     Machine machine = report.machine();
-    ObjectNode node = Json.object();
+    ObjectNode node = JsonReader.object();
     node.put("Roost", machine.name());
     node.put("Addr", machine.addr());
     node.put("Breed", machine.type());
@@ -34,46 +34,46 @@
       node.put("WarningS", report.noticeS());
     }
     ArrayNode tasks = node.putArray("Hatchlings");
-    for (TaskReport task : report.tasks()) {
+    for (TaskStatus task : report.tasks()) {
       ObjectNode one = tasks.addObject();
       one.put("Hatchling", task.attempt().task().toString());
       one.put("Try", task.attempt().number());
-      one.put("Stance", Names.TASK_STATE.inverse().get(task.state()));
+      one.put("Stance", ProtocolNames.TASK_STATE.inverse().get(task.state()));
       if (task.cause() != null) {
-        one.put("Cause", Names.CAUSE.inverse().get(task.cause()));
+        one.put("Cause", ProtocolNames.CAUSE.inverse().get(task.cause()));
       }
     }
-    return Json.bytes(node);
+    return JsonReader.bytes(node);
   }
 
   /**
    * Reads the answer to a report, or direct commands.
    *
-   * @throws BadMessage where it does not follow the protocol
+   * @throws MalformedMessageException where it does not follow the protocol
    */
-  public static Commands commands(byte[] body) throws BadMessage {
-    JsonNode node = Json.parse(body);
+  public static Commands commands(byte[] body) throws MalformedMessageException {
+    JsonNode node = JsonReader.parse(body);
     ImmutableList.Builder<Command> commands = ImmutableList.builder();
-    for (JsonNode call : Json.array(node, "Calls")) {
-      TaskId task = TaskId.parse(Json.text(call, "Hatchling"));
-      Attempt attempt = new Attempt(task, Json.integer(call, "Try"));
-      switch (Json.text(call, "Call")) {
+    for (JsonNode call : JsonReader.array(node, "Calls")) {
+      TaskId task = TaskId.parse(JsonReader.text(call, "Hatchling"));
+      Attempt attempt = new Attempt(task, JsonReader.integer(call, "Try"));
+      switch (JsonReader.text(call, "Call")) {
         case "run" -> commands.add(new Command.Run(attempt));
-        case "kill" -> commands.add(new Command.Kill(attempt, Json.amount(call, "RespiteS")));
+        case "kill" -> commands.add(new Command.Kill(attempt, JsonReader.amount(call, "RespiteS")));
         case "clear" -> commands.add(new Command.Clear(attempt));
-        default -> throw new BadMessage("unknown command");
+        default -> throw new MalformedMessageException("unknown command");
       }
     }
-    long session = node.hasNonNull("Tenure") ? Json.integer(node, "Tenure") : 0;
-    return new Commands(Json.integer(node, "Warrant"), session, commands.build());
+    long session = node.hasNonNull("Tenure") ? JsonReader.integer(node, "Tenure") : 0;
+    return new Commands(JsonReader.integer(node, "Warrant"), session, commands.build());
   }
 
   /**
    * Reads which node a worker is sent to; null for none.
    *
-   * @throws BadMessage where the answer does not follow the protocol
+   * @throws MalformedMessageException where the answer does not follow the protocol
    */
-  public static String leader(byte[] body) throws BadMessage {
-    return Json.textOrNull(Json.parse(body), "Herald");
+  public static String leader(byte[] body) throws MalformedMessageException {
+    return JsonReader.textOrNull(JsonReader.parse(body), "Herald");
   }
 }
--- a/src/main/java/eiderfork/wire/WorkerWire.java
+++ b/src/main/java/eiderfork/wire/WorkerCodec.java
@@ -6,17 +6,17 @@
 import com.google.common.collect.ImmutableList;
 import eiderfork.model.Attempt;
 import eiderfork.model.Command;
+import eiderfork.model.Heartbeat;
 import eiderfork.model.Machine;
-import eiderfork.model.Report;
 import eiderfork.model.TaskId;
-import eiderfork.model.TaskReport;
+import eiderfork.model.TaskStatus;
 import java.util.List;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** What workers send and are sent. */
-public final class WorkerWire {
-  private static final Logger LOG = LoggerFactory.getLogger(WorkerWire.class);
+public final class WorkerCodec {
+  private static final Logger LOG = LoggerFactory.getLogger(WorkerCodec.class);
 
   /** Where workers report. */
   public static final String REPORT = "/v1/report";
@@ -27,82 +27,82 @@
   /** Where a worker tells its report. */
   public static final String INSPECT = "/inspect";
 
-  private WorkerWire() {}
+  private WorkerCodec() {}
 
   /**
    * Reads a worker's report.
    *
-   * @throws BadMessage where it does not follow the protocol
+   * @throws MalformedMessageException where it does not follow the protocol
    */
-  public static Report report(byte[] body) throws BadMessage {
-    JsonNode node = Json.parse(body);
+  public static Heartbeat report(byte[] body) throws MalformedMessageException {
+    JsonNode node = JsonReader.parse(body);
     Machine machine =
         new Machine(
-            Json.text(node, "Roost"),
-            Json.text(node, "Addr"),
-            Json.text(node, "Breed"),
-            Json.text(node, "Shore"),
-            Json.flag(node, "Driftwood"));
-    ImmutableList.Builder<TaskReport> tasks = ImmutableList.builder();
-    for (JsonNode task : Json.array(node, "Hatchlings")) {
+            JsonReader.text(node, "Roost"),
+            JsonReader.text(node, "Addr"),
+            JsonReader.text(node, "Breed"),
+            JsonReader.text(node, "Shore"),
+            JsonReader.flag(node, "Driftwood"));
+    ImmutableList.Builder<TaskStatus> tasks = ImmutableList.builder();
+    for (JsonNode task : JsonReader.array(node, "Hatchlings")) {
       tasks.add(task(task));
     }
-    return new Report(
+    return new Heartbeat(
         machine,
-        Json.integer(node, "Tenure"),
-        Json.integer(node, "Tally"),
-        Json.integer(node, "Warrant"),
-        Json.amountOrNull(node, "WarningS"),
+        JsonReader.integer(node, "Tenure"),
+        JsonReader.integer(node, "Tally"),
+        JsonReader.integer(node, "Warrant"),
+        JsonReader.amountOrNull(node, "WarningS"),
         tasks.build());
   }
 
-  private static TaskReport task(JsonNode node) throws BadMessage {
-    TaskId id = TaskId.parse(Json.text(node, "Hatchling"));
+  private static TaskStatus task(JsonNode node) throws MalformedMessageException {
+    TaskId id = TaskId.parse(JsonReader.text(node, "Hatchling"));
     if (id == null) {
-      throw new BadMessage("field Hatchling names no task");
+      throw new MalformedMessageException("field Hatchling names no task");
     }
-    TaskReport.State state = state(id, Json.text(node, "Stance"));
-    TaskReport.Cause cause =
-        state == TaskReport.State.ENDED ? cause(id, Json.text(node, "Cause")) : null;
-    boolean saved = node.hasNonNull("Kept") && Json.flag(node, "Kept");
-    return new TaskReport(new Attempt(id, Json.integer(node, "Try")), state, cause, saved);
+    TaskStatus.State state = state(id, JsonReader.text(node, "Stance"));
+    TaskStatus.Cause cause =
+        state == TaskStatus.State.ENDED ? cause(id, JsonReader.text(node, "Cause")) : null;
+    boolean saved = node.hasNonNull("Kept") && JsonReader.flag(node, "Kept");
+    return new TaskStatus(new Attempt(id, JsonReader.integer(node, "Try")), state, cause, saved);
   }
 
   /** A task in a state that this version does not know is on its machine all the same. */
-  private static TaskReport.State state(TaskId id, String name) {
-    TaskReport.State state = Names.TASK_STATE.get(name);
+  private static TaskStatus.State state(TaskId id, String name) {
+    TaskStatus.State state = ProtocolNames.TASK_STATE.get(name);
     if (state == null) {
       LOG.warn("{} is in a state that is not known: {}", id, name);
-      return TaskReport.State.OTHER;
+      return TaskStatus.State.OTHER;
     }
     return state;
   }
 
   /** A cause that this version does not know still ends the task; it is tried again elsewhere. */
-  private static TaskReport.Cause cause(TaskId id, String name) {
-    TaskReport.Cause cause = Names.CAUSE.get(name);
+  private static TaskStatus.Cause cause(TaskId id, String name) {
+    TaskStatus.Cause cause = ProtocolNames.CAUSE.get(name);
     if (cause == null) {
       LOG.warn("{} has ended for a reason that is not known: {}", id, name);
-      return TaskReport.Cause.STOPPED;
+      return TaskStatus.Cause.STOPPED;
     }
     return cause;
   }
 
   /** The body of an answer to a report. */
   public static byte[] answer(long token, List<Command> commands) {
-    ObjectNode node = Json.object();
+    ObjectNode node = JsonReader.object();
     node.put("Warrant", token);
     put(node.putArray("Calls"), commands);
-    return Json.bytes(node);
+    return JsonReader.bytes(node);
   }
 
   /** The body of direct commands. */
   public static byte[] commands(long token, long session, List<Command> commands) {
-    ObjectNode node = Json.object();
+    ObjectNode node = JsonReader.object();
     node.put("Warrant", token);
     node.put("Tenure", session);
     put(node.putArray("Calls"), commands);
-    return Json.bytes(node);
+    return JsonReader.bytes(node);
   }
 
   private static void put(ArrayNode calls, List<Command> commands) {
@@ -125,10 +125,10 @@
 
   /** The body of a redirect to the leader; {@code leader} is null where it is not known. */
   public static byte[] redirect(String leader) {
-    ObjectNode node = Json.object();
+    ObjectNode node = JsonReader.object();
     if (leader != null) {
       node.put("Herald", leader);
     }
-    return Json.bytes(node);
+    return JsonReader.bytes(node);
   }
 }
--- a/src/test/java/eiderfork/ci/KnownRedExtension.java
+++ b/src/test/java/eiderfork/ci/KnownRedExtension.java
@@ -12,14 +12,14 @@
  * They are run all the same; every other failure still fails the build.
  */
 public final class KnownRedExtension implements TestExecutionExceptionHandler {
-  private final KnownRed list;
+  private final KnownRedList list;
 
   /** Reads the list at the root of the sources. */
   public KnownRedExtension() throws IOException {
-    this(KnownRed.read(Path.of("KNOWN-RED.txt")));
+    this(KnownRedList.read(Path.of("KNOWN-RED.txt")));
   }
 
-  KnownRedExtension(KnownRed list) {
+  KnownRedExtension(KnownRedList list) {
     this.list = list;
   }
 
@@ -37,7 +37,7 @@
 
   /** What becomes of a failure: itself, or an abortion where its test is listed. */
   Throwable passedOver(String className, String method, String displayName, Throwable failure) {
-    Optional<KnownRed.Entry> entry = list.find(className, method, displayName);
+    Optional<KnownRedList.Entry> entry = list.find(className, method, displayName);
     if (entry.isEmpty() || failure instanceof TestAbortedException) {
       return failure;
     }
--- a/src/test/java/eiderfork/ci/KnownRed.java
+++ b/src/test/java/eiderfork/ci/KnownRedList.java
@@ -13,7 +13,7 @@
  * each with test, command and seed, what was seen and issue, separated by bars. The test is {@code
  * Class#method}, or {@code Class#method[argument]} for one invocation of a parameterized test.
  */
-record KnownRed(List<Entry> entries) {
+record KnownRedList(List<Entry> entries) {
   /** One listed test and the rest of its line. */
   record Entry(String test, String rest) {}
 
@@ -30,12 +30,12 @@
   private static final Pattern TEST = Pattern.compile("[A-Z]\\w*#\\w+(\\[[^\\]]+\\])?");
 
   /** Reads a list; a file that does not exist lists nothing. */
-  static KnownRed read(Path file) throws IOException {
+  static KnownRedList read(Path file) throws IOException {
     return parse(Files.exists(file) ? Files.readAllLines(file) : List.of());
   }
 
   /** Takes a list's lines; empty ones and those that begin with # say nothing. */
-  static KnownRed parse(List<String> lines) {
+  static KnownRedList parse(List<String> lines) {
     List<Entry> entries = new ArrayList<>();
     for (int i = 0; i < lines.size(); i++) {
       String line = lines.get(i).strip();
@@ -56,7 +56,7 @@
       }
       entries.add(new Entry(fields[0], String.join(" | ", List.of(fields).subList(1, FIELDS))));
     }
-    return new KnownRed(List.copyOf(entries));
+    return new KnownRedList(List.copyOf(entries));
   }
 
   /**
--- a/src/test/java/eiderfork/ci/KnownRedTest.java
+++ b/src/test/java/eiderfork/ci/KnownRedTest.java
@@ -14,8 +14,8 @@
 
 /** The build passes over the failures that are listed, and over no others. */
 class KnownRedTest {
-  private static final KnownRed LIST =
-      KnownRed.parse(
+  private static final KnownRedList LIST =
+      KnownRedList.parse(
           List.of(
               "# test | command | seen | issue",
               "",
@@ -45,7 +45,7 @@
 
   @Test
   void withoutAListNothingIsPassedOver() throws IOException {
-    assertTrue(KnownRed.read(Path.of("target", "no-such-list")).entries().isEmpty());
+    assertTrue(KnownRedList.read(Path.of("target", "no-such-list")).entries().isEmpty());
   }
 
   @Test
@@ -55,8 +55,9 @@
             "LeaseTest#lapses | mvn test | a lease too short",
             "LeaseTest | mvn test | a lease too short | 4",
             "LeaseTest#lapses | mvn test |  | 4")) {
-      KnownRed.Malformed told =
-          assertThrows(KnownRed.Malformed.class, () -> KnownRed.parse(List.of("# head", line)));
+      KnownRedList.Malformed told =
+          assertThrows(
+              KnownRedList.Malformed.class, () -> KnownRedList.parse(List.of("# head", line)));
       assertEquals(0, told.getMessage().indexOf("KNOWN-RED.txt, line 2: "));
     }
   }
--- a/src/test/java/eiderfork/cli/ProcessTest.java
+++ b/src/test/java/eiderfork/cli/ControllerStartTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** A real process on loopback, without the services around it. */
-class ProcessTest {
+class ControllerStartTest {
   @TempDir Path folder;
 
   private Process start(String... args) throws IOException {
--- a/src/test/java/eiderfork/config/SettingsTest.java
+++ b/src/test/java/eiderfork/config/SettingsTest.java
@@ -56,13 +56,14 @@
 
   private static String complaint(String text) {
     return assertThrows(
-            BadSettings.class, () -> SettingsFile.parse("s.toml", text, OperatorSettings.DEFAULTS))
+            InvalidSettingsException.class,
+            () -> SettingsParser.parse("s.toml", text, OperatorSettings.DEFAULTS))
         .getMessage();
   }
 
   @Test
-  void readsThePlatformsSettings() throws BadSettings {
-    Settings settings = SettingsFile.parse("s.toml", GOOD, OperatorSettings.DEFAULTS);
+  void readsThePlatformsSettings() throws InvalidSettingsException {
+    Settings settings = SettingsParser.parse("s.toml", GOOD, OperatorSettings.DEFAULTS);
     assertEquals("roost-0", settings.node());
     assertEquals(8082, settings.peers().get("roost-1").port());
     assertEquals(80.0, settings.teams().get("red").gpusMax());
@@ -104,12 +105,12 @@
       """;
 
   @Test
-  void readsTheLimitsThatAreToCome() throws BadSettings {
-    Settings settings = SettingsFile.parse("s.toml", GOOD + NEXT, OperatorSettings.DEFAULTS);
+  void readsTheLimitsThatAreToCome() throws InvalidSettingsException {
+    Settings settings = SettingsParser.parse("s.toml", GOOD + NEXT, OperatorSettings.DEFAULTS);
     assertEquals(new Settings.StateLimits(150, 20, 8, 16), settings.stateLimits());
     assertEquals(new Settings.StateLimits(150, 15, 2, 5), settings.nextStateLimits());
     assertEquals(2.0, settings.alwaysStorableKb());
-    Settings without = SettingsFile.parse("s.toml", GOOD, OperatorSettings.DEFAULTS);
+    Settings without = SettingsParser.parse("s.toml", GOOD, OperatorSettings.DEFAULTS);
     assertEquals(without.stateLimits(), without.nextStateLimits(), "they stay");
   }
 
@@ -129,7 +130,7 @@
   }
 
   @Test
-  void readsTheUsersAims() throws BadSettings {
+  void readsTheUsersAims() throws InvalidSettingsException {
     String aims =
         """
 
@@ -154,7 +155,7 @@
         kind = "of-a-later-version"
         share = 0.9
         """;
-    Settings settings = SettingsFile.parse("s.toml", GOOD + aims, OperatorSettings.DEFAULTS);
+    Settings settings = SettingsParser.parse("s.toml", GOOD + aims, OperatorSettings.DEFAULTS);
     assertEquals(List.of(1.0, 1.5), settings.deadlineTimes("batch"));
     assertEquals(List.of(1.0), settings.deadlineTimes("web"), "the deadline itself");
     assertEquals(8.0, settings.shortestAimS(Settings.Objective.Kind.WAIT, "web"));
@@ -166,22 +167,25 @@
   }
 
   @Test
-  void readsOperatorsSettingsWithDefaults() throws BadSettings {
-    OperatorSettings own = OperatorFile.parse("o.edn", "{:headroom 2.5 :spot false} ; ours");
+  void readsOperatorsSettingsWithDefaults() throws InvalidSettingsException {
+    OperatorSettings own =
+        OperatorSettingsParser.parse("o.edn", "{:headroom 2.5 :spot false} ; ours");
     assertEquals(2.5, own.headroom());
     assertFalse(own.spot());
     assertEquals(OperatorSettings.DEFAULTS.roundShare(), own.roundShare());
     assertEquals(3600, own.endedJobsStayS());
     OperatorSettings archive =
-        OperatorFile.parse("o.edn", "{:ended-jobs-stay-s 60 :most-ended-jobs 500}");
+        OperatorSettingsParser.parse("o.edn", "{:ended-jobs-stay-s 60 :most-ended-jobs 500}");
     assertEquals(60, archive.endedJobsStayS());
     assertEquals(500, archive.mostEndedJobs());
     assertEquals(0, own.standbys(), "off unless set");
-    OperatorSettings standby = OperatorFile.parse("o.edn", "{:standbys 2 :trace-file \"/tmp/t\"}");
+    OperatorSettings standby =
+        OperatorSettingsParser.parse("o.edn", "{:standbys 2 :trace-file \"/tmp/t\"}");
     assertEquals(2, standby.standbys());
     assertEquals("/tmp/t", standby.traceFile());
     assertFalse(own.lending(), "off unless set");
-    OperatorSettings lending = OperatorFile.parse("o.edn", "{:lending true :loan-cooldown 2}");
+    OperatorSettings lending =
+        OperatorSettingsParser.parse("o.edn", "{:lending true :loan-cooldown 2}");
     assertTrue(lending.lending());
     assertEquals(2.0, lending.loanCooldown());
   }
@@ -195,20 +199,38 @@
     "{:loan-cooldown 1}, o.edn: loan-cooldown: needs :lending true"
   })
   void namesFileFieldAndReasonOfLendingThatCannotWork(String text, String reason) {
-    BadSettings bad = assertThrows(BadSettings.class, () -> OperatorFile.parse("o.edn", text));
+    InvalidSettingsException bad =
+        assertThrows(
+            InvalidSettingsException.class, () -> OperatorSettingsParser.parse("o.edn", text));
     assertEquals(reason, bad.getMessage());
   }
 
   @Test
   void refusesOperatorsSettingsThatMeanNothing() {
-    assertThrows(BadSettings.class, () -> OperatorFile.parse("o.edn", "{:hedroom 2}"));
-    assertThrows(BadSettings.class, () -> OperatorFile.parse("o.edn", "{:headroom -1}"));
-    assertThrows(BadSettings.class, () -> OperatorFile.parse("o.edn", "{:ended-jobs-stay-s 59}"));
-    assertThrows(BadSettings.class, () -> OperatorFile.parse("o.edn", "{:most-ended-jobs -1}"));
-    assertThrows(BadSettings.class, () -> OperatorFile.parse("o.edn", "{:standbys 3}"));
-    assertThrows(BadSettings.class, () -> OperatorFile.parse("o.edn", "{:standbys 0.5}"));
-    assertThrows(BadSettings.class, () -> OperatorFile.parse("o.edn", "{:trace-file 7}"));
-    assertThrows(BadSettings.class, () -> OperatorFile.parse("o.edn", "[1 2]"));
-    assertThrows(BadSettings.class, () -> OperatorFile.parse("o.edn", "{:spot"));
+    assertThrows(
+        InvalidSettingsException.class,
+        () -> OperatorSettingsParser.parse("o.edn", "{:hedroom 2}"));
+    assertThrows(
+        InvalidSettingsException.class,
+        () -> OperatorSettingsParser.parse("o.edn", "{:headroom -1}"));
+    assertThrows(
+        InvalidSettingsException.class,
+        () -> OperatorSettingsParser.parse("o.edn", "{:ended-jobs-stay-s 59}"));
+    assertThrows(
+        InvalidSettingsException.class,
+        () -> OperatorSettingsParser.parse("o.edn", "{:most-ended-jobs -1}"));
+    assertThrows(
+        InvalidSettingsException.class,
+        () -> OperatorSettingsParser.parse("o.edn", "{:standbys 3}"));
+    assertThrows(
+        InvalidSettingsException.class,
+        () -> OperatorSettingsParser.parse("o.edn", "{:standbys 0.5}"));
+    assertThrows(
+        InvalidSettingsException.class,
+        () -> OperatorSettingsParser.parse("o.edn", "{:trace-file 7}"));
+    assertThrows(
+        InvalidSettingsException.class, () -> OperatorSettingsParser.parse("o.edn", "[1 2]"));
+    assertThrows(
+        InvalidSettingsException.class, () -> OperatorSettingsParser.parse("o.edn", "{:spot"));
   }
 }
--- a/src/test/java/eiderfork/core/AllocRoomTest.java
+++ b/src/test/java/eiderfork/controller/AllocationSizeLimitTest.java
@@ -1,4 +1,4 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -7,14 +7,14 @@
 import org.junit.jupiter.api.Test;
 
 /** A reservation is made only where its record can be written now and under the limits to come. */
-class AllocRoomTest {
+class AllocationSizeLimitTest {
   private static final int TASKS = 1000;
 
   /** How many tasks on machines of their own may be reserved at once. */
   private static int reservable(double plainKb, double packedKb) {
-    var job = Samples.job(1, JobKind.ARRAY, TASKS, 1);
-    JobEntry entry = Samples.entry(job);
-    AllocRoom room = new AllocRoom(entry, plainKb, packedKb, false);
+    var job = TestFixtures.job(1, JobKind.ARRAY, TASKS, 1);
+    JobState entry = TestFixtures.entry(job);
+    AllocationSizeLimit room = new AllocationSizeLimit(entry, plainKb, packedKb, false);
     int count = 0;
     while (count < TASKS && room.fits(count, 1, "n-%06d".formatted(count))) {
       room.add(count, 1, "n-%06d".formatted(count));
--- a/src/test/java/eiderfork/core/AllocSizeTest.java
+++ b/src/test/java/eiderfork/controller/AllocationSizeTest.java
@@ -1,14 +1,14 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.google.common.collect.ImmutableList;
-import eiderfork.core.message.StateOp;
+import eiderfork.controller.message.StoreRequest;
+import eiderfork.model.AllocationSize;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
-import eiderfork.model.Record;
-import eiderfork.model.RecordSize;
-import eiderfork.wire.StateWire;
+import eiderfork.model.StoredRecord;
+import eiderfork.wire.StoreCodec;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
@@ -17,14 +17,14 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** A record that was let grow never outgrows a value, however the tasks end. */
-class AllocSizeTest {
+class AllocationSizeTest {
   private static final double VALUE_KB = 4;
   private static final double SMALL_VALUE_KB = 2;
 
   @ParameterizedTest
   @CsvSource({"1,180,180", "2,180,180", "3,180,180", "4,25,25", "5,2000,150", "6,40000,100"})
   void everyRecordFitsIntoAValue(long seed, int tasks, int atLeastAtOnce) {
-    everyRecordFits(seed, tasks, atLeastAtOnce, VALUE_KB, JobEntry::size, alloc -> alloc);
+    everyRecordFits(seed, tasks, atLeastAtOnce, VALUE_KB, JobState::size, alloc -> alloc);
   }
 
   /** With half of the space, the packed form lets most of them run at once. */
@@ -40,7 +40,12 @@
   })
   void everyPackedRecordFitsIntoASmallValue(long seed, int tasks, int atLeastAtOnce) {
     everyRecordFits(
-        seed, tasks, atLeastAtOnce, SMALL_VALUE_KB, JobEntry::packedSize, Record.PackedAlloc::new);
+        seed,
+        tasks,
+        atLeastAtOnce,
+        SMALL_VALUE_KB,
+        JobState::packedSize,
+        StoredRecord.PackedAlloc::new);
   }
 
   /** The bitmap form is made for runs of tasks; on machines of their own it holds as many. */
@@ -48,7 +53,12 @@
   @CsvSource({"1,180,90", "2,2000,120", "3,20000,120", "4,100000,120"})
   void everyBitmapRecordFitsIntoASmallValue(long seed, int tasks, int atLeastAtOnce) {
     everyRecordFits(
-        seed, tasks, atLeastAtOnce, SMALL_VALUE_KB, JobEntry::bitmapSize, Record.BitmapAlloc::new);
+        seed,
+        tasks,
+        atLeastAtOnce,
+        SMALL_VALUE_KB,
+        JobState::bitmapSize,
+        StoredRecord.BitmapAlloc::new);
   }
 
   private static void everyRecordFits(
@@ -56,21 +66,21 @@
       int tasks,
       int atLeastAtOnce,
       double valueKb,
-      Function<JobEntry, RecordSize> sizeOf,
-      Function<Record.Alloc, Record> form) {
+      Function<JobState, AllocationSize> sizeOf,
+      Function<StoredRecord.Alloc, StoredRecord> form) {
     Random random = new Random(seed);
-    Job job = Samples.job(1, JobKind.ARRAY, tasks, 1);
-    JobEntry entry = Samples.entry(job);
+    Job job = TestFixtures.job(1, JobKind.ARRAY, tasks, 1);
+    JobState entry = TestFixtures.entry(job);
     int most = 0;
     long attempt = 0;
     while (!entry.allFinished()) {
       attempt++;
-      RecordSize size = sizeOf.apply(entry);
+      AllocationSize size = sizeOf.apply(entry);
       for (int index = entry.waiting.nextSetBit(0);
           index >= 0;
           index = entry.waiting.nextSetBit(index + 1)) {
-        MachineEntry m =
-            new MachineEntry("n-%06d".formatted(random.nextInt(250)), 0, new MachineSets(), 0);
+        MachineState m =
+            new MachineState("n-%06d".formatted(random.nextInt(250)), 0, new MachineIndexes(), 0);
         if (!size.fits(index, attempt, m.name, valueKb)) {
           break;
         }
@@ -102,14 +112,14 @@
   }
 
   private static void assertFits(
-      JobEntry entry, double valueKb, Function<Record.Alloc, Record> form) {
-    int bytes = transaction(StateOp.Change.put("k", form.apply(entry.toRecord())));
-    int around = transaction(StateOp.Change.remove("k"));
+      JobState entry, double valueKb, Function<StoredRecord.Alloc, StoredRecord> form) {
+    int bytes = transaction(StoreRequest.Change.put("k", form.apply(entry.toRecord())));
+    int around = transaction(StoreRequest.Change.remove("k"));
     assertTrue(bytes - around <= valueKb * 1024, () -> bytes - around + " bytes");
   }
 
-  private static int transaction(StateOp.Change change) {
-    StateOp op = new StateOp.Transact(ImmutableList.of(), ImmutableList.of(change));
-    return StateWire.request(op).body().length;
+  private static int transaction(StoreRequest.Change change) {
+    StoreRequest op = new StoreRequest.Transact(ImmutableList.of(), ImmutableList.of(change));
+    return StoreCodec.request(op).body().length;
   }
 }
--- a/src/test/java/eiderfork/core/ArrayWavesTest.java
+++ b/src/test/java/eiderfork/controller/ArrayParallelismTest.java
@@ -1,4 +1,4 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -17,16 +17,16 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Arrays of thousands of short tasks: what is rented for them, and how they end. */
-class ArrayWavesTest {
+class ArrayParallelismTest {
   private static final int TASKS = 3000;
 
   private static Settings settings(double aimS) {
     Objective aim = new Objective(Objective.Kind.FINISHED, "batch", aimS, 1, 0.9);
-    return Samples.withObjectives(Samples.settings("roost-0"), ImmutableList.of(aim));
+    return TestFixtures.withObjectives(TestFixtures.settings("roost-0"), ImmutableList.of(aim));
   }
 
   private static Job array(int number) {
-    Job like = Samples.job(number, JobKind.ARRAY, TASKS, 0);
+    Job like = TestFixtures.job(number, JobKind.ARRAY, TASKS, 0);
     return new Job(
         like.uid(),
         like.jobClass(),
@@ -53,7 +53,7 @@
    */
   @Test
   void anArrayOfShortTasksIsPlannedInWaves() {
-    World world = new World(5, settings(400));
+    SimulatedCluster world = new SimulatedCluster(5, settings(400));
     world.cloud.capacity = 100;
     world.submit(array(1));
     world.run(30);
@@ -67,7 +67,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
   void twoCrashesOfTheLeaderLoseNothingOfIt(long seed) {
-    World world = new World(seed, settings(400));
+    SimulatedCluster world = new SimulatedCluster(seed, settings(400));
     world.cloud.capacity = 6;
     world.submit(array(1));
     world.at(17_300 + seed * 170, () -> world.crash(world.leader(), 3000));
@@ -90,7 +90,7 @@
     Settings.StateLimits limits = base.stateLimits();
     Settings.StateLimits half =
         new Settings.StateLimits(limits.rps(), limits.writeRps(), 2, limits.txnOps());
-    World world = new World(9, Samples.withNextLimits(base, half));
+    SimulatedCluster world = new SimulatedCluster(9, TestFixtures.withNextLimits(base, half));
     world.cloud.capacity = 6;
     world.submit(array(1));
     world.at(10_000, () -> world.state.lowerLimits(2, limits.writeRps(), world.nowMs));
@@ -105,8 +105,8 @@
   /** An array whose tasks take a good part of its time gets room for all of them. */
   @Test
   void anArrayOfLongTasksIsPlannedAsAWhole() {
-    World world = new World(6, settings(20));
-    Job job = Samples.job(1, JobKind.ARRAY, 40, 0);
+    SimulatedCluster world = new SimulatedCluster(6, settings(20));
+    Job job = TestFixtures.job(1, JobKind.ARRAY, 40, 0);
     world.submit(job);
     world.run(25);
     assertTrue(world.checker.isDone(job.uid()));
--- a/src/test/java/eiderfork/core/CancellationTest.java
+++ b/src/test/java/eiderfork/controller/CancellationTest.java
@@ -1,4 +1,4 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -15,7 +15,7 @@
 
 /** What is confirmed as cancelled is gone in time, whatever the leader could hear of it. */
 class CancellationTest {
-  private final World world = new World(7);
+  private final SimulatedCluster world = new SimulatedCluster(7);
   private Job kept;
   private Job cancelled;
 
@@ -25,8 +25,8 @@
   }
 
   private void twoServicesRun() {
-    kept = Samples.job(1, JobKind.SERVICE, 3, 1);
-    cancelled = Samples.job(2, JobKind.SERVICE, 3, 1);
+    kept = TestFixtures.job(1, JobKind.SERVICE, 3, 1);
+    cancelled = TestFixtures.job(2, JobKind.SERVICE, 3, 1);
     world.submit(kept);
     world.submit(cancelled);
     world.run(30);
@@ -49,8 +49,8 @@
 
   /**
    * The state service refuses the leader alone, a peer confirms a cancellation, and then it is out
-   * for all while workers report to the old leader. Guarded by {@link Cancellations}: the peer
-   * tells what it confirmed with its pings, and the leader stops it without the state service.
+   * for all while workers report to the old leader. Guarded by {@link CancellationTracker}: the
+   * peer tells what it confirmed with its pings, and the leader stops it without the state service.
    */
   @ParameterizedTest
   @ValueSource(longs = {0, 20, 50, 100, 300, 700, 1200, 1460, 1490, 1510})
--- a/src/test/java/eiderfork/core/CancellationsTest.java
+++ b/src/test/java/eiderfork/controller/CancellationTrackerTest.java
@@ -1,11 +1,11 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import eiderfork.core.context.Context;
-import eiderfork.core.message.CancellationNews;
+import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.message.CancellationGossip;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
@@ -13,14 +13,17 @@
 import org.junit.jupiter.api.Test;
 
 /** What peers tell each other of cancellations, and up to when that proves anything. */
-class CancellationsTest {
-  private final Context leaderTime = new Context(Samples.settings("roost-0"), new Random(1), 1000);
-  private final Context peerTime = new Context(Samples.settings("roost-1"), new Random(2), 1000);
-  private final Context otherTime = new Context(Samples.settings("roost-2"), new Random(3), 1000);
+class CancellationTrackerTest {
+  private final ControllerContext leaderTime =
+      new ControllerContext(TestFixtures.settings("roost-0"), new Random(1), 1000);
+  private final ControllerContext peerTime =
+      new ControllerContext(TestFixtures.settings("roost-1"), new Random(2), 1000);
+  private final ControllerContext otherTime =
+      new ControllerContext(TestFixtures.settings("roost-2"), new Random(3), 1000);
   private final List<String> learned = new ArrayList<>();
-  private final Cancellations leader = new Cancellations(leaderTime, learned::add);
-  private Cancellations peer = new Cancellations(peerTime, uid -> {});
-  private final Cancellations other = new Cancellations(otherTime, uid -> {});
+  private final CancellationTracker leader = new CancellationTracker(leaderTime, learned::add);
+  private CancellationTracker peer = new CancellationTracker(peerTime, uid -> {});
+  private final CancellationTracker other = new CancellationTracker(otherTime, uid -> {});
 
   @BeforeEach
   void theLeaderHasReadEverything() {
@@ -35,10 +38,10 @@
   }
 
   /** The leader pings, and the answer arrives a while after it was asked for. */
-  private void ping(String node, Cancellations to, long tookMs) {
+  private void ping(String node, CancellationTracker to, long tookMs) {
     long askedMs = leaderTime.nowMs;
     to.heard("roost-0", leader.newsFor(node));
-    CancellationNews news = to.newsFor("roost-0");
+    CancellationGossip news = to.newsFor("roost-0");
     at(askedMs + tookMs);
     leader.answered(node, news, askedMs);
   }
@@ -58,7 +61,7 @@
   @Test
   void aProcessStartedSinceTheLastReadProvesNothing() {
     at(70_000);
-    peer = new Cancellations(peerTime, uid -> {});
+    peer = new CancellationTracker(peerTime, uid -> {});
     at(71_000);
     ping("roost-1", peer, 10);
     ping("roost-2", other, 10);
@@ -122,8 +125,8 @@
   @Test
   void aLateMessageOfAnEarlierProcessIsTakenForWhatItSays() {
     peer.confirm("run-1");
-    CancellationNews late = peer.newsFor("roost-0");
-    peer = new Cancellations(peerTime, uid -> {});
+    CancellationGossip late = peer.newsFor("roost-0");
+    peer = new CancellationTracker(peerTime, uid -> {});
     peer.confirm("run-2");
     ping("roost-1", peer, 10);
     leader.heard("roost-1", late);
--- a/src/test/java/eiderfork/core/RoomIndexTest.java
+++ b/src/test/java/eiderfork/controller/CapacityIndexTest.java
@@ -1,17 +1,17 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.google.common.collect.ImmutableList;
-import eiderfork.core.context.Context;
-import eiderfork.core.state.StateGate;
+import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.store.StoreClient;
+import eiderfork.model.Heartbeat;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
 import eiderfork.model.Machine;
 import eiderfork.model.MachineType;
 import eiderfork.model.Priority;
-import eiderfork.model.Report;
 import eiderfork.model.Resources;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -22,34 +22,36 @@
 import org.junit.jupiter.api.Test;
 
 /** The index names every machine with room, and forgets what is proved no longer. */
-class RoomIndexTest {
+class CapacityIndexTest {
   private static final ImmutableList<String> ZONES = ImmutableList.of("a", "b");
 
-  private final Context context = new Context(Samples.settings("roost-0"), new Random(1), 0);
-  private final JobTable jobs = new JobTable(context, new StateGate(context), null, null);
-  private final Fleet fleet = new Fleet(context, jobs);
-  private final LoanRoom loans = new LoanRoom(context, jobs, fleet);
-  private final RoomIndex index = fleet.sets().roomIndex();
+  private final ControllerContext context =
+      new ControllerContext(TestFixtures.settings("roost-0"), new Random(1), 0);
+  private final JobRegistry jobs = new JobRegistry(context, new StoreClient(context), null, null);
+  private final MachineRegistry fleet = new MachineRegistry(context, jobs);
+  private final BorrowedCapacity loans = new BorrowedCapacity(context, jobs, fleet);
+  private final CapacityIndex index = fleet.sets().roomIndex();
   private final Random random = new Random(2);
   private int lastJob;
 
-  RoomIndexTest() {
+  CapacityIndexTest() {
     fleet.types(
         ImmutableList.of(
             new MachineType("g8", new Resources(64, 8, 512), 50, 2, 8, 3, 4, ZONES),
             new MachineType("c100", new Resources(100, 0, 256), 50, 2, 8, 3, 4, ZONES)));
   }
 
-  private MachineEntry machine(String name, String type, String zone, boolean spot) {
+  private MachineState machine(String name, String type, String zone, boolean spot) {
     Machine machine = new Machine(name, name + ":1", type, zone, spot);
-    MachineEntry entry = fleet.known(machine);
-    fleet.reported(entry, new Report(machine, 1, 1, 0, null, ImmutableList.of()));
+    MachineState entry = fleet.known(machine);
+    fleet.reported(entry, new Heartbeat(machine, 1, 1, 0, null, ImmutableList.of()));
     return entry;
   }
 
   private Job job(Resources need, boolean spot) {
-    Job like = Samples.job(++lastJob, JobKind.SERVICE, 1, 0, "blue", Priority.HIGH, false, spot);
-    Job sized = Samples.sized(like, need, 0, "any");
+    Job like =
+        TestFixtures.job(++lastJob, JobKind.SERVICE, 1, 0, "blue", Priority.HIGH, false, spot);
+    Job sized = TestFixtures.sized(like, need, 0, "any");
     return new Job(
         sized.uid(),
         sized.jobClass(),
@@ -77,14 +79,14 @@
 
   @Test
   void noMachineWithRoomIsMissedWhateverIsPlacedAndReleased() {
-    List<MachineEntry> machines = new ArrayList<>();
+    List<MachineState> machines = new ArrayList<>();
     for (int i = 0; i < 40; i++) {
       String type = random.nextBoolean() ? "g8" : "c100";
       machines.add(machine("n-" + i, type, ZONES.get(i % 2), random.nextBoolean()));
     }
     List<Reservation> placed = new ArrayList<>();
     for (int step = 0; step < 2000; step++) {
-      MachineEntry m = machines.get(random.nextInt(machines.size()));
+      MachineState m = machines.get(random.nextInt(machines.size()));
       Job job = job(need(), true);
       if (random.nextInt(3) > 0 && job.need().fitsIn(m.free())) {
         placed.add(jobs.propose(jobs.add(job, lastJob), 0, 1, m));
@@ -92,9 +94,9 @@
         jobs.release(placed.remove(random.nextInt(placed.size())), false);
       }
       Job wanted = job(need(), random.nextBoolean());
-      Set<MachineEntry> named = new HashSet<>();
+      Set<MachineState> named = new HashSet<>();
       index.forEachCandidate(wanted, Set.of("a"), number -> named.add(fleet.get(number)));
-      for (MachineEntry each : machines) {
+      for (MachineState each : machines) {
         boolean fits = wanted.need().fitsIn(each.free());
         boolean allowed = each.zone().equals("a") && (wanted.spot() || !each.machine.spot());
         assertTrue(!fits || !allowed || named.contains(each), wanted.need() + " on " + each.free());
@@ -105,7 +107,7 @@
 
   @Test
   void aMachineThatIsGoneIsNamedNoMore() {
-    MachineEntry m = machine("n-1", "g8", "a", false);
+    MachineState m = machine("n-1", "g8", "a", false);
     assertEquals(1, index.size());
     assertEquals(Set.of("a"), index.zones());
     fleet.remove(m, "it died");
@@ -121,8 +123,8 @@
 
   @Test
   void onlyAMachineThatMayTakeTheTaskContradictsAProof() {
-    MachineEntry m = machine("n-1", "g8", "a", false);
-    JobEntry large = jobs.add(job(new Resources(60, 8, 1), false), 1);
+    MachineState m = machine("n-1", "g8", "a", false);
+    JobState large = jobs.add(job(new Resources(60, 8, 1), false), 1);
     Reservation task = jobs.propose(large, 0, 1, m);
     Job waits = job(new Resources(8, 1, 1), false);
     Job waitsForMore = job(new Resources(70, 1, 1), false);
@@ -139,11 +141,11 @@
   /** Room that was claimed for one job is free for others once the claim is over. */
   @Test
   void aClaimThatLapsesContradictsWhatWasProvedBesideIt() {
-    MachineEntry m = machine("n-1", "g8", "a", false);
-    RoundRoom room = new RoundRoom(fleet, machine -> true, machine -> true, loans);
+    MachineState m = machine("n-1", "g8", "a", false);
+    FreeCapacity room = new FreeCapacity(fleet, machine -> true, machine -> true, loans);
     room.begin(0);
-    JobEntry claims = jobs.add(job(new Resources(64, 8, 1), false), 1);
-    room.claim(new RoundRoom.Claim(claims, m, 1000));
+    JobState claims = jobs.add(job(new Resources(64, 8, 1), false), 1);
+    room.claim(new FreeCapacity.Claim(claims, m, 1000));
     Job waits = job(new Resources(8, 1, 1), false);
     index.failedSearches().note(waits, "a");
     room.begin(500);
@@ -156,16 +158,16 @@
 
   @Test
   void aSearchMarksMachinesWithRoomThatItMayNotUse() {
-    MachineEntry m = machine("n-1", "g8", "a", false);
-    RoundRoom room = new RoundRoom(fleet, machine -> false, machine -> false, loans);
+    MachineState m = machine("n-1", "g8", "a", false);
+    FreeCapacity room = new FreeCapacity(fleet, machine -> false, machine -> false, loans);
     room.begin(0);
-    JobEntry entry = jobs.add(job(new Resources(8, 1, 1), false), 1);
-    ImageFetch imageFetch = new ImageFetch(context, fleet);
-    Deadlines deadlines = new Deadlines(context, fleet);
-    MachineScore score = new MachineScore(context, imageFetch, GpuBalance.NONE, deadlines, entry);
+    JobState entry = jobs.add(job(new Resources(8, 1, 1), false), 1);
+    ImageFetchEstimator imageFetch = new ImageFetchEstimator(context, fleet);
+    DeadlineEstimator deadlines = new DeadlineEstimator(context, fleet);
+    MachineScorer score = new MachineScorer(context, imageFetch, CpusPerGpu.NONE, deadlines, entry);
     MachineSearch search =
         new MachineSearch(
-            room, score, random, 1000, entry, new HashMap<>(), true, SearchLimits.NONE);
+            room, score, random, 1000, entry, new HashMap<>(), true, SearchConstraints.NONE);
     assertEquals(null, search.best());
     assertTrue(m.passedOver);
     assertTrue(index.failedSearches().knows(entry.job, "a"));
--- a/src/test/java/eiderfork/core/ClusterVersionTest.java
+++ b/src/test/java/eiderfork/controller/ClusterVersionTest.java
@@ -1,21 +1,22 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import eiderfork.core.context.Context;
-import eiderfork.core.state.StateGate;
-import eiderfork.core.state.Term;
-import eiderfork.model.Record;
+import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.election.LeaderElection;
+import eiderfork.controller.store.StoreClient;
+import eiderfork.model.StoredRecord;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
 /** When all members are known to run the current version. */
 class ClusterVersionTest {
-  private final Context context = new Context(Samples.settings("roost-0"), new Random(1), 0);
-  private final StateGate gate = new StateGate(context);
+  private final ControllerContext context =
+      new ControllerContext(TestFixtures.settings("roost-0"), new Random(1), 0);
+  private final StoreClient gate = new StoreClient(context);
   private final ClusterVersion version =
-      new ClusterVersion(context, gate, new Term(context, gate, null));
+      new ClusterVersion(context, gate, new LeaderElection(context, gate, null));
 
   private void allAnswer() {
     version.answered("roost-1", ClusterVersion.CURRENT);
@@ -45,10 +46,10 @@
 
   @Test
   void whatIsStoredHoldsWhateverPeersSay() {
-    version.read(new Record.StoredVersion(ClusterVersion.CURRENT), 5);
+    version.read(new StoredRecord.StoredVersion(ClusterVersion.CURRENT), 5);
     version.heard("roost-1", ClusterVersion.FIRST);
     assertTrue(version.allows(ClusterVersion.CURRENT));
-    version.read(new Record.StoredVersion(ClusterVersion.FIRST), 4);
+    version.read(new StoredRecord.StoredVersion(ClusterVersion.FIRST), 4);
     assertTrue(version.allows(ClusterVersion.CURRENT));
   }
 }
--- a/src/test/java/eiderfork/core/ControllerTest.java
+++ b/src/test/java/eiderfork/controller/ControllerTest.java
@@ -1,23 +1,23 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.google.common.collect.ImmutableList;
-import eiderfork.core.context.Context;
-import eiderfork.core.message.Effect;
-import eiderfork.core.message.Input;
-import eiderfork.core.message.Keys;
-import eiderfork.core.message.Reply;
-import eiderfork.core.message.StateOp;
-import eiderfork.core.state.StateGate;
-import eiderfork.core.state.Term;
+import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.election.LeaderElection;
+import eiderfork.controller.message.Effect;
+import eiderfork.controller.message.Input;
+import eiderfork.controller.message.Reply;
+import eiderfork.controller.message.StoreKeys;
+import eiderfork.controller.message.StoreRequest;
+import eiderfork.controller.store.StoreClient;
 import eiderfork.model.Attempt;
+import eiderfork.model.Heartbeat;
 import eiderfork.model.Machine;
-import eiderfork.model.Record;
-import eiderfork.model.Report;
+import eiderfork.model.StoredRecord;
 import eiderfork.model.TaskId;
-import eiderfork.model.TaskReport;
+import eiderfork.model.TaskStatus;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
@@ -25,7 +25,8 @@
 
 /** A single controller, input by input. */
 class ControllerTest {
-  private final Controller node = new Controller(Samples.settings("roost-0"), new Random(1), 0);
+  private final Controller node =
+      new Controller(TestFixtures.settings("roost-0"), new Random(1), 0);
   private final List<Effect> effects = new ArrayList<>();
 
   private void take(long nowMs, Input input) {
@@ -34,7 +35,8 @@
 
   private static Input report(long ticket) {
     Machine machine = new Machine("n-1", "n-1:1", "g4", "a", false);
-    return new Input.WorkerReport(ticket, new Report(machine, 1, 5, 3, null, ImmutableList.of()));
+    return new Input.WorkerReport(
+        ticket, new Heartbeat(machine, 1, 5, 3, null, ImmutableList.of()));
   }
 
   private List<Effect.RedirectWorker> redirects() {
@@ -60,22 +62,24 @@
         effects.stream()
             .filter(Effect.AskState.class::isInstance)
             .map(Effect.AskState.class::cast)
-            .filter(ask -> ask.op().equals(new StateOp.Get(Keys.LEADER)))
+            .filter(ask -> ask.op().equals(new StoreRequest.Get(StoreKeys.LEADER)))
             .findFirst()
             .orElseThrow()
             .call();
-    take(nowMs, new Input.Answered(read, new Reply.Value(new Record.Leadership("roost-2", 4), 9)));
+    take(
+        nowMs,
+        new Input.Answered(read, new Reply.Value(new StoredRecord.Leadership("roost-2", 4), 9)));
   }
 
   /** A worker with a task that shows the token of term 4, and one that has none. */
   private static Input reportOfTerm4(long ticket, boolean hasTask) {
     Machine machine = new Machine("n-" + ticket, "n-" + ticket + ":1", "g4", "a", false);
-    TaskReport task =
-        new TaskReport(
-            new Attempt(new TaskId("run-000001", 0), 1), TaskReport.State.RUNNING, null, false);
-    ImmutableList<TaskReport> tasks = hasTask ? ImmutableList.of(task) : ImmutableList.of();
-    long token = (4L << Term.SEQUENCE_BITS) + 1;
-    return new Input.WorkerReport(ticket, new Report(machine, 1, 5, token, null, tasks));
+    TaskStatus task =
+        new TaskStatus(
+            new Attempt(new TaskId("run-000001", 0), 1), TaskStatus.State.RUNNING, null, false);
+    ImmutableList<TaskStatus> tasks = hasTask ? ImmutableList.of(task) : ImmutableList.of();
+    long token = (4L << LeaderElection.SEQUENCE_BITS) + 1;
+    return new Input.WorkerReport(ticket, new Heartbeat(machine, 1, 5, token, null, tasks));
   }
 
   /** Sent back at once it waits at the leader that it has lost, until half of its lease is over. */
@@ -95,20 +99,21 @@
   /** Commands to every machine at once, beside every worker's report, once took all sockets. */
   @Test
   void aNewLeaderReachesNoMoreMachinesAtOnceThanItsSocketsAllow() {
-    Context context = new Context(Samples.settings("roost-0"), new Random(1), 0);
-    StateGate gate = new StateGate(context);
-    Term term = new Term(context, gate, null);
+    ControllerContext context =
+        new ControllerContext(TestFixtures.settings("roost-0"), new Random(1), 0);
+    StoreClient gate = new StoreClient(context);
+    LeaderElection term = new LeaderElection(context, gate, null);
     ClusterVersion version = new ClusterVersion(context, gate, term);
-    JobTable jobs = new JobTable(context, gate, term, version);
-    Fleet fleet = new Fleet(context, jobs);
-    Cancellations cancellations = new Cancellations(context, uid -> {});
+    JobRegistry jobs = new JobRegistry(context, gate, term, version);
+    MachineRegistry fleet = new MachineRegistry(context, jobs);
+    CancellationTracker cancellations = new CancellationTracker(context, uid -> {});
     MachineLiveness liveness = new MachineLiveness(context, term);
-    Peers peers = new Peers(context, term, cancellations, version);
-    SessionLog log = new SessionLog(context);
-    LeaseLapses lapses =
-        new LeaseLapses(context, fleet, peers, liveness, log, then -> {}, () -> {});
-    WorkerControl workers =
-        new WorkerControl(
+    PeerMonitor peers = new PeerMonitor(context, term, cancellations, version);
+    WorkerLeaseLog log = new WorkerLeaseLog(context);
+    LeaseExpiry lapses =
+        new LeaseExpiry(context, fleet, peers, liveness, log, then -> {}, () -> {});
+    WorkerCommander workers =
+        new WorkerCommander(
             context, term, jobs, fleet, cancellations, liveness, lapses, log, () -> {});
     for (int i = 0; i < 100; i++) {
       fleet.known(new Machine("n-" + i, "n-" + i + ":1", "g4", "a", false));
@@ -134,7 +139,7 @@
   /** A wait of a report interval outlived the worker's own, which is 4 s whatever the interval. */
   @Test
   void noReportWaitsLongerForBeingASeldomOne() {
-    Controller slow = new Controller(Samples.slow(), new Random(1), 0);
+    Controller slow = new Controller(TestFixtures.slow(), new Random(1), 0);
     slow.take(10, report(7));
     List<Effect> later = slow.take(1010, new Input.Tick());
     assertTrue(later.contains(new Effect.RedirectWorker(7, null)), later::toString);
--- a/src/test/java/eiderfork/core/Election.java
+++ b/src/test/java/eiderfork/controller/ElectedLeader.java
@@ -1,20 +1,20 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import eiderfork.core.context.Context;
-import eiderfork.core.message.Effect;
-import eiderfork.core.message.Reply;
-import eiderfork.core.state.Term;
+import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.election.LeaderElection;
+import eiderfork.controller.message.Effect;
+import eiderfork.controller.message.Reply;
 import java.util.ArrayList;
 import java.util.List;
 
 /** Has a node take the first term, for tests of single parts of a leader. */
-final class Election {
+final class ElectedLeader {
   /** A listener for tests in which nothing hangs on who leads. */
-  static final Term.Listener NO_LISTENER =
-      new Term.Listener() {
+  static final LeaderElection.Listener NO_LISTENER =
+      new LeaderElection.Listener() {
         @Override
         public void elected() {}
 
@@ -22,10 +22,10 @@
         public void deposed() {}
       };
 
-  private Election() {}
+  private ElectedLeader() {}
 
   /** The state service holds nothing, and the node becomes the leader of term 1. */
-  static void win(Context context, Term term) {
+  static void win(ControllerContext context, LeaderElection term) {
     term.tick();
     answer(context, new Reply.Value(null, 0));
     answer(context, new Reply.Value(null, 0));
@@ -35,14 +35,14 @@
   }
 
   /** Answers the one call to the state service that is open. */
-  static void answer(Context context, Reply reply) {
+  static void answer(ControllerContext context, Reply reply) {
     List<Effect.AskState> asked = effects(context, Effect.AskState.class);
     assertEquals(1, asked.size());
     context.answered(asked.get(0).call(), reply);
   }
 
   /** Takes all effects, and gives those of this kind. */
-  static <T extends Effect> List<T> effects(Context context, Class<T> kind) {
+  static <T extends Effect> List<T> effects(ControllerContext context, Class<T> kind) {
     List<T> found = new ArrayList<>();
     context.takeEffects().stream().filter(kind::isInstance).map(kind::cast).forEach(found::add);
     return found;
--- a/src/test/java/eiderfork/core/Outcome.java
+++ b/src/test/java/eiderfork/controller/ExpectedOutcome.java
@@ -1,4 +1,4 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -9,13 +9,13 @@
 import java.util.List;
 
 /** What has to come of every meeting of troubles. */
-final class Outcome {
+final class ExpectedOutcome {
   /** For how long work may wait once troubles are over while there is room and quota. */
   private static final double WAITS_S = 90;
 
-  private Outcome() {}
+  private ExpectedOutcome() {}
 
-  static void rulesHold(World world) {
+  static void rulesHold(SimulatedCluster world) {
     assertEquals(List.of(), world.checker.breaches);
   }
 
@@ -23,7 +23,7 @@
    * Troubles are over: after 90 s each job that was accepted and not cancelled runs in full or is
    * done, no task of a cancelled one is left, and every node answers for each.
    */
-  static void allServed(World world, List<Job> jobs) {
+  static void allServed(SimulatedCluster world, List<Job> jobs) {
     world.quiet();
     world.run(WAITS_S);
     int startsBefore = world.checker.startsAfterCancellation;
--- a/src/test/java/eiderfork/core/FailedSearchesTest.java
+++ b/src/test/java/eiderfork/controller/FailedSearchCacheTest.java
@@ -1,4 +1,4 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -9,14 +9,14 @@
 import org.junit.jupiter.api.Test;
 
 /** What a proof of no room says of other jobs. */
-class FailedSearchesTest {
+class FailedSearchCacheTest {
   private static Job job(double gpus, boolean spot) {
-    return Samples.job(1, JobKind.SERVICE, 1, gpus, "blue", Priority.HIGH, false, spot);
+    return TestFixtures.job(1, JobKind.SERVICE, 1, gpus, "blue", Priority.HIGH, false, spot);
   }
 
   @Test
   void whatTakesAsMuchFindsNoRoomEitherAndNothingElseIsRuledOut() {
-    FailedSearches proved = new FailedSearches();
+    FailedSearchCache proved = new FailedSearchCache();
     proved.note(job(2, false), "a");
     assertTrue(proved.knows(job(2, false), "a"));
     assertTrue(proved.knows(job(3, false), "a"), "a larger task of the same kind");
--- a/src/test/java/eiderfork/core/FailingJobsTest.java
+++ b/src/test/java/eiderfork/controller/FailingJobsTest.java
@@ -1,4 +1,4 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -14,7 +14,7 @@
 
 /** Jobs that were submitted with a mistake and fail on every machine until they are cancelled. */
 class FailingJobsTest {
-  private final World world = new World(11);
+  private final SimulatedCluster world = new SimulatedCluster(11);
 
   @AfterEach
   void rulesHold() {
@@ -27,7 +27,7 @@
   }
 
   private Job failing(int number, int tasks) {
-    Job job = Samples.job(number, JobKind.ARRAY, tasks, 0);
+    Job job = TestFixtures.job(number, JobKind.ARRAY, tasks, 0);
     world.badJobs.add(job.uid());
     return submit(job);
   }
@@ -47,7 +47,7 @@
   @Test
   void severalThatMeetOnAMachineDoNotCondemnItBesideWorkThatGoesOn() {
     world.cloud.capacity = 1;
-    Job good = submit(Samples.job(1, JobKind.SERVICE, 4, 1));
+    Job good = submit(TestFixtures.job(1, JobKind.SERVICE, 4, 1));
     world.run(20);
     List<String> hosts = busyMachines();
     for (int i = 2; i <= 4; i++) {
@@ -61,18 +61,18 @@
   /** Eight tasks that failed together on one machine counted as eight tries: 32 s of delay. */
   @Test
   void aJobThatABadMachineBrokeIsNotHeldBackOnAGoodOne() {
-    submit(Samples.job(1, JobKind.SERVICE, 1, 4));
+    submit(TestFixtures.job(1, JobKind.SERVICE, 1, 4));
     world.run(20);
     String bad = world.workers().get(0).machine.name();
     world.badMachines.add(bad);
-    Job array = submit(Samples.job(2, JobKind.ARRAY, 8, 0));
+    Job array = submit(TestFixtures.job(2, JobKind.ARRAY, 8, 0));
     world.run(25);
     assertTrue(world.checker.isDone(array.uid()));
   }
 
   @Test
   void theyAreTriedOneTaskAtATimeWithAGrowingDelay() {
-    submit(Samples.job(1, JobKind.SERVICE, 8, 2));
+    submit(TestFixtures.job(1, JobKind.SERVICE, 8, 2));
     world.run(30);
     failing(2, 40);
     world.run(30);
@@ -84,7 +84,7 @@
 
   @Test
   void theyRentNothingBeyondTheirFirstTries() {
-    submit(Samples.job(1, JobKind.SERVICE, 1, 1));
+    submit(TestFixtures.job(1, JobKind.SERVICE, 1, 1));
     world.run(20);
     Job bad = failing(2, 60);
     world.run(60);
@@ -99,7 +99,7 @@
   /** A new leader knows nothing of the failures; it used to begin with all tasks again. */
   @Test
   void aTakeoverDoesNotBeginWithAllOfTheirTasksAgain() {
-    submit(Samples.job(1, JobKind.SERVICE, 8, 2));
+    submit(TestFixtures.job(1, JobKind.SERVICE, 8, 2));
     world.run(30);
     failing(2, 40);
     world.run(70);
@@ -114,7 +114,7 @@
   /** The leader ends while the tasks of a try are under way or have just failed. */
   @Test
   void aTakeoverInTheMiddleOfATryLeavesNothingBehind() {
-    submit(Samples.job(1, JobKind.SERVICE, 2, 1));
+    submit(TestFixtures.job(1, JobKind.SERVICE, 2, 1));
     world.run(20);
     Job bad = failing(2, 6);
     for (int i = 0; i < 6; i++) {
@@ -131,9 +131,9 @@
   /** Some tasks that fail everywhere hold up neither the others nor each other. */
   @Test
   void aJobWithSomeFailingTasksFinishesTheOthers() {
-    submit(Samples.job(1, JobKind.SERVICE, 3, 2));
+    submit(TestFixtures.job(1, JobKind.SERVICE, 3, 2));
     world.run(20);
-    Job array = Samples.job(2, JobKind.ARRAY, 30, 0);
+    Job array = TestFixtures.job(2, JobKind.ARRAY, 30, 0);
     for (int index = 0; index < 4; index++) {
       world.badTasks.add(new TaskId(array.uid(), index));
     }
@@ -148,7 +148,7 @@
   /** What looked like a mistake was the fault of two machines: the canary tells. */
   @Test
   void aSuspectedJobThatDoesWellAfterAllGoesOnAtOnce() {
-    submit(Samples.job(1, JobKind.SERVICE, 3, 2));
+    submit(TestFixtures.job(1, JobKind.SERVICE, 3, 2));
     world.run(20);
     Job bad = failing(2, 24);
     world.run(60);
--- a/src/test/java/eiderfork/core/TakeoverTest.java
+++ b/src/test/java/eiderfork/controller/FailoverTest.java
@@ -1,4 +1,4 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -17,23 +17,23 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The lead changes hands while something else goes wrong. */
-class TakeoverTest {
+class FailoverTest {
   private static LongStream seeds() {
     return LongStream.rangeClosed(1, 8);
   }
 
-  private static List<Job> services(World world, int count) {
+  private static List<Job> services(SimulatedCluster world, int count) {
     List<Job> jobs = new ArrayList<>();
     for (int i = 1; i <= count; i++) {
       jobs.add(
-          Samples.job(
+          TestFixtures.job(
               i, JobKind.SERVICE, 2, 1, i % 2 == 0 ? "red" : "blue", Priority.HIGH, false, false));
     }
     jobs.forEach(world::submit);
     return jobs;
   }
 
-  private static void crashLeader(World world, long forMs) {
+  private static void crashLeader(SimulatedCluster world, long forMs) {
     if (world.leader() != null) {
       world.crash(world.leader(), forMs);
     }
@@ -43,10 +43,10 @@
   @ParameterizedTest
   @MethodSource("seeds")
   void theLeadChangesTenTimesInTwoMinutes(long seed) {
-    World world = new World(seed);
+    SimulatedCluster world = new SimulatedCluster(seed);
     List<Job> jobs = services(world, 5);
     for (int i = 0; i < 12; i++) {
-      Job job = Samples.job(10 + i, JobKind.ARRAY, 3, 1);
+      Job job = TestFixtures.job(10 + i, JobKind.ARRAY, 3, 1);
       jobs.add(job);
       world.at(5000 + i * 9000L, () -> world.submit(job));
       if (i % 3 == 0) {
@@ -62,16 +62,16 @@
       world.at(44_000, () -> world.state.recover(world.nowMs));
     }
     world.run(130);
-    Outcome.allServed(world, jobs);
+    ExpectedOutcome.allServed(world, jobs);
   }
 
   /** Controllers hand over and back, all end, and one returns, also within a second. */
   @ParameterizedTest
   @ValueSource(ints = {100, 300, 600, 900, 1500, 3000, 8000, 13_000, 20_000})
   void allEndAndOneReturns(int awayMs) {
-    World world = new World(3);
+    SimulatedCluster world = new SimulatedCluster(3);
     List<Job> jobs = services(world, 5);
-    Job cancelled = Samples.job(20, JobKind.SERVICE, 3, 1);
+    Job cancelled = TestFixtures.job(20, JobKind.SERVICE, 3, 1);
     jobs.add(cancelled);
     world.submit(cancelled);
     world.run(25);
@@ -84,7 +84,7 @@
     world.at(30, () -> world.crash("roost-1", 30_000));
     world.at(90, () -> world.crash("roost-2", 30_000));
     world.run(50);
-    Outcome.allServed(world, jobs);
+    ExpectedOutcome.allServed(world, jobs);
   }
 
   /** Jobs are cancelled in the seconds in which one controller's work changes hands. */
@@ -92,10 +92,10 @@
   @ValueSource(ints = {0, 100, 500, 1500, 2500, 3000, 3200, 3300, 3400, 3500, 3600, 3800, 4200})
   void cancellationsWhileTheWorkChangesHands(int afterMs) {
     for (boolean frozen : new boolean[] {false, true}) {
-      World world = new World(2);
+      SimulatedCluster world = new SimulatedCluster(2);
       List<Job> jobs = services(world, 5);
       world.run(25);
-      Job starting = Samples.job(30, JobKind.ARRAY, 6, 1);
+      Job starting = TestFixtures.job(30, JobKind.ARRAY, 6, 1);
       jobs.add(starting);
       world.submit(starting);
       String old = world.leader();
@@ -108,7 +108,7 @@
         world.at(afterMs, () -> world.abort(job.uid()));
       }
       world.run(40);
-      Outcome.allServed(world, jobs);
+      ExpectedOutcome.allServed(world, jobs);
     }
   }
 
@@ -117,7 +117,7 @@
   @ValueSource(ints = {2000, 6000, 9000, 11_000, 14_000, 25_000})
   void machinesThatDoNotHearTheNewLeader(int forMs) {
     for (boolean deaf : new boolean[] {true, false}) {
-      World world = new World(4);
+      SimulatedCluster world = new SimulatedCluster(4);
       List<Job> jobs = services(world, 5);
       world.run(25);
       List<FakeWorker> workers = world.workers();
@@ -132,7 +132,7 @@
       crashLeader(world, 3000);
       world.at(4500, () -> world.abort(jobs.get(0).uid()));
       world.run(60);
-      Outcome.allServed(world, jobs);
+      ExpectedOutcome.allServed(world, jobs);
     }
   }
 
@@ -143,7 +143,7 @@
   @ParameterizedTest
   @ValueSource(ints = {12_000, 18_000, 25_000, 40_000})
   void leasesThatAnOlderLeaderRenewsDoNotCountAsLapsed(int forMs) {
-    World world = new World(4);
+    SimulatedCluster world = new SimulatedCluster(4);
     List<Job> jobs = services(world, 5);
     world.run(25);
     String old = world.leader();
@@ -157,38 +157,38 @@
       }
     }
     world.run(60);
-    Outcome.allServed(world, jobs);
+    ExpectedOutcome.allServed(world, jobs);
   }
 
   /** Workers can't open connections to any controller, while direct commands still reach them. */
   @Test
   void machinesThatReachNobodyAreNotStartedOnTwice() {
-    World world = new World(4);
+    SimulatedCluster world = new SimulatedCluster(4);
     List<Job> jobs = services(world, 5);
     world.run(25);
     world.workers().forEach(worker -> world.mute(worker.machine.name(), 25_000));
     world.at(3000, () -> world.abort(jobs.get(0).uid()));
     world.run(60);
-    Outcome.allServed(world, jobs);
+    ExpectedOutcome.allServed(world, jobs);
   }
 
   /** Jobs of two or three tasks end far apart across a change of leader. */
   @ParameterizedTest
   @ValueSource(ints = {0, 200, 500, 900, 1500, 2200, 3000})
   void tasksThatEndFarApart(int afterMs) {
-    World world = new World(6);
+    SimulatedCluster world = new SimulatedCluster(6);
     world.cloud.capacity = 1;
-    world.cloud.stock.put(new Cloud.Kind("g4", "b", false), 0);
+    world.cloud.stock.put(new CloudProvisioner.Kind("g4", "b", false), 0);
     List<Job> jobs = new ArrayList<>();
     for (int i = 1; i <= 4; i++) {
-      jobs.add(Samples.job(i, JobKind.ARRAY, 3, 2));
+      jobs.add(TestFixtures.job(i, JobKind.ARRAY, 3, 2));
     }
     jobs.forEach(world::submit);
     world.run(16);
     world.at(afterMs, () -> crashLeader(world, 2000));
     world.at(9000 + afterMs, () -> crashLeader(world, 2000));
     world.run(40);
-    Outcome.allServed(world, jobs);
+    ExpectedOutcome.allServed(world, jobs);
   }
 
   /** A zone with workers and a controller is cut off for longer than a lease. */
@@ -196,16 +196,16 @@
   @ValueSource(ints = {5000, 12_000, 25_000, 40_000})
   void aZoneIsCutOff(int forMs) {
     for (String inside : List.of("roost-0", "roost-1", "roost-2")) {
-      World world = new World(5);
+      SimulatedCluster world = new SimulatedCluster(5);
       List<Job> jobs = services(world, 6);
-      Job spread = Samples.job(20, JobKind.SERVICE, 4, 1, "blue", Priority.HIGH, true, false);
+      Job spread = TestFixtures.job(20, JobKind.SERVICE, 4, 1, "blue", Priority.HIGH, true, false);
       jobs.add(spread);
       world.submit(spread);
       world.run(25);
       world.cutZone("b", inside, forMs);
       world.at(1000, () -> world.abort(jobs.get(0).uid()));
       world.run(60);
-      Outcome.allServed(world, jobs);
+      ExpectedOutcome.allServed(world, jobs);
     }
   }
 
@@ -213,7 +213,7 @@
   @ParameterizedTest
   @MethodSource("seeds")
   void jobsBoundToOneZoneLoseMachines(long seed) {
-    World world = new World(seed);
+    SimulatedCluster world = new SimulatedCluster(seed);
     List<Job> jobs = new ArrayList<>();
     for (int i = 1; i <= 6; i++) {
       jobs.add(inOneZone(i, i % 2 == 0 ? JobKind.ARRAY : JobKind.SERVICE, 4, i > 4 ? "b" : null));
@@ -232,7 +232,7 @@
     }
     world.at(5000, () -> crashLeader(world, 2000));
     world.run(60);
-    Outcome.allServed(world, jobs);
+    ExpectedOutcome.allServed(world, jobs);
   }
 
   private static Job inOneZone(int number, JobKind kind, int tasks, String zone) {
@@ -261,7 +261,7 @@
   @ParameterizedTest
   @MethodSource("seeds")
   void aSlowStateServiceAndThenARefusal(long seed) {
-    World world = new World(seed);
+    SimulatedCluster world = new SimulatedCluster(seed);
     List<Job> jobs = services(world, 6);
     world.run(25);
     world.stateDelayMs = 400;
@@ -273,7 +273,7 @@
     world.at(43_000, () -> world.state.recover(world.nowMs));
     world.run(60);
     world.stateDelayMs = 0;
-    Outcome.allServed(world, jobs);
+    ExpectedOutcome.allServed(world, jobs);
     assertTrue(world.checker.starts >= 12);
     assertEquals(0, world.checker.running(jobs.get(1).uid()));
   }
--- a/src/test/java/eiderfork/core/FailureHistoryTest.java
+++ b/src/test/java/eiderfork/controller/FailureHistoryTest.java
@@ -1,4 +1,4 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -7,8 +7,8 @@
 import com.google.common.collect.ImmutableList;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
-import eiderfork.model.Record;
 import eiderfork.model.Resources;
+import eiderfork.model.StoredRecord;
 import org.junit.jupiter.api.Test;
 
 /** How failures of a job's tasks are counted. */
@@ -18,11 +18,12 @@
 
   private final FailureHistory history = new FailureHistory(STEP_MS);
   private final Job job =
-      Samples.sized(Samples.job(1, JobKind.ARRAY, TASKS, 1), new Resources(1, 1, 4), 300, "g4");
-  private final JobEntry entry = Samples.entry(job);
+      TestFixtures.sized(
+          TestFixtures.job(1, JobKind.ARRAY, TASKS, 1), new Resources(1, 1, 4), 300, "g4");
+  private final JobState entry = TestFixtures.entry(job);
 
   private Reservation reservation(int index, long attempt, String machine) {
-    MachineEntry on = new MachineEntry(machine, 1, new MachineSets(), 0);
+    MachineState on = new MachineState(machine, 1, new MachineIndexes(), 0);
     return new Reservation(entry, index, attempt, on);
   }
 
@@ -30,8 +31,8 @@
     history.failed(reservation(index, attempt, machine), attempt, nowMs);
   }
 
-  private static Record.Alloc attempts(long last) {
-    return new Record.Alloc(last, false, ImmutableList.of(), ImmutableList.of());
+  private static StoredRecord.Alloc attempts(long last) {
+    return new StoredRecord.Alloc(last, false, ImmutableList.of(), ImmutableList.of());
   }
 
   @Test
@@ -84,8 +85,9 @@
 
   @Test
   void anArrayOfWhichSomethingIsDoneIsNoSuspectToANewLeader() {
-    Record.Alloc some =
-        new Record.Alloc(30, false, ImmutableList.of(), ImmutableList.of(new Record.Range(0, 0)));
+    StoredRecord.Alloc some =
+        new StoredRecord.Alloc(
+            30, false, ImmutableList.of(), ImmutableList.of(new StoredRecord.Range(0, 0)));
     history.restored(some, TASKS);
     assertFalse(history.isSuspected());
   }
--- a/src/test/java/eiderfork/core/FakeCloud.java
+++ b/src/test/java/eiderfork/controller/FakeCloud.java
@@ -1,12 +1,12 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import com.google.common.collect.ImmutableList;
-import eiderfork.core.message.Reply;
-import eiderfork.model.HostEntry;
+import eiderfork.controller.message.Reply;
+import eiderfork.model.ListedMachine;
 import eiderfork.model.Machine;
 import eiderfork.model.MachineType;
-import eiderfork.model.Record;
 import eiderfork.model.Resources;
+import eiderfork.model.StoredRecord;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
@@ -36,7 +36,7 @@
   long bootMs;
 
   /** How long machines of a kind boot where that is not {@link #bootMs}. */
-  final Map<Cloud.Kind, Long> bootMsOf = new HashMap<>();
+  final Map<CloudProvisioner.Kind, Long> bootMsOf = new HashMap<>();
 
   /** The cloud refuses every request. */
   boolean down;
@@ -47,7 +47,7 @@
   /** What the cloud has, and how much of each kind where that is not {@link #capacity}. */
   ImmutableList<MachineType> types = SMALL_TYPES;
 
-  final Map<Cloud.Kind, Integer> stock = new HashMap<>();
+  final Map<CloudProvisioner.Kind, Integer> stock = new HashMap<>();
 
   private static final ImmutableList<MachineType> SMALL_TYPES =
       ImmutableList.of(
@@ -80,7 +80,7 @@
     return hosts.get(name);
   }
 
-  Reply rent(Record.Rent rent, long nowMs) {
+  Reply rent(StoredRecord.Rent rent, long nowMs) {
     ImmutableList<String> known = requests.get(rent.requestName());
     if (known != null) {
       return new Reply.Rented(known);
@@ -95,7 +95,7 @@
                         && h.machine.zone().equals(rent.zone())
                         && h.machine.spot() == rent.spot())
             .count();
-    Cloud.Kind kind = new Cloud.Kind(rent.type(), rent.zone(), rent.spot());
+    CloudProvisioner.Kind kind = new CloudProvisioner.Kind(rent.type(), rent.zone(), rent.spot());
     int count = (int) Math.min(rent.count(), stock.getOrDefault(kind, capacity) - same);
     for (int i = 0; i < count; i++) {
       long slowMs = 2000 + random.nextLong(6000);
@@ -144,11 +144,12 @@
   Reply list(String after, long nowMs) {
     // A list may be as old as twice the lag, and older than the one before it.
     long asOfMs = nowMs - lagMs / 2 - random.nextLong(lagMs * 3 / 2);
-    ImmutableList.Builder<HostEntry> entries = ImmutableList.builder();
+    ImmutableList.Builder<ListedMachine> entries = ImmutableList.builder();
     for (Host host : hosts.tailMap(after, false).values()) {
       if (host.rentedMs <= asOfMs && host.goneMs > asOfMs) {
-        HostEntry.State s = host.upMs <= asOfMs ? HostEntry.State.RUNNING : HostEntry.State.BOOTING;
-        entries.add(new HostEntry(host.machine, s, (asOfMs - host.rentedMs) / 1000.0));
+        ListedMachine.State s =
+            host.upMs <= asOfMs ? ListedMachine.State.RUNNING : ListedMachine.State.BOOTING;
+        entries.add(new ListedMachine(host.machine, s, (asOfMs - host.rentedMs) / 1000.0));
       }
     }
     return new Reply.Hosts(entries.build(), false);
--- a/src/test/java/eiderfork/core/FakeGangs.java
+++ b/src/test/java/eiderfork/controller/FakeGangs.java
@@ -1,10 +1,10 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
 import eiderfork.model.TaskId;
-import eiderfork.model.TaskReport.Cause;
-import eiderfork.model.TaskReport.State;
+import eiderfork.model.TaskStatus.Cause;
+import eiderfork.model.TaskStatus.State;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -41,7 +41,7 @@
     final Map<Integer, Long> savingSinceMs = new HashMap<>();
   }
 
-  private final World world;
+  private final SimulatedCluster world;
   private final Map<Key, Attempt> attempts = new HashMap<>();
 
   /** How much of each gang's work is safe in a checkpoint. */
@@ -53,7 +53,7 @@
   /** How often a gang was seen to save its progress when it was stopped. */
   int saves;
 
-  FakeGangs(World world) {
+  FakeGangs(SimulatedCluster world) {
     this.world = world;
   }
 
--- a/src/test/java/eiderfork/core/FakeReports.java
+++ b/src/test/java/eiderfork/controller/FakeHeartbeats.java
@@ -1,23 +1,24 @@
-package eiderfork.core;
+package eiderfork.controller;
 
-import eiderfork.core.message.Effect;
-import eiderfork.core.message.Input;
-import eiderfork.core.message.Keys;
-import eiderfork.model.Record;
+import eiderfork.controller.message.Effect;
+import eiderfork.controller.message.Input;
+import eiderfork.controller.message.StoreKeys;
+import eiderfork.model.StoredRecord;
 import java.util.ArrayList;
 import java.util.List;
 
 /**
- * The reports of a {@link World}'s workers on their way: lost, late, doubled, or kept for later.
+ * The reports of a {@link SimulatedCluster}'s workers on their way: lost, late, doubled, or kept
+ * for later.
  */
-final class FakeReports {
-  private final World world;
-  private final List<eiderfork.model.Report> kept = new ArrayList<>();
-  private Record leadership;
+final class FakeHeartbeats {
+  private final SimulatedCluster world;
+  private final List<eiderfork.model.Heartbeat> kept = new ArrayList<>();
+  private StoredRecord leadership;
   private long holdReportsUntilMs;
   private long reportsHeldMs;
 
-  FakeReports(World world) {
+  FakeHeartbeats(SimulatedCluster world) {
     this.world = world;
   }
 
@@ -29,14 +30,14 @@
 
   /** Brings what was kept for the next leader once there is one. */
   void tick() {
-    if (!kept.isEmpty() && world.state.get(Keys.LEADER) != null) {
-      if (leadership != null && !leadership.equals(world.state.get(Keys.LEADER))) {
-        for (eiderfork.model.Report report : kept) {
+    if (!kept.isEmpty() && world.state.get(StoreKeys.LEADER) != null) {
+      if (leadership != null && !leadership.equals(world.state.get(StoreKeys.LEADER))) {
+        for (eiderfork.model.Heartbeat report : kept) {
           world.nodes.keySet().forEach(node -> arrivesAgain(node, report));
         }
         kept.clear();
       }
-      leadership = world.state.get(Keys.LEADER);
+      leadership = world.state.get(StoreKeys.LEADER);
     }
   }
 
@@ -103,7 +104,7 @@
   }
 
   /** An old copy; whatever it is answered reaches nobody. */
-  private void arrivesAgain(String node, eiderfork.model.Report report) {
+  private void arrivesAgain(String node, eiderfork.model.Heartbeat report) {
     world.ask(node, ticket -> new Input.WorkerReport(ticket, report), effect -> {});
   }
 
--- a/src/test/java/eiderfork/core/FakeNetwork.java
+++ b/src/test/java/eiderfork/controller/FakeNetwork.java
@@ -1,16 +1,19 @@
-package eiderfork.core;
+package eiderfork.controller;
 
-import eiderfork.core.message.Effect;
-import eiderfork.core.message.Input;
-import eiderfork.core.message.Reply;
-import eiderfork.core.message.StateOp;
+import eiderfork.controller.message.Effect;
+import eiderfork.controller.message.Input;
+import eiderfork.controller.message.Reply;
+import eiderfork.controller.message.StoreRequest;
 import java.util.function.Consumer;
 
-/** Carries the effects of a {@link World}'s controllers to the other parties, and answers back. */
+/**
+ * Carries the effects of a {@link SimulatedCluster}'s controllers to the other parties, and answers
+ * back.
+ */
 final class FakeNetwork {
-  private final World world;
+  private final SimulatedCluster world;
 
-  FakeNetwork(World world) {
+  FakeNetwork(SimulatedCluster world) {
     this.world = world;
   }
 
@@ -63,12 +66,13 @@
 
   void carryOut(String node, Effect effect) {
     if (effect instanceof Effect.AskState it) {
-      if (it.op() instanceof StateOp.Transact && world.random.nextDouble() < world.lateWrites) {
+      if (it.op() instanceof StoreRequest.Transact
+          && world.random.nextDouble() < world.lateWrites) {
         world.at(
             2000 + world.random.nextLong(10_000),
             () -> world.state.execute(it.op(), world.nowMs, reply -> {}));
         call(node, it, "nowhere", then -> {});
-      } else if (it.op() instanceof StateOp.Transact
+      } else if (it.op() instanceof StoreRequest.Transact
           && world.random.nextDouble() < world.lostAnswers) {
         call(node, it, "state", then -> world.stateAccess.serve(node, it.op(), reply -> {}));
       } else {
@@ -188,7 +192,7 @@
     }
     if (host.worker.hanging) {
       // Held until the machine goes on.
-      world.at(World.TICK_MS, () -> deliver(name, answer, then));
+      world.at(SimulatedCluster.TICK_MS, () -> deliver(name, answer, then));
     } else {
       then.accept(answer.apply(host.worker));
     }
@@ -218,12 +222,12 @@
   void splitZones(long forMs) {
     for (int i = 0; i < world.count; i++) {
       for (int j = 0; j < world.count; j++) {
-        if (!Samples.zone(i, world.count).equals(Samples.zone(j, world.count))) {
+        if (!TestFixtures.zone(i, world.count).equals(TestFixtures.zone(j, world.count))) {
           world.cut("roost-" + i + ">roost-" + j, forMs);
         }
       }
       for (FakeWorker worker : world.workers()) {
-        if (!worker.machine.zone().equals(Samples.zone(i, world.count))) {
+        if (!worker.machine.zone().equals(TestFixtures.zone(i, world.count))) {
           world.cut("roost-" + i + ">" + worker.machine.name(), forMs);
           world.cut(worker.machine.name() + ">roost-" + i, forMs);
         }
--- a/src/test/java/eiderfork/core/FakeProgress.java
+++ b/src/test/java/eiderfork/controller/FakeProgress.java
@@ -1,10 +1,10 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import eiderfork.model.Attempt;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
 import eiderfork.model.TaskId;
-import eiderfork.model.TaskReport.State;
+import eiderfork.model.TaskStatus.State;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
@@ -16,7 +16,7 @@
  * themselves now and then, and when they are stopped with enough time.
  */
 final class FakeProgress {
-  private final World world;
+  private final SimulatedCluster world;
   private final Map<TaskId, Long> safeMs = new HashMap<>();
 
   /** Attempts that were told to stop, and machines on which saves never end. */
@@ -33,7 +33,7 @@
   /** Run time that has to be done again. */
   long lostMs;
 
-  FakeProgress(World world) {
+  FakeProgress(SimulatedCluster world) {
     this.world = world;
   }
 
--- a/src/test/java/eiderfork/core/FakeState.java
+++ b/src/test/java/eiderfork/controller/FakeStore.java
@@ -1,11 +1,11 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import com.google.common.collect.ImmutableList;
-import eiderfork.core.limits.TokenBucket;
-import eiderfork.core.message.Reply;
-import eiderfork.core.message.StateOp;
-import eiderfork.model.Record;
-import eiderfork.wire.StateWire;
+import eiderfork.controller.message.Reply;
+import eiderfork.controller.message.StoreRequest;
+import eiderfork.controller.ratelimit.TokenBucket;
+import eiderfork.model.StoredRecord;
+import eiderfork.wire.StoreCodec;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -14,7 +14,7 @@
 import java.util.function.Consumer;
 
 /** The state service, written from the protocol. */
-final class FakeState {
+final class FakeStore {
   /** The service's limit on requests, with bursts of a second's worth; null for none. */
   TokenBucket requestLimit;
 
@@ -33,7 +33,7 @@
   /** Transactions that were refused for the limit on changes. */
   int overChangeLimit;
 
-  private record Entry(Record record, long version, long lease) {}
+  private record Entry(StoredRecord record, long version, long lease) {}
 
   private record Watcher(String prefix, long after, long untilMs, Consumer<Reply> then) {}
 
@@ -61,16 +61,16 @@
     return outageSinceMs >= 0;
   }
 
-  Record get(String key) {
-    Record stored = stored(key);
-    if (stored instanceof Record.BitmapAlloc bitmap) {
+  StoredRecord get(String key) {
+    StoredRecord stored = stored(key);
+    if (stored instanceof StoredRecord.BitmapAlloc bitmap) {
       return bitmap.alloc();
     }
-    return stored instanceof Record.PackedAlloc packed ? packed.alloc() : stored;
+    return stored instanceof StoredRecord.PackedAlloc packed ? packed.alloc() : stored;
   }
 
   /** What was written, in the form that it was written in. */
-  Record stored(String key) {
+  StoredRecord stored(String key) {
     Entry entry = entries.get(key);
     return entry == null ? null : entry.record;
   }
@@ -81,17 +81,17 @@
     changeLimit = new TokenBucket(changesPerS, changesPerS, nowMs);
   }
 
-  private static int valueBytes(StateOp.Change change) {
+  private static int valueBytes(StoreRequest.Change change) {
     if (change.record() == null) {
       return 0;
     }
-    int with = bytes(StateOp.Change.put(change.key(), change.record()));
-    return with - bytes(StateOp.Change.remove(change.key()));
+    int with = bytes(StoreRequest.Change.put(change.key(), change.record()));
+    return with - bytes(StoreRequest.Change.remove(change.key()));
   }
 
-  private static int bytes(StateOp.Change change) {
-    StateOp op = new StateOp.Transact(ImmutableList.of(), ImmutableList.of(change));
-    return StateWire.request(op).body().length;
+  private static int bytes(StoreRequest.Change change) {
+    StoreRequest op = new StoreRequest.Transact(ImmutableList.of(), ImmutableList.of(change));
+    return StoreCodec.request(op).body().length;
   }
 
   /** The keys under a prefix. */
@@ -101,7 +101,7 @@
 
   /** Puts a value there that no version can read. */
   void spoil(String key) {
-    entries.put(key, new Entry(new Record.Unreadable("spoiled"), ++ledger, 0));
+    entries.put(key, new Entry(new StoredRecord.Unreadable("spoiled"), ++ledger, 0));
   }
 
   void tick(long nowMs) {
@@ -138,7 +138,7 @@
     }
   }
 
-  private void change(String key, Record record, long lease) {
+  private void change(String key, StoredRecord record, long lease) {
     if (record == null) {
       entries.remove(key);
     } else {
@@ -161,25 +161,25 @@
     due.forEach(w -> w.then.accept(since(w.prefix, w.after)));
   }
 
-  void execute(StateOp op, long nowMs, Consumer<Reply> then) {
+  void execute(StoreRequest op, long nowMs, Consumer<Reply> then) {
     if (requestLimit != null && !requestLimit.take(1, nowMs)) {
       overLimit++;
       then.accept(new Reply.Refused(429));
       return;
     }
     if (out()) {
-      if (op instanceof StateOp.Watch w) {
+      if (op instanceof StoreRequest.Watch w) {
         watchers.add(new Watcher(w.prefix(), w.after(), nowMs + w.waitMs(), then));
       } else {
         then.accept(new Reply.Refused(503));
       }
       return;
     }
-    if (op instanceof StateOp.Get it) {
+    if (op instanceof StoreRequest.Get it) {
       Entry entry = entries.get(it.key());
       then.accept(
           entry == null ? new Reply.Value(null, 0) : new Reply.Value(entry.record, entry.version));
-    } else if (op instanceof StateOp.Scan it) {
+    } else if (op instanceof StoreRequest.Scan it) {
       ImmutableList.Builder<Reply.Item> items = ImmutableList.builder();
       int n = 0;
       boolean more = false;
@@ -197,16 +197,16 @@
         }
       }
       then.accept(new Reply.Page(items.build(), more, ledger));
-    } else if (op instanceof StateOp.Watch it) {
+    } else if (op instanceof StoreRequest.Watch it) {
       if (it.waitMs() > 0 && since(it.prefix(), it.after()).items().isEmpty()) {
         watchers.add(new Watcher(it.prefix(), it.after(), nowMs + it.waitMs(), then));
       } else {
         then.accept(since(it.prefix(), it.after()));
       }
-    } else if (op instanceof StateOp.Grant it) {
+    } else if (op instanceof StoreRequest.Grant it) {
       leases.put(++lastLease, new long[] {it.lifeMs(), nowMs + it.lifeMs()});
       then.accept(new Reply.Leased(lastLease));
-    } else if (op instanceof StateOp.Renew it) {
+    } else if (op instanceof StoreRequest.Renew it) {
       long[] lease = leases.get(it.lease());
       if (lease == null) {
         then.accept(new Reply.Refused(404));
@@ -214,12 +214,12 @@
         lease[1] = nowMs + lease[0];
         then.accept(new Reply.Leased(it.lease()));
       }
-    } else if (op instanceof StateOp.Release it) {
+    } else if (op instanceof StoreRequest.Release it) {
       if (leases.remove(it.lease()) != null) {
         drop(it.lease());
       }
       then.accept(new Reply.Leased(0));
-    } else if (op instanceof StateOp.Transact it) {
+    } else if (op instanceof StoreRequest.Transact it) {
       if (it.changes().stream().anyMatch(change -> valueBytes(change) > mostValueBytes)) {
         tooLarge++;
         then.accept(new Reply.Refused(400));
@@ -233,9 +233,9 @@
     }
   }
 
-  private Reply transact(StateOp.Transact it) {
+  private Reply transact(StoreRequest.Transact it) {
     ImmutableList.Builder<String> failed = ImmutableList.builder();
-    for (StateOp.Condition condition : it.conditions()) {
+    for (StoreRequest.Condition condition : it.conditions()) {
       Entry entry = entries.get(condition.key());
       if ((entry == null ? 0 : entry.version) != condition.version()) {
         failed.add(condition.key());
@@ -244,7 +244,7 @@
     if (!failed.build().isEmpty()) {
       return new Reply.Conflict(failed.build());
     }
-    for (StateOp.Change change : it.changes()) {
+    for (StoreRequest.Change change : it.changes()) {
       if (change.lease() != 0 && !leases.containsKey(change.lease())) {
         return new Reply.Refused(400);
       }
--- a/src/test/java/eiderfork/core/FakeStateAccess.java
+++ b/src/test/java/eiderfork/controller/FakeStoreAccess.java
@@ -1,17 +1,20 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import com.google.common.collect.ImmutableList;
-import eiderfork.core.message.Keys;
-import eiderfork.core.message.Reply;
-import eiderfork.core.message.StateOp;
-import eiderfork.model.Record;
+import eiderfork.controller.message.Reply;
+import eiderfork.controller.message.StoreKeys;
+import eiderfork.controller.message.StoreRequest;
+import eiderfork.model.StoredRecord;
 import java.util.HashSet;
 import java.util.Set;
 import java.util.function.Consumer;
 
-/** How the nodes of a {@link World} reach its state service, and what each makes of its records. */
-final class FakeStateAccess {
-  private final World world;
+/**
+ * How the nodes of a {@link SimulatedCluster} reach its state service, and what each makes of its
+ * records.
+ */
+final class FakeStoreAccess {
+  private final SimulatedCluster world;
 
   /** Nodes that the state service refuses, while it serves the others. */
   final Set<String> refused = new HashSet<>();
@@ -19,12 +22,12 @@
   /** Nodes whose watches bring nothing, apart from those of the leader key. */
   final Set<String> blind = new HashSet<>();
 
-  FakeStateAccess(World world) {
+  FakeStoreAccess(SimulatedCluster world) {
     this.world = world;
   }
 
   /** Carries out a node's request. */
-  void serve(String node, StateOp op, Consumer<Reply> then) {
+  void serve(String node, StoreRequest op, Consumer<Reply> then) {
     if (world.stateDelayMs > 0) {
       world.at(world.stateDelayMs, () -> served(node, op, then));
     } else {
@@ -32,21 +35,21 @@
     }
   }
 
-  private boolean isBlindTo(String node, StateOp op) {
+  private boolean isBlindTo(String node, StoreRequest op) {
     return blind.contains(node)
-        && op instanceof StateOp.Watch watch
+        && op instanceof StoreRequest.Watch watch
         && watch.waitMs() > 0
-        && !watch.prefix().equals(Keys.LEADER);
+        && !watch.prefix().equals(StoreKeys.LEADER);
   }
 
-  private void served(String node, StateOp op, Consumer<Reply> then) {
+  private void served(String node, StoreRequest op, Consumer<Reply> then) {
     if (isBlindTo(node, op)) {
       return;
     }
     if (!refused.contains(node)) {
       world.state.execute(
           op, world.nowMs, reply -> whenServed(node, () -> then.accept(asRead(node, reply))));
-    } else if (!(op instanceof StateOp.Watch)) {
+    } else if (!(op instanceof StoreRequest.Watch)) {
       then.accept(new Reply.Refused(503));
     }
   }
@@ -69,23 +72,23 @@
         .collect(ImmutableList.toImmutableList());
   }
 
-  private Record asRead(String node, Record record) {
+  private StoredRecord asRead(String node, StoredRecord record) {
     int version = world.version(node);
-    if (record instanceof Record.BitmapAlloc it) {
+    if (record instanceof StoredRecord.BitmapAlloc it) {
       return readFrom(ClusterVersion.BITMAP_ALLOCS, version, it.alloc());
-    } else if (record instanceof Record.PackedAlloc it) {
+    } else if (record instanceof StoredRecord.PackedAlloc it) {
       return readFrom(ClusterVersion.PACKED_ALLOCS, version, it.alloc());
     }
     return record;
   }
 
-  private static Record readFrom(int firstVersion, int version, Record.Alloc alloc) {
-    return version < firstVersion ? new Record.Unreadable("a newer form") : alloc;
+  private static StoredRecord readFrom(int firstVersion, int version, StoredRecord.Alloc alloc) {
+    return version < firstVersion ? new StoredRecord.Unreadable("a newer form") : alloc;
   }
 
   private void whenServed(String node, Runnable what) {
     if (refused.contains(node)) {
-      world.at(World.TICK_MS, () -> whenServed(node, what));
+      world.at(SimulatedCluster.TICK_MS, () -> whenServed(node, what));
     } else {
       what.run();
     }
--- a/src/test/java/eiderfork/core/FakeUsers.java
+++ b/src/test/java/eiderfork/controller/FakeUsers.java
@@ -1,16 +1,19 @@
-package eiderfork.core;
+package eiderfork.controller;
 
-import eiderfork.core.message.Effect;
-import eiderfork.core.message.Input;
-import eiderfork.core.message.UserAnswer;
+import eiderfork.controller.message.Effect;
+import eiderfork.controller.message.Input;
+import eiderfork.controller.message.UserResponse;
 import eiderfork.model.Job;
 import java.util.function.Consumer;
 
-/** The users of a {@link World}: they repeat what gets no answer, and tell the checker the rest. */
+/**
+ * The users of a {@link SimulatedCluster}: they repeat what gets no answer, and tell the checker
+ * the rest.
+ */
 final class FakeUsers {
-  private final World world;
+  private final SimulatedCluster world;
 
-  FakeUsers(World world) {
+  FakeUsers(SimulatedCluster world) {
     this.world = world;
   }
 
@@ -83,8 +86,8 @@
       boolean submission,
       int tries) {
     boolean[] over = {false};
-    Checker.Known known = world.checker.known(uid);
-    Consumer<UserAnswer> end =
+    ProtocolChecker.Known known = world.checker.known(uid);
+    Consumer<UserResponse> end =
         answer -> {
           if (over[0]) {
             return;
--- a/src/test/java/eiderfork/core/FakeWorker.java
+++ b/src/test/java/eiderfork/controller/FakeWorker.java
@@ -1,14 +1,14 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import com.google.common.collect.ImmutableList;
 import eiderfork.model.Attempt;
 import eiderfork.model.Command;
+import eiderfork.model.Heartbeat;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
 import eiderfork.model.Machine;
-import eiderfork.model.Report;
 import eiderfork.model.TaskId;
-import eiderfork.model.TaskReport;
+import eiderfork.model.TaskStatus;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
@@ -21,8 +21,8 @@
   /** An attempt of a task on this machine. */
   static final class Task {
     final Attempt attempt;
-    TaskReport.State state = TaskReport.State.FETCHING;
-    TaskReport.Cause cause;
+    TaskStatus.State state = TaskStatus.State.FETCHING;
+    TaskStatus.Cause cause;
     long nextMs;
 
     /** Its progress was saved when it was stopped. */
@@ -40,7 +40,7 @@
   }
 
   final Machine machine;
-  private final World world;
+  private final SimulatedCluster world;
   private final Map<Attempt, Task> tasks = new LinkedHashMap<>();
   private static final long FETCH_MS = 700;
 
@@ -65,17 +65,17 @@
   /** Seconds until the cloud takes the machine; null for no notice. */
   Double noticeS;
 
-  FakeWorker(World world, Machine machine, Set<TaskId> results) {
+  FakeWorker(SimulatedCluster world, Machine machine, Set<TaskId> results) {
     this.world = world;
     this.machine = machine;
     this.results = results;
     answeredSentMs = world.nowMs;
   }
 
-  Report report() {
-    ImmutableList.Builder<TaskReport> list = ImmutableList.builder();
-    tasks.values().forEach(t -> list.add(new TaskReport(t.attempt, t.state, t.cause, t.saved)));
-    return new Report(machine, session, ++seq, token, noticeS, list.build());
+  Heartbeat report() {
+    ImmutableList.Builder<TaskStatus> list = ImmutableList.builder();
+    tasks.values().forEach(t -> list.add(new TaskStatus(t.attempt, t.state, t.cause, t.saved)));
+    return new Heartbeat(machine, session, ++seq, token, noticeS, list.build());
   }
 
   long session() {
@@ -112,14 +112,14 @@
           run(command.attempt());
         }
       } else if (command instanceof Command.Kill kill) {
-        if (task != null && task.state != TaskReport.State.ENDED) {
+        if (task != null && task.state != TaskStatus.State.ENDED) {
           world.progress.stopped(this, task.attempt);
           if (!world.gangs.saves(this, task, kill.graceS())
               && !world.progress.saves(this, task, kill.graceS())) {
-            end(task, TaskReport.Cause.STOPPED);
+            end(task, TaskStatus.Cause.STOPPED);
           }
         }
-      } else if (task != null && task.state == TaskReport.State.ENDED) {
+      } else if (task != null && task.state == TaskStatus.State.ENDED) {
         tasks.remove(command.attempt());
       }
     }
@@ -132,29 +132,29 @@
     boolean busy =
         tasks.values().stream()
             .anyMatch(
-                t -> t.attempt.task().equals(attempt.task()) && t.state != TaskReport.State.ENDED);
+                t -> t.attempt.task().equals(attempt.task()) && t.state != TaskStatus.State.ENDED);
     tasks.put(attempt, task);
     changed = true;
     if (busy) {
-      end(task, TaskReport.Cause.BUSY);
+      end(task, TaskStatus.Cause.BUSY);
     }
   }
 
-  void end(Task task, TaskReport.Cause cause) {
+  void end(Task task, TaskStatus.Cause cause) {
     world.progress.ends(task);
     if (isOnMachine(task.state)) {
       world.checker.leaves(task.attempt.task(), machine);
     }
-    task.state = TaskReport.State.ENDED;
+    task.state = TaskStatus.State.ENDED;
     task.cause = cause;
     changed = true;
   }
 
   /** Whether a task has its image and has not ended. */
-  private static boolean isOnMachine(TaskReport.State state) {
-    return state == TaskReport.State.GATHERING
-        || state == TaskReport.State.RUNNING
-        || state == TaskReport.State.SAVING;
+  private static boolean isOnMachine(TaskStatus.State state) {
+    return state == TaskStatus.State.GATHERING
+        || state == TaskStatus.State.RUNNING
+        || state == TaskStatus.State.SAVING;
   }
 
   /** The attempts on this machine. */
@@ -176,45 +176,45 @@
       return;
     }
     for (Task task : new ArrayList<>(tasks.values())) {
-      if (task.state == TaskReport.State.ENDED || world.nowMs < task.nextMs) {
+      if (task.state == TaskStatus.State.ENDED || world.nowMs < task.nextMs) {
         continue;
       }
       TaskId id = task.attempt.task();
       Job job = world.job(id.job());
-      if (task.state == TaskReport.State.FETCHING) {
+      if (task.state == TaskStatus.State.FETCHING) {
         world.checker.starts(world.nowMs, id, machine);
         changed = true;
         if (job.kind() == JobKind.GANG) {
           gather(task);
           continue;
         }
-        task.state = TaskReport.State.RUNNING;
+        task.state = TaskStatus.State.RUNNING;
         boolean kept = results.contains(id);
         task.runningSinceMs = world.nowMs;
         task.nextMs =
             job.kind() == JobKind.SERVICE
                 ? Long.MAX_VALUE
                 : world.nowMs + (kept ? 0 : world.progress.leftMs(job, id));
-      } else if (task.state == TaskReport.State.SAVING) {
+      } else if (task.state == TaskStatus.State.SAVING) {
         world.progress.saved(task);
-        end(task, TaskReport.Cause.STOPPED);
+        end(task, TaskStatus.Cause.STOPPED);
       } else if (world.failing(id, machine)) {
-        end(task, TaskReport.Cause.ERROR);
+        end(task, TaskStatus.Cause.ERROR);
       } else {
         results.add(id);
         world.checker.completes(id);
-        end(task, TaskReport.Cause.DONE);
+        end(task, TaskStatus.Cause.DONE);
       }
     }
   }
 
   private void gather(Task task) {
-    task.state = TaskReport.State.GATHERING;
+    task.state = TaskStatus.State.GATHERING;
     task.nextMs = Long.MAX_VALUE;
     if (results.contains(task.attempt.task())) {
-      end(task, TaskReport.Cause.DONE);
+      end(task, TaskStatus.Cause.DONE);
     } else if (world.failing(task.attempt.task(), machine)) {
-      end(task, TaskReport.Cause.ERROR);
+      end(task, TaskStatus.Cause.ERROR);
     }
   }
 
--- a/src/test/java/eiderfork/core/BinTreeTest.java
+++ b/src/test/java/eiderfork/controller/FirstFitTreeTest.java
@@ -1,4 +1,4 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -13,9 +13,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The tree finds what a look at every bin would find. */
-class BinTreeTest {
+class FirstFitTreeTest {
   private static final Resources ROOM = new Resources(64, 8, 512);
-  private static final GpuBalance FOUR_CPUS_A_GPU = new GpuBalance(4);
+  private static final CpusPerGpu FOUR_CPUS_A_GPU = new CpusPerGpu(4);
   private static final long ALL_KINDS = -1;
 
   private final Random random = new Random(5);
@@ -25,7 +25,8 @@
   }
 
   private Bin bin(int kinds) {
-    Cloud.Kind kind = new Cloud.Kind("type-" + random.nextInt(kinds), "a", random.nextBoolean());
+    CloudProvisioner.Kind kind =
+        new CloudProvisioner.Kind("type-" + random.nextInt(kinds), "a", random.nextBoolean());
     return new Bin(null, kind, ROOM, amount());
   }
 
@@ -46,7 +47,7 @@
     for (int i = 0; i < 20; i++) {
       bins.add(bin(kinds));
     }
-    BinTree tree = new BinTree(bins, FOUR_CPUS_A_GPU);
+    FirstFitTree tree = new FirstFitTree(bins, FOUR_CPUS_A_GPU);
     for (int i = 0; i < 2000; i++) {
       if (random.nextInt(10) == 0) {
         tree.add(bin(kinds));
@@ -68,7 +69,7 @@
     for (int i = 0; i < 500; i++) {
       bins.add(bin(3));
     }
-    BinTree tree = new BinTree(bins, FOUR_CPUS_A_GPU);
+    FirstFitTree tree = new FirstFitTree(bins, FOUR_CPUS_A_GPU);
     for (int cpus = 1; cpus < 64; cpus++) {
       Resources need = new Resources(cpus, 0, 4);
       Predicate<Bin> sparing = it -> FOUR_CPUS_A_GPU.strandedBy(need, it.left) <= 0;
@@ -81,12 +82,12 @@
   @Test
   void fullBinsAreNotLookedAt() {
     List<Bin> bins = new ArrayList<>();
-    Cloud.Kind kind = new Cloud.Kind("g8", "a", false);
+    CloudProvisioner.Kind kind = new CloudProvisioner.Kind("g8", "a", false);
     for (int i = 0; i < 6000; i++) {
       bins.add(new Bin(null, kind, ROOM, Resources.NONE));
     }
     bins.get(4321).left = ROOM;
-    BinTree tree = new BinTree(bins, FOUR_CPUS_A_GPU);
+    FirstFitTree tree = new FirstFitTree(bins, FOUR_CPUS_A_GPU);
     for (int i = 0; i < 100; i++) {
       assertEquals(4321, tree.first(ROOM, ALL_KINDS, false, it -> true));
     }
@@ -99,7 +100,7 @@
     for (int i = 0; i < 300; i++) {
       bins.add(bin(3));
     }
-    BinTree tree = new BinTree(bins, FOUR_CPUS_A_GPU);
+    FirstFitTree tree = new FirstFitTree(bins, FOUR_CPUS_A_GPU);
     Resources need = new Resources(20, 2, 100);
     List<Bin> shown = new ArrayList<>();
     tree.forEachWithRoom(need, ALL_KINDS, shown::add);
--- a/src/test/java/eiderfork/core/GangTest.java
+++ b/src/test/java/eiderfork/controller/GangTest.java
@@ -1,4 +1,4 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -9,7 +9,7 @@
 import eiderfork.model.JobStatus.Stance;
 import eiderfork.model.Priority;
 import eiderfork.model.Resources;
-import eiderfork.model.TaskReport;
+import eiderfork.model.TaskStatus;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -19,12 +19,12 @@
 
 /** Gangs run whole or not at all, whatever happens to a part of them. */
 class GangTest {
-  private final World world = new World(11);
+  private final SimulatedCluster world = new SimulatedCluster(11);
   private final List<Job> jobs = new ArrayList<>();
 
   /** Machines of both zones are up, and every node knows that all others run this version. */
   private void warm() {
-    submit(Samples.job(1, JobKind.SERVICE, 4, 2));
+    submit(TestFixtures.job(1, JobKind.SERVICE, 4, 2));
     world.run(30);
   }
 
@@ -41,20 +41,20 @@
         .toList();
   }
 
-  private boolean anyTask(Job job, TaskReport.State state) {
+  private boolean anyTask(Job job, TaskStatus.State state) {
     return world.workers().stream()
         .flatMap(w -> w.tasks().stream())
         .anyMatch(t -> t.attempt.task().job().equals(job.uid()) && t.state == state);
   }
 
   private void allServed() {
-    Outcome.allServed(world, jobs);
+    ExpectedOutcome.allServed(world, jobs);
   }
 
   @Test
   void aGangStartsAndEndsWhole() {
     warm();
-    Job gang = submit(Samples.gang(2, 6, 2, 6, true));
+    Job gang = submit(TestFixtures.gang(2, 6, 2, 6, true));
     world.run(15);
     assertEquals(1, world.gangs.starts);
     assertTrue(world.checker.isDone(gang.uid()));
@@ -65,11 +65,11 @@
   void aGangThatFindsNoRoomHoldsNoneAndTwoDoNotWaitForEachOther() {
     world.cloud.capacity = 1;
     world.cloud.types = world.cloud.types.subList(1, 2);
-    submit(Samples.job(1, JobKind.SERVICE, 1, 0));
+    submit(TestFixtures.job(1, JobKind.SERVICE, 1, 0));
     world.run(25);
     // Two machines of eight processors, one of which a replica holds, are there for either.
     for (int i = 2; i <= 5; i++) {
-      submit(Samples.gang(i, 6, 1, 5, true));
+      submit(TestFixtures.gang(i, 6, 1, 5, true));
     }
     world.run(4);
     for (Job gang : jobs.subList(1, jobs.size())) {
@@ -84,15 +84,15 @@
   @Test
   void aGangOfOneZoneGoesWhereTheWholeOfItFits() {
     for (String zone : List.of("a", "b")) {
-      world.cloud.stock.put(new Cloud.Kind("g4", zone, false), zone.equals("a") ? 1 : 3);
-      world.cloud.stock.put(new Cloud.Kind("g4", zone, true), 0);
-      world.cloud.stock.put(new Cloud.Kind("c8", zone, false), 0);
-      world.cloud.stock.put(new Cloud.Kind("c8", zone, true), 0);
+      world.cloud.stock.put(new CloudProvisioner.Kind("g4", zone, false), zone.equals("a") ? 1 : 3);
+      world.cloud.stock.put(new CloudProvisioner.Kind("g4", zone, true), 0);
+      world.cloud.stock.put(new CloudProvisioner.Kind("c8", zone, false), 0);
+      world.cloud.stock.put(new CloudProvisioner.Kind("c8", zone, true), 0);
     }
-    submit(Samples.job(1, JobKind.SERVICE, 4, 3));
+    submit(TestFixtures.job(1, JobKind.SERVICE, 4, 3));
     world.run(25);
     assertEquals(4, world.workers().size());
-    Job gang = submit(Samples.gang(2, 5, 5, 4, true));
+    Job gang = submit(TestFixtures.gang(2, 5, 5, 4, true));
     world.run(12);
     assertTrue(world.checker.isDone(gang.uid()), "three machines of the one zone hold it");
     allServed();
@@ -102,7 +102,7 @@
   @ValueSource(ints = {0, 50, 100, 200, 300, 500, 700, 900, 1200, 1600, 2500})
   void aCrashOfTheLeaderAtAnyMomentOfTheStartChangesNothing(int afterMs) {
     warm();
-    Job gang = submit(Samples.gang(2, 6, 2, 8, true));
+    Job gang = submit(TestFixtures.gang(2, 6, 2, 8, true));
     world.at(afterMs, () -> world.crash(world.leader(), 3000));
     world.run(25);
     assertTrue(world.checker.isDone(gang.uid()));
@@ -114,7 +114,7 @@
   @ValueSource(ints = {-1, 0, 300, 1000, 3000, 5000, 9000, 10_500, 12_000})
   void aGangThatLosesAMachineStartsAnewFromItsCheckpoint(int crashAfterMs) {
     warm();
-    Job gang = submit(Samples.gang(2, 6, 4, 12, true));
+    Job gang = submit(TestFixtures.gang(2, 6, 4, 12, true));
     world.run(6);
     assertEquals(1, world.gangs.starts);
     world.die(workersWith(gang).get(0).machine.name());
@@ -134,7 +134,7 @@
   @ValueSource(ints = {3000, 7000, 9500, 10_500, 14_000, 25_000})
   void aHungMemberCountsUntilItsLeaseHasLapsed(int hangMs) {
     warm();
-    Job gang = submit(Samples.gang(2, 6, 4, 12, true));
+    Job gang = submit(TestFixtures.gang(2, 6, 4, 12, true));
     world.run(6);
     FakeWorker hung = workersWith(gang).get(0);
     hung.hanging = true;
@@ -148,14 +148,14 @@
   @Test
   void aSuccessorStopsTheRestOfABrokenGang() {
     warm();
-    Job gang = submit(Samples.gang(2, 6, 4, 30, true));
+    Job gang = submit(TestFixtures.gang(2, 6, 4, 30, true));
     world.run(6);
     FakeWorker refusing = workersWith(gang).get(0);
     world.badMachines.add(refusing.machine.name());
     refusing.tasks().stream()
         .filter(t -> t.attempt.task().job().equals(gang.uid()))
         .findFirst()
-        .ifPresent(t -> refusing.end(t, TaskReport.Cause.ERROR));
+        .ifPresent(t -> refusing.end(t, TaskStatus.Cause.ERROR));
     world.at(600, () -> world.crash(world.leader(), 3000));
     world.run(60);
     assertTrue(world.checker.isDone(gang.uid()));
@@ -167,7 +167,7 @@
   @ValueSource(ints = {-1, 0, 100, 300, 600, 1200})
   void aGangOnAMachineWithANoticeIsSavedWhole(int crashAfterMs) {
     warm();
-    Job gang = submit(Samples.gang(2, 6, 4, 25, true, "blue", true));
+    Job gang = submit(TestFixtures.gang(2, 6, 4, 25, true, "blue", true));
     world.run(6);
     assertEquals(1, world.gangs.starts);
     FakeWorker noticed = workersWith(gang).get(0);
@@ -187,7 +187,7 @@
   @Test
   void aGangIsNotStoppedForANoticeThatIsTooShortToSave() {
     warm();
-    Job gang = submit(Samples.gang(2, 4, 4, 7, true, "blue", true));
+    Job gang = submit(TestFixtures.gang(2, 4, 4, 7, true, "blue", true));
     world.run(4);
     FakeWorker noticed = workersWith(gang).get(0);
     noticed.noticeS = 0.5;
@@ -201,7 +201,7 @@
   @ValueSource(ints = {0, 100, 300, 600, 900, 1500, 4000, 6500, 8000})
   void aCancelledGangIsGoneAtOnce(int afterMs) {
     warm();
-    Job gang = submit(Samples.gang(2, 6, 4, 6, true));
+    Job gang = submit(TestFixtures.gang(2, 6, 4, 6, true));
     world.at(afterMs, () -> world.abort(gang.uid()));
     world.run(afterMs / 1000.0 + 4);
     assertEquals(0, world.checker.running(gang.uid()));
@@ -214,7 +214,7 @@
   @ValueSource(ints = {-1, 0, 200, 600, 1500})
   void whereOneTaskIsDoneAllAre(int crashAfterMs) {
     warm();
-    Job gang = submit(Samples.gang(2, 6, 4, 6, true));
+    Job gang = submit(TestFixtures.gang(2, 6, 4, 6, true));
     world.run(5);
     FakeWorker unheard = workersWith(gang).get(0);
     world.mute(unheard.machine.name(), 60_000);
@@ -234,9 +234,10 @@
   /** Ten GPUs at most: a gang of six waits whole until there is quota for all of it. */
   @Test
   void theLimitHoldsForTheWholeGangAndIsNotReservedInParts() {
-    Job service = submit(Samples.job(1, JobKind.SERVICE, 6, 1, "red", Priority.HIGH, false, false));
+    Job service =
+        submit(TestFixtures.job(1, JobKind.SERVICE, 6, 1, "red", Priority.HIGH, false, false));
     world.run(25);
-    Job gang = submit(Samples.gang(2, 6, 1, 4, false, "red", false));
+    Job gang = submit(TestFixtures.gang(2, 6, 1, 4, false, "red", false));
     world.run(5);
     assertEquals(0, world.checker.running(gang.uid()));
     world.abort(service.uid());
@@ -247,7 +248,7 @@
 
   @Test
   void aGangThatNeedsMoreThanItsTeamsLimitIsRefused() {
-    Job gang = Samples.gang(2, 11, 1, 4, false, "red", false);
+    Job gang = TestFixtures.gang(2, 11, 1, 4, false, "red", false);
     world.run(8);
     world.submit(gang);
     world.run(4);
@@ -263,12 +264,12 @@
     world.run(25);
     long before = world.checker.running(array.uid());
     assertEquals(4, before);
-    Job large = Samples.gang(2, 40, 1, 4, true);
+    Job large = TestFixtures.gang(2, 40, 1, 4, true);
     world.submit(large);
     world.run(5);
     assertEquals(before, world.checker.running(array.uid()), "nothing is stopped for a part");
     // What the large gang could not get is no proof for a smaller one behind it.
-    Job gang = submit(Samples.gang(3, 7, 1, 4, true));
+    Job gang = submit(TestFixtures.gang(3, 7, 1, 4, true));
     world.run(12);
     assertTrue(world.checker.isDone(gang.uid()));
   }
@@ -277,13 +278,13 @@
   @Test
   void noGangIsStoppedForAPartOfAnother() {
     world.cloud.capacity = 0;
-    world.cloud.stock.put(new Cloud.Kind("c8", "a", false), 2);
+    world.cloud.stock.put(new CloudProvisioner.Kind("c8", "a", false), 2);
     world.run(5);
-    Job low = Samples.gang(1, 4, 4, 60, true);
-    submit(Samples.withPriority(low, Priority.LOW));
+    Job low = TestFixtures.gang(1, 4, 4, 60, true);
+    submit(TestFixtures.withPriority(low, Priority.LOW));
     world.run(20);
     assertEquals(1, world.gangs.starts);
-    Job large = Samples.gang(2, 17, 1, 4, true);
+    Job large = TestFixtures.gang(2, 17, 1, 4, true);
     world.submit(large);
     world.run(12);
     assertEquals(0, world.gangs.saves);
@@ -299,13 +300,14 @@
   void aGangThatIsStoppedForAnUrgentServiceSavesWhole(int crashAfterMs) {
     world.cloud.types = world.cloud.types.subList(1, 2);
     world.cloud.capacity = 0;
-    world.cloud.stock.put(new Cloud.Kind("c8", "a", false), 2);
+    world.cloud.stock.put(new CloudProvisioner.Kind("c8", "a", false), 2);
     world.run(5);
-    Job gang = submit(Samples.gang(1, 4, 4, 25, true));
+    Job gang = submit(TestFixtures.gang(1, 4, 4, 25, true));
     world.run(20);
     assertEquals(1, world.gangs.starts);
-    Job urgent = Samples.job(2, JobKind.SERVICE, 1, 0, "blue", Priority.PRODUCTION, false, false);
-    submit(Samples.sized(urgent, new Resources(6, 0, 4), 0, "c8"));
+    Job urgent =
+        TestFixtures.job(2, JobKind.SERVICE, 1, 0, "blue", Priority.PRODUCTION, false, false);
+    submit(TestFixtures.sized(urgent, new Resources(6, 0, 4), 0, "c8"));
     if (crashAfterMs >= 0) {
       world.at(crashAfterMs, () -> world.crash(world.leader(), 2000));
     }
@@ -319,15 +321,15 @@
   }
 
   private static Job array(int number, int tasks, double runS) {
-    Job like = Samples.job(number, JobKind.ARRAY, tasks, 0, "blue", Priority.LOW, false, true);
-    return Samples.sized(like, new Resources(7, 0, 4), runS, "c8");
+    Job like = TestFixtures.job(number, JobKind.ARRAY, tasks, 0, "blue", Priority.LOW, false, true);
+    return TestFixtures.sized(like, new Resources(7, 0, 4), runS, "c8");
   }
 
   /** Everything that the protocol lets go wrong, at once, while gangs come and are cancelled. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16})
   void rulesHoldWhereTroublesMeet(long seed) {
-    World troubled = new World(seed);
+    SimulatedCluster troubled = new SimulatedCluster(seed);
     List<Job> gangs = new ArrayList<>();
     troubled.loss = 0.01;
     troubled.doubled = 0.02;
@@ -339,7 +341,7 @@
     for (int i = 1; i <= 14; i++) {
       boolean red = i % 5 == 0;
       Job gang =
-          Samples.gang(
+          TestFixtures.gang(
               i,
               2 + i % 6,
               red ? 1 : 1 + i % 4,
@@ -358,10 +360,10 @@
       troubled.at(12_000 + i * 6500L, () -> trouble(troubled, kind));
     }
     troubled.run(85);
-    Outcome.allServed(troubled, gangs);
+    ExpectedOutcome.allServed(troubled, gangs);
   }
 
-  private static void trouble(World world, int kind) {
+  private static void trouble(SimulatedCluster world, int kind) {
     String leader = world.leader() == null ? "roost-0" : world.leader();
     List<FakeWorker> busy = world.workers().stream().filter(w -> !w.present().isEmpty()).toList();
     switch (kind) {
@@ -388,7 +390,7 @@
   @Test
   void aGangOutlivesAnOutage() {
     warm();
-    Job gang = submit(Samples.gang(2, 6, 2, 15, true));
+    Job gang = submit(TestFixtures.gang(2, 6, 2, 15, true));
     world.run(5);
     world.state.outage(world.nowMs);
     world.run(20);
@@ -396,6 +398,6 @@
     world.run(6);
     assertEquals(1, world.gangs.starts);
     assertTrue(world.checker.isDone(gang.uid()));
-    assertFalse(anyTask(gang, TaskReport.State.RUNNING));
+    assertFalse(anyTask(gang, TaskStatus.State.RUNNING));
   }
 }
--- a/src/test/java/eiderfork/core/SparedGpusTest.java
+++ b/src/test/java/eiderfork/controller/GpuHeadroomTest.java
@@ -1,4 +1,4 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,10 +11,10 @@
 import org.junit.jupiter.api.Test;
 
 /** Arrays without GPUs leave free GPUs the processors that GPU work takes. */
-class SparedGpusTest {
+class GpuHeadroomTest {
   private static Job array(int number, int tasks, Resources need, double runS) {
-    Job like = Samples.job(number, JobKind.ARRAY, tasks, 0);
-    return Samples.sized(Samples.withPriority(like, Priority.LOW), need, runS, "g4");
+    Job like = TestFixtures.job(number, JobKind.ARRAY, tasks, 0);
+    return TestFixtures.sized(TestFixtures.withPriority(like, Priority.LOW), need, runS, "g4");
   }
 
   /**
@@ -23,11 +23,11 @@
    */
   @Test
   void idleWorkLeavesTheProcessorsToArraysThatWaitForGpus() {
-    World world = new World(3);
-    world.cloud.stock.put(new Cloud.Kind("g4", "a", false), 2);
-    world.cloud.stock.put(new Cloud.Kind("g4", "b", false), 0);
-    world.cloud.stock.put(new Cloud.Kind("g4", "a", true), 0);
-    world.cloud.stock.put(new Cloud.Kind("g4", "b", true), 0);
+    SimulatedCluster world = new SimulatedCluster(3);
+    world.cloud.stock.put(new CloudProvisioner.Kind("g4", "a", false), 2);
+    world.cloud.stock.put(new CloudProvisioner.Kind("g4", "b", false), 0);
+    world.cloud.stock.put(new CloudProvisioner.Kind("g4", "a", true), 0);
+    world.cloud.stock.put(new CloudProvisioner.Kind("g4", "b", true), 0);
     Job first = array(1, 8, new Resources(3, 1, 4), 20);
     world.submit(first);
     world.run(14);
@@ -46,11 +46,11 @@
   /** Guests that came later took what the end of the earlier ones left too little without. */
   @Test
   void idleWorkDoesNotTakeWhatWaitingGpuWorkStillLacks() {
-    World world = new World(5);
-    world.cloud.stock.put(new Cloud.Kind("g4", "a", false), 1);
-    world.cloud.stock.put(new Cloud.Kind("g4", "b", false), 0);
-    world.cloud.stock.put(new Cloud.Kind("g4", "a", true), 0);
-    world.cloud.stock.put(new Cloud.Kind("g4", "b", true), 0);
+    SimulatedCluster world = new SimulatedCluster(5);
+    world.cloud.stock.put(new CloudProvisioner.Kind("g4", "a", false), 1);
+    world.cloud.stock.put(new CloudProvisioner.Kind("g4", "b", false), 0);
+    world.cloud.stock.put(new CloudProvisioner.Kind("g4", "a", true), 0);
+    world.cloud.stock.put(new CloudProvisioner.Kind("g4", "b", true), 0);
     world.submit(array(1, 4, new Resources(2, 0, 2), 20));
     world.run(14);
     Job waits = array(2, 1, new Resources(12, 4, 4), 10);
@@ -66,12 +66,12 @@
   /** While no GPU work waits, the processors are there for anybody. */
   @Test
   void idleWorkTakesThemWhereNoGpuWorkWaits() {
-    World world = new World(4);
-    world.cloud.stock.put(new Cloud.Kind("g4", "a", false), 1);
-    world.cloud.stock.put(new Cloud.Kind("g4", "b", false), 0);
-    world.cloud.stock.put(new Cloud.Kind("g4", "a", true), 0);
-    world.cloud.stock.put(new Cloud.Kind("g4", "b", true), 0);
-    world.submit(Samples.job(1, JobKind.SERVICE, 1, 1));
+    SimulatedCluster world = new SimulatedCluster(4);
+    world.cloud.stock.put(new CloudProvisioner.Kind("g4", "a", false), 1);
+    world.cloud.stock.put(new CloudProvisioner.Kind("g4", "b", false), 0);
+    world.cloud.stock.put(new CloudProvisioner.Kind("g4", "a", true), 0);
+    world.cloud.stock.put(new CloudProvisioner.Kind("g4", "b", true), 0);
+    world.submit(TestFixtures.job(1, JobKind.SERVICE, 1, 1));
     world.run(14);
     Job guest = array(3, 7, new Resources(2, 0, 2), 10);
     world.submit(guest);
--- a/src/test/java/eiderfork/core/GuaranteeChecker.java
+++ b/src/test/java/eiderfork/controller/GuaranteeChecker.java
@@ -1,7 +1,7 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import eiderfork.model.MachineType;
-import eiderfork.model.TaskReport;
+import eiderfork.model.TaskStatus;
 import eiderfork.model.Team;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -72,7 +72,7 @@
   /** A report, a round, a write and a command, each with its slack. */
   private static final int REACTION_S = 4;
 
-  private final World world;
+  private final SimulatedCluster world;
   private final long beganMs;
   private final Map<String, Integer> lackingS = new LinkedHashMap<>();
   private final Map<String, Minute> open = new LinkedHashMap<>();
@@ -89,7 +89,7 @@
   /** Seconds in which a guarantee was not there for no known cause. */
   final List<String> unexplained = new ArrayList<>();
 
-  GuaranteeChecker(World world) {
+  GuaranteeChecker(SimulatedCluster world) {
     this.world = world;
     beganMs = world.nowMs;
     look();
@@ -156,10 +156,10 @@
     if (borrowed + free() < world.checker.smallestWaiting(team.name())) {
       return Cause.TOO_LITTLE_IS_BORROWED;
     }
-    if (inState(team.name(), TaskReport.State.FETCHING) >= lacked) {
+    if (inState(team.name(), TaskStatus.State.FETCHING) >= lacked) {
       return Cause.STARTING;
     }
-    if (inState(null, TaskReport.State.SAVING) > 0) {
+    if (inState(null, TaskStatus.State.SAVING) > 0) {
       return Cause.SAVING;
     }
     if (world.nowMs < troubleUntilMs) {
@@ -218,7 +218,7 @@
   }
 
   /** The GPUs of a team's tasks, or of everybody's, in this state. */
-  private double inState(String team, TaskReport.State state) {
+  private double inState(String team, TaskStatus.State state) {
     double gpus = 0;
     for (FakeWorker worker : world.workers()) {
       for (FakeWorker.Task task : worker.tasks()) {
--- a/src/test/java/eiderfork/core/HugeArrayRecordTest.java
+++ b/src/test/java/eiderfork/controller/HugeArrayRecordTest.java
@@ -1,13 +1,13 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.google.common.collect.ImmutableList;
-import eiderfork.core.message.StateOp;
+import eiderfork.controller.message.StoreRequest;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
-import eiderfork.model.Record;
-import eiderfork.wire.StateWire;
+import eiderfork.model.StoredRecord;
+import eiderfork.wire.StoreCodec;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
@@ -31,11 +31,11 @@
   @CsvSource({"1,4,700", "2,4,700", "3,2,250", "4,8,1000"})
   void fitsInWhateverOrderItsTasksEnd(long seed, double valueKb, int atLeastAtOnce) {
     Random random = new Random(seed);
-    Job job = Samples.job(1, JobKind.ARRAY, 20_000, 1);
-    JobEntry entry = Samples.entry(job);
-    List<MachineEntry> machines = new ArrayList<>();
+    Job job = TestFixtures.job(1, JobKind.ARRAY, 20_000, 1);
+    JobState entry = TestFixtures.entry(job);
+    List<MachineState> machines = new ArrayList<>();
     for (int i = 0; i < MACHINES; i++) {
-      machines.add(new MachineEntry("n-%06d".formatted(700 + i), i, new MachineSets(), 0));
+      machines.add(new MachineState("n-%06d".formatted(700 + i), i, new MachineIndexes(), 0));
     }
     int most = 0;
     int waves = 0;
@@ -65,10 +65,10 @@
     assertTrue(waves < 400, waves + " waves");
   }
 
-  private static void reserve(JobEntry entry, List<MachineEntry> machines, double valueKb) {
+  private static void reserve(JobState entry, List<MachineState> machines, double valueKb) {
     long attempt = entry.nextAttempt();
-    AllocRoom room = room(entry, valueKb, true);
-    for (MachineEntry machine : machines) {
+    AllocationSizeLimit room = room(entry, valueKb, true);
+    for (MachineState machine : machines) {
       int free = SLOTS - machine.placed.size();
       free -= (int) entry.placed.values().stream().filter(p -> p.machine == machine).count();
       for (int i = 0; i < free && !entry.waiting.isEmpty(); i++) {
@@ -84,16 +84,16 @@
     }
   }
 
-  private static void assertFits(JobEntry entry, double valueKb) {
-    Record.Alloc record = entry.toRecord();
-    StateOp.Change change = StateOp.Change.put("k", new Record.BitmapAlloc(record));
-    int bytes = bytes(change) - bytes(StateOp.Change.remove("k"));
+  private static void assertFits(JobState entry, double valueKb) {
+    StoredRecord.Alloc record = entry.toRecord();
+    StoreRequest.Change change = StoreRequest.Change.put("k", new StoredRecord.BitmapAlloc(record));
+    int bytes = bytes(change) - bytes(StoreRequest.Change.remove("k"));
     assertTrue(bytes <= valueKb * 1024, () -> bytes + " bytes");
   }
 
-  private static int bytes(StateOp.Change change) {
-    StateOp op = new StateOp.Transact(ImmutableList.of(), ImmutableList.of(change));
-    return StateWire.request(op).body().length;
+  private static int bytes(StoreRequest.Change change) {
+    StoreRequest op = new StoreRequest.Transact(ImmutableList.of(), ImmutableList.of(change));
+    return StoreCodec.request(op).body().length;
   }
 
   /**
@@ -103,8 +103,8 @@
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
   void theAttemptsOfStragglersAreCountedAsFarAsTheyLieBehind(boolean withBitmaps) {
-    Job job = Samples.job(1, JobKind.ARRAY, 400, 1);
-    JobEntry entry = Samples.entry(job);
+    Job job = TestFixtures.job(1, JobKind.ARRAY, 400, 1);
+    JobState entry = TestFixtures.entry(job);
     double valueKb = 2;
     long newest = 1L << 40;
     int index = 0;
@@ -122,12 +122,12 @@
     assertTrue(entry.placed.size() > 50, entry.placed.size() + " at once");
   }
 
-  private static AllocRoom room(JobEntry entry, double valueKb, boolean withBitmaps) {
-    return new AllocRoom(entry, Double.POSITIVE_INFINITY, valueKb, withBitmaps);
+  private static AllocationSizeLimit room(JobState entry, double valueKb, boolean withBitmaps) {
+    return new AllocationSizeLimit(entry, Double.POSITIVE_INFINITY, valueKb, withBitmaps);
   }
 
-  private static void reserve(JobEntry entry, int index, long attempt) {
-    MachineEntry machine = new MachineEntry(name(index), index, new MachineSets(), 0);
+  private static void reserve(JobState entry, int index, long attempt) {
+    MachineState machine = new MachineState(name(index), index, new MachineIndexes(), 0);
     entry.placed.put(index, new Reservation(entry, index, attempt, machine));
     entry.waiting.clear(index);
     entry.lastAttempt = attempt;
--- a/src/test/java/eiderfork/core/SessionLapseTest.java
+++ b/src/test/java/eiderfork/controller/IncarnationLeaseExpiryTest.java
@@ -1,4 +1,4 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -7,11 +7,11 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.google.common.collect.ImmutableList;
-import eiderfork.core.context.Context;
-import eiderfork.core.message.Effect;
-import eiderfork.core.message.Reply;
+import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.message.Effect;
+import eiderfork.controller.message.Reply;
 import eiderfork.model.Command;
-import eiderfork.model.TaskReport;
+import eiderfork.model.TaskStatus;
 import java.util.List;
 import java.util.Set;
 import java.util.function.Consumer;
@@ -30,7 +30,7 @@
  * second start was carried out at 76.45: a lease of 10 s and its margin after the machine was heard
  * at 65, while a session that began at 66 or later still had its lease.
  */
-class SessionLapseTest extends LeaderAndWorker {
+class IncarnationLeaseExpiryTest extends LeaderAndWorkerFixture {
   private static final long NEXT_SESSION = SESSION + 1;
   private static final long TICK_MS = 50;
 
@@ -45,7 +45,7 @@
 
   private long seq = 100;
 
-  SessionLapseTest() {
+  IncarnationLeaseExpiryTest() {
     super(5);
   }
 
@@ -79,7 +79,7 @@
   }
 
   /** Answers the one direct command that is under way with what the worker then reports. */
-  private Effect.AskCommands answerDirectly(boolean executed, long session, TaskReport... tasks) {
+  private Effect.AskCommands answerDirectly(boolean executed, long session, TaskStatus... tasks) {
     List<Effect.AskCommands> sent = effects(Effect.AskCommands.class);
     assertEquals(1, sent.size());
     Effect.AskCommands it = sent.get(0);
@@ -89,7 +89,7 @@
   }
 
   /** A direct command that only raises the token, and its answer. */
-  private void commandDirectly(boolean executed, long session, TaskReport... tasks) {
+  private void commandDirectly(boolean executed, long session, TaskStatus... tasks) {
     machine.token++;
     machine.setUrgent();
     workers.tick();
@@ -114,7 +114,7 @@
     Effect.AskCommands sent = answerDirectly(true, NEXT_SESSION, running(task));
     assertEquals(ImmutableList.of(new Command.Run(task.id())), sent.commands());
     assertEquals(NEXT_SESSION, sent.session());
-    assertEquals(TaskReport.State.RUNNING, task.seen);
+    assertEquals(TaskStatus.State.RUNNING, task.seen);
     return task;
   }
 
@@ -192,7 +192,8 @@
   /** The clocks may drift, and half a step is kept to spare. */
   @Test
   void aLeaseLapsesWithDriftAndMargin() {
-    long lapseMs = context.nowMs + Context.surely(context.leaseMs()) + context.stepMs() / 2;
+    long lapseMs =
+        context.nowMs + ControllerContext.surely(context.leaseMs()) + context.stepMs() / 2;
     context.nowMs = lapseMs;
     assertFalse(lapses.lapsed(machine));
     context.nowMs = lapseMs + 1;
--- a/src/test/java/eiderfork/core/JobArchiveTest.java
+++ b/src/test/java/eiderfork/controller/JobArchiverTest.java
@@ -1,4 +1,4 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -8,16 +8,16 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.google.common.collect.ImmutableList;
-import eiderfork.core.context.Context;
-import eiderfork.core.message.Keys;
-import eiderfork.core.message.Reply;
-import eiderfork.core.message.StateOp;
-import eiderfork.core.state.StateGate;
-import eiderfork.core.state.Urgency;
+import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.message.Reply;
+import eiderfork.controller.message.StoreKeys;
+import eiderfork.controller.message.StoreRequest;
+import eiderfork.controller.store.RequestPriority;
+import eiderfork.controller.store.StoreClient;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
 import eiderfork.model.JobStatus;
-import eiderfork.model.Record;
+import eiderfork.model.StoredRecord;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
@@ -29,37 +29,38 @@
 /**
  * Jobs that leave the working keys and the leader's memory, and what must never bring them back.
  */
-class JobArchiveTest {
+class JobArchiverTest {
   private static final double STAY_S = 0.5;
 
-  private static World world(long seed) {
-    return new World(seed, Samples.archivingAfter(STAY_S));
+  private static SimulatedCluster world(long seed) {
+    return new SimulatedCluster(seed, TestFixtures.archivingAfter(STAY_S));
   }
 
   static LongStream seeds() {
     return LongStream.rangeClosed(1, 20);
   }
 
-  private static void rulesHold(World world) {
+  private static void rulesHold(SimulatedCluster world) {
     assertEquals(List.of(), world.checker.breaches);
   }
 
-  private static boolean isArchived(World world, Job job) {
-    return world.state.get(Keys.ended(job.uid())) != null;
+  private static boolean isArchived(SimulatedCluster world, Job job) {
+    return world.state.get(StoreKeys.ended(job.uid())) != null;
   }
 
   /** Nothing of the job is left but the record of its final state. */
-  private static void hasLeft(World world, Job job) {
-    assertInstanceOf(Record.EndedJob.class, world.state.get(Keys.ended(job.uid())), job::uid);
-    assertNull(world.state.get(Keys.job(job.uid())), job::uid);
-    assertNull(world.state.get(Keys.alloc(job.uid())), job::uid);
-    assertNull(world.state.get(Keys.abort(job.uid())), job::uid);
+  private static void hasLeft(SimulatedCluster world, Job job) {
+    assertInstanceOf(
+        StoredRecord.EndedJob.class, world.state.get(StoreKeys.ended(job.uid())), job::uid);
+    assertNull(world.state.get(StoreKeys.job(job.uid())), job::uid);
+    assertNull(world.state.get(StoreKeys.alloc(job.uid())), job::uid);
+    assertNull(world.state.get(StoreKeys.abort(job.uid())), job::uid);
   }
 
   /** An array that is done, and a service that is cancelled. */
-  private static List<Job> ended(World world) {
-    Job array = Samples.job(1, JobKind.ARRAY, 3, 1);
-    Job service = Samples.job(2, JobKind.SERVICE, 2, 1);
+  private static List<Job> ended(SimulatedCluster world) {
+    Job array = TestFixtures.job(1, JobKind.ARRAY, 3, 1);
+    Job service = TestFixtures.job(2, JobKind.SERVICE, 2, 1);
     world.submit(array);
     world.submit(service);
     world.at(12_000, () -> world.abort(service.uid()));
@@ -67,27 +68,28 @@
     return List.of(array, service);
   }
 
-  private static void write(World world, StateOp.Condition condition, String key, Record record) {
+  private static void write(
+      SimulatedCluster world, StoreRequest.Condition condition, String key, StoredRecord record) {
     world.state.execute(
-        new StateOp.Transact(
-            ImmutableList.of(condition), ImmutableList.of(StateOp.Change.put(key, record))),
+        new StoreRequest.Transact(
+            ImmutableList.of(condition), ImmutableList.of(StoreRequest.Change.put(key, record))),
         world.nowMs,
         reply -> assertInstanceOf(Reply.Committed.class, reply));
   }
 
-  private static void submitLateAsOlderVersion(World world, Job job) {
-    String key = Keys.job(job.uid());
-    write(world, new StateOp.Condition(key, 0), key, new Record.JobSpec(job));
+  private static void submitLateAsOlderVersion(SimulatedCluster world, Job job) {
+    String key = StoreKeys.job(job.uid());
+    write(world, new StoreRequest.Condition(key, 0), key, new StoredRecord.JobSpec(job));
   }
 
-  private static void abortLateAsOlderVersion(World world, Job job) {
-    StateOp.Condition neverStarted = new StateOp.Condition(Keys.alloc(job.uid()), 0);
-    write(world, neverStarted, Keys.abort(job.uid()), new Record.Aborted(job.uid()));
+  private static void abortLateAsOlderVersion(SimulatedCluster world, Job job) {
+    StoreRequest.Condition neverStarted = new StoreRequest.Condition(StoreKeys.alloc(job.uid()), 0);
+    write(world, neverStarted, StoreKeys.abort(job.uid()), new StoredRecord.Aborted(job.uid()));
   }
 
   @Test
   void endedJobsLeaveKeysAndMemoryAndAreAnsweredForEverywhere() {
-    World world = world(1);
+    SimulatedCluster world = world(1);
     List<Job> jobs = ended(world);
     jobs.forEach(job -> hasLeft(world, job));
     assertEquals(0, world.nodes.get(world.leader()).jobsInMemory());
@@ -109,7 +111,7 @@
   /** Processes that remember nothing answer from the archived record alone. */
   @Test
   void processesStartedLaterKnowArchivedJobs() {
-    World world = world(2);
+    SimulatedCluster world = world(2);
     List<Job> jobs = ended(world);
     world.all().forEach(node -> world.crash(node, 500));
     world.run(10);
@@ -122,7 +124,7 @@
 
   @Test
   void jobsStayAsLongAsTheOperatorsSay() {
-    World world = new World(3, Samples.archivingAfter(60));
+    SimulatedCluster world = new SimulatedCluster(3, TestFixtures.archivingAfter(60));
     List<Job> jobs = ended(world);
     jobs.forEach(job -> assertFalse(isArchived(world, job)));
     world.run(60);
@@ -137,7 +139,7 @@
   @ParameterizedTest
   @MethodSource("seeds")
   void anOlderVersionsLateSubmissionBringsNothingBack(long seed) {
-    World world = world(seed);
+    SimulatedCluster world = world(seed);
     List<Job> jobs = ended(world);
     int starts = world.checker.starts;
     jobs.forEach(job -> submitLateAsOlderVersion(world, job));
@@ -157,7 +159,7 @@
   /** The same where there is no room, so that no alloc write looks for the archived record. */
   @Test
   void aJobThatCameBackIsAnsweredForFromTheArchiveWhileItWaits() {
-    World world = world(4);
+    SimulatedCluster world = world(4);
     Job job = ended(world).get(0);
     world.cloud.down = true;
     world.workers().forEach(worker -> world.die(worker.machine.name()));
@@ -177,7 +179,7 @@
   @ParameterizedTest
   @MethodSource("seeds")
   void anOlderVersionsLateCancellationChangesNothing(long seed) {
-    World world = world(seed);
+    SimulatedCluster world = world(seed);
     Job done = ended(world).get(0);
     world.checker.userAborts(done.uid());
     abortLateAsOlderVersion(world, done);
@@ -195,13 +197,14 @@
     rulesHold(world);
     assertEquals(JobStatus.Stance.DONE, world.checker.finalStance(done.uid()));
     assertEquals(
-        new Record.EndedJob(JobStatus.Stance.DONE, 3), world.state.get(Keys.ended(done.uid())));
+        new StoredRecord.EndedJob(JobStatus.Stance.DONE, 3),
+        world.state.get(StoreKeys.ended(done.uid())));
   }
 
   /** Both late writes at once, and a leader that has no reason yet to look at the job again. */
   @Test
   void aCancelledCopyOfADoneJobIsNotTheLastWord() {
-    World world = new World(10, Samples.archivingAfter(20));
+    SimulatedCluster world = new SimulatedCluster(10, TestFixtures.archivingAfter(20));
     Job done = ended(world).get(0);
     world.run(30);
     hasLeft(world, done);
@@ -220,7 +223,7 @@
     world.run(3);
     rulesHold(world);
     assertEquals(JobStatus.Stance.DONE, world.checker.finalStance(done.uid()));
-    assertNull(world.state.get(Keys.job(done.uid())));
+    assertNull(world.state.get(StoreKeys.job(done.uid())));
   }
 
   /**
@@ -231,13 +234,13 @@
   @ParameterizedTest
   @MethodSource("seeds")
   void nothingIsTakenBackWhateverIsLateOrLost(long seed) {
-    World world = world(seed);
+    SimulatedCluster world = world(seed);
     Random script = new Random(seed);
     world.lookCloselyAtNews(true);
     List<Job> jobs = new ArrayList<>();
     for (int i = 1; i <= 16; i++) {
       JobKind kind = i % 3 == 0 ? JobKind.SERVICE : JobKind.ARRAY;
-      Job job = Samples.job(i, kind, 1 + i % 3, 1);
+      Job job = TestFixtures.job(i, kind, 1 + i % 3, 1);
       jobs.add(job);
       world.at(10_000 + 700L * i, () -> world.submit(job));
       world.at(22_000 + 900L * i, () -> world.abort(job.uid()));
@@ -276,7 +279,7 @@
   /** An older version's node would deny what it does not find, so nothing leaves before. */
   @Test
   void nothingIsArchivedWhileAMemberMayBeOld() {
-    World world = world(5);
+    SimulatedCluster world = world(5);
     for (String node : world.all()) {
       world.older.add(node);
       world.boot(node);
@@ -298,8 +301,8 @@
    */
   @Test
   void nothingIsArchivedBeforeTheVersionIsStored() {
-    World world = world(6);
-    world.state.spoil(Keys.VERSION);
+    SimulatedCluster world = world(6);
+    world.state.spoil(StoreKeys.VERSION);
     List<Job> jobs = ended(world);
     jobs.forEach(job -> assertFalse(isArchived(world, job)));
     rulesHold(world);
@@ -313,7 +316,7 @@
   @MethodSource("seeds")
   void aLeaderWithoutRoomForAllEndedJobsArchivesThemBitByBit(long seed) {
     int most = 4;
-    World world = new World(seed, Samples.archiving(3600, most));
+    SimulatedCluster world = new SimulatedCluster(seed, TestFixtures.archiving(3600, most));
     for (String node : world.all()) {
       world.older.add(node);
       world.boot(node);
@@ -321,19 +324,19 @@
     List<Job> jobs = new ArrayList<>();
     for (int i = 1; i <= 30; i++) {
       JobKind kind = i % 5 == 0 ? JobKind.SERVICE : JobKind.ARRAY;
-      Job job = Samples.job(i, kind, 1, 1);
+      Job job = TestFixtures.job(i, kind, 1, 1);
       jobs.add(job);
       world.at(1000 + 200L * i, () -> world.submit(job));
       // Some before they have started.
       world.at(1300 + 200L * i + (i % 2) * 20_000, () -> world.abort(job.uid()));
     }
-    Job alive = Samples.job(40, JobKind.SERVICE, 2, 1);
+    Job alive = TestFixtures.job(40, JobKind.SERVICE, 2, 1);
     world.submit(alive);
     world.run(60);
     world.older.clear();
     world.all().forEach(node -> world.crash(node, 500));
     world.run(4);
-    while (world.leader() == null || world.state.get(Keys.VERSION) == null) {
+    while (world.leader() == null || world.state.get(StoreKeys.VERSION) == null) {
       world.run(0.1);
     }
     // Besides those: a page of the sweep, services whose tasks are not settled yet, and one alive.
@@ -357,25 +360,25 @@
   /** What a spoilt record says is not known, so nothing is concluded from the others. */
   @Test
   void aFrozenJobStaysWhereItIs() {
-    World world = world(7);
-    Job service = Samples.job(1, JobKind.SERVICE, 2, 1);
+    SimulatedCluster world = world(7);
+    Job service = TestFixtures.job(1, JobKind.SERVICE, 2, 1);
     world.submit(service);
     world.run(10);
-    world.state.spoil(Keys.alloc(service.uid()));
+    world.state.spoil(StoreKeys.alloc(service.uid()));
     world.crash(world.leader(), 1000);
     world.run(5);
     world.abort(service.uid());
     world.run(60);
     assertFalse(isArchived(world, service));
-    assertNotNull(world.state.get(Keys.job(service.uid())));
+    assertNotNull(world.state.get(StoreKeys.job(service.uid())));
     rulesHold(world);
   }
 
   /** A task of a cancelled job on a machine that is not heard counts until it surely is gone. */
   @Test
   void aCancelledJobStaysUntilItsTasksAreSurelyGone() {
-    World world = world(8);
-    Job service = Samples.job(1, JobKind.SERVICE, 1, 1);
+    SimulatedCluster world = world(8);
+    Job service = TestFixtures.job(1, JobKind.SERVICE, 1, 1);
     world.submit(service);
     world.run(15);
     FakeWorker worker =
@@ -393,7 +396,7 @@
   /** After the limits have fallen there is less to be had beside starts, but not nothing. */
   @Test
   void jobsAreArchivedUnderLowerLimits() {
-    World world = world(9);
+    SimulatedCluster world = world(9);
     world.state.lowerLimits(2, 12, world.nowMs);
     List<Job> jobs = ended(world);
     world.run(20);
@@ -404,18 +407,21 @@
   /** Work has the writes first: while they are short nothing is archived. */
   @Test
   void archivingTakesOnlyWhatTheRatesLeaveOver() {
-    Context context = new Context(Samples.settings("roost-0"), new Random(1), 0);
-    StateGate gate = new StateGate(context);
+    ControllerContext context =
+        new ControllerContext(TestFixtures.settings("roost-0"), new Random(1), 0);
+    StoreClient gate = new StoreClient(context);
     gate.leading(true);
     context.nowMs += 1000;
     assertTrue(gate.hasSpareWrites(8));
     // 0.85 of 40 writes a second may be written at once.
-    ImmutableList.Builder<StateOp.Change> changes = ImmutableList.builder();
+    ImmutableList.Builder<StoreRequest.Change> changes = ImmutableList.builder();
     for (int i = 0; i < 14; i++) {
-      changes.add(StateOp.Change.remove("key" + i));
+      changes.add(StoreRequest.Change.remove("key" + i));
     }
     gate.send(
-        new StateOp.Transact(ImmutableList.of(), changes.build()), Urgency.START, reply -> {});
+        new StoreRequest.Transact(ImmutableList.of(), changes.build()),
+        RequestPriority.START,
+        reply -> {});
     assertFalse(gate.hasSpareWrites(8));
     context.nowMs += 1000;
     assertTrue(gate.hasSpareWrites(8));
--- a/src/test/java/eiderfork/core/JobTableTest.java
+++ b/src/test/java/eiderfork/controller/JobRegistryTest.java
@@ -1,18 +1,18 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.google.common.collect.ImmutableList;
-import eiderfork.core.context.Context;
-import eiderfork.core.state.StateGate;
+import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.store.StoreClient;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
 import eiderfork.model.Machine;
 import eiderfork.model.MachineType;
-import eiderfork.model.Record;
 import eiderfork.model.Resources;
+import eiderfork.model.StoredRecord;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -20,25 +20,27 @@
 import org.junit.jupiter.api.Test;
 
 /** What a leader keeps of jobs beside their state. */
-class JobTableTest {
-  private final Context context = new Context(Samples.settings("roost-0"), new Random(1), 0);
-  private final StateGate gate = new StateGate(context);
-  private final JobTable jobs = new JobTable(context, gate, null, null);
-  private final Fleet fleet = new Fleet(context, jobs);
+class JobRegistryTest {
+  private final ControllerContext context =
+      new ControllerContext(TestFixtures.settings("roost-0"), new Random(1), 0);
+  private final StoreClient gate = new StoreClient(context);
+  private final JobRegistry jobs = new JobRegistry(context, gate, null, null);
+  private final MachineRegistry fleet = new MachineRegistry(context, jobs);
 
   /** A gang of four of which an older leader has written this. */
-  private JobEntry restoredGang(ImmutableList<Record.Range> finished) {
-    JobEntry entry = jobs.add(Samples.gang(9, 4, 1, 4, true), 1);
-    ImmutableList<Record.Span> reserved =
-        ImmutableList.of(new Record.Span(1, 1, 3, "n-1"), new Record.Span(3, 3, 3, "n-2"));
-    jobs.restore(entry, new Record.Alloc(3, false, reserved, finished), 7, fleet);
+  private JobState restoredGang(ImmutableList<StoredRecord.Range> finished) {
+    JobState entry = jobs.add(TestFixtures.gang(9, 4, 1, 4, true), 1);
+    ImmutableList<StoredRecord.Span> reserved =
+        ImmutableList.of(
+            new StoredRecord.Span(1, 1, 3, "n-1"), new StoredRecord.Span(3, 3, 3, "n-2"));
+    jobs.restore(entry, new StoredRecord.Alloc(3, false, reserved, finished), 7, fleet);
     return entry;
   }
 
   /** They would wait for `peers` or for each other until their own time-outs. */
   @Test
   void aNewLeaderStopsWhatIsLeftOfABrokenGang() {
-    JobEntry entry = restoredGang(ImmutableList.of());
+    JobState entry = restoredGang(ImmutableList.of());
     assertEquals(2, entry.placed.size());
     assertTrue(entry.placed.values().stream().noneMatch(Reservation::wanted));
     assertEquals(0, entry.stopGraceS());
@@ -47,7 +49,7 @@
 
   @Test
   void aNewLeaderKnowsThatAllTasksOfAGangAreDoneWhereOneIs() {
-    JobEntry entry = restoredGang(ImmutableList.of(new Record.Range(0, 0)));
+    JobState entry = restoredGang(ImmutableList.of(new StoredRecord.Range(0, 0)));
     assertTrue(entry.allFinished());
     assertTrue(entry.dirty, "it is written");
     assertEquals(2, entry.counted(), "until then the others count");
@@ -57,8 +59,8 @@
   /** A task's end ends the others' reservations at once, not when their machines say so. */
   @Test
   void whereOneTaskOfAGangIsDoneAllAre() {
-    MachineEntry machine = fleet.known("n-1");
-    JobEntry entry = jobs.add(Samples.gang(9, 4, 1, 4, true), 1);
+    MachineState machine = fleet.known("n-1");
+    JobState entry = jobs.add(TestFixtures.gang(9, 4, 1, 4, true), 1);
     Reservation first = jobs.propose(entry, 0, 1, machine);
     for (int i = 1; i < 4; i++) {
       jobs.propose(entry, i, 1, machine);
@@ -77,13 +79,16 @@
     fleet.types(
         ImmutableList.of(
             new MachineType("g4", new Resources(16, 4, 64), 2, 2, 8, 3, 4, ImmutableList.of("a"))));
-    MachineEntry m = fleet.known(new Machine("n-1", "n-1:1", "g4", "a", false));
+    MachineState m = fleet.known(new Machine("n-1", "n-1:1", "g4", "a", false));
     for (int i = 1; i <= 3; i++) {
-      Job job = Samples.job(i, JobKind.SERVICE, 1, 1, "img-" + i);
-      JobEntry entry = jobs.add(job, i);
-      Record.Alloc alloc =
-          new Record.Alloc(
-              1, false, ImmutableList.of(new Record.Span(0, 0, 1, "n-1")), ImmutableList.of());
+      Job job = TestFixtures.job(i, JobKind.SERVICE, 1, 1, "img-" + i);
+      JobState entry = jobs.add(job, i);
+      StoredRecord.Alloc alloc =
+          new StoredRecord.Alloc(
+              1,
+              false,
+              ImmutableList.of(new StoredRecord.Span(0, 0, 1, "n-1")),
+              ImmutableList.of());
       jobs.restore(entry, alloc, 100 - i, fleet);
       jobs.markAborted(job.uid());
     }
@@ -96,17 +101,17 @@
   @Test
   void talliesAgreeWithTheJobsWhateverHappens() {
     Random random = new Random(3);
-    List<JobEntry> entries = new ArrayList<>();
+    List<JobState> entries = new ArrayList<>();
     List<Reservation> placed = new ArrayList<>();
-    MachineEntry machine = fleet.known("n-1");
+    MachineState machine = fleet.known("n-1");
     for (int step = 0; step < 3000; step++) {
-      JobEntry entry = entries.isEmpty() ? null : entries.get(random.nextInt(entries.size()));
+      JobState entry = entries.isEmpty() ? null : entries.get(random.nextInt(entries.size()));
       Reservation p = placed.isEmpty() ? null : placed.get(random.nextInt(placed.size()));
       switch (random.nextInt(11)) {
         case 0 -> {
           JobKind kind = random.nextBoolean() ? JobKind.SERVICE : JobKind.GANG;
           double gpus = random.nextInt(3) * 0.7;
-          entries.add(jobs.add(Samples.job(step, kind, 4, gpus), step));
+          entries.add(jobs.add(TestFixtures.job(step, kind, 4, gpus), step));
         }
         case 1, 2, 3 -> {
           int index = entry == null ? -1 : entry.waiting.nextSetBit(0);
@@ -163,8 +168,8 @@
     Resources settled = Resources.NONE;
     double cpusOnGpus = 0;
     double gpus = 0;
-    List<JobEntry> withWork = new ArrayList<>();
-    for (JobEntry entry : jobs.active()) {
+    List<JobState> withWork = new ArrayList<>();
+    for (JobState entry : jobs.active()) {
       Resources need = entry.job.need();
       used = used.plus(need.times(entry.counted()));
       boolean frozen = jobs.isFrozen(entry.job.uid());
--- a/src/test/java/eiderfork/core/LargeCellTest.java
+++ b/src/test/java/eiderfork/controller/LargeCellTest.java
@@ -1,4 +1,4 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -6,14 +6,14 @@
 
 import com.google.common.collect.ImmutableList;
 import eiderfork.config.Settings;
-import eiderfork.core.context.Context;
-import eiderfork.core.message.Effect;
-import eiderfork.core.message.Reply;
-import eiderfork.core.state.StateGate;
-import eiderfork.core.state.Term;
-import eiderfork.model.HostEntry;
+import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.election.LeaderElection;
+import eiderfork.controller.message.Effect;
+import eiderfork.controller.message.Reply;
+import eiderfork.controller.store.StoreClient;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
+import eiderfork.model.ListedMachine;
 import eiderfork.model.Machine;
 import eiderfork.model.MachineType;
 import eiderfork.model.Priority;
@@ -31,23 +31,24 @@
   private static final MachineType TYPE =
       new MachineType("c8", new Resources(8, 0, 64), 50, 2, 1, 0.4, 3, ZONES);
 
-  private final Context context = new Context(Samples.slow(), new Random(1), 1_000_000);
-  private final StateGate gate = new StateGate(context);
-  private final Term term = new Term(context, gate, Election.NO_LISTENER);
-  private final JobTable jobs = new JobTable(context, gate, term, null);
-  private final Fleet fleet = new Fleet(context, jobs);
-  private final Cloud cloud = new Cloud(context, term, gate, fleet);
+  private final ControllerContext context =
+      new ControllerContext(TestFixtures.slow(), new Random(1), 1_000_000);
+  private final StoreClient gate = new StoreClient(context);
+  private final LeaderElection term = new LeaderElection(context, gate, ElectedLeader.NO_LISTENER);
+  private final JobRegistry jobs = new JobRegistry(context, gate, term, null);
+  private final MachineRegistry fleet = new MachineRegistry(context, jobs);
+  private final CloudProvisioner cloud = new CloudProvisioner(context, term, gate, fleet);
 
   @BeforeEach
   void lead() {
-    Election.win(context, term);
+    ElectedLeader.win(context, term);
     context.takeEffects();
     assertTrue(term.sure());
     fleet.types(ImmutableList.of(TYPE));
   }
 
   private <T extends Effect> List<T> effects(Class<T> kind) {
-    return Election.effects(context, kind);
+    return ElectedLeader.effects(context, kind);
   }
 
   private void answerState(Reply reply) {
@@ -63,10 +64,10 @@
   /** The page of the list that begins after a machine. */
   private static Reply page(String after) {
     int first = after.isEmpty() ? 1 : Integer.parseInt(after.substring(2)) + 1;
-    ImmutableList.Builder<HostEntry> entries = ImmutableList.builder();
+    ImmutableList.Builder<ListedMachine> entries = ImmutableList.builder();
     for (int i = first; i < first + PAGE && i <= MACHINES; i++) {
       Machine machine = new Machine(name(i), name(i) + ":1", "c8", ZONES.get(i % 3), false);
-      entries.add(new HostEntry(machine, HostEntry.State.RUNNING, 100));
+      entries.add(new ListedMachine(machine, ListedMachine.State.RUNNING, 100));
     }
     return new Reply.Hosts(entries.build(), first + PAGE <= MACHINES);
   }
@@ -117,8 +118,8 @@
   /** One rent of fifty for a kind and plan took two minutes for six thousand machines. */
   @Test
   void rentsOfAKindThatIsFilledAreAskedForTogether() {
-    MachineRents rents = cloud.rents();
-    Cloud.Kind kind = new Cloud.Kind("c8", "a", false);
+    ScaleOutRequests rents = cloud.rents();
+    CloudProvisioner.Kind kind = new CloudProvisioner.Kind("c8", "a", false);
     assertEquals(1, rents.mostAtOnce(kind), "what the cloud has is not known");
     int last = 0;
     for (int i = 0; i < 4; i++) {
@@ -152,17 +153,17 @@
    */
   @Test
   void aRoundLooksAtNoFullMachine() {
-    World world = worldOfManyMachines();
+    SimulatedCluster world = worldOfManyMachines();
     int tasks = 0;
     for (int i = 0; tasks < MACHINES * 9 / 10; i++) {
-      Job like = Samples.job(i, JobKind.SERVICE, 50, 0, "blue", Priority.HIGH, false, false);
-      world.submit(Samples.sized(like, TYPE.room(), 0, TYPE.name()));
+      Job like = TestFixtures.job(i, JobKind.SERVICE, 50, 0, "blue", Priority.HIGH, false, false);
+      world.submit(TestFixtures.sized(like, TYPE.room(), 0, TYPE.name()));
       tasks += like.tasks();
     }
     world.run(18);
     assertEquals(tasks, world.checker.runningTasks());
     Controller leader = world.nodes.get(world.leader());
-    Job late = Samples.job(9999, JobKind.SERVICE, 4, 0, "blue", Priority.HIGH, false, false);
+    Job late = TestFixtures.job(9999, JobKind.SERVICE, 4, 0, "blue", Priority.HIGH, false, false);
     world.submit(late);
     int most = 0;
     for (int i = 0; i < 160; i++) {
@@ -174,10 +175,10 @@
     assertEquals(List.of(), world.checker.breaches);
   }
 
-  private static World worldOfManyMachines() {
+  private static SimulatedCluster worldOfManyMachines() {
     Settings.StateLimits limits = new Settings.StateLimits(4000, 400, 8, 16);
-    Settings settings = Samples.settings("roost-0", Samples.SLOW, limits, 1, 8000, 3);
-    World world = new World(3, Samples.withCloudRate(settings, 40));
+    Settings settings = TestFixtures.settings("roost-0", TestFixtures.SLOW, limits, 1, 8000, 3);
+    SimulatedCluster world = new SimulatedCluster(3, TestFixtures.withCloudRate(settings, 40));
     world.cloud.types = ImmutableList.of(TYPE);
     world.cloud.capacity = MACHINES / 3;
     world.cloud.bootMs = 2000;
--- a/src/test/java/eiderfork/core/LateBootTest.java
+++ b/src/test/java/eiderfork/controller/LateBootTest.java
@@ -1,4 +1,4 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -18,7 +18,7 @@
 
   private static final long NEVER_MS = 10_000_000;
 
-  private final World world = new World(17);
+  private final SimulatedCluster world = new SimulatedCluster(17);
 
   @AfterEach
   void rulesHold() {
@@ -27,7 +27,7 @@
 
   private void zoneBoots(String zone, long bootMs) {
     for (boolean spot : new boolean[] {false, true}) {
-      world.cloud.bootMsOf.put(new Cloud.Kind("g4", zone, spot), bootMs);
+      world.cloud.bootMsOf.put(new CloudProvisioner.Kind("g4", zone, spot), bootMs);
     }
   }
 
@@ -37,7 +37,7 @@
   void replicasDoNotWaitForABootThatIsOverdue(long bootMs) {
     zoneBoots("a", bootMs);
     zoneBoots("b", 3000);
-    Job job = Samples.job(1, JobKind.SERVICE, 4, 4);
+    Job job = TestFixtures.job(1, JobKind.SERVICE, 4, 4);
     world.submit(job);
     // Overdue after two boots, then a plan, a rent, a boot and an image.
     world.run(2 + BOOT_S * 2 + 2 + 3 + 3);
@@ -52,7 +52,7 @@
   void noMachineIsRentedTwiceBeforeItIsOverdue() {
     zoneBoots("a", (long) (BOOT_S * 1.9 * 1000));
     zoneBoots("b", (long) (BOOT_S * 1.9 * 1000));
-    world.submit(Samples.job(1, JobKind.SERVICE, 4, 4));
+    world.submit(TestFixtures.job(1, JobKind.SERVICE, 4, 4));
     world.run(4);
     int rented = world.cloud.hosts().size();
     world.run(BOOT_S * 1.9 - 2);
@@ -64,7 +64,7 @@
   void whereAllAreLateTheFleetStaysBounded() {
     zoneBoots("a", (long) (BOOT_S * 20 * 1000));
     zoneBoots("b", (long) (BOOT_S * 20 * 1000));
-    Job job = Samples.job(1, JobKind.SERVICE, 4, 4);
+    Job job = TestFixtures.job(1, JobKind.SERVICE, 4, 4);
     world.submit(job);
     world.run(60);
     assertTrue(world.cloud.liveHosts() <= 40, world.cloud.liveHosts() + " machines live");
@@ -82,7 +82,7 @@
     zoneBoots("a", 100);
     zoneBoots("b", 100);
     world.run(2);
-    Job job = Samples.job(1, JobKind.SERVICE, 4, 4);
+    Job job = TestFixtures.job(1, JobKind.SERVICE, 4, 4);
     world.submit(job);
     world.at(900, () -> world.crash(world.leader(), 2000));
     world.run(20);
--- a/src/test/java/eiderfork/core/LeaderAndWorker.java
+++ b/src/test/java/eiderfork/controller/LeaderAndWorkerFixture.java
@@ -1,23 +1,23 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.google.common.collect.ImmutableList;
-import eiderfork.core.context.Context;
-import eiderfork.core.message.Effect;
-import eiderfork.core.message.Reply;
-import eiderfork.core.message.StateOp;
-import eiderfork.core.state.StateGate;
-import eiderfork.core.state.Term;
-import eiderfork.core.state.Urgency;
+import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.election.LeaderElection;
+import eiderfork.controller.message.Effect;
+import eiderfork.controller.message.Reply;
+import eiderfork.controller.message.StoreRequest;
+import eiderfork.controller.store.RequestPriority;
+import eiderfork.controller.store.StoreClient;
 import eiderfork.model.Command;
+import eiderfork.model.Heartbeat;
 import eiderfork.model.JobKind;
 import eiderfork.model.Machine;
 import eiderfork.model.MachineType;
-import eiderfork.model.Report;
 import eiderfork.model.Resources;
-import eiderfork.model.TaskReport;
+import eiderfork.model.TaskStatus;
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.List;
@@ -27,52 +27,53 @@
 import org.junit.jupiter.api.BeforeEach;
 
 /** A leader of term 1 that knows one worker and a job of two tasks; time is the test's. */
-abstract class LeaderAndWorker {
+abstract class LeaderAndWorkerFixture {
   static final Machine MACHINE = new Machine("n-1", "n-1:1", "g4", "a", false);
   static final long SESSION = 1;
 
   /** Three nodes stand in one zone, five in two. */
   private final int nodes;
 
-  final Context context;
-  final StateGate gate;
-  final Term term;
-  final JobTable jobs;
-  final Fleet fleet;
+  final ControllerContext context;
+  final StoreClient gate;
+  final LeaderElection term;
+  final JobRegistry jobs;
+  final MachineRegistry fleet;
   final MachineLiveness liveness;
-  final LeaseLapses lapses;
-  final SessionLog log;
-  final WorkerControl workers;
+  final LeaseExpiry lapses;
+  final WorkerLeaseLog log;
+  final WorkerCommander workers;
 
   /** Reads of the lease proxies' records that are under way. */
   final Deque<Consumer<Set<String>>> reads = new ArrayDeque<>();
 
-  JobEntry job;
-  MachineEntry machine;
+  JobState job;
+  MachineState machine;
   long firstToken;
 
-  LeaderAndWorker(int nodes) {
+  LeaderAndWorkerFixture(int nodes) {
     this.nodes = nodes;
-    context = new Context(Samples.settings("roost-0", nodes), new Random(1), 1_000_000);
-    gate = new StateGate(context);
-    term = new Term(context, gate, Election.NO_LISTENER);
+    context =
+        new ControllerContext(TestFixtures.settings("roost-0", nodes), new Random(1), 1_000_000);
+    gate = new StoreClient(context);
+    term = new LeaderElection(context, gate, ElectedLeader.NO_LISTENER);
     ClusterVersion version = new ClusterVersion(context, gate, term);
-    jobs = new JobTable(context, gate, term, version);
-    fleet = new Fleet(context, jobs);
-    Cancellations cancellations = new Cancellations(context, uid -> {});
+    jobs = new JobRegistry(context, gate, term, version);
+    fleet = new MachineRegistry(context, jobs);
+    CancellationTracker cancellations = new CancellationTracker(context, uid -> {});
     liveness = new MachineLiveness(context, term);
-    Peers peers = new Peers(context, term, cancellations, version);
-    log = new SessionLog(context);
-    lapses = new LeaseLapses(context, fleet, peers, liveness, log, reads::add, () -> {});
+    PeerMonitor peers = new PeerMonitor(context, term, cancellations, version);
+    log = new WorkerLeaseLog(context);
+    lapses = new LeaseExpiry(context, fleet, peers, liveness, log, reads::add, () -> {});
     workers =
-        new WorkerControl(
+        new WorkerCommander(
             context, term, jobs, fleet, cancellations, liveness, lapses, log, () -> {});
   }
 
   /** This node leads term 1 and knows a job of two tasks and an empty machine. */
   @BeforeEach
   void lead() {
-    Election.win(context, term);
+    ElectedLeader.win(context, term);
     // The leader's share of the rates fills up.
     context.nowMs += 500;
     assertTrue(term.sure());
@@ -82,14 +83,14 @@
     fleet.types(
         ImmutableList.of(
             new MachineType("g4", new Resources(4, 4, 64), 50, 2, 8, 3, 4, ImmutableList.of("a"))));
-    job = jobs.add(Samples.job(1, JobKind.ARRAY, 2, 1), 1);
+    job = jobs.add(TestFixtures.job(1, JobKind.ARRAY, 2, 1), 1);
     firstToken = term.firstToken() + 1;
     report(SESSION, 1, firstToken);
     machine = fleet.get("n-1");
   }
 
   <T extends Effect> List<T> effects(Class<T> kind) {
-    return Election.effects(context, kind);
+    return ElectedLeader.effects(context, kind);
   }
 
   /** Time passes, a tick's worth or less, and the leader's own lease is renewed. */
@@ -98,7 +99,7 @@
     term.tick();
     gate.pump();
     for (Effect.AskState asked : effects(Effect.AskState.class)) {
-      if (asked.op() instanceof StateOp.Renew renew) {
+      if (asked.op() instanceof StoreRequest.Renew renew) {
         context.answered(asked.call(), new Reply.Leased(renew.lease()));
       }
     }
@@ -107,31 +108,31 @@
 
   /** Answers the one call to the state service that is open. */
   void answer(Reply reply) {
-    Election.answer(context, reply);
+    ElectedLeader.answer(context, reply);
   }
 
-  List<Command> report(long session, long seq, long token, TaskReport... tasks) {
+  List<Command> report(long session, long seq, long token, TaskStatus... tasks) {
     context.takeEffects();
     workers.report(1, reportOf(session, seq, token, tasks));
     List<Effect.AnswerWorker> answers = effects(Effect.AnswerWorker.class);
     return answers.isEmpty() ? List.of() : answers.get(0).commands();
   }
 
-  static Report reportOf(long session, long seq, long token, TaskReport... tasks) {
-    return new Report(MACHINE, session, seq, token, null, ImmutableList.copyOf(tasks));
+  static Heartbeat reportOf(long session, long seq, long token, TaskStatus... tasks) {
+    return new Heartbeat(MACHINE, session, seq, token, null, ImmutableList.copyOf(tasks));
   }
 
-  static TaskReport running(Reservation task) {
-    return new TaskReport(task.id(), TaskReport.State.RUNNING, null, false);
+  static TaskStatus running(Reservation task) {
+    return new TaskStatus(task.id(), TaskStatus.State.RUNNING, null, false);
   }
 
-  static TaskReport done(Reservation task) {
-    return new TaskReport(task.id(), TaskReport.State.ENDED, TaskReport.Cause.DONE, false);
+  static TaskStatus done(Reservation task) {
+    return new TaskStatus(task.id(), TaskStatus.State.ENDED, TaskStatus.Cause.DONE, false);
   }
 
   Reservation reserved() {
     Reservation task = jobs.propose(job, 0, job.nextAttempt(), machine);
-    jobs.write(job, Urgency.START);
+    jobs.write(job, RequestPriority.START);
     answer(new Reply.Committed(5));
     assertTrue(task.committed);
     return task;
@@ -142,7 +143,7 @@
     Reservation task = reserved();
     report(SESSION, 2, firstToken);
     report(SESSION, 3, firstToken, running(task));
-    assertEquals(TaskReport.State.RUNNING, task.seen);
+    assertEquals(TaskStatus.State.RUNNING, task.seen);
     return task;
   }
 }
--- a/src/test/java/eiderfork/core/TermLeaseTest.java
+++ b/src/test/java/eiderfork/controller/LeaderLeaseTest.java
@@ -1,16 +1,16 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import eiderfork.core.context.Context;
-import eiderfork.core.message.Effect;
-import eiderfork.core.message.Reply;
-import eiderfork.core.message.StateOp;
-import eiderfork.core.state.StateGate;
-import eiderfork.core.state.Term;
+import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.election.LeaderElection;
+import eiderfork.controller.message.Effect;
+import eiderfork.controller.message.Reply;
+import eiderfork.controller.message.StoreRequest;
+import eiderfork.controller.store.StoreClient;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
@@ -19,16 +19,17 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** A controller that stands still while its clock runs on is sure of no lease that may be over. */
-class TermLeaseTest {
+class LeaderLeaseTest {
   private static final long LEASE_MS = 3300;
 
-  private final Context context = new Context(Samples.settings("roost-0"), new Random(1), 0);
-  private final StateGate gate = new StateGate(context);
-  private final Term term =
-      new Term(
+  private final ControllerContext context =
+      new ControllerContext(TestFixtures.settings("roost-0"), new Random(1), 0);
+  private final StoreClient gate = new StoreClient(context);
+  private final LeaderElection term =
+      new LeaderElection(
           context,
           gate,
-          new Term.Listener() {
+          new LeaderElection.Listener() {
             @Override
             public void elected() {}
 
@@ -59,7 +60,7 @@
     answer(asked(), new Reply.Value(null, 0));
     answer(asked(), new Reply.Value(null, 0));
     Effect.AskState grant = asked();
-    assertEquals(new StateOp.Grant(LEASE_MS), grant.op());
+    assertEquals(new StoreRequest.Grant(LEASE_MS), grant.op());
     return grant;
   }
 
@@ -75,7 +76,7 @@
     pass(stillMs);
     answer(grant, new Reply.Leased(7));
     Effect.AskState take = asked();
-    assertInstanceOf(StateOp.Transact.class, take.op());
+    assertInstanceOf(StoreRequest.Transact.class, take.op());
     answer(take, new Reply.Committed(11));
     assertTrue(term.leading());
     for (long ms = stillMs; ms <= 2 * LEASE_MS; ms += 50) {
@@ -94,7 +95,7 @@
     long renewedMs = context.nowMs;
     term.tick();
     Effect.AskState renewal = asked();
-    assertEquals(new StateOp.Renew(7), renewal.op());
+    assertEquals(new StoreRequest.Renew(7), renewal.op());
     pass(stillMs);
     answer(renewal, new Reply.Leased(7));
     assertEquals(stillMs < LEASE_MS * 9 / 10, term.sure());
--- a/src/test/java/eiderfork/core/LeaseProxyTest.java
+++ b/src/test/java/eiderfork/controller/LeaseProxyTest.java
@@ -1,10 +1,10 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import eiderfork.core.message.Keys;
+import eiderfork.controller.message.StoreKeys;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
 import eiderfork.model.JobStatus.Stance;
@@ -26,15 +26,15 @@
     return LongStream.rangeClosed(1, 12);
   }
 
-  private static World world(long seed) {
-    return new World(seed, Samples.settings("roost-0"), 7);
+  private static SimulatedCluster world(long seed) {
+    return new SimulatedCluster(seed, TestFixtures.settings("roost-0"), 7);
   }
 
   /** Services spread over both zones, which all run. */
-  private static List<Job> spread(World world, int count) {
+  private static List<Job> spread(SimulatedCluster world, int count) {
     List<Job> jobs = new ArrayList<>();
     for (int i = 1; i <= count; i++) {
-      jobs.add(Samples.job(i, JobKind.SERVICE, 4, 1, "blue", Priority.HIGH, true, false));
+      jobs.add(TestFixtures.job(i, JobKind.SERVICE, 4, 1, "blue", Priority.HIGH, true, false));
     }
     jobs.forEach(world::submit);
     world.run(35);
@@ -42,11 +42,11 @@
     return jobs;
   }
 
-  private static String otherZone(World world) {
+  private static String otherZone(SimulatedCluster world) {
     return (world.leader().charAt(6) - '0') % 2 == 0 ? "b" : "a";
   }
 
-  private static FakeWorker busyIn(World world, String zone) {
+  private static FakeWorker busyIn(SimulatedCluster world, String zone) {
     return world.workers().stream()
         .filter(w -> w.machine.zone().equals(zone) && !w.present().isEmpty())
         .findFirst()
@@ -57,7 +57,7 @@
   @ParameterizedTest
   @MethodSource("seeds")
   void tasksOfTheOtherZoneOutliveASplit(long seed) {
-    World world = world(seed);
+    SimulatedCluster world = world(seed);
     List<Job> jobs = spread(world, 4);
     int starts = world.checker.starts;
     world.splitZones(30_000);
@@ -65,13 +65,13 @@
     jobs.forEach(job -> assertEquals(4, world.checker.running(job.uid()), job::uid));
     world.run(10);
     assertEquals(starts, world.checker.starts, "nothing was lost and started again");
-    Outcome.allServed(world, jobs);
-    assertTrue(world.state.keys(Keys.LEASE_PROXY).isEmpty(), "the records are gone");
+    ExpectedOutcome.allServed(world, jobs);
+    assertTrue(world.state.keys(StoreKeys.LEASE_PROXY).isEmpty(), "the records are gone");
   }
 
   /** The zones lose each other once more, so long after they found each other. */
   private static void tasksOutliveASecondSplit(long seed, long gapMs) {
-    World world = world(seed);
+    SimulatedCluster world = world(seed);
     List<Job> jobs = spread(world, 4);
     int starts = world.checker.starts;
     world.splitZones(20_000);
@@ -80,7 +80,7 @@
     world.splitZones(25_000);
     world.run(40);
     assertEquals(starts, world.checker.starts, "nothing was lost in the second");
-    Outcome.allServed(world, jobs);
+    ExpectedOutcome.allServed(world, jobs);
   }
 
   /**
@@ -106,7 +106,7 @@
   private static final int LEAD_TRIES = 6;
 
   /** Ends all other nodes until this one leads, and waits until all is as it was. */
-  private static void leadBy(World world, String node) {
+  private static void leadBy(SimulatedCluster world, String node) {
     for (int i = 0; i < LEAD_TRIES && !node.equals(world.leader()); i++) {
       for (String other : world.all()) {
         if (!other.equals(node)) {
@@ -126,7 +126,7 @@
   @ParameterizedTest
   @MethodSource("seeds")
   void aNodeBehindWhichWorkersFindItsOwnZoneLeadsOnlyWhereNoOtherCan(long seed) {
-    World world = world(seed);
+    SimulatedCluster world = world(seed);
     world.run(5);
     for (int i = 0; i < 10; i++) {
       assertNotEquals("roost-6", world.leader());
@@ -140,7 +140,7 @@
   @ParameterizedTest
   @ValueSource(ints = {0, 1, 2, 3, 4, 5})
   void tasksOutliveASplitUnderEachLeader(int node) {
-    World world = world(7);
+    SimulatedCluster world = world(7);
     List<Job> jobs = spread(world, 4);
     leadBy(world, "roost-" + node);
     jobs.forEach(job -> assertEquals(4, world.checker.running(job.uid()), job::uid));
@@ -148,14 +148,14 @@
     world.splitZones(25_000);
     world.run(40);
     assertEquals(starts, world.checker.starts, "nothing was lost and started again");
-    Outcome.allServed(world, jobs);
+    ExpectedOutcome.allServed(world, jobs);
   }
 
   /** The leader stops nothing in the other zone; the node that answers a worker does. */
   @ParameterizedTest
   @ValueSource(ints = {0, 1000, 3000, 5000, 6000, 7000, 9000, 15_000, 25_000})
   void aCancellationDuringASplitIsCarriedOutByTheLeaseProxy(int afterMs) {
-    World world = world(3);
+    SimulatedCluster world = world(3);
     List<Job> jobs = spread(world, 4);
     world.splitZones(80_000);
     world.at(afterMs, () -> world.abort(jobs.get(0).uid()));
@@ -163,27 +163,27 @@
     assertEquals(Stance.ABORTED, world.checker.finalStance(jobs.get(0).uid()));
     assertEquals(0, world.checker.running(jobs.get(0).uid()));
     world.run(60);
-    Outcome.allServed(world, jobs);
+    ExpectedOutcome.allServed(world, jobs);
   }
 
   /** A machine that dies meanwhile is replaced once its leaseProxy's records are gone. */
   @ParameterizedTest
   @ValueSource(ints = {0, 2000, 8000, 20_000, 29_000})
   void aMachineThatDiesDuringASplitIsReplaced(int afterMs) {
-    World world = world(4);
+    SimulatedCluster world = world(4);
     List<Job> jobs = spread(world, 4);
     FakeWorker worker = busyIn(world, otherZone(world));
     world.splitZones(30_000);
     world.at(afterMs, () -> world.die(worker.machine.name()));
     world.run(80);
-    Outcome.allServed(world, jobs);
+    ExpectedOutcome.allServed(world, jobs);
   }
 
   /** Deputies end, the leader ends, all end, and the state service is out, during a split. */
   @ParameterizedTest
   @MethodSource("seeds")
   void rulesHoldWhateverEndsDuringASplit(long seed) {
-    World world = world(seed);
+    SimulatedCluster world = world(seed);
     List<Job> jobs = spread(world, 4);
     world.loss = 0.01;
     world.late = 0.02;
@@ -209,7 +209,7 @@
       world.at(outMs + 5000 + script.nextInt(30_000), () -> world.state.recover(world.nowMs));
     }
     for (int i = 5; i <= 12; i++) {
-      Job job = Samples.job(i, i % 2 == 0 ? JobKind.SERVICE : JobKind.ARRAY, 3, 1);
+      Job job = TestFixtures.job(i, i % 2 == 0 ? JobKind.SERVICE : JobKind.ARRAY, 3, 1);
       jobs.add(job);
       world.at(script.nextInt(60_000), () -> world.submit(job));
     }
@@ -226,10 +226,10 @@
           });
     }
     world.run(100);
-    Outcome.allServed(world, jobs);
+    ExpectedOutcome.allServed(world, jobs);
   }
 
-  private static List<String> nodesIn(World world, String zone) {
+  private static List<String> nodesIn(SimulatedCluster world, String zone) {
     return world.all().stream()
         .filter(node -> zone.equals((node.charAt(6) - '0') % 2 == 0 ? "a" : "b"))
         .toList();
@@ -239,35 +239,35 @@
   @ParameterizedTest
   @ValueSource(ints = {0, 2000, 4000, 5000, 5500, 6000, 7000, 9000, 14_000, 20_000})
   void rulesHoldWhereDeputiesStandStill(int afterMs) {
-    World world = world(6);
+    SimulatedCluster world = world(6);
     List<Job> jobs = spread(world, 4);
     List<String> others = nodesIn(world, otherZone(world));
     world.splitZones(70_000);
     world.at(afterMs, () -> others.forEach(node -> world.freeze(node, 12_000 + afterMs)));
     world.at(afterMs + 1000, () -> world.abort(jobs.get(0).uid()));
     world.run(120);
-    Outcome.allServed(world, jobs);
+    ExpectedOutcome.allServed(world, jobs);
   }
 
   /** The state service refuses the nodes of the other zone, before and after they stand in. */
   @ParameterizedTest
   @ValueSource(ints = {0, 2000, 4000, 5000, 5500, 6000, 7000, 9000, 14_000, 20_000})
   void rulesHoldWhereTheStateServiceRefusesDeputies(int afterMs) {
-    World world = world(8);
+    SimulatedCluster world = world(8);
     List<Job> jobs = spread(world, 4);
     List<String> others = nodesIn(world, otherZone(world));
     world.splitZones(70_000);
     world.at(afterMs, () -> others.forEach(node -> world.refuse(node, 25_000)));
     world.at(afterMs + 1000, () -> world.abort(jobs.get(0).uid()));
     world.run(120);
-    Outcome.allServed(world, jobs);
+    ExpectedOutcome.allServed(world, jobs);
   }
 
   /** The lead goes to the other zone within a split, and back. */
   @ParameterizedTest
   @ValueSource(ints = {500, 3000, 5000, 6000, 8000, 10_000, 15_000})
   void rulesHoldWhereTheLeadCrossesASplitAndComesBack(int afterMs) {
-    World world = world(9);
+    SimulatedCluster world = world(9);
     List<Job> jobs = spread(world, 4);
     String there = otherZone(world);
     List<String> here = nodesIn(world, there.equals("a") ? "b" : "a");
@@ -276,14 +276,14 @@
     world.at(afterMs + 15_000, () -> nodesIn(world, there).forEach(n -> world.crash(n, 6000)));
     world.at(afterMs + 2000, () -> world.abort(jobs.get(0).uid()));
     world.run(120);
-    Outcome.allServed(world, jobs);
+    ExpectedOutcome.allServed(world, jobs);
   }
 
   /** Answers of the state service are lost, or its transactions late, under a split. */
   @ParameterizedTest
   @MethodSource("seeds")
   void rulesHoldWhereRecordsOfDeputiesAreWrittenLateOrUnanswered(long seed) {
-    World world = world(seed);
+    SimulatedCluster world = world(seed);
     List<Job> jobs = spread(world, 4);
     world.lateWrites = seed % 2 == 0 ? 0.4 : 0;
     world.lostAnswers = seed % 2 == 0 ? 0 : 0.4;
@@ -294,14 +294,14 @@
     world.lateWrites = 0;
     world.lostAnswers = 0;
     world.run(50);
-    Outcome.allServed(world, jobs);
+    ExpectedOutcome.allServed(world, jobs);
   }
 
   /** A split that comes and goes: leases renewed by either side are never counted as lapsed. */
   @ParameterizedTest
   @MethodSource("seeds")
   void rulesHoldWhereASplitComesAndGoes(long seed) {
-    World world = world(seed);
+    SimulatedCluster world = world(seed);
     List<Job> jobs = spread(world, 4);
     java.util.Random script = new java.util.Random(seed);
     long atMs = 0;
@@ -312,13 +312,13 @@
     }
     world.at(script.nextInt(60_000), () -> world.abort(jobs.get(0).uid()));
     world.run(110);
-    Outcome.allServed(world, jobs);
+    ExpectedOutcome.allServed(world, jobs);
   }
 
   /** Where connections between controllers are refused, workers still go to the leader. */
   @Test
   void noNodeStandsInForALeaderThatWorkersReach() {
-    World world = world(5);
+    SimulatedCluster world = world(5);
     List<Job> jobs = spread(world, 3);
     for (String from : world.all()) {
       for (String to : world.all()) {
@@ -326,11 +326,11 @@
       }
     }
     world.run(20);
-    Job next = Samples.job(9, JobKind.SERVICE, 8, 2, "blue", Priority.HIGH, true, false);
+    Job next = TestFixtures.job(9, JobKind.SERVICE, 8, 2, "blue", Priority.HIGH, true, false);
     jobs.add(next);
     world.submit(next);
     world.run(15);
     assertEquals(8, world.checker.running(next.uid()), "new machines found the leader");
-    Outcome.allServed(world, jobs);
+    ExpectedOutcome.allServed(world, jobs);
   }
 }
--- a/src/test/java/eiderfork/core/DrainTest.java
+++ b/src/test/java/eiderfork/controller/MachineConsolidationTest.java
@@ -1,4 +1,4 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -9,21 +9,22 @@
 import org.junit.jupiter.api.Test;
 
 /** Machines that the fleet could do without are emptied, wherever their replicas may go. */
-class DrainTest {
+class MachineConsolidationTest {
   /** Long enough for replicas to settle, headroom to fade and a machine to be given back. */
   private static final double LATER_S = 160;
 
-  private final World world = new World(5);
+  private final SimulatedCluster world = new SimulatedCluster(5);
 
   /** One ordinary machine with GPUs in each zone, and no others. */
   private void oneMachineInEachZone() {
     world.cloud.capacity = 0;
-    world.cloud.stock.put(new Cloud.Kind("g4", "a", false), 1);
-    world.cloud.stock.put(new Cloud.Kind("g4", "b", false), 1);
+    world.cloud.stock.put(new CloudProvisioner.Kind("g4", "a", false), 1);
+    world.cloud.stock.put(new CloudProvisioner.Kind("g4", "b", false), 1);
   }
 
   private Job submit(int number, int tasks, Resources need) {
-    Job job = Samples.sized(Samples.job(number, JobKind.SERVICE, tasks, 0), need, 0, "g4");
+    Job job =
+        TestFixtures.sized(TestFixtures.job(number, JobKind.SERVICE, tasks, 0), need, 0, "g4");
     world.submit(job);
     world.run(12);
     return job;
--- a/src/test/java/eiderfork/core/AnswerTest.java
+++ b/src/test/java/eiderfork/controller/MonotonicReadTest.java
@@ -1,10 +1,10 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import eiderfork.core.state.ReadBarrier;
+import eiderfork.controller.store.ReadBarrier;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
 import eiderfork.model.JobStatus.Stance;
@@ -17,28 +17,28 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** No node answers a user with something older than what any node has told. */
-class AnswerTest {
+class MonotonicReadTest {
   private static LongStream seeds() {
     return LongStream.rangeClosed(1, 20);
   }
 
   /** Users poll once more: every job is over, and every node says so. */
-  private static void allOver(World world, List<Job> jobs) {
+  private static void allOver(SimulatedCluster world, List<Job> jobs) {
     jobs.forEach(job -> world.queryAll(job.uid()));
     world.run(3);
     rulesHold(world);
     jobs.forEach(job -> assertNotNull(world.checker.finalStance(job.uid()), job::uid));
   }
 
-  private static void rulesHold(World world) {
+  private static void rulesHold(SimulatedCluster world) {
     assertEquals(List.of(), world.checker.breaches);
   }
 
   /** Arrays of a few tasks that end one after the other, and services that are cancelled. */
-  private static List<Job> load(World world, int jobs) {
+  private static List<Job> load(SimulatedCluster world, int jobs) {
     List<Job> all = new ArrayList<>();
     for (int i = 1; i <= jobs; i++) {
-      Job job = Samples.job(i, i % 3 == 0 ? JobKind.SERVICE : JobKind.ARRAY, 1 + i % 3, i % 2);
+      Job job = TestFixtures.job(i, i % 3 == 0 ? JobKind.SERVICE : JobKind.ARRAY, 1 + i % 3, i % 2);
       all.add(job);
       world.at(500L * i, () -> world.submit(job));
       if (job.kind() == JobKind.SERVICE) {
@@ -51,12 +51,13 @@
   /**
    * All nodes are asked, and the submission is repeated at each, within milliseconds of every
    * answer that says something new. Guards: {@link ReadBarrier} for cancellations that a peer
-   * wrote, the state service alone for what is not in memory, {@link SettledJobs} for what is over.
+   * wrote, the state service alone for what is not in memory, {@link FinalStatusCache} for what is
+   * over.
    */
   @ParameterizedTest
   @MethodSource("seeds")
   void nothingOlderIsToldWithinMomentsOfAnAnswer(long seed) {
-    World world = new World(seed);
+    SimulatedCluster world = new SimulatedCluster(seed);
     world.lookCloselyAtNews(true);
     List<Job> jobs = load(world, 18);
     world.run(60);
@@ -72,7 +73,7 @@
   @ParameterizedTest
   @MethodSource("seeds")
   void whatAnotherNodeReadIsNotContradictedWhileTheWritersAnswerIsLost(long seed) {
-    World world = new World(seed);
+    SimulatedCluster world = new SimulatedCluster(seed);
     world.lookCloselyAtNews(true);
     world.at(5_000, () -> world.lostAnswers = 0.5);
     // Polls reach the state service also through nodes that can't reach the leader.
@@ -94,7 +95,7 @@
   @ParameterizedTest
   @MethodSource("seeds")
   void transactionsCarriedOutLateContradictNothing(long seed) {
-    World world = new World(seed);
+    SimulatedCluster world = new SimulatedCluster(seed);
     world.lookCloselyAtNews(true);
     world.at(5_000, () -> world.lateWrites = 0.3);
     List<Job> jobs = load(world, 18);
@@ -115,13 +116,13 @@
   void aCancellationAtTheEndOfTheLastTaskIsAnsweredOnceAndForAll(int afterMs) {
     for (int i = 0; i < 9; i++) {
       String at = "roost-" + i % 3;
-      World world = new World(7);
+      SimulatedCluster world = new SimulatedCluster(7);
       world.lookCloselyAtNews(true);
       // The slower the state service, the wider the moment between the read and the write.
       world.stateDelayMs = 80 * (i / 3);
-      world.submit(Samples.job(1, JobKind.SERVICE, 1, 1));
+      world.submit(TestFixtures.job(1, JobKind.SERVICE, 1, 1));
       world.run(20);
-      Job job = Samples.job(2, JobKind.ARRAY, 1, 1);
+      Job job = TestFixtures.job(2, JobKind.ARRAY, 1, 1);
       world.submit(job);
       // It fetches for 0.7 s and runs for 4 s.
       world.at(4600 + afterMs, () -> world.abortAt(at, job.uid()));
@@ -141,11 +142,11 @@
   @ParameterizedTest
   @MethodSource("seeds")
   void aCancellationAtOnceIsKept(long seed) {
-    World world = new World(seed);
+    SimulatedCluster world = new SimulatedCluster(seed);
     world.lookCloselyAtNews(true);
     world.run(10);
     for (int i = 1; i <= 10; i++) {
-      Job job = Samples.job(i, JobKind.SERVICE, 2, 1);
+      Job job = TestFixtures.job(i, JobKind.SERVICE, 2, 1);
       world.submit(job);
       world.at(i * 3L, () -> world.abort(job.uid()));
       world.run(1);
@@ -162,9 +163,9 @@
   /** What is malformed, impossible, unknown or over is answered for what it is, at any time. */
   @Test
   void oddRequestsAreAnsweredInTheMiddleOfATakeover() {
-    World world = new World(3);
-    Job done = Samples.job(1, JobKind.ARRAY, 1, 1);
-    Job running = Samples.job(2, JobKind.SERVICE, 1, 1);
+    SimulatedCluster world = new SimulatedCluster(3);
+    Job done = TestFixtures.job(1, JobKind.ARRAY, 1, 1);
+    Job running = TestFixtures.job(2, JobKind.SERVICE, 1, 1);
     world.submit(done);
     world.submit(running);
     world.run(30);
@@ -172,7 +173,7 @@
     for (int i = 0; i < 200; i++) {
       world.at(i * 40L, () -> world.abort(done.uid()));
       world.at(i * 40L, () -> world.submit(running));
-      Job impossible = Samples.job(100 + i, JobKind.SERVICE, 1, 64);
+      Job impossible = TestFixtures.job(100 + i, JobKind.SERVICE, 1, 64);
       world.at(i * 40L, () -> world.submit(impossible));
       world.at(i * 40L, () -> world.query("run-009999"));
     }
--- a/src/test/java/eiderfork/core/PreemptionTest.java
+++ b/src/test/java/eiderfork/controller/PreemptionTest.java
@@ -1,20 +1,20 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.google.common.collect.ImmutableList;
-import eiderfork.core.context.Context;
-import eiderfork.core.state.StateGate;
+import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.store.StoreClient;
+import eiderfork.model.Heartbeat;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
 import eiderfork.model.Machine;
 import eiderfork.model.MachineType;
 import eiderfork.model.Priority;
-import eiderfork.model.Report;
 import eiderfork.model.Resources;
-import eiderfork.model.TaskReport;
+import eiderfork.model.TaskStatus;
 import java.util.HashMap;
 import java.util.Random;
 import org.junit.jupiter.api.BeforeEach;
@@ -22,10 +22,10 @@
 
 /** Which arrays are stopped for a service that finds no room. */
 class PreemptionTest {
-  private final Context context =
-      new Context(Samples.settings("roost-0"), new Random(1), 1_000_000);
-  private final JobTable jobs = new JobTable(context, new StateGate(context), null, null);
-  private final Fleet fleet = new Fleet(context, jobs);
+  private final ControllerContext context =
+      new ControllerContext(TestFixtures.settings("roost-0"), new Random(1), 1_000_000);
+  private final JobRegistry jobs = new JobRegistry(context, new StoreClient(context), null, null);
+  private final MachineRegistry fleet = new MachineRegistry(context, jobs);
   private int lastJob;
 
   @BeforeEach
@@ -36,53 +36,55 @@
                 "g4", new Resources(4, 4, 16), 100, 2, 8, 3, 4, ImmutableList.of("a"))));
   }
 
-  private JobEntry add(JobKind kind, int tasks, Priority priority, String image) {
+  private JobState add(JobKind kind, int tasks, Priority priority, String image) {
     lastJob++;
-    Job job = Samples.job(lastJob, kind, tasks, 1, "blue", priority, false, false, image, 40);
+    Job job = TestFixtures.job(lastJob, kind, tasks, 1, "blue", priority, false, false, image, 40);
     return jobs.add(job, lastJob);
   }
 
   /** A machine that is full of an array's tasks, which have run for this long. */
-  private MachineEntry fullMachine(String name, long ranMs) {
+  private MachineState fullMachine(String name, long ranMs) {
     Machine machine = new Machine(name, name + ":1", "g4", "a", false);
-    MachineEntry m = fleet.known(machine);
-    fleet.reported(m, new Report(machine, 1, 1, 0, null, ImmutableList.of()));
-    JobEntry array = add(JobKind.ARRAY, 4, Priority.LOW, "batch-img");
+    MachineState m = fleet.known(machine);
+    fleet.reported(m, new Heartbeat(machine, 1, 1, 0, null, ImmutableList.of()));
+    JobState array = add(JobKind.ARRAY, 4, Priority.LOW, "batch-img");
     for (int index = 0; index < 4; index++) {
       Reservation task = jobs.propose(array, index, 1, m);
       task.committed = true;
-      task.seen = TaskReport.State.RUNNING;
+      task.seen = TaskStatus.State.RUNNING;
       task.runningSinceMs = context.nowMs - ranMs;
     }
     return m;
   }
 
-  private int makeRoom(JobEntry service) {
-    RoundRoom room =
-        new RoundRoom(fleet, machine -> true, machine -> true, new LoanRoom(context, jobs, fleet));
+  private int makeRoom(JobState service) {
+    FreeCapacity room =
+        new FreeCapacity(
+            fleet, machine -> true, machine -> true, new BorrowedCapacity(context, jobs, fleet));
     room.begin(context.nowMs);
-    GpuBalance balance = new GpuBalance(1);
-    Preemption preemption =
-        new Preemption(
+    CpusPerGpu balance = new CpusPerGpu(1);
+    PreemptionPlanner preemption =
+        new PreemptionPlanner(
             context,
             jobs,
             room,
-            new ImageFetch(context, fleet),
+            new ImageFetchEstimator(context, fleet),
             balance,
-            new PriorityStops(context, jobs, balance, new Deadlines(context, fleet)),
+            new PriorityPreemptionPolicy(
+                context, jobs, balance, new DeadlineEstimator(context, fleet)),
             1000);
     int wanted = service.waiting.cardinality();
     return preemption.makeRoom(service, wanted, new HashMap<>(), Double.MAX_VALUE);
   }
 
-  private static long stopping(MachineEntry m) {
+  private static long stopping(MachineState m) {
     return m.placed.stream().filter(Reservation::isStopping).count();
   }
 
   @Test
   void ofAlikeMachinesTheOneIsTakenWhoseTasksHaveRunForLess() {
-    MachineEntry longer = fullMachine("n-1", 30_000);
-    MachineEntry shorter = fullMachine("n-2", 10_000);
+    MachineState longer = fullMachine("n-1", 30_000);
+    MachineState shorter = fullMachine("n-2", 10_000);
     assertEquals(1, makeRoom(add(JobKind.SERVICE, 1, Priority.HIGH, "web-img")));
     assertEquals(0, stopping(longer));
     assertEquals(1, stopping(shorter));
@@ -91,8 +93,8 @@
   /** A replica that took room where its image had to be fetched once waited 62 s for it. */
   @Test
   void theWaitForAnImageCountsLikeWorkThatIsThrownAway() {
-    MachineEntry cached = fullMachine("n-1", 25_000);
-    MachineEntry uncached = fullMachine("n-2", 10_000);
+    MachineState cached = fullMachine("n-1", 25_000);
+    MachineState uncached = fullMachine("n-2", 10_000);
     cached.touchImage("web-img", 40, 100);
     // 40 GB take 20 s, more than the 15 s that the other tasks have run for less.
     assertEquals(1, makeRoom(add(JobKind.SERVICE, 1, Priority.HIGH, "web-img")));
@@ -102,8 +104,8 @@
 
   @Test
   void arraysOfTheSamePriorityAreLeftAlone() {
-    MachineEntry m = fullMachine("n-1", 10_000);
-    JobEntry service = add(JobKind.SERVICE, 1, Priority.LOW, "web-img");
+    MachineState m = fullMachine("n-1", 10_000);
+    JobState service = add(JobKind.SERVICE, 1, Priority.LOW, "web-img");
     assertEquals(0, makeRoom(service));
     assertEquals(0, stopping(m));
     assertFalse(service.waiting.isEmpty());
--- a/src/test/java/eiderfork/core/Checker.java
+++ b/src/test/java/eiderfork/controller/ProtocolChecker.java
@@ -1,6 +1,6 @@
-package eiderfork.core;
+package eiderfork.controller;
 
-import eiderfork.core.message.UserAnswer;
+import eiderfork.controller.message.UserResponse;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
 import eiderfork.model.JobStatus.Stance;
@@ -17,9 +17,9 @@
 
 /**
  * Watches a world from outside and holds it to the protocol's rules. It shares no code with the
- * core: it sees only what machines do and what users are told.
+ * controller: it sees only what machines do and what users are told.
  */
-final class Checker {
+final class ProtocolChecker {
   private final Map<String, Team> teams;
   private final long cancelMs;
   private final Map<String, Job> submitted = new HashMap<>();
@@ -43,7 +43,7 @@
   /** Starts of jobs whose user had been told that they are cancelled, in time or not. */
   int startsAfterCancellation;
 
-  Checker(Map<String, Team> teams, long cancelMs) {
+  ProtocolChecker(Map<String, Team> teams, long cancelMs) {
     this.teams = teams;
     this.cancelMs = cancelMs;
   }
@@ -68,7 +68,7 @@
   }
 
   /** An answer arrives at a user; whether it says what no user was told before. */
-  boolean told(long nowMs, String uid, UserAnswer answer, boolean submission, Known known) {
+  boolean told(long nowMs, String uid, UserResponse answer, boolean submission, Known known) {
     int status = answer.status();
     answers += status == 200 || status == 404 ? 1 : 0;
     if (status == 404 && known.accepted) {
--- a/src/test/java/eiderfork/core/CheckerTest.java
+++ b/src/test/java/eiderfork/controller/ProtocolCheckerTest.java
@@ -1,9 +1,9 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import eiderfork.core.message.UserAnswer;
+import eiderfork.controller.message.UserResponse;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
 import eiderfork.model.JobStatus;
@@ -14,16 +14,17 @@
 import org.junit.jupiter.api.Test;
 
 /** The checker catches a planted breach of each rule, and nothing where there is none. */
-class CheckerTest {
-  private final Checker checker = new Checker(Samples.settings("roost-0").teams(), 30_000);
+class ProtocolCheckerTest {
+  private final ProtocolChecker checker =
+      new ProtocolChecker(TestFixtures.settings("roost-0").teams(), 30_000);
   private final Machine one = new Machine("n-1", "n-1:1", "g4", "a", false);
   private final Machine two = new Machine("n-2", "n-2:1", "g4", "a", false);
 
-  private static UserAnswer says(String uid, Stance stance) {
-    return UserAnswer.ok(new JobStatus(uid, stance, 0, 0));
+  private static UserResponse says(String uid, Stance stance) {
+    return UserResponse.ok(new JobStatus(uid, stance, 0, 0));
   }
 
-  private void told(long nowMs, String uid, UserAnswer answer, boolean submission) {
+  private void told(long nowMs, String uid, UserResponse answer, boolean submission) {
     checker.told(nowMs, uid, answer, submission, checker.known(uid));
   }
 
@@ -40,7 +41,7 @@
 
   @Test
   void passesAnOrderlyHistory() {
-    Job job = submit(Samples.job(1, JobKind.ARRAY, 1, 1));
+    Job job = submit(TestFixtures.job(1, JobKind.ARRAY, 1, 1));
     TaskId task = new TaskId(job.uid(), 0);
     checker.starts(1, task, one);
     checker.leaves(task, one);
@@ -53,7 +54,7 @@
 
   @Test
   void catchesATaskInTwoPlaces() {
-    Job job = submit(Samples.job(1, JobKind.ARRAY, 1, 1));
+    Job job = submit(TestFixtures.job(1, JobKind.ARRAY, 1, 1));
     checker.starts(1, new TaskId(job.uid(), 0), one);
     checker.starts(2, new TaskId(job.uid(), 0), two);
     assertOnly("ran_twice");
@@ -61,7 +62,7 @@
 
   @Test
   void catchesATeamOverItsLimit() {
-    Job job = submit(Samples.job(1, JobKind.ARRAY, 11, 1, "red", Priority.LOW, false, false));
+    Job job = submit(TestFixtures.job(1, JobKind.ARRAY, 11, 1, "red", Priority.LOW, false, false));
     for (int i = 0; i < 11; i++) {
       checker.starts(1, new TaskId(job.uid(), i), one);
     }
@@ -70,14 +71,15 @@
 
   @Test
   void catchesAnOrdinaryJobOnASpotMachine() {
-    Job job = submit(Samples.job(1, JobKind.ARRAY, 1, 1));
+    Job job = submit(TestFixtures.job(1, JobKind.ARRAY, 1, 1));
     checker.starts(1, new TaskId(job.uid(), 0), new Machine("n-3", "", "g4", "a", true));
     assertOnly("wrong_place");
   }
 
   @Test
   void catchesAJobThatIsNotSpread() {
-    Job job = submit(Samples.job(1, JobKind.SERVICE, 2, 1, "blue", Priority.HIGH, true, false));
+    Job job =
+        submit(TestFixtures.job(1, JobKind.SERVICE, 2, 1, "blue", Priority.HIGH, true, false));
     checker.starts(1, new TaskId(job.uid(), 0), one);
     checker.starts(1, new TaskId(job.uid(), 1), two);
     assertOnly("wrong_place");
@@ -85,7 +87,7 @@
 
   @Test
   void catchesACancelledJobThatRunsOn() {
-    Job job = submit(Samples.job(1, JobKind.SERVICE, 1, 1));
+    Job job = submit(TestFixtures.job(1, JobKind.SERVICE, 1, 1));
     checker.starts(1, new TaskId(job.uid(), 0), one);
     checker.userAborts(job.uid());
     told(1000, job.uid(), says(job.uid(), Stance.ABORTED), false);
@@ -97,12 +99,12 @@
 
   @Test
   void catchesWhatUsersMustNotBeTold() {
-    Job job = submit(Samples.job(1, JobKind.ARRAY, 1, 1));
-    told(1, job.uid(), UserAnswer.refused(404, ""), false);
+    Job job = submit(TestFixtures.job(1, JobKind.ARRAY, 1, 1));
+    told(1, job.uid(), UserResponse.refused(404, ""), false);
     told(1, "run-9", says("run-9", Stance.PENDING), false);
     told(1, job.uid(), says(job.uid(), Stance.DONE), false);
     told(1, job.uid(), says(job.uid(), Stance.RUNNING), false);
-    told(1, job.uid(), UserAnswer.refused(422, ""), true);
+    told(1, job.uid(), UserResponse.refused(422, ""), true);
     assertEquals(
         java.util.List.of("forgotten", "invented", "not_done", "went_back", "forgotten"),
         checker.breaches.stream().map(b -> b.substring(0, b.indexOf(':'))).toList());
