--- a/src/test/java/eiderfork/core/TurnOrderTest.java
+++ b/src/test/java/eiderfork/controller/QueueOrderTest.java
@@ -1,4 +1,4 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -6,8 +6,8 @@
 
 import com.google.common.collect.ImmutableList;
 import eiderfork.config.Settings;
-import eiderfork.core.context.Context;
-import eiderfork.core.state.StateGate;
+import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.store.StoreClient;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
 import eiderfork.model.MachineType;
@@ -19,17 +19,18 @@
 import org.junit.jupiter.api.Test;
 
 /** In which order work of one rank is served. */
-class TurnOrderTest {
+class QueueOrderTest {
   private static final long START_MS = 1_000_000;
 
-  private final Context context = new Context(settings(), new Random(1), START_MS);
-  private final StateGate gate = new StateGate(context);
-  private final JobTable jobs = new JobTable(context, gate, null, null);
-  private final Fleet fleet = new Fleet(context, jobs);
-  private final Deadlines deadlines = new Deadlines(context, fleet);
-  private final JobRanking ranking = new JobRanking(context, deadlines);
+  private final ControllerContext context =
+      new ControllerContext(settings(), new Random(1), START_MS);
+  private final StoreClient gate = new StoreClient(context);
+  private final JobRegistry jobs = new JobRegistry(context, gate, null, null);
+  private final MachineRegistry fleet = new MachineRegistry(context, jobs);
+  private final DeadlineEstimator deadlines = new DeadlineEstimator(context, fleet);
+  private final FairShareOrder ranking = new FairShareOrder(context, deadlines);
 
-  TurnOrderTest() {
+  QueueOrderTest() {
     fleet.types(
         ImmutableList.of(
             new MachineType(
@@ -38,17 +39,17 @@
 
   /** The users want arrays done by their deadline, and nearly all by 1.5 times that. */
   private static Settings settings() {
-    return Samples.withObjectives(
-        Samples.settings("roost-0"),
+    return TestFixtures.withObjectives(
+        TestFixtures.settings("roost-0"),
         ImmutableList.of(
             new Settings.Objective(Settings.Objective.Kind.DEADLINE, "batch", 0, 1.5, 0.975),
             new Settings.Objective(Settings.Objective.Kind.DEADLINE, "batch", 0, 1, 0.9)));
   }
 
   /** An array whose image of 20 GB takes 10 s to fetch. */
-  private JobEntry array(int number, int tasks, double estimateS, Double deadlineS) {
+  private JobState array(int number, int tasks, double estimateS, Double deadlineS) {
     Job like =
-        Samples.job(
+        TestFixtures.job(
             number, JobKind.ARRAY, tasks, 1, "blue", Priority.HIGH, false, false, "img", 20);
     Job job =
         new Job(
@@ -73,29 +74,29 @@
     return jobs.add(job, number);
   }
 
-  private List<JobEntry> ranked() {
+  private List<JobState> ranked() {
     return ranking.rank(jobs);
   }
 
   @Test
   void theLatestMomentToStartDecidesAndNotTheArrival() {
-    JobEntry patient = array(1, 4, 50, 300.0);
-    JobEntry urgent = array(2, 4, 50, 80.0);
-    JobEntry shortRun = array(3, 4, 10, 80.0);
+    JobState patient = array(1, 4, 50, 300.0);
+    JobState urgent = array(2, 4, 50, 80.0);
+    JobState shortRun = array(3, 4, 10, 80.0);
     assertEquals(List.of(urgent, shortRun, patient), ranked());
   }
 
   @Test
   void whatCanNotBeInTimeGoesBehindWhatCan() {
-    JobEntry late = array(1, 4, 50, 30.0);
-    JobEntry inTime = array(2, 4, 50, 300.0);
+    JobState late = array(1, 4, 50, 30.0);
+    JobState inTime = array(2, 4, 50, 300.0);
     assertEquals(List.of(inTime, late), ranked());
   }
 
   @Test
   void aMissedDeadlineLeavesTheNextOfTheAims() {
-    JobEntry other = array(1, 4, 50, 200.0);
-    JobEntry first = array(2, 4, 50, 100.0);
+    JobState other = array(1, 4, 50, 200.0);
+    JobState first = array(2, 4, 50, 100.0);
     context.nowMs = START_MS + 60_000;
     // The deadline itself could be met by a start up to 40 s, 1.5 times it up to 90 s.
     assertEquals(List.of(first, other), ranked());
@@ -104,30 +105,30 @@
   /** Behind all others a late job would wait for ever where work keeps coming. */
   @Test
   void aLateJobThatNeverStartedGoesFirstInTimeToBeginWithinFourMinutes() {
-    JobEntry late = array(1, 4, 50, 40.0);
+    JobState late = array(1, 4, 50, 40.0);
     context.nowMs = START_MS + 150_000;
-    JobEntry fresh = array(2, 4, 50, 70.0);
+    JobState fresh = array(2, 4, 50, 70.0);
     assertEquals(List.of(late, fresh), ranked());
   }
 
   @Test
   void arraysWithoutADeadlineGoByArrival() {
-    List<JobEntry> arrays = new ArrayList<>();
+    List<JobState> arrays = new ArrayList<>();
     for (int i = 1; i <= 3; i++) {
       arrays.add(array(i, 4, 50, null));
       context.nowMs += 1000;
     }
     assertEquals(arrays, ranked());
-    JobEntry urgent = array(4, 4, 50, 61.0);
+    JobState urgent = array(4, 4, 50, 61.0);
     assertTrue(ranked().indexOf(urgent) > 0, "the older ones have waited for longer");
   }
 
   /** Spot machines that were taken back cost a fifth of the arrays their deadline. */
   @Test
   void workThatCanNotBeRunAgainInTimeIsToldFromTheRest() {
-    JobEntry patient = array(1, 4, 50, 200.0);
-    JobEntry tight = array(2, 4, 50, 100.0);
-    JobEntry free = array(3, 4, 50, null);
+    JobState patient = array(1, 4, 50, 200.0);
+    JobState tight = array(2, 4, 50, 100.0);
+    JobState free = array(3, 4, 50, null);
     assertFalse(deadlines.leavesNoSecondRun(patient));
     assertTrue(deadlines.leavesNoSecondRun(tight));
     assertFalse(deadlines.leavesNoSecondRun(free));
@@ -137,7 +138,7 @@
 
   @Test
   void aTaskIsLateIfRunAgainOnlyWhereItIsInTimeNow() {
-    JobEntry entry = array(1, 1, 50, 100.0);
+    JobState entry = array(1, 1, 50, 100.0);
     Reservation p = new Reservation(entry, 0, 1, fleet.known("n-1"));
     p.runningSinceMs = START_MS + 20_000;
     context.nowMs = START_MS + 40_000;
--- a/src/test/java/eiderfork/core/LendingTest.java
+++ b/src/test/java/eiderfork/controller/QuotaBorrowingTest.java
@@ -1,4 +1,4 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,12 +11,12 @@
 import org.junit.jupiter.api.Test;
 
 /** What batch work borrows, and how it is reclaimed, while nothing fails. */
-class LendingTest {
-  private final LendingWorld lending = LendingWorld.on(3);
-  private final World world = lending.world;
+class QuotaBorrowingTest {
+  private final QuotaCluster lending = QuotaCluster.on(3);
+  private final SimulatedCluster world = lending.world;
 
   private void holds() {
-    Outcome.rulesHold(world);
+    ExpectedOutcome.rulesHold(world);
     assertEquals(List.of(), lending.guarantees.unexplained);
   }
 
@@ -24,8 +24,8 @@
   @Test
   void aTeamGetsItsGuaranteeBackFromABorrower() {
     Job night = lending.filledByNight(120, 10);
-    Job desk = lending.submit(LendingWorld.replicas(2, 8, LendingWorld.DESK));
-    world.run(LendingWorld.RECLAIM_S);
+    Job desk = lending.submit(QuotaCluster.replicas(2, 8, QuotaCluster.DESK));
+    world.run(QuotaCluster.RECLAIM_S);
     assertEquals(8, lending.running(desk));
     assertEquals(8, lending.running(night));
     assertEquals(8, world.progress.stops(), "no more than is needed");
@@ -35,9 +35,9 @@
   /** With the switch off nothing is reclaimed by guarantees. */
   @Test
   void withoutLendingTheTeamWaits() {
-    LendingWorld off = LendingWorld.off(3);
+    QuotaCluster off = QuotaCluster.off(3);
     Job night = off.filledByNight(120, 10);
-    Job desk = off.submit(LendingWorld.replicas(2, 8, LendingWorld.DESK));
+    Job desk = off.submit(QuotaCluster.replicas(2, 8, QuotaCluster.DESK));
     off.world.run(20);
     assertEquals(0, off.running(desk));
     assertEquals(16, off.running(night));
@@ -48,8 +48,8 @@
   @Test
   void anArrayGetsItsTeamsGuaranteeAndNoMore() {
     Job night = lending.filledByNight(200, 10);
-    Job lab = lending.submit(LendingWorld.array(2, 12, 200, 10, LendingWorld.LAB));
-    world.run(LendingWorld.RECLAIM_S + 10);
+    Job lab = lending.submit(QuotaCluster.array(2, 12, 200, 10, QuotaCluster.LAB));
+    world.run(QuotaCluster.RECLAIM_S + 10);
     assertEquals(4, lending.running(lab));
     assertEquals(12, lending.running(night));
     holds();
@@ -59,10 +59,10 @@
   @Test
   void theLenderKeepsItsGuarantee() {
     Job night = lending.filledByNight(200, 10);
-    lending.submit(LendingWorld.replicas(2, 8, LendingWorld.DESK));
-    Job lab = lending.submit(LendingWorld.array(3, 8, 200, 10, LendingWorld.LAB));
+    lending.submit(QuotaCluster.replicas(2, 8, QuotaCluster.DESK));
+    Job lab = lending.submit(QuotaCluster.array(3, 8, 200, 10, QuotaCluster.LAB));
     Job urgent =
-        LendingWorld.job(4, JobKind.SERVICE, 4, 0, 0, LendingWorld.DESK, Priority.PRODUCTION);
+        QuotaCluster.job(4, JobKind.SERVICE, 4, 0, 0, QuotaCluster.DESK, Priority.PRODUCTION);
     lending.submit(urgent);
     world.run(30);
     assertEquals(4, lending.running(night));
@@ -73,30 +73,30 @@
   /** Of two tasks on one machine only one is borrowed: both would make room, and neither goes. */
   @Test
   void theSecondVictimOnAMachineIsJudgedAfterTheFirst() {
-    LendingWorld w = LendingWorld.on(3, 40);
-    Job night = w.submit(LendingWorld.array(1, 5, 200, 10, LendingWorld.NIGHT));
+    QuotaCluster w = QuotaCluster.on(3, 40);
+    Job night = w.submit(QuotaCluster.array(1, 5, 200, 10, QuotaCluster.NIGHT));
     w.world.run(20);
-    Job desk = w.submit(LendingWorld.replicas(2, 6, LendingWorld.DESK));
-    Job lab = w.submit(LendingWorld.replicas(3, 5, LendingWorld.LAB));
+    Job desk = w.submit(QuotaCluster.replicas(2, 6, QuotaCluster.DESK));
+    Job lab = w.submit(QuotaCluster.replicas(3, 5, QuotaCluster.LAB));
     w.world.run(8);
     assertEquals(16, w.running(night) + w.running(desk) + w.running(lab));
     long stops = w.world.progress.stops();
     Resources twoGpus = new Resources(1, 2, 4);
     w.submit(
-        LendingWorld.job(4, JobKind.SERVICE, twoGpus, 1, 0, 0, 0, LendingWorld.DESK, Priority.LOW));
+        QuotaCluster.job(4, JobKind.SERVICE, twoGpus, 1, 0, 0, 0, QuotaCluster.DESK, Priority.LOW));
     w.world.run(12);
     assertEquals(5, w.running(night));
     assertEquals(stops, w.world.progress.stops());
-    Outcome.rulesHold(w.world);
+    ExpectedOutcome.rulesHold(w.world);
   }
 
   /** A gang near its checkpoint is waited for; its work goes on from there. */
   @Test
   void aGangNearItsCheckpointIsReclaimedRightAfterIt() {
-    Job gang = lending.submit(LendingWorld.gang(1, 16, 300, 20, LendingWorld.NIGHT));
+    Job gang = lending.submit(QuotaCluster.gang(1, 16, 300, 20, QuotaCluster.NIGHT));
     world.run(25);
     assertEquals(16, lending.running(gang));
-    Job desk = lending.submit(LendingWorld.replicas(2, 8, LendingWorld.DESK));
+    Job desk = lending.submit(QuotaCluster.replicas(2, 8, QuotaCluster.DESK));
     world.run(15);
     assertEquals(8, lending.running(desk));
     assertEquals(0, lending.running(gang), "it needs all of its tasks");
@@ -110,7 +110,7 @@
   void reclaimsAreSpreadOverTheTasks() {
     lending.filledByNight(600, 10);
     for (int rush = 0; rush < 4; rush++) {
-      Job desk = lending.submit(LendingWorld.replicas(10 + rush, 4, LendingWorld.DESK));
+      Job desk = lending.submit(QuotaCluster.replicas(10 + rush, 4, QuotaCluster.DESK));
       world.run(20);
       assertEquals(4, lending.running(desk));
       world.abort(desk.uid());
@@ -123,34 +123,34 @@
   /** Free room that is kept from a gang that borrows is there for a team within its guarantee. */
   @Test
   void aBorrowingGangClaimsNoRoomThatIsKeptFromIt() {
-    LendingWorld w = LendingWorld.on(3, 40);
+    QuotaCluster w = QuotaCluster.on(3, 40);
     Job night = w.filledByNight(600, 10);
-    Job desk = w.submit(LendingWorld.replicas(2, 8, LendingWorld.DESK));
+    Job desk = w.submit(QuotaCluster.replicas(2, 8, QuotaCluster.DESK));
     w.world.run(15);
     assertEquals(8, w.running(desk));
     w.world.abort(desk.uid());
-    Job gang = w.submit(LendingWorld.gang(3, 5, 60, 10, LendingWorld.NIGHT));
-    Job lab = LendingWorld.array(4, 4, 60, 10, LendingWorld.LAB);
+    Job gang = w.submit(QuotaCluster.gang(3, 5, 60, 10, QuotaCluster.NIGHT));
+    Job lab = QuotaCluster.array(4, 4, 60, 10, QuotaCluster.LAB);
     w.world.at(3000, () -> w.submit(lab));
     w.world.run(8);
     assertEquals(0, w.running(gang), "it is kept from the room");
     assertEquals(4, w.running(lab));
     assertEquals(8, w.world.progress.stops(), "there was room");
     assertEquals(8, w.running(night));
-    Outcome.rulesHold(w.world);
+    ExpectedOutcome.rulesHold(w.world);
   }
 
   /** An urgent gang beyond its team's guarantee gets the room that is made for it. */
   @Test
   void aBorrowingGangStartsWhereRoomWasMadeForIt() {
-    LendingWorld w = LendingWorld.on(3, 40);
+    QuotaCluster w = QuotaCluster.on(3, 40);
     Job night = w.filledByNight(600, 10);
-    Job gang = LendingWorld.job(2, JobKind.GANG, 6, 100, 10, LendingWorld.LAB, Priority.PRODUCTION);
+    Job gang = QuotaCluster.job(2, JobKind.GANG, 6, 100, 10, QuotaCluster.LAB, Priority.PRODUCTION);
     w.submit(gang);
-    w.world.run(LendingWorld.RECLAIM_S);
+    w.world.run(QuotaCluster.RECLAIM_S);
     assertEquals(6, w.running(gang));
     assertEquals(10, w.running(night));
-    Outcome.rulesHold(w.world);
+    ExpectedOutcome.rulesHold(w.world);
   }
 
   /** A save that hangs is ended, and the room goes to the job that waits for it. */
@@ -158,10 +158,10 @@
   void aSaveThatHangsIsGivenUp() {
     Job night = lending.filledByNight(200, 30);
     world.workers().forEach(w -> world.progress.savesHangOn.add(w.machine.name()));
-    Job desk = lending.submit(LendingWorld.replicas(2, 8, LendingWorld.DESK));
+    Job desk = lending.submit(QuotaCluster.replicas(2, 8, QuotaCluster.DESK));
     world.run(20);
     assertEquals(8, lending.running(desk));
     assertEquals(8, lending.running(night));
-    Outcome.rulesHold(world);
+    ExpectedOutcome.rulesHold(world);
   }
 }
--- a/src/test/java/eiderfork/core/LendingWorld.java
+++ b/src/test/java/eiderfork/controller/QuotaCluster.java
@@ -1,4 +1,4 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import com.google.common.collect.ImmutableList;
 import com.google.common.collect.ImmutableMap;
@@ -8,7 +8,7 @@
 import eiderfork.model.MachineType;
 import eiderfork.model.Priority;
 import eiderfork.model.Resources;
-import eiderfork.model.TaskReport;
+import eiderfork.model.TaskStatus;
 import eiderfork.model.Team;
 import java.util.ArrayList;
 import java.util.List;
@@ -17,7 +17,7 @@
  * Three controllers, four machines of four GPUs and no more to rent; batch work of one team borrows
  * what another is guaranteed.
  */
-final class LendingWorld {
+final class QuotaCluster {
   static final String DESK = "desk";
   static final String NIGHT = "night";
   static final String LAB = "lab";
@@ -29,25 +29,25 @@
   /** Within this time a team has its guarantee back while nothing else goes wrong. */
   static final double RECLAIM_S = 8;
 
-  final World world;
+  final SimulatedCluster world;
   final GuaranteeChecker guarantees;
   final List<Job> jobs = new ArrayList<>();
 
-  private LendingWorld(World world) {
+  private QuotaCluster(SimulatedCluster world) {
     this.world = world;
     world.cloud.types = world.cloud.types.subList(0, 1);
     world.cloud.capacity = 0;
-    world.cloud.stock.put(new Cloud.Kind("g4", "a", false), MACHINES);
+    world.cloud.stock.put(new CloudProvisioner.Kind("g4", "a", false), MACHINES);
     guarantees = new GuaranteeChecker(world);
   }
 
-  static LendingWorld on(long seed) {
-    return new LendingWorld(new World(seed, settings(true)));
+  static QuotaCluster on(long seed) {
+    return new QuotaCluster(new SimulatedCluster(seed, settings(true)));
   }
 
   /** The same, where a machine boots for this long by its type, which is the first cooldown. */
-  static LendingWorld on(long seed, double bootS) {
-    LendingWorld w = on(seed);
+  static QuotaCluster on(long seed, double bootS) {
+    QuotaCluster w = on(seed);
     MachineType g4 = w.world.cloud.types.get(0);
     w.world.cloud.types =
         ImmutableList.of(
@@ -63,8 +63,8 @@
     return w;
   }
 
-  static LendingWorld off(long seed) {
-    return new LendingWorld(new World(seed, settings(false)));
+  static QuotaCluster off(long seed) {
+    return new QuotaCluster(new SimulatedCluster(seed, settings(false)));
   }
 
   static Settings settings(boolean lending) {
@@ -73,7 +73,8 @@
             DESK, new Team(DESK, 0, 0, DESK_GPUS, 12),
             NIGHT, new Team(NIGHT, 0, 0, NIGHT_GPUS, 0),
             LAB, new Team(LAB, 0, 0, LAB_GPUS, 0));
-    return Samples.withTeams(Samples.withLending(Samples.settings("roost-0"), lending), teams);
+    return TestFixtures.withTeams(
+        TestFixtures.withLending(TestFixtures.settings("roost-0"), lending), teams);
   }
 
   /** An array that saves each {@code checkpointS}, in 2 s when it is stopped; 0: never. */
@@ -155,7 +156,7 @@
   }
 
   /** The workers on which a task of the job is in this state. */
-  List<FakeWorker> workersWith(Job job, TaskReport.State state) {
+  List<FakeWorker> workersWith(Job job, TaskStatus.State state) {
     return world.workers().stream()
         .filter(
             worker ->
--- a/src/test/java/eiderfork/core/LendingDay.java
+++ b/src/test/java/eiderfork/controller/QuotaDay.java
@@ -1,4 +1,4 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import com.google.common.collect.ImmutableList;
 import com.google.common.collect.ImmutableMap;
@@ -21,7 +21,7 @@
  * nightly scans and fine-tuning, and in it leaders that end while room is reclaimed, machines that
  * are lost, an outage of the state service and a zone that is cut off.
  */
-final class LendingDay {
+final class QuotaDay {
   private static final String DESK = "desk";
   private static final String PRESS = "press";
   private static final String SCANS = "scans";
@@ -41,7 +41,7 @@
 
   private record Started(Job job, long submittedMs) {}
 
-  final World world;
+  final SimulatedCluster world;
   final GuaranteeChecker guarantees;
   private final Random script;
   private final long beganMs;
@@ -61,8 +61,8 @@
   /**
    * @param fromHour the hour of the day to begin at
    */
-  LendingDay(long seed, boolean lending, int fromHour, int hours) {
-    world = new World(seed, settings(lending));
+  QuotaDay(long seed, boolean lending, int fromHour, int hours) {
+    world = new SimulatedCluster(seed, settings(lending));
     script = new Random(seed * 101);
     MachineType type =
         new MachineType(
@@ -78,7 +78,7 @@
     world.cloud.bootMs = (long) (BOOT_S * 1000);
     world.cloud.capacity = 0;
     for (String zone : List.of("a", "b")) {
-      world.cloud.stock.put(new Cloud.Kind("g4", zone, false), MACHINES_PER_ZONE);
+      world.cloud.stock.put(new CloudProvisioner.Kind("g4", zone, false), MACHINES_PER_ZONE);
     }
     beganMs = world.nowMs;
     fromMs = (long) fromHour * HOUR_MS;
@@ -103,7 +103,8 @@
             PRESS, new Team(PRESS, 0, 0, 8, 0),
             SCANS, new Team(SCANS, 0, 0, 4, 0),
             TUNING, new Team(TUNING, 0, 0, 4, 0));
-    return Samples.withTeams(Samples.withLending(Samples.settings("roost-0"), lending), teams);
+    return TestFixtures.withTeams(
+        TestFixtures.withLending(TestFixtures.settings("roost-0"), lending), teams);
   }
 
   /** Plays the day, in steps of an hour so that what is over is not kept. */
@@ -121,7 +122,7 @@
       JobKind kind, String team, Priority priority, int tasks, double runS, double checkpointS) {
     double saveS = checkpointS > 0 ? Math.max(2, checkpointS / 30) : 0;
     Resources need = new Resources(2, 1, 8);
-    return LendingWorld.job(++lastJob, kind, need, tasks, runS, checkpointS, saveS, team, priority);
+    return QuotaCluster.job(++lastJob, kind, need, tasks, runS, checkpointS, saveS, team, priority);
   }
 
   private void replicas(String team, int tasks, long fromOfDayMs, long forMs) {
--- a/src/test/java/eiderfork/core/LendingDayTest.java
+++ b/src/test/java/eiderfork/controller/QuotaDayTest.java
@@ -1,4 +1,4 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -16,15 +16,15 @@
  * the properties {@code day.hours}, {@code day.seeds} and {@code day.out} play more, and write the
  * record, see {@code docs/lending.md}.
  */
-class LendingDayTest {
+class QuotaDayTest {
   private static final int WHOLE_DAY = 24;
   private static final int FIRST_HOUR_OF_PART = 13;
 
   private static final int HOURS = Integer.getInteger("day.hours", 2);
 
-  private static LendingDay play(long seed, boolean lending, int hours) {
+  private static QuotaDay play(long seed, boolean lending, int hours) {
     int fromHour = hours < WHOLE_DAY ? FIRST_HOUR_OF_PART : 0;
-    LendingDay day = new LendingDay(seed, lending, fromHour, hours);
+    QuotaDay day = new QuotaDay(seed, lending, fromHour, hours);
     day.play();
     return day;
   }
@@ -32,10 +32,10 @@
   @Test
   void everyTeamsGuaranteeIsHeldOrExplainedEachMinute() throws IOException {
     List<String> summary = new ArrayList<>();
-    summary.add("seed,lending," + LendingDay.SUMMARY_HEADER);
+    summary.add("seed,lending," + QuotaDay.SUMMARY_HEADER);
     for (String text : System.getProperty("day.seeds", "1").split(",")) {
       long seed = Long.parseLong(text);
-      LendingDay day = play(seed, true, HOURS);
+      QuotaDay day = play(seed, true, HOURS);
       summary.add(seed + ",on," + day.summary());
       write("record-seed-%d.csv".formatted(seed), rows(day));
       if (System.getProperty("day.out") != null) {
@@ -51,12 +51,12 @@
   /** The record shows it where nobody gives guarantees back. */
   @Test
   void theRecordShowsGuaranteesThatAreNotHeld() {
-    LendingDay day = play(1, false, 1);
+    QuotaDay day = play(1, false, 1);
     assertEquals(List.of(), day.world.checker.breaches);
     assertFalse(day.guarantees.unexplained.isEmpty());
   }
 
-  private static List<String> rows(LendingDay day) {
+  private static List<String> rows(QuotaDay day) {
     List<String> rows = new ArrayList<>();
     rows.add(GuaranteeChecker.CSV_HEADER);
     day.guarantees.minutes.forEach(minute -> rows.add(minute.csv()));
--- a/src/test/java/eiderfork/core/QuotaTest.java
+++ b/src/test/java/eiderfork/controller/QuotaLimitTest.java
@@ -1,4 +1,4 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -12,14 +12,14 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** A team's limit holds whatever can't be asked, and what is free under it is used. */
-class QuotaTest {
+class QuotaLimitTest {
   /** The red team may use ten GPUs. */
   private static Job red(int number, JobKind kind, int tasks, double gpus) {
-    return Samples.job(number, kind, tasks, gpus, "red", Priority.HIGH, false, false);
+    return TestFixtures.job(number, kind, tasks, gpus, "red", Priority.HIGH, false, false);
   }
 
   /** Fills the team's limit and has more of it wait. */
-  private static List<Job> fullTeam(World world) {
+  private static List<Job> fullTeam(SimulatedCluster world) {
     List<Job> jobs = new ArrayList<>();
     for (int i = 1; i <= 5; i++) {
       jobs.add(red(i, JobKind.SERVICE, 1, 2));
@@ -36,7 +36,7 @@
     return jobs;
   }
 
-  private static List<FakeWorker> busy(World world) {
+  private static List<FakeWorker> busy(SimulatedCluster world) {
     return world.workers().stream().filter(w -> !w.present().isEmpty()).toList();
   }
 
@@ -49,7 +49,7 @@
   @ValueSource(ints = {-1500, -700, -300, -100, 0, 50, 150, 400, 900, 2000, 4000, 8000})
   void cancelledTasksOnMachinesThatCannotBeAskedCountAcrossATakeover(int crashAfterMs) {
     for (boolean hang : new boolean[] {true, false}) {
-      World world = new World(5);
+      SimulatedCluster world = new SimulatedCluster(5);
       List<Job> jobs = fullTeam(world);
       List<FakeWorker> unheard = busy(world);
       world.at(
@@ -68,7 +68,7 @@
       world.at(2050, () -> jobs.subList(0, 5).forEach(job -> world.abort(job.uid())));
       world.at(2050 + crashAfterMs, () -> world.crash(world.leader(), 3000));
       world.run(40);
-      Outcome.allServed(world, jobs);
+      ExpectedOutcome.allServed(world, jobs);
       assertEquals(5, world.checker.runningTasks(), "what waited has the room of the cancelled");
     }
   }
@@ -77,7 +77,7 @@
   @ParameterizedTest
   @ValueSource(ints = {0, 300, 1500, 6000, 12_000})
   void theLimitIsFreeAgainOnceTheLeasesHaveLapsed(int crashAfterMs) {
-    World world = new World(6);
+    SimulatedCluster world = new SimulatedCluster(6);
     List<Job> jobs = fullTeam(world);
     List<FakeWorker> unheard = busy(world);
     for (int i = 0; i < unheard.size(); i++) {
@@ -92,7 +92,7 @@
     jobs.subList(0, 5).forEach(job -> world.abort(job.uid()));
     world.at(crashAfterMs, () -> world.crash(world.leader(), 3000));
     world.run(60);
-    Outcome.allServed(world, jobs);
+    ExpectedOutcome.allServed(world, jobs);
     assertEquals(5, world.checker.runningTasks());
   }
 
@@ -100,7 +100,7 @@
   @ParameterizedTest
   @ValueSource(ints = {0, 500, 1000, 1500, 2000, 2500, 3000, 3300, 3400, 3500, 3700, 4000, 5000})
   void aCancellationWhileNobodyLeadsFreesTheLimitOnce(int abortAfterMs) {
-    World world = new World(8);
+    SimulatedCluster world = new SimulatedCluster(8);
     List<Job> jobs = fullTeam(world);
     FakeWorker deaf = busy(world).get(0);
     world.deafen(deaf.machine.name(), 9000);
@@ -109,7 +109,7 @@
     world.at(abortAfterMs, () -> world.abort(jobs.get(0).uid()));
     world.at(abortAfterMs + 100, () -> world.abort(jobs.get(1).uid()));
     world.run(40);
-    Outcome.rulesHold(world);
+    ExpectedOutcome.rulesHold(world);
     assertEquals(5, world.checker.runningTasks());
   }
 
@@ -120,7 +120,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
   void endsThatAreNotCommittedYetCountForTheLimit(long seed) {
-    World world = new World(seed);
+    SimulatedCluster world = new SimulatedCluster(seed);
     world.run(3);
     world.lateWrites = 0.4;
     List<Job> jobs = new ArrayList<>();
@@ -139,7 +139,7 @@
           });
     }
     world.run(60);
-    Outcome.allServed(world, jobs);
+    ExpectedOutcome.allServed(world, jobs);
   }
 
   /**
@@ -150,7 +150,7 @@
   @ValueSource(ints = {100, 200, 300, 400, 500, 600, 700, 800, 900, 1000, 1100, 1200, 1300, 1400})
   void aStartThatIsUnderWayCountsUntilItCannotBeExecuted(int abortAfterMs) {
     for (int lateMs : new int[] {700, 1100, 1500, 1900}) {
-      World world = new World(11);
+      SimulatedCluster world = new SimulatedCluster(11);
       List<Job> jobs = new ArrayList<>();
       for (int i = 1; i <= 4; i++) {
         jobs.add(red(i, JobKind.SERVICE, 1, 2));
@@ -170,7 +170,7 @@
           abortAfterMs + lateMs / 2,
           () -> world.workers().forEach(worker -> world.mute(worker.machine.name(), 4000)));
       world.run(15);
-      Outcome.allServed(world, jobs);
+      ExpectedOutcome.allServed(world, jobs);
     }
   }
 
@@ -178,14 +178,14 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2})
   void shortJobsFourASecondForMinutes(long seed) {
-    World world = new World(seed);
+    SimulatedCluster world = new SimulatedCluster(seed);
     world.late = 0.01;
     List<Job> jobs = new ArrayList<>();
     for (int i = 1; i <= 480; i++) {
       Job job =
           i % 2 == 0
               ? red(i, JobKind.ARRAY, 1, 1)
-              : Samples.job(i, JobKind.ARRAY, 1, i % 4 == 1 ? 1 : 0);
+              : TestFixtures.job(i, JobKind.ARRAY, 1, i % 4 == 1 ? 1 : 0);
       jobs.add(job);
       world.at(10_000 + i * 250L, () -> world.submit(job));
       if (i % 4 == 0) {
@@ -194,14 +194,14 @@
     }
     world.at(60_000, () -> world.crash(world.leader(), 3000));
     world.run(150);
-    Outcome.allServed(world, jobs);
+    ExpectedOutcome.allServed(world, jobs);
   }
 
   /** There is more work than room, urgent and not, over slow links. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void moreWorkThanRoomOverSlowLinks(long seed) {
-    World world = new World(seed);
+    SimulatedCluster world = new SimulatedCluster(seed);
     world.cloud.capacity = 1;
     world.late = 0.2;
     world.lateMs = 1500;
@@ -209,12 +209,12 @@
     for (int i = 1; i <= 24; i++) {
       Priority priority = Priority.values()[i % 4];
       Job job =
-          Samples.job(i, JobKind.ARRAY, 1 + i % 6, i % 3, "blue", priority, false, i % 2 == 0);
+          TestFixtures.job(i, JobKind.ARRAY, 1 + i % 6, i % 3, "blue", priority, false, i % 2 == 0);
       jobs.add(job);
       world.at(i * 700L, () -> world.submit(job));
     }
     world.run(60);
-    Outcome.allServed(world, jobs);
+    ExpectedOutcome.allServed(world, jobs);
     assertTrue(world.checker.starts >= jobs.stream().mapToInt(Job::tasks).sum());
   }
 }
--- a/src/test/java/eiderfork/core/LendingFailureTest.java
+++ b/src/test/java/eiderfork/controller/QuotaReclaimFailureTest.java
@@ -1,4 +1,4 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -8,7 +8,7 @@
 import eiderfork.model.JobStatus.Stance;
 import eiderfork.model.Priority;
 import eiderfork.model.Resources;
-import eiderfork.model.TaskReport;
+import eiderfork.model.TaskStatus;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
@@ -20,7 +20,7 @@
  * Controllers and machines fail at every moment of a reclaim. A team asks for its guarantee while
  * another borrows it; the moments go from before the request until the room is taken.
  */
-class LendingFailureTest {
+class QuotaReclaimFailureTest {
   private static final int FIRST_MS = -400;
   private static final int LAST_MS = 5200;
   private static final int EACH_MS = 350;
@@ -34,14 +34,14 @@
   enum Trouble {
     LEADER_KILLED(false, w -> w.world.crash(w.leader(), 3000)),
     LEADER_KILLED_AND_BACK_AT_ONCE(false, w -> w.world.crash(w.leader(), 200)),
-    LEADER_AND_NEXT_KILLED(false, LendingFailureTest::killTwice),
+    LEADER_AND_NEXT_KILLED(false, QuotaReclaimFailureTest::killTwice),
     ALL_KILLED(false, w -> w.world.all().forEach(node -> w.world.crash(node, 1500))),
     FOUR_CHANGES(false, w -> changeLeaders(w, 4, 1400)),
     LEADER_STANDS_STILL(false, w -> w.world.freeze(w.leader(), LASTS_MS)),
     LEADER_ISOLATED(false, w -> w.world.isolate(w.leader(), LASTS_MS)),
     LEADER_REFUSED(false, w -> w.world.refuse(w.leader(), LASTS_MS)),
-    LEADER_ISOLATED_COMMANDS_LATE(true, LendingFailureTest::isolateWithLateCommands),
-    STATE_OUT(false, LendingFailureTest::stateOut),
+    LEADER_ISOLATED_COMMANDS_LATE(true, QuotaReclaimFailureTest::isolateWithLateCommands),
+    STATE_OUT(false, QuotaReclaimFailureTest::stateOut),
     WRITES_LATE(false, w -> forAWhile(w, () -> w.world.lateWrites = 1)),
     ANSWERS_LOST(false, w -> forAWhile(w, () -> w.world.lostAnswers = 1)),
     ANSWERS_LOST_AND_LEADER_KILLED(
@@ -86,38 +86,38 @@
     /** Machines may lose tasks, or not answer, so that others are stopped in their stead. */
     final boolean machinesFail;
 
-    final Consumer<LendingWorld> begin;
+    final Consumer<QuotaCluster> begin;
 
-    Trouble(boolean machinesFail, Consumer<LendingWorld> begin) {
+    Trouble(boolean machinesFail, Consumer<QuotaCluster> begin) {
       this.machinesFail = machinesFail;
       this.begin = begin;
     }
   }
 
-  private static void killTwice(LendingWorld w) {
+  private static void killTwice(QuotaCluster w) {
     w.world.crash(w.leader(), 4000);
     w.world.at(2500, () -> w.world.crash(w.leader(), 3000));
   }
 
-  private static void changeLeaders(LendingWorld w, int times, long eachMs) {
+  private static void changeLeaders(QuotaCluster w, int times, long eachMs) {
     for (int i = 0; i < times; i++) {
       w.world.at(i * eachMs, () -> w.world.crash(w.leader(), 400));
     }
   }
 
   /** Its commands of before arrive after the next leader's. */
-  private static void isolateWithLateCommands(LendingWorld w) {
+  private static void isolateWithLateCommands(QuotaCluster w) {
     w.world.commandsLateMs = 2500;
     w.world.isolate(w.leader(), LASTS_MS);
     w.world.at(LASTS_MS, () -> w.world.commandsLateMs = 0);
   }
 
-  private static void stateOut(LendingWorld w) {
+  private static void stateOut(QuotaCluster w) {
     w.world.state.outage(w.world.nowMs);
     w.world.at(LASTS_MS, () -> w.world.state.recover(w.world.nowMs));
   }
 
-  private static void forAWhile(LendingWorld w, Runnable begin) {
+  private static void forAWhile(QuotaCluster w, Runnable begin) {
     begin.run();
     w.world.at(
         LASTS_MS,
@@ -127,7 +127,7 @@
         });
   }
 
-  private static List<String> busy(LendingWorld w, int machines) {
+  private static List<String> busy(QuotaCluster w, int machines) {
     return w.world.workers().stream()
         .filter(worker -> !worker.present().isEmpty())
         .limit(machines)
@@ -135,7 +135,7 @@
         .toList();
   }
 
-  private static void hang(LendingWorld w, int machines) {
+  private static void hang(QuotaCluster w, int machines) {
     List<FakeWorker> hung = w.world.workers().stream().limit(machines).toList();
     hung.forEach(worker -> worker.hanging = true);
     w.world.at(LASTS_MS, () -> hung.forEach(worker -> worker.hanging = false));
@@ -150,11 +150,11 @@
     return moments;
   }
 
-  private static LendingWorld play(Trouble trouble, int afterMs, double checkpointS) {
-    LendingWorld w = LendingWorld.on(7 + afterMs);
+  private static QuotaCluster play(Trouble trouble, int afterMs, double checkpointS) {
+    QuotaCluster w = QuotaCluster.on(7 + afterMs);
     w.filledByNight(400, checkpointS);
     long askAtMs = Math.max(0, -FIRST_MS);
-    w.world.at(askAtMs, () -> w.submit(LendingWorld.replicas(2, ASKED, LendingWorld.DESK)));
+    w.world.at(askAtMs, () -> w.submit(QuotaCluster.replicas(2, ASKED, QuotaCluster.DESK)));
     w.world.at(
         askAtMs + afterMs,
         () -> {
@@ -165,7 +165,7 @@
     return w;
   }
 
-  private static void holds(Trouble trouble, LendingWorld w, String when) {
+  private static void holds(Trouble trouble, QuotaCluster w, String when) {
     assertEquals(List.of(), w.world.checker.breaches, when);
     assertEquals(ASKED, w.world.checker.running("run-000002"), () -> when + ": desk");
     assertEquals(16 - ASKED, w.world.checker.running("run-000001"), () -> when + ": night");
@@ -201,12 +201,12 @@
   @ValueSource(ints = {0, 1, 2})
   void membersWithoutLendingAreAmongThem(int older) {
     for (int afterMs : moments()) {
-      LendingWorld w = LendingWorld.on(40 + afterMs);
+      QuotaCluster w = QuotaCluster.on(40 + afterMs);
       w.world.older.add("roost-" + older);
       w.world.olderVersion = ClusterVersion.BITMAP_ALLOCS - 1;
       w.world.crash("roost-" + older, 50);
       w.filledByNight(400, 15);
-      w.submit(LendingWorld.replicas(2, ASKED, LendingWorld.DESK));
+      w.submit(QuotaCluster.replicas(2, ASKED, QuotaCluster.DESK));
       w.world.at(Math.max(0, afterMs), () -> w.world.crash(w.leader(), 1500));
       w.world.at(20_000, () -> w.world.older.clear());
       w.world.at(20_050, () -> w.world.crash("roost-" + older, 500));
@@ -222,9 +222,9 @@
   @EnumSource(names = {"LEADER_KILLED", "LEADER_ISOLATED", "ALL_KILLED"})
   void aSaveThatOutlastsItsLeaderGoesOn(Trouble trouble) {
     for (int afterMs : moments()) {
-      LendingWorld w = LendingWorld.on(81 + afterMs);
+      QuotaCluster w = QuotaCluster.on(81 + afterMs);
       Job night =
-          LendingWorld.job(
+          QuotaCluster.job(
               1,
               JobKind.ARRAY,
               new Resources(1, 1, 4),
@@ -232,12 +232,12 @@
               400,
               60,
               9,
-              LendingWorld.NIGHT,
+              QuotaCluster.NIGHT,
               Priority.HIGH);
       w.submit(night);
       w.world.run(30);
       assertEquals(16, w.running(night));
-      w.submit(LendingWorld.replicas(2, ASKED, LendingWorld.DESK));
+      w.submit(QuotaCluster.replicas(2, ASKED, QuotaCluster.DESK));
       w.world.at(Math.max(0, afterMs), () -> trouble.begin.accept(w));
       w.world.run(30);
       String when = trouble + " after " + afterMs + " ms";
@@ -253,9 +253,9 @@
   @ValueSource(ints = {-1, 0, 300, 1000, 2500})
   void aRushThatEndsWhileBorrowersSave(int crashAfterMs) {
     for (int endsAfterMs = 100; endsAfterMs <= LAST_MS; endsAfterMs += EACH_MS) {
-      LendingWorld w = LendingWorld.on(11 + endsAfterMs);
+      QuotaCluster w = QuotaCluster.on(11 + endsAfterMs);
       Job night = w.filledByNight(400, 15);
-      Job desk = w.submit(LendingWorld.replicas(2, ASKED, LendingWorld.DESK));
+      Job desk = w.submit(QuotaCluster.replicas(2, ASKED, QuotaCluster.DESK));
       w.world.at(endsAfterMs, () -> w.world.abort(desk.uid()));
       if (crashAfterMs >= 0) {
         w.world.at(endsAfterMs + crashAfterMs, () -> w.world.crash(w.leader(), 2000));
@@ -274,10 +274,10 @@
   @ValueSource(ints = {0, 200, 500, 900, 1400, 2000, 2600, 3400})
   void aBorrowerThatIsCancelledWhileItSavesEndsInTime(int afterMs) {
     for (boolean crash : new boolean[] {false, true}) {
-      LendingWorld w = LendingWorld.on(23 + afterMs);
+      QuotaCluster w = QuotaCluster.on(23 + afterMs);
       w.world.workers().forEach(m -> w.world.progress.savesHangOn.add(m.machine.name()));
       Job night = w.filledByNight(400, 15);
-      Job desk = w.submit(LendingWorld.replicas(2, ASKED, LendingWorld.DESK));
+      Job desk = w.submit(QuotaCluster.replicas(2, ASKED, QuotaCluster.DESK));
       w.world.at(
           afterMs,
           () -> {
@@ -304,11 +304,11 @@
   @ValueSource(ints = {0, 50, 300, 1000})
   void twoTeamsRushAtOnce(int apartMs) {
     for (int afterMs : moments()) {
-      LendingWorld w = LendingWorld.on(31 + afterMs + apartMs);
+      QuotaCluster w = QuotaCluster.on(31 + afterMs + apartMs);
       Job night = w.filledByNight(400, 15);
-      w.world.at(500, () -> w.submit(LendingWorld.replicas(2, 8, LendingWorld.DESK)));
+      w.world.at(500, () -> w.submit(QuotaCluster.replicas(2, 8, QuotaCluster.DESK)));
       w.world.at(
-          500 + apartMs, () -> w.submit(LendingWorld.array(3, 10, 400, 15, LendingWorld.LAB)));
+          500 + apartMs, () -> w.submit(QuotaCluster.array(3, 10, 400, 15, QuotaCluster.LAB)));
       w.world.at(500 + afterMs, () -> w.world.crash(w.leader(), 2000));
       w.world.run(45);
       String when = "after " + afterMs + " ms";
@@ -323,40 +323,40 @@
   @ParameterizedTest
   @ValueSource(ints = {-1, 200, 900, 1800, 3000})
   void aTeamThatLendsAndBorrowsAtOnce(int crashAfterMs) {
-    LendingWorld w = LendingWorld.on(51);
-    Job night = w.submit(LendingWorld.array(1, 10, 400, 15, LendingWorld.NIGHT));
-    Job lab = w.submit(LendingWorld.array(2, 6, 400, 15, LendingWorld.LAB));
+    QuotaCluster w = QuotaCluster.on(51);
+    Job night = w.submit(QuotaCluster.array(1, 10, 400, 15, QuotaCluster.NIGHT));
+    Job lab = w.submit(QuotaCluster.array(2, 6, 400, 15, QuotaCluster.LAB));
     w.world.run(25);
     assertEquals(16, w.running(night) + w.running(lab));
-    Job desk = w.submit(LendingWorld.replicas(3, 8, LendingWorld.DESK));
-    w.submit(LendingWorld.replicas(4, 4, LendingWorld.LAB));
+    Job desk = w.submit(QuotaCluster.replicas(3, 8, QuotaCluster.DESK));
+    w.submit(QuotaCluster.replicas(4, 4, QuotaCluster.LAB));
     if (crashAfterMs >= 0) {
       w.world.at(crashAfterMs, () -> w.world.crash(w.leader(), 2000));
     }
     w.world.run(40);
-    Outcome.rulesHold(w.world);
+    ExpectedOutcome.rulesHold(w.world);
     assertEquals(8, w.running(desk));
-    assertEquals(LendingWorld.NIGHT_GPUS, w.world.checker.held(LendingWorld.NIGHT).gpus());
-    assertEquals(LendingWorld.LAB_GPUS, w.world.checker.held(LendingWorld.LAB).gpus());
+    assertEquals(QuotaCluster.NIGHT_GPUS, w.world.checker.held(QuotaCluster.NIGHT).gpus());
+    assertEquals(QuotaCluster.LAB_GPUS, w.world.checker.held(QuotaCluster.LAB).gpus());
   }
 
   /** Every team is at its limit; nothing is stopped for what could not start anyway. */
   @ParameterizedTest
   @ValueSource(ints = {-1, 300, 1500})
   void atItsLimitATeamReclaimsNothing(int crashAfterMs) {
-    LendingWorld w = LendingWorld.on(61);
-    Job desk = w.submit(LendingWorld.replicas(1, 12, LendingWorld.DESK));
-    Job night = w.submit(LendingWorld.array(2, 4, 400, 15, LendingWorld.NIGHT));
+    QuotaCluster w = QuotaCluster.on(61);
+    Job desk = w.submit(QuotaCluster.replicas(1, 12, QuotaCluster.DESK));
+    Job night = w.submit(QuotaCluster.array(2, 4, 400, 15, QuotaCluster.NIGHT));
     w.world.run(25);
     assertEquals(12, w.running(desk), "its limit");
     Job more =
-        LendingWorld.job(3, JobKind.SERVICE, 4, 0, 0, LendingWorld.DESK, Priority.PRODUCTION);
+        QuotaCluster.job(3, JobKind.SERVICE, 4, 0, 0, QuotaCluster.DESK, Priority.PRODUCTION);
     w.submit(more);
     if (crashAfterMs >= 0) {
       w.world.at(crashAfterMs, () -> w.world.crash(w.leader(), 2000));
     }
     w.world.run(30);
-    Outcome.rulesHold(w.world);
+    ExpectedOutcome.rulesHold(w.world);
     assertEquals(4, w.running(night));
     assertEquals(0, w.running(more));
     assertEquals(0, w.world.progress.stops());
@@ -367,16 +367,16 @@
   @ValueSource(ints = {-1, 100, 800, 2000})
   void aBorrowingGangLosesAMember(int crashAfterMs) {
     for (int afterMs = 0; afterMs <= LAST_MS; afterMs += EACH_MS) {
-      LendingWorld w = LendingWorld.on(71 + afterMs);
-      Job night = w.submit(LendingWorld.array(1, 4, 400, 15, LendingWorld.NIGHT));
-      Job gang = w.submit(LendingWorld.gang(2, 12, 400, 30, LendingWorld.LAB));
+      QuotaCluster w = QuotaCluster.on(71 + afterMs);
+      Job night = w.submit(QuotaCluster.array(1, 4, 400, 15, QuotaCluster.NIGHT));
+      Job gang = w.submit(QuotaCluster.gang(2, 12, 400, 30, QuotaCluster.LAB));
       w.world.run(25);
       assertEquals(12, w.running(gang));
-      Job desk = w.submit(LendingWorld.replicas(3, 8, LendingWorld.DESK));
+      Job desk = w.submit(QuotaCluster.replicas(3, 8, QuotaCluster.DESK));
       w.world.at(
           afterMs,
           () -> {
-            List<FakeWorker> members = w.workersWith(gang, TaskReport.State.RUNNING);
+            List<FakeWorker> members = w.workersWith(gang, TaskStatus.State.RUNNING);
             if (!members.isEmpty()) {
               w.world.die(members.get(0).machine.name());
             }
--- a/src/test/java/eiderfork/core/LendingFlapTest.java
+++ b/src/test/java/eiderfork/controller/QuotaReclaimFlappingTest.java
@@ -1,9 +1,9 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import eiderfork.core.lending.LoanCooldowns;
+import eiderfork.controller.quota.ReclaimCooldowns;
 import eiderfork.model.Job;
 import java.util.HashMap;
 import java.util.Map;
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** A rush that stops and starts does not make borrowed work go to and fro. */
-class LendingFlapTest {
+class QuotaReclaimFlappingTest {
   private static final double BOOT_S = 40;
   private static final double FLAPS_S = 1200;
   private static final int GPUS = 4;
@@ -20,22 +20,22 @@
   /** A gang that alone borrows is not stopped by each of the rushes that come every minute. */
   @Test
   void aGangIsNotStoppedAgainAndAgain() {
-    LendingWorld w = LendingWorld.on(19, BOOT_S);
-    w.submit(LendingWorld.array(1, 4, 4 * FLAPS_S, 15, LendingWorld.NIGHT));
-    Job gang = w.submit(LendingWorld.gang(2, 8, 4 * FLAPS_S, 15, LendingWorld.LAB));
+    QuotaCluster w = QuotaCluster.on(19, BOOT_S);
+    w.submit(QuotaCluster.array(1, 4, 4 * FLAPS_S, 15, QuotaCluster.NIGHT));
+    Job gang = w.submit(QuotaCluster.gang(2, 8, 4 * FLAPS_S, 15, QuotaCluster.LAB));
     w.world.run(25);
     assertEquals(8, w.running(gang));
     for (int i = 0; i < FLAPS_S / 60; i++) {
-      Job rush = LendingWorld.replicas(100 + i, 8, LendingWorld.DESK);
+      Job rush = QuotaCluster.replicas(100 + i, 8, QuotaCluster.DESK);
       w.world.at(i * 60_000L, () -> w.submit(rush));
       w.world.at(i * 60_000L + 25_000, () -> w.world.abort(rush.uid()));
     }
     w.world.run(FLAPS_S);
-    double most = LoanCooldowns.mostReversals(FLAPS_S, BOOT_S);
+    double most = ReclaimCooldowns.mostReversals(FLAPS_S, BOOT_S);
     assertTrue(w.world.progress.mostStopsOfATask() <= most, "stops of one task");
     w.world.run(400);
     assertEquals(8, w.running(gang));
-    Outcome.rulesHold(w.world);
+    ExpectedOutcome.rulesHold(w.world);
   }
 
   /** Columns: the rush's period in seconds, its share of it, and how often leaders end. */
@@ -58,7 +58,7 @@
     "180, 0.5, 2"
   })
   void movesStayWithinTheStatedBound(double periodS, double share, int leaderEnds) {
-    LendingWorld w = LendingWorld.on(17 + (long) periodS, BOOT_S);
+    QuotaCluster w = QuotaCluster.on(17 + (long) periodS, BOOT_S);
     Job night = w.filledByNight(4 * FLAPS_S, 15);
     Map<String, Integer> stops = new HashMap<>();
     w.world.progress.onStop =
@@ -69,7 +69,7 @@
         };
     int rushes = (int) (FLAPS_S / periodS);
     for (int i = 0; i < rushes; i++) {
-      Job rush = LendingWorld.replicas(100 + i, 8, LendingWorld.DESK);
+      Job rush = QuotaCluster.replicas(100 + i, 8, QuotaCluster.DESK);
       long beginsMs = (long) (i * periodS * 1000);
       w.world.at(beginsMs, () -> w.submit(rush));
       w.world.at(beginsMs + (long) (periodS * share * 1000), () -> w.world.abort(rush.uid()));
@@ -80,14 +80,14 @@
     }
     w.world.run(FLAPS_S);
     double firstS = BOOT_S;
-    double reversals = LoanCooldowns.mostReversals(FLAPS_S, firstS) + leaderEnds;
+    double reversals = ReclaimCooldowns.mostReversals(FLAPS_S, firstS) + leaderEnds;
     for (Map.Entry<String, Integer> each : stops.entrySet()) {
       assertTrue(
           each.getValue() <= GPUS * reversals, () -> each + " stops, at most " + GPUS * reversals);
     }
-    Outcome.rulesHold(w.world);
+    ExpectedOutcome.rulesHold(w.world);
     w.world.run(400);
     assertEquals(16, w.running(night), "it has all of its room back");
-    Outcome.rulesHold(w.world);
+    ExpectedOutcome.rulesHold(w.world);
   }
 }
--- a/src/test/java/eiderfork/core/LendingHistoryTest.java
+++ b/src/test/java/eiderfork/controller/QuotaReclaimHistoryTest.java
@@ -1,4 +1,4 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -14,12 +14,13 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Random histories of teams that lend and borrow under every trouble of {@link LendingFailureTest}.
- * The properties {@code histories.from} and {@code histories.to} name other seeds.
+ * Random histories of teams that lend and borrow under every trouble of {@link
+ * QuotaReclaimFailureTest}. The properties {@code histories.from} and {@code histories.to} name
+ * other seeds.
  */
-class LendingHistoryTest {
+class QuotaReclaimHistoryTest {
   private static final List<String> TEAMS =
-      List.of(LendingWorld.DESK, LendingWorld.NIGHT, LendingWorld.LAB);
+      List.of(QuotaCluster.DESK, QuotaCluster.NIGHT, QuotaCluster.LAB);
 
   private static final int TROUBLED_S = 150;
   private static final int QUIET_S = 100;
@@ -41,14 +42,14 @@
         };
     int tasks = 1 + script.nextInt(kind == JobKind.ARRAY ? 15 : 6);
     double runS = kind == JobKind.SERVICE ? 0 : 15 + script.nextInt(60);
-    return LendingWorld.job(number, kind, tasks, runS, checkpointS, team, priority);
+    return QuotaCluster.job(number, kind, tasks, runS, checkpointS, team, priority);
   }
 
   @ParameterizedTest
   @MethodSource("seeds")
   void rulesAndGuaranteesHold(long seed) {
     Random script = new Random(seed * 53);
-    LendingWorld w = LendingWorld.on(seed);
+    QuotaCluster w = QuotaCluster.on(seed);
     List<Job> jobs = new ArrayList<>();
     for (int i = 1; i <= 18; i++) {
       Job job = job(script, i);
@@ -60,9 +61,9 @@
     }
     w.world.loss = 0.01;
     w.world.doubled = 0.02;
-    LendingFailureTest.Trouble[] troubles = LendingFailureTest.Trouble.values();
+    QuotaReclaimFailureTest.Trouble[] troubles = QuotaReclaimFailureTest.Trouble.values();
     for (int i = 0; i < 8; i++) {
-      LendingFailureTest.Trouble trouble = troubles[script.nextInt(troubles.length)];
+      QuotaReclaimFailureTest.Trouble trouble = troubles[script.nextInt(troubles.length)];
       w.world.at(
           20_000 + script.nextInt(100_000),
           () -> {
--- a/src/test/java/eiderfork/core/HistoryTest.java
+++ b/src/test/java/eiderfork/controller/RandomHistoryTest.java
@@ -1,4 +1,4 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -14,25 +14,25 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Random histories under every trouble that the protocol names; the rules hold in all. */
-class HistoryTest {
+class RandomHistoryTest {
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
   void rulesHoldAndWorkGetsDone(long seed) {
-    rulesHold(new World(seed), seed);
+    rulesHold(new SimulatedCluster(seed), seed);
   }
 
   /** Reports that come seldom and leases that are long: users and workers wait no longer for it. */
   @ParameterizedTest
   @ValueSource(longs = {21, 22, 23, 24, 25, 26})
   void rulesHoldWhereReportsComeSeldom(long seed) {
-    rulesHold(new World(seed, Samples.slow()), seed);
+    rulesHold(new SimulatedCluster(seed, TestFixtures.slow()), seed);
   }
 
   /** Troubles that meet: late and lost transactions, old reports, refusals before an outage. */
   @ParameterizedTest
   @ValueSource(longs = {31, 32, 33, 34, 35, 36, 37, 38, 39, 40, 41, 42, 43, 44, 45, 46})
   void rulesHoldWhereTroublesMeet(long seed) {
-    World world = new World(seed);
+    SimulatedCluster world = new SimulatedCluster(seed);
     Random script = new Random(seed * 37);
     world.lateWrites = 0.08;
     world.lostAnswers = 0.08;
@@ -49,7 +49,7 @@
     rulesHold(world, seed);
   }
 
-  private static void meeting(World world, Random script, int kind) {
+  private static void meeting(SimulatedCluster world, Random script, int kind) {
     String node = "roost-" + script.nextInt(3);
     String leader = world.leader() == null ? node : world.leader();
     List<FakeWorker> workers = world.workers();
@@ -83,11 +83,11 @@
     }
   }
 
-  private static String leaderOr(World world, String node) {
+  private static String leaderOr(SimulatedCluster world, String node) {
     return world.leader() == null ? node : world.leader();
   }
 
-  private static void rulesHold(World world, long seed) {
+  private static void rulesHold(SimulatedCluster world, long seed) {
     Random script = new Random(seed * 31);
     world.loss = 0.01;
     world.late = 0.01;
@@ -96,7 +96,7 @@
     for (int i = 0; i < 24; i++) {
       JobKind kind = script.nextInt(3) == 0 ? JobKind.ARRAY : JobKind.SERVICE;
       Job job =
-          Samples.job(
+          TestFixtures.job(
               i,
               i % 8 == 7 ? JobKind.GANG : kind,
               1 + script.nextInt(5),
@@ -143,7 +143,7 @@
     assertTrue(jobs.stream().anyMatch(job -> world.checker.finalStance(job.uid()) == Stance.DONE));
   }
 
-  private static void trouble(World world, Random script, int kind) {
+  private static void trouble(SimulatedCluster world, Random script, int kind) {
     String node = "roost-" + script.nextInt(3);
     String leader = world.leader() == null ? node : world.leader();
     List<FakeWorker> workers = world.workers();
--- a/src/test/java/eiderfork/core/BudgetTest.java
+++ b/src/test/java/eiderfork/controller/RateLimitTest.java
@@ -1,4 +1,4 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -6,20 +6,20 @@
 
 import com.google.common.collect.ImmutableList;
 import eiderfork.config.Settings;
-import eiderfork.core.context.Context;
-import eiderfork.core.limits.Backoff;
-import eiderfork.core.limits.TokenBucket;
-import eiderfork.core.message.Effect;
-import eiderfork.core.message.Input;
-import eiderfork.core.message.StateOp;
-import eiderfork.core.message.UserAnswer;
-import eiderfork.core.state.StateGate;
-import eiderfork.core.state.Term;
-import eiderfork.core.state.Urgency;
+import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.election.LeaderElection;
+import eiderfork.controller.message.Effect;
+import eiderfork.controller.message.Input;
+import eiderfork.controller.message.StoreRequest;
+import eiderfork.controller.message.UserResponse;
+import eiderfork.controller.ratelimit.Backoff;
+import eiderfork.controller.ratelimit.TokenBucket;
+import eiderfork.controller.store.RequestPriority;
+import eiderfork.controller.store.StoreClient;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
 import eiderfork.model.Priority;
-import eiderfork.model.Record;
+import eiderfork.model.StoredRecord;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -30,7 +30,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The limits on requests to the state service and the cloud are kept. */
-class BudgetTest {
+class RateLimitTest {
   @Test
   void aBucketHoldsItsBurstAndFillsAtItsRate() {
     TokenBucket bucket = new TokenBucket(10, 2, 0);
@@ -54,21 +54,22 @@
 
   @Test
   void theMostUrgentWriteGoesFirstWhenTheRateIsFull() {
-    Context context = new Context(Samples.settings("roost-0"), new Random(1), 0);
-    StateGate gate = new StateGate(context);
+    ControllerContext context =
+        new ControllerContext(TestFixtures.settings("roost-0"), new Random(1), 0);
+    StoreClient gate = new StoreClient(context);
     gate.leading(true);
     for (int i = 0; i < 200; i++) {
-      write(gate, "batch/" + i, Urgency.BATCH);
+      write(gate, "batch/" + i, RequestPriority.BATCH);
     }
     int burst = context.takeEffects().size();
     assertTrue(burst < 200, "the rate holds some back");
-    write(gate, "abort/1", Urgency.ABORT);
+    write(gate, "abort/1", RequestPriority.ABORT);
     assertTrue(context.takeEffects().isEmpty());
     context.nowMs += 100;
     gate.pump();
     List<String> keys = new ArrayList<>();
     for (Effect effect : context.takeEffects()) {
-      StateOp.Transact it = (StateOp.Transact) ((Effect.AskState) effect).op();
+      StoreRequest.Transact it = (StoreRequest.Transact) ((Effect.AskState) effect).op();
       keys.add(it.changes().get(0).key());
     }
     assertEquals("abort/1", keys.get(0));
@@ -78,14 +79,15 @@
   /** Polls once held submissions up for seconds at nodes that could not reach the leader. */
   @Test
   void aNodeOnItsOwnRefusesPollsItCannotServeAndTakesSubmissionsFirst() {
-    Context context = new Context(Samples.settings("roost-0"), new Random(1), 0);
-    StateGate gate = new StateGate(context);
-    Term term = new Term(context, gate, null);
+    ControllerContext context =
+        new ControllerContext(TestFixtures.settings("roost-0"), new Random(1), 0);
+    StoreClient gate = new StoreClient(context);
+    LeaderElection term = new LeaderElection(context, gate, null);
     ClusterVersion version = new ClusterVersion(context, gate, term);
-    JobTable jobs = new JobTable(context, gate, term, version);
-    Fleet fleet = new Fleet(context, jobs);
-    UserRequests users =
-        new UserRequests(
+    JobRegistry jobs = new JobRegistry(context, gate, term, version);
+    MachineRegistry fleet = new MachineRegistry(context, jobs);
+    UserRequestHandler users =
+        new UserRequestHandler(
             context,
             term,
             gate,
@@ -93,10 +95,10 @@
             fleet,
             null,
             null,
-            new Cancellations(context, uid -> {}),
+            new CancellationTracker(context, uid -> {}),
             version,
             () -> {});
-    List<UserAnswer> refused = new ArrayList<>();
+    List<UserResponse> refused = new ArrayList<>();
     for (int i = 0; i < 500; i++) {
       users.take(new Input.Query(i, "run-%06d".formatted(i)), true, refused::add);
     }
@@ -104,19 +106,21 @@
     assertTrue(refused.stream().allMatch(a -> a.status() == 503 && a.retryAfterS() > 0));
     context.takeEffects();
     users.take(
-        new Input.Submit(1, Samples.job(999, eiderfork.model.JobKind.SERVICE, 1, 1), new byte[0]),
+        new Input.Submit(
+            1, TestFixtures.job(999, eiderfork.model.JobKind.SERVICE, 1, 1), new byte[0]),
         true,
         refused::add);
     context.nowMs += 100;
     gate.pump();
     Effect.AskState first = (Effect.AskState) context.takeEffects().get(0);
-    assertEquals(new StateOp.Get("job/run-000999"), first.op());
+    assertEquals(new StoreRequest.Get("job/run-000999"), first.op());
   }
 
-  private static void write(StateGate gate, String key, Urgency urgency) {
+  private static void write(StoreClient gate, String key, RequestPriority urgency) {
     gate.send(
-        new StateOp.Transact(
-            ImmutableList.of(), ImmutableList.of(StateOp.Change.put(key, new Record.Term(1)))),
+        new StoreRequest.Transact(
+            ImmutableList.of(),
+            ImmutableList.of(StoreRequest.Change.put(key, new StoredRecord.Term(1)))),
         urgency,
         reply -> {});
   }
@@ -126,12 +130,12 @@
   @ValueSource(longs = {1, 2, 3, 4, 5})
   void sevenNodesThatRestartAtOnceKeepWithinTheRequestRate(long seed) {
     Settings settings =
-        Samples.settings(
-            "roost-0", Samples.QUICK, new Settings.StateLimits(60, 20, 32, 16), 0.34, 800, 7);
-    World world = new World(seed, settings, 7);
+        TestFixtures.settings(
+            "roost-0", TestFixtures.QUICK, new Settings.StateLimits(60, 20, 32, 16), 0.34, 800, 7);
+    SimulatedCluster world = new SimulatedCluster(seed, settings, 7);
     List<Job> jobs = new ArrayList<>();
     for (int i = 1; i <= 40; i++) {
-      jobs.add(Samples.job(i, JobKind.SERVICE, 2, 0, "blue", Priority.HIGH, true, false));
+      jobs.add(TestFixtures.job(i, JobKind.SERVICE, 2, 0, "blue", Priority.HIGH, true, false));
     }
     jobs.forEach(world::submit);
     world.run(40);
@@ -141,20 +145,20 @@
       world.run(15);
     }
     assertEquals(0, world.state.overLimit);
-    Outcome.allServed(world, jobs);
+    ExpectedOutcome.allServed(world, jobs);
   }
 
   /** Behind the starts of other arrays, ends were once written 6 to 12 s late. */
   @Test
   void theEndOfAJobIsWrittenAtOnceHoweverManyArraysWantToStart() {
     Settings settings =
-        Samples.settings(
-            "roost-0", Samples.QUICK, new Settings.StateLimits(200, 4, 8, 16), 0.2, 160, 3);
-    World world = new World(5, settings);
+        TestFixtures.settings(
+            "roost-0", TestFixtures.QUICK, new Settings.StateLimits(200, 4, 8, 16), 0.2, 160, 3);
+    SimulatedCluster world = new SimulatedCluster(5, settings);
     world.cloud.capacity = 4;
     List<Job> jobs = new ArrayList<>();
     for (int i = 1; i <= 40; i++) {
-      jobs.add(Samples.job(i, JobKind.ARRAY, 6, 1));
+      jobs.add(TestFixtures.job(i, JobKind.ARRAY, 6, 1));
     }
     jobs.forEach(world::submit);
     Map<Job, Long> finishedMs = new HashMap<>();
@@ -170,6 +174,6 @@
     }
     assertTrue(jobs.stream().allMatch(world::committedDone));
     assertTrue(mostLateMs <= 3000, mostLateMs + " ms until the end of a job was written");
-    Outcome.rulesHold(world);
+    ExpectedOutcome.rulesHold(world);
   }
 }
--- a/src/test/java/eiderfork/core/ReadBarrierTest.java
+++ b/src/test/java/eiderfork/controller/ReadBarrierTest.java
@@ -1,17 +1,17 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.google.common.collect.ImmutableList;
-import eiderfork.core.context.Context;
-import eiderfork.core.message.Effect;
-import eiderfork.core.message.Keys;
-import eiderfork.core.message.Reply;
-import eiderfork.core.message.StateOp;
-import eiderfork.core.state.ReadBarrier;
-import eiderfork.core.state.StateGate;
-import eiderfork.model.Record;
+import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.message.Effect;
+import eiderfork.controller.message.Reply;
+import eiderfork.controller.message.StoreKeys;
+import eiderfork.controller.message.StoreRequest;
+import eiderfork.controller.store.ReadBarrier;
+import eiderfork.controller.store.StoreClient;
+import eiderfork.model.StoredRecord;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
@@ -19,15 +19,16 @@
 
 /** A question is answered only from memory that holds every cancellation committed before it. */
 class ReadBarrierTest {
-  private final Context context = new Context(Samples.settings("roost-0"), new Random(1), 1000);
-  private final StateGate gate = new StateGate(context);
+  private final ControllerContext context =
+      new ControllerContext(TestFixtures.settings("roost-0"), new Random(1), 1000);
+  private final StoreClient gate = new StoreClient(context);
   private final List<String> aborted = new ArrayList<>();
   private final List<Long> caughtUp = new ArrayList<>();
   private final ReadBarrier readBarrier =
       new ReadBarrier(
           context,
           gate,
-          item -> aborted.add(((Record.Aborted) item.record()).uid()),
+          item -> aborted.add(((StoredRecord.Aborted) item.record()).uid()),
           caughtUp::add);
 
   private Effect.AskState asked() {
@@ -45,7 +46,7 @@
     readBarrier.start(5);
     readBarrier.pass(ok -> told.add("first " + ok + aborted));
     Effect.AskState look = asked();
-    assertEquals(new StateOp.Watch(Keys.ABORT, 5, 0), look.op());
+    assertEquals(new StoreRequest.Watch(StoreKeys.ABORT, 5, 0), look.op());
     readBarrier.pass(ok -> told.add("second " + ok + aborted));
     readBarrier.pass(ok -> told.add("third " + ok + aborted));
     readBarrier.tick();
@@ -56,8 +57,8 @@
     assertEquals(List.of("first true[]"), told);
     assertEquals(List.of(askedMs), caughtUp, "it speaks of when it was asked, not of its arrival");
     Effect.AskState next = asked();
-    assertEquals(new StateOp.Watch(Keys.ABORT, 6, 0), next.op());
-    Reply.Item item = new Reply.Item("abort/run-1", new Record.Aborted("run-1"), 7);
+    assertEquals(new StoreRequest.Watch(StoreKeys.ABORT, 6, 0), next.op());
+    Reply.Item item = new Reply.Item("abort/run-1", new StoredRecord.Aborted("run-1"), 7);
     context.answered(next.call(), new Reply.Changes(ImmutableList.of(item), 7));
     assertEquals(List.of("first true[]", "second true[run-1]", "third true[run-1]"), told);
   }
--- a/src/test/java/eiderfork/core/ForwardsTest.java
+++ b/src/test/java/eiderfork/controller/RequestForwarderTest.java
@@ -1,13 +1,13 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.google.common.collect.ImmutableList;
-import eiderfork.core.context.Context;
-import eiderfork.core.message.Effect;
-import eiderfork.core.message.Reply;
-import eiderfork.core.message.UserAnswer;
+import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.message.Effect;
+import eiderfork.controller.message.Reply;
+import eiderfork.controller.message.UserResponse;
 import eiderfork.model.JobStatus;
 import java.util.ArrayList;
 import java.util.List;
@@ -15,9 +15,10 @@
 import org.junit.jupiter.api.Test;
 
 /** Queries that are passed on to the leader together. */
-class ForwardsTest {
-  private final Context context = new Context(Samples.settings("roost-0"), new Random(1), 0);
-  private final Forwards forwards = new Forwards(context);
+class RequestForwarderTest {
+  private final ControllerContext context =
+      new ControllerContext(TestFixtures.settings("roost-0"), new Random(1), 0);
+  private final RequestForwarder forwards = new RequestForwarder(context);
   private final List<String> told = new ArrayList<>();
 
   private void ask(String uid) {
@@ -25,8 +26,8 @@
         uid, answer -> told.add(uid + " " + answer.status()), () -> told.add(uid + " here"));
   }
 
-  private static UserAnswer running(String uid) {
-    return UserAnswer.ok(new JobStatus(uid, JobStatus.Stance.RUNNING, 0, 1));
+  private static UserResponse running(String uid) {
+    return UserResponse.ok(new JobStatus(uid, JobStatus.Stance.RUNNING, 0, 1));
   }
 
   private List<Effect.AskPeerQueries> sent() {
@@ -43,9 +44,11 @@
     List<Effect.AskPeerQueries> sent = sent();
     assertEquals(1, sent.size());
     assertEquals(List.of("run-1", "run-2", "run-3"), sent.get(0).uids());
-    ImmutableList<UserAnswer> answers =
+    ImmutableList<UserResponse> answers =
         ImmutableList.of(
-            running("run-1"), UserAnswer.refused(404, "no such job"), UserAnswer.later(1, "busy"));
+            running("run-1"),
+            UserResponse.refused(404, "no such job"),
+            UserResponse.later(1, "busy"));
     context.answered(sent.get(0).call(), new Reply.PeerAnswers(answers));
     assertEquals(List.of("run-1 200", "run-2 404", "run-3 here"), told);
   }
@@ -61,7 +64,7 @@
     ask("run-3");
     ask("run-4");
     forwards.tick("roost-1");
-    ImmutableList<UserAnswer> tooFew = ImmutableList.of(running("run-3"));
+    ImmutableList<UserResponse> tooFew = ImmutableList.of(running("run-3"));
     context.answered(sent().get(0).call(), new Reply.PeerAnswers(tooFew));
     assertEquals(List.of("run-1 here", "run-2 here", "run-3 here", "run-4 here"), told);
   }
--- a/src/test/java/eiderfork/core/UpgradeTest.java
+++ b/src/test/java/eiderfork/controller/RollingUpgradeTest.java
@@ -1,4 +1,4 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -6,11 +6,11 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import eiderfork.config.Settings.StateLimits;
-import eiderfork.core.message.Keys;
+import eiderfork.controller.message.StoreKeys;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
-import eiderfork.model.Record;
 import eiderfork.model.Resources;
+import eiderfork.model.StoredRecord;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
@@ -21,16 +21,16 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Nodes of two versions side by side, and limits of the state service that fall. */
-class UpgradeTest {
+class RollingUpgradeTest {
   private static final StateLimits NOW = new StateLimits(200, 40, 4, 16);
   private static final StateLimits NEXT = new StateLimits(200, 18, 2, 16);
 
-  private static World older(long seed) {
-    World world =
-        new World(
+  private static SimulatedCluster older(long seed) {
+    SimulatedCluster world =
+        new SimulatedCluster(
             seed,
-            Samples.withNextLimits(
-                Samples.settings("roost-0", Samples.QUICK, NOW, 0.2, 160, 3), NEXT));
+            TestFixtures.withNextLimits(
+                TestFixtures.settings("roost-0", TestFixtures.QUICK, NOW, 0.2, 160, 3), NEXT));
     for (String node : world.all()) {
       world.older.add(node);
       world.boot(node);
@@ -39,14 +39,14 @@
   }
 
   /** Ends a node, and has it come back with this version. */
-  private static void upgrade(World world, String node) {
+  private static void upgrade(SimulatedCluster world, String node) {
     world.older.remove(node);
     world.crash(node, 3000);
   }
 
-  private static boolean anyPacked(World world) {
-    return world.state.keys(Keys.ALLOC).stream()
-        .anyMatch(key -> !(world.state.stored(key) instanceof Record.Alloc));
+  private static boolean anyPacked(SimulatedCluster world) {
+    return world.state.keys(StoreKeys.ALLOC).stream()
+        .anyMatch(key -> !(world.state.stored(key) instanceof StoredRecord.Alloc));
   }
 
   static List<List<Integer>> orders() {
@@ -63,10 +63,10 @@
   @ParameterizedTest
   @MethodSource("orders")
   void anUpgradeInAnyOrderLosesNothing(List<Integer> order) {
-    World world = older(31);
+    SimulatedCluster world = older(31);
     List<Job> jobs = new ArrayList<>();
     for (int i = 1; i <= 12; i++) {
-      Job job = Samples.job(i, i % 3 == 0 ? JobKind.SERVICE : JobKind.ARRAY, 1 + i % 4, 1);
+      Job job = TestFixtures.job(i, i % 3 == 0 ? JobKind.SERVICE : JobKind.ARRAY, 1 + i % 4, 1);
       jobs.add(job);
       world.at(2000 + i * 3000L, () -> world.submit(job));
       if (i % 4 == 0) {
@@ -74,7 +74,7 @@
       }
     }
     world.run(15);
-    Job early = Samples.gang(50, 4, 1, 4, true);
+    Job early = TestFixtures.gang(50, 4, 1, 4, true);
     for (int i = 0; i < 3; i++) {
       upgrade(world, "roost-" + order.get(i));
       if (i == 1) {
@@ -92,21 +92,22 @@
     world.run(15);
     assertTrue(world.checker.isDone(early.uid()));
     assertEquals(
-        new Record.StoredVersion(ClusterVersion.CURRENT), world.state.stored(Keys.VERSION));
+        new StoredRecord.StoredVersion(ClusterVersion.CURRENT),
+        world.state.stored(StoreKeys.VERSION));
     assertTrue(anyPacked(world));
-    Outcome.allServed(world, jobs);
+    ExpectedOutcome.allServed(world, jobs);
   }
 
   /** A version that reads the packed form, but not the bitmaps, never finds one. */
   @Test
   void bitmapsWaitUntilEveryNodeReadsThem() {
-    World world = older(34);
+    SimulatedCluster world = older(34);
     world.olderVersion = ClusterVersion.ARCHIVED_JOBS;
     world.all().forEach(node -> world.crash(node, 100));
     world.run(5);
     List<Job> jobs = new ArrayList<>();
     for (int i = 1; i <= 6; i++) {
-      Job job = Samples.job(i, JobKind.ARRAY, 6, 1);
+      Job job = TestFixtures.job(i, JobKind.ARRAY, 6, 1);
       jobs.add(job);
       world.at(i * 5000L, () -> world.submit(job));
     }
@@ -117,48 +118,51 @@
     }
     world.run(20);
     assertTrue(anyBitmap(world));
-    Outcome.allServed(world, jobs);
+    ExpectedOutcome.allServed(world, jobs);
   }
 
-  private static boolean anyBitmap(World world) {
-    return world.state.keys(Keys.ALLOC).stream()
-        .anyMatch(key -> world.state.stored(key) instanceof Record.BitmapAlloc);
+  private static boolean anyBitmap(SimulatedCluster world) {
+    return world.state.keys(StoreKeys.ALLOC).stream()
+        .anyMatch(key -> world.state.stored(key) instanceof StoredRecord.BitmapAlloc);
   }
 
   /** The gate's proof is stored: nobody has to be asked again when all nodes end. */
   @Test
   void aLaterLeaderNeedsNoProof() {
-    World world = older(32);
+    SimulatedCluster world = older(32);
     world.run(5);
     world.all().forEach(node -> upgrade(world, node));
     world.run(12);
     assertEquals(
-        new Record.StoredVersion(ClusterVersion.CURRENT), world.state.stored(Keys.VERSION));
+        new StoredRecord.StoredVersion(ClusterVersion.CURRENT),
+        world.state.stored(StoreKeys.VERSION));
     world.all().forEach(node -> world.crash(node, node.equals("roost-1") ? 500 : 60_000));
     world.run(8);
-    Job array = Samples.job(2, JobKind.ARRAY, 2, 0);
+    Job array = TestFixtures.job(2, JobKind.ARRAY, 2, 0);
     world.submitAt("roost-1", array);
     world.run(12);
-    assertInstanceOf(Record.BitmapAlloc.class, world.state.stored(Keys.alloc(array.uid())));
-    Job gang = Samples.gang(1, 3, 1, 4, true);
+    assertInstanceOf(
+        StoredRecord.BitmapAlloc.class, world.state.stored(StoreKeys.alloc(array.uid())));
+    Job gang = TestFixtures.gang(1, 3, 1, 4, true);
     world.submitAt("roost-1", gang);
     world.run(30);
     assertTrue(world.checker.isDone(gang.uid()));
-    assertInstanceOf(Record.BitmapAlloc.class, world.state.stored(Keys.alloc(gang.uid())));
-    Outcome.allServed(world, List.of(gang));
+    assertInstanceOf(
+        StoredRecord.BitmapAlloc.class, world.state.stored(StoreKeys.alloc(gang.uid())));
+    ExpectedOutcome.allServed(world, List.of(gang));
   }
 
   /** A node that is away may be an old one: nothing but gangs and the packed form waits for it. */
   @Test
   void aMissingNodeKeepsTheGateShut() {
-    World world = older(33);
+    SimulatedCluster world = older(33);
     world.run(5);
     upgrade(world, "roost-0");
     upgrade(world, "roost-1");
     world.crash("roost-2", 60_000);
     world.run(15);
-    Job array = Samples.job(1, JobKind.ARRAY, 4, 1);
-    Job gang = Samples.gang(2, 3, 1, 4, true);
+    Job array = TestFixtures.job(1, JobKind.ARRAY, 4, 1);
+    Job gang = TestFixtures.gang(2, 3, 1, 4, true);
     world.submit(array);
     world.submit(gang);
     world.run(25);
@@ -176,7 +180,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
   void rulesHoldWhileBothVersionsServeUnderTroubles(long seed) {
-    World world = older(seed);
+    SimulatedCluster world = older(seed);
     Random script = new Random(seed * 41);
     world.loss = 0.01;
     world.lateWrites = 0.06;
@@ -189,8 +193,8 @@
       boolean gang = i > 14;
       Job job =
           gang
-              ? Samples.gang(i, 2 + i % 4, 1, 5, i % 2 == 0)
-              : Samples.job(i, i % 3 == 0 ? JobKind.SERVICE : JobKind.ARRAY, tasks, 1);
+              ? TestFixtures.gang(i, 2 + i % 4, 1, 5, i % 2 == 0)
+              : TestFixtures.job(i, i % 3 == 0 ? JobKind.SERVICE : JobKind.ARRAY, tasks, 1);
       jobs.add(job);
       world.at(gang ? 52_000 + i * 1500L : script.nextInt(60_000), () -> world.submit(job));
       if (i % 4 == 0) {
@@ -209,10 +213,10 @@
         56_000 + script.nextInt(6000),
         () -> world.state.lowerLimits(NEXT.valueKb(), NEXT.writeRps(), world.nowMs));
     world.run(95);
-    Outcome.allServed(world, jobs);
+    ExpectedOutcome.allServed(world, jobs);
   }
 
-  private static void trouble(World world, int kind) {
+  private static void trouble(SimulatedCluster world, int kind) {
     String leader = world.leader() == null ? "roost-0" : world.leader();
     switch (kind) {
       case 0 -> world.crash(leader, 500);
@@ -235,13 +239,13 @@
   @ParameterizedTest
   @CsvSource({"0,-1", "0,0", "0,400", "500,0", "2000,600", "6000,-1", "6000,300"})
   void aRecordThatProductionLeftTooLargeIsStillWritten(int lowerAfterMs, int crashAfterMs) {
-    World world = older(34);
+    SimulatedCluster world = older(34);
     world.cloud.capacity = 60;
     world.run(8);
     Job array = manyMachines(1, 120, 45);
     world.submit(array);
     world.run(22);
-    assertInstanceOf(Record.Alloc.class, world.state.stored(Keys.alloc(array.uid())));
+    assertInstanceOf(StoredRecord.Alloc.class, world.state.stored(StoreKeys.alloc(array.uid())));
     assertTrue(world.checker.running(array.uid()) >= 100, "on machines of their own");
     for (String node : world.all()) {
       upgrade(world, node);
@@ -253,14 +257,14 @@
       world.at(lowerAfterMs + crashAfterMs, () -> world.crash(world.leader(), 3000));
     }
     world.run(40);
-    Outcome.allServed(world, List.of(array));
+    ExpectedOutcome.allServed(world, List.of(array));
     assertEquals(0, world.state.tooLarge, "no write was too large");
   }
 
   /** While a node is missing the packed form may not be written; the job still runs to its end. */
   @Test
   void aRecordThatIsTooLargeIsWrittenOnceEnoughTasksHaveEnded() {
-    World world = older(34);
+    SimulatedCluster world = older(34);
     world.cloud.capacity = 60;
     world.run(8);
     Job array = manyMachines(1, 160, 45);
@@ -282,8 +286,8 @@
 
   /** Tasks that fill a machine each. */
   private static Job manyMachines(int number, int tasks, double runS) {
-    Job like = Samples.job(number, JobKind.ARRAY, tasks, 0);
-    return Samples.sized(like, new Resources(8, 0, 20), runS, "c8");
+    Job like = TestFixtures.job(number, JobKind.ARRAY, tasks, 0);
+    return TestFixtures.sized(like, new Resources(8, 0, 20), runS, "c8");
   }
 
   /**
@@ -291,15 +295,15 @@
    */
   @Test
   void aSubmissionThatCannotBeStoredIsRefusedAtOnce() {
-    World world = older(35);
+    SimulatedCluster world = older(35);
     world.all().forEach(node -> upgrade(world, node));
     world.run(12);
-    Job before = withImage(Samples.job(1, JobKind.ARRAY, 1, 1), "x".repeat(2500));
+    Job before = withImage(TestFixtures.job(1, JobKind.ARRAY, 1, 1), "x".repeat(2500));
     world.submit(before);
     world.run(3);
     assertTrue(world.checker.wasAccepted(before.uid()));
     world.state.lowerLimits(NEXT.valueKb(), NEXT.writeRps(), world.nowMs);
-    Job after = withImage(Samples.job(2, JobKind.ARRAY, 1, 1), "x".repeat(2500));
+    Job after = withImage(TestFixtures.job(2, JobKind.ARRAY, 1, 1), "x".repeat(2500));
     world.submit(after);
     world.run(1);
     assertEquals(1, world.state.tooLarge);
@@ -308,11 +312,11 @@
     world.lookClosely(before.uid());
     world.run(20);
     assertEquals(1, world.state.tooLarge, "it is not tried again");
-    Outcome.allServed(world, List.of(before));
+    ExpectedOutcome.allServed(world, List.of(before));
   }
 
   private static Job withImage(Job like, String image) {
-    return Samples.job(
+    return TestFixtures.job(
         Integer.parseInt(like.uid().substring(4)),
         like.kind(),
         like.tasks(),
@@ -323,14 +327,14 @@
   /** The leader keeps to the lower rate once a change was refused, and loses no term over it. */
   @Test
   void aLowerRateOfChangesStarvesNobody() {
-    World world = older(36);
+    SimulatedCluster world = older(36);
     world.all().forEach(node -> upgrade(world, node));
     world.run(15);
     String leader = world.leader();
     world.state.lowerLimits(NEXT.valueKb(), NEXT.writeRps(), world.nowMs);
     List<Job> jobs = new ArrayList<>();
     for (int i = 1; i <= 150; i++) {
-      Job job = Samples.job(i, JobKind.ARRAY, 1, 0);
+      Job job = TestFixtures.job(i, JobKind.ARRAY, 1, 0);
       jobs.add(job);
       world.submit(job);
       world.run(0.1);
@@ -338,6 +342,6 @@
     world.run(40);
     assertEquals(leader, world.leader());
     assertTrue(world.state.overChangeLimit < 20, world.state.overChangeLimit + " refused");
-    Outcome.allServed(world, jobs);
+    ExpectedOutcome.allServed(world, jobs);
   }
 }
--- a/src/test/java/eiderfork/core/ScaleTest.java
+++ b/src/test/java/eiderfork/controller/SchedulingWorkTest.java
@@ -1,4 +1,4 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,18 +11,18 @@
 import org.junit.jupiter.api.Test;
 
 /** Work counted, not timed, at the size of a fleet of hundreds of machines. */
-class ScaleTest {
+class SchedulingWorkTest {
   private static final int JOBS = 150;
   private static final int TASKS = 16;
 
   @Test
   void theWorkOfARoundGrowsWithJobsTimesMachinesAndNotWithTasks() {
-    World world = new World(3);
+    SimulatedCluster world = new SimulatedCluster(3);
     world.cloud.capacity = 40;
     world.run(3);
     List<Job> jobs = new ArrayList<>();
     for (int i = 0; i < JOBS; i++) {
-      Job job = Samples.job(i, JobKind.SERVICE, TASKS, 1, "blue", Priority.HIGH, false, true);
+      Job job = TestFixtures.job(i, JobKind.SERVICE, TASKS, 1, "blue", Priority.HIGH, false, true);
       jobs.add(job);
       world.submit(job);
     }
@@ -53,16 +53,17 @@
    */
   @Test
   void jobsThatWaitForAFullFleetAreSearchedForOnceForAllOfASize() {
-    World world = new World(4);
+    SimulatedCluster world = new SimulatedCluster(4);
     world.cloud.capacity = 40;
     world.run(3);
     for (int i = 0; i < 40; i++) {
-      world.submit(Samples.job(i, JobKind.SERVICE, 16, 0, "blue", Priority.HIGH, false, false));
+      world.submit(
+          TestFixtures.job(i, JobKind.SERVICE, 16, 0, "blue", Priority.HIGH, false, false));
     }
     world.run(40);
     for (int i = 100; i < 400; i++) {
       world.submit(
-          Samples.job(i, JobKind.SERVICE, 8, 2, "blue", Priority.PRODUCTION, false, false));
+          TestFixtures.job(i, JobKind.SERVICE, 8, 2, "blue", Priority.PRODUCTION, false, false));
     }
     world.run(40);
     long machines = world.cloud.liveHosts();
--- a/src/test/java/eiderfork/core/SilentControllersTest.java
+++ b/src/test/java/eiderfork/controller/SilentControllersTest.java
@@ -1,14 +1,14 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import eiderfork.core.message.Keys;
+import eiderfork.controller.message.StoreKeys;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
 import eiderfork.model.JobStatus.Stance;
-import eiderfork.model.Record;
+import eiderfork.model.StoredRecord;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.AfterEach;
@@ -30,7 +30,7 @@
     REFUSED
   }
 
-  private final World world = new World(21);
+  private final SimulatedCluster world = new SimulatedCluster(21);
 
   @AfterEach
   void rulesHold() {
@@ -57,14 +57,14 @@
   }
 
   private long term() {
-    return world.state.get(Keys.TERM) instanceof Record.Term it ? it.term() : 0;
+    return world.state.get(StoreKeys.TERM) instanceof StoredRecord.Term it ? it.term() : 0;
   }
 
   /** Services and arrays that come all the while, some of which are cancelled. */
   private List<Job> work(int from, int count, long everyMs) {
     List<Job> jobs = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      Job job = Samples.job(from + i, i % 2 == 0 ? JobKind.SERVICE : JobKind.ARRAY, 2, 1);
+      Job job = TestFixtures.job(from + i, i % 2 == 0 ? JobKind.SERVICE : JobKind.ARRAY, 2, 1);
       jobs.add(job);
       world.at(1000 + i * everyMs, () -> world.submit(job));
       if (i % 4 == 2) {
@@ -91,7 +91,7 @@
     assertTrue(world.nodes.get(world.leader()) != null);
     world.run(70);
     assertTrue(term() <= term + 2, "terms " + term + " to " + term());
-    Outcome.allServed(world, jobs);
+    ExpectedOutcome.allServed(world, jobs);
   }
 
   /**
@@ -101,9 +101,9 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
   void aLeaderThatWorkersLoseCostsThemNoLease(long seed) {
-    World hung = new World(seed);
+    SimulatedCluster hung = new SimulatedCluster(seed);
     for (int i = 1; i <= 12; i++) {
-      hung.submit(Samples.job(i, JobKind.SERVICE, 2, 2));
+      hung.submit(TestFixtures.job(i, JobKind.SERVICE, 2, 2));
     }
     hung.run(30);
     List<Long> sessions = hung.workers().stream().map(FakeWorker::session).toList();
@@ -132,7 +132,7 @@
     assertEquals(others.get(1), world.leader());
     world.run(60);
     assertTrue(term() <= term + 4, "terms " + term + " to " + term());
-    Outcome.allServed(world, jobs);
+    ExpectedOutcome.allServed(world, jobs);
   }
 
   /** A leader cut from workers while its peers are cut from the state service: nobody is better. */
@@ -152,7 +152,7 @@
     assertEquals(leader, world.leader());
     assertEquals(term, term(), "the lead went to and fro");
     world.run(60);
-    Outcome.allServed(world, jobs);
+    ExpectedOutcome.allServed(world, jobs);
   }
 
   /** What a node held before it stood still renews, confirms and places nothing afterwards. */
@@ -160,17 +160,17 @@
   @ValueSource(ints = {1, 5, 20})
   void aLeaderThatStandsStillInTheMiddleOfAnythingBreaksNoRule(int seconds) {
     for (long offsetMs = 0; offsetMs < 600; offsetMs += 50) {
-      World still = new World(100 + offsetMs);
+      SimulatedCluster still = new SimulatedCluster(100 + offsetMs);
       List<Job> jobs = new ArrayList<>();
       still.run(2);
       for (int i = 1; i <= 8; i++) {
-        Job job = Samples.job(i, i % 2 == 0 ? JobKind.SERVICE : JobKind.ARRAY, 2, 1);
+        Job job = TestFixtures.job(i, i % 2 == 0 ? JobKind.SERVICE : JobKind.ARRAY, 2, 1);
         jobs.add(job);
         still.at(i * 700L, () -> still.submit(job));
       }
       still.run(12);
       String leader = still.leader();
-      Job started = Samples.job(20, JobKind.SERVICE, 2, 1);
+      Job started = TestFixtures.job(20, JobKind.SERVICE, 2, 1);
       Job cancelled = jobs.get(1);
       jobs.add(started);
       // A write, a command, an answer and a cancellation are under way as it stops.
@@ -201,9 +201,9 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
   void theNodeBeforeASilentOneDoesNotLead(long seed) {
-    World three = new World(seed);
+    SimulatedCluster three = new SimulatedCluster(seed);
     for (int i = 1; i <= 8; i++) {
-      three.submit(Samples.job(i, JobKind.SERVICE, 2, 2));
+      three.submit(TestFixtures.job(i, JobKind.SERVICE, 2, 2));
     }
     three.run(30);
     int silent = three.leader().charAt(three.leader().length() - 1) - '0';
@@ -231,7 +231,7 @@
     world.run(60);
     world.workers().stream().limit(1).forEach(worker -> world.die(worker.machine.name()));
     world.run(60);
-    Outcome.allServed(world, jobs);
+    ExpectedOutcome.allServed(world, jobs);
     int hosts = world.cloud.hosts().size();
     assertTrue(hosts <= 40, hosts + " machines were rented");
   }
--- a/src/test/java/eiderfork/core/SilentWorkerHistoryTest.java
+++ b/src/test/java/eiderfork/controller/SilentWorkerHistoryTest.java
@@ -1,4 +1,4 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -19,8 +19,9 @@
 
 /**
  * Workers that reach the leader late or not at all, for half a lease to two leases, while direct
- * commands reach them: {@link SessionLapseTest} tells what once came of it. Five controllers stand
- * in two zones, and machines keep their images, so that a task starts at once where it is sent.
+ * commands reach them: {@link IncarnationLeaseExpiryTest} tells what once came of it. Five
+ * controllers stand in two zones, and machines keep their images, so that a task starts at once
+ * where it is sent.
  *
  * <p>The properties {@code silences.from} and {@code silences.to} name other seeds.
  */
@@ -37,25 +38,25 @@
         Long.getLong("silences.from", 1), Long.getLong("silences.to", 40));
   }
 
-  private static World world(long seed) {
-    return world(seed, Samples.settings("roost-0"));
+  private static SimulatedCluster world(long seed) {
+    return world(seed, TestFixtures.settings("roost-0"));
   }
 
-  private static World world(long seed, Settings settings) {
-    World world = new World(seed, settings, NODES);
+  private static SimulatedCluster world(long seed, Settings settings) {
+    SimulatedCluster world = new SimulatedCluster(seed, settings, NODES);
     world.imagesStay = true;
     return world;
   }
 
   /** Short and long leases, with and without lending and a standby. */
   private static Settings settings(long seed) {
-    Settings figures = seed % 3 == 0 ? Samples.slow() : Samples.settings("roost-0");
-    Settings lending = Samples.withLending(figures, seed % 2 == 0);
-    return Samples.withStandbys(lending, seed % 5 == 0 ? 1 : 0);
+    Settings figures = seed % 3 == 0 ? TestFixtures.slow() : TestFixtures.settings("roost-0");
+    Settings lending = TestFixtures.withLending(figures, seed % 2 == 0);
+    return TestFixtures.withStandbys(lending, seed % 5 == 0 ? 1 : 0);
   }
 
   private static Job replica(int number) {
-    return Samples.job(number, JobKind.SERVICE, 1, 1);
+    return TestFixtures.job(number, JobKind.SERVICE, 1, 1);
   }
 
   /**
@@ -66,10 +67,10 @@
   @ParameterizedTest
   @ValueSource(ints = {7500, 7900, 8300, 8700, 9000, 9200, 9400})
   void tasksThatStartedAnewAfterALapseAreInOnePlace(int heldMs) {
-    World world = world(5);
+    SimulatedCluster world = world(5);
     world.cloud.capacity = 0;
-    world.cloud.stock.put(new Cloud.Kind("g4", "a", false), 1);
-    world.cloud.stock.put(new Cloud.Kind("g4", "b", false), 1);
+    world.cloud.stock.put(new CloudProvisioner.Kind("g4", "a", false), 1);
+    world.cloud.stock.put(new CloudProvisioner.Kind("g4", "b", false), 1);
     for (int i = 1; i <= 6; i++) {
       world.submit(replica(i));
     }
@@ -97,14 +98,14 @@
     assertEquals(2, silent.session());
     assertEquals(4, silent.present().size(), "all started anew");
     world.run(14);
-    Outcome.rulesHold(world);
+    ExpectedOutcome.rulesHold(world);
     assertEquals(4, full.present().size(), "all moved on");
   }
 
   @ParameterizedTest
   @MethodSource("seeds")
   void noTaskIsInTwoPlaces(long seed) {
-    World world = world(seed);
+    SimulatedCluster world = world(seed);
     rulesHold(world, seed, new Random(seed * 41));
   }
 
@@ -112,7 +113,7 @@
   @ParameterizedTest
   @MethodSource("seeds")
   void noTaskIsInTwoPlacesWhereLeadersChange(long seed) {
-    World world = world(seed, settings(seed));
+    SimulatedCluster world = world(seed, settings(seed));
     Random script = new Random(seed * 43);
     for (int i = 0; i < TROUBLES; i++) {
       world.at(8000 + script.nextInt(TROUBLED_MS), () -> trouble(world, script));
@@ -120,7 +121,7 @@
     rulesHold(world, seed, script);
   }
 
-  private static void rulesHold(World world, long seed, Random script) {
+  private static void rulesHold(SimulatedCluster world, long seed, Random script) {
     world.cloud.capacity = 1;
     world.stateDelayMs = seed % 4 * 70L;
     world.commandsLateMs = seed % 3 * 150L;
@@ -139,15 +140,15 @@
       world.at(8000 + script.nextInt(TROUBLED_MS), () -> silence(world, script));
     }
     world.run(TROUBLED_MS / 1000.0 + AFTERWARDS_S);
-    Outcome.rulesHold(world);
+    ExpectedOutcome.rulesHold(world);
     assertTrue(world.checker.starts > JOBS);
   }
 
-  private static String leader(World world) {
+  private static String leader(SimulatedCluster world) {
     return world.leader() == null ? "roost-0" : world.leader();
   }
 
-  private static void trouble(World world, Random script) {
+  private static void trouble(SimulatedCluster world, Random script) {
     String leader = leader(world);
     long forMs = 2000 + script.nextInt(12_000);
     switch (script.nextInt(6)) {
@@ -171,11 +172,13 @@
     JobKind kind = script.nextInt(2) == 0 ? JobKind.SERVICE : JobKind.ARRAY;
     int tasks = 1 + script.nextInt(3);
     Priority priority = Priority.values()[script.nextInt(4)];
-    Job job = Samples.job(number, kind, tasks, 0, "blue", priority, false, false);
-    return kind == JobKind.ARRAY ? Samples.withRunTime(job, 3 + script.nextDouble() * 20) : job;
+    Job job = TestFixtures.job(number, kind, tasks, 0, "blue", priority, false, false);
+    return kind == JobKind.ARRAY
+        ? TestFixtures.withRunTime(job, 3 + script.nextDouble() * 20)
+        : job;
   }
 
-  private static void silence(World world, Random script) {
+  private static void silence(SimulatedCluster world, Random script) {
     List<FakeWorker> workers = world.workers();
     if (workers.isEmpty()) {
       return;
--- a/src/test/java/eiderfork/core/World.java
+++ b/src/test/java/eiderfork/controller/SimulatedCluster.java
@@ -1,12 +1,12 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import eiderfork.config.Settings;
-import eiderfork.core.message.Effect;
-import eiderfork.core.message.Input;
-import eiderfork.core.message.Keys;
+import eiderfork.controller.message.Effect;
+import eiderfork.controller.message.Input;
+import eiderfork.controller.message.StoreKeys;
 import eiderfork.model.Job;
 import eiderfork.model.Machine;
-import eiderfork.model.Record;
+import eiderfork.model.StoredRecord;
 import eiderfork.model.TaskId;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -23,7 +23,7 @@
  * Controllers on a fake clock among scripted peers: state service, cloud, workers and users, with
  * messages that are lost, late and doubled. The same seed plays the same history.
  */
-final class World {
+final class SimulatedCluster {
   static final long TICK_MS = 50;
 
   private record Event(long atMs, long order, Runnable what) implements Comparable<Event> {
@@ -37,9 +37,9 @@
 
   final Settings settings;
   final int count;
-  final FakeState state = new FakeState();
+  final FakeStore state = new FakeStore();
   final FakeCloud cloud;
-  final Checker checker;
+  final ProtocolChecker checker;
   final FakeGangs gangs = new FakeGangs(this);
   final FakeProgress progress = new FakeProgress(this);
   final Map<String, Controller> nodes = new TreeMap<>();
@@ -83,11 +83,11 @@
   /** Machines keep the images that they have fetched, so that tasks start there at once. */
   boolean imagesStay;
 
-  private final FakeReports reports = new FakeReports(this);
+  private final FakeHeartbeats reports = new FakeHeartbeats(this);
   private final FakeUsers users = new FakeUsers(this);
   private final FakeNetwork network = new FakeNetwork(this);
 
-  final FakeStateAccess stateAccess = new FakeStateAccess(this);
+  final FakeStoreAccess stateAccess = new FakeStoreAccess(this);
 
   /** How much longer the state service takes over each request. */
   long stateDelayMs;
@@ -111,11 +111,11 @@
   private final Map<String, Job> jobs = new LinkedHashMap<>();
   private final Set<TaskId> results = new HashSet<>();
 
-  World(long seed) {
-    this(seed, Samples.settings("roost-0"));
+  SimulatedCluster(long seed) {
+    this(seed, TestFixtures.settings("roost-0"));
   }
 
-  World(long seed, Settings settings) {
+  SimulatedCluster(long seed, Settings settings) {
     this(seed, settings, 3);
   }
 
@@ -124,12 +124,12 @@
     return java.util.stream.IntStream.range(0, count).mapToObj(i -> "roost-" + i).toList();
   }
 
-  World(long seed, Settings settings, int count) {
+  SimulatedCluster(long seed, Settings settings, int count) {
     this.settings = settings;
     this.count = count;
     random = new Random(seed);
     cloud = new FakeCloud(random, settings.cloudLimits().listLagS());
-    checker = new Checker(settings.teams(), (long) (settings.workers().cancelS() * 1000));
+    checker = new ProtocolChecker(settings.teams(), (long) (settings.workers().cancelS() * 1000));
     for (String node : all()) {
       boot(node);
     }
@@ -152,7 +152,8 @@
 
   /** Whether the state service holds that the job is done. */
   boolean committedDone(Job job) {
-    return state.get(Keys.alloc(job.uid())) instanceof Record.Alloc alloc && alloc.done();
+    return state.get(StoreKeys.alloc(job.uid())) instanceof StoredRecord.Alloc alloc
+        && alloc.done();
   }
 
   /** Whether a task has ended well, whoever knows of it. */
@@ -221,21 +222,21 @@
   void boot(String node) {
     lives.merge(node, 1, Integer::sum);
     Settings own =
-        Samples.settings(
+        TestFixtures.settings(
             node,
             settings.workers(),
             settings.stateLimits(),
             settings.controller().cpuShare(),
             settings.controller().sockets(),
             count);
-    own = Samples.withNextLimits(own, settings.nextStateLimits());
-    own = Samples.withObjectives(own, settings.objectives());
-    own = Samples.withOperator(own, settings.operator());
-    own = Samples.withTeams(own, settings.teams());
+    own = TestFixtures.withNextLimits(own, settings.nextStateLimits());
+    own = TestFixtures.withObjectives(own, settings.objectives());
+    own = TestFixtures.withOperator(own, settings.operator());
+    own = TestFixtures.withTeams(own, settings.teams());
     if (older.contains(node)) {
-      own = Samples.withLending(own, false);
+      own = TestFixtures.withLending(own, false);
     }
-    own = Samples.withCloudRate(own, settings.cloudLimits().rps());
+    own = TestFixtures.withCloudRate(own, settings.cloudLimits().rps());
     nodes.put(node, new Controller(own, new Random(random.nextLong()), nowMs, version(node)));
   }
 
@@ -432,7 +433,7 @@
   }
 
   String leader() {
-    Record record = state.get(Keys.LEADER);
-    return record instanceof Record.Leadership it ? it.node() : null;
+    StoredRecord record = state.get(StoreKeys.LEADER);
+    return record instanceof StoredRecord.Leadership it ? it.node() : null;
   }
 }
--- a/src/test/java/eiderfork/core/ScenarioTest.java
+++ b/src/test/java/eiderfork/controller/SingleFailureTest.java
@@ -1,4 +1,4 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import eiderfork.core.message.Keys;
+import eiderfork.controller.message.StoreKeys;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
 import eiderfork.model.JobStatus.Stance;
@@ -18,8 +18,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** One failure at a time, and what has to come of it. */
-class ScenarioTest {
-  private final World world = new World(7);
+class SingleFailureTest {
+  private final SimulatedCluster world = new SimulatedCluster(7);
 
   @AfterEach
   void rulesHold() {
@@ -38,9 +38,9 @@
 
   @Test
   void aQuietDayRunsEverything() {
-    Job array = submit(Samples.job(1, JobKind.ARRAY, 6, 1));
-    Job gang = submit(Samples.job(2, JobKind.GANG, 3, 1));
-    Job service = submit(Samples.job(3, JobKind.SERVICE, 3, 1));
+    Job array = submit(TestFixtures.job(1, JobKind.ARRAY, 6, 1));
+    Job gang = submit(TestFixtures.job(2, JobKind.GANG, 3, 1));
+    Job service = submit(TestFixtures.job(3, JobKind.SERVICE, 3, 1));
     world.run(40);
     assertTrue(world.checker.isDone(array.uid()));
     assertTrue(world.checker.isDone(gang.uid()));
@@ -55,9 +55,9 @@
   @ParameterizedTest
   @ValueSource(ints = {0, 50, 100, 150, 200, 250, 300, 400, 600, 1000, 2000})
   void aCrashBetweenAnyTwoStepsOfAStartLosesNothing(int afterMs) {
-    submit(Samples.job(1, JobKind.SERVICE, 1, 1));
+    submit(TestFixtures.job(1, JobKind.SERVICE, 1, 1));
     world.run(20);
-    Job job = submit(Samples.job(2, JobKind.SERVICE, 2, 1));
+    Job job = submit(TestFixtures.job(2, JobKind.SERVICE, 2, 1));
     world.at(afterMs, () -> world.crash(world.leader(), 3000));
     world.run(40);
     assertEquals(2, world.checker.running(job.uid()));
@@ -66,7 +66,7 @@
   @ParameterizedTest
   @ValueSource(ints = {0, 20, 60, 100, 200, 500})
   void aCrashBetweenAnyTwoStepsOfACancellationLosesNothing(int afterMs) {
-    Job job = submit(Samples.job(1, JobKind.SERVICE, 2, 1));
+    Job job = submit(TestFixtures.job(1, JobKind.SERVICE, 2, 1));
     world.run(20);
     world.abort(job.uid());
     world.at(afterMs, () -> world.crash(world.leader(), 3000));
@@ -79,7 +79,7 @@
   @ValueSource(ints = {0, 50, 100, 200, 400, 800, 1500, 3000})
   void aCrashBetweenAnyTwoStepsOfARentLosesNoMachine(int afterMs) {
     world.run(3);
-    Job job = submit(Samples.job(1, JobKind.SERVICE, 4, 4));
+    Job job = submit(TestFixtures.job(1, JobKind.SERVICE, 4, 4));
     world.at(afterMs, () -> world.crash(world.leader(), 3000));
     world.run(45);
     assertEquals(4, world.checker.running(job.uid()));
@@ -91,9 +91,9 @@
   @ParameterizedTest
   @ValueSource(ints = {0, 250, 500, 750, 1000, 1500, 2000})
   void aCrashBetweenAnyTwoStepsOfAnEndKeepsTheResult(int afterMs) {
-    submit(Samples.job(1, JobKind.SERVICE, 1, 1));
+    submit(TestFixtures.job(1, JobKind.SERVICE, 1, 1));
     world.run(20);
-    Job job = submit(Samples.job(2, JobKind.ARRAY, 3, 1));
+    Job job = submit(TestFixtures.job(2, JobKind.ARRAY, 3, 1));
     // Tasks fetch for 0.7 s and run for 4 s, so the crash falls around their end.
     world.at(4500 + afterMs, () -> world.crash(world.leader(), 3000));
     world.run(30);
@@ -106,10 +106,11 @@
   @ValueSource(ints = {0, 100, 300, 600, 1000, 2000})
   void aCrashBetweenAnyTwoStepsOfAStopAndAReturnLeavesNothingBehind(int afterMs) {
     world.cloud.capacity = 1;
-    Job low = submit(Samples.job(1, JobKind.ARRAY, 8, 1, "blue", Priority.LOW, false, false));
+    Job low = submit(TestFixtures.job(1, JobKind.ARRAY, 8, 1, "blue", Priority.LOW, false, false));
     world.run(12);
     Job urgent =
-        submit(Samples.job(2, JobKind.SERVICE, 2, 4, "blue", Priority.PRODUCTION, false, false));
+        submit(
+            TestFixtures.job(2, JobKind.SERVICE, 2, 4, "blue", Priority.PRODUCTION, false, false));
     world.at(afterMs, () -> world.crash(world.leader(), 2000));
     world.run(30);
     assertEquals(2, world.checker.running(urgent.uid()));
@@ -122,7 +123,7 @@
 
   @Test
   void tasksOutliveTheLeaderAndItsMachinesAreKept() {
-    Job job = submit(Samples.job(1, JobKind.SERVICE, 4, 2));
+    Job job = submit(TestFixtures.job(1, JobKind.SERVICE, 4, 2));
     world.run(30);
     int starts = world.checker.starts;
     int returned = world.cloud.returnedHosts;
@@ -136,7 +137,7 @@
 
   @Test
   void tasksOutliveAnOutageOfTheStateService() {
-    Job job = submit(Samples.job(1, JobKind.SERVICE, 4, 2));
+    Job job = submit(TestFixtures.job(1, JobKind.SERVICE, 4, 2));
     world.run(30);
     int starts = world.checker.starts;
     world.state.outage(world.nowMs);
@@ -145,7 +146,7 @@
     world.state.recover(world.nowMs);
     world.run(5);
     assertEquals(starts, world.checker.starts);
-    Job next = submit(Samples.job(2, JobKind.SERVICE, 1, 1));
+    Job next = submit(TestFixtures.job(2, JobKind.SERVICE, 1, 1));
     world.run(15);
     assertEquals(1, world.checker.running(next.uid()));
   }
@@ -158,8 +159,8 @@
   void aLeaderThatWorkersCannotReachResigns() {
     long survived = 0;
     for (int seed = 1; seed <= 20; seed++) {
-      World cutOff = new World(seed);
-      Job job = Samples.job(1, JobKind.SERVICE, 4, 4);
+      SimulatedCluster cutOff = new SimulatedCluster(seed);
+      Job job = TestFixtures.job(1, JobKind.SERVICE, 4, 4);
       cutOff.submit(job);
       cutOff.run(30);
       String first = cutOff.leader();
@@ -176,7 +177,7 @@
   /** It knew no machine by a report, so that it missed none. */
   @Test
   void aLeaderThatNoWorkerCouldReachFromTheStartResigns() {
-    submit(Samples.job(1, JobKind.SERVICE, 4, 4));
+    submit(TestFixtures.job(1, JobKind.SERVICE, 4, 4));
     world.run(30);
     List<String> others = world.all().stream().filter(n -> !n.equals(world.leader())).toList();
     String cutOff = others.get(0);
@@ -194,7 +195,7 @@
   void manySubmissionsDoNotHoldRentsUp() {
     world.run(3);
     for (int i = 1; i <= 400; i++) {
-      submit(Samples.job(i, JobKind.SERVICE, 1, 1));
+      submit(TestFixtures.job(i, JobKind.SERVICE, 1, 1));
       world.run(0.005);
     }
     assertTrue(world.cloud.liveHosts() > 2, "machines are on their way while submissions queue");
@@ -202,7 +203,7 @@
 
   @Test
   void headroomFadesAfterTheLastArrivals() {
-    Job job = submit(Samples.job(1, JobKind.SERVICE, 6, 1));
+    Job job = submit(TestFixtures.job(1, JobKind.SERVICE, 6, 1));
     world.run(20);
     world.abort(job.uid());
     world.run(5);
@@ -213,7 +214,7 @@
 
   @Test
   void aMachineThatDiesIsReplaced() {
-    Job job = submit(Samples.job(1, JobKind.SERVICE, 4, 2));
+    Job job = submit(TestFixtures.job(1, JobKind.SERVICE, 4, 2));
     world.run(30);
     world.die(world.workers().get(0).machine.name());
     world.run(35);
@@ -222,7 +223,7 @@
 
   @Test
   void aMachineThatHangsPastItsLeaseIsUsedAgain() {
-    Job job = submit(Samples.job(1, JobKind.SERVICE, 4, 4));
+    Job job = submit(TestFixtures.job(1, JobKind.SERVICE, 4, 4));
     world.run(30);
     FakeWorker worker = busyWorker();
     worker.hanging = true;
@@ -236,7 +237,7 @@
   /** While a new leader waited to hear a machine that was cut off, its tasks ran nowhere. */
   @Test
   void tasksOfAMachineThatANewLeaderNeverHeardArePlacedAnewAfterALease() {
-    Job job = submit(Samples.job(1, JobKind.SERVICE, 4, 2));
+    Job job = submit(TestFixtures.job(1, JobKind.SERVICE, 4, 2));
     world.run(30);
     FakeWorker worker = busyWorker();
     worker.hanging = true;
@@ -249,7 +250,7 @@
 
   @Test
   void theyWaitWhileNobodyKnowsWhetherTheOlderLeaderHoldsThem() {
-    Job job = submit(Samples.job(1, JobKind.SERVICE, 4, 2));
+    Job job = submit(TestFixtures.job(1, JobKind.SERVICE, 4, 2));
     world.run(30);
     FakeWorker worker = busyWorker();
     worker.hanging = true;
@@ -265,7 +266,7 @@
   /** All machines of a zone that was cut off for a little over two leases were once given back. */
   @Test
   void aSilentMachineIsKeptForTheTimeThatAnotherWouldBoot() {
-    submit(Samples.job(1, JobKind.SERVICE, 4, 4));
+    submit(TestFixtures.job(1, JobKind.SERVICE, 4, 4));
     world.run(30);
     FakeWorker worker = busyWorker();
     worker.hanging = true;
@@ -278,7 +279,7 @@
 
   @Test
   void roomForTheTasksOfASilentMachineIsRentedBeforeItsLeaseLapses() {
-    submit(Samples.job(1, JobKind.SERVICE, 4, 4));
+    submit(TestFixtures.job(1, JobKind.SERVICE, 4, 4));
     world.run(150);
     long before = world.cloud.liveHosts();
     world.die(busyWorker().machine.name());
@@ -289,7 +290,7 @@
   @Test
   void replicasOnHalfEmptyMachinesAreMovedTogether() {
     for (int i = 1; i <= 8; i++) {
-      submit(Samples.job(i, JobKind.SERVICE, 1, 2));
+      submit(TestFixtures.job(i, JobKind.SERVICE, 1, 2));
       world.run(12);
     }
     world.run(20);
@@ -309,11 +310,11 @@
     world.cloud.capacity = 2;
     Job first = submit(large(1, 3));
     world.run(35);
-    Job small = submit(Samples.job(2, JobKind.SERVICE, 1, 1));
+    Job small = submit(TestFixtures.job(2, JobKind.SERVICE, 1, 1));
     world.run(5);
-    submit(Samples.job(3, JobKind.SERVICE, 1, 1));
+    submit(TestFixtures.job(3, JobKind.SERVICE, 1, 1));
     world.run(45);
-    submit(Samples.job(5, JobKind.SERVICE, 1, 1));
+    submit(TestFixtures.job(5, JobKind.SERVICE, 1, 1));
     world.cloud.addHost("g4", "a", false, 100, world.nowMs);
     world.run(3);
     world.abort(first.uid());
@@ -332,14 +333,14 @@
 
   /** A replica whose image takes 10 s to fetch, twice as long as its class may wait. */
   private static Job large(int number, double gpus) {
-    return Samples.job(
+    return TestFixtures.job(
         number, JobKind.SERVICE, 1, gpus, "blue", Priority.PRODUCTION, false, false, "large", 20);
   }
 
   @Test
   void aMachineHeardAgainWhileTheCloudIsOutIsKept() {
     world.cloud.capacity = 1;
-    Job job = submit(Samples.job(1, JobKind.SERVICE, 2, 4));
+    Job job = submit(TestFixtures.job(1, JobKind.SERVICE, 2, 4));
     world.run(30);
     FakeWorker worker = busyWorker();
     worker.hanging = true;
@@ -355,7 +356,7 @@
 
   @Test
   void anUnexpectedMachineIsGivenBack() {
-    submit(Samples.job(1, JobKind.SERVICE, 1, 1));
+    submit(TestFixtures.job(1, JobKind.SERVICE, 1, 1));
     world.run(30);
     long before = world.cloud.liveHosts();
     world.cloud.addHost("g4", "a", false, 1000, world.nowMs);
@@ -365,14 +366,14 @@
 
   @Test
   void aJobThatFailsEverywhereCondemnsNoMachine() {
-    Job good = submit(Samples.job(1, JobKind.SERVICE, 8, 2));
+    Job good = submit(TestFixtures.job(1, JobKind.SERVICE, 8, 2));
     world.run(30);
     List<String> hosts =
         world.workers().stream()
             .filter(w -> !w.present().isEmpty())
             .map(w -> w.machine.name())
             .toList();
-    Job bad = Samples.job(2, JobKind.ARRAY, 4, 0);
+    Job bad = TestFixtures.job(2, JobKind.ARRAY, 4, 0);
     world.badJobs.add(bad.uid());
     submit(bad);
     world.run(60);
@@ -385,12 +386,12 @@
 
   @Test
   void aFaultyMachineGetsNoStartsAndIsReturned() {
-    submit(Samples.job(1, JobKind.SERVICE, 2, 1));
+    submit(TestFixtures.job(1, JobKind.SERVICE, 2, 1));
     world.run(20);
     String name = busyWorker().machine.name();
     world.badMachines.add(name);
     for (int i = 2; i < 8; i++) {
-      submit(Samples.job(i, JobKind.ARRAY, 2, 1));
+      submit(TestFixtures.job(i, JobKind.ARRAY, 2, 1));
       world.run(6);
     }
     world.run(90);
@@ -403,24 +404,25 @@
   @Test
   void urgentServicesTakeTheRoomOfLowArrays() {
     world.cloud.capacity = 1;
-    Job low = submit(Samples.job(1, JobKind.ARRAY, 8, 1, "blue", Priority.LOW, false, false));
+    Job low = submit(TestFixtures.job(1, JobKind.ARRAY, 8, 1, "blue", Priority.LOW, false, false));
     world.run(12);
     assertTrue(world.checker.running(low.uid()) > 0);
     Job urgent =
-        submit(Samples.job(2, JobKind.SERVICE, 2, 4, "blue", Priority.PRODUCTION, false, false));
+        submit(
+            TestFixtures.job(2, JobKind.SERVICE, 2, 4, "blue", Priority.PRODUCTION, false, false));
     world.run(15);
     assertEquals(2, world.checker.running(urgent.uid()));
   }
 
   @Test
   void aJobWithARecordThatCannotBeReadIsLeftAloneAndTheRestGoesOn() {
-    Job broken = submit(Samples.job(1, JobKind.SERVICE, 2, 1));
+    Job broken = submit(TestFixtures.job(1, JobKind.SERVICE, 2, 1));
     world.run(20);
     int starts = world.checker.starts;
-    world.state.spoil(Keys.alloc(broken.uid()));
+    world.state.spoil(StoreKeys.alloc(broken.uid()));
     world.crash(world.leader(), 3000);
     world.run(20);
-    Job other = submit(Samples.job(2, JobKind.SERVICE, 2, 1));
+    Job other = submit(TestFixtures.job(2, JobKind.SERVICE, 2, 1));
     world.query(broken.uid());
     world.run(20);
     assertEquals(2, world.checker.running(broken.uid()));
@@ -430,7 +432,7 @@
 
   @Test
   void whatIsKnownIsNeverRefusedAndWhatIsNotIsDenied() {
-    Job job = submit(Samples.job(1, JobKind.SERVICE, 1, 1));
+    Job job = submit(TestFixtures.job(1, JobKind.SERVICE, 1, 1));
     world.run(10);
     world.submit(job);
     world.query("run-000099");
@@ -442,16 +444,16 @@
   @Test
   void smallArraysGoBeforeLargeOnesForAWhileOnly() {
     world.cloud.capacity = 1;
-    submit(Samples.job(1, JobKind.SERVICE, 1, 0));
+    submit(TestFixtures.job(1, JobKind.SERVICE, 1, 0));
     world.run(20);
-    Job large = submit(Samples.job(2, JobKind.ARRAY, 60, 2));
+    Job large = submit(TestFixtures.job(2, JobKind.ARRAY, 60, 2));
     world.run(1);
-    Job small = submit(Samples.job(3, JobKind.ARRAY, 4, 2));
+    Job small = submit(TestFixtures.job(3, JobKind.ARRAY, 4, 2));
     world.run(25);
     assertTrue(world.checker.isDone(small.uid()));
     assertFalse(world.checker.isDone(large.uid()));
     for (int i = 4; i < 40; i++) {
-      submit(Samples.job(i, JobKind.ARRAY, 8, 2));
+      submit(TestFixtures.job(i, JobKind.ARRAY, 8, 2));
       world.run(2);
     }
     assertTrue(world.checker.isDone(large.uid()), "the large one has its turn");
@@ -459,9 +461,11 @@
 
   @Test
   void aFullTeamWaitsForItsLimit() {
-    Job first = submit(Samples.job(1, JobKind.SERVICE, 5, 2, "red", Priority.HIGH, false, false));
+    Job first =
+        submit(TestFixtures.job(1, JobKind.SERVICE, 5, 2, "red", Priority.HIGH, false, false));
     world.run(20);
-    Job second = submit(Samples.job(2, JobKind.SERVICE, 1, 2, "red", Priority.HIGH, false, false));
+    Job second =
+        submit(TestFixtures.job(2, JobKind.SERVICE, 1, 2, "red", Priority.HIGH, false, false));
     world.run(10);
     assertEquals(5, world.checker.running(first.uid()));
     assertEquals(0, world.checker.running(second.uid()));
--- a/src/test/java/eiderfork/core/StaleMessageTest.java
+++ b/src/test/java/eiderfork/controller/StaleMessageTest.java
@@ -1,4 +1,4 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -20,12 +20,12 @@
   }
 
   /** Work of every kind that starts, ends and is cancelled for a minute. */
-  private static List<Job> churn(World world, long seed) {
+  private static List<Job> churn(SimulatedCluster world, long seed) {
     List<Job> jobs = new ArrayList<>();
     for (int i = 1; i <= 24; i++) {
       JobKind kind = i % 3 == 0 ? JobKind.SERVICE : i % 8 == 1 ? JobKind.GANG : JobKind.ARRAY;
       String team = i % 2 == 0 ? "red" : "blue";
-      Job job = Samples.job(i, kind, 1 + i % 4, i % 3, team, Priority.HIGH, false, i % 4 == 0);
+      Job job = TestFixtures.job(i, kind, 1 + i % 4, i % 3, team, Priority.HIGH, false, i % 4 == 0);
       jobs.add(job);
       world.at(3000 + i * 1700L, () -> world.submit(job));
       if (kind == JobKind.SERVICE) {
@@ -42,14 +42,14 @@
   @ParameterizedTest
   @MethodSource("seeds")
   void oldReportsAfterNewerOnes(long seed) {
-    World world = new World(seed);
+    SimulatedCluster world = new SimulatedCluster(seed);
     world.lateReports = 0.3;
     List<Job> jobs = churn(world, seed);
     for (int i = 0; i < 4; i++) {
       world.at(15_000 + 9000L * i, () -> hang(world, 11_000 + 500 * seed));
     }
     world.run(70);
-    Outcome.allServed(world, jobs);
+    ExpectedOutcome.allServed(world, jobs);
   }
 
   /**
@@ -59,7 +59,7 @@
   @ParameterizedTest
   @MethodSource("seeds")
   void oldReportsAtANewLeader(long seed) {
-    World world = new World(seed);
+    SimulatedCluster world = new SimulatedCluster(seed);
     world.reportsForNext = 0.4;
     List<Job> jobs = churn(world, seed);
     for (int i = 0; i < 5; i++) {
@@ -72,31 +72,31 @@
           });
     }
     world.run(70);
-    Outcome.allServed(world, jobs);
+    ExpectedOutcome.allServed(world, jobs);
   }
 
   /** A report is held back until a new leader has acted, and then arrives there. */
   @ParameterizedTest
   @ValueSource(ints = {3500, 4000, 4500, 5000, 6000, 8000, 12_000, 16_000})
   void aReportHeldBackUntilTheNewLeaderHasActed(int heldMs) {
-    World world = new World(4);
+    SimulatedCluster world = new SimulatedCluster(4);
     List<Job> jobs = new ArrayList<>();
-    jobs.add(Samples.job(1, JobKind.ARRAY, 4, 1));
-    jobs.add(Samples.job(2, JobKind.SERVICE, 4, 1));
+    jobs.add(TestFixtures.job(1, JobKind.ARRAY, 4, 1));
+    jobs.add(TestFixtures.job(2, JobKind.SERVICE, 4, 1));
     jobs.forEach(world::submit);
     world.run(8);
     world.holdNextReports(heldMs);
     world.run(1.2);
     world.crash(world.leader(), 20_000);
     world.run(40);
-    Outcome.allServed(world, jobs);
+    ExpectedOutcome.allServed(world, jobs);
   }
 
   /** A command or its answer is held up for seconds, and the machine then goes on. */
   @ParameterizedTest
   @MethodSource("seeds")
   void commandsHeldUpWhileTheMachineHangs(long seed) {
-    World world = new World(seed);
+    SimulatedCluster world = new SimulatedCluster(seed);
     world.late = 0.1;
     world.lateMs = 9000;
     List<Job> jobs = churn(world, seed);
@@ -105,10 +105,10 @@
     }
     world.at(30_000, () -> world.crash(world.leader() == null ? "roost-1" : world.leader(), 2500));
     world.run(75);
-    Outcome.allServed(world, jobs);
+    ExpectedOutcome.allServed(world, jobs);
   }
 
-  private static void hang(World world, long ms) {
+  private static void hang(SimulatedCluster world, long ms) {
     List<FakeWorker> workers = world.workers();
     if (!workers.isEmpty()) {
       FakeWorker worker = workers.get(world.random.nextInt(workers.size()));
@@ -121,16 +121,16 @@
   @ParameterizedTest
   @MethodSource("seeds")
   void transactionsAfterNewerOnes(long seed) {
-    World world = new World(seed);
+    SimulatedCluster world = new SimulatedCluster(seed);
     world.at(4000, () -> world.lateWrites = 0.25);
     List<Job> jobs = churn(world, seed);
     world.at(20_000 + 100 * seed, () -> crashLeader(world, 2500));
     world.at(36_000 + 300 * seed, () -> crashLeader(world, 300));
     world.run(70);
-    Outcome.allServed(world, jobs);
+    ExpectedOutcome.allServed(world, jobs);
   }
 
-  private static void crashLeader(World world, long forMs) {
+  private static void crashLeader(SimulatedCluster world, long forMs) {
     if (world.leader() != null) {
       world.crash(world.leader(), forMs);
     }
@@ -140,19 +140,19 @@
   @ParameterizedTest
   @ValueSource(ints = {0, 100, 200, 400, 700, 1000, 1500, 2000, 2500, 3000, 4000, 6000})
   void workForMachinesThatAreUpAtOnceWhileWritesLag(int crashAfterMs) {
-    World world = new World(9);
+    SimulatedCluster world = new SimulatedCluster(9);
     world.cloud.bootMs = 300;
     world.run(4);
     world.lateWrites = 0.3;
     List<Job> jobs = new ArrayList<>();
     for (int i = 1; i <= 6; i++) {
-      Job job = Samples.job(i, i % 2 == 0 ? JobKind.SERVICE : JobKind.ARRAY, 3, 1 + i % 3);
+      Job job = TestFixtures.job(i, i % 2 == 0 ? JobKind.SERVICE : JobKind.ARRAY, 3, 1 + i % 3);
       jobs.add(job);
       world.at(300L * i, () -> world.submit(job));
     }
     world.at(300 + crashAfterMs, () -> crashLeader(world, 2000));
     world.run(25);
-    Outcome.allServed(world, jobs);
+    ExpectedOutcome.allServed(world, jobs);
     assertTrue(world.checker.starts > 0);
   }
 
@@ -160,14 +160,14 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5})
   void doubledAndLateMessagesOfEveryKind(long seed) {
-    World world = new World(seed);
+    SimulatedCluster world = new SimulatedCluster(seed);
     world.doubled = 0.2;
     world.late = 0.05;
     world.lateReports = 0.1;
     world.lostAnswers = 0.05;
     List<Job> jobs = churn(world, seed);
     world.run(80);
-    Outcome.allServed(world, jobs);
+    ExpectedOutcome.allServed(world, jobs);
     assertEquals(0, world.checker.startsAfterCancellation, "of a cancelled job nothing starts");
   }
 }
--- a/src/test/java/eiderfork/core/StandbyTakeoverTest.java
+++ b/src/test/java/eiderfork/controller/StandbyFailoverTest.java
@@ -1,11 +1,11 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import eiderfork.config.Settings;
-import eiderfork.core.message.Keys;
+import eiderfork.controller.message.StoreKeys;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
 import eiderfork.model.Priority;
@@ -20,14 +20,14 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** A standby takes the lead over with its copy while something else goes wrong. */
-class StandbyTakeoverTest {
-  private static World world(long seed) {
+class StandbyFailoverTest {
+  private static SimulatedCluster world(long seed) {
     return world(seed, 3, 1);
   }
 
-  private static World world(long seed, int nodes, int standbys) {
-    Settings settings = Samples.withStandbys(Samples.settings("roost-0"), standbys);
-    return new World(seed, settings, nodes);
+  private static SimulatedCluster world(long seed, int nodes, int standbys) {
+    Settings settings = TestFixtures.withStandbys(TestFixtures.settings("roost-0"), standbys);
+    return new SimulatedCluster(seed, settings, nodes);
   }
 
   private static LongStream seeds() {
@@ -41,14 +41,14 @@
   }
 
   /** Services, an array and a gang, some of them submitted while the first start. */
-  private static List<Job> rollout(World world) {
+  private static List<Job> rollout(SimulatedCluster world) {
     List<Job> jobs = new ArrayList<>();
     for (int i = 1; i <= 8; i++) {
       String team = i % 2 == 0 ? "red" : "blue";
-      jobs.add(Samples.job(i, JobKind.SERVICE, 2, 1, team, Priority.HIGH, false, false));
+      jobs.add(TestFixtures.job(i, JobKind.SERVICE, 2, 1, team, Priority.HIGH, false, false));
     }
-    jobs.add(Samples.job(20, JobKind.ARRAY, 5, 1));
-    jobs.add(Samples.gang(21, 3, 1, 6, false));
+    jobs.add(TestFixtures.job(20, JobKind.ARRAY, 5, 1));
+    jobs.add(TestFixtures.gang(21, 3, 1, 6, false));
     for (int i = 0; i < jobs.size(); i++) {
       Job job = jobs.get(i);
       world.at(i * 150L, () -> world.submit(job));
@@ -56,7 +56,7 @@
     return jobs;
   }
 
-  private static String standby(World world) {
+  private static String standby(SimulatedCluster world) {
     return world.nodes.entrySet().stream()
         .filter(node -> node.getValue().standsBy())
         .map(java.util.Map.Entry::getKey)
@@ -64,13 +64,13 @@
         .orElse(null);
   }
 
-  private static Controller leading(World world) {
+  private static Controller leading(SimulatedCluster world) {
     return world.nodes.get(world.leader());
   }
 
   @Test
   void theStandbyFollowsAndLeadsNext() {
-    World world = world(1);
+    SimulatedCluster world = world(1);
     List<Job> jobs = rollout(world);
     world.run(30);
     String next = standby(world);
@@ -80,19 +80,19 @@
     assertTrue(leading(world).ledFromCopy());
     world.run(10);
     assertTrue(standby(world) != null, "the node that is left stands by now");
-    Outcome.allServed(world, jobs);
+    ExpectedOutcome.allServed(world, jobs);
   }
 
   @Test
   void withoutTheSettingNobodyStandsBy() {
-    World world = world(1, 3, 0);
+    SimulatedCluster world = world(1, 3, 0);
     List<Job> jobs = rollout(world);
     world.run(30);
     assertEquals(null, standby(world));
     world.crash(world.leader(), 60_000);
     world.run(6);
     assertFalse(leading(world).ledFromCopy());
-    Outcome.allServed(world, jobs);
+    ExpectedOutcome.allServed(world, jobs);
   }
 
   /** At every write of a round, with the copy current, one placement behind, and far behind. */
@@ -100,7 +100,7 @@
   @ValueSource(ints = {0, 50, 100, 150, 200, 300, 400, 500, 700, 900, 1100, 1300, 1600, 2000, 3000})
   void theLeaderIsKilledInTheMiddleOfARollout(int afterMs) {
     for (long stateDelayMs : new long[] {0, 300}) {
-      World world = world(2);
+      SimulatedCluster world = world(2);
       world.run(20);
       List<Job> jobs = rollout(world);
       world.stateDelayMs = stateDelayMs;
@@ -109,7 +109,7 @@
       world.run(8);
       world.stateDelayMs = 0;
       world.run(30);
-      Outcome.allServed(world, jobs);
+      ExpectedOutcome.allServed(world, jobs);
     }
   }
 
@@ -117,7 +117,7 @@
   @ParameterizedTest
   @ValueSource(ints = {0, 50, 100, 200, 500, 1000, 2000})
   void rentsAndReturnsInTheCopyAreSettled(int afterMs) {
-    World world = world(12);
+    SimulatedCluster world = world(12);
     world.run(20);
     List<Job> jobs = rollout(world);
     world.run(2);
@@ -127,15 +127,15 @@
     world.run(8);
     assertTrue(leading(world).ledFromCopy());
     jobs.subList(0, 4).forEach(job -> world.abort(job.uid()));
-    Outcome.allServed(world, jobs);
-    assertEquals(List.of(), world.state.keys(Keys.RENT), "rents that nobody settles");
+    ExpectedOutcome.allServed(world, jobs);
+    assertEquals(List.of(), world.state.keys(StoreKeys.RENT), "rents that nobody settles");
   }
 
   /** Watches bring nothing for a while; what was written meanwhile comes with the proof. */
   @ParameterizedTest
   @ValueSource(ints = {1, 4, 8})
   void theCopyIsFarBehind(int blindS) {
-    World world = world(13);
+    SimulatedCluster world = world(13);
     world.run(20);
     String standby = standby(world);
     world.stateAccess.blind.add(standby);
@@ -147,17 +147,17 @@
     world.run(6);
     assertEquals(standby, world.leader());
     assertTrue(leading(world).ledFromCopy());
-    var term = world.state.get(Keys.TERM);
+    var term = world.state.get(StoreKeys.TERM);
     world.stateAccess.blind.clear();
-    Outcome.allServed(world, jobs);
-    assertEquals(term, world.state.get(Keys.TERM), "what it took up was right");
+    ExpectedOutcome.allServed(world, jobs);
+    assertEquals(term, world.state.get(StoreKeys.TERM), "what it took up was right");
   }
 
   /** A reservation's answer is lost, or it is carried out while the standby leads. */
   @ParameterizedTest
   @MethodSource("seeds")
   void reservationsAreCarriedOutLateOrLoseTheirAnswers(long seed) {
-    World world = world(seed);
+    SimulatedCluster world = world(seed);
     world.run(15);
     List<Job> jobs = rollout(world);
     world.lateWrites = seed % 2 == 0 ? 0.4 : 0;
@@ -167,10 +167,10 @@
     world.lateWrites = 0;
     world.lostAnswers = 0;
     world.run(40);
-    Outcome.allServed(world, jobs);
+    ExpectedOutcome.allServed(world, jobs);
   }
 
-  private static void crashLeader(World world, long forMs) {
+  private static void crashLeader(SimulatedCluster world, long forMs) {
     if (world.leader() != null) {
       world.crash(world.leader(), forMs);
     }
@@ -180,7 +180,7 @@
   @ParameterizedTest
   @MethodSource("seeds")
   void watchesAreLostLateAndDoubled(long seed) {
-    World world = world(seed);
+    SimulatedCluster world = world(seed);
     world.loss = 0.1;
     world.late = 0.1;
     world.lateMs = 3000;
@@ -190,39 +190,39 @@
       world.at(15_000 + i * 9000L + 300 * seed, () -> crashLeader(world, 3000));
     }
     world.run(60);
-    Outcome.allServed(world, jobs);
+    ExpectedOutcome.allServed(world, jobs);
   }
 
   @ParameterizedTest
   @ValueSource(ints = {-500, 0, 500, 3000, 3400, 3800})
   void theStateServiceIsOutDuringTheTakeover(int afterMs) {
-    World world = world(3);
+    SimulatedCluster world = world(3);
     List<Job> jobs = rollout(world);
     world.run(25);
     world.at(500, () -> crashLeader(world, 30_000));
     world.at(500 + afterMs, () -> world.state.outage(world.nowMs));
     world.at(9000, () -> world.state.recover(world.nowMs));
     world.run(45);
-    Outcome.allServed(world, jobs);
+    ExpectedOutcome.allServed(world, jobs);
   }
 
   @ParameterizedTest
   @ValueSource(ints = {0, 2000, 3300, 4000})
   void theStandbyAloneIsRefused(int afterMs) {
-    World world = world(4);
+    SimulatedCluster world = world(4);
     List<Job> jobs = rollout(world);
     world.run(25);
     String standby = standby(world);
     world.at(afterMs, () -> world.refuse(standby, 15_000));
     crashLeader(world, 20_000);
     world.run(40);
-    Outcome.allServed(world, jobs);
+    ExpectedOutcome.allServed(world, jobs);
   }
 
   @Test
   void twoStandbysTryAndOneLeads() {
     for (long seed = 1; seed <= 6; seed++) {
-      World world = world(seed, 5, 2);
+      SimulatedCluster world = world(seed, 5, 2);
       List<Job> jobs = rollout(world);
       world.run(25);
       long standbys = world.nodes.values().stream().filter(Controller::standsBy).count();
@@ -230,7 +230,7 @@
       crashLeader(world, 20_000);
       world.run(8);
       assertTrue(leading(world).ledFromCopy());
-      Outcome.allServed(world, jobs);
+      ExpectedOutcome.allServed(world, jobs);
     }
   }
 
@@ -238,33 +238,33 @@
   @ParameterizedTest
   @ValueSource(ints = {0, 1000, 3000, 3300, 3350, 3400, 3450, 3500, 3600, 3800, 4500})
   void theStandbyIsKilledAtEachPhase(int afterMs) {
-    World world = world(5);
+    SimulatedCluster world = world(5);
     List<Job> jobs = rollout(world);
     world.run(25);
     String standby = standby(world);
     crashLeader(world, 30_000);
     world.at(afterMs, () -> world.crash(standby, 20_000));
     world.run(45);
-    Outcome.allServed(world, jobs);
+    ExpectedOutcome.allServed(world, jobs);
   }
 
   @Test
   void leaderAndStandbyAreKilledTogether() {
-    World world = world(6);
+    SimulatedCluster world = world(6);
     List<Job> jobs = rollout(world);
     world.run(25);
     world.crash(standby(world), 20_000);
     crashLeader(world, 20_000);
     world.run(8);
     assertFalse(leading(world).ledFromCopy(), "the third node reads everything");
-    Outcome.allServed(world, jobs);
+    ExpectedOutcome.allServed(world, jobs);
   }
 
   /** Its late commands, transactions, answers and renewals come when the standby leads. */
   @ParameterizedTest
   @CsvSource({"3600,0", "5000,900", "8000,1500", "12000,3000"})
   void theOldLeaderStoodStillAndGoesOn(int stillMs, int commandsLateMs) {
-    World world = world(7);
+    SimulatedCluster world = world(7);
     world.lookCloselyAtNews(true);
     world.run(15);
     List<Job> jobs = rollout(world);
@@ -276,7 +276,7 @@
     world.run(40);
     world.commandsLateMs = 0;
     world.lookCloselyAtNews(false);
-    Outcome.allServed(world, jobs);
+    ExpectedOutcome.allServed(world, jobs);
   }
 
   /** A third node confirms cancellations, and then the state service is out past cancel_s. */
@@ -289,7 +289,7 @@
   }
 
   private static void cancelInTheInstantsOfATakeover(int afterMs, long stateDelayMs) {
-    World world = world(8);
+    SimulatedCluster world = world(8);
     List<Job> jobs = rollout(world);
     world.run(25);
     String leader = world.leader();
@@ -305,18 +305,18 @@
     world.at(afterMs + 150, () -> world.state.outage(world.nowMs));
     world.at(afterMs + 40_000, () -> world.state.recover(world.nowMs));
     world.run(60);
-    Outcome.allServed(world, jobs);
+    ExpectedOutcome.allServed(world, jobs);
   }
 
   /** Ended jobs are archived while the copy is followed; some are in it, some go as it is used. */
   @ParameterizedTest
   @MethodSource("seeds")
   void archivedJobsInTheCopy(long seed) {
-    Settings settings = Samples.withStandbys(Samples.archiving(60, 2), 1);
-    World world = new World(seed, settings);
+    Settings settings = TestFixtures.withStandbys(TestFixtures.archiving(60, 2), 1);
+    SimulatedCluster world = new SimulatedCluster(seed, settings);
     List<Job> jobs = rollout(world);
     for (int i = 0; i < 8; i++) {
-      Job job = Samples.job(40 + i, JobKind.ARRAY, 1, 0);
+      Job job = TestFixtures.job(40 + i, JobKind.ARRAY, 1, 0);
       jobs.add(job);
       world.at(2000 + i * 2500L, () -> world.submit(job));
     }
@@ -324,36 +324,36 @@
       world.at(15_000 + i * 8000L + 130 * seed, () -> crashLeader(world, 2500));
     }
     world.run(50);
-    Outcome.allServed(world, jobs);
+    ExpectedOutcome.allServed(world, jobs);
   }
 
   @ParameterizedTest
   @ValueSource(ints = {0, 100, 200, 300, 400, 600, 1000})
   void aGangIsHalfReserved(int afterMs) {
-    World world = world(9);
+    SimulatedCluster world = world(9);
     world.run(20);
     List<Job> jobs = new ArrayList<>();
     for (int i = 1; i <= 4; i++) {
-      Job gang = Samples.gang(i, 4, 2, 8, i % 2 == 0);
+      Job gang = TestFixtures.gang(i, 4, 2, 8, i % 2 == 0);
       jobs.add(gang);
       world.submit(gang);
     }
     world.run(afterMs / 1000.0);
     crashLeader(world, 8000);
     world.run(40);
-    Outcome.allServed(world, jobs);
+    ExpectedOutcome.allServed(world, jobs);
   }
 
   /** Nodes that know no standby are replaced one after the other, in any order. */
   @ParameterizedTest
   @ValueSource(strings = {"012", "021", "102", "120", "201", "210"})
   void anUpgradeInAnyOrder(String order) {
-    World world = world(10);
+    SimulatedCluster world = world(10);
     world.older.addAll(world.all());
     world.all().forEach(node -> world.crash(node, 100));
     List<Job> jobs = new ArrayList<>();
     for (int i = 1; i <= 6; i++) {
-      Job job = Samples.job(i, JobKind.SERVICE, 2, 1);
+      Job job = TestFixtures.job(i, JobKind.SERVICE, 2, 1);
       jobs.add(job);
       world.at(i * 400L, () -> world.submit(job));
     }
@@ -365,7 +365,7 @@
     }
     crashLeader(world, 3000);
     world.run(10);
-    Outcome.allServed(world, jobs);
+    ExpectedOutcome.allServed(world, jobs);
   }
 
   /** Seeded histories of faults; many more are run by hand, see docs/standby.md. */
@@ -378,7 +378,7 @@
   /** One random history on three or five nodes with one or two standbys. */
   static void randomHistory(long seed) {
     Random script = new Random(seed * 101);
-    World world = world(seed, seed % 3 == 0 ? 5 : 3, 1 + (int) (seed % 2));
+    SimulatedCluster world = world(seed, seed % 3 == 0 ? 5 : 3, 1 + (int) (seed % 2));
     world.loss = 0.01;
     world.late = 0.02;
     world.doubled = 0.02;
@@ -391,7 +391,7 @@
     List<Job> jobs = rollout(world);
     for (int i = 0; i < 10; i++) {
       JobKind kind = script.nextBoolean() ? JobKind.ARRAY : JobKind.SERVICE;
-      Job job = Samples.job(60 + i, kind, 1 + script.nextInt(4), script.nextInt(2));
+      Job job = TestFixtures.job(60 + i, kind, 1 + script.nextInt(4), script.nextInt(2));
       jobs.add(job);
       world.at(script.nextInt(50_000), () -> world.submit(job));
       if (script.nextInt(3) == 0) {
@@ -403,10 +403,10 @@
     }
     world.run(80);
     world.lookCloselyAtNews(false);
-    Outcome.allServed(world, jobs);
+    ExpectedOutcome.allServed(world, jobs);
   }
 
-  private static void trouble(World world, Random script) {
+  private static void trouble(SimulatedCluster world, Random script) {
     String any = world.all().get(script.nextInt(world.count));
     String leader = world.leader() == null ? any : world.leader();
     String standby = standby(world) == null ? any : standby(world);
--- a/src/test/java/eiderfork/core/StandbySamples.java
+++ b/src/test/java/eiderfork/controller/StandbyFixtures.java
@@ -1,4 +1,4 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import eiderfork.config.Settings;
 import eiderfork.model.Job;
@@ -6,24 +6,24 @@
 import eiderfork.model.Priority;
 
 /** Settings with standbys, for the tests of the packages below this one, too. */
-public final class StandbySamples {
-  private StandbySamples() {}
+public final class StandbyFixtures {
+  private StandbyFixtures() {}
 
   /** The usual settings with so many standbys. */
   public static Settings settings(int standbys) {
-    return Samples.withStandbys(Samples.settings("roost-0"), standbys);
+    return TestFixtures.withStandbys(TestFixtures.settings("roost-0"), standbys);
   }
 
   /** The settings of a node of a cluster of so many in two zones. */
   public static Settings settings(String node, int nodes, int standbys) {
-    Settings like = Samples.settings("roost-0");
-    return Samples.withStandbys(
-        Samples.settings(node, like.workers(), like.stateLimits(), 0.2, 160, nodes), standbys);
+    Settings like = TestFixtures.settings("roost-0");
+    return TestFixtures.withStandbys(
+        TestFixtures.settings(node, like.workers(), like.stateLimits(), 0.2, 160, nodes), standbys);
   }
 
   /** A service with this id. */
   public static Job job(String uid) {
-    Job like = Samples.job(1, JobKind.SERVICE, 2, 1, "blue", Priority.HIGH, false, false);
+    Job like = TestFixtures.job(1, JobKind.SERVICE, 2, 1, "blue", Priority.HIGH, false, false);
     return new Job(
         uid,
         like.jobClass(),
--- a/src/test/java/eiderfork/core/Samples.java
+++ b/src/test/java/eiderfork/controller/TestFixtures.java
@@ -1,11 +1,11 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import com.google.common.collect.ImmutableList;
 import com.google.common.collect.ImmutableMap;
 import com.google.common.collect.ImmutableSet;
 import eiderfork.config.OperatorSettings;
 import eiderfork.config.Settings;
-import eiderfork.core.limits.Backoff;
+import eiderfork.controller.ratelimit.Backoff;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
 import eiderfork.model.Priority;
@@ -13,13 +13,13 @@
 import eiderfork.model.Team;
 
 /** Settings and jobs that tests have in common. */
-final class Samples {
+final class TestFixtures {
   /** The figures of the earlier deployments, and of those of many machines. */
   static final Settings.Workers QUICK = new Settings.Workers(1, 10, 30);
 
   static final Settings.Workers SLOW = new Settings.Workers(4, 22, 42);
 
-  private Samples() {}
+  private TestFixtures() {}
 
   /** Three nodes stand in one zone; more are spread over the two by turns. */
   static String zone(int node, int count) {
@@ -312,8 +312,9 @@
   }
 
   /** A job as a leader holds it that has just learned of it. */
-  static JobEntry entry(Job job) {
+  static JobState entry(Job job) {
     Backoff backoff = new Backoff(1, 2);
-    return new JobEntry(job, TaskProfile.of(job), 1, 0, backoff, backoff, new FailureHistory(1));
+    return new JobState(
+        job, PlacementProfile.of(job), 1, 0, backoff, backoff, new FailureHistory(1));
   }
 }
--- /dev/null
+++ b/src/test/java/eiderfork/controller/UserRequestHandlerTest.java
@@ -0,0 +1,173 @@
+package eiderfork.controller;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import com.google.common.collect.ImmutableList;
+import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.election.LeaderElection;
+import eiderfork.controller.message.Effect;
+import eiderfork.controller.message.Input;
+import eiderfork.controller.message.Reply;
+import eiderfork.controller.message.StoreKeys;
+import eiderfork.controller.message.StoreRequest;
+import eiderfork.controller.message.UserResponse;
+import eiderfork.controller.store.StoreClient;
+import eiderfork.model.Job;
+import eiderfork.model.JobKind;
+import eiderfork.model.JobStatus;
+import eiderfork.model.MachineType;
+import eiderfork.model.Resources;
+import eiderfork.model.StoredRecord;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Random;
+import org.junit.jupiter.api.Test;
+
+/** Cancellations that a node carries out itself, against what the leader writes meanwhile. */
+class UserRequestHandlerTest {
+  private static final Job JOB = TestFixtures.job(1, JobKind.ARRAY, 2, 1);
+
+  private final ControllerContext context =
+      new ControllerContext(TestFixtures.settings("roost-0"), new Random(1), 1_000_000);
+  private final StoreClient gate = new StoreClient(context);
+  private final LeaderElection term = new LeaderElection(context, gate, null);
+  private final ClusterVersion version = new ClusterVersion(context, gate, term);
+  private final JobRegistry jobs = new JobRegistry(context, gate, term, version);
+  private final UserRequestHandler requests =
+      new UserRequestHandler(
+          context,
+          term,
+          gate,
+          jobs,
+          new MachineRegistry(context, jobs),
+          null,
+          null,
+          new CancellationTracker(context, uid -> {}),
+          version,
+          () -> {});
+  private final List<UserResponse> answers = new ArrayList<>();
+
+  private StoreRequest next(Reply replyToLast, long call) {
+    if (replyToLast != null) {
+      context.answered(call, replyToLast);
+    }
+    context.nowMs += 1000;
+    gate.pump();
+    List<Effect> effects = context.takeEffects();
+    assertEquals(1, effects.size());
+    lastCall = ((Effect.AskState) effects.get(0)).call();
+    return ((Effect.AskState) effects.get(0)).op();
+  }
+
+  private long lastCall;
+
+  /** Asks to cancel, and goes on until the cancellation is to be written. */
+  private StoreRequest.Transact abort(StoredRecord.Alloc alloc, long allocVersion) {
+    requests.take(new Input.Abort(1, JOB.uid()), true, answers::add);
+    assertEquals(new StoreRequest.Get(StoreKeys.job(JOB.uid())), next(null, 0));
+    Reply job = new Reply.Value(new StoredRecord.JobSpec(JOB), 3);
+    assertEquals(new StoreRequest.Get(StoreKeys.alloc(JOB.uid())), next(job, lastCall));
+    return (StoreRequest.Transact) next(new Reply.Value(alloc, allocVersion), lastCall);
+  }
+
+  private static StoredRecord.Alloc alloc(boolean done) {
+    return new StoredRecord.Alloc(1, done, ImmutableList.of(), ImmutableList.of());
+  }
+
+  /** Without the condition on alloc a job that was told to be done could be cancelled after it. */
+  @Test
+  void aCancellationIsWrittenOnlyWhereTheJobIsAsItWasRead() {
+    StoreRequest.Transact write = abort(alloc(false), 9);
+    assertEquals(
+        ImmutableList.of(
+            new StoreRequest.Condition(StoreKeys.abort(JOB.uid()), 0),
+            new StoreRequest.Condition(StoreKeys.alloc(JOB.uid()), 9),
+            new StoreRequest.Condition(StoreKeys.ended(JOB.uid()), 0)),
+        write.conditions());
+  }
+
+  @Test
+  void aJobThatIsDoneMeanwhileIsNotCancelled() {
+    abort(alloc(false), 9);
+    Reply conflict = new Reply.Conflict(ImmutableList.of(StoreKeys.alloc(JOB.uid())));
+    assertEquals(new StoreRequest.Get(StoreKeys.alloc(JOB.uid())), next(conflict, lastCall));
+    context.answered(lastCall, new Reply.Value(alloc(true), 10));
+    assertEquals(JobStatus.Stance.DONE, answers.get(0).job().stance());
+  }
+
+  /** An older version's late writes may have brought job and cancellation of a done job back. */
+  @Test
+  void aCancellationThatFindsTheJobArchivedIsAnsweredWithItsEnd() {
+    abort(StoredRecord.Alloc.EMPTY, 0);
+    Reply conflict =
+        new Reply.Conflict(
+            ImmutableList.of(StoreKeys.abort(JOB.uid()), StoreKeys.ended(JOB.uid())));
+    assertEquals(new StoreRequest.Get(StoreKeys.ended(JOB.uid())), next(conflict, lastCall));
+    StoredRecord ended = new StoredRecord.EndedJob(JobStatus.Stance.DONE, 2);
+    context.answered(lastCall, new Reply.Value(ended, 12));
+    assertEquals(JobStatus.Stance.DONE, answers.get(0).job().stance());
+  }
+
+  private static final Job GANG = TestFixtures.gang(2, 3, 1, 4, true);
+
+  /** A gang comes to this node, which can't reach a leader; goes on until the version is read. */
+  private void submitGang() {
+    requests.take(new Input.Submit(1, GANG, new byte[0]), true, answers::add);
+    assertEquals(new StoreRequest.Get(StoreKeys.job(GANG.uid())), next(null, 0));
+    Reply none = new Reply.Value(null, 0);
+    assertEquals(new StoreRequest.Get(StoreKeys.ended(GANG.uid())), next(none, lastCall));
+    assertEquals(new StoreRequest.Get(StoreKeys.TYPES), next(none, lastCall));
+    MachineType type =
+        new MachineType("g4", new Resources(16, 4, 64), 9, 2, 8, 3, 4, ImmutableList.of("a"));
+    Reply types = new Reply.Value(new StoredRecord.Types(ImmutableList.of(type)), 2);
+    assertEquals(new StoreRequest.Get(StoreKeys.VERSION), next(types, lastCall));
+  }
+
+  /** An old leader would take it, and carry it out by older rules. */
+  @Test
+  void aGangIsNotPassedOnWhileTheLeaderMayBeOld() {
+    term.heardLeader("roost-1", 4);
+    assertEquals("roost-1", term.leader());
+    submitGang();
+    context.answered(lastCall, new Reply.Value(null, 0));
+    assertEquals(503, answers.get(0).status());
+    assertTrue(answers.get(0).retryAfterS() > 0);
+  }
+
+  @Test
+  void aNodeWithoutProofReadsWhichVersionIsStored() {
+    submitGang();
+    Reply current = new Reply.Value(new StoredRecord.StoredVersion(ClusterVersion.CURRENT), 8);
+    StoreRequest.Transact write = (StoreRequest.Transact) next(current, lastCall);
+    assertEquals(
+        StoreRequest.Change.put(StoreKeys.job(GANG.uid()), new StoredRecord.JobSpec(GANG)),
+        write.changes().get(0));
+  }
+
+  /** A peer may have taken the job before the limits fell: then it is known, and not refused. */
+  @Test
+  void aSubmissionThatIsTooLargeIsLookedUpBeforeItIsRefused() {
+    submitGang();
+    next(new Reply.Value(new StoredRecord.StoredVersion(ClusterVersion.CURRENT), 8), lastCall);
+    assertEquals(
+        new StoreRequest.Get(StoreKeys.job(GANG.uid())), next(new Reply.Refused(400), lastCall));
+    Reply there = new Reply.Value(new StoredRecord.JobSpec(GANG), 7);
+    assertEquals(new StoreRequest.Get(StoreKeys.abort(GANG.uid())), next(there, lastCall));
+    next(new Reply.Value(null, 0), lastCall);
+    // Without an alloc record the job may have been archived between the reads.
+    assertEquals(
+        new StoreRequest.Get(StoreKeys.ended(GANG.uid())),
+        next(new Reply.Value(null, 0), lastCall));
+    context.answered(lastCall, new Reply.Value(null, 0));
+    assertEquals(200, answers.get(0).status());
+  }
+
+  @Test
+  void anUnansweredCancellationIsNotConfirmed() {
+    abort(alloc(false), 9);
+    context.answered(lastCall, new Reply.Unanswered());
+    assertEquals(503, answers.get(0).status());
+    assertTrue(context.takeEffects().isEmpty());
+  }
+}
--- a/src/test/java/eiderfork/core/WorkerControlTest.java
+++ b/src/test/java/eiderfork/controller/WorkerCommanderTest.java
@@ -1,4 +1,4 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -7,18 +7,18 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.google.common.collect.ImmutableList;
-import eiderfork.core.message.Effect;
-import eiderfork.core.message.Keys;
-import eiderfork.core.message.Reply;
-import eiderfork.core.message.StateOp;
-import eiderfork.core.state.Urgency;
+import eiderfork.controller.message.Effect;
+import eiderfork.controller.message.Reply;
+import eiderfork.controller.message.StoreKeys;
+import eiderfork.controller.message.StoreRequest;
+import eiderfork.controller.store.RequestPriority;
 import eiderfork.model.Attempt;
 import eiderfork.model.Command;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
 import eiderfork.model.Machine;
-import eiderfork.model.Record;
-import eiderfork.model.TaskReport;
+import eiderfork.model.StoredRecord;
+import eiderfork.model.TaskStatus;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -26,15 +26,15 @@
  * The guards between a leader and one worker, each looked at alone: in the histories of other tests
  * another guard often stands behind the one that fails.
  */
-class WorkerControlTest extends LeaderAndWorker {
-  WorkerControlTest() {
+class WorkerCommanderTest extends LeaderAndWorkerFixture {
+  WorkerCommanderTest() {
     super(3);
   }
 
   @Test
   void aStartIsSentOnlyAfterItsReservationIsCommitted() {
     Reservation task = jobs.propose(job, 0, 1, machine);
-    jobs.write(job, Urgency.START);
+    jobs.write(job, RequestPriority.START);
     long call = effects(Effect.AskState.class).get(0).call();
     assertEquals(List.of(), report(SESSION, 2, firstToken));
     context.answered(call, new Reply.Committed(5));
@@ -45,7 +45,7 @@
   @Test
   void theSameTasksOnceMoreAreOnlyASignOfLife() {
     Reservation task = started();
-    ImmutableList<TaskReport> tasks = machine.report().tasks();
+    ImmutableList<TaskStatus> tasks = machine.report().tasks();
     context.nowMs += 3000;
     assertEquals(List.of(), report(SESSION, 4, firstToken, running(task)));
     assertSame(tasks, machine.report().tasks());
@@ -60,7 +60,7 @@
     report(SESSION, 4, firstToken, running(task));
     assertTrue(machine.agrees);
     Reservation second = jobs.propose(job, 1, 2, machine);
-    jobs.write(job, Urgency.START);
+    jobs.write(job, RequestPriority.START);
     answer(new Reply.Committed(6));
     assertEquals(
         List.of(new Command.Run(second.id())), report(SESSION, 5, firstToken, running(task)));
@@ -93,7 +93,7 @@
   void theSameTasksAreLookedAtWhileOneThatIsReservedIsMissing() {
     Reservation task = started();
     Reservation second = jobs.propose(job, 1, 2, machine);
-    jobs.write(job, Urgency.START);
+    jobs.write(job, RequestPriority.START);
     answer(new Reply.Committed(6));
     List<Command> start = List.of(new Command.Run(second.id()));
     assertEquals(start, report(SESSION, 5, firstToken, running(task)));
@@ -116,8 +116,8 @@
   /** Searches knew nothing of a machine that was silent, though it had room. */
   @Test
   void aMachineThatASearchPassedOverContradictsItOnceItIsUsable() {
-    Job waits = Samples.job(2, JobKind.SERVICE, 1, 1);
-    FailedSearches proved = fleet.sets().roomIndex().failedSearches();
+    Job waits = TestFixtures.job(2, JobKind.SERVICE, 1, 1);
+    FailedSearchCache proved = fleet.sets().roomIndex().failedSearches();
     proved.note(waits, "a");
     report(SESSION, 2, firstToken);
     assertTrue(proved.knows(waits, "a"), "nothing has changed");
@@ -130,7 +130,7 @@
   /** Whose lease may have lapsed is looked for from the front of this order. */
   @Test
   void machinesStandInTheOrderOfTheirLeases() {
-    MachineEntry other = fleet.known(new Machine("n-2", "n-2:1", "g4", "a", false));
+    MachineState other = fleet.known(new Machine("n-2", "n-2:1", "g4", "a", false));
     fleet.answered(machine);
     context.nowMs += 1000;
     fleet.answered(other);
@@ -147,7 +147,7 @@
    */
   @Test
   void aMachineThatBeginsASessionStandsLast() {
-    MachineEntry other = fleet.known(new Machine("n-2", "n-2:1", "g4", "a", false));
+    MachineState other = fleet.known(new Machine("n-2", "n-2:1", "g4", "a", false));
     fleet.answered(machine);
     context.nowMs += 1000;
     fleet.answered(other);
@@ -210,7 +210,7 @@
     report(SESSION, 4, firstToken, done(task));
     assertNull(job.placed.get(0));
     assertEquals(1, job.counted());
-    jobs.write(job, Urgency.BATCH);
+    jobs.write(job, RequestPriority.BATCH);
     assertEquals(1, job.counted());
     answer(new Reply.Committed(6));
     assertEquals(0, job.counted());
@@ -222,7 +222,7 @@
     Reservation task = started();
     Attempt attempt = task.id();
     assertEquals(List.of(), report(SESSION, 4, firstToken, done(task)));
-    jobs.write(job, Urgency.BATCH);
+    jobs.write(job, RequestPriority.BATCH);
     long call = effects(Effect.AskState.class).get(0).call();
     assertEquals(List.of(), report(SESSION, 5, firstToken, done(task)));
     context.answered(call, new Reply.Committed(6));
@@ -235,13 +235,13 @@
    */
   @Test
   void aSaveThatAnOlderLeaderBeganIsGoneOnWith() {
-    job = jobs.add(Samples.gang(2, 2, 1, 30, true), 2);
+    job = jobs.add(TestFixtures.gang(2, 2, 1, 30, true), 2);
     Reservation told = jobs.propose(job, 0, 1, machine);
     Reservation other = jobs.propose(job, 1, 1, machine);
-    jobs.write(job, Urgency.START);
+    jobs.write(job, RequestPriority.START);
     answer(new Reply.Committed(5));
     report(SESSION, 2, firstToken);
-    TaskReport saving = new TaskReport(told.id(), TaskReport.State.SAVING, null, false);
+    TaskStatus saving = new TaskStatus(told.id(), TaskStatus.State.SAVING, null, false);
     double graceS = job.job.saveS();
     assertEquals(
         List.of(new Command.Kill(told.id(), graceS), new Command.Kill(other.id(), graceS)),
@@ -252,8 +252,8 @@
   @Test
   void aWriteThatIsTooLargeMayHaveBeenAppliedBefore() {
     Reservation task = jobs.propose(job, 0, 1, machine);
-    Record.Alloc record = job.toRecord();
-    jobs.write(job, Urgency.START);
+    StoredRecord.Alloc record = job.toRecord();
+    jobs.write(job, RequestPriority.START);
     answer(new Reply.Unanswered());
     context.nowMs += 1000;
     jobs.tick();
@@ -268,7 +268,7 @@
   @Test
   void aWriteThatIsTooLargeIsNotRepeated() {
     jobs.propose(job, 0, 1, machine);
-    jobs.write(job, Urgency.START);
+    jobs.write(job, RequestPriority.START);
     answer(new Reply.Refused(400));
     answer(new Reply.Value(null, 0));
     assertTrue(job.placed.isEmpty());
@@ -301,15 +301,16 @@
   void aReservationIsWrittenUnderTheLeadItsOwnVersionAndNoCancellation() {
     reserved();
     jobs.propose(job, 1, 2, machine);
-    jobs.write(job, Urgency.START);
-    StateOp.Transact write = (StateOp.Transact) effects(Effect.AskState.class).get(0).op();
+    jobs.write(job, RequestPriority.START);
+    StoreRequest.Transact write =
+        (StoreRequest.Transact) effects(Effect.AskState.class).get(0).op();
     String uid = job.job.uid();
     assertEquals(
         ImmutableList.of(
             term.condition(),
-            new StateOp.Condition(Keys.alloc(uid), 5),
-            new StateOp.Condition(Keys.abort(uid), 0)),
+            new StoreRequest.Condition(StoreKeys.alloc(uid), 5),
+            new StoreRequest.Condition(StoreKeys.abort(uid), 0)),
         write.conditions());
-    assertEquals(new StateOp.Condition(Keys.LEADER, 1), term.condition());
+    assertEquals(new StoreRequest.Condition(StoreKeys.LEADER, 1), term.condition());
   }
 }
--- a/src/test/java/eiderfork/core/ZonesTest.java
+++ b/src/test/java/eiderfork/controller/ZoneBalanceTest.java
@@ -1,4 +1,4 @@
-package eiderfork.core;
+package eiderfork.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -16,12 +16,12 @@
 import org.junit.jupiter.api.Test;
 
 /** Zones are filled side by side. */
-class ZonesTest {
+class ZoneBalanceTest {
   private static final ImmutableList<String> ZONES = ImmutableList.of("a", "b", "c");
   private static final int MACHINES_PER_ZONE = 12;
 
-  private static World worldOfThreeZones() {
-    World world = new World(11);
+  private static SimulatedCluster worldOfThreeZones() {
+    SimulatedCluster world = new SimulatedCluster(11);
     world.cloud.types =
         ImmutableList.of(new MachineType("c8", new Resources(8, 0, 64), 50, 2, 1, 0.4, 3, ZONES));
     world.cloud.capacity = MACHINES_PER_ZONE;
@@ -29,10 +29,10 @@
     return world;
   }
 
-  private static List<Job> submitSpread(World world, int jobs) {
+  private static List<Job> submitSpread(SimulatedCluster world, int jobs) {
     List<Job> all = new ArrayList<>();
     for (int i = 0; i < jobs; i++) {
-      Job job = Samples.job(i, JobKind.SERVICE, 4, 0, "blue", Priority.HIGH, true, false);
+      Job job = TestFixtures.job(i, JobKind.SERVICE, 4, 0, "blue", Priority.HIGH, true, false);
       all.add(job);
       world.submit(job);
     }
@@ -41,7 +41,7 @@
 
   @Test
   void machinesAreRentedInAllZonesAlike() {
-    World world = worldOfThreeZones();
+    SimulatedCluster world = worldOfThreeZones();
     submitSpread(world, 30);
     world.run(30);
     Map<String, Long> byZone =
@@ -59,7 +59,7 @@
    */
   @Test
   void servicesThatMustBeSpreadFillThreeZones() {
-    World world = worldOfThreeZones();
+    SimulatedCluster world = worldOfThreeZones();
     // Nine of ten processors.
     List<Job> jobs = submitSpread(world, 65);
     world.run(60);
--- a/src/test/java/eiderfork/core/lending/StopPlanTest.java
+++ b/src/test/java/eiderfork/controller/quota/PreemptionPlanTest.java
@@ -1,4 +1,4 @@
-package eiderfork.core.lending;
+package eiderfork.controller.quota;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** How a task is stopped, by how far it is from its checkpoints. */
-class StopPlanTest {
+class PreemptionPlanTest {
   private static final double SEEN_LATE_S = 1;
 
   /**
@@ -31,9 +31,14 @@
     "300, 20, 90, SAVE, 20, 0"
   })
   void theCheapestWayIsTaken(
-      double ranS, double saveS, double mayWaitS, StopMode mode, double delayS, double lostS) {
-    StopPlan plan =
-        StopPlan.cheapest(new Checkpoints(60, saveS), ranS, true, mayWaitS, SEEN_LATE_S);
+      double ranS,
+      double saveS,
+      double mayWaitS,
+      PreemptionMode mode,
+      double delayS,
+      double lostS) {
+    PreemptionPlan plan =
+        PreemptionPlan.cheapest(new CheckpointPolicy(60, saveS), ranS, true, mayWaitS, SEEN_LATE_S);
     assertEquals(mode, plan.mode());
     assertEquals(delayS, plan.delayS(), 0.01);
     assertEquals(lostS, plan.lostS(), 0.01);
@@ -42,15 +47,18 @@
   /** A new leader doesn't know when the task began, so it does not guess at a checkpoint. */
   @Test
   void withoutAKnownPhaseTheTaskSaves() {
-    StopPlan plan = StopPlan.cheapest(new Checkpoints(60, 20), 59, false, 30, SEEN_LATE_S);
-    assertEquals(StopMode.SAVE, plan.mode());
+    PreemptionPlan plan =
+        PreemptionPlan.cheapest(new CheckpointPolicy(60, 20), 59, false, 30, SEEN_LATE_S);
+    assertEquals(PreemptionMode.SAVE, plan.mode());
   }
 
   @Test
   void aTaskThatCannotSaveLosesAllThatItDid() {
-    StopPlan never = StopPlan.cheapest(new Checkpoints(0, 0), 45, true, 30, SEEN_LATE_S);
-    assertEquals(new StopPlan(StopMode.AT_ONCE, 0, 45), never);
-    StopPlan saves = StopPlan.cheapest(new Checkpoints(60, 20), 45, true, 30, SEEN_LATE_S);
+    PreemptionPlan never =
+        PreemptionPlan.cheapest(new CheckpointPolicy(0, 0), 45, true, 30, SEEN_LATE_S);
+    assertEquals(new PreemptionPlan(PreemptionMode.AT_ONCE, 0, 45), never);
+    PreemptionPlan saves =
+        PreemptionPlan.cheapest(new CheckpointPolicy(60, 20), 45, true, 30, SEEN_LATE_S);
     assertTrue(saves.costS() < never.costS());
   }
 }
--- a/src/test/java/eiderfork/core/lending/LoanCooldownsTest.java
+++ b/src/test/java/eiderfork/controller/quota/ReclaimCooldownsTest.java
@@ -1,4 +1,4 @@
-package eiderfork.core.lending;
+package eiderfork.controller.quota;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -11,12 +11,12 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Room that was reclaimed is not lent again too soon, nor for ever kept. */
-class LoanCooldownsTest {
+class ReclaimCooldownsTest {
   private static final long FIRST_MS = 40_000;
   private static final long HOUR_MS = 3_600_000;
   private static final Resources ROOM = new Resources(4, 1, 16);
 
-  private final LoanCooldowns cooldowns = new LoanCooldowns();
+  private final ReclaimCooldowns cooldowns = new ReclaimCooldowns();
 
   private void reclaim(long nowMs) {
     cooldowns.reclaimed("n-1", "taker", ROOM, nowMs, FIRST_MS, false);
@@ -37,7 +37,7 @@
   @Test
   void reversalsFade() {
     reclaim(0);
-    cooldowns.fade(LoanCooldowns.FADE_COOLDOWNS * FIRST_MS);
+    cooldowns.fade(ReclaimCooldowns.FADE_COOLDOWNS * FIRST_MS);
     long laterMs = HOUR_MS;
     reclaim(laterMs);
     assertFalse(cooldowns.isCoolingDown("n-1", laterMs + FIRST_MS), "as the first time");
@@ -67,9 +67,9 @@
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
   void reversalsInAnHourStayWithinTheBound(long seed) {
     Random random = new Random(seed);
-    double bound = LoanCooldowns.mostReversals(HOUR_MS / 1000.0, FIRST_MS / 1000.0);
+    double bound = ReclaimCooldowns.mostReversals(HOUR_MS / 1000.0, FIRST_MS / 1000.0);
     for (int history = 0; history < 200; history++) {
-      LoanCooldowns it = new LoanCooldowns();
+      ReclaimCooldowns it = new ReclaimCooldowns();
       long mostGapMs = 1000 + random.nextLong(900_000);
       int reversals = 0;
       long rushMs = 0;
--- a/src/test/java/eiderfork/core/standby/CommittedCopyTest.java
+++ b/src/test/java/eiderfork/controller/standby/StandbyReplicaTest.java
@@ -1,4 +1,4 @@
-package eiderfork.core.standby;
+package eiderfork.controller.standby;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -6,14 +6,14 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.google.common.collect.ImmutableList;
-import eiderfork.core.StandbySamples;
-import eiderfork.core.context.Context;
-import eiderfork.core.message.Effect;
-import eiderfork.core.message.Keys;
-import eiderfork.core.message.Reply;
-import eiderfork.core.message.StateOp;
-import eiderfork.core.state.StateGate;
-import eiderfork.model.Record;
+import eiderfork.controller.StandbyFixtures;
+import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.message.Effect;
+import eiderfork.controller.message.Reply;
+import eiderfork.controller.message.StoreKeys;
+import eiderfork.controller.message.StoreRequest;
+import eiderfork.controller.store.StoreClient;
+import eiderfork.model.StoredRecord;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -23,10 +23,11 @@
 import org.junit.jupiter.api.Test;
 
 /** The copy is what is committed, or it is dropped. */
-class CommittedCopyTest {
-  private final Context context = new Context(StandbySamples.settings(1), new Random(1), 1_000_000);
-  private final StateGate gate = new StateGate(context);
-  private final CommittedCopy copy = new CommittedCopy(context, gate);
+class StandbyReplicaTest {
+  private final ControllerContext context =
+      new ControllerContext(StandbyFixtures.settings(1), new Random(1), 1_000_000);
+  private final StoreClient gate = new StoreClient(context);
+  private final StandbyReplica copy = new StandbyReplica(context, gate);
 
   /** The open watches by their prefix. */
   private final Map<String, Effect.AskState> watches = new TreeMap<>();
@@ -45,7 +46,7 @@
   private void collect() {
     for (Effect effect : context.takeEffects()) {
       Effect.AskState asked = (Effect.AskState) effect;
-      if (asked.op() instanceof StateOp.Watch watch) {
+      if (asked.op() instanceof StoreRequest.Watch watch) {
         watches.put(watch.prefix(), asked);
       } else {
         scans.add(asked);
@@ -55,12 +56,13 @@
 
   private static Reply.Item job(int number, long version) {
     String uid = "run-" + number;
-    return new Reply.Item(Keys.job(uid), new Record.JobSpec(StandbySamples.job(uid)), version);
+    return new Reply.Item(
+        StoreKeys.job(uid), new StoredRecord.JobSpec(StandbyFixtures.job(uid)), version);
   }
 
   private static Reply.Item aborted(int number, long version) {
     return new Reply.Item(
-        Keys.abort("run-" + number), new Record.Aborted("run-" + number), version);
+        StoreKeys.abort("run-" + number), new StoredRecord.Aborted("run-" + number), version);
   }
 
   private static Reply.Item removed(String key, long version) {
@@ -100,29 +102,29 @@
 
   @Test
   void changesAreTakenInOrderWithTheirRevisions() {
-    answerWatch(Keys.JOB, 14, job(2, 12), job(3, 14));
+    answerWatch(StoreKeys.JOB, 14, job(2, 12), job(3, 14));
     pass(1000);
-    answerWatch(Keys.JOB, 20, removed(Keys.job("run-2"), 18));
-    assertEquals(List.of("job/run-1", "job/run-3"), keys(Keys.JOB));
+    answerWatch(StoreKeys.JOB, 20, removed(StoreKeys.job("run-2"), 18));
+    assertEquals(List.of("job/run-1", "job/run-3"), keys(StoreKeys.JOB));
     assertEquals(10, copy.revision(), "the other ranges are no further");
     pass(1000);
-    assertEquals(20, ((StateOp.Watch) watches.get(Keys.JOB).op()).after());
+    assertEquals(20, ((StoreRequest.Watch) watches.get(StoreKeys.JOB).op()).after());
   }
 
   @Test
   void watchesPauseForTheirShareOfTheRate() {
-    answerWatch(Keys.JOB, 14, job(2, 12));
+    answerWatch(StoreKeys.JOB, 14, job(2, 12));
     pass(200);
-    assertNull(watches.get(Keys.JOB), "not at once");
+    assertNull(watches.get(StoreKeys.JOB), "not at once");
     pass(1000);
-    assertEquals(14, ((StateOp.Watch) watches.get(Keys.JOB).op()).after());
+    assertEquals(14, ((StoreRequest.Watch) watches.get(StoreKeys.JOB).op()).after());
   }
 
   @Test
   void aLostAnswerIsAskedForAgainFromTheSameRevision() {
-    context.answered(watches.remove(Keys.JOB).call(), new Reply.Unanswered());
+    context.answered(watches.remove(StoreKeys.JOB).call(), new Reply.Unanswered());
     pass(1500);
-    assertEquals(10, ((StateOp.Watch) watches.get(Keys.JOB).op()).after());
+    assertEquals(10, ((StoreRequest.Watch) watches.get(StoreKeys.JOB).op()).after());
     assertTrue(copy.isFollowing());
   }
 
@@ -140,52 +142,57 @@
 
   @Test
   void changesThatAreOutOfOrderDropTheCopy() {
-    answerWatch(Keys.JOB, 14, job(3, 14), job(2, 12));
+    answerWatch(StoreKeys.JOB, 14, job(3, 14), job(2, 12));
     assertDropped();
   }
 
   @Test
   void changesThatWereTakenBeforeDropTheCopy() {
-    answerWatch(Keys.JOB, 14, job(2, 12));
+    answerWatch(StoreKeys.JOB, 14, job(2, 12));
     pass(1000);
-    answerWatch(Keys.JOB, 14, job(2, 12));
+    answerWatch(StoreKeys.JOB, 14, job(2, 12));
     assertDropped();
   }
 
   @Test
   void anAnswerOfAnEarlierRevisionDropsTheCopy() {
-    answerWatch(Keys.JOB, 9);
+    answerWatch(StoreKeys.JOB, 9);
     assertDropped();
   }
 
   @Test
   void aChangeBeyondTheAnswersRevisionDropsTheCopy() {
-    answerWatch(Keys.JOB, 12, job(2, 13));
+    answerWatch(StoreKeys.JOB, 12, job(2, 13));
     assertDropped();
   }
 
   @Test
   void changesThatTheServiceHasForgottenDropTheCopy() {
-    context.answered(watches.remove(Keys.ALLOC).call(), new Reply.Refused(410));
+    context.answered(watches.remove(StoreKeys.ALLOC).call(), new Reply.Refused(410));
     assertDropped();
   }
 
   @Test
   void anAnswerThatIsTooLargeDropsTheCopy() {
-    context.answered(watches.remove(Keys.ALLOC).call(), new Reply.Oversized());
+    context.answered(watches.remove(StoreKeys.ALLOC).call(), new Reply.Oversized());
     assertDropped();
   }
 
   @Test
   void aRecordThatCanNotBeReadDropsTheCopy() {
     answerWatch(
-        Keys.ALLOC, 12, new Reply.Item(Keys.alloc("run-1"), new Record.Unreadable("spoiled"), 12));
+        StoreKeys.ALLOC,
+        12,
+        new Reply.Item(StoreKeys.alloc("run-1"), new StoredRecord.Unreadable("spoiled"), 12));
     assertDropped();
   }
 
   @Test
   void aVersionThatMovesDropsTheCopy() {
-    answerWatch(Keys.VERSION, 12, new Reply.Item(Keys.VERSION, new Record.StoredVersion(3), 12));
+    answerWatch(
+        StoreKeys.VERSION,
+        12,
+        new Reply.Item(StoreKeys.VERSION, new StoredRecord.StoredVersion(3), 12));
     assertDropped();
   }
 
@@ -195,7 +202,7 @@
     for (int i = 0; i < 80_000; i++) {
       many.add(job(1000 + i, 11 + i));
     }
-    answerWatch(Keys.JOB, 100_000, many.toArray(new Reply.Item[0]));
+    answerWatch(StoreKeys.JOB, 100_000, many.toArray(new Reply.Item[0]));
     assertDropped();
   }
 
@@ -213,7 +220,7 @@
     for (int i = 0; i < 3; i++) {
       answerScan(false, 15);
     }
-    answerWatch(Keys.JOB, 13, removed(Keys.job("run-2"), 12));
+    answerWatch(StoreKeys.JOB, 13, removed(StoreKeys.job("run-2"), 12));
     assertDropped();
   }
 
@@ -234,8 +241,12 @@
     answerScan(false, 15);
     answerScan(false, 15);
     answerWatch(
-        Keys.JOB, 15, removed(Keys.job("run-2"), 12), removed(Keys.job("run-4"), 13), job(2, 15));
-    assertEquals(List.of("job/run-1", "job/run-2"), keys(Keys.JOB));
+        StoreKeys.JOB,
+        15,
+        removed(StoreKeys.job("run-2"), 12),
+        removed(StoreKeys.job("run-4"), 13),
+        job(2, 15));
+    assertEquals(List.of("job/run-1", "job/run-2"), keys(StoreKeys.JOB));
   }
 
   /** A cancellation that was confirmed while the answer was under way is not in it. */
@@ -244,8 +255,8 @@
     long askedMs = context.nowMs;
     catchUp(30);
     pass(700);
-    answerWatch(Keys.ABORT, 31);
-    assertTrue(copy.caughtUpMs(Keys.ABORT) <= askedMs + 50, "not that of the answer");
+    answerWatch(StoreKeys.ABORT, 31);
+    assertTrue(copy.caughtUpMs(StoreKeys.ABORT) <= askedMs + 50, "not that of the answer");
   }
 
   // Taking the lead.
@@ -264,7 +275,7 @@
     assertEquals(7, watches.size());
     for (String prefix : List.copyOf(watches.keySet())) {
       assertEquals(List.of(), caughtUp);
-      if (prefix.equals(Keys.ABORT)) {
+      if (prefix.equals(StoreKeys.ABORT)) {
         answerWatch(prefix, 31, aborted(2, 22));
       } else {
         answerWatch(prefix, 30);
@@ -272,36 +283,36 @@
     }
     assertEquals(List.of(true), caughtUp);
     assertEquals(30, copy.revision());
-    assertEquals(List.of("abort/run-1", "abort/run-2"), keys(Keys.ABORT));
+    assertEquals(List.of("abort/run-1", "abort/run-2"), keys(StoreKeys.ABORT));
   }
 
   @Test
   void anAnswerFromBeforeTheLeadIsNotEnough() {
     catchUp(30);
     for (String prefix : List.copyOf(watches.keySet())) {
-      answerWatch(prefix, prefix.equals(Keys.ALLOC) ? 29 : 30);
+      answerWatch(prefix, prefix.equals(StoreKeys.ALLOC) ? 29 : 30);
     }
     assertEquals(List.of(), caughtUp);
     pass(1500);
-    answerWatch(Keys.ALLOC, 30);
+    answerWatch(StoreKeys.ALLOC, 30);
     assertEquals(List.of(true), caughtUp);
   }
 
   @Test
   void aWatchOpenedBeforeTheLeadSaysNothingAnyMore() {
-    Effect.AskState before = watches.get(Keys.JOB);
+    Effect.AskState before = watches.get(StoreKeys.JOB);
     catchUp(30);
     context.answered(before.call(), new Reply.Changes(ImmutableList.of(job(2, 12)), 30));
-    assertEquals(List.of("job/run-1"), keys(Keys.JOB));
+    assertEquals(List.of("job/run-1"), keys(StoreKeys.JOB));
   }
 
   @Test
   void anOutageIsWaitedForAndAGapHasEverythingRead() {
     catchUp(30);
-    context.answered(watches.remove(Keys.JOB).call(), new Reply.Refused(503));
+    context.answered(watches.remove(StoreKeys.JOB).call(), new Reply.Refused(503));
     pass(1500);
     assertEquals(List.of(), caughtUp);
-    context.answered(watches.remove(Keys.JOB).call(), new Reply.Refused(410));
+    context.answered(watches.remove(StoreKeys.JOB).call(), new Reply.Refused(410));
     assertEquals(List.of(false), caughtUp);
     assertFalse(copy.isFollowing());
   }
--- a/src/test/java/eiderfork/scale/ControllerProcessTest.java
+++ b/src/test/java/eiderfork/loadtest/ControllerProcessTest.java
@@ -1,4 +1,4 @@
-package eiderfork.scale;
+package eiderfork.loadtest;
 
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/eiderfork/scale/SafetyCheckerTest.java
+++ b/src/test/java/eiderfork/loadtest/InvariantCheckerTest.java
@@ -1,4 +1,4 @@
-package eiderfork.scale;
+package eiderfork.loadtest;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -15,11 +15,11 @@
 import org.junit.jupiter.api.Test;
 
 /** Each breach that the checker is there for is noticed, and an ordinary life is none. */
-class SafetyCheckerTest {
+class InvariantCheckerTest {
   private static final long CANCEL_MS = 1000;
 
-  private final SafetyChecker checker =
-      new SafetyChecker(CANCEL_MS, ImmutableMap.of("team", new Team("team", 1, 2, 0, 0)));
+  private final InvariantChecker checker =
+      new InvariantChecker(CANCEL_MS, ImmutableMap.of("team", new Team("team", 1, 2, 0, 0)));
 
   private static Job job(String uid, int tasks) {
     return new Job(
@@ -56,8 +56,8 @@
     checker.told(new JobStatus(uid, stance, 0, 0), askedMs, nowMs);
   }
 
-  private List<SafetyChecker.Rule> broken() {
-    return checker.breaches().stream().map(SafetyChecker.Breach::rule).toList();
+  private List<InvariantChecker.Rule> broken() {
+    return checker.breaches().stream().map(InvariantChecker.Breach::rule).toList();
   }
 
   @Test
@@ -81,7 +81,7 @@
     accept("run-1", 1);
     checker.started("a", attempt("run-1", 0, 1), 0);
     checker.started("b", attempt("run-1", 0, 2), 10);
-    assertEquals(List.of(SafetyChecker.Rule.RAN_TWICE), broken());
+    assertEquals(List.of(InvariantChecker.Rule.RAN_TWICE), broken());
   }
 
   @Test
@@ -91,7 +91,7 @@
     checker.started("a", attempt("run-1", 1, 1), 0);
     assertEquals(List.of(), broken());
     checker.started("a", attempt("run-1", 2, 1), 0);
-    assertEquals(List.of(SafetyChecker.Rule.QUOTA), broken());
+    assertEquals(List.of(InvariantChecker.Rule.QUOTA), broken());
   }
 
   @Test
@@ -101,7 +101,7 @@
     assertEquals(List.of(), broken());
     checker.accepted("run-1");
     checker.denied("run-1", checker.isAccepted("run-1"));
-    assertEquals(List.of(SafetyChecker.Rule.FORGOTTEN), broken());
+    assertEquals(List.of(InvariantChecker.Rule.FORGOTTEN), broken());
   }
 
   @Test
@@ -110,14 +110,14 @@
     checker.cancelling("run-1");
     tell("run-1", JobStatus.Stance.ABORTED, 0, 5);
     tell("run-1", JobStatus.Stance.RUNNING, 6, 7);
-    assertEquals(List.of(SafetyChecker.Rule.WENT_BACK), broken());
+    assertEquals(List.of(InvariantChecker.Rule.WENT_BACK), broken());
   }
 
   @Test
   void aJobCancelledByNobody() {
     accept("run-1", 1);
     tell("run-1", JobStatus.Stance.ABORTED, 0, 5);
-    assertEquals(List.of(SafetyChecker.Rule.WENT_BACK), broken());
+    assertEquals(List.of(InvariantChecker.Rule.WENT_BACK), broken());
   }
 
   @Test
@@ -126,7 +126,7 @@
     checker.started("a", attempt("run-1", 0, 1), 0);
     checker.gone("a", attempt("run-1", 0, 1), true);
     tell("run-1", JobStatus.Stance.DONE, 5, 6);
-    assertEquals(List.of(SafetyChecker.Rule.NOT_DONE), broken());
+    assertEquals(List.of(InvariantChecker.Rule.NOT_DONE), broken());
   }
 
   @Test
@@ -138,7 +138,7 @@
     checker.tick(5 + CANCEL_MS);
     assertEquals(List.of(), broken());
     checker.tick(6 + CANCEL_MS);
-    assertEquals(List.of(SafetyChecker.Rule.RAN_CANCELLED), broken());
+    assertEquals(List.of(InvariantChecker.Rule.RAN_CANCELLED), broken());
   }
 
   @Test
@@ -148,12 +148,12 @@
     tell("run-1", JobStatus.Stance.ABORTED, 0, 5);
     checker.tick(6 + CANCEL_MS);
     checker.started("a", attempt("run-1", 0, 1), 7 + CANCEL_MS);
-    assertEquals(List.of(SafetyChecker.Rule.RAN_CANCELLED), broken());
+    assertEquals(List.of(InvariantChecker.Rule.RAN_CANCELLED), broken());
   }
 
   @Test
   void aJobThatNobodySubmitted() {
     tell("run-9", JobStatus.Stance.PENDING, 0, 1);
-    assertEquals(List.of(SafetyChecker.Rule.INVENTED), broken());
+    assertEquals(List.of(InvariantChecker.Rule.INVENTED), broken());
   }
 }
--- a/src/test/java/eiderfork/scale/ScaleFileTest.java
+++ b/src/test/java/eiderfork/loadtest/LoadTestFileTest.java
@@ -1,31 +1,32 @@
-package eiderfork.scale;
+package eiderfork.loadtest;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-import eiderfork.config.BadSettings;
+import eiderfork.config.InvalidSettingsException;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
 
 /** What the file of a run may say, and what a machine may be asked. */
-class ScaleFileTest {
+class LoadTestFileTest {
   private static final Path SMALL = Path.of("deploy/scale/small.toml");
 
   private static void refused(String from, String to, String complaint) throws IOException {
     String text = Files.readString(SMALL);
     String changed = text.replaceFirst(from, to);
-    BadSettings e = assertThrows(BadSettings.class, () -> ScaleFile.parse("file", changed));
+    InvalidSettingsException e =
+        assertThrows(InvalidSettingsException.class, () -> LoadTestFile.parse("file", changed));
     assertEquals(complaint, e.getMessage());
   }
 
   @Test
-  void theFilesOfTheProjectAreGood() throws BadSettings {
-    assertEquals(2, ScaleFile.read(SMALL).cells().count());
-    ScaleSettings full = ScaleFile.read(Path.of("deploy/scale/full.toml"));
+  void theFilesOfTheProjectAreGood() throws InvalidSettingsException {
+    assertEquals(2, LoadTestFile.read(SMALL).cells().count());
+    LoadTestSettings full = LoadTestFile.read(Path.of("deploy/scale/full.toml"));
     assertEquals(4400, full.cells().count() * full.cells().workers());
     assertEquals(20, full.controllerCount());
   }
@@ -52,8 +53,8 @@
 
   @Test
   void runsThatTakeTooMuchOfTheMachineAreRefused() {
-    assertNull(MachineLimits.objection(20, 1100, 6000, 24_000));
-    assertNotNull(MachineLimits.objection(32, 1100, 6000, 24_000));
-    assertNotNull(MachineLimits.objection(300, 1, 100, 1_000_000));
+    assertNull(HostResourceLimits.objection(20, 1100, 6000, 24_000));
+    assertNotNull(HostResourceLimits.objection(32, 1100, 6000, 24_000));
+    assertNotNull(HostResourceLimits.objection(300, 1, 100, 1_000_000));
   }
 }
--- a/src/test/java/eiderfork/scale/ScaleRunTest.java
+++ b/src/test/java/eiderfork/loadtest/LoadTestTest.java
@@ -1,4 +1,4 @@
-package eiderfork.scale;
+package eiderfork.loadtest;
 
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** A run that goes wrong leaves nothing behind. */
-class ScaleRunTest {
+class LoadTestTest {
   @TempDir Path directory;
 
   /** What was started before must not stay when a controller does not start. */
@@ -31,7 +31,7 @@
     Files.writeString(deploy, "run = \"sh " + script + "\"\n");
     assertThrows(
         IOException.class,
-        () -> ScaleRun.play(Path.of("deploy/scale/small.toml"), deploy, null, null));
+        () -> LoadTest.play(Path.of("deploy/scale/small.toml"), deploy, null, null));
     for (String pid : Files.readAllLines(pids)) {
       boolean alive =
           ProcessHandle.of(Long.parseLong(pid)).map(ProcessHandle::isAlive).orElse(false);
--- a/src/test/java/eiderfork/net/InputMeterTest.java
+++ b/src/test/java/eiderfork/net/EventLoopMetricsTest.java
@@ -2,14 +2,14 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import eiderfork.core.message.Input;
+import eiderfork.controller.message.Input;
 import org.junit.jupiter.api.Test;
 
 /** What is told of the event loop's work. */
-class InputMeterTest {
+class EventLoopMetricsTest {
   @Test
   void eachKindIsToldOnceWithItsMeanAndItsMost() {
-    InputMeter meter = new InputMeter();
+    EventLoopMetrics meter = new EventLoopMetrics();
     meter.took(new Input.Tick(), 1_000_000);
     meter.took(new Input.Tick(), 5_000_000);
     meter.took(new Input.Query(1, "run-1"), 500_000);
--- a/src/test/java/eiderfork/net/TakeoverTracerTest.java
+++ b/src/test/java/eiderfork/net/FailoverTracerTest.java
@@ -7,7 +7,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.google.common.collect.ImmutableList;
-import eiderfork.core.message.Effect;
+import eiderfork.controller.message.Effect;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Takeovers as lines of JSON. */
-class TakeoverTracerTest {
+class FailoverTracerTest {
   private static final Effect.TookOver TAKEOVER =
       new Effect.TookOver(
           5,
@@ -28,7 +28,7 @@
   @Test
   void eachPhaseIsASpanBelowTheTakeover() throws Exception {
     Path file = folder.resolve("takeovers.jsonl");
-    try (TakeoverTracer tracer = TakeoverTracer.of("roost-1", file.toString())) {
+    try (FailoverTracer tracer = FailoverTracer.of("roost-1", file.toString())) {
       tracer.trace(TAKEOVER);
     }
     List<JsonNode> spans = new ArrayList<>();
@@ -54,14 +54,14 @@
 
   @Test
   void withoutAFileNothingIsTraced() {
-    assertSame(TakeoverTracer.NONE, TakeoverTracer.of("roost-1", null));
+    assertSame(FailoverTracer.NONE, FailoverTracer.of("roost-1", null));
   }
 
   /** Tracing never ends a controller. */
   @Test
   void aFileThatCanNotBeWrittenIsNoFault() {
-    try (TakeoverTracer tracer =
-        TakeoverTracer.of("roost-1", folder.resolve("none/takeovers.jsonl").toString())) {
+    try (FailoverTracer tracer =
+        FailoverTracer.of("roost-1", folder.resolve("none/takeovers.jsonl").toString())) {
       tracer.trace(TAKEOVER);
     }
   }
--- a/src/test/java/eiderfork/net/HeapWatchTest.java
+++ b/src/test/java/eiderfork/net/HeapMonitorTest.java
@@ -6,9 +6,9 @@
 import org.junit.jupiter.api.Test;
 
 /** When the heap is collected, by what the machine's memory leaves for it. */
-class HeapWatchTest {
+class HeapMonitorTest {
   /** A heap of which a collection leaves what is alive. */
-  private static final class FakeHeap implements HeapWatch.Heap {
+  private static final class FakeHeap implements HeapMonitor.Heap {
     double committedMb;
     double aliveMb;
     int collections;
@@ -27,7 +27,7 @@
 
   private final FakeHeap heap = new FakeHeap();
 
-  private void grow(HeapWatch watch, double toMb) {
+  private void grow(HeapMonitor watch, double toMb) {
     heap.committedMb = toMb;
     watch.check();
   }
@@ -35,7 +35,7 @@
   /** With one limit for all deployments garbage would fill what a small machine does not have. */
   @Test
   void garbageIsCollectedBeforeASmallMachineIsFull() {
-    HeapWatch watch = new HeapWatch(heap, 148);
+    HeapMonitor watch = new HeapMonitor(heap, 148);
     heap.aliveMb = 20;
     heap.committedMb = 24;
     double mostMb = 0;
@@ -49,7 +49,7 @@
 
   @Test
   void aLargeMachineIsLeftAloneForLonger() {
-    HeapWatch watch = new HeapWatch(heap, 414);
+    HeapMonitor watch = new HeapMonitor(heap, 414);
     grow(watch, 200);
     assertEquals(0, heap.collections);
   }
@@ -57,7 +57,7 @@
   /** What is alive can't be collected away, and trying again each second would stop everything. */
   @Test
   void aHeapThatIsFullOfWhatLivesIsNotCollectedAgainAndAgain() {
-    HeapWatch watch = new HeapWatch(heap, 148);
+    HeapMonitor watch = new HeapMonitor(heap, 148);
     heap.aliveMb = 100;
     grow(watch, 100);
     assertEquals(1, heap.collections);
--- a/src/test/java/eiderfork/wire/PackedAllocsTest.java
+++ b/src/test/java/eiderfork/wire/AllocationCodecTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.google.common.collect.ImmutableList;
-import eiderfork.model.Record;
+import eiderfork.model.StoredRecord;
 import java.util.Base64;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
@@ -14,15 +14,15 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The packed and the bitmap form of alloc records. */
-class PackedAllocsTest {
+class AllocationCodecTest {
   private static final String[] NAMES = {"n-%06d", "m%d", "eider", "host-%03d-x", "n-%04d"};
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void itComesBackAsItWas(long seed) throws BadMessage {
+  void itComesBackAsItWas(long seed) throws MalformedMessageException {
     Random random = new Random(seed);
-    ImmutableList.Builder<Record.Span> spans = ImmutableList.builder();
-    ImmutableList.Builder<Record.Range> finished = ImmutableList.builder();
+    ImmutableList.Builder<StoredRecord.Span> spans = ImmutableList.builder();
+    ImmutableList.Builder<StoredRecord.Range> finished = ImmutableList.builder();
     long last = 1 + random.nextInt(400);
     int next = 0;
     while (next < 300) {
@@ -30,49 +30,50 @@
       int to = from + random.nextInt(3);
       if (random.nextBoolean()) {
         String machine = NAMES[random.nextInt(NAMES.length)].formatted(random.nextInt(999));
-        spans.add(new Record.Span(from, to, 1 + random.nextLong(last), machine));
+        spans.add(new StoredRecord.Span(from, to, 1 + random.nextLong(last), machine));
       } else {
-        finished.add(new Record.Range(from, to));
+        finished.add(new StoredRecord.Range(from, to));
       }
       next = to + 2;
     }
-    Record.Alloc alloc = new Record.Alloc(last, seed % 2 == 0, spans.build(), finished.build());
-    assertEquals(alloc, Records.record("alloc/run-1", PackedAllocs.node(alloc)));
-    assertEquals(alloc, Records.record("alloc/run-1", BitmapAllocs.node(alloc)));
+    StoredRecord.Alloc alloc =
+        new StoredRecord.Alloc(last, seed % 2 == 0, spans.build(), finished.build());
+    assertEquals(alloc, StoredRecordCodec.record("alloc/run-1", PackedAllocationCodec.node(alloc)));
+    assertEquals(alloc, StoredRecordCodec.record("alloc/run-1", BitmapAllocationCodec.node(alloc)));
   }
 
   /** What production may have left in 4 KiB fits 2 KiB with room to spare. */
   @Test
   void aHundredAndEightyTasksOnMachinesOfTheirOwnTakeLittle() {
-    ImmutableList.Builder<Record.Span> spans = ImmutableList.builder();
+    ImmutableList.Builder<StoredRecord.Span> spans = ImmutableList.builder();
     Random random = new Random(1);
     for (int i = 0; i < 180; i++) {
-      spans.add(new Record.Span(i, i, 3, "n-%06d".formatted(random.nextInt(400))));
+      spans.add(new StoredRecord.Span(i, i, 3, "n-%06d".formatted(random.nextInt(400))));
     }
-    Record.Alloc alloc = new Record.Alloc(3, false, spans.build(), ImmutableList.of());
-    int bytes = Json.bytes(PackedAllocs.node(alloc)).length;
-    assertTrue(Json.bytes(Records.node(alloc)).length > 2048);
+    StoredRecord.Alloc alloc = new StoredRecord.Alloc(3, false, spans.build(), ImmutableList.of());
+    int bytes = JsonReader.bytes(PackedAllocationCodec.node(alloc)).length;
+    assertTrue(JsonReader.bytes(StoredRecordCodec.node(alloc)).length > 2048);
     assertTrue(bytes < 1700, bytes + " bytes");
   }
 
   /** Whatever one byte of it becomes, it is read as some record or said to be unreadable. */
   @Test
-  void aSpoiledBitmapIsNoReasonToFail() throws BadMessage {
-    Record.Alloc alloc =
-        new Record.Alloc(
+  void aSpoiledBitmapIsNoReasonToFail() throws MalformedMessageException {
+    StoredRecord.Alloc alloc =
+        new StoredRecord.Alloc(
             9,
             false,
-            ImmutableList.of(new Record.Span(100, 260, 9, "n-000001")),
-            ImmutableList.of(new Record.Range(0, 99), new Record.Range(300, 900)));
-    String text = BitmapAllocs.node(alloc).path(BitmapAllocs.FIELD).asText();
+            ImmutableList.of(new StoredRecord.Span(100, 260, 9, "n-000001")),
+            ImmutableList.of(new StoredRecord.Range(0, 99), new StoredRecord.Range(300, 900)));
+    String text = BitmapAllocationCodec.node(alloc).path(BitmapAllocationCodec.FIELD).asText();
     byte[] bytes = Base64.getDecoder().decode(text);
     for (int i = 0; i < bytes.length; i++) {
       for (int bit = 0; bit < Byte.SIZE; bit++) {
         byte[] spoiled = bytes.clone();
         spoiled[i] ^= (byte) (1 << bit);
         String encoded = Base64.getEncoder().withoutPadding().encodeToString(spoiled);
-        var node = Json.object().put(BitmapAllocs.FIELD, encoded);
-        assertNotNull(Records.record("alloc/run-1", node));
+        var node = JsonReader.object().put(BitmapAllocationCodec.FIELD, encoded);
+        assertNotNull(StoredRecordCodec.record("alloc/run-1", node));
       }
     }
   }
@@ -92,8 +93,9 @@
         "{\"packed2\":\"AAAA\"}",
         "{}"
       })
-  void whatCannotBeReadIsSaidToBe(String value) throws BadMessage {
-    Record record = Records.record("alloc/run-1", Json.parse(value.getBytes()));
-    assertInstanceOf(Record.Unreadable.class, record);
+  void whatCannotBeReadIsSaidToBe(String value) throws MalformedMessageException {
+    StoredRecord record =
+        StoredRecordCodec.record("alloc/run-1", JsonReader.parse(value.getBytes()));
+    assertInstanceOf(StoredRecord.Unreadable.class, record);
   }
 }
--- a/src/test/java/eiderfork/wire/ProductionFormsTest.java
+++ b/src/test/java/eiderfork/wire/ProductionCompatibilityTest.java
@@ -5,15 +5,15 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.google.common.collect.ImmutableList;
-import eiderfork.core.message.CancellationNews;
-import eiderfork.core.message.Input;
-import eiderfork.core.message.PeerView;
-import eiderfork.core.message.Reply;
-import eiderfork.core.message.UserAnswer;
+import eiderfork.controller.message.CancellationGossip;
+import eiderfork.controller.message.Input;
+import eiderfork.controller.message.PeerStatus;
+import eiderfork.controller.message.Reply;
+import eiderfork.controller.message.UserResponse;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
 import eiderfork.model.JobStatus;
-import eiderfork.model.Record;
+import eiderfork.model.StoredRecord;
 import java.io.IOException;
 import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
@@ -31,12 +31,13 @@
  * The version in production and this one run side by side during an upgrade, and each works on what
  * the other stored and sent. Fixtures: {@code production/README.md} among the test resources.
  */
-class ProductionFormsTest {
-  private static final CancellationNews NEWS =
-      new CancellationNews(77, 9000, 3, ImmutableList.of("run-1", "run-2"), true, 78, 12);
+class ProductionCompatibilityTest {
+  private static final CancellationGossip NEWS =
+      new CancellationGossip(77, 9000, 3, ImmutableList.of("run-1", "run-2"), true, 78, 12);
 
   private static String resource(String name) throws IOException {
-    try (InputStream in = ProductionFormsTest.class.getResourceAsStream("production/" + name)) {
+    try (InputStream in =
+        ProductionCompatibilityTest.class.getResourceAsStream("production/" + name)) {
       return new String(in.readAllBytes(), StandardCharsets.UTF_8);
     }
   }
@@ -54,8 +55,8 @@
     return HexFormat.of().parseHex(lines("peer.txt").get(kind));
   }
 
-  private static Record stored(String key, String value) throws BadMessage {
-    return Records.record(key, Json.parse(value.getBytes(StandardCharsets.UTF_8)));
+  private static StoredRecord stored(String key, String value) throws MalformedMessageException {
+    return StoredRecordCodec.record(key, JsonReader.parse(value.getBytes(StandardCharsets.UTF_8)));
   }
 
   @Test
@@ -63,9 +64,10 @@
     Map<String, String> records = lines("records.txt");
     assertEquals(12, records.size());
     for (Map.Entry<String, String> entry : records.entrySet()) {
-      Record record = stored(entry.getKey(), entry.getValue());
-      assertFalse(record instanceof Record.Unreadable, entry.getKey());
-      String written = new String(Json.bytes(Records.node(record)), StandardCharsets.UTF_8);
+      StoredRecord record = stored(entry.getKey(), entry.getValue());
+      assertFalse(record instanceof StoredRecord.Unreadable, entry.getKey());
+      String written =
+          new String(JsonReader.bytes(StoredRecordCodec.node(record)), StandardCharsets.UTF_8);
       assertEquals(entry.getValue(), written, entry.getKey());
     }
   }
@@ -73,50 +75,53 @@
   @Test
   void whatProductionStoredMeansTheSame() throws Exception {
     Map<String, String> records = lines("records.txt");
-    Record.JobSpec gang = (Record.JobSpec) stored("job/run-000413", records.get("job/run-000413"));
+    StoredRecord.JobSpec gang =
+        (StoredRecord.JobSpec) stored("job/run-000413", records.get("job/run-000413"));
     assertEquals(JobKind.GANG, gang.job().kind());
     assertTrue(gang.job().oneZone());
     assertEquals(
-        new Record.Alloc(
+        new StoredRecord.Alloc(
             7,
             false,
             ImmutableList.of(
-                new Record.Span(0, 3, 1, "n-000231"),
-                new Record.Span(4, 4, 7, "n-000232"),
-                new Record.Span(9, 12, 2, "n-000231")),
-            ImmutableList.of(new Record.Range(5, 8))),
+                new StoredRecord.Span(0, 3, 1, "n-000231"),
+                new StoredRecord.Span(4, 4, 7, "n-000232"),
+                new StoredRecord.Span(9, 12, 2, "n-000231")),
+            ImmutableList.of(new StoredRecord.Range(5, 8))),
         stored("alloc/run-000412", records.get("alloc/run-000412")));
-    assertEquals(new Record.Leadership("roost-1", 4), stored("leader", records.get("leader")));
+    assertEquals(
+        new StoredRecord.Leadership("roost-1", 4), stored("leader", records.get("leader")));
   }
 
   @Test
   void messagesOfProductionAreRead() throws Exception {
     // A view without a version is the first version's, and says of cancellations what it says.
-    assertEquals(new PeerView("roost-1", 4, true, 12, 56, 1, NEWS), PeerWire.view(message("view")));
-    Input.Submit submit = (Input.Submit) PeerWire.request(message("submit"));
+    assertEquals(
+        new PeerStatus("roost-1", 4, true, 12, 56, 1, NEWS), PeerCodec.view(message("view")));
+    Input.Submit submit = (Input.Submit) PeerCodec.request(message("submit"));
     assertEquals("run-000412", submit.job().uid());
-    assertEquals(new Input.Query(0, "run-000412"), PeerWire.request(message("query")));
-    assertEquals(new Input.Abort(0, "run-000412"), PeerWire.request(message("abort")));
-    UserAnswer ok =
-        new UserAnswer(200, new JobStatus("run-000412", JobStatus.Stance.RUNNING, 4, 3), 0, null);
-    UserAnswer later = new UserAnswer(503, null, 2, "the machine types are not known yet");
-    assertEquals(new Reply.PeerAnswer(ok), PeerWire.answer(message("answer")));
-    assertEquals(List.of("run-000412", "run-000413"), PeerWire.queries(message("queries")));
+    assertEquals(new Input.Query(0, "run-000412"), PeerCodec.request(message("query")));
+    assertEquals(new Input.Abort(0, "run-000412"), PeerCodec.request(message("abort")));
+    UserResponse ok =
+        new UserResponse(200, new JobStatus("run-000412", JobStatus.Stance.RUNNING, 4, 3), 0, null);
+    UserResponse later = new UserResponse(503, null, 2, "the machine types are not known yet");
+    assertEquals(new Reply.PeerAnswer(ok), PeerCodec.answer(message("answer")));
+    assertEquals(List.of("run-000412", "run-000413"), PeerCodec.queries(message("queries")));
     assertEquals(
-        new Reply.PeerAnswers(ImmutableList.of(ok, later)), PeerWire.answers(message("answers")));
+        new Reply.PeerAnswers(ImmutableList.of(ok, later)), PeerCodec.answers(message("answers")));
   }
 
   @Test
   void requestsAndAnswersAreSentByteForByteAsProductionDoes() throws Exception {
-    Input.Submit submit = (Input.Submit) PeerWire.request(message("submit"));
-    assertEquals(hex(message("submit")), hex(PeerWire.request(submit)));
-    assertEquals(hex(message("query")), hex(PeerWire.request(new Input.Query(0, "run-000412"))));
-    assertEquals(hex(message("abort")), hex(PeerWire.request(new Input.Abort(0, "run-000412"))));
-    Reply.PeerAnswers answers = (Reply.PeerAnswers) PeerWire.answers(message("answers"));
-    assertEquals(hex(message("answers")), hex(PeerWire.answers(answers.answers())));
-    assertEquals(hex(message("answer")), hex(PeerWire.answer(answers.answers().get(0))));
+    Input.Submit submit = (Input.Submit) PeerCodec.request(message("submit"));
+    assertEquals(hex(message("submit")), hex(PeerCodec.request(submit)));
+    assertEquals(hex(message("query")), hex(PeerCodec.request(new Input.Query(0, "run-000412"))));
+    assertEquals(hex(message("abort")), hex(PeerCodec.request(new Input.Abort(0, "run-000412"))));
+    Reply.PeerAnswers answers = (Reply.PeerAnswers) PeerCodec.answers(message("answers"));
+    assertEquals(hex(message("answers")), hex(PeerCodec.answers(answers.answers())));
+    assertEquals(hex(message("answer")), hex(PeerCodec.answer(answers.answers().get(0))));
     assertEquals(
-        hex(message("queries")), hex(PeerWire.queries(List.of("run-000412", "run-000413"))));
+        hex(message("queries")), hex(PeerCodec.queries(List.of("run-000412", "run-000413"))));
   }
 
   private static String hex(byte[] bytes) {
@@ -127,7 +132,7 @@
   @Test
   void productionReadsThisVersionsViewWithAllThatItKnows() throws Exception {
     Schema productions = new Schema.Parser().parse(resource("peer.avpr.json")).getTypes().get(0);
-    byte[] sent = PeerWire.view(new PeerView("roost-1", 4, true, 12, 56, 2, NEWS));
+    byte[] sent = PeerCodec.view(new PeerStatus("roost-1", 4, true, 12, 56, 2, NEWS));
     var decoder = DecoderFactory.get().binaryDecoder(sent, null);
     GenericRecord read =
         new GenericDatumReader<GenericRecord>(productions, productions).read(null, decoder);
@@ -149,15 +154,15 @@
    */
   @Test
   void thePackedFormHasNoFieldThatProductionReads() throws Exception {
-    Job job = ((Input.Submit) PeerWire.request(message("submit"))).job();
-    Record.Alloc alloc =
-        new Record.Alloc(
-            1, false, ImmutableList.of(new Record.Span(0, 3, 1, "n-1")), ImmutableList.of());
-    var node = Records.node(new Record.PackedAlloc(alloc));
+    Job job = ((Input.Submit) PeerCodec.request(message("submit"))).job();
+    StoredRecord.Alloc alloc =
+        new StoredRecord.Alloc(
+            1, false, ImmutableList.of(new StoredRecord.Span(0, 3, 1, "n-1")), ImmutableList.of());
+    var node = StoredRecordCodec.node(new StoredRecord.PackedAlloc(alloc));
     assertEquals(1, node.size());
     for (String field : List.of("on", "by", "ended", "endedBits", "last")) {
       assertFalse(node.has(field), field);
     }
-    assertEquals(alloc, Records.record("alloc/" + job.uid(), node));
+    assertEquals(alloc, StoredRecordCodec.record("alloc/" + job.uid(), node));
   }
 }
