--- a/src/test/java/eiderfork/wire/WireTest.java
+++ b/src/test/java/eiderfork/wire/ProtocolCodecTest.java
@@ -6,23 +6,23 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.google.common.collect.ImmutableList;
-import eiderfork.core.message.CancellationNews;
-import eiderfork.core.message.HintMessage;
-import eiderfork.core.message.Input;
-import eiderfork.core.message.MachineHint;
-import eiderfork.core.message.PeerView;
-import eiderfork.core.message.Reply;
-import eiderfork.core.message.StateOp;
-import eiderfork.core.message.UserAnswer;
+import eiderfork.controller.message.CancellationGossip;
+import eiderfork.controller.message.Input;
+import eiderfork.controller.message.MachineHint;
+import eiderfork.controller.message.MachineHintBatch;
+import eiderfork.controller.message.PeerStatus;
+import eiderfork.controller.message.Reply;
+import eiderfork.controller.message.StoreRequest;
+import eiderfork.controller.message.UserResponse;
 import eiderfork.model.Attempt;
 import eiderfork.model.Command;
+import eiderfork.model.Heartbeat;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
 import eiderfork.model.JobStatus;
-import eiderfork.model.Record;
-import eiderfork.model.Report;
+import eiderfork.model.StoredRecord;
 import eiderfork.model.TaskId;
-import eiderfork.model.TaskReport;
+import eiderfork.model.TaskStatus;
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 import java.util.List;
@@ -31,7 +31,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The codecs against the shapes that the protocol prints. */
-class WireTest {
+class ProtocolCodecTest {
   private static final String JOB =
       """
       {"Uid":"run-000412","Flock":"train","Crew":"vision","Guise":"array","Precedence":"high",
@@ -48,8 +48,8 @@
   }
 
   @Test
-  void readsAJobAndIgnoresFieldsItDoesNotKnow() throws BadMessage {
-    Job job = UserWire.job(bytes(JOB));
+  void readsAJobAndIgnoresFieldsItDoesNotKnow() throws MalformedMessageException {
+    Job job = UserCodec.job(bytes(JOB));
     assertEquals("run-000412", job.uid());
     assertEquals(JobKind.ARRAY, job.kind());
     assertEquals(16, job.tasks());
@@ -59,10 +59,12 @@
   }
 
   @Test
-  void storesAJobAsItWasSubmitted() throws BadMessage {
-    Job job = UserWire.job(bytes(JOB));
-    Record read = Records.record("job/run-000412", Records.node(new Record.JobSpec(job)));
-    assertEquals(new Record.JobSpec(job), read);
+  void storesAJobAsItWasSubmitted() throws MalformedMessageException {
+    Job job = UserCodec.job(bytes(JOB));
+    StoredRecord read =
+        StoredRecordCodec.record(
+            "job/run-000412", StoredRecordCodec.node(new StoredRecord.JobSpec(job)));
+    assertEquals(new StoredRecord.JobSpec(job), read);
   }
 
   @ParameterizedTest
@@ -86,20 +88,20 @@
   void refusesAJobWithAFieldThatIsMissingOrInvalid(String change) {
     String[] parts = change.split("\\|", 2);
     String broken = JOB.replace(parts[0], parts[1]);
-    assertThrows(BadMessage.class, () -> UserWire.job(bytes(broken)));
+    assertThrows(MalformedMessageException.class, () -> UserCodec.job(bytes(broken)));
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"\"DueS\":null,", ""})
-  void aJobWithoutADeadlineHasNone(String instead) throws BadMessage {
-    Job job = UserWire.job(bytes(JOB.replace("\"DueS\":900.0,", instead)));
+  void aJobWithoutADeadlineHasNone(String instead) throws MalformedMessageException {
+    Job job = UserCodec.job(bytes(JOB.replace("\"DueS\":900.0,", instead)));
     assertNull(job.deadlineS());
   }
 
   @Test
-  void readsAReport() throws BadMessage {
-    Report report =
-        WorkerWire.report(
+  void readsAReport() throws MalformedMessageException {
+    Heartbeat report =
+        WorkerCodec.report(
             bytes(
                 """
                 {"Roost":"n-000231","Addr":"10.1.0.232:9000","Breed":"g8","Shore":"a",
@@ -110,30 +112,30 @@
     assertEquals(41, report.token());
     assertNull(report.noticeS());
     assertEquals(new Attempt(new TaskId("run-000412", 3), 2), report.tasks().get(0).attempt());
-    assertEquals(TaskReport.Cause.DONE, report.tasks().get(1).cause());
+    assertEquals(TaskStatus.Cause.DONE, report.tasks().get(1).cause());
   }
 
   /** Taken for absent, a task in a state of a later version would be started a second time. */
   @Test
-  void aTaskInAStateThatIsNotKnownIsOnItsMachineAllTheSame() throws BadMessage {
-    Report report =
-        WorkerWire.report(
+  void aTaskInAStateThatIsNotKnownIsOnItsMachineAllTheSame() throws MalformedMessageException {
+    Heartbeat report =
+        WorkerCodec.report(
             bytes(
                 """
                 {"Roost":"n-000231","Addr":"10.1.0.232:9000","Breed":"g8","Shore":"a",
                 "Driftwood":true,"Tenure":1,"Tally":88,"Warrant":41,
                 "Hatchlings":[{"Hatchling":"run-000412/3","Try":2,"Stance":"dreaming"},
                 {"Hatchling":"run-000398/0","Try":1,"Stance":"ended","Cause":"bored"}]}"""));
-    assertEquals(TaskReport.State.OTHER, report.tasks().get(0).state());
-    assertEquals(TaskReport.Cause.STOPPED, report.tasks().get(1).cause());
+    assertEquals(TaskStatus.State.OTHER, report.tasks().get(0).state());
+    assertEquals(TaskStatus.Cause.STOPPED, report.tasks().get(1).cause());
   }
 
   @Test
   void refusesAReportThatNamesNoTask() {
     assertThrows(
-        BadMessage.class,
+        MalformedMessageException.class,
         () ->
-            WorkerWire.report(
+            WorkerCodec.report(
                 bytes(
                     """
                     {"Roost":"n-1","Addr":"a:1","Breed":"g8","Shore":"a","Driftwood":true,
@@ -143,7 +145,7 @@
   @Test
   void writesCommandsAsTheProtocolPrintsThem() {
     byte[] body =
-        WorkerWire.answer(
+        WorkerCodec.answer(
             41,
             ImmutableList.of(
                 new Command.Run(new Attempt(new TaskId("run-000412", 4), 2)),
@@ -162,117 +164,119 @@
     JobStatus job = new JobStatus("run-000412", JobStatus.Stance.RUNNING, 3, 13);
     assertEquals(
         "{\"Uid\":\"run-000412\",\"Stance\":\"running\",\"done\":3,\"running\":13}",
-        text(UserWire.body(new UserAnswer(200, job, 0, null))));
+        text(UserCodec.body(new UserResponse(200, job, 0, null))));
   }
 
   @Test
-  void readsWhatTheStateServiceSays() throws BadMessage {
+  void readsWhatTheStateServiceSays() throws MalformedMessageException {
     assertEquals(
         new Reply.Conflict(ImmutableList.of("a/b")),
-        StateWire.reply(
-            new StateOp.Transact(ImmutableList.of(), ImmutableList.of()),
+        StoreCodec.reply(
+            new StoreRequest.Transact(ImmutableList.of(), ImmutableList.of()),
             409,
             bytes("{\"failed\":[\"a/b\"],\"Ledger\":431}")));
     assertEquals(
         new Reply.Value(null, 0),
-        StateWire.reply(new StateOp.Get("term"), 404, bytes("{\"Ledger\":431}")));
+        StoreCodec.reply(new StoreRequest.Get("term"), 404, bytes("{\"Ledger\":431}")));
     assertEquals(
-        new Reply.Refused(503), StateWire.reply(new StateOp.Get("term"), 503, bytes("{}")));
+        new Reply.Refused(503), StoreCodec.reply(new StoreRequest.Get("term"), 503, bytes("{}")));
     Reply.Changes changes =
         (Reply.Changes)
-            StateWire.reply(
-                new StateOp.Watch("leader", 431, 0),
+            StoreCodec.reply(
+                new StoreRequest.Watch("leader", 431, 0),
                 200,
                 bytes(
                     """
                     {"Ledger":433,"Log":[{"Write":"leader","V":{"node":"roost-1","term":4},
                     "Stamp":433},{"Drop":"leader","Stamp":432}]}"""));
-    assertEquals(new Record.Leadership("roost-1", 4), changes.items().get(0).record());
+    assertEquals(new StoredRecord.Leadership("roost-1", 4), changes.items().get(0).record());
     assertNull(changes.items().get(1).record());
   }
 
   @Test
   void a404ThatIsNotTheStateServicesOwnSaysNothing() {
     assertThrows(
-        BadMessage.class,
-        () -> StateWire.reply(new StateOp.Get("job/run-1"), 404, bytes("{\"error\":\"?\"}")));
+        MalformedMessageException.class,
+        () -> StoreCodec.reply(new StoreRequest.Get("job/run-1"), 404, bytes("{\"error\":\"?\"}")));
   }
 
   @Test
-  void allocsComeBackAsTheyWere() throws BadMessage {
-    Record.Alloc alloc =
-        new Record.Alloc(
+  void allocsComeBackAsTheyWere() throws MalformedMessageException {
+    StoredRecord.Alloc alloc =
+        new StoredRecord.Alloc(
             7,
             false,
             ImmutableList.of(
-                new Record.Span(0, 3, 1, "n-1"),
-                new Record.Span(4, 4, 7, "n-2"),
-                new Record.Span(9, 12, 2, "n-1")),
-            ImmutableList.of(new Record.Range(5, 8)));
-    assertEquals(alloc, Records.record("alloc/run-1", Records.node(alloc)));
+                new StoredRecord.Span(0, 3, 1, "n-1"),
+                new StoredRecord.Span(4, 4, 7, "n-2"),
+                new StoredRecord.Span(9, 12, 2, "n-1")),
+            ImmutableList.of(new StoredRecord.Range(5, 8)));
+    assertEquals(alloc, StoredRecordCodec.record("alloc/run-1", StoredRecordCodec.node(alloc)));
   }
 
   @Test
-  void allocsOfTheFirstFormAreStillRead() throws BadMessage {
-    Record.Alloc alloc =
-        new Record.Alloc(
+  void allocsOfTheFirstFormAreStillRead() throws MalformedMessageException {
+    StoredRecord.Alloc alloc =
+        new StoredRecord.Alloc(
             7,
             false,
-            ImmutableList.of(new Record.Span(0, 3, 1, "n-1"), new Record.Span(4, 4, 7, "n-2")),
-            ImmutableList.of(new Record.Range(5, 8)));
+            ImmutableList.of(
+                new StoredRecord.Span(0, 3, 1, "n-1"), new StoredRecord.Span(4, 4, 7, "n-2")),
+            ImmutableList.of(new StoredRecord.Range(5, 8)));
     String stored = "{\"last\":7,\"on\":{\"n-1\":[0,3,1],\"n-2\":[4,4,7]},\"finished\":[5,8]}";
-    assertEquals(alloc, Records.record("alloc/run-1", Json.parse(bytes(stored))));
+    assertEquals(alloc, StoredRecordCodec.record("alloc/run-1", JsonReader.parse(bytes(stored))));
   }
 
   @Test
-  void tellsNoCapacityFromTrouble() throws BadMessage {
+  void tellsNoCapacityFromTrouble() throws MalformedMessageException {
     assertEquals(
-        new Reply.NoCapacity(), CloudWire.rented(503, bytes("{\"error\":\"no capacity\"}")));
-    assertEquals(new Reply.Refused(503), CloudWire.rented(503, bytes("{\"error\":\"trouble\"}")));
+        new Reply.NoCapacity(), CloudCodec.rented(503, bytes("{\"error\":\"no capacity\"}")));
+    assertEquals(new Reply.Refused(503), CloudCodec.rented(503, bytes("{\"error\":\"trouble\"}")));
   }
 
   @Test
-  void aPeerOfTheFirstVersionSaysNothingOfCancellations() throws BadMessage {
-    PeerView view = new PeerView("roost-1", 4, true, 12, 56, 1, CancellationNews.NONE);
+  void aPeerOfTheFirstVersionSaysNothingOfCancellations() throws MalformedMessageException {
+    PeerStatus view = new PeerStatus("roost-1", 4, true, 12, 56, 1, CancellationGossip.NONE);
     byte[] first = {14, 'r', 'o', 'o', 's', 't', '-', '1', 8, 1, 24, 112};
-    assertEquals(view, PeerWire.view(first));
-    assertThrows(BadMessage.class, () -> PeerWire.view(Arrays.copyOf(first, 11)));
+    assertEquals(view, PeerCodec.view(first));
+    assertThrows(MalformedMessageException.class, () -> PeerCodec.view(Arrays.copyOf(first, 11)));
   }
 
   @Test
-  void peersUnderstandEachOther() throws BadMessage {
-    CancellationNews news =
-        new CancellationNews(77, 9000, 3, ImmutableList.of("run-1", "run-2"), true, 78, 12);
-    PeerView view = new PeerView("roost-1", 4, true, 12, 56, 2, news);
-    assertEquals(view, PeerWire.view(PeerWire.view(view)));
+  void peersUnderstandEachOther() throws MalformedMessageException {
+    CancellationGossip news =
+        new CancellationGossip(77, 9000, 3, ImmutableList.of("run-1", "run-2"), true, 78, 12);
+    PeerStatus view = new PeerStatus("roost-1", 4, true, 12, 56, 2, news);
+    assertEquals(view, PeerCodec.view(PeerCodec.view(view)));
     Input.Submit submit =
         (Input.Submit)
-            PeerWire.request(
-                PeerWire.request(new Input.Submit(9, UserWire.job(bytes(JOB)), bytes(JOB))));
-    assertEquals(UserWire.job(bytes(JOB)), submit.job());
+            PeerCodec.request(
+                PeerCodec.request(new Input.Submit(9, UserCodec.job(bytes(JOB)), bytes(JOB))));
+    assertEquals(UserCodec.job(bytes(JOB)), submit.job());
     JobStatus job = new JobStatus("run-1", JobStatus.Stance.DONE, 4, 0);
-    UserAnswer answer = new UserAnswer(200, job, 0, null);
-    assertEquals(new Reply.PeerAnswer(answer), PeerWire.answer(PeerWire.answer(answer)));
+    UserResponse answer = new UserResponse(200, job, 0, null);
+    assertEquals(new Reply.PeerAnswer(answer), PeerCodec.answer(PeerCodec.answer(answer)));
     assertEquals(
         new Reply.PeerAnswers(ImmutableList.of(answer, answer)),
-        PeerWire.answers(PeerWire.answers(List.of(answer, answer))));
+        PeerCodec.answers(PeerCodec.answers(List.of(answer, answer))));
     assertEquals(
-        List.of("run-1", "run-2"), PeerWire.queries(PeerWire.queries(List.of("run-1", "run-2"))));
-    assertThrows(BadMessage.class, () -> PeerWire.queries(new byte[] {9, 2, 3}));
-    assertThrows(BadMessage.class, () -> PeerWire.request(new byte[] {1, 2, 3}));
+        List.of("run-1", "run-2"), PeerCodec.queries(PeerCodec.queries(List.of("run-1", "run-2"))));
+    assertThrows(MalformedMessageException.class, () -> PeerCodec.queries(new byte[] {9, 2, 3}));
+    assertThrows(MalformedMessageException.class, () -> PeerCodec.request(new byte[] {1, 2, 3}));
   }
 
   @Test
-  void hintsComeAsTheyWent() throws BadMessage {
-    HintMessage message =
-        new HintMessage(
+  void hintsComeAsTheyWent() throws MalformedMessageException {
+    MachineHintBatch message =
+        new MachineHintBatch(
             7,
             12,
             ImmutableList.of(
                 new MachineHint(
                     "n-1", ImmutableList.of(new MachineHint.ImageHint("img", 72.5, 900))),
                 new MachineHint("n-2", ImmutableList.of())));
-    assertEquals(message, PeerWire.hints(PeerWire.hints(message)));
-    assertThrows(BadMessage.class, () -> PeerWire.hints(new byte[] {1, 2, 3, 4, 5}));
+    assertEquals(message, PeerCodec.hints(PeerCodec.hints(message)));
+    assertThrows(
+        MalformedMessageException.class, () -> PeerCodec.hints(new byte[] {1, 2, 3, 4, 5}));
   }
 }
