--- a/src/main/java/eiderfork/cli/CommandLineInterface.java
+++ b/src/main/java/eiderfork/cli/CommandLineInterface.java
@@ -35,7 +35,7 @@
     line.addSubcommand(new LoadTestCommand());
     line.setExecutionExceptionHandler(
         (e, parsed, result) -> {
-          parsed.getErr().println(Main.complaint(e));
+          parsed.getErr().println(Main.errorLine(e));
           return Main.exitCode(e);
         });
     return line;
@@ -51,7 +51,7 @@
   }
 
   /** The settings that a command works on. */
-  static final class Files {
+  static final class SettingsArguments {
     @Parameters(paramLabel = "SETTINGS", description = "The platform's settings file (TOML).")
     private Path settings;
 
@@ -71,7 +71,7 @@
   /** Runs a controller. */
   @Command(name = "serve", description = "Runs a controller until it is killed.")
   static final class Serve implements Callable<Integer> {
-    @CommandLine.Mixin private Files files;
+    @CommandLine.Mixin private SettingsArguments files;
 
     @Override
     public Integer call() throws InvalidSettingsException, InterruptedException {
@@ -83,7 +83,7 @@
   /** Checks the settings without running anything. */
   @Command(name = "check", description = "Checks the settings and says what is wrong with them.")
   static final class Check implements Callable<Integer> {
-    @CommandLine.Mixin private Files files;
+    @CommandLine.Mixin private SettingsArguments files;
 
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
@@ -94,8 +94,8 @@
           .getOut()
           .printf(
               "settings of %s are good: %d peers, %d teams, %d objectives%n",
-              settings.node(),
-              settings.peers().size(),
+              settings.nodeName(),
+              settings.peerEndpoints().size(),
               settings.teams().size(),
               settings.objectives().size());
       return 0;
--- a/src/main/java/eiderfork/cli/LoadTestCommand.java
+++ b/src/main/java/eiderfork/cli/LoadTestCommand.java
@@ -14,7 +14,7 @@
     name = "scale",
     description = "Plays a scale run: real controllers among emulated services and workers.")
 final class LoadTestCommand implements Callable<Integer> {
-  private static final int FAILED = 1;
+  private static final int EXIT_FAILED = 1;
 
   @Parameters(paramLabel = "FILE", description = "The run's file (TOML).")
   private Path file;
@@ -50,6 +50,6 @@
       Files.writeString(report, outcome.json());
       Files.writeString(Path.of(report + ".txt"), outcome.text());
     }
-    return outcome.good() ? 0 : FAILED;
+    return outcome.good() ? 0 : EXIT_FAILED;
   }
 }
--- a/src/main/java/eiderfork/cli/Main.java
+++ b/src/main/java/eiderfork/cli/Main.java
@@ -18,18 +18,18 @@
  */
 public final class Main {
   /** The exit code for settings that can't be used. */
-  private static final int BAD_SETTINGS = 2;
+  private static final int EXIT_INVALID_SETTINGS = 2;
 
   private Main() {}
 
   /** Runs the command that the arguments name and ends the process with its exit code. */
   public static void main(String[] args) {
-    logTo(System.getenv("LOG_LEVEL"));
-    System.exit(isPlain(args) ? servePlain(args) : CommandLineInterface.run(args));
+    configureLogging(System.getenv("LOG_LEVEL"));
+    System.exit(isPlainServe(args) ? servePlain(args) : CommandLineInterface.run(args));
   }
 
   /** Whether the arguments are {@code serve SETTINGS} or {@code serve --operator FILE SETTINGS}. */
-  private static boolean isPlain(String[] args) {
+  private static boolean isPlainServe(String[] args) {
     boolean withFile = args.length == 4 && args[1].equals("--operator");
     return (args.length == 2 || withFile)
         && args[0].equals("serve")
@@ -45,7 +45,7 @@
       serve(SettingsParser.read(Path.of(args[args.length - 1]), operator));
       return 0;
     } catch (InvalidSettingsException | InterruptedException | RuntimeException e) {
-      System.err.println(complaint(e));
+      System.err.println(errorLine(e));
       return exitCode(e);
     }
   }
@@ -57,15 +57,15 @@
     }
   }
 
-  static String complaint(Exception e) {
+  static String errorLine(Exception e) {
     return "eiderfork: " + (e instanceof InvalidSettingsException ? e.getMessage() : e.toString());
   }
 
   static int exitCode(Exception e) {
-    return e instanceof InvalidSettingsException ? BAD_SETTINGS : 1;
+    return e instanceof InvalidSettingsException ? EXIT_INVALID_SETTINGS : 1;
   }
 
-  private static void logTo(String level) {
+  private static void configureLogging(String level) {
     String wanted = level == null ? "info" : level.toLowerCase(Locale.ROOT);
     if (!Set.of("error", "warn", "info", "debug").contains(wanted)) {
       wanted = "info";
--- a/src/main/java/eiderfork/config/OperatorSettingsParser.java
+++ b/src/main/java/eiderfork/config/OperatorSettingsParser.java
@@ -14,7 +14,7 @@
 
 /** Reads the operators' own settings: one EDN map, every entry of which may be left out. */
 public final class OperatorSettingsParser {
-  private static final Set<String> KNOWN =
+  private static final Set<String> KNOWN_ENTRIES =
       Set.of(
           "round-share",
           "state-lease-share",
@@ -28,18 +28,18 @@
           "loan-cooldown",
           "trace-file");
 
-  private static final int MOST_STANDBYS = 2;
+  private static final int MAX_STANDBYS = 2;
 
-  private static final double LEAST_LOAN_COOLDOWN = 0.1;
+  private static final double MIN_LOAN_COOLDOWN = 0.1;
 
-  private static final double MOST_LOAN_COOLDOWN = 20;
+  private static final double MAX_LOAN_COOLDOWN = 20;
 
   private final String file;
-  private final Map<?, ?> map;
+  private final Map<?, ?> entries;
 
-  private OperatorSettingsParser(String file, Map<?, ?> map) {
+  private OperatorSettingsParser(String file, Map<?, ?> entries) {
     this.file = file;
-    this.map = map;
+    this.entries = entries;
   }
 
   /**
@@ -72,52 +72,52 @@
     if (!(value instanceof Map<?, ?> map)) {
       throw new InvalidSettingsException(file, "", "not an EDN map");
     }
-    OperatorSettingsParser it = new OperatorSettingsParser(file, map);
-    it.refuseUnknown();
-    OperatorSettings d = OperatorSettings.DEFAULTS;
+    OperatorSettingsParser reader = new OperatorSettingsParser(file, map);
+    reader.rejectUnknownEntries();
+    OperatorSettings defaults = OperatorSettings.DEFAULTS;
     return new OperatorSettings(
-        it.number("round-share", d.roundShare(), 0.02, 5),
-        it.number("state-lease-share", d.stateLeaseShare(), 0.1, 0.6),
-        it.number("headroom", d.headroom(), 0, 20),
-        it.number("idle-share", d.idleShare(), 0, 100),
-        it.flag("spot", d.spot()),
-        it.number("ended-jobs-stay-s", d.endedJobsStayS(), 60, 604_800),
-        (int) it.number("most-ended-jobs", d.mostEndedJobs(), 0, 1_000_000),
-        it.count("standbys", d.standbys(), MOST_STANDBYS),
-        it.flag("lending", d.lending()),
-        it.loanCooldown(d.loanCooldown()),
-        it.text("trace-file"));
+        reader.number("round-share", defaults.updateWindowShare(), 0.02, 5),
+        reader.number("state-lease-share", defaults.leaderLeaseShare(), 0.1, 0.6),
+        reader.number("headroom", defaults.headroomDeviations(), 0, 20),
+        reader.number("idle-share", defaults.idleBootShare(), 0, 100),
+        reader.flag("spot", defaults.isSpotAllowed()),
+        reader.number("ended-jobs-stay-s", defaults.endedJobRetentionS(), 60, 604_800),
+        (int) reader.number("most-ended-jobs", defaults.maxEndedJobs(), 0, 1_000_000),
+        reader.wholeNumber("standbys", defaults.standbyCount(), MAX_STANDBYS),
+        reader.flag("lending", defaults.isLendingEnabled()),
+        reader.loanCooldown(defaults.loanCooldownBoots()),
+        reader.text("trace-file"));
   }
 
-  private void refuseUnknown() throws InvalidSettingsException {
-    for (Object key : map.keySet()) {
+  private void rejectUnknownEntries() throws InvalidSettingsException {
+    for (Object key : entries.keySet()) {
       String name = key instanceof Keyword keyword ? keyword.getName() : String.valueOf(key);
-      if (!(key instanceof Keyword) || !KNOWN.contains(name)) {
+      if (!(key instanceof Keyword) || !KNOWN_ENTRIES.contains(name)) {
         throw new InvalidSettingsException(
-            file, name, "unknown; known are " + new TreeSet<>(KNOWN));
+            file, name, "unknown; known are " + new TreeSet<>(KNOWN_ENTRIES));
       }
     }
   }
 
-  private Object get(String name) {
-    return map.get(Keyword.newKeyword(name));
+  private Object entry(String name) {
+    return entries.get(Keyword.newKeyword(name));
   }
 
-  private double number(String name, double fallback, double least, double most)
+  private double number(String name, double fallback, double min, double max)
       throws InvalidSettingsException {
-    Object value = get(name);
+    Object value = entry(name);
     if (value == null) {
       return fallback;
     }
     if (!(value instanceof Number number)
-        || !(number.doubleValue() >= least && number.doubleValue() <= most)) {
-      throw new InvalidSettingsException(file, name, "not a number from " + least + " to " + most);
+        || !(number.doubleValue() >= min && number.doubleValue() <= max)) {
+      throw new InvalidSettingsException(file, name, "not a number from " + min + " to " + max);
     }
     return number.doubleValue();
   }
 
-  private int count(String name, int fallback, int most) throws InvalidSettingsException {
-    double value = number(name, fallback, 0, most);
+  private int wholeNumber(String name, int fallback, int max) throws InvalidSettingsException {
+    double value = number(name, fallback, 0, max);
     if (value != Math.rint(value)) {
       throw new InvalidSettingsException(file, name, "not a whole number");
     }
@@ -126,15 +126,15 @@
 
   /** A cooldown means nothing where nothing is lent. */
   private double loanCooldown(double fallback) throws InvalidSettingsException {
-    boolean lending = flag("lending", OperatorSettings.DEFAULTS.lending());
-    if (!lending && get("loan-cooldown") != null) {
+    boolean lending = flag("lending", OperatorSettings.DEFAULTS.isLendingEnabled());
+    if (!lending && entry("loan-cooldown") != null) {
       throw new InvalidSettingsException(file, "loan-cooldown", "needs :lending true");
     }
-    return number("loan-cooldown", fallback, LEAST_LOAN_COOLDOWN, MOST_LOAN_COOLDOWN);
+    return number("loan-cooldown", fallback, MIN_LOAN_COOLDOWN, MAX_LOAN_COOLDOWN);
   }
 
   private String text(String name) throws InvalidSettingsException {
-    Object value = get(name);
+    Object value = entry(name);
     if (value != null && !(value instanceof String text && !text.isEmpty())) {
       throw new InvalidSettingsException(file, name, "not a text");
     }
@@ -142,7 +142,7 @@
   }
 
   private boolean flag(String name, boolean fallback) throws InvalidSettingsException {
-    Object value = get(name);
+    Object value = entry(name);
     if (value == null) {
       return fallback;
     }
--- a/src/main/java/eiderfork/config/Settings.java
+++ b/src/main/java/eiderfork/config/Settings.java
@@ -6,21 +6,21 @@
 
 /** What the platform hands over. */
 public record Settings(
-    String node,
+    String nodeName,
     String zone,
-    Endpoint listen,
-    Endpoint peerListen,
-    ImmutableMap<String, Endpoint> peers,
+    Endpoint publicEndpoint,
+    Endpoint peerListenEndpoint,
+    ImmutableMap<String, Endpoint> peerEndpoints,
     ImmutableMap<String, String> peerZones,
-    Endpoint cloud,
-    Endpoint state,
+    Endpoint cloudEndpoint,
+    Endpoint storeEndpoint,
     ImmutableMap<String, Team> teams,
     ImmutableList<Objective> objectives,
-    Workers workers,
-    StateLimits stateLimits,
-    StateLimits nextStateLimits,
+    WorkerTimings workerTimings,
+    StoreLimits storeLimits,
+    StoreLimits nextStoreLimits,
     CloudLimits cloudLimits,
-    Controller controller,
+    ControllerResources controllerResources,
     OperatorSettings operator) {
 
   /** A host and port. */
@@ -35,10 +35,11 @@
    * An aim of the users for a class of jobs.
    *
    * @param withinS the time that waiting or finishing may take; 0 for other kinds
-   * @param times how many times their deadline jobs may take; 1 for other kinds
+   * @param deadlineFactor how many times their deadline jobs may take; 1 for other kinds
    * @param share the part of the jobs or tasks that should be in time
    */
-  public record Objective(Kind kind, String jobClass, double withinS, double times, double share) {
+  public record Objective(
+      Kind kind, String jobClass, double withinS, double deadlineFactor, double share) {
     /** What an aim is about. */
     public enum Kind {
       /** How soon tasks start. */
@@ -53,23 +54,23 @@
   }
 
   /** The shortest time of the users' aims of this kind for a class; the largest double for none. */
-  public double shortestAimS(Objective.Kind kind, String jobClass) {
+  public double shortestObjectiveS(Objective.Kind kind, String jobClass) {
     double least = Double.MAX_VALUE;
-    for (Objective aim : objectives) {
-      if (aim.kind() == kind && aim.jobClass().equals(jobClass)) {
-        least = Math.min(least, aim.withinS());
+    for (Objective objective : objectives) {
+      if (objective.kind() == kind && objective.jobClass().equals(jobClass)) {
+        least = Math.min(least, objective.withinS());
       }
     }
     return least;
   }
 
   /** How many times their deadline jobs of a class should take at most, the strictest first. */
-  public ImmutableList<Double> deadlineTimes(String jobClass) {
+  public ImmutableList<Double> deadlineFactors(String jobClass) {
     ImmutableList<Double> times =
         objectives.stream()
-            .filter(aim -> aim.kind() == Objective.Kind.DEADLINE)
-            .filter(aim -> aim.jobClass().equals(jobClass))
-            .map(Objective::times)
+            .filter(objective -> objective.kind() == Objective.Kind.DEADLINE)
+            .filter(objective -> objective.jobClass().equals(jobClass))
+            .map(Objective::deadlineFactor)
             .sorted()
             .collect(ImmutableList.toImmutableList());
     return times.isEmpty() ? ImmutableList.of(1.0) : times;
@@ -78,40 +79,41 @@
   /**
    * How often workers report, how long their leases last, and how soon cancelled tasks must end.
    */
-  public record Workers(double reportS, double leaseS, double cancelS) {}
+  public record WorkerTimings(double heartbeatS, double leaseS, double cancelDeadlineS) {}
 
   /**
    * What the state service takes: requests and changes a second, the size of a value, and the
    * changes of one transaction.
    */
-  public record StateLimits(double rps, double writeRps, double valueKb, int txnOps) {}
+  public record StoreLimits(
+      double requestsPerS, double writesPerS, double valueKb, int transactionOps) {}
 
   /**
    * The largest value that the state service takes now and after its limits have changed to {@code
    * nextStateLimits}, which comes without notice.
    */
-  public double alwaysStorableKb() {
-    return Math.min(stateLimits.valueKb(), nextStateLimits.valueKb());
+  public double safeValueKb() {
+    return Math.min(storeLimits.valueKb(), nextStoreLimits.valueKb());
   }
 
   /** The most changes of a transaction that the state service takes now and after that. */
-  public int alwaysTxnOps() {
-    return Math.min(stateLimits.txnOps(), nextStateLimits.txnOps());
+  public int safeTransactionOps() {
+    return Math.min(storeLimits.transactionOps(), nextStoreLimits.transactionOps());
   }
 
   /**
    * What a controller's machine gives it: a share of one core, sockets, and memory in megabytes.
    */
-  public record Controller(double cpuShare, int sockets, double memoryMb) {
+  public record ControllerResources(double cpuShare, int sockets, double memoryMb) {
     /** Workers and users come in on sockets of their own; this part is for what goes out. */
-    private static final int OUTBOUND_PART = 8;
+    private static final int OUTBOUND_DIVISOR = 8;
 
     /** How many connections may be kept, and how many workers commanded, at a time. */
-    public int outbound() {
-      return Math.max(1, sockets / OUTBOUND_PART);
+    public int maxOutboundConnections() {
+      return Math.max(1, sockets / OUTBOUND_DIVISOR);
     }
   }
 
   /** What the cloud takes in calls a second, and how old its lists may be. */
-  public record CloudLimits(double rps, double listLagS) {}
+  public record CloudLimits(double requestsPerS, double listLagS) {}
 }
--- a/src/main/java/eiderfork/config/SettingsParser.java
+++ b/src/main/java/eiderfork/config/SettingsParser.java
@@ -15,16 +15,16 @@
 /** Reads the platform's settings; fields that it does not know are ignored. */
 public final class SettingsParser {
   /** The leader key and the counter of terms are written in one transaction. */
-  private static final int SAFE_CHANGES = 2;
+  private static final int MIN_TRANSACTION_OPS = 2;
 
   /** A machine's name is no longer than a key may be. */
-  private static final int MOST_NAME_BYTES = 200;
+  private static final int MAX_MACHINE_NAME_BYTES = 200;
 
   /** What a controller of a small deployment takes, in MB, with some to spare. */
-  private static final double LEAST_MEMORY_MB = 96;
+  private static final double MIN_MEMORY_MB = 96;
 
   /** What a controller may take where the settings do not say. */
-  private static final double UNKNOWN_MEMORY_MB = 256;
+  private static final double DEFAULT_MEMORY_MB = 256;
 
   private final String file;
 
@@ -61,10 +61,10 @@
     } catch (JsonProcessingException e) {
       throw new InvalidSettingsException(file, "", "not TOML: " + e.getOriginalMessage());
     }
-    return new SettingsParser(file).settings(root, operator);
+    return new SettingsParser(file).readSettings(root, operator);
   }
 
-  private Settings settings(JsonNode root, OperatorSettings operator)
+  private Settings readSettings(JsonNode root, OperatorSettings operator)
       throws InvalidSettingsException {
     ImmutableMap.Builder<String, Settings.Endpoint> peers = ImmutableMap.builder();
     ImmutableMap.Builder<String, String> peerZones = ImmutableMap.builder();
@@ -85,24 +85,24 @@
     double reportS = positive(workers, inWorkers, "report_s");
     double leaseS = positive(workers, inWorkers, "lease_s");
     double cancelS = positive(workers, inWorkers, "cancel_s");
-    check(leaseS >= 2 * reportS, inWorkers, "lease_s", "shorter than two reports (report_s)");
-    check(
+    require(leaseS >= 2 * reportS, inWorkers, "lease_s", "shorter than two reports (report_s)");
+    require(
         cancelS > leaseS + 2 * reportS,
         inWorkers,
         "cancel_s",
         "no longer than a lease and two reports (lease_s, report_s), in which a machine that is cut"
             + " off ends its tasks");
-    Settings.StateLimits stateLimits = stateLimits(state, inState, state);
-    Settings.StateLimits nextStateLimits =
+    Settings.StoreLimits stateLimits = readStoreLimits(state, inState, state);
+    Settings.StoreLimits nextStateLimits =
         state.has("next")
-            ? stateLimits(table(state, inState, "next"), inState + ".next", state)
+            ? readStoreLimits(table(state, inState, "next"), inState + ".next", state)
             : stateLimits;
-    double memoryMb = number(resources, inResources, "memory_mb", UNKNOWN_MEMORY_MB);
-    check(
-        memoryMb >= LEAST_MEMORY_MB,
+    double memoryMb = number(resources, inResources, "memory_mb", DEFAULT_MEMORY_MB);
+    require(
+        memoryMb >= MIN_MEMORY_MB,
         inResources,
         "memory_mb",
-        "less than a controller may take (" + (int) LEAST_MEMORY_MB + ")");
+        "less than a controller may take (" + (int) MIN_MEMORY_MB + ")");
     return new Settings(
         text(root, "", "host_name"),
         text(root, "", "zone"),
@@ -112,14 +112,14 @@
         peerZones.buildKeepingLast(),
         endpoint(endpoints, "endpoints", "cloud"),
         endpoint(endpoints, "endpoints", "state"),
-        teams(deployment),
-        objectives(deployment),
-        new Settings.Workers(reportS, leaseS, cancelS),
+        readTeams(deployment),
+        readObjectives(deployment),
+        new Settings.WorkerTimings(reportS, leaseS, cancelS),
         stateLimits,
         nextStateLimits,
         new Settings.CloudLimits(
             positive(cloud, inCloud, "rps"), positive(cloud, inCloud, "list_lag_s")),
-        new Settings.Controller(
+        new Settings.ControllerResources(
             positive(resources, inResources, "cpu_share"),
             (int) positive(resources, inResources, "sockets"),
             memoryMb),
@@ -131,32 +131,33 @@
    *
    * @param fallback has the figures that the table leaves as they are
    */
-  private Settings.StateLimits stateLimits(JsonNode table, String at, JsonNode fallback)
+  private Settings.StoreLimits readStoreLimits(JsonNode table, String at, JsonNode fallback)
       throws InvalidSettingsException {
-    double valueKb = positive(either(table, fallback, "value_kb"), at, "value_kb");
-    check(
-        PlainAllocationSize.anyFits(Job.MOST_TASKS, MOST_NAME_BYTES, valueKb),
+    double valueKb = positive(firstWith(table, fallback, "value_kb"), at, "value_kb");
+    require(
+        PlainAllocationSize.canFitOneReservation(Job.MAX_TASKS, MAX_MACHINE_NAME_BYTES, valueKb),
         at,
         "value_kb",
         "too small for the record of any job");
-    double txnOps = positive(either(table, fallback, "txn_ops"), at, "txn_ops");
-    check(
-        txnOps >= SAFE_CHANGES,
+    double txnOps = positive(firstWith(table, fallback, "txn_ops"), at, "txn_ops");
+    require(
+        txnOps >= MIN_TRANSACTION_OPS,
         at,
         "txn_ops",
-        "fewer changes than taking the lead writes at once (" + SAFE_CHANGES + ")");
-    return new Settings.StateLimits(
-        positive(either(table, fallback, "rps"), at, "rps"),
-        positive(either(table, fallback, "write_rps"), at, "write_rps"),
+        "fewer changes than taking the lead writes at once (" + MIN_TRANSACTION_OPS + ")");
+    return new Settings.StoreLimits(
+        positive(firstWith(table, fallback, "rps"), at, "rps"),
+        positive(firstWith(table, fallback, "write_rps"), at, "write_rps"),
         valueKb,
         (int) txnOps);
   }
 
-  private static JsonNode either(JsonNode table, JsonNode fallback, String name) {
+  private static JsonNode firstWith(JsonNode table, JsonNode fallback, String name) {
     return table.has(name) ? table : fallback;
   }
 
-  private ImmutableMap<String, Team> teams(JsonNode deployment) throws InvalidSettingsException {
+  private ImmutableMap<String, Team> readTeams(JsonNode deployment)
+      throws InvalidSettingsException {
     String at = "deployment.teams";
     ImmutableMap.Builder<String, Team> teams = ImmutableMap.builder();
     for (JsonNode team : deployment.path("teams")) {
@@ -173,14 +174,14 @@
     return teams.buildKeepingLast();
   }
 
-  private ImmutableList<Settings.Objective> objectives(JsonNode deployment)
+  private ImmutableList<Settings.Objective> readObjectives(JsonNode deployment)
       throws InvalidSettingsException {
     String at = "deployment.objectives";
     ImmutableList.Builder<Settings.Objective> objectives = ImmutableList.builder();
     for (JsonNode objective : deployment.path("objectives")) {
       objectives.add(
           new Settings.Objective(
-              kind(text(objective, at, "kind")),
+              objectiveKind(text(objective, at, "kind")),
               // An aim of the teams' guarantees speaks of no class.
               objective.path("class").asText(""),
               number(objective, at, "within_s", 0),
@@ -190,7 +191,7 @@
     return objectives.build();
   }
 
-  private static Settings.Objective.Kind kind(String name) {
+  private static Settings.Objective.Kind objectiveKind(String name) {
     return switch (name) {
       case "wait" -> Settings.Objective.Kind.WAIT;
       case "finished" -> Settings.Objective.Kind.FINISHED;
@@ -200,21 +201,21 @@
   }
 
   /** Refuses figures that can't work together. */
-  private void check(boolean works, String at, String name, String reason)
+  private void require(boolean works, String at, String name, String reason)
       throws InvalidSettingsException {
     if (!works) {
-      throw new InvalidSettingsException(file, path(at, name), reason);
+      throw new InvalidSettingsException(file, fieldPath(at, name), reason);
     }
   }
 
-  private static String path(String at, String name) {
+  private static String fieldPath(String at, String name) {
     return at.isEmpty() ? name : at + "." + name;
   }
 
   private JsonNode table(JsonNode node, String at, String name) throws InvalidSettingsException {
     JsonNode value = node.path(name);
     if (!value.isObject()) {
-      throw new InvalidSettingsException(file, path(at, name), "missing table");
+      throw new InvalidSettingsException(file, fieldPath(at, name), "missing table");
     }
     return value;
   }
@@ -223,7 +224,7 @@
     JsonNode value = node.path(name);
     if (!value.isTextual() || value.textValue().isEmpty()) {
       throw new InvalidSettingsException(
-          file, path(at, name), value.isMissingNode() ? "missing" : "not a text");
+          file, fieldPath(at, name), value.isMissingNode() ? "missing" : "not a text");
     }
     return value.textValue();
   }
@@ -235,7 +236,7 @@
       return fallback;
     }
     if (!value.isNumber() || !(value.doubleValue() >= 0)) {
-      throw new InvalidSettingsException(file, path(at, name), "not a number of at least 0");
+      throw new InvalidSettingsException(file, fieldPath(at, name), "not a number of at least 0");
     }
     return value.doubleValue();
   }
@@ -243,7 +244,7 @@
   private double positive(JsonNode node, String at, String name) throws InvalidSettingsException {
     double value = number(node, at, name, 0);
     if (value <= 0) {
-      throw new InvalidSettingsException(file, path(at, name), "missing or not above 0");
+      throw new InvalidSettingsException(file, fieldPath(at, name), "missing or not above 0");
     }
     return value;
   }
@@ -261,6 +262,6 @@
       // Said below, like a missing port.
     }
     throw new InvalidSettingsException(
-        file, path(at, name), "not an address of the form host:port");
+        file, fieldPath(at, name), "not an address of the form host:port");
   }
 }
--- a/src/main/java/eiderfork/controller/AllocationSizeLimit.java
+++ b/src/main/java/eiderfork/controller/AllocationSizeLimit.java
@@ -16,24 +16,25 @@
   /** Null while a member may not read the bitmap form. */
   private final BitmapAllocationSize bitmap;
 
-  private final double plainKb;
-  private final double shortKb;
+  private final double plainLimitKb;
+  private final double compactLimitKb;
 
   /**
    * Begins with what is reserved for the job now.
    *
-   * @param plainKb the largest value for the plain form; infinite where that is not written
-   * @param shortKb the largest value for the shorter forms
+   * @param plainLimitKb the largest value for the plain form; infinite where that is not written
+   * @param compactLimitKb the largest value for the shorter forms
    * @param withBitmaps whether the bitmap form may be written; then the packed or the bitmap one
    *     is, whichever is shorter. Neither bound grows when tasks end, so one that held at the last
    *     reservation holds until the next.
    */
-  AllocationSizeLimit(JobState entry, double plainKb, double shortKb, boolean withBitmaps) {
-    plain = entry.size();
-    packed = entry.packedSize();
-    bitmap = withBitmaps ? entry.bitmapSize() : null;
-    this.plainKb = plainKb;
-    this.shortKb = shortKb;
+  AllocationSizeLimit(
+      JobState job, double plainLimitKb, double compactLimitKb, boolean withBitmaps) {
+    plain = job.plainSize();
+    packed = job.packedSize();
+    bitmap = withBitmaps ? job.bitmapSize() : null;
+    this.plainLimitKb = plainLimitKb;
+    this.compactLimitKb = compactLimitKb;
   }
 
   void add(int index, long attempt, String machine) {
@@ -45,8 +46,8 @@
   }
 
   boolean fits(int index, long attempt, String machine) {
-    return plain.fits(index, attempt, machine, plainKb)
-        && (packed.fits(index, attempt, machine, shortKb)
-            || bitmap != null && bitmap.fits(index, attempt, machine, shortKb));
+    return plain.fits(index, attempt, machine, plainLimitKb)
+        && (packed.fits(index, attempt, machine, compactLimitKb)
+            || bitmap != null && bitmap.fits(index, attempt, machine, compactLimitKb));
   }
 }
--- a/src/main/java/eiderfork/controller/AllocationWriter.java
+++ b/src/main/java/eiderfork/controller/AllocationWriter.java
@@ -22,94 +22,94 @@
   private static final Logger LOG = LoggerFactory.getLogger(AllocationWriter.class);
 
   /** A write under way, and what memory holds as settled or reserved once it is applied. */
-  private record Write(
-      JobState entry,
-      StoredRecord.Alloc record,
+  private record PendingWrite(
+      JobState job,
+      StoredRecord.Allocation allocation,
       ImmutableList<Reservation> proposed,
       ImmutableList<Reservation> settled,
       RequestPriority urgency) {}
 
   private final ControllerContext context;
-  private final StoreClient gate;
-  private final LeaderElection term;
+  private final StoreClient store;
+  private final LeaderElection election;
   private final ClusterVersion version;
   private final JobRegistry jobs;
 
   /** What is tried again once its backoff is over. */
-  private final List<Runnable> repeats = new ArrayList<>();
+  private final List<Runnable> retries = new ArrayList<>();
 
   AllocationWriter(
       ControllerContext context,
-      StoreClient gate,
-      LeaderElection term,
+      StoreClient store,
+      LeaderElection election,
       ClusterVersion version,
       JobRegistry jobs) {
     this.context = context;
-    this.gate = gate;
-    this.term = term;
+    this.store = store;
+    this.election = election;
     this.version = version;
     this.jobs = jobs;
   }
 
   /** Writes what changed of a job, in one conditional write. */
-  void write(JobState entry, RequestPriority urgency) {
-    StoredRecord.Alloc record = entry.toRecord();
+  void write(JobState job, RequestPriority urgency) {
+    StoredRecord.Allocation record = job.toAllocation();
     ImmutableList.Builder<Reservation> proposed = ImmutableList.builder();
-    for (Reservation p : entry.placed.values()) {
-      if (!p.committed) {
-        proposed.add(p);
+    for (Reservation reservation : job.reservations.values()) {
+      if (!reservation.committed) {
+        proposed.add(reservation);
       }
     }
-    ImmutableList<Reservation> settled = ImmutableList.copyOf(entry.uncommitted);
-    entry.dirty = false;
-    entry.writing = true;
-    entry.ending = record.done();
-    entry.writtenMs = context.nowMs;
-    send(new Write(entry, record, proposed.build(), settled, urgency));
+    ImmutableList<Reservation> settled = ImmutableList.copyOf(job.uncommittedSettlements);
+    job.dirty = false;
+    job.writeInFlight = true;
+    job.completionWriteInFlight = record.done();
+    job.lastWriteMs = context.nowMs;
+    send(new PendingWrite(job, record, proposed.build(), settled, urgency));
   }
 
   void tick() {
-    if (!repeats.isEmpty()) {
-      List<Runnable> due = new ArrayList<>(repeats);
-      repeats.clear();
+    if (!retries.isEmpty()) {
+      List<Runnable> due = new ArrayList<>(retries);
+      retries.clear();
       due.forEach(Runnable::run);
     }
   }
 
-  private boolean isStale(Write write) {
-    return jobs.get(write.entry.job.uid()) != write.entry || !term.leading();
+  private boolean isStale(PendingWrite write) {
+    return jobs.get(write.job.spec.uid()) != write.job || !election.isLeading();
   }
 
-  private void send(Write write) {
+  private void send(PendingWrite write) {
     if (isStale(write)) {
       return;
     }
-    String uid = write.entry.job.uid();
+    String uid = write.job.spec.uid();
     StoreRequest.Change change =
-        StoreRequest.Change.put(StoreKeys.alloc(uid), inNewestForm(write.record));
-    gate.send(
-        new StoreRequest.Transact(conditions(write.entry), ImmutableList.of(change)),
+        StoreRequest.Change.put(StoreKeys.alloc(uid), toNewestForm(write.allocation));
+    store.send(
+        new StoreRequest.Transaction(conditions(write.job), ImmutableList.of(change)),
         write.urgency,
-        reply -> answered(write, reply));
+        reply -> onReply(write, reply));
   }
 
   /** The record in the shortest form that every member reads. */
-  private StoredRecord inNewestForm(StoredRecord.Alloc record) {
-    if (version.allows(ClusterVersion.BITMAP_ALLOCS)) {
-      return new StoredRecord.BitmapAlloc(record);
+  private StoredRecord toNewestForm(StoredRecord.Allocation record) {
+    if (version.isSupportedByAll(ClusterVersion.BITMAP_ALLOCS)) {
+      return new StoredRecord.BitmapAllocation(record);
     }
-    return version.allows(ClusterVersion.PACKED_ALLOCS)
-        ? new StoredRecord.PackedAlloc(record)
+    return version.isSupportedByAll(ClusterVersion.PACKED_ALLOCS)
+        ? new StoredRecord.PackedAllocation(record)
         : record;
   }
 
-  private ImmutableList<StoreRequest.Condition> conditions(JobState entry) {
-    String uid = entry.job.uid();
+  private ImmutableList<StoreRequest.Condition> conditions(JobState job) {
+    String uid = job.spec.uid();
     ImmutableList.Builder<StoreRequest.Condition> conditions = ImmutableList.builder();
-    conditions.add(term.condition());
-    conditions.add(new StoreRequest.Condition(StoreKeys.alloc(uid), entry.allocVersion));
-    conditions.add(new StoreRequest.Condition(StoreKeys.abort(uid), 0));
-    if (entry.allocVersion == 0) {
+    conditions.add(election.leaderCondition());
+    conditions.add(new StoreRequest.Condition(StoreKeys.alloc(uid), job.allocationVersion));
+    conditions.add(new StoreRequest.Condition(StoreKeys.cancellation(uid), 0));
+    if (job.allocationVersion == 0) {
       // An archived job has no alloc record either; nothing of it may start again.
       conditions.add(new StoreRequest.Condition(StoreKeys.ended(uid), 0));
     }
@@ -117,144 +117,145 @@
   }
 
   /** Removes the record that a late copy of an archived job's submission has left. */
-  void removeCopy(JobState entry) {
-    String key = StoreKeys.job(entry.job.uid());
-    gate.send(
-        new StoreRequest.Transact(
-            ImmutableList.of(term.condition(), new StoreRequest.Condition(key, entry.order)),
+  void removeStaleSpec(JobState job) {
+    String key = StoreKeys.job(job.spec.uid());
+    store.send(
+        new StoreRequest.Transaction(
+            ImmutableList.of(
+                election.leaderCondition(), new StoreRequest.Condition(key, job.specVersion)),
             ImmutableList.of(StoreRequest.Change.remove(key))),
         RequestPriority.CLEANUP,
         reply -> {});
   }
 
-  private void answered(Write write, Reply reply) {
-    if (jobs.get(write.entry.job.uid()) != write.entry) {
+  private void onReply(PendingWrite write, Reply reply) {
+    if (jobs.get(write.job.spec.uid()) != write.job) {
       return;
     }
     if (reply instanceof Reply.Committed committed) {
-      applied(write, committed.revision());
+      onApplied(write, committed.revision());
     } else if (reply instanceof Reply.Conflict conflict) {
-      conflict(write, conflict);
+      onConflict(write, conflict);
     } else if (reply instanceof Reply.Refused refused && refused.isMalformed()) {
-      tooLarge(write);
+      onTooLarge(write);
     } else {
       // It may still apply: the same write under the same conditions is safe to repeat.
-      repeat(write.entry, () -> send(write));
+      retryLater(write.job, () -> send(write));
     }
   }
 
-  private void repeat(JobState entry, Runnable again) {
-    entry.writeNotBeforeMs = context.nowMs + entry.writeBackoff.next(context.random);
-    repeats.add(
+  private void retryLater(JobState job, Runnable retry) {
+    job.writeRetryAtMs = context.nowMs + job.writeBackoff.nextPauseMs(context.random);
+    retries.add(
         new Runnable() {
           @Override
           public void run() {
-            if (context.nowMs < entry.writeNotBeforeMs) {
-              repeats.add(this);
+            if (context.nowMs < job.writeRetryAtMs) {
+              retries.add(this);
             } else {
-              again.run();
+              retry.run();
             }
           }
         });
   }
 
-  private void applied(Write write, long stamp) {
-    JobState entry = write.entry;
-    entry.writing = false;
-    entry.ending = false;
-    entry.writeBackoff.reset();
-    entry.committed = write.record;
-    entry.allocVersion = stamp;
-    for (Reservation p : write.proposed) {
-      p.committed = true;
-      if (entry.placed.get(p.index) == p) {
-        p.machine.setUrgent();
+  private void onApplied(PendingWrite write, long version) {
+    JobState job = write.job;
+    job.writeInFlight = false;
+    job.completionWriteInFlight = false;
+    job.writeBackoff.reset();
+    job.committedAllocation = write.allocation;
+    job.allocationVersion = version;
+    for (Reservation reservation : write.proposed) {
+      reservation.committed = true;
+      if (job.reservations.get(reservation.taskIndex) == reservation) {
+        reservation.machine.requestCommand();
       }
     }
-    write.settled.forEach(entry.uncommitted::remove);
-    jobs.changed(entry);
-    if (write.record.done()) {
-      LOG.debug("job {} is done", entry.job.uid());
+    write.settled.forEach(job.uncommittedSettlements::remove);
+    jobs.refreshIndexes(job);
+    if (write.allocation.done()) {
+      LOG.debug("job {} is done", job.spec.uid());
     }
-    if (entry.aborted) {
-      jobs.dropUncommitted(entry);
+    if (job.cancelled) {
+      jobs.dropUncommittedReservations(job);
     }
-    jobs.retireIfOver(entry);
+    jobs.retireIfTerminal(job);
   }
 
-  private void conflict(Write write, Reply.Conflict conflict) {
-    JobState entry = write.entry;
-    String uid = entry.job.uid();
-    if (conflict.failed().contains(StoreKeys.LEADER)) {
-      term.conditionFailed();
+  private void onConflict(PendingWrite write, Reply.Conflict conflict) {
+    JobState job = write.job;
+    String uid = job.spec.uid();
+    if (conflict.failedKeys().contains(StoreKeys.LEADER)) {
+      election.leaderConditionFailed();
       return;
     }
-    if (conflict.failed().contains(StoreKeys.ended(uid))) {
+    if (conflict.failedKeys().contains(StoreKeys.ended(uid))) {
       LOG.info("{} is archived; a late copy of its submission brought it back", uid);
-      jobs.forget(entry);
-      removeCopy(entry);
+      jobs.evict(job);
+      removeStaleSpec(job);
       return;
     }
-    if (conflict.failed().contains(StoreKeys.alloc(uid))) {
+    if (conflict.failedKeys().contains(StoreKeys.alloc(uid))) {
       // Only the leader writes this key, so an earlier copy of this write has been applied.
-      boolean aborted = conflict.failed().contains(StoreKeys.abort(uid));
-      readStored(
+      boolean aborted = conflict.failedKeys().contains(StoreKeys.cancellation(uid));
+      readBack(
           write,
           value -> {
-            if (!appliedAsRead(write, value)) {
+            if (!applyIfStored(write, value)) {
               LOG.error("alloc of {} is not what this leader wrote", uid);
-              term.resign(0);
+              election.resign(0);
             } else if (aborted) {
-              jobs.markAborted(uid);
+              jobs.markCancelled(uid);
             }
           });
       return;
     }
-    entry.writing = false;
-    entry.ending = false;
-    jobs.markAborted(uid);
-    jobs.dropUncommitted(entry);
-    jobs.retireIfOver(entry);
+    job.writeInFlight = false;
+    job.completionWriteInFlight = false;
+    jobs.markCancelled(uid);
+    jobs.dropUncommittedReservations(job);
+    jobs.retireIfTerminal(job);
   }
 
   /**
    * The record is larger than the service takes now. An earlier copy of the write may have been
    * applied before the limit fell, but none can be after this answer.
    */
-  private void tooLarge(Write write) {
-    readStored(
+  private void onTooLarge(PendingWrite write) {
+    readBack(
         write,
         value -> {
-          if (value.version() == write.entry.allocVersion) {
-            notApplied(write);
-          } else if (!appliedAsRead(write, value)) {
-            LOG.error("alloc of {} is not what this leader wrote", write.entry.job.uid());
-            term.resign(0);
+          if (value.version() == write.job.allocationVersion) {
+            onNotApplied(write);
+          } else if (!applyIfStored(write, value)) {
+            LOG.error("alloc of {} is not what this leader wrote", write.job.spec.uid());
+            election.resign(0);
           }
         });
   }
 
-  private void readStored(Write write, java.util.function.Consumer<Reply.Value> then) {
-    gate.send(
-        new StoreRequest.Get(StoreKeys.alloc(write.entry.job.uid())),
+  private void readBack(PendingWrite write, java.util.function.Consumer<Reply.Value> onComplete) {
+    store.send(
+        new StoreRequest.Get(StoreKeys.alloc(write.job.spec.uid())),
         RequestPriority.START,
         reply -> {
           if (isStale(write)) {
             return;
           }
           if (reply instanceof Reply.Value value) {
-            then.accept(value);
+            onComplete.accept(value);
           } else {
-            repeat(write.entry, () -> readStored(write, then));
+            retryLater(write.job, () -> readBack(write, onComplete));
           }
         });
   }
 
-  private boolean appliedAsRead(Write write, Reply.Value value) {
-    if (!write.record.equals(value.record())) {
+  private boolean applyIfStored(PendingWrite write, Reply.Value value) {
+    if (!write.allocation.equals(value.record())) {
       return false;
     }
-    applied(write, value.version());
+    onApplied(write, value.version());
     return true;
   }
 
@@ -262,23 +263,23 @@
    * What was to be reserved waits for its turn again. The job is written anew once more of its
    * tasks have ended, or after a while.
    */
-  private void notApplied(Write write) {
-    JobState entry = write.entry;
-    LOG.info("alloc of {} is too large to be written", entry.job.uid());
-    entry.writing = false;
-    entry.ending = false;
-    entry.blockWrites(context.nowMs + entry.sizeBackoff.next(context.random));
-    for (Reservation p : write.proposed) {
-      if (entry.placed.get(p.index) == p && !entry.aborted) {
-        jobs.withdraw(p);
+  private void onNotApplied(PendingWrite write) {
+    JobState job = write.job;
+    LOG.info("alloc of {} is too large to be written", job.spec.uid());
+    job.writeInFlight = false;
+    job.completionWriteInFlight = false;
+    job.blockWritesUntil(context.nowMs + job.oversizeBackoff.nextPauseMs(context.random));
+    for (Reservation reservation : write.proposed) {
+      if (job.reservations.get(reservation.taskIndex) == reservation && !job.cancelled) {
+        jobs.withdrawProposal(reservation);
       }
     }
-    if (entry.aborted) {
-      jobs.dropUncommitted(entry);
+    if (job.cancelled) {
+      jobs.dropUncommittedReservations(job);
     } else {
-      entry.dirty = true;
-      jobs.changed(entry);
+      job.dirty = true;
+      jobs.refreshIndexes(job);
     }
-    jobs.retireIfOver(entry);
+    jobs.retireIfTerminal(job);
   }
 }
--- a/src/main/java/eiderfork/controller/ArrayParallelism.java
+++ b/src/main/java/eiderfork/controller/ArrayParallelism.java
@@ -12,10 +12,10 @@
  */
 final class ArrayParallelism {
   /** The share of the time that the users give an array in which it should be done. */
-  private static final double TIME_SHARE = 0.25;
+  private static final double OBJECTIVE_SHARE = 0.25;
 
   /** An array of fewer waves is planned for as a whole. */
-  private static final double FEWEST_WAVES = 4;
+  private static final double MIN_WAVES = 4;
 
   /** From the end of a task to the start of one in its place: a report, a write and a command. */
   private static final double TURNAROUND_STEPS = 2;
@@ -30,34 +30,34 @@
   }
 
   /** How many tasks that wait need room at once. */
-  int wanted(JobState entry) {
-    return most(entry, 1);
+  int tasksToPlanFor(JobState job) {
+    return maxTasks(job, 1);
   }
 
   /**
    * How many tasks that wait may be started at once. Where there is room for more than planned, the
    * array is sooner through, but 8,000 tasks of one guest at a time left no processors to others.
    */
-  int startable(JobState entry) {
-    return most(entry, START_FACTOR);
+  int tasksToStart(JobState job) {
+    return maxTasks(job, START_FACTOR);
   }
 
-  private int most(JobState entry, double factor) {
-    int waiting = entry.waiting.cardinality();
-    Job job = entry.job;
-    double timeS = timeS(job) * TIME_SHARE;
-    double taskS = job.estimateS() + TURNAROUND_STEPS * context.stepS();
-    if (job.kind() != JobKind.ARRAY || timeS < FEWEST_WAVES * taskS) {
+  private int maxTasks(JobState entry, double factor) {
+    int waiting = entry.pendingTasks.cardinality();
+    Job job = entry.spec;
+    double timeS = objectiveS(job) * OBJECTIVE_SHARE;
+    double taskS = job.estimatedRunS() + TURNAROUND_STEPS * context.stepS();
+    if (job.kind() != JobKind.ARRAY || timeS < MIN_WAVES * taskS) {
       return waiting;
     }
     // All of its tasks count, also those that are through: the last ones are not strung out.
     double atOnce = Math.ceil(factor * job.tasks() * taskS / timeS);
-    return (int) Math.min(waiting, Math.max(0, atOnce - entry.placed.size()));
+    return (int) Math.min(waiting, Math.max(0, atOnce - entry.reservations.size()));
   }
 
   /** The time in which the users want the job done; 0 where they name none. */
-  private double timeS(Job job) {
-    double aimS = context.settings.shortestAimS(Objective.Kind.FINISHED, job.jobClass());
+  private double objectiveS(Job job) {
+    double aimS = context.settings.shortestObjectiveS(Objective.Kind.FINISHED, job.jobClass());
     double timeS = job.deadlineS() == null ? aimS : Math.min(aimS, job.deadlineS());
     return timeS == Double.MAX_VALUE ? 0 : timeS;
   }
--- a/src/main/java/eiderfork/controller/Autoscaler.java
+++ b/src/main/java/eiderfork/controller/Autoscaler.java
@@ -21,27 +21,27 @@
  */
 final class Autoscaler {
   /** The most machines that the protocol lets one rent ask for. */
-  private static final int RENT_MOST = 50;
+  private static final int MAX_RENT_COUNT = 50;
 
   /** How long a job that seems to fail everywhere looks for room before a machine is rented. */
-  private static final int SUSPECT_RENT_LEASES = 3;
+  private static final int SUSPECT_JOB_WAIT_LEASES = 3;
 
   /** The time that arrivals are remembered for, in boot times of the machines they need. */
-  private static final double MEMORY_BOOTS = 2;
+  private static final double ARRIVAL_MEMORY_BOOTS = 2;
 
   /** What a class of jobs has asked for lately; what is longer ago fades. */
-  private static final class Arrivals {
-    Job sample;
+  private static final class ClassArrivals {
+    Job sampleJob;
 
     /** The sum of the squares of the jobs' tasks: a job's tasks come all at once. */
-    double squares;
+    double squaredTasks;
 
-    long atMs;
+    long updatedMs;
 
-    void fade(long nowMs, double memoryMs) {
+    void decay(long nowMs, double memoryMs) {
       if (memoryMs > 0) {
-        squares *= Math.exp(-(nowMs - atMs) / memoryMs);
-        atMs = nowMs;
+        squaredTasks *= Math.exp(-(nowMs - updatedMs) / memoryMs);
+        updatedMs = nowMs;
       }
     }
   }
@@ -50,124 +50,135 @@
   private final JobRegistry jobs;
   private final MachineRegistry fleet;
   private final MachineLiveness liveness;
-  private final LeaseExpiry lapses;
+  private final LeaseExpiry leaseExpiry;
   private final CloudProvisioner cloud;
-  private final Scheduler placer;
-  private final MachineConsolidation drain;
-  private final ArrayParallelism waves;
-  private final BootTimeEstimator boots;
-  private final ScaleInPolicy unneeded;
+  private final Scheduler scheduler;
+  private final MachineConsolidation consolidation;
+  private final ArrayParallelism arrayParallelism;
+  private final BootTimeEstimator bootTimes;
+  private final ScaleInPolicy scaleInPolicy;
   private final FleetLog log;
-  private final Map<String, Arrivals> arrivals = new LinkedHashMap<>();
+  private final Map<String, ClassArrivals> arrivalsByClass = new LinkedHashMap<>();
   private long arrivalsSinceMs;
-  private int examined;
+  private int examinedBins;
 
   Autoscaler(
       ControllerContext context,
-      StoreClient gate,
+      StoreClient store,
       JobRegistry jobs,
       MachineRegistry fleet,
       MachineLiveness liveness,
-      LeaseExpiry lapses,
+      LeaseExpiry leaseExpiry,
       CloudProvisioner cloud,
-      Scheduler placer) {
+      Scheduler scheduler) {
     this.context = context;
     this.jobs = jobs;
     this.fleet = fleet;
     this.liveness = liveness;
-    this.lapses = lapses;
+    this.leaseExpiry = leaseExpiry;
     this.cloud = cloud;
-    this.placer = placer;
-    drain = new MachineConsolidation(context, jobs, fleet, liveness, placer);
-    waves = new ArrayParallelism(context);
-    boots = new BootTimeEstimator(context);
-    unneeded = new ScaleInPolicy(context, fleet, liveness, lapses, cloud, boots);
-    log = new FleetLog(context, gate, jobs, fleet, liveness);
+    this.scheduler = scheduler;
+    consolidation = new MachineConsolidation(context, jobs, fleet, liveness, scheduler);
+    arrayParallelism = new ArrayParallelism(context);
+    bootTimes = new BootTimeEstimator(context);
+    scaleInPolicy = new ScaleInPolicy(context, fleet, liveness, leaseExpiry, cloud, bootTimes);
+    log = new FleetLog(context, store, jobs, fleet, liveness);
   }
 
-  void clear() {
-    arrivals.clear();
+  void reset() {
+    arrivalsByClass.clear();
     arrivalsSinceMs = context.nowMs;
   }
 
   /** A job is new. */
-  void arrived(Job job) {
-    Arrivals a = arrivals.computeIfAbsent(job.jobClass(), c -> new Arrivals());
-    a.sample = job;
-    a.fade(context.nowMs, bootMs(a) * MEMORY_BOOTS);
-    a.squares += (double) job.tasks() * job.tasks();
+  void recordArrival(Job job) {
+    ClassArrivals arrivalsOfClass =
+        arrivalsByClass.computeIfAbsent(job.jobClass(), c -> new ClassArrivals());
+    arrivalsOfClass.sampleJob = job;
+    arrivalsOfClass.decay(context.nowMs, bootMs(arrivalsOfClass) * ARRIVAL_MEMORY_BOOTS);
+    arrivalsOfClass.squaredTasks += (double) job.tasks() * job.tasks();
   }
 
   /** How many looks at a machine the last plan took. */
-  int examined() {
-    return examined;
+  int examinedBins() {
+    return examinedBins;
   }
 
   void plan() {
-    List<JobState> ranked = placer.ranked();
+    List<JobState> ranked = scheduler.queuedJobs();
     BinPacking packing =
-        new BinPacking(context, fleet, cloud, placer.gpuBalance(), bins(), boots.lateKinds(fleet));
+        new BinPacking(
+            context,
+            fleet,
+            cloud,
+            scheduler.gpuBalance(),
+            availableBins(),
+            bootTimes.lateKinds(fleet));
     Map<String, Resources> used = new HashMap<>();
-    for (JobState entry : ranked) {
-      if (entry.aborted || entry.aborting || context.nowMs < entry.failures.notBeforeMs()) {
+    for (JobState job : ranked) {
+      if (job.cancelled || job.cancelling || context.nowMs < job.failureHistory.notBeforeMs()) {
         continue;
       }
-      pack(entry, packing, used);
+      pack(job, packing, used);
     }
-    packSuspected(packing);
-    arrivals.values().forEach(a -> packHeadroom(a, packing));
-    examined = packing.examined();
-    log.tell(placer.examined(), examined);
-    rent(packing.toRent());
-    drain.plan(packing, !packing.toRent().isEmpty());
-    unneeded.giveBack(packing.known());
+    packTasksOfSuspectedMachines(packing);
+    arrivalsByClass.values().forEach(arrivalsOfClass -> packHeadroom(arrivalsOfClass, packing));
+    examinedBins = packing.examinedBins();
+    log.logIfDue(scheduler.examinedMachines(), examinedBins);
+    scaleOut(packing.binsToRent());
+    consolidation.plan(packing, !packing.binsToRent().isEmpty());
+    scaleInPolicy.returnUnneeded(packing.existingBins());
   }
 
-  private List<Bin> bins() {
+  private List<Bin> availableBins() {
     List<Bin> bins = new ArrayList<>();
-    for (MachineState m : fleet.machines()) {
-      if (m.machine == null || m.room == null || m.returning || m.faulty) {
+    for (MachineState machine : fleet.machines()) {
+      if (machine.spec == null || machine.capacity == null || machine.scalingIn || machine.faulty) {
         continue;
       }
-      MachineType type = fleet.type(m);
-      boolean coming = m.report() == null && type != null && !boots.isLate(m, type);
-      if (coming || liveness.usable(m)) {
-        CloudProvisioner.Kind kind =
-            new CloudProvisioner.Kind(m.machine.type(), m.machine.zone(), m.machine.spot());
-        bins.add(new Bin(m, kind, m.room, m.free()));
+      MachineType type = fleet.typeOf(machine);
+      boolean coming =
+          machine.lastHeartbeat() == null && type != null && !bootTimes.isLate(machine, type);
+      if (coming || liveness.isSchedulable(machine)) {
+        CloudProvisioner.MachineKind kind =
+            new CloudProvisioner.MachineKind(
+                machine.spec.type(), machine.spec.zone(), machine.spec.spot());
+        bins.add(new Bin(machine, kind, machine.capacity, machine.freeCapacity()));
       }
     }
-    for (StoredRecord.Rent open : cloud.rents().openRents()) {
+    for (StoredRecord.ScaleOutIntent open : cloud.rents().openRents()) {
       MachineType type = fleet.types().get(open.type());
       if (type != null) {
-        CloudProvisioner.Kind kind =
-            new CloudProvisioner.Kind(open.type(), open.zone(), open.spot());
+        CloudProvisioner.MachineKind kind =
+            new CloudProvisioner.MachineKind(open.type(), open.zone(), open.spot());
         for (int i = 0; i < open.count(); i++) {
-          bins.add(new Bin(null, kind, type.room(), type.room()));
+          bins.add(new Bin(null, kind, type.capacity(), type.capacity()));
         }
       }
     }
-    bins.sort(Comparator.comparingDouble(bin -> bin.shareLeft));
+    bins.sort(Comparator.comparingDouble(bin -> bin.initialFreeShare));
     return bins;
   }
 
-  private void packHeadroom(Arrivals a, BinPacking packing) {
-    int ready = headroom(a);
-    int zoneMost = a.sample.spread() ? (ready + 1) / 2 : ready;
-    packing.put(a.sample, ready, new HashMap<>(), zoneMost);
+  private void packHeadroom(ClassArrivals arrivalsOfClass, BinPacking packing) {
+    int ready = headroomTasks(arrivalsOfClass);
+    int maxPerZone = arrivalsOfClass.sampleJob.spreadZones() ? (ready + 1) / 2 : ready;
+    packing.place(arrivalsOfClass.sampleJob, ready, new HashMap<>(), maxPerZone);
   }
 
   private void pack(JobState entry, BinPacking packing, Map<String, Resources> used) {
-    Job job = entry.job;
+    Job job = entry.spec;
     Team team = context.settings.teams().get(job.team());
     if (team == null) {
       return;
     }
-    Resources before = used.computeIfAbsent(job.team(), jobs.tally()::used);
-    int tasks = team.tasksWithinLimit(before, job.need(), wanted(entry));
+    Resources before = used.computeIfAbsent(job.team(), jobs.resourceUsage()::used);
+    int tasks = team.countWithinLimit(before, job.taskResources(), wantedTasks(entry));
     if (tasks > 0) {
-      int put = packing.put(job, tasks, PlacementConstraints.zonesOf(entry), job.perZone());
-      used.put(job.team(), before.plus(job.need().times(put)));
+      int put =
+          packing.place(
+              job, tasks, PlacementConstraints.countTasksByZone(entry), job.maxTasksPerZone());
+      used.put(job.team(), before.plus(job.taskResources().times(put)));
     }
   }
 
@@ -175,26 +186,29 @@
    * How many tasks of a job need room now. One that seems to fail everywhere rents nothing: it is
    * tried where there is room, and gets a machine for one task only after it found none for long.
    */
-  private int wanted(JobState entry) {
-    if (entry.failures.isProvenSuspect()) {
-      long sinceMs = context.nowMs - entry.failures.notBeforeMs();
-      return entry.placed.isEmpty() && sinceMs > SUSPECT_RENT_LEASES * context.leaseMs() ? 1 : 0;
+  private int wantedTasks(JobState job) {
+    if (job.failureHistory.isConfirmedSuspect()) {
+      long sinceMs = context.nowMs - job.failureHistory.notBeforeMs();
+      return job.reservations.isEmpty()
+              && sinceMs > SUSPECT_JOB_WAIT_LEASES * context.workerLeaseMs()
+          ? 1
+          : 0;
     }
-    return waves.wanted(entry);
+    return arrayParallelism.tasksToPlanFor(job);
   }
 
   /**
    * Packs what stands on machines that have been silent for a while: it will want new places when
    * their leases lapse, and machines for that take a boot's time to come.
    */
-  private void packSuspected(BinPacking packing) {
+  private void packTasksOfSuspectedMachines(BinPacking packing) {
     List<MachineState> suspected = new ArrayList<>();
     int live = 0;
-    for (MachineState m : fleet.machines()) {
-      if (m.report() != null && !m.returning) {
+    for (MachineState machine : fleet.machines()) {
+      if (machine.lastHeartbeat() != null && !machine.scalingIn) {
         live++;
-        if (lapses.suspected(m)) {
-          suspected.add(m);
+        if (leaseExpiry.isSuspected(machine)) {
+          suspected.add(machine);
         }
       }
     }
@@ -202,12 +216,13 @@
       // It is this node that is cut off.
       return;
     }
-    for (MachineState m : suspected) {
-      for (Reservation p : m.placed) {
-        if (p.wanted()) {
-          Map<String, Integer> perZone = PlacementConstraints.zonesOf(p.job);
-          perZone.merge(m.zone(), -1, Integer::sum);
-          packing.put(p.job.job, 1, perZone, p.job.job.perZone());
+    for (MachineState machine : suspected) {
+      for (Reservation reservation : machine.reservations) {
+        if (reservation.isDesired()) {
+          Map<String, Integer> tasksByZone = PlacementConstraints.countTasksByZone(reservation.job);
+          tasksByZone.merge(machine.zone(), -1, Integer::sum);
+          packing.place(
+              reservation.job.spec, 1, tasksByZone, reservation.job.spec.maxTasksPerZone());
         }
       }
     }
@@ -217,40 +232,41 @@
    * How many tasks of a class to be ready for: the spread of its arrivals within a boot time. Jobs
    * come by chance and each with all of its tasks, so the variance is the sum of their squares.
    */
-  private int headroom(Arrivals a) {
-    double bootMs = bootMs(a);
-    if (a.sample.kind() != JobKind.SERVICE || bootMs <= 0) {
+  private int headroomTasks(ClassArrivals arrivalsOfClass) {
+    double bootMs = bootMs(arrivalsOfClass);
+    if (arrivalsOfClass.sampleJob.kind() != JobKind.SERVICE || bootMs <= 0) {
       return 0;
     }
-    double memoryMs = bootMs * MEMORY_BOOTS;
-    a.fade(context.nowMs, memoryMs);
+    double memoryMs = bootMs * ARRIVAL_MEMORY_BOOTS;
+    arrivalsOfClass.decay(context.nowMs, memoryMs);
     double sinceMs = Math.max(bootMs, context.nowMs - arrivalsSinceMs);
     double seenMs = memoryMs * (1 - Math.exp(-sinceMs / memoryMs));
-    double variance = a.squares / seenMs * bootMs;
-    return (int) Math.round(context.settings.operator().headroom() * Math.sqrt(2 * variance));
+    double variance = arrivalsOfClass.squaredTasks / seenMs * bootMs;
+    return (int)
+        Math.round(context.settings.operator().headroomDeviations() * Math.sqrt(2 * variance));
   }
 
-  private double bootMs(Arrivals a) {
-    return fleet.longestBootMs(a.sample);
+  private double bootMs(ClassArrivals arrivalsOfClass) {
+    return fleet.longestBootMs(arrivalsOfClass.sampleJob);
   }
 
-  private void rent(List<Bin> wanted) {
+  private void scaleOut(List<Bin> wanted) {
     // Demand that grows while rents wait for their turn at the cloud is put into the next ones:
     // many small rents once took 25 s to ask for what a dozen larger ones bring.
-    if (!cloud.listed() || cloud.rents().rentsWait()) {
+    if (!cloud.hasCompleteListing() || cloud.rents().hasUnsentRents()) {
       return;
     }
-    Map<CloudProvisioner.Kind, Integer> counts = new LinkedHashMap<>();
+    Map<CloudProvisioner.MachineKind, Integer> counts = new LinkedHashMap<>();
     wanted.forEach(bin -> counts.merge(bin.kind, 1, Integer::sum));
-    counts.forEach(this::rent);
+    counts.forEach(this::scaleOut);
   }
 
   /** Rents of one kind for so many machines, as far as they may be asked for at once. */
-  private void rent(CloudProvisioner.Kind kind, int count) {
+  private void scaleOut(CloudProvisioner.MachineKind kind, int count) {
     int left = count;
-    for (int i = 0; i < cloud.rents().mostAtOnce(kind) && left > 0; i++) {
-      cloud.rents().rent(kind, Math.min(left, RENT_MOST));
-      left -= RENT_MOST;
+    for (int i = 0; i < cloud.rents().maxConcurrentRents(kind) && left > 0; i++) {
+      cloud.rents().rent(kind, Math.min(left, MAX_RENT_COUNT));
+      left -= MAX_RENT_COUNT;
     }
   }
 }
--- a/src/main/java/eiderfork/controller/Bin.java
+++ b/src/main/java/eiderfork/controller/Bin.java
@@ -7,20 +7,20 @@
   /** Null for one yet to be rented. */
   final MachineState machine;
 
-  final CloudProvisioner.Kind kind;
-  final Resources room;
+  final CloudProvisioner.MachineKind kind;
+  final Resources capacity;
 
   /** The share of it that was left when the plan began. */
-  final double shareLeft;
+  final double initialFreeShare;
 
   /** What nothing is reserved on nor packed on. */
-  Resources left;
+  Resources free;
 
-  Bin(MachineState machine, CloudProvisioner.Kind kind, Resources room, Resources left) {
+  Bin(MachineState machine, CloudProvisioner.MachineKind kind, Resources capacity, Resources free) {
     this.machine = machine;
     this.kind = kind;
-    this.room = room;
-    this.left = left;
-    shareLeft = left.shareOf(room);
+    this.capacity = capacity;
+    this.free = free;
+    initialFreeShare = free.shareOf(capacity);
   }
 }
--- a/src/main/java/eiderfork/controller/BinPacking.java
+++ b/src/main/java/eiderfork/controller/BinPacking.java
@@ -20,65 +20,65 @@
   private static final double SLOW_FETCH_FACTOR = 2;
 
   /** How much dearer a kind of machine counts while one of it is overdue. */
-  private static final double LATE_FACTOR = 2;
+  private static final double OVERDUE_FACTOR = 2;
 
   private final ControllerContext context;
   private final MachineRegistry fleet;
   private final CloudProvisioner cloud;
-  private final CpusPerGpu balance;
+  private final CpusPerGpu cpusPerGpu;
   private final List<Bin> bins;
 
   /** Kinds of machine that come up late now. */
-  private final Set<CloudProvisioner.Kind> lateKinds;
+  private final Set<CloudProvisioner.MachineKind> overdueKinds;
 
   private final FirstFitTree tree;
-  private final int knownBins;
+  private final int existingBinCount;
 
   /** How many machines of a type each zone has or is to have, by type and zone. */
-  private final Object2IntMap<TypeInZone> machines = new Object2IntOpenHashMap<>();
+  private final Object2IntMap<TypeInZone> machineCounts = new Object2IntOpenHashMap<>();
 
   private record TypeInZone(String type, String zone) {
-    static TypeInZone of(CloudProvisioner.Kind kind) {
+    static TypeInZone of(CloudProvisioner.MachineKind kind) {
       return new TypeInZone(kind.type(), kind.zone());
     }
   }
 
   /**
    * @param bins the machines that may be counted on; bins for machines to rent are added at its end
-   * @param lateKinds kinds of which machines are overdue now; others are rented where that costs
-   *     less than {@link #LATE_FACTOR} times as much
+   * @param overdueKinds kinds of which machines are overdue now; others are rented where that costs
+   *     less than {@link #OVERDUE_FACTOR} times as much
    */
   BinPacking(
       ControllerContext context,
       MachineRegistry fleet,
       CloudProvisioner cloud,
-      CpusPerGpu balance,
+      CpusPerGpu cpusPerGpu,
       List<Bin> bins,
-      Set<CloudProvisioner.Kind> lateKinds) {
-    this.lateKinds = lateKinds;
+      Set<CloudProvisioner.MachineKind> overdueKinds) {
+    this.overdueKinds = overdueKinds;
     this.context = context;
     this.fleet = fleet;
     this.cloud = cloud;
-    this.balance = balance;
+    this.cpusPerGpu = cpusPerGpu;
     this.bins = bins;
-    knownBins = bins.size();
-    tree = new FirstFitTree(bins, balance);
-    bins.forEach(bin -> machines.mergeInt(TypeInZone.of(bin.kind), 1, Integer::sum));
+    existingBinCount = bins.size();
+    tree = new FirstFitTree(bins, cpusPerGpu);
+    bins.forEach(bin -> machineCounts.mergeInt(TypeInZone.of(bin.kind), 1, Integer::sum));
   }
 
   /** The machines that the packing began with. */
-  List<Bin> known() {
-    return bins.subList(0, knownBins);
+  List<Bin> existingBins() {
+    return bins.subList(0, existingBinCount);
   }
 
   /** The machines that have to be rented for what was packed. */
-  List<Bin> toRent() {
-    return bins.subList(knownBins, bins.size());
+  List<Bin> binsToRent() {
+    return bins.subList(existingBinCount, bins.size());
   }
 
   /** How often a bin was looked at for a task. */
-  int examined() {
-    return tree.visited();
+  int examinedBins() {
+    return tree.visitedBins();
   }
 
   /**
@@ -89,72 +89,82 @@
    * services took the processors of GPU machines for good: on a fleet of 73 of them up to 94 GPUs
    * stood without while machines without GPUs were not even rented and arrays waited.
    *
-   * @param perZone how many tasks of the job each zone holds; counts these in
-   * @param zoneMost how many a zone may hold
+   * @param tasksByZone how many tasks of the job each zone holds; counts these in
+   * @param maxPerZone how many a zone may hold
    * @return for how many some machine, up or yet to be rented, was found
    */
-  int put(Job job, int tasks, Map<String, Integer> perZone, int zoneMost) {
+  int place(Job job, int tasks, Map<String, Integer> tasksByZone, int maxPerZone) {
     int put = 0;
     while (put < tasks) {
-      int index = find(job, perZone, zoneMost);
+      int index = findBin(job, tasksByZone, maxPerZone);
       if (index < 0) {
         return put;
       }
-      put += fill(index, job, tasks - put, perZone, zoneMost);
+      put += fillBin(index, job, tasks - put, tasksByZone, maxPerZone);
     }
     return put;
   }
 
   /** The bin for the next task of a job, or -1. */
-  private int find(Job job, Map<String, Integer> perZone, int zoneMost) {
-    long kinds = tree.kinds(kind -> allowed(job, kind, perZone, zoneMost));
+  private int findBin(Job job, Map<String, Integer> tasksByZone, int maxPerZone) {
+    long kinds = tree.kindMasks(kind -> isAllowed(job, kind, tasksByZone, maxPerZone));
     int index = -1;
-    if (isSparing(job)) {
+    if (sparesGpuMachines(job)) {
       index =
-          tree.first(job.need(), kinds, true, bin -> accepts(bin, job, perZone, zoneMost, true));
+          tree.findFirst(
+              job.taskResources(),
+              kinds,
+              true,
+              bin -> canHold(bin, job, tasksByZone, maxPerZone, true));
       if (index < 0) {
-        index = rentable(job, perZone, zoneMost, true);
+        index = addCheapestBin(job, tasksByZone, maxPerZone, true);
       }
     }
     if (index < 0) {
       index =
-          tree.first(job.need(), kinds, false, bin -> accepts(bin, job, perZone, zoneMost, false));
+          tree.findFirst(
+              job.taskResources(),
+              kinds,
+              false,
+              bin -> canHold(bin, job, tasksByZone, maxPerZone, false));
     }
-    return index < 0 ? rentable(job, perZone, zoneMost, false) : index;
+    return index < 0 ? addCheapestBin(job, tasksByZone, maxPerZone, false) : index;
   }
 
-  private static boolean isSparing(Job job) {
-    return job.need().gpus() <= 0;
+  private static boolean sparesGpuMachines(Job job) {
+    return job.taskResources().gpus() <= 0;
   }
 
   /** Puts the first task into the bin that was found for it, and those behind it that fit, too. */
-  private int fill(int index, Job job, int tasks, Map<String, Integer> perZone, int zoneMost) {
+  private int fillBin(
+      int index, Job job, int tasks, Map<String, Integer> tasksByZone, int maxPerZone) {
     Bin bin = bins.get(index);
-    boolean sparing = isSparing(job) && !strands(job, bin);
+    boolean sparing = sparesGpuMachines(job) && !strandsGpus(job, bin);
     int put = 0;
     do {
-      bin.left = bin.left.minus(job.need());
-      perZone.merge(bin.kind.zone(), 1, Integer::sum);
+      bin.free = bin.free.minus(job.taskResources());
+      tasksByZone.merge(bin.kind.zone(), 1, Integer::sum);
       put++;
-    } while (put < tasks && accepts(bin, job, perZone, zoneMost, sparing));
-    tree.changed(index);
+    } while (put < tasks && canHold(bin, job, tasksByZone, maxPerZone, sparing));
+    tree.update(index);
     return put;
   }
 
-  private boolean accepts(
-      Bin bin, Job job, Map<String, Integer> perZone, int zoneMost, boolean sparing) {
-    return job.need().fitsIn(bin.left)
-        && allowed(job, bin.kind, perZone, zoneMost)
-        && !(sparing && strands(job, bin));
+  private boolean canHold(
+      Bin bin, Job job, Map<String, Integer> tasksByZone, int maxPerZone, boolean sparing) {
+    return job.taskResources().fitsIn(bin.free)
+        && isAllowed(job, bin.kind, tasksByZone, maxPerZone)
+        && !(sparing && strandsGpus(job, bin));
   }
 
-  private boolean strands(Job job, Bin bin) {
-    return balance.strandedBy(job.need(), bin.left) > 0;
+  private boolean strandsGpus(Job job, Bin bin) {
+    return cpusPerGpu.strandedGpusBy(job.taskResources(), bin.free) > 0;
   }
 
   /** Shows the machines that have room for one task of a job on kinds that it allows. */
-  void forEachWithRoom(Job job, Consumer<Bin> taker) {
-    tree.forEachWithRoom(job.need(), tree.kinds(kind -> allowsKind(job, kind)), taker);
+  void forEachWithFreeCapacity(Job job, Consumer<Bin> consumer) {
+    tree.forEachWithFreeCapacity(
+        job.taskResources(), tree.kindMasks(kind -> isKindAllowed(job, kind)), consumer);
   }
 
   /**
@@ -162,24 +172,25 @@
    * zones that cost the same the one with the fewest machines is taken: where one zone after the
    * other was filled, services that must be spread found the last one's room of no use.
    */
-  private int rentable(
-      Job job, Map<String, Integer> perZone, int zoneMost, boolean onlyWithoutGpus) {
+  private int addCheapestBin(
+      Job job, Map<String, Integer> tasksByZone, int maxPerZone, boolean onlyWithoutGpus) {
     Bin best = null;
     double bestCost = Double.MAX_VALUE;
     for (MachineType type : fleet.types().values()) {
-      int fits = type.room().count(job.need());
-      if (fits == 0 || onlyWithoutGpus && type.room().gpus() > 0) {
+      int fits = type.capacity().countFitting(job.taskResources());
+      if (fits == 0 || onlyWithoutGpus && type.capacity().gpus() > 0) {
         continue;
       }
       for (boolean spot : new boolean[] {false, true}) {
-        CloudProvisioner.Kind kind = zoneFor(job, type, spot, perZone, zoneMost);
+        CloudProvisioner.MachineKind kind = leastUsedZone(job, type, spot, tasksByZone, maxPerZone);
         if (kind == null) {
           continue;
         }
-        double cost = cost(job, type, spot, fits) * (lateKinds.contains(kind) ? LATE_FACTOR : 1);
+        double cost =
+            costPerTask(job, type, spot, fits) * (overdueKinds.contains(kind) ? OVERDUE_FACTOR : 1);
         if (cost < bestCost) {
           bestCost = cost;
-          best = new Bin(null, kind, type.room(), type.room());
+          best = new Bin(null, kind, type.capacity(), type.capacity());
         }
       }
     }
@@ -187,7 +198,7 @@
       return -1;
     }
     tree.add(best);
-    machines.mergeInt(TypeInZone.of(best.kind), 1, Integer::sum);
+    machineCounts.mergeInt(TypeInZone.of(best.kind), 1, Integer::sum);
     return bins.size() - 1;
   }
 
@@ -195,17 +206,17 @@
    * The type in the zone that has the fewest of it among those where the job may have it, or null.
    * Zones where it comes up late now are behind the others.
    */
-  private CloudProvisioner.Kind zoneFor(
-      Job job, MachineType type, boolean spot, Map<String, Integer> perZone, int zoneMost) {
-    CloudProvisioner.Kind best = null;
+  private CloudProvisioner.MachineKind leastUsedZone(
+      Job job, MachineType type, boolean spot, Map<String, Integer> tasksByZone, int maxPerZone) {
+    CloudProvisioner.MachineKind best = null;
     boolean bestIsLate = true;
     int fewest = Integer.MAX_VALUE;
     for (String zone : type.zones()) {
-      CloudProvisioner.Kind kind = new CloudProvisioner.Kind(type.name(), zone, spot);
-      int count = machines.getInt(TypeInZone.of(kind));
-      boolean late = lateKinds.contains(kind);
+      CloudProvisioner.MachineKind kind = new CloudProvisioner.MachineKind(type.name(), zone, spot);
+      int count = machineCounts.getInt(TypeInZone.of(kind));
+      boolean late = overdueKinds.contains(kind);
       boolean better = late == bestIsLate ? count < fewest : !late;
-      if (better && mayRent(kind) && allowed(job, kind, perZone, zoneMost)) {
+      if (better && canRent(kind) && isAllowed(job, kind, tasksByZone, maxPerZone)) {
         bestIsLate = late;
         fewest = count;
         best = kind;
@@ -214,30 +225,34 @@
     return best;
   }
 
-  private boolean mayRent(CloudProvisioner.Kind kind) {
-    return (!kind.spot() || context.settings.operator().spot()) && cloud.rents().inStock(kind);
+  private boolean canRent(CloudProvisioner.MachineKind kind) {
+    return (!kind.spot() || context.settings.operator().isSpotAllowed())
+        && cloud.rents().isInStock(kind);
   }
 
   /** The price of one task on a full machine; a fetch slower than the job can wait costs more. */
-  private double cost(Job job, MachineType type, boolean spot, int fits) {
-    double fetchS = job.imageGb() / type.fetchGbPerS();
-    double cost = type.price(spot) / fits;
-    double waitS = context.settings.shortestAimS(Objective.Kind.WAIT, job.jobClass());
+  private double costPerTask(Job job, MachineType type, boolean spot, int fits) {
+    double fetchS = job.imageGb() / type.imageFetchGbPerS();
+    double cost = type.hourlyPrice(spot) / fits;
+    double waitS = context.settings.shortestObjectiveS(Objective.Kind.WAIT, job.jobClass());
     if (fetchS > waitS) {
       cost *= SLOW_FETCH_FACTOR;
     }
     return cost;
   }
 
-  private static boolean allowed(
-      Job job, CloudProvisioner.Kind kind, Map<String, Integer> perZone, int zoneMost) {
-    return allowsKind(job, kind)
-        && PlacementConstraints.zoneAccepts(job, kind.zone(), perZone, zoneMost);
+  private static boolean isAllowed(
+      Job job,
+      CloudProvisioner.MachineKind kind,
+      Map<String, Integer> tasksByZone,
+      int maxPerZone) {
+    return isKindAllowed(job, kind)
+        && PlacementConstraints.canZoneAccept(job, kind.zone(), tasksByZone, maxPerZone);
   }
 
-  private static boolean allowsKind(Job job, CloudProvisioner.Kind kind) {
+  private static boolean isKindAllowed(Job job, CloudProvisioner.MachineKind kind) {
     return job.allowsType(kind.type())
         && job.allowsZone(kind.zone())
-        && (job.spot() || !kind.spot());
+        && (job.spotAllowed() || !kind.spot());
   }
 }
--- a/src/main/java/eiderfork/controller/BootTimeEstimator.java
+++ b/src/main/java/eiderfork/controller/BootTimeEstimator.java
@@ -10,10 +10,10 @@
 /** Which machines should have come up by now, and which kinds come up late. */
 final class BootTimeEstimator {
   /** A boot that takes this many times the usual is not counted on any more. */
-  private static final double LATE_BOOT = 2.0;
+  private static final double LATE_BOOT_FACTOR = 2.0;
 
   /** A boot that takes this many times the usual will not end. */
-  private static final double FAILED_BOOT = 4.0;
+  private static final double FAILED_BOOT_FACTOR = 4.0;
 
   /**
    * A machine that nobody hears is given this many leases before it is returned. What hangs or is
@@ -23,7 +23,7 @@
    * that: of a zone cut off for longer than two leases all machines were once given back. One that
    * has died is known from the cloud's list by then.
    */
-  static final int SILENCE_LEASES = 2;
+  static final int UNREACHABLE_GRACE_LEASES = 2;
 
   private final ControllerContext context;
 
@@ -32,13 +32,13 @@
   }
 
   /** Whether a machine is not to be counted on any more. */
-  boolean isLate(MachineState m, MachineType type) {
-    return isOverdue(m, type, LATE_BOOT, 0);
+  boolean isLate(MachineState machine, MachineType type) {
+    return isOverdue(machine, type, LATE_BOOT_FACTOR, 0);
   }
 
   /** Whether a machine will not come up at all. */
-  boolean hasFailed(MachineState m, MachineType type) {
-    return isOverdue(m, type, FAILED_BOOT, type.bootS() * 1000);
+  boolean hasFailed(MachineState machine, MachineType type) {
+    return isOverdue(machine, type, FAILED_BOOT_FACTOR, type.bootS() * 1000);
   }
 
   /**
@@ -46,34 +46,37 @@
    * have found a new leader yet: it has some leases' time for that, whatever its age. Without this
    * a new leader returned healthy machines in its first seconds.
    */
-  private boolean isOverdue(MachineState m, MachineType type, double boots, double graceMs) {
-    return m.upMs > 0
-        ? context.nowMs - m.upMs > SILENCE_LEASES * context.leaseMs() + graceMs
-        : context.nowMs - m.sinceMs > type.bootS() * 1000 * boots;
+  private boolean isOverdue(
+      MachineState machine, MachineType type, double bootFactor, double graceMs) {
+    return machine.firstRunningMs > 0
+        ? context.nowMs - machine.firstRunningMs
+            > UNREACHABLE_GRACE_LEASES * context.workerLeaseMs() + graceMs
+        : context.nowMs - machine.knownSinceMs > type.bootS() * 1000 * bootFactor;
   }
 
   /** The kinds of machine of which half of those rented lately should be up by now and are not. */
-  Set<CloudProvisioner.Kind> lateKinds(MachineRegistry fleet) {
-    Multiset<CloudProvisioner.Kind> recent = HashMultiset.create();
-    Multiset<CloudProvisioner.Kind> late = HashMultiset.create();
-    for (MachineState m : fleet.machines()) {
-      MachineType type = fleet.type(m);
-      if (m.returning || type == null || isOld(m, type)) {
+  Set<CloudProvisioner.MachineKind> lateKinds(MachineRegistry fleet) {
+    Multiset<CloudProvisioner.MachineKind> recent = HashMultiset.create();
+    Multiset<CloudProvisioner.MachineKind> late = HashMultiset.create();
+    for (MachineState machine : fleet.machines()) {
+      MachineType type = fleet.typeOf(machine);
+      if (machine.scalingIn || type == null || isPastBootWindow(machine, type)) {
         continue;
       }
-      CloudProvisioner.Kind kind =
-          new CloudProvisioner.Kind(m.machine.type(), m.machine.zone(), m.machine.spot());
+      CloudProvisioner.MachineKind kind =
+          new CloudProvisioner.MachineKind(
+              machine.spec.type(), machine.spec.zone(), machine.spec.spot());
       recent.add(kind);
-      if (m.report() == null && isLate(m, type)) {
+      if (machine.lastHeartbeat() == null && isLate(machine, type)) {
         late.add(kind);
       }
     }
-    Set<CloudProvisioner.Kind> kinds = new HashSet<>(late.elementSet());
+    Set<CloudProvisioner.MachineKind> kinds = new HashSet<>(late.elementSet());
     kinds.removeIf(kind -> late.count(kind) * 2 < recent.count(kind));
     return kinds;
   }
 
-  private boolean isOld(MachineState m, MachineType type) {
-    return context.nowMs - m.sinceMs > FAILED_BOOT * type.bootS() * 1000;
+  private boolean isPastBootWindow(MachineState machine, MachineType type) {
+    return context.nowMs - machine.knownSinceMs > FAILED_BOOT_FACTOR * type.bootS() * 1000;
   }
 }
--- a/src/main/java/eiderfork/controller/BorrowedCapacity.java
+++ b/src/main/java/eiderfork/controller/BorrowedCapacity.java
@@ -17,13 +17,13 @@
   private final JobRegistry jobs;
   private final MachineRegistry fleet;
   private final ReclaimCooldowns cooldowns = new ReclaimCooldowns();
-  private final boolean on;
+  private final boolean isEnabled;
 
   BorrowedCapacity(ControllerContext context, JobRegistry jobs, MachineRegistry fleet) {
     this.context = context;
     this.jobs = jobs;
     this.fleet = fleet;
-    on = context.settings.operator().lending();
+    isEnabled = context.settings.operator().isLendingEnabled();
   }
 
   void clear() {
@@ -32,53 +32,62 @@
 
   /** Forgets reversals that are long past. */
   void tick() {
-    cooldowns.fade(context.nowMs);
+    cooldowns.decay(context.nowMs);
   }
 
   /** Whether the next task of the job would run beyond what its team is guaranteed. */
-  boolean borrows(JobState entry) {
-    if (!on || entry.job.kind() == JobKind.SERVICE) {
+  boolean isBorrowing(JobState job) {
+    if (!isEnabled || job.spec.kind() == JobKind.SERVICE) {
       return false;
     }
-    Team team = context.settings.teams().get(entry.job.team());
-    int tasks = entry.gang == null ? 1 : entry.job.tasks();
-    Resources used = jobs.tally().held(entry.job.team());
-    return team == null || !team.withinGuarantee(used.plus(entry.job.need().times(tasks)));
+    Team team = context.settings.teams().get(job.spec.team());
+    int tasks = job.gang == null ? 1 : job.spec.tasks();
+    Resources used = jobs.resourceUsage().held(job.spec.team());
+    return team == null
+        || !team.isWithinGuarantee(used.plus(job.spec.taskResources().times(tasks)));
   }
 
   /**
    * What of a machine's free room is kept from a job that borrows. What was reclaimed for the job
    * itself is not: an urgent gang that borrows once waited for the room that was made for it.
    */
-  Resources keptFrom(JobState borrower, MachineState m) {
-    String own = borrower.job.uid();
-    return cooldowns.kept(m.name, context.nowMs, uid -> uid.equals(own) || holdsRoom(uid, m));
+  Resources withheldFrom(JobState borrower, MachineState machine) {
+    String own = borrower.spec.uid();
+    return cooldowns.withheld(
+        machine.name, context.nowMs, uid -> uid.equals(own) || hasReservation(uid, machine));
   }
 
-  private static boolean holdsRoom(String uid, MachineState m) {
-    return m.placed.stream().anyMatch(p -> p.job.job.uid().equals(uid));
+  private static boolean hasReservation(String uid, MachineState machine) {
+    return machine.reservations.stream()
+        .anyMatch(reservation -> reservation.job.spec.uid().equals(uid));
   }
 
   /** Room was reclaimed from a task for another job. */
-  void reclaimed(Reservation victim, Job taker) {
-    MachineState m = victim.machine;
-    MachineType type = fleet.type(m);
+  void recordReclaim(Reservation victim, Job preemptor) {
+    MachineState machine = victim.machine;
+    MachineType type = fleet.typeOf(machine);
     if (type == null) {
       return;
     }
-    long startAndSaveMs = startAndSaveMs(victim.job.job, type);
+    long startAndSaveMs = startAndSaveMs(victim.job.spec, type);
     boolean shortLoan =
-        victim.isStartSeen() && context.nowMs - victim.runningSinceMs < startAndSaveMs;
+        victim.isStartObserved() && context.nowMs - victim.runningSinceMs < startAndSaveMs;
     long firstMs = Math.max(startAndSaveMs, cooldownMs(type.bootS()));
-    cooldowns.reclaimed(m.name, taker.uid(), taker.need(), context.nowMs, firstMs, shortLoan);
+    cooldowns.recordReclaim(
+        machine.name,
+        preemptor.uid(),
+        preemptor.taskResources(),
+        context.nowMs,
+        firstMs,
+        shortLoan);
   }
 
   private static long startAndSaveMs(Job job, MachineType type) {
-    return (long) (1000 * (job.imageGb() / type.fetchGbPerS() + job.saveS()));
+    return (long) (1000 * (job.imageGb() / type.imageFetchGbPerS() + job.saveDurationS()));
   }
 
   private long cooldownMs(double bootS) {
-    return (long) (1000 * bootS * context.settings.operator().loanCooldown());
+    return (long) (1000 * bootS * context.settings.operator().loanCooldownBoots());
   }
 
   /**
@@ -86,26 +95,26 @@
    * time. It is the first to be reclaimed where nothing else is borrowed, and loses a start and a
    * save each time.
    */
-  boolean isGangCoolingDown(JobState gang) {
-    int times = gang.timesReclaimed(0);
-    if (times == 0 || !borrows(gang)) {
+  boolean isGangCoolingDown(JobState job) {
+    int times = job.reclaimCount(0);
+    if (times == 0 || !isBorrowing(job)) {
       return false;
     }
-    long firstMs = cooldownMs(fleet.longestBootMs(gang.job) / 1000);
+    long firstMs = cooldownMs(fleet.longestBootMs(job.spec) / 1000);
     long waitsMs = ReclaimCooldowns.cooldownMs(times, firstMs);
-    return context.nowMs - gang.lastReclaimedMs() < waitsMs;
+    return context.nowMs - job.lastReclaimedMs() < waitsMs;
   }
 
   /**
    * Whether a job can't take the room that was made for it, since a write of it is under way.
    * Without this a borrower took it, and others had to be stopped for the job.
    */
-  boolean mayNotTakeYet(JobState entry) {
-    return on && entry.writing;
+  boolean isWritePending(JobState job) {
+    return isEnabled && job.writeInFlight;
   }
 
   /** Whether tasks on this machine can be told to stop: it has answered what it was last told. */
-  boolean mayAsk(MachineState m) {
-    return !on || m.unanswered == 0;
+  boolean isResponsive(MachineState machine) {
+    return !isEnabled || machine.unansweredCommands == 0;
   }
 }
--- a/src/main/java/eiderfork/controller/CancellationTracker.java
+++ b/src/main/java/eiderfork/controller/CancellationTracker.java
@@ -27,36 +27,36 @@
   private static final long NEVER = Long.MIN_VALUE / 4;
 
   /** The most jobs that one message names; with the longest ids it stays far below 64 KiB. */
-  private static final int MOST_TOLD_AT_ONCE = 256;
+  private static final int MAX_JOBS_PER_MESSAGE = 256;
 
   /** The most confirmations that are remembered for peers, and jobs known besides. */
-  private static final int MOST = 16_384;
+  private static final int MAX_REMEMBERED = 16_384;
 
   /**
    * Past this many cancellation times nothing of a cancelled job can run that a peer could stop.
    */
-  private static final int REMEMBERED_TIMES = 2;
+  private static final int RETENTION_TIMEOUTS = 2;
 
-  private record Confirmed(long number, String uid, long atMs) {}
+  private record Confirmation(long number, String uid, long confirmedMs) {}
 
   /** What is known from a peer and what it knows from here. */
-  private static final class Peer {
-    long process;
-    long upTo;
-    long acknowledged;
+  private static final class PeerState {
+    long processId;
+    long receivedNumber;
+    long acknowledgedNumber;
 
     /** When a confirmation that it had not acknowledged was last dropped before its time. */
     long evictedMs = NEVER;
 
-    long provenMs = NEVER;
+    long completeUpToMs = NEVER;
   }
 
   private final ControllerContext context;
-  private final Consumer<String> learned;
-  private final long process;
+  private final Consumer<String> onLearned;
+  private final long processId;
   private final long startedMs;
 
-  private final Deque<Confirmed> confirmed = new ArrayDeque<>();
+  private final Deque<Confirmation> confirmed = new ArrayDeque<>();
   private final Set<String> confirmedUids = new HashSet<>();
   private long lastNumber;
 
@@ -65,30 +65,30 @@
 
   /** What was confirmed here or heard of; a hint that a restart or many others may lose. */
   private final Cache<String, Boolean> heard =
-      Caffeine.newBuilder().maximumSize(MOST).executor(Runnable::run).build();
+      Caffeine.newBuilder().maximumSize(MAX_REMEMBERED).executor(Runnable::run).build();
 
   /** What the state service held, of this term. */
   private final Set<String> read = new HashSet<>();
 
-  private long readMs = NEVER;
-  private final Map<String, Peer> peers = new HashMap<>();
+  private long caughtUpMs = NEVER;
+  private final Map<String, PeerState> peers = new HashMap<>();
 
   /**
-   * @param learned takes each job that turns out to be cancelled, once or more often
+   * @param onLearned takes each job that turns out to be cancelled, once or more often
    */
-  CancellationTracker(ControllerContext context, Consumer<String> learned) {
+  CancellationTracker(ControllerContext context, Consumer<String> onLearned) {
     this.context = context;
-    this.learned = learned;
-    process = context.random.nextLong() | 1;
+    this.onLearned = onLearned;
+    processId = context.random.nextLong() | 1;
     startedMs = context.nowMs;
-    context.settings.peers().keySet().forEach(node -> peers.put(node, new Peer()));
+    context.settings.peerEndpoints().keySet().forEach(node -> peers.put(node, new PeerState()));
   }
 
   /** A term begins or ends: what memory held of it is gone, and proofs with it. */
-  void forget() {
+  void reset() {
     read.clear();
-    readMs = NEVER;
-    peers.values().forEach(peer -> peer.provenMs = NEVER);
+    caughtUpMs = NEVER;
+    peers.values().forEach(peer -> peer.completeUpToMs = NEVER);
   }
 
   /** Whether the job is known to be cancelled; that never changes. */
@@ -102,136 +102,139 @@
   }
 
   /** The job is archived, so that nothing of it runs; its cancellation is not read any more. */
-  void archived(String uid) {
+  void jobArchived(String uid) {
     read.remove(uid);
   }
 
   /** This node is about to tell a user that the job is cancelled. */
   void confirm(String uid) {
     if (confirmedUids.add(uid)) {
-      confirmed.add(new Confirmed(++lastNumber, uid, context.nowMs));
-      if (confirmed.size() > MOST) {
-        Confirmed oldest = confirmed.remove();
+      confirmed.add(new Confirmation(++lastNumber, uid, context.nowMs));
+      if (confirmed.size() > MAX_REMEMBERED) {
+        Confirmation oldest = confirmed.remove();
         confirmedUids.remove(oldest.uid);
         lastEvictedMs = context.nowMs;
-        for (Peer peer : peers.values()) {
-          if (peer.acknowledged < oldest.number) {
+        for (PeerState peer : peers.values()) {
+          if (peer.acknowledgedNumber < oldest.number) {
             peer.evictedMs = context.nowMs;
           }
         }
       }
     }
-    hear(uid);
+    learn(uid);
   }
 
-  private void hear(String uid) {
+  private void learn(String uid) {
     if (heard.getIfPresent(uid) == null) {
       heard.put(uid, true);
-      learned.accept(uid);
+      onLearned.accept(uid);
     }
   }
 
   /** The state service holds this cancellation. */
   void read(String uid) {
     if (read.add(uid)) {
-      learned.accept(uid);
+      onLearned.accept(uid);
     }
   }
 
   /** Everything that the state service held at this moment has been taken. */
-  void caughtUp(long askedMs) {
-    readMs = Math.max(readMs, askedMs);
+  void recordCaughtUp(long requestedMs) {
+    caughtUpMs = Math.max(caughtUpMs, requestedMs);
   }
 
-  private long rememberedMs() {
-    return REMEMBERED_TIMES * context.cancelMs();
+  private long retentionMs() {
+    return RETENTION_TIMEOUTS * context.cancellationTimeoutMs();
   }
 
   /** What this node tells a peer now. */
-  CancellationGossip newsFor(String node) {
-    while (!confirmed.isEmpty() && context.nowMs - confirmed.peek().atMs > rememberedMs()) {
+  CancellationGossip gossipFor(String node) {
+    while (!confirmed.isEmpty() && context.nowMs - confirmed.peek().confirmedMs > retentionMs()) {
       confirmedUids.remove(confirmed.remove().uid);
     }
-    Peer peer = peers.getOrDefault(node, new Peer());
-    Deque<Confirmed> unknown = new ArrayDeque<>();
-    for (Iterator<Confirmed> it = confirmed.descendingIterator(); it.hasNext(); ) {
-      Confirmed next = it.next();
-      if (next.number <= peer.acknowledged) {
+    PeerState peer = peers.getOrDefault(node, new PeerState());
+    Deque<Confirmation> unknown = new ArrayDeque<>();
+    for (Iterator<Confirmation> it = confirmed.descendingIterator(); it.hasNext(); ) {
+      Confirmation next = it.next();
+      if (next.number <= peer.acknowledgedNumber) {
         break;
       }
       unknown.addFirst(next);
     }
     ImmutableList<String> uids =
         unknown.stream()
-            .limit(MOST_TOLD_AT_ONCE)
-            .map(Confirmed::uid)
+            .limit(MAX_JOBS_PER_MESSAGE)
+            .map(Confirmation::uid)
             .collect(ImmutableList.toImmutableList());
-    boolean evicted = context.nowMs - peer.evictedMs <= rememberedMs();
+    boolean evicted = context.nowMs - peer.evictedMs <= retentionMs();
     // What was dropped because its time is over matters to nobody.
     long after = unknown.isEmpty() ? lastNumber : unknown.peek().number - 1;
     return new CancellationGossip(
-        process,
+        processId,
         context.nowMs - startedMs,
         after,
         uids,
         !evicted && uids.size() == unknown.size(),
-        peer.process,
-        peer.upTo);
+        peer.processId,
+        peer.receivedNumber);
   }
 
   /** A peer said this, by itself or asked. */
-  void heard(String node, CancellationGossip news) {
-    Peer peer = peers.get(node);
-    if (peer == null || news.process() == 0) {
+  void heard(String node, CancellationGossip gossip) {
+    PeerState peer = peers.get(node);
+    if (peer == null || gossip.processId() == 0) {
       return;
     }
-    if (news.process() != peer.process) {
-      peer.process = news.process();
-      peer.upTo = 0;
-      peer.acknowledged = 0;
+    if (gossip.processId() != peer.processId) {
+      peer.processId = gossip.processId();
+      peer.receivedNumber = 0;
+      peer.acknowledgedNumber = 0;
       // A process that knows nothing yet can't be told what was dropped already.
       peer.evictedMs = lastEvictedMs;
     }
-    if (news.heardProcess() == process) {
-      peer.acknowledged = Math.max(peer.acknowledged, news.heardUpTo());
+    if (gossip.acknowledgedProcessId() == processId) {
+      peer.acknowledgedNumber = Math.max(peer.acknowledgedNumber, gossip.acknowledgedNumber());
     }
-    news.uids().forEach(this::hear);
-    peer.upTo = Math.max(peer.upTo, news.upTo());
+    gossip.uids().forEach(this::learn);
+    peer.receivedNumber = Math.max(peer.receivedNumber, gossip.lastNumber());
   }
 
   /**
-   * A peer answered a question of {@code askedMs} with this. Its word goes no further than the
+   * A peer answered a question of {@code requestedMs} with this. Its word goes no further than the
    * moment of the question, and counts only where the process that answers has run since before
    * this node last had the state service: an earlier one may have confirmed what nobody remembers.
    */
-  void answered(String node, CancellationGossip news, long askedMs) {
-    heard(node, news);
-    Peer peer = peers.get(node);
-    long startedMs = context.nowMs - (long) (news.upMs() * (1 - ControllerContext.CLOCK_DRIFT));
-    if (peer != null && news.complete() && startedMs < readMs) {
-      peer.provenMs = Math.max(peer.provenMs, askedMs);
+  void receiveReply(String node, CancellationGossip gossip, long requestedMs) {
+    heard(node, gossip);
+    PeerState peer = peers.get(node);
+    long startedMs =
+        context.nowMs - (long) (gossip.uptimeMs() * (1 - ControllerContext.MAX_CLOCK_DRIFT));
+    if (peer != null && gossip.complete() && startedMs < caughtUpMs) {
+      peer.completeUpToMs = Math.max(peer.completeUpToMs, requestedMs);
     }
   }
 
   /** Every cancellation that any node confirmed before this moment is known here. */
-  long provenMs() {
-    if (readMs == NEVER) {
+  long completeUpToMs() {
+    if (caughtUpMs == NEVER) {
       return NEVER;
     }
     long leastMs = context.nowMs;
-    for (Peer peer : peers.values()) {
-      leastMs = Math.min(leastMs, peer.provenMs);
+    for (PeerState peer : peers.values()) {
+      leastMs = Math.min(leastMs, peer.completeUpToMs);
     }
-    return Math.max(readMs, leastMs);
+    return Math.max(caughtUpMs, leastMs);
   }
 
   /**
    * Whether a worker's lease may be renewed now. It runs from when the report was sent, which lies
    * behind, and is over within the cancellation time of whatever may have been cancelled unheard.
    */
-  boolean mayRenew() {
-    long sinceMs = ControllerContext.surely(context.nowMs - provenMs());
-    return sinceMs + ControllerContext.surely(context.leaseMs()) + context.stepMs() / 2
-        < context.cancelMs();
+  boolean mayRenewLeases() {
+    long sinceMs = ControllerContext.withClockDrift(context.nowMs - completeUpToMs());
+    return sinceMs
+            + ControllerContext.withClockDrift(context.workerLeaseMs())
+            + context.stepMs() / 2
+        < context.cancellationTimeoutMs();
   }
 }
--- a/src/main/java/eiderfork/controller/CapacityIndex.java
+++ b/src/main/java/eiderfork/controller/CapacityIndex.java
@@ -17,16 +17,16 @@
  */
 final class CapacityIndex {
   /** Free processors and GPUs are told apart up to this number; the last level has all above. */
-  private static final int LEVELS = 65;
+  private static final int LEVEL_COUNT = 65;
 
   /** The machines of one kind. */
   private static final class Group {
-    final CloudProvisioner.Kind kind;
-    final RoaringBitmap[] byFreeCpus = new RoaringBitmap[LEVELS];
-    final RoaringBitmap[] byFreeGpus = new RoaringBitmap[LEVELS];
-    int machines;
+    final CloudProvisioner.MachineKind kind;
+    final RoaringBitmap[] byFreeCpus = new RoaringBitmap[LEVEL_COUNT];
+    final RoaringBitmap[] byFreeGpus = new RoaringBitmap[LEVEL_COUNT];
+    int machineCount;
 
-    Group(CloudProvisioner.Kind kind) {
+    Group(CloudProvisioner.MachineKind kind) {
       this.kind = kind;
     }
 
@@ -49,7 +49,7 @@
     }
   }
 
-  private final Map<CloudProvisioner.Kind, Group> groups = new LinkedHashMap<>();
+  private final Map<CloudProvisioner.MachineKind, Group> groups = new LinkedHashMap<>();
   private final FailedSearchCache failedSearches = new FailedSearchCache();
   private int size;
 
@@ -65,9 +65,9 @@
   }
 
   /** A machine has more room than before, or may be used again. */
-  void grew(MachineState m) {
-    if (m.place != null) {
-      failedSearches.grew(m);
+  void capacityIncreased(MachineState machine) {
+    if (machine.indexPosition != null) {
+      failedSearches.capacityIncreased(machine);
     }
   }
 
@@ -80,7 +80,7 @@
   Set<String> zones() {
     Set<String> zones = new LinkedHashSet<>();
     for (Group group : groups.values()) {
-      if (group.machines > 0) {
+      if (group.machineCount > 0) {
         zones.add(group.kind.zone());
       }
     }
@@ -88,67 +88,69 @@
   }
 
   /** Takes a machine up, or what has changed of its free room. */
-  void put(MachineState m) {
-    Resources free = m.free();
-    int cpuLevel = level(free.cpus());
-    int gpuLevel = level(free.gpus());
-    Place place = m.place;
+  void update(MachineState machine) {
+    Resources free = machine.freeCapacity();
+    int cpuLevel = levelOf(free.cpus());
+    int gpuLevel = levelOf(free.gpus());
+    Place place = machine.indexPosition;
     if (place == null) {
-      place = new Place(group(m));
-      place.group.machines++;
+      place = new Place(groupOf(machine));
+      place.group.machineCount++;
       size++;
-      m.place = place;
+      machine.indexPosition = place;
     } else if (place.cpuLevel == cpuLevel && place.gpuLevel == gpuLevel) {
       return;
     } else {
-      take(place, m.number);
+      removeFromLevels(place, machine.number);
     }
     place.cpuLevel = cpuLevel;
     place.gpuLevel = gpuLevel;
-    Group.add(place.group.byFreeCpus, cpuLevel, m.number);
-    Group.add(place.group.byFreeGpus, gpuLevel, m.number);
+    Group.add(place.group.byFreeCpus, cpuLevel, machine.number);
+    Group.add(place.group.byFreeGpus, gpuLevel, machine.number);
   }
 
-  void remove(MachineState m) {
-    if (m.place != null) {
-      take(m.place, m.number);
-      m.place.group.machines--;
+  void remove(MachineState machine) {
+    if (machine.indexPosition != null) {
+      removeFromLevels(machine.indexPosition, machine.number);
+      machine.indexPosition.group.machineCount--;
       size--;
-      m.place = null;
+      machine.indexPosition = null;
     }
   }
 
-  private static void take(Place place, int number) {
+  private static void removeFromLevels(Place place, int number) {
     place.group.byFreeCpus[place.cpuLevel].remove(number);
     place.group.byFreeGpus[place.gpuLevel].remove(number);
   }
 
-  private Group group(MachineState m) {
-    CloudProvisioner.Kind kind =
-        new CloudProvisioner.Kind(m.machine.type(), m.machine.zone(), m.machine.spot());
+  private Group groupOf(MachineState machine) {
+    CloudProvisioner.MachineKind kind =
+        new CloudProvisioner.MachineKind(
+            machine.spec.type(), machine.spec.zone(), machine.spec.spot());
     return groups.computeIfAbsent(kind, Group::new);
   }
 
-  private static int level(double amount) {
-    return (int) Math.max(0, Math.min(LEVELS - 1, Math.floor(amount + Resources.DUST)));
+  private static int levelOf(double amount) {
+    return (int)
+        Math.max(0, Math.min(LEVEL_COUNT - 1, Math.floor(amount + Resources.ROUNDING_TOLERANCE)));
   }
 
   /** Names every machine in these zones that may have room for a task of the job. */
-  void forEachCandidate(Job job, Collection<String> zones, IntConsumer taker) {
-    Resources need = job.need();
-    boolean byGpus = need.gpus() > 0;
-    int least = level(byGpus ? need.gpus() : need.cpus());
+  void forEachCandidate(Job job, Collection<String> eligibleZones, IntConsumer consumer) {
+    Resources demand = job.taskResources();
+    boolean byGpus = demand.gpus() > 0;
+    int least = levelOf(byGpus ? demand.gpus() : demand.cpus());
     for (Group group : groups.values()) {
-      CloudProvisioner.Kind kind = group.kind;
-      if (!zones.contains(kind.zone())
+      CloudProvisioner.MachineKind kind = group.kind;
+      if (!eligibleZones.contains(kind.zone())
           || !job.allowsType(kind.type())
-          || kind.spot() && !job.spot()) {
+          || kind.spot() && !job.spotAllowed()) {
         continue;
       }
       RoaringBitmap[] levels = byGpus ? group.byFreeGpus : group.byFreeCpus;
-      for (int i = least; i < LEVELS; i++) {
+      for (int i = least; i < LEVEL_COUNT; i++) {
         if (levels[i] != null) {
-          levels[i].forEach((org.roaringbitmap.IntConsumer) taker::accept);
+          levels[i].forEach((org.roaringbitmap.IntConsumer) consumer::accept);
         }
       }
     }
--- a/src/main/java/eiderfork/controller/CloudProvisioner.java
+++ b/src/main/java/eiderfork/controller/CloudProvisioner.java
@@ -25,37 +25,37 @@
   private static final Logger LOG = LoggerFactory.getLogger(CloudProvisioner.class);
 
   /** The share of the cloud's limit that is used, so that a clock's drift never exceeds it. */
-  private static final double RATE_SHARE = 0.9;
+  private static final double CALL_RATE_SHARE = 0.9;
 
   /** How long the cloud may take over a call, in steps. */
-  private static final int TIMEOUT_STEPS = 5;
+  private static final int CALL_TIMEOUT_STEPS = 5;
 
   /** Prices move slowly; they are read again after this many lags of the list. */
-  private static final int TYPES_LAGS = 8;
+  private static final int TYPES_REFRESH_LAGS = 8;
 
   /** A list that is not whole after this many of its lags is begun anew. */
-  private static final int LISTING_LAGS = 4;
+  private static final int MAX_LISTING_LAGS = 4;
 
   /** A kind of machine that may be out of stock. */
-  record Kind(String type, String zone, boolean spot) {}
+  record MachineKind(String type, String zone, boolean spot) {}
 
   private final ControllerContext context;
-  private final LeaderElection term;
-  private final StoreClient gate;
+  private final LeaderElection election;
+  private final StoreClient store;
   private final MachineRegistry fleet;
-  private final TokenBucket calls;
-  private final ScaleOutRequests rents;
-  private final ScaleInRequests returns;
-  private long typesNextMs;
-  private boolean typesAsking;
-  private boolean typesStored;
-  private long listNextMs;
+  private final TokenBucket callBudget;
+  private final ScaleOutRequests scaleOut;
+  private final ScaleInRequests scaleIn;
+  private long nextTypesRequestMs;
+  private boolean isTypesRequestInFlight;
+  private boolean areTypesStored;
+  private long nextPageRequestMs;
 
   /** The list that is being read; null between lists. */
   private Listing listing;
 
   /** A page of the list was asked for and not answered. */
-  private boolean pageAsked;
+  private boolean isPageRequestInFlight;
 
   private final Backoff listBackoff;
   private final Backoff typesBackoff;
@@ -63,8 +63,8 @@
   /** What was read of a list: it comes page by page, each a call within the cloud's rate. */
   private static final class Listing {
     final long startedMs;
-    final Map<String, ListedMachine> entries = new LinkedHashMap<>();
-    String last = "";
+    final Map<String, ListedMachine> entriesByName = new LinkedHashMap<>();
+    String lastName = "";
 
     Listing(long startedMs) {
       this.startedMs = startedMs;
@@ -72,143 +72,148 @@
   }
 
   /** Whether a whole list has been taken in this term. */
-  private boolean listed;
+  private boolean hasCompleteListing;
 
   CloudProvisioner(
-      ControllerContext context, LeaderElection term, StoreClient gate, MachineRegistry fleet) {
+      ControllerContext context,
+      LeaderElection election,
+      StoreClient store,
+      MachineRegistry fleet) {
     this.context = context;
-    this.term = term;
-    this.gate = gate;
+    this.election = election;
+    this.store = store;
     this.fleet = fleet;
-    double rps = context.settings.cloudLimits().rps() * RATE_SHARE;
-    calls = new TokenBucket(rps, Math.max(1, rps * 2), context.nowMs);
-    ProvisioningIntents reservations = new ProvisioningIntents(term, gate);
-    rents = new ScaleOutRequests(context, term, fleet, reservations, calls);
-    returns = new ScaleInRequests(context, term, fleet, reservations, calls);
-    listBackoff = new Backoff(context.stepMs(), context.listLagMs());
-    typesBackoff = new Backoff(context.stepMs(), context.listLagMs());
+    double rps = context.settings.cloudLimits().requestsPerS() * CALL_RATE_SHARE;
+    callBudget = new TokenBucket(rps, Math.max(1, rps * 2), context.nowMs);
+    ProvisioningIntents intents = new ProvisioningIntents(election, store);
+    scaleOut = new ScaleOutRequests(context, election, fleet, intents, callBudget);
+    scaleIn = new ScaleInRequests(context, election, fleet, intents, callBudget);
+    listBackoff = new Backoff(context.stepMs(), context.cloudListLagMs());
+    typesBackoff = new Backoff(context.stepMs(), context.cloudListLagMs());
   }
 
-  void clear() {
-    rents.clear();
-    returns.clear();
+  void reset() {
+    scaleOut.reset();
+    scaleIn.reset();
     listing = null;
-    pageAsked = false;
-    listed = false;
-    typesAsking = false;
-    typesStored = false;
-    listNextMs = 0;
-    typesNextMs = 0;
+    isPageRequestInFlight = false;
+    hasCompleteListing = false;
+    isTypesRequestInFlight = false;
+    areTypesStored = false;
+    nextPageRequestMs = 0;
+    nextTypesRequestMs = 0;
   }
 
-  boolean listed() {
-    return listed;
+  boolean hasCompleteListing() {
+    return hasCompleteListing;
   }
 
   /** What is rented. */
   ScaleOutRequests rents() {
-    return rents;
+    return scaleOut;
   }
 
   /** What is given back. */
   ScaleInRequests returns() {
-    return returns;
+    return scaleIn;
   }
 
   /** Makes the calls that are due: returns first, and a list before prices are read again. */
   void tick() {
-    returns.tick();
+    scaleIn.tick();
     if (fleet.types().isEmpty()) {
-      askTypesIfDue();
+      requestTypesIfDue();
     }
-    rents.tick();
-    if (!pageAsked && context.nowMs >= listNextMs && take()) {
-      askPage();
+    scaleOut.tick();
+    if (!isPageRequestInFlight && context.nowMs >= nextPageRequestMs && takeCallToken()) {
+      requestPage();
     }
-    askTypesIfDue();
+    requestTypesIfDue();
   }
 
-  private void askTypesIfDue() {
-    if (!typesAsking && context.nowMs >= typesNextMs && take()) {
-      askTypes();
+  private void requestTypesIfDue() {
+    if (!isTypesRequestInFlight && context.nowMs >= nextTypesRequestMs && takeCallToken()) {
+      requestTypes();
     }
   }
 
-  private boolean take() {
-    return calls.take(1, context.nowMs);
+  private boolean takeCallToken() {
+    return callBudget.tryTake(1, context.nowMs);
   }
 
   /** How long a call to the cloud may take. */
-  static long timeoutMs(ControllerContext context) {
-    return context.stepMs() * TIMEOUT_STEPS;
+  static long callTimeoutMs(ControllerContext context) {
+    return context.stepMs() * CALL_TIMEOUT_STEPS;
   }
 
-  private void askTypes() {
-    typesAsking = true;
-    context.ask(
-        call -> new Effect.AskTypes(call, timeoutMs(context)),
+  private void requestTypes() {
+    isTypesRequestInFlight = true;
+    context.call(
+        call -> new Effect.ListMachineTypes(call, callTimeoutMs(context)),
         reply -> {
-          typesAsking = false;
+          isTypesRequestInFlight = false;
           if (reply instanceof Reply.Types types) {
             typesBackoff.reset();
             boolean first = fleet.types().isEmpty();
             fleet.types(types.types());
-            typesNextMs = context.nowMs + TYPES_LAGS * context.listLagMs();
-            if (first || !typesStored) {
+            nextTypesRequestMs = context.nowMs + TYPES_REFRESH_LAGS * context.cloudListLagMs();
+            if (first || !areTypesStored) {
               storeTypes();
             }
           } else {
-            typesNextMs = context.nowMs + typesBackoff.next(context.random);
+            nextTypesRequestMs = context.nowMs + typesBackoff.nextPauseMs(context.random);
           }
         });
   }
 
   private void storeTypes() {
-    typesStored = true;
-    gate.send(
-        new StoreRequest.Transact(
-            ImmutableList.of(term.condition()),
-            ImmutableList.of(StoreRequest.Change.put(StoreKeys.TYPES, fleet.typesRecord()))),
+    areTypesStored = true;
+    store.send(
+        new StoreRequest.Transaction(
+            ImmutableList.of(election.leaderCondition()),
+            ImmutableList.of(
+                StoreRequest.Change.put(StoreKeys.MACHINE_TYPES, fleet.typesRecord()))),
         RequestPriority.CLEANUP,
-        reply -> typesStored = reply instanceof Reply.Committed);
+        reply -> areTypesStored = reply instanceof Reply.Committed);
   }
 
   /** Asks for the next page; a list that takes too long is begun anew. */
-  private void askPage() {
-    if (listing == null || context.nowMs - listing.startedMs > LISTING_LAGS * context.listLagMs()) {
+  private void requestPage() {
+    if (listing == null
+        || context.nowMs - listing.startedMs > MAX_LISTING_LAGS * context.cloudListLagMs()) {
       listing = new Listing(context.nowMs);
     }
-    Listing of = listing;
-    pageAsked = true;
-    context.ask(
-        call -> new Effect.AskHosts(call, of.last, timeoutMs(context)),
+    Listing current = listing;
+    isPageRequestInFlight = true;
+    context.call(
+        call -> new Effect.ListHosts(call, current.lastName, callTimeoutMs(context)),
         reply -> {
-          if (listing == of) {
-            pageAsked = false;
-            pageAnswered(of, reply);
+          if (listing == current) {
+            isPageRequestInFlight = false;
+            onPageReply(current, reply);
           }
         });
   }
 
-  private void pageAnswered(Listing of, Reply reply) {
+  private void onPageReply(Listing current, Reply reply) {
     if (!(reply instanceof Reply.Hosts hosts)) {
       // What was read stays good: a list says less the longer it takes, and nothing wrong.
-      listNextMs = context.nowMs + listBackoff.next(context.random);
+      nextPageRequestMs = context.nowMs + listBackoff.nextPauseMs(context.random);
       return;
     }
-    String before = of.last;
+    String before = current.lastName;
     for (ListedMachine entry : hosts.entries()) {
-      of.entries.put(entry.machine().name(), entry);
-      of.last = entry.machine().name();
+      current.entriesByName.put(entry.machine().name(), entry);
+      current.lastName = entry.machine().name();
     }
-    if (hosts.more() && !of.last.equals(before)) {
+    if (hosts.hasMore() && !current.lastName.equals(before)) {
       return;
     }
     listing = null;
     listBackoff.reset();
-    listNextMs = context.nowMs + context.listLagMs() / 2;
-    fleet.listing(of.entries, of.startedMs);
-    rents.forgetSettled();
-    listed = true;
+    nextPageRequestMs = context.nowMs + context.cloudListLagMs() / 2;
+    fleet.applyMachineList(current.entriesByName, current.startedMs);
+    scaleOut.removeSettled();
+    hasCompleteListing = true;
   }
 }
--- a/src/main/java/eiderfork/controller/ClusterVersion.java
+++ b/src/main/java/eiderfork/controller/ClusterVersion.java
@@ -41,112 +41,114 @@
   static final int CURRENT = BITMAP_ALLOCS;
 
   private final ControllerContext context;
-  private final StoreClient gate;
-  private final LeaderElection term;
-  private final Map<String, Integer> peers = new HashMap<>();
-  private final int own;
-  private int stored = FIRST;
-  private long storedStamp;
-  private boolean storing;
+  private final StoreClient store;
+  private final LeaderElection election;
+  private final Map<String, Integer> peerVersions = new HashMap<>();
+  private final int ownVersion;
+  private int storedVersion = FIRST;
+  private long storedKeyVersion;
+  private boolean storePending;
   private long nextStoreMs;
 
   /**
-   * @param own the version of this node, which tests set to an earlier one
+   * @param ownVersion the version of this node, which tests set to an earlier one
    */
-  ClusterVersion(ControllerContext context, StoreClient gate, LeaderElection term, int own) {
-    this.own = own;
+  ClusterVersion(
+      ControllerContext context, StoreClient store, LeaderElection election, int ownVersion) {
+    this.ownVersion = ownVersion;
     this.context = context;
-    this.gate = gate;
-    this.term = term;
+    this.store = store;
+    this.election = election;
   }
 
-  ClusterVersion(ControllerContext context, StoreClient gate, LeaderElection term) {
-    this(context, gate, term, CURRENT);
+  ClusterVersion(ControllerContext context, StoreClient store, LeaderElection election) {
+    this(context, store, election, CURRENT);
   }
 
   /** The version that this node runs. */
-  int own() {
-    return own;
+  int ownVersion() {
+    return ownVersion;
   }
 
   /** Whether every member is known to run this version or a later one. */
-  boolean allows(int needed) {
-    return own >= needed && (stored >= needed || allPeersRun(needed));
+  boolean isSupportedByAll(int required) {
+    return ownVersion >= required && (storedVersion >= required || allPeersRun(required));
   }
 
   /**
    * Whether no member may be taken back to a version before this one. Until then one that was taken
    * back would deny a job that it does not find where it was.
    */
-  boolean isSettledOn(int needed) {
-    return own >= needed && stored >= needed;
+  boolean isMinimumVersion(int required) {
+    return ownVersion >= required && storedVersion >= required;
   }
 
-  private boolean allPeersRun(int needed) {
-    return context.settings.peers().keySet().stream()
-        .allMatch(node -> peers.getOrDefault(node, FIRST) >= needed);
+  private boolean allPeersRun(int required) {
+    return context.settings.peerEndpoints().keySet().stream()
+        .allMatch(node -> peerVersions.getOrDefault(node, FIRST) >= required);
   }
 
   /** A peer answered a question of this node, so that it runs this version now. */
-  void answered(String node, int version) {
-    peers.put(node, version);
+  void recordReply(String node, int version) {
+    peerVersions.put(node, version);
   }
 
   /** A peer's message says this; it may be an old copy, so that it proves no newer version. */
-  void heard(String node, int version) {
-    if (version < peers.getOrDefault(node, FIRST)) {
-      peers.put(node, version);
+  void recordUnsolicited(String node, int version) {
+    if (version < peerVersions.getOrDefault(node, FIRST)) {
+      peerVersions.put(node, version);
     }
   }
 
   /** The state service holds this version. */
-  void read(StoredRecord.StoredVersion record, long stamp) {
-    stored = Math.max(stored, record.version());
-    storedStamp = Math.max(storedStamp, stamp);
+  void recordStored(StoredRecord.StoredVersion record, long keyVersion) {
+    storedVersion = Math.max(storedVersion, record.version());
+    storedKeyVersion = Math.max(storedKeyVersion, keyVersion);
   }
 
   /**
    * Reads the stored version for a node that has no proof of its own, and goes on with {@code
    * then}.
    */
-  void load(Runnable then) {
-    gate.send(
-        new StoreRequest.Get(StoreKeys.VERSION),
+  void loadStored(Runnable onComplete) {
+    store.send(
+        new StoreRequest.Get(StoreKeys.CLUSTER_VERSION),
         RequestPriority.SUBMIT,
         reply -> {
           if (reply instanceof Reply.Value value
               && value.record() instanceof StoredRecord.StoredVersion record) {
-            read(record, value.version());
+            recordStored(record, value.version());
           }
-          then.run();
+          onComplete.run();
         });
   }
 
   /** Stores the current version once all members run it; only a leader that has rebuilt does. */
   void tick() {
-    boolean due = own >= CURRENT && stored < CURRENT && allPeersRun(CURRENT);
-    if (due && !storing && context.nowMs >= nextStoreMs) {
-      store();
+    boolean due = ownVersion >= CURRENT && storedVersion < CURRENT && allPeersRun(CURRENT);
+    if (due && !storePending && context.nowMs >= nextStoreMs) {
+      storeCurrentVersion();
     }
   }
 
-  private void store() {
-    storing = true;
+  private void storeCurrentVersion() {
+    storePending = true;
     nextStoreMs = context.nowMs + context.stepMs();
     StoredRecord.StoredVersion record = new StoredRecord.StoredVersion(CURRENT);
-    gate.send(
-        new StoreRequest.Transact(
+    store.send(
+        new StoreRequest.Transaction(
             ImmutableList.of(
-                term.condition(), new StoreRequest.Condition(StoreKeys.VERSION, storedStamp)),
-            ImmutableList.of(StoreRequest.Change.put(StoreKeys.VERSION, record))),
+                election.leaderCondition(),
+                new StoreRequest.Condition(StoreKeys.CLUSTER_VERSION, storedKeyVersion)),
+            ImmutableList.of(StoreRequest.Change.put(StoreKeys.CLUSTER_VERSION, record))),
         RequestPriority.FLEET,
         reply -> {
-          storing = false;
+          storePending = false;
           if (reply instanceof Reply.Committed committed) {
             LOG.info("every member runs version {}", CURRENT);
-            read(record, committed.revision());
+            recordStored(record, committed.revision());
           } else if (reply instanceof Reply.Conflict) {
-            load(() -> {});
+            loadStored(() -> {});
           }
         });
   }
--- a/src/main/java/eiderfork/controller/Controller.java
+++ b/src/main/java/eiderfork/controller/Controller.java
@@ -31,15 +31,15 @@
   private static final int TICKS_PER_STEP = 20;
 
   private final ControllerContext context;
-  private final StoreClient gate;
-  private final LeaderElection term;
+  private final StoreClient store;
+  private final LeaderElection election;
   private final JobRegistry jobs;
   private final MachineRegistry fleet;
   private final MachineLiveness liveness;
-  private final WorkerCommander workers;
-  private final Scheduler placer;
+  private final WorkerCommander commander;
+  private final Scheduler scheduler;
   private final CloudProvisioner cloud;
-  private final Autoscaler planner;
+  private final Autoscaler autoscaler;
   private final ClusterVersion version;
   private final PeerMonitor peers;
   private final ReadBarrier readBarrier;
@@ -47,20 +47,20 @@
   private final LeaseProxy leaseProxy;
   private final UserRequestHandler users;
   private final RangeReader reader;
-  private final JobArchiver archive;
-  private final FinishedJobSweeper sweep;
-  private final LeaderRecovery committed;
+  private final JobArchiver archiver;
+  private final FinishedJobSweeper sweeper;
+  private final LeaderRecovery recovery;
   private final Standby standby;
-  private final MachineHintPublisher hints;
-  private final FailoverTimer timer;
+  private final MachineHintPublisher hintPublisher;
+  private final FailoverTimer failoverTimer;
 
   private boolean rebuilt;
-  private boolean roundWanted;
+  private boolean roundRequested;
   private long nextRoundMs;
   private long nextPlanMs;
 
-  private final WorkerReachability hearing;
-  private final HeartbeatHandler reports;
+  private final WorkerReachability reachability;
+  private final HeartbeatHandler heartbeatHandler;
 
   /**
    * Makes a controller that follows until it is elected.
@@ -75,127 +75,143 @@
   /** Makes a controller that tells its peers, and holds itself to, this version. */
   Controller(Settings settings, RandomGenerator random, long nowMs, int ownVersion) {
     context = new ControllerContext(settings, random, nowMs);
-    gate = new StoreClient(context);
-    term = new LeaderElection(context, gate, this);
-    version = new ClusterVersion(context, gate, term, ownVersion);
-    jobs = new JobRegistry(context, gate, term, version);
+    store = new StoreClient(context);
+    election = new LeaderElection(context, store, this);
+    version = new ClusterVersion(context, store, election, ownVersion);
+    jobs = new JobRegistry(context, store, election, version);
     fleet = new MachineRegistry(context, jobs);
-    cancellations = new CancellationTracker(context, this::cancelled);
-    peers = new PeerMonitor(context, term, cancellations, version);
-    term.hearsNodes(peers::lost, peers::othersReached);
-    leaseProxy = new LeaseProxy(context, gate, term, peers, cancellations);
-    liveness = new MachineLiveness(context, term);
-    hearing = new WorkerReachability(context, term, fleet, liveness, peers, leaseProxy);
-    reader = new RangeReader(gate, term);
+    cancellations = new CancellationTracker(context, this::onCancelled);
+    peers = new PeerMonitor(context, election, cancellations, version);
+    election.setPeerReachability(peers::isLost, peers::isAnyOtherReachable);
+    leaseProxy = new LeaseProxy(context, store, election, peers, cancellations);
+    liveness = new MachineLiveness(context, election);
+    reachability = new WorkerReachability(context, election, fleet, liveness, peers, leaseProxy);
+    reader = new RangeReader(store, election);
     WorkerLeaseLog sessionLog = new WorkerLeaseLog(context);
-    LeaseExpiry lapses =
+    LeaseExpiry leaseExpiry =
         new LeaseExpiry(
-            context, fleet, peers, liveness, sessionLog, reader::readProxied, this::kick);
-    workers =
+            context,
+            fleet,
+            peers,
+            liveness,
+            sessionLog,
+            reader::readProxiedMachines,
+            this::requestRound);
+    commander =
         new WorkerCommander(
-            context, term, jobs, fleet, cancellations, liveness, lapses, sessionLog, this::kick);
-    reports = new HeartbeatHandler(context, term, workers, cancellations, leaseProxy, hearing);
-    placer = new Scheduler(context, term, gate, jobs, fleet, liveness, version);
-    cloud = new CloudProvisioner(context, term, gate, fleet);
-    planner = new Autoscaler(context, gate, jobs, fleet, liveness, lapses, cloud, placer);
-    readBarrier = new ReadBarrier(context, gate, this::changed, cancellations::caughtUp);
+            context,
+            election,
+            jobs,
+            fleet,
+            cancellations,
+            liveness,
+            leaseExpiry,
+            sessionLog,
+            this::requestRound);
+    heartbeatHandler =
+        new HeartbeatHandler(context, election, commander, cancellations, leaseProxy, reachability);
+    scheduler = new Scheduler(context, election, store, jobs, fleet, liveness, version);
+    cloud = new CloudProvisioner(context, election, store, fleet);
+    autoscaler =
+        new Autoscaler(context, store, jobs, fleet, liveness, leaseExpiry, cloud, scheduler);
+    readBarrier = new ReadBarrier(context, store, this::applyChange, cancellations::recordCaughtUp);
     users =
         new UserRequestHandler(
             context,
-            term,
-            gate,
+            election,
+            store,
             jobs,
             fleet,
-            planner,
+            autoscaler,
             readBarrier,
             cancellations,
             version,
-            this::kick);
-    JobPageReader pages = new JobPageReader(reader);
-    sweep = new FinishedJobSweeper(context, term, jobs, fleet, cancellations, pages);
-    archive = new JobArchiver(context, gate, term, version, jobs, cancellations, sweep);
-    standby = new Standby(context, term, new StandbyReplica(context, gate));
-    committed =
+            this::requestRound);
+    JobPageReader jobPageReader = new JobPageReader(reader);
+    sweeper = new FinishedJobSweeper(context, election, jobs, fleet, cancellations, jobPageReader);
+    archiver = new JobArchiver(context, store, election, version, jobs, cancellations, sweeper);
+    standby = new Standby(context, election, new StandbyReplica(context, store));
+    recovery =
         new LeaderRecovery(
             context,
-            gate,
-            term,
+            store,
+            election,
             reader,
-            pages,
-            sweep,
+            jobPageReader,
+            sweeper,
             jobs,
             fleet,
             cloud,
-            planner,
+            autoscaler,
             readBarrier,
             cancellations,
             version,
             standby,
             this::rebuilt,
-            this::kick);
-    hints = new MachineHintPublisher(context, term, gate, fleet, standby);
-    timer = new FailoverTimer(context, term);
+            this::requestRound);
+    hintPublisher = new MachineHintPublisher(context, election, store, fleet, standby);
+    failoverTimer = new FailoverTimer(context, election);
   }
 
   /** Takes one input at {@code nowMs} of a steady clock, and says what follows from it. */
-  public List<Effect> take(long nowMs, Input input) {
+  public List<Effect> handle(long nowMs, Input input) {
     context.nowMs = Math.max(context.nowMs, nowMs);
     if (input instanceof Input.Tick) {
       tick();
     } else if (input instanceof Input.Answered answered) {
-      context.answered(answered.call(), answered.reply());
+      context.completeCall(answered.callId(), answered.reply());
     } else if (input instanceof Input.WorkerReport it) {
-      reports.take(it.ticket(), it.report());
+      heartbeatHandler.handle(it.ticket(), it.report());
     } else if (input instanceof Input.Submit it) {
-      user(it.ticket(), it, true);
+      handleUserRequest(it.ticket(), it, true);
     } else if (input instanceof Input.Query it) {
-      user(it.ticket(), it, true);
+      handleUserRequest(it.ticket(), it, true);
     } else if (input instanceof Input.Abort it) {
-      user(it.ticket(), it, true);
+      handleUserRequest(it.ticket(), it, true);
     } else if (input instanceof Input.PeerRequest it) {
-      user(it.ticket(), it.request(), false);
+      handleUserRequest(it.ticket(), it.request(), false);
     } else if (input instanceof Input.PeerQueries it) {
-      queries(it);
+      handleForwardedQueries(it);
     } else if (input instanceof Input.PeerPing it) {
-      peers.heard(it.view());
-      context.emit(new Effect.AnswerPing(it.ticket(), view(it.view().node())));
+      peers.receiveStatus(it.status());
+      context.emit(new Effect.RespondToPing(it.ticket(), statusFor(it.status().node())));
     } else if (input instanceof Input.PeerHints it) {
-      standby.hints().take(it.hints(), context.nowMs);
-      context.emit(new Effect.AnswerPeerHints(it.ticket()));
+      standby.hints().receive(it.hints(), context.nowMs);
+      context.emit(new Effect.AcknowledgeHints(it.ticket()));
     } else if (input instanceof Input.HealthCheck it) {
-      health(it.ticket());
+      handleHealthCheck(it.ticket());
     }
-    reports.retryParked(input);
-    gate.pump();
-    round();
-    List<Effect> effects = context.takeEffects();
-    timer.sent(effects);
-    effects.addAll(context.takeEffects());
+    heartbeatHandler.retryPending(input);
+    store.sendQueued();
+    runRoundIfDue();
+    List<Effect> effects = context.drainEffects();
+    failoverTimer.observeEffects(effects);
+    effects.addAll(context.drainEffects());
     return effects;
   }
 
   /** How often the controller wants a tick. */
-  public long tickMs() {
+  public long tickIntervalMs() {
     return Math.max(1, context.stepMs() / TICKS_PER_STEP);
   }
 
   /** How many looks at a machine the last round and the last plan took. */
-  int examined() {
-    return placer.examined() + planner.examined();
+  int machinesExamined() {
+    return scheduler.examinedMachines() + autoscaler.examinedBins();
   }
 
   /** How many looks at a machine the last round took. */
-  int placementExamined() {
-    return placer.examined();
+  int machinesExaminedInRound() {
+    return scheduler.examinedMachines();
   }
 
   /** Whether the lead of now was taken over with a copy of what is committed. */
-  boolean ledFromCopy() {
-    return timer.isFromCopy();
+  boolean recoveredFromReplica() {
+    return failoverTimer.isFromReplica();
   }
 
   /** Whether this node keeps a copy by which it could take the lead over. */
-  boolean standsBy() {
+  boolean isStandby() {
     return standby.copy().isFollowing();
   }
 
@@ -204,152 +220,153 @@
     return jobs.size();
   }
 
-  private void user(long ticket, Input request, boolean passOn) {
-    users.take(request, passOn, answer -> context.emit(new Effect.AnswerUser(ticket, answer)));
+  private void handleUserRequest(long ticket, Input request, boolean passOn) {
+    users.handle(
+        request, passOn, response -> context.emit(new Effect.RespondToUser(ticket, response)));
   }
 
   /** Answers a peer's questions together, once the last of them is answered. */
-  private void queries(Input.PeerQueries asked) {
+  private void handleForwardedQueries(Input.PeerQueries asked) {
     UserResponse[] answers = new UserResponse[asked.uids().size()];
     int[] open = {answers.length};
     for (int i = 0; i < answers.length; i++) {
       int at = i;
-      users.take(
+      users.handle(
           new Input.Query(0, asked.uids().get(i)),
           false,
-          answer -> {
-            answers[at] = answer;
+          response -> {
+            answers[at] = response;
             if (--open[0] == 0) {
               context.emit(
-                  new Effect.AnswerPeerQueries(asked.ticket(), ImmutableList.copyOf(answers)));
+                  new Effect.RespondToQueries(asked.ticket(), ImmutableList.copyOf(answers)));
             }
           });
     }
     if (answers.length == 0) {
-      context.emit(new Effect.AnswerPeerQueries(asked.ticket(), ImmutableList.of()));
+      context.emit(new Effect.RespondToQueries(asked.ticket(), ImmutableList.of()));
     }
   }
 
   /** What this node tells of itself to a peer. */
-  private PeerStatus view(String peer) {
+  private PeerStatus statusFor(String peer) {
     return new PeerStatus(
-        context.settings.node(),
-        term.number(),
-        term.leading(),
-        gate.servedAgeMs(),
-        hearing.count(),
-        version.own(),
-        cancellations.newsFor(peer));
+        context.settings.nodeName(),
+        election.currentTerm(),
+        election.isLeading(),
+        store.sinceServedMs(),
+        reachability.reachableMachineCount(),
+        version.ownVersion(),
+        cancellations.gossipFor(peer));
   }
 
   /** A node that neither the state service nor any peer answers is cut off, and of no use. */
-  private void health(long ticket) {
-    boolean served = gate.servedAgeMs() <= 2 * context.stepMs();
-    boolean healthy = served || peers.anyReached();
+  private void handleHealthCheck(long ticket) {
+    boolean served = store.sinceServedMs() <= 2 * context.stepMs();
+    boolean healthy = served || peers.isAnyReachable();
     context.emit(
-        new Effect.AnswerHealth(
+        new Effect.RespondToHealthCheck(
             ticket,
             healthy,
             served ? "serving" : healthy ? "the state service is out" : "cut off"));
   }
 
   private void tick() {
-    term.tick();
+    election.tick();
     jobs.tick();
-    peers.tick(this::view);
+    peers.tick(this::statusFor);
     users.tick();
-    leaseProxy.retry();
+    leaseProxy.retryFailed();
     leaseProxy.tick();
-    reports.tick();
+    heartbeatHandler.tick();
     reader.tick();
     standby.tick();
-    if (term.leading()) {
-      workers.tick();
-      if (rebuilt && term.sure()) {
-        placer.tick();
+    if (election.isLeading()) {
+      commander.tick();
+      if (rebuilt && election.isLeaseValid()) {
+        scheduler.tick();
         version.tick();
         cloud.tick();
-        archive.tick();
-        sweep.tick();
-        hints.tick();
+        archiver.tick();
+        sweeper.tick();
+        hintPublisher.tick();
         if (context.nowMs >= nextPlanMs && !fleet.types().isEmpty()) {
           nextPlanMs = context.nowMs + context.stepMs();
-          planner.plan();
-          roundWanted = true;
+          autoscaler.plan();
+          roundRequested = true;
         }
       }
-      hearing.resignIfUnheard();
+      reachability.resignIfUnreachable();
     }
   }
 
   /** Something changed that a round should see soon. */
-  private void kick() {
-    roundWanted = true;
+  private void requestRound() {
+    roundRequested = true;
   }
 
-  private void round() {
-    if (roundWanted && rebuilt && term.sure() && context.nowMs >= nextRoundMs) {
+  private void runRoundIfDue() {
+    if (roundRequested && rebuilt && election.isLeaseValid() && context.nowMs >= nextRoundMs) {
       // A start should not wait for the round; ends are collected, see Placer.
-      nextRoundMs = context.nowMs + tickMs();
-      roundWanted = placer.round();
-      workers.tick();
+      nextRoundMs = context.nowMs + tickIntervalMs();
+      roundRequested = scheduler.runRound();
+      commander.tick();
     }
   }
 
   /** A job turns out to be cancelled; nothing of it may go on, whoever knows what of it. */
-  private void cancelled(String uid) {
-    if (term.leading()) {
-      jobs.markAborted(uid);
-      workers.cancelled(uid);
+  private void onCancelled(String uid) {
+    if (election.isLeading()) {
+      jobs.markCancelled(uid);
+      commander.onJobCancelled(uid);
     }
   }
 
   // Leading.
 
   @Override
-  public void elected() {
+  public void onElected() {
     leaseProxy.stop();
-    hearing.elected();
-    hints.elected();
-    timer.elected();
-    forget();
-    workers.elected();
-    committed.rebuild();
+    reachability.onElected();
+    hintPublisher.elected();
+    failoverTimer.elected();
+    clearLeaderState();
+    commander.onElected();
+    recovery.recover();
   }
 
   @Override
-  public void deposed() {
-    forget();
+  public void onLeadershipLost() {
+    clearLeaderState();
     standby.deposed();
-    timer.deposed();
+    failoverTimer.deposed();
   }
 
-  private void forget() {
+  private void clearLeaderState() {
     rebuilt = false;
-    reader.stop();
+    reader.cancelPending();
     users.ready(false);
-    readBarrier.stop();
-    cancellations.forget();
-    archive.clear();
-    sweep.clear();
+    readBarrier.failWaiters();
+    cancellations.reset();
+    archiver.reset();
+    sweeper.reset();
     jobs.clear();
     fleet.clear();
-    cloud.clear();
-    placer.clear();
-    planner.clear();
+    cloud.reset();
+    scheduler.clear();
+    autoscaler.reset();
   }
 
   private void rebuilt(boolean copied) {
     rebuilt = true;
-    hints.apply(standby.hints());
+    hintPublisher.apply(standby.hints());
     standby.hints().clear();
-    timer.hasState(copied);
+    failoverTimer.stateRecovered(copied);
     users.ready(true);
-    workers.rebuilt();
-    fleet.machines().forEach(workers::reconcile);
+    commander.recovered();
+    fleet.machines().forEach(commander::reconcile);
   }
 
-  private void changed(Reply.Item item) {
-    committed.changed(item);
+  private void applyChange(Reply.Item item) {
+    recovery.applyChange(item);
   }
 }
--- a/src/main/java/eiderfork/controller/CpusPerGpu.java
+++ b/src/main/java/eiderfork/controller/CpusPerGpu.java
@@ -13,13 +13,13 @@
   static final CpusPerGpu NONE = new CpusPerGpu(0);
 
   /** The size of a task, in GPUs or in the processors that go with one. */
-  double weight(Resources need) {
-    double gpusWorth = cpusPerGpu > 0 ? need.cpus() / cpusPerGpu : 1;
-    return Math.max(need.gpus(), gpusWorth);
+  double gpuWeight(Resources demand) {
+    double gpusWorth = cpusPerGpu > 0 ? demand.cpus() / cpusPerGpu : 1;
+    return Math.max(demand.gpus(), gpusWorth);
   }
 
   /** How many of the free GPUs can't be used for want of processors beside them. */
-  double stranded(Resources free) {
+  double strandedGpus(Resources free) {
     return cpusPerGpu > 0 ? Math.max(0, free.gpus() - free.cpus() / cpusPerGpu) : 0;
   }
 
@@ -28,8 +28,8 @@
     return free.cpus() - free.gpus() * cpusPerGpu;
   }
 
-  /** How many more GPUs would be stranded if {@code need} were taken out of {@code free}. */
-  double strandedBy(Resources need, Resources free) {
-    return stranded(free.minus(need)) - stranded(free);
+  /** How many more GPUs would be stranded if {@code demand} were taken out of {@code free}. */
+  double strandedGpusBy(Resources demand, Resources free) {
+    return strandedGpus(free.minus(demand)) - strandedGpus(free);
   }
 }
--- a/src/main/java/eiderfork/controller/DeadlineEstimator.java
+++ b/src/main/java/eiderfork/controller/DeadlineEstimator.java
@@ -19,7 +19,7 @@
   private final MachineRegistry fleet;
 
   /** How many times their deadline jobs of a class may take; looked up once. */
-  private final Map<String, List<Double>> timesByClass = new HashMap<>();
+  private final Map<String, List<Double>> deadlineFactorsByClass = new HashMap<>();
 
   DeadlineEstimator(ControllerContext context, MachineRegistry fleet) {
     this.context = context;
@@ -31,12 +31,12 @@
    * still meet; empty where it has none, or can meet none any more.
    */
   OptionalLong latestStartMs(JobState entry) {
-    Job job = entry.job;
+    Job job = entry.spec;
     if (job.deadlineS() == null) {
       return OptionalLong.empty();
     }
-    for (double times : times(job)) {
-      long latestMs = endMs(entry, times) - toMs(job.estimateS() + fetchS(job));
+    for (double times : deadlineFactors(job)) {
+      long latestMs = deadlineMs(entry, times) - toMs(job.estimatedRunS() + longestFetchS(job));
       if (latestMs >= context.nowMs) {
         return OptionalLong.of(latestMs);
       }
@@ -48,41 +48,42 @@
    * Whether a task of the job that starts now and is lost on its way can't be run again in time:
    * such work belongs on machines that are not taken back.
    */
-  boolean leavesNoSecondRun(JobState entry) {
-    OptionalLong latestMs = latestStartMs(entry);
+  boolean hasNoTimeForRerun(JobState job) {
+    OptionalLong latestMs = latestStartMs(job);
     return latestMs.isPresent()
-        && latestMs.getAsLong() - context.nowMs < toMs(entry.job.estimateS());
+        && latestMs.getAsLong() - context.nowMs < toMs(job.spec.estimatedRunS());
   }
 
   /** Whether a running task is in time as it is, and would not be if it were run again from now. */
-  boolean lateIfRunAgain(Reservation p) {
-    Job job = p.job.job;
+  boolean isLateIfRerun(Reservation reservation) {
+    Job job = reservation.job.spec;
     if (job.deadlineS() == null) {
       return false;
     }
-    for (double times : times(job)) {
-      long leftMs = endMs(p.job, times) - toMs(job.estimateS());
-      if (p.runningSinceMs <= leftMs) {
+    for (double times : deadlineFactors(job)) {
+      long leftMs = deadlineMs(reservation.job, times) - toMs(job.estimatedRunS());
+      if (reservation.runningSinceMs <= leftMs) {
         return context.nowMs > leftMs;
       }
     }
     return false;
   }
 
-  private List<Double> times(Job job) {
-    return timesByClass.computeIfAbsent(job.jobClass(), context.settings::deadlineTimes);
+  private List<Double> deadlineFactors(Job job) {
+    return deadlineFactorsByClass.computeIfAbsent(
+        job.jobClass(), context.settings::deadlineFactors);
   }
 
-  private static long endMs(JobState entry, double times) {
-    return entry.sinceMs + toMs(times * entry.job.deadlineS());
+  private static long deadlineMs(JobState job, double times) {
+    return job.firstSeenMs + toMs(times * job.spec.deadlineS());
   }
 
   /** How long the job's image takes on the slowest machine that it may run on. */
-  private double fetchS(Job job) {
+  private double longestFetchS(Job job) {
     double fetchS = 0;
     for (MachineType type : fleet.types().values()) {
-      if (job.allowsType(type.name()) && job.need().fitsIn(type.room())) {
-        fetchS = Math.max(fetchS, job.imageGb() / type.fetchGbPerS());
+      if (job.allowsType(type.name()) && job.taskResources().fitsIn(type.capacity())) {
+        fetchS = Math.max(fetchS, job.imageGb() / type.imageFetchGbPerS());
       }
     }
     return fetchS;
--- a/src/main/java/eiderfork/controller/PendingReclaims.java
+++ b/src/main/java/eiderfork/controller/DeferredPreemptions.java
@@ -13,39 +13,40 @@
  * The tasks that are to be stopped right after their next checkpoint. They are hints: nothing was
  * sent for them, and a new leader judges anew.
  */
-final class PendingReclaims {
-  private static final Logger LOG = LoggerFactory.getLogger(PendingReclaims.class);
+final class DeferredPreemptions {
+  private static final Logger LOG = LoggerFactory.getLogger(DeferredPreemptions.class);
 
-  private record Pending(JobState taker, long stopAtMs) {}
+  private record Pending(JobState preemptor, long stopAtMs) {}
 
   private final ControllerContext context;
   private final JobRegistry jobs;
-  private final FreeCapacity room;
+  private final FreeCapacity capacity;
   private final Map<Reservation, Pending> pending = new LinkedHashMap<>();
 
   /** Counts the changes of what is pending. */
-  private long changes;
+  private long revision;
 
-  PendingReclaims(ControllerContext context, JobRegistry jobs, FreeCapacity room) {
+  DeferredPreemptions(ControllerContext context, JobRegistry jobs, FreeCapacity capacity) {
     this.context = context;
     this.jobs = jobs;
-    this.room = room;
+    this.capacity = capacity;
   }
 
   void clear() {
-    changes++;
+    revision++;
     pending.clear();
   }
 
   /** Has a task stopped for a job once it has written its next checkpoint. */
-  void stopLater(Reservation victim, JobState taker, double delayS) {
-    changes++;
-    pending.put(victim, new Pending(taker, context.nowMs + Math.round(delayS * 1000)));
+  void preemptAfterCheckpoint(Reservation victim, JobState preemptor, double checkpointDelayS) {
+    revision++;
+    pending.put(
+        victim, new Pending(preemptor, context.nowMs + Math.round(checkpointDelayS * 1000)));
   }
 
   /** A task is not to be stopped after all. */
   void cancel(Reservation victim) {
-    changes++;
+    revision++;
     pending.remove(victim);
   }
 
@@ -54,25 +55,25 @@
   }
 
   /** Stays as it is while nothing changes here. */
-  long changes() {
-    return changes;
+  long revision() {
+    return revision;
   }
 
   /** What is to be stopped of a team's work. */
-  QuotaAmount of(TeamId team) {
+  QuotaAmount pendingAmountOf(TeamId team) {
     QuotaAmount sum = QuotaAmount.NONE;
     for (Reservation victim : pending.keySet()) {
-      if (victim.job.job.team().equals(team.name())) {
-        sum = sum.plus(amount(victim));
+      if (victim.job.spec.team().equals(team.name())) {
+        sum = sum.plus(amountFreedBy(victim));
       }
     }
     return sum;
   }
 
   /** What ends with a task: itself, or its whole gang. */
-  static QuotaAmount amount(Reservation victim) {
-    int tasks = victim.job.gang == null ? 1 : victim.job.placed.size();
-    return QuotaAmount.of(victim.job.job.need()).times(tasks);
+  static QuotaAmount amountFreedBy(Reservation victim) {
+    int tasks = victim.job.gang == null ? 1 : victim.job.reservations.size();
+    return QuotaAmount.of(victim.job.spec.taskResources()).times(tasks);
   }
 
   /** Stops what has come to its checkpoint, and drops what nobody waits for any more. */
@@ -82,27 +83,31 @@
       Map.Entry<Reservation, Pending> each = all.next();
       Reservation victim = each.getKey();
       Pending plan = each.getValue();
-      boolean stands = victim.job.placed.get(victim.index) == victim && victim.wanted();
-      if (!stands || plan.taker.over() || !room.hasClaim(plan.taker, victim.machine)) {
+      boolean stands =
+          victim.job.reservations.get(victim.taskIndex) == victim && victim.isDesired();
+      if (!stands
+          || plan.preemptor.isTerminal()
+          || !capacity.hasClaim(plan.preemptor, victim.machine)) {
         all.remove();
-        changes++;
+        revision++;
       } else if (context.nowMs >= plan.stopAtMs) {
         all.remove();
-        changes++;
-        stopNow(victim, plan.taker);
+        revision++;
+        preemptNow(victim, plan.preemptor);
       }
     }
   }
 
-  private void stopNow(Reservation victim, JobState taker) {
-    LOG.info("{} has written a checkpoint and ends for {}", victim.id(), taker.job.uid());
+  private void preemptNow(Reservation victim, JobState preemptor) {
+    LOG.info(
+        "{} has written a checkpoint and ends for {}", victim.toAttempt(), preemptor.spec.uid());
     if (victim.job.gang == null) {
-      victim.endWithoutSave();
-      victim.stop();
+      victim.skipSave();
+      victim.requestStop();
     } else {
-      victim.job.gang.endAfterCheckpoint();
+      victim.job.gang.stopAfterCheckpoint();
     }
-    victim.machine.setUrgent();
-    jobs.changed(victim.job);
+    victim.machine.requestCommand();
+    jobs.refreshIndexes(victim.job);
   }
 }
--- a/src/main/java/eiderfork/controller/DispatchEligibility.java
+++ b/src/main/java/eiderfork/controller/DispatchEligibility.java
@@ -8,33 +8,33 @@
 /** Whether a job's tasks may be placed, and what ended of it written, in this round. */
 final class DispatchEligibility {
   /** Writes that wait for less than this share of a step leave room for what is not urgent. */
-  private static final double IDLE_SHARE = 0.2;
+  private static final double IDLE_WRITE_WAIT_SHARE = 0.2;
 
   /**
    * How long the ends of some of a job's tasks may be left unwritten while writes wait, in steps.
    */
-  private static final int ENDS_STEPS = 5;
+  private static final int MAX_PARTIAL_COMPLETION_DELAY_STEPS = 5;
 
   private final ControllerContext context;
-  private final StoreClient gate;
+  private final StoreClient store;
   private final JobRegistry jobs;
 
-  DispatchEligibility(ControllerContext context, StoreClient gate, JobRegistry jobs) {
+  DispatchEligibility(ControllerContext context, StoreClient store, JobRegistry jobs) {
     this.context = context;
-    this.gate = gate;
+    this.store = store;
     this.jobs = jobs;
   }
 
-  boolean mayWrite(JobState entry) {
-    return entry.mayWrite(context.nowMs);
+  boolean canWrite(JobState job) {
+    return job.canWrite(context.nowMs);
   }
 
-  boolean mayPlace(JobState entry) {
-    return !entry.waiting.isEmpty()
-        && context.nowMs >= entry.failures.notBeforeMs()
-        && !collectsStarts(entry)
-        && !awaitsItsTrial(entry)
-        && gate.waitMs(startUrgency(entry)) <= context.stepMs();
+  boolean canPlace(JobState job) {
+    return !job.pendingTasks.isEmpty()
+        && context.nowMs >= job.failureHistory.notBeforeMs()
+        && !isBatchingStarts(job)
+        && !isAwaitingTrialTask(job)
+        && store.writeWaitMs(startUrgency(job)) <= context.stepMs();
   }
 
   /**
@@ -42,41 +42,41 @@
    * one by one would each be followed by a start, a write and a run of reservations of its own,
    * which take more of the record than a few longer runs.
    */
-  boolean collectsStarts(JobState entry) {
-    return entry.job.kind() == JobKind.ARRAY
-        && entry.lastAttempt > 0
-        && context.nowMs - entry.writtenMs < collectMs();
+  boolean isBatchingStarts(JobState job) {
+    return job.spec.kind() == JobKind.ARRAY
+        && job.lastAttempt > 0
+        && context.nowMs - job.lastWriteMs < batchingDelayMs();
   }
 
   /** Whether one task of a job that seems to fail everywhere is under way and may show better. */
-  private boolean awaitsItsTrial(JobState entry) {
-    if (!entry.failures.isSuspected()) {
+  private boolean isAwaitingTrialTask(JobState job) {
+    if (!job.failureHistory.isSuspected()) {
       return false;
     }
-    for (Reservation p : entry.placed.values()) {
-      if (entry.failures.outlived(p, context.nowMs)) {
-        entry.failures.succeeded();
+    for (Reservation reservation : job.reservations.values()) {
+      if (job.failureHistory.hasOutlivedFailures(reservation, context.nowMs)) {
+        job.failureHistory.recordSuccess();
         return false;
       }
     }
-    return !entry.placed.isEmpty();
+    return !job.reservations.isEmpty();
   }
 
-  static RequestPriority startUrgency(JobState entry) {
-    return entry.job.kind() == JobKind.ARRAY ? RequestPriority.BATCH : RequestPriority.START;
+  static RequestPriority startUrgency(JobState job) {
+    return job.spec.kind() == JobKind.ARRAY ? RequestPriority.BATCH : RequestPriority.START;
   }
 
   /** Writes what only ended, once it was collected for long enough; whether some is left. */
-  boolean writeEnds(JobState entry) {
-    if (!mayWrite(entry)) {
-      return entry.writing && entry.dirty;
+  boolean writeCompletions(JobState job) {
+    if (!canWrite(job)) {
+      return job.writeInFlight && job.dirty;
     }
-    if (entry.dirty && entry.allFinished()) {
-      jobs.write(entry, RequestPriority.START);
-    } else if (entry.dirty && mayWriteEndsOfSome(entry)) {
-      jobs.write(entry, RequestPriority.BATCH);
+    if (job.dirty && job.hasAllTasksFinished()) {
+      jobs.write(job, RequestPriority.START);
+    } else if (job.dirty && canWritePartialCompletions(job)) {
+      jobs.write(job, RequestPriority.BATCH);
     }
-    return entry.dirty;
+    return job.dirty;
   }
 
   /**
@@ -86,14 +86,15 @@
    * users were told 6 to 12 s late that their arrays were done. They are not left for long, since a
    * team's tasks count until their ends are written.
    */
-  private boolean mayWriteEndsOfSome(JobState entry) {
-    long sinceWrittenMs = context.nowMs - entry.writtenMs;
-    long waitMs = gate.waitMs(RequestPriority.BATCH);
-    return sinceWrittenMs >= collectMs() && waitMs <= IDLE_SHARE * context.stepMs()
-        || sinceWrittenMs >= ENDS_STEPS * context.stepMs() && waitMs <= context.stepMs();
+  private boolean canWritePartialCompletions(JobState job) {
+    long sinceWrittenMs = context.nowMs - job.lastWriteMs;
+    long waitMs = store.writeWaitMs(RequestPriority.BATCH);
+    return sinceWrittenMs >= batchingDelayMs() && waitMs <= IDLE_WRITE_WAIT_SHARE * context.stepMs()
+        || sinceWrittenMs >= MAX_PARTIAL_COMPLETION_DELAY_STEPS * context.stepMs()
+            && waitMs <= context.stepMs();
   }
 
-  private long collectMs() {
-    return (long) (context.stepMs() * context.settings.operator().roundShare());
+  private long batchingDelayMs() {
+    return (long) (context.stepMs() * context.settings.operator().updateWindowShare());
   }
 }
--- a/src/main/java/eiderfork/controller/FailedSearchCache.java
+++ b/src/main/java/eiderfork/controller/FailedSearchCache.java
@@ -16,40 +16,42 @@
  */
 final class FailedSearchCache {
   /** The kinds of machine that were searched. */
-  private record Where(ImmutableSet<String> types, boolean spot, String zone) {
-    boolean has(MachineState m) {
-      return zone.equals(m.zone())
-          && (types == null || types.contains(m.machine.type()))
-          && (spot || !m.machine.spot());
+  private record SearchScope(ImmutableSet<String> types, boolean spot, String zone) {
+    boolean contains(MachineState machine) {
+      return zone.equals(machine.zone())
+          && (types == null || types.contains(machine.spec.type()))
+          && (spot || !machine.spec.spot());
     }
   }
 
-  private final Map<Where, List<Resources>> smallest = new HashMap<>();
+  private final Map<SearchScope, List<Resources>> smallestFailed = new HashMap<>();
 
   /** Counts the proofs that were given up, so that what was concluded from them can be, too. */
-  private long givenUp;
+  private long retractions;
 
   void clear() {
-    givenUp++;
-    smallest.clear();
+    retractions++;
+    smallestFailed.clear();
   }
 
   /** A task of this job fits on none of the machines that it may have in the zone. */
-  void note(Job job, String zone) {
+  void recordFailure(Job job, String zone) {
     List<Resources> sizes =
-        smallest.computeIfAbsent(new Where(job.types(), job.spot(), zone), w -> new ArrayList<>());
-    sizes.removeIf(size -> job.need().fitsIn(size));
-    sizes.add(job.need());
+        smallestFailed.computeIfAbsent(
+            new SearchScope(job.allowedTypes(), job.spotAllowed(), zone), w -> new ArrayList<>());
+    sizes.removeIf(size -> job.taskResources().fitsIn(size));
+    sizes.add(job.taskResources());
   }
 
   /** Whether it was proved that a task of this job fits nowhere in the zone. */
-  boolean knows(Job job, String zone) {
-    List<Resources> sizes = smallest.get(new Where(job.types(), job.spot(), zone));
+  boolean isRuledOut(Job job, String zone) {
+    List<Resources> sizes =
+        smallestFailed.get(new SearchScope(job.allowedTypes(), job.spotAllowed(), zone));
     if (sizes == null) {
       return false;
     }
     for (Resources size : sizes) {
-      if (size.fitsIn(job.need())) {
+      if (size.fitsIn(job.taskResources())) {
         return true;
       }
     }
@@ -57,16 +59,17 @@
   }
 
   /** Gives up what a machine with more room than before may contradict. */
-  void grew(MachineState m) {
-    for (Map.Entry<Where, List<Resources>> each : smallest.entrySet()) {
-      if (each.getKey().has(m) && each.getValue().removeIf(size -> size.fitsIn(m.free()))) {
-        givenUp++;
+  void capacityIncreased(MachineState machine) {
+    for (Map.Entry<SearchScope, List<Resources>> each : smallestFailed.entrySet()) {
+      if (each.getKey().contains(machine)
+          && each.getValue().removeIf(size -> size.fitsIn(machine.freeCapacity()))) {
+        retractions++;
       }
     }
   }
 
   /** Stays as it is while every proof holds. */
-  long givenUp() {
-    return givenUp;
+  long retractions() {
+    return retractions;
   }
 }
--- a/src/main/java/eiderfork/controller/FailoverTimer.java
+++ b/src/main/java/eiderfork/controller/FailoverTimer.java
@@ -13,26 +13,26 @@
   private static final Logger LOG = LoggerFactory.getLogger(FailoverTimer.class);
 
   private final ControllerContext context;
-  private final LeaderElection term;
-  private long vacantMs;
+  private final LeaderElection election;
+  private long vacantSinceMs;
   private long electedMs;
-  private long stateMs;
-  private long answeredMs;
-  private boolean fromCopy;
+  private long recoveredMs;
+  private long firstResponseMs;
+  private boolean fromReplica;
   private boolean running;
 
-  FailoverTimer(ControllerContext context, LeaderElection term) {
+  FailoverTimer(ControllerContext context, LeaderElection election) {
     this.context = context;
-    this.term = term;
+    this.election = election;
   }
 
   /** This node leads. */
   void elected() {
     electedMs = context.nowMs;
-    vacantMs = term.vacantSeenMs() < 0 ? electedMs : term.vacantSeenMs();
-    stateMs = 0;
-    answeredMs = 0;
-    fromCopy = false;
+    vacantSinceMs = election.vacancySeenMs() < 0 ? electedMs : election.vacancySeenMs();
+    recoveredMs = 0;
+    firstResponseMs = 0;
+    fromReplica = false;
     running = true;
   }
 
@@ -42,54 +42,54 @@
   }
 
   /** Memory holds what is committed, from the copy or from a read of everything. */
-  void hasState(boolean copied) {
-    stateMs = context.nowMs;
-    fromCopy = copied;
+  void stateRecovered(boolean usedReplica) {
+    recoveredMs = context.nowMs;
+    fromReplica = usedReplica;
   }
 
   /** Whether the state of this term came from a copy. */
-  boolean isFromCopy() {
-    return fromCopy;
+  boolean isFromReplica() {
+    return fromReplica;
   }
 
   /** Looks at what an input had sent. */
-  void sent(List<Effect> effects) {
+  void observeEffects(List<Effect> effects) {
     if (!running) {
       return;
     }
     for (Effect effect : effects) {
-      if (answeredMs == 0 && effect instanceof Effect.AnswerWorker) {
-        answeredMs = context.nowMs;
+      if (firstResponseMs == 0 && effect instanceof Effect.RespondToWorker) {
+        firstResponseMs = context.nowMs;
       }
       boolean commands =
-          effect instanceof Effect.AskCommands it && !it.commands().isEmpty()
-              || effect instanceof Effect.AnswerWorker answer && !answer.commands().isEmpty();
-      if (commands && stateMs > 0) {
-        end();
+          effect instanceof Effect.SendCommands it && !it.commands().isEmpty()
+              || effect instanceof Effect.RespondToWorker answer && !answer.commands().isEmpty();
+      if (commands && recoveredMs > 0) {
+        finish();
         return;
       }
     }
   }
 
-  private void end() {
+  private void finish() {
     running = false;
-    long firstAnswerMs = answeredMs == 0 ? context.nowMs : answeredMs;
+    long firstAnswerMs = firstResponseMs == 0 ? context.nowMs : firstResponseMs;
     LOG.info(
         "took term {} over: vacant for {} ms, state {} in {} ms, first worker answered after {} ms,"
             + " first command after {} ms",
-        term.number(),
-        electedMs - vacantMs,
-        fromCopy ? "from the copy" : "read",
-        stateMs - electedMs,
-        firstAnswerMs - vacantMs,
-        context.nowMs - vacantMs);
+        election.currentTerm(),
+        electedMs - vacantSinceMs,
+        fromReplica ? "from the copy" : "read",
+        recoveredMs - electedMs,
+        firstAnswerMs - vacantSinceMs,
+        context.nowMs - vacantSinceMs);
     context.emit(
-        new Effect.TookOver(
-            term.number(),
+        new Effect.FailoverCompleted(
+            election.currentTerm(),
             ImmutableList.of(
-                new Effect.Phase("election", vacantMs, electedMs),
-                new Effect.Phase(fromCopy ? "copy" : "read", electedMs, stateMs),
-                new Effect.Phase("first answer", vacantMs, firstAnswerMs),
-                new Effect.Phase("first command", stateMs, context.nowMs))));
+                new Effect.Phase("election", vacantSinceMs, electedMs),
+                new Effect.Phase(fromReplica ? "copy" : "read", electedMs, recoveredMs),
+                new Effect.Phase("first answer", vacantSinceMs, firstAnswerMs),
+                new Effect.Phase("first command", recoveredMs, context.nowMs))));
   }
 }
--- a/src/main/java/eiderfork/controller/FailureHistory.java
+++ b/src/main/java/eiderfork/controller/FailureHistory.java
@@ -25,9 +25,9 @@
   private static final int AVOID_STEPS = 30;
 
   /** The delay doubles with each try up to this many times: to 32 steps. */
-  private static final int MOST_DOUBLINGS = 5;
+  private static final int MAX_DOUBLINGS = 5;
 
-  /** A new leader suspects a job of this many attempts, see {@link #restored}. */
+  /** A new leader suspects a job of this many attempts, see {@link #restore}. */
   private static final int SUSPECT_ATTEMPTS = 4;
 
   /** What a task is taken to run before it fails where no leader of now has seen one fail. */
@@ -37,15 +37,15 @@
   private static final int SURVIVAL_FACTOR = 2;
 
   private final long stepMs;
-  private final Set<String> machines = new HashSet<>();
+  private final Set<String> failedMachines = new HashSet<>();
   private final Int2IntOpenHashMap failuresByTask = new Int2IntOpenHashMap();
   private final Int2LongOpenHashMap retryAtMs = new Int2LongOpenHashMap();
 
   /** Tries in a row of which no task ended well; tasks reserved together are one try. */
-  private int failedTries;
+  private int consecutiveFailedTries;
 
   /** Attempts up to this one are part of a try that has been counted. */
-  private long countedAttempt;
+  private long lastCountedAttempt;
 
   private long longestRunMs;
   private long lastFailureMs;
@@ -65,33 +65,34 @@
    *
    * @param lastAttempt the newest attempt of the job: what was reserved by now is of the same try
    */
-  void failed(Reservation p, long lastAttempt, long nowMs) {
-    machines.add(p.machine.name);
+  void recordFailure(Reservation reservation, long lastAttempt, long nowMs) {
+    failedMachines.add(reservation.machine.name);
     lastFailureMs = nowMs;
-    int failures = failuresByTask.addTo(p.index, 1) + 1;
-    retryAtMs.put(p.index, nowMs + delayMs(failures));
-    if (p.runningSinceMs > 0) {
-      longestRunMs = Math.max(longestRunMs, nowMs - p.runningSinceMs);
+    int failures = failuresByTask.addTo(reservation.taskIndex, 1) + 1;
+    retryAtMs.put(reservation.taskIndex, nowMs + delayMs(failures));
+    if (reservation.runningSinceMs > 0) {
+      longestRunMs = Math.max(longestRunMs, nowMs - reservation.runningSinceMs);
     }
-    if (p.attempt > countedAttempt) {
-      failedTries++;
-      countedAttempt = lastAttempt;
+    if (reservation.attempt > lastCountedAttempt) {
+      consecutiveFailedTries++;
+      lastCountedAttempt = lastAttempt;
     }
-    suspected |= failedTries >= SUSPECT_MACHINES && machines.size() >= SUSPECT_MACHINES;
+    suspected |=
+        consecutiveFailedTries >= SUSPECT_MACHINES && failedMachines.size() >= SUSPECT_MACHINES;
     inherited = false;
     if (suspected) {
-      notBeforeMs = Math.max(notBeforeMs, nowMs + delayMs(failedTries));
+      notBeforeMs = Math.max(notBeforeMs, nowMs + delayMs(consecutiveFailedTries));
     }
   }
 
   /** A task was refused by its machine; the job waits for a step. */
-  void refused(long nowMs) {
+  void recordRefusal(long nowMs) {
     notBeforeMs = Math.max(notBeforeMs, nowMs + stepMs);
   }
 
   /** A task of the job does well: the job is not at fault as a whole. */
-  void succeeded() {
-    failedTries = 0;
+  void recordSuccess() {
+    consecutiveFailedTries = 0;
     inherited = false;
     if (suspected) {
       suspected = false;
@@ -103,23 +104,23 @@
    * A new leader takes the job up. Its predecessor's history is lost, but a job of many attempts of
    * which nothing is done, and one task is reserved at most, goes on being tried with one task.
    */
-  void restored(StoredRecord.Alloc alloc, int tasks) {
-    long lastAttempt = alloc.lastAttempt();
-    countedAttempt = lastAttempt;
+  void restore(StoredRecord.Allocation allocation, int tasks) {
+    long lastAttempt = allocation.lastAttempt();
+    lastCountedAttempt = lastAttempt;
     int reserved = 0;
-    for (StoredRecord.Span span : alloc.reserved()) {
+    for (StoredRecord.ReservedRange span : allocation.reserved()) {
       reserved += span.to() - span.from() + 1;
     }
-    boolean seemsOnTrial = alloc.finished().isEmpty() && reserved <= 1 && reserved < tasks;
+    boolean seemsOnTrial = allocation.finished().isEmpty() && reserved <= 1 && reserved < tasks;
     if (seemsOnTrial && lastAttempt >= SUSPECT_ATTEMPTS) {
       suspected = true;
       inherited = true;
-      failedTries = (int) Math.min(lastAttempt, MOST_DOUBLINGS + 1);
+      consecutiveFailedTries = (int) Math.min(lastAttempt, MAX_DOUBLINGS + 1);
     }
   }
 
   private long delayMs(int failures) {
-    return stepMs << Math.min(MOST_DOUBLINGS, Math.max(0, failures - 2));
+    return stepMs << Math.min(MAX_DOUBLINGS, Math.max(0, failures - 2));
   }
 
   /** Whether the job seems to fail everywhere, and is tried with one task at a time. */
@@ -132,17 +133,17 @@
    * of them fail: an array that was stopped for others again and again looks like one that fails,
    * so a while is enough.
    */
-  boolean outlived(Reservation p, long nowMs) {
+  boolean hasOutlivedFailures(Reservation reservation, long nowMs) {
     long failedMs = longestRunMs > 0 ? longestRunMs : INHERITED_RUN_STEPS * stepMs;
-    return p.runningSinceMs > 0
-        && nowMs - p.runningSinceMs > SURVIVAL_FACTOR * Math.max(failedMs, stepMs);
+    return reservation.runningSinceMs > 0
+        && nowMs - reservation.runningSinceMs > SURVIVAL_FACTOR * Math.max(failedMs, stepMs);
   }
 
   /**
    * Whether failures that this leader has seen make the job a suspect, so that nothing is rented
    * for it.
    */
-  boolean isProvenSuspect() {
+  boolean isConfirmedSuspect() {
     return suspected && !inherited;
   }
 
@@ -152,32 +153,32 @@
   }
 
   /** Whether this task may be tried now, as far as its own failures go. */
-  boolean mayRetry(int index, long nowMs) {
+  boolean canRetry(int index, long nowMs) {
     return retryAtMs.isEmpty() || retryAtMs.get(index) <= nowMs;
   }
 
   /** How often this task has failed. */
-  int failuresOf(int index) {
+  int failureCount(int index) {
     return failuresByTask.get(index);
   }
 
   /** Whether the job was failed by so many machines that it is itself at fault. */
   boolean isJobAtFault() {
-    return machines.size() >= JOB_FAULT_MACHINES;
+    return failedMachines.size() >= JOB_FAULT_MACHINES;
   }
 
   /**
    * Whether the job should rather run on another machine than this one. Not for ever: where the
    * others are full, a plan counts on the room here and rents no more.
    */
-  boolean avoids(String machine, long nowMs) {
-    return machines.contains(machine)
+  boolean isAvoided(String machine, long nowMs) {
+    return failedMachines.contains(machine)
         && !isJobAtFault()
         && nowMs - lastFailureMs < AVOID_STEPS * stepMs;
   }
 
   /** The machines on which a task of the job failed. */
-  Set<String> machines() {
-    return Collections.unmodifiableSet(machines);
+  Set<String> failedMachines() {
+    return Collections.unmodifiableSet(failedMachines);
   }
 }
--- a/src/main/java/eiderfork/controller/FairShareOrder.java
+++ b/src/main/java/eiderfork/controller/FairShareOrder.java
@@ -18,38 +18,39 @@
  */
 final class FairShareOrder {
   /** A job with what decides its place. */
-  private record Turn(JobState entry, boolean guaranteed, long turnMs) implements Comparable<Turn> {
+  private record QueuedJob(JobState entry, boolean isWithinGuarantee, long queueTimeMs)
+      implements Comparable<QueuedJob> {
     @Override
-    public int compareTo(Turn other) {
-      if (guaranteed != other.guaranteed) {
-        return guaranteed ? -1 : 1;
+    public int compareTo(QueuedJob other) {
+      if (isWithinGuarantee != other.isWithinGuarantee) {
+        return isWithinGuarantee ? -1 : 1;
       }
-      int byPriority = entry.job.priority().compareTo(other.entry.job.priority());
+      int byPriority = entry.spec.priority().compareTo(other.entry.spec.priority());
       if (byPriority != 0) {
         return byPriority;
       }
-      int byTurn = Long.compare(turnMs, other.turnMs);
-      return byTurn != 0 ? byTurn : Long.compare(entry.order, other.entry.order);
+      int byTurn = Long.compare(queueTimeMs, other.queueTimeMs);
+      return byTurn != 0 ? byTurn : Long.compare(entry.specVersion, other.entry.specVersion);
     }
   }
 
   private final ControllerContext context;
-  private final QueueOrder turnOrder;
+  private final QueueOrder queueOrder;
 
   FairShareOrder(ControllerContext context, DeadlineEstimator deadlines) {
     this.context = context;
-    turnOrder = new QueueOrder(context, deadlines);
+    queueOrder = new QueueOrder(context, deadlines);
   }
 
   /** The jobs that have something to place or to write, the most urgent first. */
-  List<JobState> rank(JobRegistry jobs) {
-    List<JobState> work = jobs.withWork();
-    Set<JobState> guaranteed = guaranteed(work, jobs.tally());
-    int mostTasks = mostArrayTasks(work);
-    List<Turn> turns = new ArrayList<>(work.size());
-    for (JobState entry : work) {
-      long turnMs = turnOrder.turnMs(entry, mostTasks);
-      turns.add(new Turn(entry, guaranteed.contains(entry), turnMs));
+  List<JobState> sort(JobRegistry jobs) {
+    List<JobState> work = jobs.jobsWithWork();
+    Set<JobState> guaranteed = jobsWithinGuarantee(work, jobs.resourceUsage());
+    int mostTasks = maxWaitingArrayTasks(work);
+    List<QueuedJob> turns = new ArrayList<>(work.size());
+    for (JobState job : work) {
+      long turnMs = queueOrder.queueTimeMs(job, mostTasks);
+      turns.add(new QueuedJob(job, guaranteed.contains(job), turnMs));
     }
     turns.sort(null);
     List<JobState> ranked = new ArrayList<>(turns.size());
@@ -58,23 +59,23 @@
   }
 
   /** The jobs that fit into their team's guarantee beside its more urgent and earlier ones. */
-  private Set<JobState> guaranteed(List<JobState> work, ResourceUsage tally) {
+  private Set<JobState> jobsWithinGuarantee(List<JobState> work, ResourceUsage tally) {
     List<JobState> byUrgency = new ArrayList<>();
     for (JobState entry : work) {
-      Team team = context.settings.teams().get(entry.job.team());
+      Team team = context.settings.teams().get(entry.spec.team());
       if (team != null && team.hasGuarantee()) {
         byUrgency.add(entry);
       }
     }
-    byUrgency.sort(FairShareOrder::byUrgency);
+    byUrgency.sort(FairShareOrder::compareUrgency);
     Set<JobState> guaranteed = new ReferenceOpenHashSet<>();
     Map<String, Resources> wantedByTeam = new HashMap<>();
     for (JobState entry : byUrgency) {
-      Job job = entry.job;
-      Resources waiting = job.need().times(entry.waiting.cardinality());
+      Job job = entry.spec;
+      Resources waiting = job.taskResources().times(entry.pendingTasks.cardinality());
       Resources wanted = wantedByTeam.merge(job.team(), waiting, Resources::plus);
       Team team = context.settings.teams().get(job.team());
-      if (team.withinGuarantee(used(tally, job.team()).plus(wanted))) {
+      if (team.isWithinGuarantee(usageOf(tally, job.team()).plus(wanted))) {
         guaranteed.add(entry);
       }
     }
@@ -85,21 +86,21 @@
    * What counts as used beside what waits. A task that was lost waits again before its end is
    * committed; counted twice, a team that lost tasks once came behind those that borrowed its room.
    */
-  private Resources used(ResourceUsage tally, String team) {
-    return context.settings.operator().lending() ? tally.held(team) : tally.used(team);
+  private Resources usageOf(ResourceUsage tally, String team) {
+    return context.settings.operator().isLendingEnabled() ? tally.held(team) : tally.used(team);
   }
 
-  private static int byUrgency(JobState a, JobState b) {
-    int byPriority = a.job.priority().compareTo(b.job.priority());
-    return byPriority != 0 ? byPriority : Long.compare(a.order, b.order);
+  private static int compareUrgency(JobState first, JobState second) {
+    int byPriority = first.spec.priority().compareTo(second.spec.priority());
+    return byPriority != 0 ? byPriority : Long.compare(first.specVersion, second.specVersion);
   }
 
   /** The most tasks that any array has waiting. */
-  private static int mostArrayTasks(List<JobState> work) {
+  private static int maxWaitingArrayTasks(List<JobState> work) {
     int most = 1;
-    for (JobState entry : work) {
-      if (entry.job.kind() == JobKind.ARRAY) {
-        most = Math.max(most, entry.waiting.cardinality());
+    for (JobState job : work) {
+      if (job.spec.kind() == JobKind.ARRAY) {
+        most = Math.max(most, job.pendingTasks.cardinality());
       }
     }
     return most;
--- a/src/main/java/eiderfork/controller/FinalStatusCache.java
+++ b/src/main/java/eiderfork/controller/FinalStatusCache.java
@@ -10,18 +10,18 @@
  */
 final class FinalStatusCache {
   /** More than users ask about at a time; one takes some hundred bytes. */
-  private static final int MOST = 4096;
+  private static final int MAX_ENTRIES = 4096;
 
   private final Cache<String, JobStatus> cache =
-      Caffeine.newBuilder().maximumSize(MOST).executor(Runnable::run).build();
+      Caffeine.newBuilder().maximumSize(MAX_ENTRIES).executor(Runnable::run).build();
 
   /** Null unless the job is known to be over. */
   JobStatus get(String uid) {
     return cache.getIfPresent(uid);
   }
 
-  void note(JobStatus status) {
-    if (status.stance().isFinal()) {
+  void putIfFinal(JobStatus status) {
+    if (status.phase().isFinal()) {
       cache.put(status.uid(), status);
     }
   }
--- a/src/main/java/eiderfork/controller/FinishedJobSweeper.java
+++ b/src/main/java/eiderfork/controller/FinishedJobSweeper.java
@@ -16,43 +16,43 @@
  */
 final class FinishedJobSweeper {
   private final ControllerContext context;
-  private final LeaderElection term;
+  private final LeaderElection election;
   private final JobRegistry jobs;
   private final MachineRegistry fleet;
   private final CancellationTracker cancellations;
-  private final JobPageReader pages;
+  private final JobPageReader jobPageReader;
 
   /** The id after which the next page begins; null where every ended job is in memory. */
-  private String next;
+  private String nextAfterUid;
 
-  private boolean reading;
+  private boolean readInFlight;
   private long generation;
 
   FinishedJobSweeper(
       ControllerContext context,
-      LeaderElection term,
+      LeaderElection election,
       JobRegistry jobs,
       MachineRegistry fleet,
       CancellationTracker cancellations,
-      JobPageReader pages) {
+      JobPageReader jobPageReader) {
     this.context = context;
-    this.term = term;
+    this.election = election;
     this.jobs = jobs;
     this.fleet = fleet;
     this.cancellations = cancellations;
-    this.pages = pages;
+    this.jobPageReader = jobPageReader;
   }
 
   /** A term begins or ends. */
-  void clear() {
+  void reset() {
     generation++;
-    next = null;
-    reading = false;
+    nextAfterUid = null;
+    readInFlight = false;
   }
 
   /** Whether some ended jobs are not in memory. */
-  boolean isOpen() {
-    return next != null;
+  boolean isIncomplete() {
+    return nextAfterUid != null;
   }
 
   /**
@@ -60,65 +60,68 @@
    *
    * @param after the id after which the page began
    */
-  void trim(JobPageReader.JobPage page, String after) {
-    int most = context.settings.operator().mostEndedJobs();
+  void evictExcess(JobPageReader.JobPage page, String after) {
+    int most = context.settings.operator().maxEndedJobs();
     for (Reply.Item item : page.jobs()) {
-      JobState entry = jobs.get(StoreKeys.tail(item.key()));
-      if (jobs.ended().size() <= most) {
+      JobState job = jobs.get(StoreKeys.withoutPrefix(item.key()));
+      if (jobs.finishedJobs().size() <= most) {
         return;
       }
-      if (entry != null && jobs.ended().contains(entry) && entry.isArchivable()) {
-        jobs.forget(entry);
-        next = next == null ? after : next;
+      if (job != null && jobs.finishedJobs().contains(job) && job.isArchivable()) {
+        jobs.evict(job);
+        nextAfterUid = nextAfterUid == null ? after : nextAfterUid;
       }
     }
   }
 
   /** Some job that is over was not taken up; all are looked through for such. */
-  void leave() {
-    next = "";
+  void restart() {
+    nextAfterUid = "";
   }
 
   /** Reads on where the archive has made room; only a rebuilt leader does. */
   void tick() {
-    boolean hasRoom = jobs.ended().size() <= context.settings.operator().mostEndedJobs() / 2;
-    if (next == null || reading || !hasRoom) {
+    boolean hasRoom = jobs.finishedJobs().size() <= context.settings.operator().maxEndedJobs() / 2;
+    if (nextAfterUid == null || readInFlight || !hasRoom) {
       return;
     }
-    reading = true;
+    readInFlight = true;
     long of = generation;
-    pages.read(
-        next,
-        term.number(),
+    jobPageReader.read(
+        nextAfterUid,
+        election.currentTerm(),
         RequestPriority.CLEANUP,
         page -> {
           if (of == generation) {
-            reading = false;
-            next = page.next();
-            take(page);
+            readInFlight = false;
+            nextAfterUid = page.continueAfter();
+            loadFinished(page);
           }
         });
   }
 
   /** Takes those that are over and unknown; others come with the watch, if they are new. */
-  private void take(JobPageReader.JobPage page) {
+  private void loadFinished(JobPageReader.JobPage page) {
     Map<String, Reply.Item> allocs = new HashMap<>();
-    page.allocs().forEach(item -> allocs.put(StoreKeys.tail(item.key()), item));
+    page.allocs().forEach(item -> allocs.put(StoreKeys.withoutPrefix(item.key()), item));
     for (Reply.Item item : page.jobs()) {
-      String uid = StoreKeys.tail(item.key());
+      String uid = StoreKeys.withoutPrefix(item.key());
       if (jobs.get(uid) == null && item.record() instanceof StoredRecord.JobSpec spec) {
         Reply.Item alloc = allocs.get(uid);
         if (alloc == null && cancellations.contains(uid)) {
           jobs.add(spec.job(), item.version());
-          jobs.markAborted(uid);
-        } else if (alloc != null && alloc.record() instanceof StoredRecord.Alloc it && it.done()) {
-          jobs.restore(jobs.add(spec.job(), item.version()), it, alloc.version(), fleet);
+          jobs.markCancelled(uid);
         } else if (alloc != null
-            && alloc.record() instanceof StoredRecord.Alloc it
+            && alloc.record() instanceof StoredRecord.Allocation allocation
+            && allocation.done()) {
+          jobs.restoreAllocation(
+              jobs.add(spec.job(), item.version()), allocation, alloc.version(), fleet);
+        } else if (alloc != null
+            && alloc.record() instanceof StoredRecord.Allocation allocation
             && cancellations.contains(uid)) {
           jobs.add(spec.job(), item.version());
-          jobs.markAborted(uid);
-          jobs.restore(jobs.get(uid), it, alloc.version(), fleet);
+          jobs.markCancelled(uid);
+          jobs.restoreAllocation(jobs.get(uid), allocation, alloc.version(), fleet);
         }
       }
     }
--- a/src/main/java/eiderfork/controller/FinishedJobs.java
+++ b/src/main/java/eiderfork/controller/FinishedJobs.java
@@ -7,12 +7,12 @@
 /** The jobs in a leader's memory that are over and of which no reservation is left. */
 final class FinishedJobs {
   /** A job, and since when this leader knows that nothing of it is left. */
-  record Ended(JobState entry, long sinceMs) {}
+  record FinishedJob(JobState job, long finishedMs) {}
 
-  private final Map<String, Ended> jobs = new LinkedHashMap<>();
+  private final Map<String, FinishedJob> jobs = new LinkedHashMap<>();
 
-  void add(JobState entry, long nowMs) {
-    jobs.putIfAbsent(entry.job.uid(), new Ended(entry, nowMs));
+  void add(JobState job, long nowMs) {
+    jobs.putIfAbsent(job.spec.uid(), new FinishedJob(job, nowMs));
   }
 
   void remove(String uid) {
@@ -23,8 +23,8 @@
     jobs.clear();
   }
 
-  boolean contains(JobState entry) {
-    return jobs.containsKey(entry.job.uid());
+  boolean contains(JobState job) {
+    return jobs.containsKey(job.spec.uid());
   }
 
   int size() {
@@ -32,7 +32,7 @@
   }
 
   /** All of them, the one that ended first in front. */
-  Iterable<Ended> oldestFirst() {
+  Iterable<FinishedJob> oldestFirst() {
     return Iterables.unmodifiableIterable(jobs.values());
   }
 }
--- a/src/main/java/eiderfork/controller/FirstFitTree.java
+++ b/src/main/java/eiderfork/controller/FirstFitTree.java
@@ -15,49 +15,51 @@
  */
 final class FirstFitTree {
   /** Kinds of machine past this number share the last bit. */
-  private static final int MOST_KINDS = Long.SIZE;
+  private static final int MAX_KIND_BITS = Long.SIZE;
 
-  private static final int FIRST_CAPACITY = 16;
+  private static final int INITIAL_CAPACITY = 16;
 
   /** What a search is for: the kinds as bits, and whether free GPUs keep their processors. */
-  private record Wanted(Resources need, long kinds, boolean sparing, Predicate<Bin> accepts) {}
+  private record Query(Resources need, long kindMask, boolean sparesGpus, Predicate<Bin> accepts) {}
 
   private final List<Bin> bins;
-  private final CpusPerGpu balance;
-  private final Object2IntMap<CloudProvisioner.Kind> kindNumbers = new Object2IntOpenHashMap<>();
+  private final CpusPerGpu cpusPerGpu;
+  private final Object2IntMap<CloudProvisioner.MachineKind> kindBits =
+      new Object2IntOpenHashMap<>();
 
   /** A power of two; the node of bin i is capacity + i, the root is 1. */
-  private int capacity = FIRST_CAPACITY;
+  private int capacity = INITIAL_CAPACITY;
 
-  private double[] cpus;
-  private double[] gpus;
-  private double[] ramGb;
+  private double[] maxFreeCpus;
+  private double[] maxFreeGpus;
+  private double[] maxFreeRamGb;
 
   /** Processors that can be taken without leaving free GPUs too few. */
-  private double[] spareCpus;
+  private double[] maxSpareCpus;
 
-  private long[] kinds;
-  private int visited;
+  private long[] kindMasks;
+  private int visitedBins;
 
   /**
-   * @param bins the list that the tree stands on; lengthened by {@link #add} alone from now on
+   * @param bins the list that the tree stands on; lengthened by {@link #enqueueQuery} alone from
+   *     now on
    */
-  FirstFitTree(List<Bin> bins, CpusPerGpu balance) {
+  FirstFitTree(List<Bin> bins, CpusPerGpu cpusPerGpu) {
     this.bins = bins;
-    this.balance = balance;
-    kindNumbers.defaultReturnValue(-1);
-    build();
+    this.cpusPerGpu = cpusPerGpu;
+    kindBits.defaultReturnValue(-1);
+    rebuild();
   }
 
-  private void build() {
+  private void rebuild() {
     while (capacity < bins.size()) {
       capacity *= 2;
     }
-    cpus = emptyNodes();
-    gpus = emptyNodes();
-    ramGb = emptyNodes();
-    spareCpus = emptyNodes();
-    kinds = new long[2 * capacity];
+    maxFreeCpus = emptyNodes();
+    maxFreeGpus = emptyNodes();
+    maxFreeRamGb = emptyNodes();
+    maxSpareCpus = emptyNodes();
+    kindMasks = new long[2 * capacity];
     for (int i = 0; i < bins.size(); i++) {
       setLeaf(i);
     }
@@ -76,28 +78,28 @@
   private void setLeaf(int i) {
     Bin bin = bins.get(i);
     int node = capacity + i;
-    cpus[node] = bin.left.cpus();
-    gpus[node] = bin.left.gpus();
-    ramGb[node] = bin.left.ramGb();
-    spareCpus[node] = balance.spareCpus(bin.left);
-    kinds[node] = 1L << kindNumber(bin.kind);
+    maxFreeCpus[node] = bin.free.cpus();
+    maxFreeGpus[node] = bin.free.gpus();
+    maxFreeRamGb[node] = bin.free.ramGb();
+    maxSpareCpus[node] = cpusPerGpu.spareCpus(bin.free);
+    kindMasks[node] = 1L << kindBit(bin.kind);
   }
 
   private void setFromChildren(int node) {
     int a = 2 * node;
     int b = a + 1;
-    cpus[node] = Math.max(cpus[a], cpus[b]);
-    gpus[node] = Math.max(gpus[a], gpus[b]);
-    ramGb[node] = Math.max(ramGb[a], ramGb[b]);
-    spareCpus[node] = Math.max(spareCpus[a], spareCpus[b]);
-    kinds[node] = kinds[a] | kinds[b];
+    maxFreeCpus[node] = Math.max(maxFreeCpus[a], maxFreeCpus[b]);
+    maxFreeGpus[node] = Math.max(maxFreeGpus[a], maxFreeGpus[b]);
+    maxFreeRamGb[node] = Math.max(maxFreeRamGb[a], maxFreeRamGb[b]);
+    maxSpareCpus[node] = Math.max(maxSpareCpus[a], maxSpareCpus[b]);
+    kindMasks[node] = kindMasks[a] | kindMasks[b];
   }
 
-  private int kindNumber(CloudProvisioner.Kind kind) {
-    int number = kindNumbers.getInt(kind);
+  private int kindBit(CloudProvisioner.MachineKind kind) {
+    int number = kindBits.getInt(kind);
     if (number < 0) {
-      number = Math.min(kindNumbers.size(), MOST_KINDS - 1);
-      kindNumbers.put(kind, number);
+      number = Math.min(kindBits.size(), MAX_KIND_BITS - 1);
+      kindBits.put(kind, number);
     }
     return number;
   }
@@ -106,14 +108,14 @@
   void add(Bin bin) {
     bins.add(bin);
     if (bins.size() > capacity) {
-      build();
+      rebuild();
     } else {
-      changed(bins.size() - 1);
+      update(bins.size() - 1);
     }
   }
 
   /** What is left of a bin has changed. */
-  void changed(int index) {
+  void update(int index) {
     setLeaf(index);
     for (int node = (capacity + index) / 2; node > 0; node /= 2) {
       setFromChildren(node);
@@ -121,14 +123,14 @@
   }
 
   /** How often a bin was looked at. */
-  int visited() {
-    return visited;
+  int visitedBins() {
+    return visitedBins;
   }
 
   /** The kinds of which there are bins, and that are accepted, as bits. */
-  long kinds(Predicate<CloudProvisioner.Kind> accepted) {
+  long kindMasks(Predicate<CloudProvisioner.MachineKind> accepted) {
     long bits = 0;
-    for (Object2IntMap.Entry<CloudProvisioner.Kind> each : kindNumbers.object2IntEntrySet()) {
+    for (Object2IntMap.Entry<CloudProvisioner.MachineKind> each : kindBits.object2IntEntrySet()) {
       if (accepted.test(each.getKey())) {
         bits |= 1L << each.getIntValue();
       }
@@ -142,36 +144,37 @@
    * @param kinds the kinds to look at; where kinds share a bit, {@code accepts} tells them apart
    * @param sparing only bins whose free GPUs keep the processors that they need
    */
-  int first(Resources need, long kinds, boolean sparing, Predicate<Bin> accepts) {
-    return first(1, new Wanted(need, kinds, sparing, accepts));
+  int findFirst(Resources demand, long kinds, boolean sparing, Predicate<Bin> accepts) {
+    return findFirst(1, new Query(demand, kinds, sparing, accepts));
   }
 
-  private int first(int node, Wanted wanted) {
-    if (!mayHold(node, wanted)) {
+  private int findFirst(int node, Query query) {
+    if (!canContain(node, query)) {
       return -1;
     }
     if (node >= capacity) {
-      visited++;
-      return wanted.accepts.test(bins.get(node - capacity)) ? node - capacity : -1;
+      visitedBins++;
+      return query.accepts.test(bins.get(node - capacity)) ? node - capacity : -1;
     }
-    int found = first(2 * node, wanted);
-    return found >= 0 ? found : first(2 * node + 1, wanted);
+    int found = findFirst(2 * node, query);
+    return found >= 0 ? found : findFirst(2 * node + 1, query);
   }
 
-  private boolean mayHold(int node, Wanted wanted) {
-    Resources need = wanted.need;
-    return (kinds[node] & wanted.kinds) != 0
-        && need.fitsIn(cpus[node], gpus[node], ramGb[node])
-        && (!wanted.sparing || need.cpus() <= spareCpus[node] + Resources.DUST);
+  private boolean canContain(int node, Query query) {
+    Resources demand = query.need;
+    return (kindMasks[node] & query.kindMask) != 0
+        && demand.fitsIn(maxFreeCpus[node], maxFreeGpus[node], maxFreeRamGb[node])
+        && (!query.sparesGpus
+            || demand.cpus() <= maxSpareCpus[node] + Resources.ROUNDING_TOLERANCE);
   }
 
   /** Shows every bin that has room for the task. */
-  void forEachWithRoom(Resources need, long kinds, Consumer<Bin> taker) {
+  void forEachWithFreeCapacity(Resources demand, long kinds, Consumer<Bin> consumer) {
     Predicate<Bin> showsAll =
         bin -> {
-          taker.accept(bin);
+          consumer.accept(bin);
           return false;
         };
-    first(1, new Wanted(need, kinds, false, showsAll));
+    findFirst(1, new Query(demand, kinds, false, showsAll));
   }
 }
--- a/src/main/java/eiderfork/controller/FleetLog.java
+++ b/src/main/java/eiderfork/controller/FleetLog.java
@@ -12,49 +12,49 @@
   private static final Logger LOG = LoggerFactory.getLogger(FleetLog.class);
 
   private final ControllerContext context;
-  private final StoreClient gate;
+  private final StoreClient store;
   private final JobRegistry jobs;
   private final MachineRegistry fleet;
   private final MachineLiveness liveness;
-  private long nextMs;
+  private long nextLogMs;
 
   FleetLog(
       ControllerContext context,
-      StoreClient gate,
+      StoreClient store,
       JobRegistry jobs,
       MachineRegistry fleet,
       MachineLiveness liveness) {
     this.context = context;
-    this.gate = gate;
+    this.store = store;
     this.jobs = jobs;
     this.fleet = fleet;
     this.liveness = liveness;
   }
 
   /** Says now and then how full the fleet is and who waits, so that a log can be read later. */
-  void tell(int placementExamined, int planExamined) {
-    if (context.nowMs < nextMs) {
+  void logIfDue(int placementExamined, int planExamined) {
+    if (context.nowMs < nextLogMs) {
       return;
     }
-    nextMs = context.nowMs + context.leaseMs();
+    nextLogMs = context.nowMs + context.workerLeaseMs();
     Map<String, int[]> kinds = new TreeMap<>();
-    for (MachineState m : fleet.machines()) {
-      if (m.machine == null || m.room == null) {
+    for (MachineState machine : fleet.machines()) {
+      if (machine.spec == null || machine.capacity == null) {
         continue;
       }
       int[] n =
           kinds.computeIfAbsent(
-              m.machine.type() + (m.machine.spot() ? " spot" : ""), k -> new int[4]);
+              machine.spec.type() + (machine.spec.spot() ? " spot" : ""), k -> new int[4]);
       n[0]++;
-      n[1] += liveness.usable(m) ? 1 : 0;
-      n[2] += (int) (m.free().gpus() > 0 ? m.free().gpus() : 0);
-      n[3] += (int) (m.free().cpus() > 0 ? m.free().cpus() : 0);
+      n[1] += liveness.isSchedulable(machine) ? 1 : 0;
+      n[2] += (int) (machine.freeCapacity().gpus() > 0 ? machine.freeCapacity().gpus() : 0);
+      n[3] += (int) (machine.freeCapacity().cpus() > 0 ? machine.freeCapacity().cpus() : 0);
     }
     Map<String, int[]> classes = new TreeMap<>();
-    for (JobState entry : jobs.active()) {
-      int[] n = classes.computeIfAbsent(entry.job.jobClass(), k -> new int[2]);
-      n[0] += entry.placed.size();
-      n[1] += entry.waiting.cardinality();
+    for (JobState job : jobs.activeJobs()) {
+      int[] n = classes.computeIfAbsent(job.spec.jobClass(), k -> new int[2]);
+      n[0] += job.reservations.size();
+      n[1] += job.pendingTasks.cardinality();
     }
     StringBuilder text = new StringBuilder();
     kinds.forEach(
@@ -73,7 +73,7 @@
         (name, n) ->
             text.append(name).append(" ").append(n[0]).append("+").append(n[1]).append(" "));
     LOG.info("fleet: {}", text);
-    LOG.info("writes that went out: {}", gate.tellWaits());
+    LOG.info("writes that went out: {}", store.drainWriteWaits());
     LOG.info("looked at machines {} times to place, {} to plan", placementExamined, planExamined);
   }
 }
