--- a/src/main/java/eiderfork/controller/FreeCapacity.java
+++ b/src/main/java/eiderfork/controller/FreeCapacity.java
@@ -22,16 +22,16 @@
   record Claim(JobState entry, MachineState machine, long untilMs) {}
 
   private final MachineRegistry fleet;
-  private final Predicate<MachineState> usable;
+  private final Predicate<MachineState> usableFilter;
 
-  private final Predicate<MachineState> keepsClaims;
-  private final BorrowedCapacity loans;
+  private final Predicate<MachineState> claimableFilter;
+  private final BorrowedCapacity borrowedCapacity;
 
   /** Counts the changes of claims. */
-  private long claimChanges;
+  private long claimRevision;
 
   /** What claims take of the machines that have any. */
-  private final Map<MachineState, Resources> claimed = new Reference2ObjectOpenHashMap<>();
+  private final Map<MachineState, Resources> claimedByMachine = new Reference2ObjectOpenHashMap<>();
 
   private final List<Claim> claims = new ArrayList<>();
 
@@ -39,86 +39,87 @@
    * What the searches of this round that leave some of the free room alone have proved, by what
    * they leave. It holds for no longer: the room that they find also grows where GPUs are taken.
    */
-  private final Map<SearchConstraints, FailedSearchCache> limitedSearches = new HashMap<>();
+  private final Map<SearchConstraints, FailedSearchCache> failedRestrictedSearches =
+      new HashMap<>();
 
   /** The machines that may be used in this round; null until they are asked for. */
-  private List<MachineState> machines;
+  private List<MachineState> usableMachines;
 
-  private int examined;
+  private int examinedMachines;
   private long nowMs;
 
   /**
-   * @param usable whether tasks may be placed on a machine now
-   * @param keepsClaims whether room that is being made on a machine may still be waited for
-   * @param loans what of a machine's room is kept from borrowers
+   * @param usableFilter whether tasks may be placed on a machine now
+   * @param claimableFilter whether room that is being made on a machine may still be waited for
+   * @param borrowedCapacity what of a machine's room is kept from borrowers
    */
   FreeCapacity(
       MachineRegistry fleet,
-      Predicate<MachineState> usable,
-      Predicate<MachineState> keepsClaims,
-      BorrowedCapacity loans) {
+      Predicate<MachineState> usableFilter,
+      Predicate<MachineState> claimableFilter,
+      BorrowedCapacity borrowedCapacity) {
     this.fleet = fleet;
-    this.usable = usable;
-    this.keepsClaims = keepsClaims;
-    this.loans = loans;
+    this.usableFilter = usableFilter;
+    this.claimableFilter = claimableFilter;
+    this.borrowedCapacity = borrowedCapacity;
   }
 
   /** Begins a round: keeps the claims of earlier ones that are still of use. */
-  void begin(long nowMs) {
-    machines = null;
-    examined = 0;
+  void beginRound(long nowMs) {
+    usableMachines = null;
+    examinedMachines = 0;
     this.nowMs = nowMs;
-    limitedSearches.clear();
+    failedRestrictedSearches.clear();
     List<Claim> open = List.copyOf(claims);
     claims.clear();
-    claimed.clear();
-    claimChanges++;
+    claimedByMachine.clear();
+    claimRevision++;
     for (Claim claim : open) {
       boolean lives =
-          (claim.untilMs > nowMs || loans.mayNotTakeYet(claim.entry))
-              && !claim.entry.over()
-              && !claim.entry.waiting.isEmpty()
+          (claim.untilMs > nowMs || borrowedCapacity.isWritePending(claim.entry))
+              && !claim.entry.isTerminal()
+              && !claim.entry.pendingTasks.isEmpty()
               && fleet.get(claim.machine.name) == claim.machine
-              && keepsClaims.test(claim.machine);
+              && claimableFilter.test(claim.machine);
       if (lives) {
-        claim(claim);
+        addClaim(claim);
       } else {
-        index().grew(claim.machine);
+        index().capacityIncreased(claim.machine);
       }
     }
   }
 
   /** Forgets everything of a term that is over. */
   void clear() {
-    machines = null;
+    usableMachines = null;
     claims.clear();
-    claimed.clear();
+    claimedByMachine.clear();
   }
 
-  void claim(Claim claim) {
-    claimChanges++;
+  void addClaim(Claim claim) {
+    claimRevision++;
     claims.add(claim);
-    claimed.merge(claim.machine, claim.entry.job.need(), Resources::plus);
+    claimedByMachine.merge(claim.machine, claim.entry.spec.taskResources(), Resources::plus);
   }
 
   /** Opens the room claimed for a job to it, and returns the claims. */
-  List<Claim> takeClaims(JobState entry) {
+  List<Claim> releaseClaims(JobState job) {
     List<Claim> own = new ArrayList<>();
     for (Iterator<Claim> all = claims.iterator(); all.hasNext(); ) {
       Claim claim = all.next();
-      if (claim.entry == entry) {
+      if (claim.entry == job) {
         all.remove();
-        claimChanges++;
+        claimRevision++;
         own.add(claim);
-        giveBack(claim);
+        returnCapacity(claim);
       }
     }
     return own;
   }
 
-  boolean hasClaims(JobState entry) {
+  boolean hasClaims(JobState job) {
     for (Claim claim : claims) {
-      if (claim.entry == entry) {
+      if (claim.entry == job) {
         return true;
       }
     }
@@ -126,8 +127,8 @@
   }
 
   /** Whether room on this machine is claimed for the job. */
-  boolean hasClaim(JobState entry, MachineState m) {
-    return claims.stream().anyMatch(claim -> claim.entry == entry && claim.machine == m);
+  boolean hasClaim(JobState job, MachineState machine) {
+    return claims.stream().anyMatch(claim -> claim.entry == job && claim.machine == machine);
   }
 
   /** All claims. */
@@ -136,45 +137,45 @@
   }
 
   /** Stays as it is while no claim is made or ends. */
-  long claimChanges() {
-    return claimChanges;
+  long claimRevision() {
+    return claimRevision;
   }
 
   /** Whether searches have proved that a task of this job fits nowhere. */
-  boolean knownFull(Job job) {
+  boolean isKnownFull(Job job) {
     for (String zone : index().zones()) {
-      if (!failedSearches().knows(job, zone)) {
+      if (!failedSearches().isRuledOut(job, zone)) {
         return false;
       }
     }
     return true;
   }
 
-  private void giveBack(Claim claim) {
+  private void returnCapacity(Claim claim) {
     boolean others = claims.stream().anyMatch(it -> it.machine == claim.machine);
     if (others) {
-      claimed.merge(claim.machine, claim.entry.job.need(), Resources::minus);
+      claimedByMachine.merge(claim.machine, claim.entry.spec.taskResources(), Resources::minus);
     } else {
-      claimed.remove(claim.machine);
+      claimedByMachine.remove(claim.machine);
     }
-    index().grew(claim.machine);
+    index().capacityIncreased(claim.machine);
   }
 
   private CapacityIndex index() {
-    return fleet.sets().roomIndex();
+    return fleet.indexes().capacityIndex();
   }
 
   /** All machines that may be used, in the order in which they became known. */
-  List<MachineState> machines() {
-    if (machines == null) {
-      machines = new ArrayList<>();
-      for (MachineState m : fleet.machines()) {
-        if (usable.test(m)) {
-          machines.add(m);
+  List<MachineState> usableMachines() {
+    if (usableMachines == null) {
+      usableMachines = new ArrayList<>();
+      for (MachineState machine : fleet.machines()) {
+        if (usableFilter.test(machine)) {
+          usableMachines.add(machine);
         }
       }
     }
-    return machines;
+    return usableMachines;
   }
 
   /** The machines in these zones on which a task of the job may find room. */
@@ -184,19 +185,21 @@
     return found;
   }
 
-  boolean isUsable(MachineState m) {
-    return usable.test(m);
+  boolean isUsable(MachineState machine) {
+    return usableFilter.test(machine);
   }
 
   /** What neither reservations nor claims take. */
-  Resources of(MachineState m) {
-    Resources taken = claimed.get(m);
-    return taken == null ? m.free() : m.free().minus(taken);
+  Resources freeOn(MachineState machine) {
+    Resources taken = claimedByMachine.get(machine);
+    return taken == null ? machine.freeCapacity() : machine.freeCapacity().minus(taken);
   }
 
   /** The same, without what is kept from this job where it borrows. */
-  Resources of(MachineState m, JobState entry, boolean borrows) {
-    return borrows ? of(m).minus(loans.keptFrom(entry, m)) : of(m);
+  Resources freeOn(MachineState machine, JobState job, boolean excludesReclaimed) {
+    return excludesReclaimed
+        ? freeOn(machine).minus(borrowedCapacity.withheldFrom(job, machine))
+        : freeOn(machine);
   }
 
   /** What searches have proved to find no room. */
@@ -205,27 +208,27 @@
   }
 
   /** What searches of this round that leave some room alone have proved to find no room. */
-  FailedSearchCache limitedSearches(SearchConstraints limits) {
-    return limitedSearches.computeIfAbsent(limits, l -> new FailedSearchCache());
+  FailedSearchCache failedRestrictedSearches(SearchConstraints restrictions) {
+    return failedRestrictedSearches.computeIfAbsent(restrictions, l -> new FailedSearchCache());
   }
 
   /** Counts a look at a machine for a job. */
   void countExamined() {
-    examined++;
+    examinedMachines++;
   }
 
   /** How often a machine was looked at for a job in this round. */
-  int examined() {
-    return examined;
+  int examinedMachines() {
+    return examinedMachines;
   }
 
   /** The zones that may take one more task of a job. */
-  Set<String> openZones(JobState entry, Map<String, Integer> perZone) {
-    Job job = entry.job;
+  Set<String> eligibleZones(JobState entry, Map<String, Integer> tasksByZone) {
+    Job job = entry.spec;
     Set<String> open = new LinkedHashSet<>();
     for (String zone : index().zones()) {
       if (job.allowsZone(zone)
-          && PlacementConstraints.zoneAccepts(job, zone, perZone, job.perZone())) {
+          && PlacementConstraints.canZoneAccept(job, zone, tasksByZone, job.maxTasksPerZone())) {
         open.add(zone);
       }
     }
@@ -233,14 +236,16 @@
   }
 
   /** Whether the job may have one more task on this machine, if there is room. */
-  boolean allowed(JobState entry, MachineState m, Map<String, Integer> perZone) {
-    Job job = entry.job;
-    if (!PlacementConstraints.kindAllowed(job, m)) {
+  boolean isAllowed(JobState entry, MachineState machine, Map<String, Integer> tasksByZone) {
+    Job job = entry.spec;
+    if (!PlacementConstraints.isMachineAllowed(job, machine)) {
       return false;
     }
-    if (entry.failures.avoids(m.name, nowMs) && entry.failures.machines().size() < index().size()) {
+    if (entry.failureHistory.isAvoided(machine.name, nowMs)
+        && entry.failureHistory.failedMachines().size() < index().size()) {
       return false;
     }
-    return PlacementConstraints.zoneAccepts(job, m.zone(), perZone, job.perZone());
+    return PlacementConstraints.canZoneAccept(
+        job, machine.zone(), tasksByZone, job.maxTasksPerZone());
   }
 }
--- a/src/main/java/eiderfork/controller/Gang.java
+++ b/src/main/java/eiderfork/controller/Gang.java
@@ -13,7 +13,7 @@
     NONE,
     /** Each task is given the time that it needs to save. */
     SAVING,
-    AT_ONCE
+    IMMEDIATE
   }
 
   private static final Logger LOG = LoggerFactory.getLogger(Gang.class);
@@ -26,12 +26,12 @@
   }
 
   /** Whether nothing of an earlier attempt is left, so that a new one may be reserved. */
-  boolean mayBegin() {
-    return job.placed.isEmpty();
+  boolean canStartAttempt() {
+    return job.reservations.isEmpty();
   }
 
   /** A new attempt is reserved. */
-  void begin() {
+  void onAttemptStarted() {
     stop = Stop.NONE;
   }
 
@@ -39,56 +39,58 @@
    * A task is gone without being done. The others can't go on, and what they did since the last
    * checkpoint is lost or saved already: a task that has saved exits only once all have.
    */
-  void taskLost() {
-    if (!job.placed.isEmpty()) {
+  void onTaskLost() {
+    if (!job.reservations.isEmpty()) {
       LOG.info(
-          "gang {}: a task has ended early, the other {} stop", job.job.uid(), job.placed.size());
+          "gang {}: a task has ended early, the other {} stop",
+          job.spec.uid(),
+          job.reservations.size());
     }
-    stop(Stop.AT_ONCE);
+    stop(Stop.IMMEDIATE);
   }
 
   /** Saves the progress of a gang that has to leave a machine, or goes on with a save under way. */
-  void save() {
+  void requestSave() {
     if (stop == Stop.NONE) {
-      LOG.info("gang {}: all tasks are told to save", job.job.uid());
+      LOG.info("gang {}: all tasks are told to save", job.spec.uid());
       stop(Stop.SAVING);
     }
   }
 
   /** Ends a gang that has just written a checkpoint, without another save. */
-  void endAfterCheckpoint() {
+  void stopAfterCheckpoint() {
     if (stop == Stop.NONE) {
-      LOG.info("gang {}: all tasks end after their checkpoint", job.job.uid());
-      stop(Stop.AT_ONCE);
+      LOG.info("gang {}: all tasks end after their checkpoint", job.spec.uid());
+      stop(Stop.IMMEDIATE);
     }
   }
 
   /** Takes back a decision to save of which nothing was sent yet. */
-  void goOn() {
+  void revokeStop() {
     stop = Stop.NONE;
-    job.placed.values().forEach(Reservation::goOn);
+    job.reservations.values().forEach(Reservation::revokeStop);
   }
 
   /**
    * The cloud takes one of the gang's machines away in {@code noticeS}. The progress is saved where
    * there is time for it; otherwise the gang goes on, since it may be done before.
    */
-  void machineNoticed(double noticeS) {
-    if (job.job.checkpointS() > 0 && noticeS > job.job.saveS()) {
-      save();
+  void onTerminationNotice(double noticeS) {
+    if (job.spec.checkpointIntervalS() > 0 && noticeS > job.spec.saveDurationS()) {
+      requestSave();
     }
   }
 
   private void stop(Stop how) {
     stop = how;
-    for (Reservation task : job.placed.values()) {
-      task.stop();
-      task.machine.setUrgent();
+    for (Reservation task : job.reservations.values()) {
+      task.requestStop();
+      task.machine.requestCommand();
     }
   }
 
   /** The time that a task gets to save when it is told to stop. */
-  double graceS() {
-    return stop == Stop.SAVING ? job.job.saveS() : 0;
+  double stopGraceS() {
+    return stop == Stop.SAVING ? job.spec.saveDurationS() : 0;
   }
 }
--- a/src/main/java/eiderfork/controller/GangScheduler.java
+++ b/src/main/java/eiderfork/controller/GangScheduler.java
@@ -14,26 +14,34 @@
   private static final Logger LOG = LoggerFactory.getLogger(GangScheduler.class);
 
   private final JobRegistry jobs;
-  private final FreeCapacity room;
+  private final FreeCapacity capacity;
   private final RandomGenerator random;
-  private final double fullSearchMost;
+  private final double maxFullSearchExaminations;
 
   /**
-   * @param fullSearchMost past this many looks at machines in a round a search takes a sample
+   * @param maxFullSearchExaminations past this many looks at machines in a round a search takes a
+   *     sample
    */
   GangScheduler(
-      JobRegistry jobs, FreeCapacity room, RandomGenerator random, double fullSearchMost) {
+      JobRegistry jobs,
+      FreeCapacity capacity,
+      RandomGenerator random,
+      double maxFullSearchExaminations) {
     this.jobs = jobs;
-    this.room = room;
+    this.capacity = capacity;
     this.random = random;
-    this.fullSearchMost = fullSearchMost;
+    this.maxFullSearchExaminations = maxFullSearchExaminations;
   }
 
   /** Proposes reservations for the whole gang; whether there was room for it. */
   boolean place(
-      JobState entry, MachineScorer score, AllocationSizeLimit stored, SearchConstraints limits) {
-    for (Map<String, Integer> perZone : zoneChoices(entry)) {
-      if (holdsAll(entry, perZone, limits) && placeIn(perZone, entry, score, stored, limits)) {
+      JobState job,
+      MachineScorer scorer,
+      AllocationSizeLimit stored,
+      SearchConstraints restrictions) {
+    for (Map<String, Integer> tasksByZone : zoneCandidates(job)) {
+      if (hasCapacityForAll(job, tasksByZone, restrictions)
+          && placeInZones(tasksByZone, job, scorer, stored, restrictions)) {
         return true;
       }
     }
@@ -41,9 +49,9 @@
   }
 
   /** Has room made for the whole gang; whether that is under way. */
-  boolean makeRoom(JobState entry, PreemptionPlanner preemption) {
-    for (Map<String, Integer> perZone : zoneChoices(entry)) {
-      if (preemption.makeRoomForAll(entry, perZone)) {
+  boolean preempt(JobState job, PreemptionPlanner preemption) {
+    for (Map<String, Integer> tasksByZone : zoneCandidates(job)) {
+      if (preemption.preemptForGang(job, tasksByZone)) {
         return true;
       }
     }
@@ -55,60 +63,75 @@
    * tried in one after the other: the best machine for its first task may stand where the others
    * find no room.
    */
-  private List<Map<String, Integer>> zoneChoices(JobState entry) {
+  private List<Map<String, Integer>> zoneCandidates(JobState job) {
     List<Map<String, Integer>> choices = new ArrayList<>();
-    if (!entry.job.oneZone()) {
+    if (!job.spec.singleZone()) {
       choices.add(new HashMap<>());
       return choices;
     }
-    for (String zone : room.openZones(entry, Map.of())) {
-      Map<String, Integer> perZone = new HashMap<>();
-      perZone.put(zone, 0);
-      choices.add(perZone);
+    for (String zone : capacity.eligibleZones(job, Map.of())) {
+      Map<String, Integer> tasksByZone = new HashMap<>();
+      tasksByZone.put(zone, 0);
+      choices.add(tasksByZone);
     }
     return choices;
   }
 
   /** Whether the machines have room for every task, before any of them is looked at closely. */
-  private boolean holdsAll(JobState entry, Map<String, Integer> perZone, SearchConstraints limits) {
-    Job job = entry.job;
+  private boolean hasCapacityForAll(
+      JobState entry, Map<String, Integer> tasksByZone, SearchConstraints restrictions) {
+    Job job = entry.spec;
     Map<String, Integer> fitting = new HashMap<>();
-    for (MachineState machine : room.candidates(job, room.openZones(entry, perZone))) {
-      room.countExamined();
-      int fits = room.of(machine, entry, limits.borrows()).count(job.need());
-      if (fits > 0 && room.isUsable(machine) && room.allowed(entry, machine, perZone)) {
+    for (MachineState machine :
+        capacity.candidates(job, capacity.eligibleZones(entry, tasksByZone))) {
+      capacity.countExamined();
+      int fits =
+          capacity
+              .freeOn(machine, entry, restrictions.excludesReclaimed())
+              .countFitting(job.taskResources());
+      if (fits > 0
+          && capacity.isUsable(machine)
+          && capacity.isAllowed(entry, machine, tasksByZone)) {
         fitting.merge(machine.zone(), Math.min(fits, job.tasks()), Integer::sum);
       }
     }
     int total = 0;
     for (int tasks : fitting.values()) {
-      total += Math.min(tasks, job.perZone());
+      total += Math.min(tasks, job.maxTasksPerZone());
     }
     return total >= job.tasks();
   }
 
-  private boolean placeIn(
-      Map<String, Integer> perZone,
-      JobState entry,
-      MachineScorer score,
+  private boolean placeInZones(
+      Map<String, Integer> tasksByZone,
+      JobState job,
+      MachineScorer scorer,
       AllocationSizeLimit stored,
-      SearchConstraints limits) {
-    long attempt = entry.nextAttempt();
+      SearchConstraints restrictions) {
+    long attempt = job.nextAttemptNumber();
     List<Reservation> proposed = new ArrayList<>();
     MachineSearch search =
-        new MachineSearch(room, score, random, fullSearchMost, entry, perZone, false, limits);
-    for (int index = 0; index < entry.job.tasks(); index++) {
-      MachineState machine = search.best();
+        new MachineSearch(
+            capacity,
+            scorer,
+            random,
+            maxFullSearchExaminations,
+            job,
+            tasksByZone,
+            false,
+            restrictions);
+    for (int index = 0; index < job.spec.tasks(); index++) {
+      MachineState machine = search.bestMachine();
       if (machine == null || !stored.fits(index, attempt, machine.name)) {
-        proposed.forEach(jobs::withdraw);
+        proposed.forEach(jobs::withdrawProposal);
         return false;
       }
-      proposed.add(jobs.propose(entry, index, attempt, machine));
+      proposed.add(jobs.propose(job, index, attempt, machine));
       stored.add(index, attempt, machine.name);
-      perZone.merge(machine.zone(), 1, Integer::sum);
-      search.taken();
+      tasksByZone.merge(machine.zone(), 1, Integer::sum);
+      search.taskPlaced();
     }
-    LOG.debug("gang {} of {}: attempt {}", entry.job.uid(), entry.job.jobClass(), attempt);
+    LOG.debug("gang {} of {}: attempt {}", job.spec.uid(), job.spec.jobClass(), attempt);
     return true;
   }
 }
--- a/src/main/java/eiderfork/controller/GpuHeadroom.java
+++ b/src/main/java/eiderfork/controller/GpuHeadroom.java
@@ -7,19 +7,19 @@
 /** Which jobs have to leave free GPUs the processors that GPU work takes, while such work waits. */
 final class GpuHeadroom {
   private final ControllerContext context;
-  private boolean gpusWanted;
+  private boolean isGpuWorkWaiting;
 
   GpuHeadroom(ControllerContext context) {
     this.context = context;
   }
 
   /** Begins a round with these jobs. */
-  void begin(List<JobState> ranked) {
-    gpusWanted = ranked.stream().anyMatch(GpuHeadroom::waitsForGpus);
+  void beginRound(List<JobState> ranked) {
+    isGpuWorkWaiting = ranked.stream().anyMatch(GpuHeadroom::isWaitingForGpus);
   }
 
-  private static boolean waitsForGpus(JobState entry) {
-    return !entry.waiting.isEmpty() && entry.job.need().gpus() > 0;
+  private static boolean isWaitingForGpus(JobState job) {
+    return !job.pendingTasks.isEmpty() && job.spec.taskResources().gpus() > 0;
   }
 
   /**
@@ -27,10 +27,10 @@
    * 132 GPUs of spot machines idle for minutes, since work of one priority does not preempt. Such
    * an array does not wait for ever, and less long where it has not begun.
    */
-  boolean isFrom(JobState entry) {
-    long sparesMs = QueueOrder.LATE_TURN_MS * (entry.lastAttempt == 0 ? 1 : 2);
-    boolean overdue = context.nowMs - entry.sinceMs > sparesMs;
-    boolean withoutGpus = entry.job.kind() == JobKind.ARRAY && entry.job.need().gpus() <= 0;
-    return gpusWanted && withoutGpus && !overdue;
+  boolean appliesTo(JobState job) {
+    long sparesMs = QueueOrder.OVERDUE_MS * (job.lastAttempt == 0 ? 1 : 2);
+    boolean overdue = context.nowMs - job.firstSeenMs > sparesMs;
+    boolean withoutGpus = job.spec.kind() == JobKind.ARRAY && job.spec.taskResources().gpus() <= 0;
+    return isGpuWorkWaiting && withoutGpus && !overdue;
   }
 }
--- a/src/main/java/eiderfork/controller/HeartbeatHandler.java
+++ b/src/main/java/eiderfork/controller/HeartbeatHandler.java
@@ -18,64 +18,64 @@
   private static final int LOST_LEADER_STEPS = 3;
 
   private final ControllerContext context;
-  private final LeaderElection term;
-  private final WorkerCommander workers;
+  private final LeaderElection election;
+  private final WorkerCommander commander;
   private final CancellationTracker cancellations;
   private final LeaseProxy leaseProxy;
-  private final WorkerReachability hearing;
-  private final PendingHeartbeats parked;
-  private final WorkerRedirector redirects;
+  private final WorkerReachability reachability;
+  private final DeferredHeartbeats deferredHeartbeats;
+  private final WorkerRedirector redirector;
 
   HeartbeatHandler(
       ControllerContext context,
-      LeaderElection term,
-      WorkerCommander workers,
+      LeaderElection election,
+      WorkerCommander commander,
       CancellationTracker cancellations,
       LeaseProxy leaseProxy,
-      WorkerReachability hearing) {
+      WorkerReachability reachability) {
     this.context = context;
-    this.term = term;
-    this.workers = workers;
+    this.election = election;
+    this.commander = commander;
     this.cancellations = cancellations;
     this.leaseProxy = leaseProxy;
-    this.hearing = hearing;
-    parked = new PendingHeartbeats(context);
-    redirects = new WorkerRedirector(context, term);
+    this.reachability = reachability;
+    deferredHeartbeats = new DeferredHeartbeats(context);
+    redirector = new WorkerRedirector(context, election);
   }
 
   /** A report comes. */
-  void take(long ticket, Heartbeat report) {
-    hearing.heard(report.machine().name());
-    if (answer(ticket, report)) {
+  void handle(long ticket, Heartbeat heartbeat) {
+    reachability.recordHeartbeat(heartbeat.machine().name());
+    if (tryAnswer(ticket, heartbeat)) {
       return;
     }
-    if (leaseProxy.mayAnswer(report) || mayCome() || redirects.hasLostLeader(report)) {
-      parked.add(ticket, report);
+    if (leaseProxy.canAnswer(heartbeat) || mayAnswerSoon() || redirector.hasLostLeader(heartbeat)) {
+      deferredHeartbeats.add(ticket, heartbeat);
     } else {
-      redirect(ticket, report);
+      redirect(ticket, heartbeat);
     }
   }
 
   /** Takes parked reports once more, after an input that may have changed what becomes of them. */
-  void retryParked(Input input) {
-    if (mayEndParking(input)) {
-      parked.retry(this::answerOrRedirect);
+  void retryPending(Input input) {
+    if (canResolvePending(input)) {
+      deferredHeartbeats.retry(this::answerOrRedirect);
     }
   }
 
   /** Forgets long gone redirects. */
   void tick() {
-    redirects.tick();
+    redirector.tick();
   }
 
   /** Answers a worker where this node may, as the leader or in its place; whether it did. */
-  private boolean answer(long ticket, Heartbeat report) {
-    if (term.leading() && cancellations.mayRenew()) {
-      workers.report(ticket, report);
+  private boolean tryAnswer(long ticket, Heartbeat heartbeat) {
+    if (election.isLeading() && cancellations.mayRenewLeases()) {
+      commander.handleHeartbeat(ticket, heartbeat);
       return true;
     }
-    if (leaseProxy.mayAnswer(report) && leaseProxy.ready(report)) {
-      leaseProxy.answer(ticket, report);
+    if (leaseProxy.canAnswer(heartbeat) && leaseProxy.canAnswerNow(heartbeat)) {
+      leaseProxy.answer(ticket, heartbeat);
       return true;
     }
     return false;
@@ -88,44 +88,45 @@
    *
    * @return whether the report need not wait any more
    */
-  private boolean answerOrRedirect(PendingHeartbeats.Parked it) {
-    if (answer(it.ticket(), it.report())) {
+  private boolean answerOrRedirect(DeferredHeartbeats.PendingHeartbeat pendingHeartbeat) {
+    if (tryAnswer(pendingHeartbeat.ticket(), pendingHeartbeat.heartbeat())) {
       return true;
     }
-    if (context.nowMs - it.sinceMs() < patienceMs(it.report())) {
+    if (context.nowMs - pendingHeartbeat.receivedMs()
+        < maxPendingMs(pendingHeartbeat.heartbeat())) {
       return false;
     }
-    redirect(it.ticket(), it.report());
+    redirect(pendingHeartbeat.ticket(), pendingHeartbeat.heartbeat());
     return true;
   }
 
   /** How long a report may wait here, by what this node knows now. */
-  private long patienceMs(Heartbeat report) {
-    boolean mayAnswer = leaseProxy.mayAnswer(report);
-    if (redirects.hasLostLeader(report) && !mayAnswer) {
+  private long maxPendingMs(Heartbeat heartbeat) {
+    boolean mayAnswer = leaseProxy.canAnswer(heartbeat);
+    if (redirector.hasLostLeader(heartbeat) && !mayAnswer) {
       return LOST_LEADER_STEPS * context.stepMs();
     }
-    if (!mayAnswer && !mayCome()) {
+    if (!mayAnswer && !mayAnswerSoon()) {
       return 0;
     }
-    return context.stepMs() * (mayAnswer || term.leading() ? 2 : 1);
+    return context.stepMs() * (mayAnswer || election.isLeading() ? 2 : 1);
   }
 
   /**
    * Whether this node may know soon what to answer a worker: who leads or, where it leads with a
    * sure lease, which jobs were cancelled while the state service did not serve it.
    */
-  private boolean mayCome() {
-    return term.leading() ? term.sure() : term.leader() == null;
+  private boolean mayAnswerSoon() {
+    return election.isLeading() ? election.isLeaseValid() : election.leader() == null;
   }
 
-  private void redirect(long ticket, Heartbeat report) {
-    leaseProxy.sentAway(report);
-    context.emit(new Effect.RedirectWorker(ticket, redirects.target(report)));
+  private void redirect(long ticket, Heartbeat heartbeat) {
+    leaseProxy.recordRedirect(heartbeat);
+    context.emit(new Effect.RedirectWorker(ticket, redirector.target(heartbeat)));
   }
 
   /** Whether an input can change what becomes of parked reports; most inputs can't. */
-  private static boolean mayEndParking(Input input) {
+  private static boolean canResolvePending(Input input) {
     return input instanceof Input.Tick
         || input instanceof Input.Answered
         || input instanceof Input.PeerPing;
--- a/src/main/java/eiderfork/controller/ImageFetchEstimator.java
+++ b/src/main/java/eiderfork/controller/ImageFetchEstimator.java
@@ -15,23 +15,23 @@
   }
 
   /** How long a task of this job would wait for its image here. */
-  double waitS(Job job, MachineState m) {
-    MachineType type = fleet.type(m);
+  double waitS(Job job, MachineState machine) {
+    MachineType type = fleet.typeOf(machine);
     if (job.image() == null || type == null) {
       return 0;
     }
-    if (m.images.containsKey(job.image())) {
-      return leftS(m, job.image());
+    if (machine.cachedImagesGb.containsKey(job.image())) {
+      return remainingS(machine, job.image());
     }
     double others = 0;
-    for (String image : m.images.keySet()) {
-      others += leftS(m, image);
+    for (String image : machine.cachedImagesGb.keySet()) {
+      others += remainingS(machine, image);
     }
-    return others + job.imageGb() / type.fetchGbPerS();
+    return others + job.imageGb() / type.imageFetchGbPerS();
   }
 
   /** How long the fetch of an image that the machine was given still takes. */
-  private double leftS(MachineState m, String image) {
-    return Math.max(0, (m.fetchedAtMs.getLong(image) - context.nowMs) / 1000.0);
+  private double remainingS(MachineState machine, String image) {
+    return Math.max(0, (machine.imageReadyMs.getLong(image) - context.nowMs) / 1000.0);
   }
 }
--- a/src/main/java/eiderfork/controller/JobAdmission.java
+++ b/src/main/java/eiderfork/controller/JobAdmission.java
@@ -29,45 +29,45 @@
   private static final int VERSION_RETRY_S = 2;
 
   private final ControllerContext context;
-  private final StoreClient gate;
+  private final StoreClient store;
   private final MachineRegistry fleet;
   private final ClusterVersion version;
   private final StoredJobReader storedJobs;
-  private final QueueTimeLimit waitLimit;
-  private final ObjLongConsumer<Job> accepted;
+  private final LoadShedder loadShedder;
+  private final ObjLongConsumer<Job> onAccepted;
 
   /** Submissions whose write is under way, with those that wait for its end. */
-  private final Map<String, List<Consumer<UserResponse>>> submitting = new HashMap<>();
+  private final Map<String, List<Consumer<UserResponse>>> pendingSubmissions = new HashMap<>();
 
-  private ImmutableMap<String, MachineType> storedTypes = ImmutableMap.of();
+  private ImmutableMap<String, MachineType> storedMachineTypes = ImmutableMap.of();
 
   /**
-   * @param accepted takes each job that was stored from here, with the revision of that
+   * @param onAccepted takes each job that was stored from here, with the revision of that
    */
   JobAdmission(
       ControllerContext context,
-      StoreClient gate,
+      StoreClient store,
       MachineRegistry fleet,
       ClusterVersion version,
       StoredJobReader storedJobs,
-      QueueTimeLimit waitLimit,
-      ObjLongConsumer<Job> accepted) {
+      LoadShedder loadShedder,
+      ObjLongConsumer<Job> onAccepted) {
     this.context = context;
-    this.gate = gate;
+    this.store = store;
     this.fleet = fleet;
     this.version = version;
     this.storedJobs = storedJobs;
-    this.waitLimit = waitLimit;
-    this.accepted = accepted;
+    this.loadShedder = loadShedder;
+    this.onAccepted = onAccepted;
   }
 
   /** Whether a job has to wait until every node runs the version that can carry it out. */
-  boolean waitForVersion(Job job) {
-    return job.kind() == JobKind.GANG && !version.allows(ClusterVersion.PACKED_ALLOCS);
+  boolean mustWaitForVersion(Job job) {
+    return job.kind() == JobKind.GANG && !version.isSupportedByAll(ClusterVersion.PACKED_ALLOCS);
   }
 
   /** Takes a submission where memory does not hold all that is committed. */
-  void submitUnknown(Job job, Consumer<UserResponse> answer) {
+  void admitAfterLookup(Job job, Consumer<UserResponse> answer) {
     // A known job is never judged again, so it is looked up first; not behind the polls, which
     // once held submissions up for seconds at nodes that could not reach the leader.
     storedJobs.status(
@@ -78,56 +78,57 @@
             answer.accept(UserResponse.unavailable());
           } else if (status.isPresent()) {
             answer.accept(UserResponse.ok(status.get()));
-          } else if (types().isEmpty()) {
-            loadTypes(() -> submitNew(job, answer));
+          } else if (machineTypes().isEmpty()) {
+            loadMachineTypes(() -> admitNew(job, answer));
           } else {
-            submitNew(job, answer);
+            admitNew(job, answer);
           }
         });
   }
 
-  private ImmutableMap<String, MachineType> types() {
-    return fleet.types().isEmpty() ? storedTypes : fleet.types();
+  private ImmutableMap<String, MachineType> machineTypes() {
+    return fleet.types().isEmpty() ? storedMachineTypes : fleet.types();
   }
 
-  private void loadTypes(Runnable then) {
-    gate.send(
-        new StoreRequest.Get(StoreKeys.TYPES),
+  private void loadMachineTypes(Runnable onComplete) {
+    store.send(
+        new StoreRequest.Get(StoreKeys.MACHINE_TYPES),
         RequestPriority.SUBMIT,
         reply -> {
           if (reply instanceof Reply.Value value
-              && value.record() instanceof StoredRecord.Types it) {
+              && value.record() instanceof StoredRecord.MachineTypes stored) {
             ImmutableMap.Builder<String, MachineType> builder = ImmutableMap.builder();
-            it.types().forEach(type -> builder.put(type.name(), type));
-            storedTypes = builder.buildKeepingLast();
+            stored.types().forEach(type -> builder.put(type.name(), type));
+            storedMachineTypes = builder.buildKeepingLast();
           }
-          then.run();
+          onComplete.run();
         });
   }
 
   /** Takes a submission of a job that is not known here. */
-  void submitNew(Job job, Consumer<UserResponse> answer) {
-    if (waitForVersion(job)) {
-      version.load(() -> submitIfCurrent(job, answer));
+  void admitNew(Job job, Consumer<UserResponse> answer) {
+    if (mustWaitForVersion(job)) {
+      version.loadStored(() -> admitIfVersionAllows(job, answer));
     } else {
-      submitAllowed(job, answer);
+      validateAndStore(job, answer);
     }
   }
 
-  private void submitIfCurrent(Job job, Consumer<UserResponse> answer) {
-    if (waitForVersion(job)) {
-      answer.accept(UserResponse.later(VERSION_RETRY_S, "not every node runs the new version yet"));
+  private void admitIfVersionAllows(Job job, Consumer<UserResponse> answer) {
+    if (mustWaitForVersion(job)) {
+      answer.accept(
+          UserResponse.retryAfter(VERSION_RETRY_S, "not every node runs the new version yet"));
     } else {
-      submitAllowed(job, answer);
+      validateAndStore(job, answer);
     }
   }
 
-  private void submitAllowed(Job job, Consumer<UserResponse> answer) {
-    if (types().isEmpty()) {
-      answer.accept(UserResponse.later(2, "the machine types are not known yet"));
+  private void validateAndStore(Job job, Consumer<UserResponse> answer) {
+    if (machineTypes().isEmpty()) {
+      answer.accept(UserResponse.retryAfter(2, "the machine types are not known yet"));
       return;
     }
-    String error = impossible(job);
+    String error = rejectionReason(job);
     if (error != null) {
       // Memory may lag behind a peer that took this job; only an unknown job may be refused.
       storedJobs.status(
@@ -144,19 +145,19 @@
           });
       return;
     }
-    List<Consumer<UserResponse>> waiting = submitting.get(job.uid());
+    List<Consumer<UserResponse>> waiting = pendingSubmissions.get(job.uid());
     if (waiting != null) {
       waiting.add(answer);
       return;
     }
-    if (waitLimit.refuses(gate.waitMs(RequestPriority.SUBMIT), answer)) {
+    if (loadShedder.rejects(store.writeWaitMs(RequestPriority.SUBMIT), answer)) {
       return;
     }
     waiting = new ArrayList<>();
     waiting.add(answer);
-    submitting.put(job.uid(), waiting);
-    gate.send(
-        new StoreRequest.Transact(
+    pendingSubmissions.put(job.uid(), waiting);
+    store.send(
+        new StoreRequest.Transaction(
             ImmutableList.of(
                 new StoreRequest.Condition(StoreKeys.job(job.uid()), 0),
                 // Carried out late, this write may come after the job was done and archived.
@@ -164,22 +165,22 @@
             ImmutableList.of(
                 StoreRequest.Change.put(StoreKeys.job(job.uid()), new StoredRecord.JobSpec(job)))),
         RequestPriority.SUBMIT,
-        reply -> submitted(job, reply));
+        reply -> onStoreReply(job, reply));
   }
 
-  private void submitted(Job job, Reply reply) {
-    List<Consumer<UserResponse>> waiting = submitting.remove(job.uid());
+  private void onStoreReply(Job job, Reply reply) {
+    List<Consumer<UserResponse>> waiting = pendingSubmissions.remove(job.uid());
     if (reply instanceof Reply.Committed committed) {
-      accepted.accept(job, committed.revision());
-      JobStatus status = JobState.status(job, StoredRecord.Alloc.EMPTY, 0);
+      onAccepted.accept(job, committed.revision());
+      JobStatus status = JobState.status(job, StoredRecord.Allocation.EMPTY, 0);
       waiting.get(0).accept(UserResponse.created(status));
       waiting.stream().skip(1).forEach(each -> each.accept(UserResponse.ok(status)));
     } else if (reply instanceof Reply.Conflict) {
-      answerAsStored(job.uid(), UserResponse.unavailable(), waiting);
+      respondWithStoredStatus(job.uid(), UserResponse.unavailable(), waiting);
     } else if (reply instanceof Reply.Refused refused && refused.isMalformed()) {
       // A peer may have stored it before the service's limits fell.
       UserResponse never = UserResponse.refused(400, "larger than what can be stored");
-      answerAsStored(job.uid(), never, waiting);
+      respondWithStoredStatus(job.uid(), never, waiting);
     } else {
       // It may be written yet; the user's own repeat finds out.
       waiting.forEach(each -> each.accept(UserResponse.unavailable()));
@@ -187,35 +188,36 @@
   }
 
   /** Answers with the job as it is stored, or with {@code otherwise} where it is not. */
-  private void answerAsStored(
+  private void respondWithStoredStatus(
       String uid, UserResponse otherwise, List<Consumer<UserResponse>> waiting) {
     storedJobs.status(
         uid,
         RequestPriority.SUBMIT,
         status -> {
-          UserResponse said =
+          UserResponse response =
               status == null
                   ? UserResponse.unavailable()
                   : status.map(UserResponse::ok).orElse(otherwise);
-          waiting.forEach(each -> each.accept(said));
+          waiting.forEach(each -> each.accept(response));
         });
   }
 
   /** Why a job can never run, or null. */
-  private String impossible(Job job) {
+  private String rejectionReason(Job job) {
     Team team = context.settings.teams().get(job.team());
     if (team == null) {
       return "unknown team " + job.team();
     }
     boolean fits = false;
-    for (MachineType type : types().values()) {
-      boolean zone = job.zone() == null || type.zones().contains(job.zone());
-      fits |= job.allowsType(type.name()) && zone && job.need().fitsIn(type.room());
+    for (MachineType type : machineTypes().values()) {
+      boolean zone = job.requiredZone() == null || type.zones().contains(job.requiredZone());
+      fits |= job.allowsType(type.name()) && zone && job.taskResources().fitsIn(type.capacity());
     }
     if (!fits) {
       return "a task fits no allowed machine type";
     }
-    Resources least = job.kind() == JobKind.ARRAY ? job.need() : job.need().times(job.tasks());
-    return team.withinLimit(least) ? null : "more than the limit of team " + job.team();
+    Resources least =
+        job.kind() == JobKind.ARRAY ? job.taskResources() : job.taskResources().times(job.tasks());
+    return team.isWithinLimit(least) ? null : "more than the limit of team " + job.team();
   }
 }
--- a/src/main/java/eiderfork/controller/JobArchiver.java
+++ b/src/main/java/eiderfork/controller/JobArchiver.java
@@ -28,180 +28,180 @@
   private static final Logger LOG = LoggerFactory.getLogger(JobArchiver.class);
 
   /** The archived record, and the job's own, alloc and cancellation records, which go. */
-  private static final int MOST_CHANGES_PER_JOB = 4;
+  private static final int MAX_CHANGES_PER_JOB = 4;
 
-  private static final long TELL_MS = 60_000;
+  private static final long LOG_INTERVAL_MS = 60_000;
 
   private final ControllerContext context;
-  private final StoreClient gate;
-  private final LeaderElection term;
+  private final StoreClient store;
+  private final LeaderElection election;
   private final ClusterVersion version;
   private final JobRegistry jobs;
   private final CancellationTracker cancellations;
-  private final FinishedJobSweeper sweep;
+  private final FinishedJobSweeper sweeper;
 
-  private int mostPerBatch;
-  private boolean moving;
-  private long nextTryMs;
-  private long toldMs;
-  private long archivedSinceTold;
+  private int maxJobsPerBatch;
+  private boolean moveInFlight;
+  private long nextMoveMs;
+  private long lastLoggedMs;
+  private long archivedSinceLog;
   private long generation;
 
   JobArchiver(
       ControllerContext context,
-      StoreClient gate,
-      LeaderElection term,
+      StoreClient store,
+      LeaderElection election,
       ClusterVersion version,
       JobRegistry jobs,
       CancellationTracker cancellations,
-      FinishedJobSweeper sweep) {
+      FinishedJobSweeper sweeper) {
     this.context = context;
-    this.gate = gate;
-    this.term = term;
+    this.store = store;
+    this.election = election;
     this.version = version;
     this.jobs = jobs;
     this.cancellations = cancellations;
-    this.sweep = sweep;
-    mostPerBatch = context.settings.alwaysTxnOps() / MOST_CHANGES_PER_JOB;
+    this.sweeper = sweeper;
+    maxJobsPerBatch = context.settings.safeTransactionOps() / MAX_CHANGES_PER_JOB;
   }
 
   /** A term begins or ends. */
-  void clear() {
+  void reset() {
     generation++;
-    moving = false;
-    nextTryMs = 0;
+    moveInFlight = false;
+    nextMoveMs = 0;
   }
 
   /** Moves a batch where one is due and writes are left over; only a rebuilt leader does. */
   void tick() {
     // A member of an older version would deny a job that was archived.
-    if (!version.isSettledOn(ClusterVersion.ARCHIVED_JOBS)) {
+    if (!version.isMinimumVersion(ClusterVersion.ARCHIVED_JOBS)) {
       return;
     }
-    tell();
-    if (context.nowMs >= nextTryMs) {
-      moveNext();
+    logCounts();
+    if (context.nowMs >= nextMoveMs) {
+      moveNextBatch();
     }
   }
 
-  private void moveNext() {
-    if (moving || !gate.hasSpareWrites(changesOfBatch())) {
+  private void moveNextBatch() {
+    if (moveInFlight || !store.hasSpareWriteCapacity(maxChangesPerBatch())) {
       return;
     }
-    List<JobState> batch = due();
+    List<JobState> batch = dueJobs();
     if (batch.isEmpty()) {
-      nextTryMs = context.nowMs + context.stepMs() / 5;
+      nextMoveMs = context.nowMs + context.stepMs() / 5;
     } else {
-      move(batch);
+      moveBatch(batch);
     }
   }
 
-  private int changesOfBatch() {
-    return mostPerBatch * MOST_CHANGES_PER_JOB;
+  private int maxChangesPerBatch() {
+    return maxJobsPerBatch * MAX_CHANGES_PER_JOB;
   }
 
-  private List<JobState> due() {
-    long stayMs = (long) (1000 * context.settings.operator().endedJobsStayS());
+  private List<JobState> dueJobs() {
+    long stayMs = (long) (1000 * context.settings.operator().endedJobRetentionS());
     // While some are not in memory for want of room, all that are there make room for them.
-    int most = sweep.isOpen() ? 0 : context.settings.operator().mostEndedJobs();
-    int excess = jobs.ended().size() - most;
+    int most = sweeper.isIncomplete() ? 0 : context.settings.operator().maxEndedJobs();
+    int excess = jobs.finishedJobs().size() - most;
     List<JobState> batch = new ArrayList<>();
-    for (FinishedJobs.Ended ended : jobs.ended().oldestFirst()) {
-      boolean isDue = excess-- > 0 || context.nowMs - ended.sinceMs() >= stayMs;
-      if (!isDue || batch.size() >= mostPerBatch) {
+    for (FinishedJobs.FinishedJob ended : jobs.finishedJobs().oldestFirst()) {
+      boolean isDue = excess-- > 0 || context.nowMs - ended.finishedMs() >= stayMs;
+      if (!isDue || batch.size() >= maxJobsPerBatch) {
         break;
       }
-      if (ended.entry().isArchivable()) {
-        batch.add(ended.entry());
+      if (ended.job().isArchivable()) {
+        batch.add(ended.job());
       }
     }
     return batch;
   }
 
-  private void move(List<JobState> batch) {
+  private void moveBatch(List<JobState> batch) {
     ImmutableList.Builder<StoreRequest.Condition> conditions = ImmutableList.builder();
     ImmutableList.Builder<StoreRequest.Change> changes = ImmutableList.builder();
-    conditions.add(term.condition());
-    for (JobState entry : batch) {
-      String uid = entry.job.uid();
-      conditions.add(new StoreRequest.Condition(StoreKeys.alloc(uid), entry.allocVersion));
+    conditions.add(election.leaderCondition());
+    for (JobState job : batch) {
+      String uid = job.spec.uid();
+      conditions.add(new StoreRequest.Condition(StoreKeys.alloc(uid), job.allocationVersion));
       conditions.add(new StoreRequest.Condition(StoreKeys.ended(uid), 0));
-      changes.add(StoreRequest.Change.put(StoreKeys.ended(uid), finalState(entry)));
+      changes.add(StoreRequest.Change.put(StoreKeys.ended(uid), toArchivedJob(job)));
       changes.add(StoreRequest.Change.remove(StoreKeys.job(uid)));
-      if (entry.allocVersion > 0) {
+      if (job.allocationVersion > 0) {
         changes.add(StoreRequest.Change.remove(StoreKeys.alloc(uid)));
       }
-      if (entry.aborted) {
-        changes.add(StoreRequest.Change.remove(StoreKeys.abort(uid)));
+      if (job.cancelled) {
+        changes.add(StoreRequest.Change.remove(StoreKeys.cancellation(uid)));
       }
     }
-    moving = true;
+    moveInFlight = true;
     long of = generation;
-    gate.send(
-        new StoreRequest.Transact(conditions.build(), changes.build()),
+    store.send(
+        new StoreRequest.Transaction(conditions.build(), changes.build()),
         RequestPriority.CLEANUP,
         reply -> {
           if (of == generation) {
-            moving = false;
-            answered(batch, reply);
+            moveInFlight = false;
+            onReply(batch, reply);
           }
         });
   }
 
-  private static StoredRecord.EndedJob finalState(JobState entry) {
-    JobStatus status = entry.status();
-    return new StoredRecord.EndedJob(status.stance(), status.done());
+  private static StoredRecord.ArchivedJob toArchivedJob(JobState job) {
+    JobStatus status = job.status();
+    return new StoredRecord.ArchivedJob(status.phase(), status.doneTasks());
   }
 
-  private void answered(List<JobState> batch, Reply reply) {
+  private void onReply(List<JobState> batch, Reply reply) {
     if (reply instanceof Reply.Committed) {
-      batch.forEach(this::archived);
-      moveNext();
+      batch.forEach(this::onArchived);
+      moveNextBatch();
     } else if (reply instanceof Reply.Conflict conflict) {
-      conflict(batch, conflict);
+      onConflict(batch, conflict);
     } else {
       // It may be carried out yet: the next try then finds the archived records there.
-      nextTryMs = context.nowMs + context.stepMs();
+      nextMoveMs = context.nowMs + context.stepMs();
       if (reply instanceof Reply.Refused refused && refused.isMalformed()) {
-        mostPerBatch = Math.max(1, mostPerBatch / 2);
+        maxJobsPerBatch = Math.max(1, maxJobsPerBatch / 2);
       }
     }
   }
 
-  private void conflict(List<JobState> batch, Reply.Conflict conflict) {
-    if (conflict.failed().contains(StoreKeys.LEADER)) {
-      term.conditionFailed();
+  private void onConflict(List<JobState> batch, Reply.Conflict conflict) {
+    if (conflict.failedKeys().contains(StoreKeys.LEADER)) {
+      election.leaderConditionFailed();
       return;
     }
-    for (JobState entry : batch) {
-      String uid = entry.job.uid();
-      if (conflict.failed().contains(StoreKeys.ended(uid))) {
+    for (JobState job : batch) {
+      String uid = job.spec.uid();
+      if (conflict.failedKeys().contains(StoreKeys.ended(uid))) {
         // An earlier copy of a move was carried out without an answer, or this is a late copy.
-        archived(entry);
-        jobs.removeCopy(entry);
-      } else if (conflict.failed().contains(StoreKeys.alloc(uid))) {
+        onArchived(job);
+        jobs.removeStaleSpec(job);
+      } else if (conflict.failedKeys().contains(StoreKeys.alloc(uid))) {
         LOG.error("alloc of {} is not what this leader holds; the job is not archived", uid);
-        jobs.ended().remove(uid);
+        jobs.finishedJobs().remove(uid);
       }
     }
   }
 
-  private void archived(JobState entry) {
-    archivedSinceTold++;
-    jobs.forget(entry);
-    cancellations.archived(entry.job.uid());
+  private void onArchived(JobState job) {
+    archivedSinceLog++;
+    jobs.evict(job);
+    cancellations.jobArchived(job.spec.uid());
   }
 
-  private void tell() {
-    if (context.nowMs - toldMs < TELL_MS) {
+  private void logCounts() {
+    if (context.nowMs - lastLoggedMs < LOG_INTERVAL_MS) {
       return;
     }
-    toldMs = context.nowMs;
+    lastLoggedMs = context.nowMs;
     LOG.info(
         "jobs: {} alive, {} over in memory, {} archived since this was last told",
-        jobs.active().size(),
-        jobs.ended().size(),
-        archivedSinceTold);
-    archivedSinceTold = 0;
+        jobs.activeJobs().size(),
+        jobs.finishedJobs().size(),
+        archivedSinceLog);
+    archivedSinceLog = 0;
   }
 }
--- a/src/main/java/eiderfork/controller/JobCanceller.java
+++ b/src/main/java/eiderfork/controller/JobCanceller.java
@@ -14,14 +14,14 @@
 /** Writes the cancellations that users ask for, under the condition that the job is not done. */
 final class JobCanceller {
   /** The alloc key may change in between; a few tries outlast that. */
-  private static final int ABORT_TRIES = 5;
+  private static final int MAX_ATTEMPTS = 5;
 
-  private final StoreClient gate;
+  private final StoreClient store;
   private final JobRegistry jobs;
   private final StoredJobReader storedJobs;
 
-  JobCanceller(StoreClient gate, JobRegistry jobs, StoredJobReader storedJobs) {
-    this.gate = gate;
+  JobCanceller(StoreClient store, JobRegistry jobs, StoredJobReader storedJobs) {
+    this.store = store;
     this.jobs = jobs;
     this.storedJobs = storedJobs;
   }
@@ -31,93 +31,94 @@
    *
    * @param fromMemory whether memory holds all that is committed
    */
-  void abort(String uid, boolean fromMemory, Consumer<UserResponse> answer) {
-    JobState entry = jobs.get(uid);
-    if (fromMemory && entry != null && entry.over() && entry.isKnownUnarchived()) {
-      answer.accept(UserResponse.ok(entry.status()));
+  void cancel(String uid, boolean fromMemory, Consumer<UserResponse> answer) {
+    JobState job = jobs.get(uid);
+    if (fromMemory && job != null && job.isTerminal() && job.isKnownNotArchived()) {
+      answer.accept(UserResponse.ok(job.status()));
       return;
     }
-    if (entry != null) {
-      entry.aborting = true;
+    if (job != null) {
+      job.cancelling = true;
     }
-    gate.send(
+    store.send(
         new StoreRequest.Get(StoreKeys.job(uid)),
         RequestPriority.ABORT,
         reply -> {
           if (!(reply instanceof Reply.Value spec)
               || spec.record() instanceof StoredRecord.Unreadable) {
-            abortFailed(uid, answer);
-          } else if (!(spec.record() instanceof StoredRecord.JobSpec it)) {
-            answerArchived(uid, UserResponse.refused(404, "no such job"), answer);
+            onFailed(uid, answer);
+          } else if (!(spec.record() instanceof StoredRecord.JobSpec jobSpec)) {
+            respondWithArchivedStatus(uid, UserResponse.refused(404, "no such job"), answer);
           } else {
-            tryAbort(it.job(), 0, answer);
+            tryCancel(jobSpec.job(), 0, answer);
           }
         });
   }
 
   /** Answers with the final state of an archived job, or with {@code otherwise}. */
-  private void answerArchived(String uid, UserResponse otherwise, Consumer<UserResponse> answer) {
-    storedJobs.archived(
+  private void respondWithArchivedStatus(
+      String uid, UserResponse otherwise, Consumer<UserResponse> answer) {
+    storedJobs.readArchivedStatus(
         uid,
         RequestPriority.ABORT,
         status -> {
           if (status == null) {
-            abortFailed(uid, answer);
+            onFailed(uid, answer);
           } else {
             answer.accept(status.map(UserResponse::ok).orElse(otherwise));
           }
         });
   }
 
-  private void abortFailed(String uid, Consumer<UserResponse> answer) {
-    JobState entry = jobs.get(uid);
-    if (entry != null) {
-      entry.aborting = false;
+  private void onFailed(String uid, Consumer<UserResponse> answer) {
+    JobState job = jobs.get(uid);
+    if (job != null) {
+      job.cancelling = false;
     }
     answer.accept(UserResponse.unavailable());
   }
 
-  private void tryAbort(Job job, int tries, Consumer<UserResponse> answer) {
+  private void tryCancel(Job job, int tries, Consumer<UserResponse> answer) {
     String uid = job.uid();
-    storedJobs.alloc(
+    storedJobs.readAllocation(
         job,
         RequestPriority.ABORT,
-        (alloc, version) -> {
-          if (alloc == null || tries >= ABORT_TRIES) {
-            abortFailed(uid, answer);
+        (allocation, version) -> {
+          if (allocation == null || tries >= MAX_ATTEMPTS) {
+            onFailed(uid, answer);
             return;
           }
-          if (alloc.done()) {
-            answer.accept(UserResponse.ok(JobState.status(job, alloc, 0)));
+          if (allocation.done()) {
+            answer.accept(UserResponse.ok(JobState.status(job, allocation, 0)));
             return;
           }
-          gate.send(
-              new StoreRequest.Transact(
+          store.send(
+              new StoreRequest.Transaction(
                   ImmutableList.of(
-                      new StoreRequest.Condition(StoreKeys.abort(uid), 0),
+                      new StoreRequest.Condition(StoreKeys.cancellation(uid), 0),
                       new StoreRequest.Condition(StoreKeys.alloc(uid), version),
                       // Archived, the job has no alloc record, as one that never started.
                       new StoreRequest.Condition(StoreKeys.ended(uid), 0)),
                   ImmutableList.of(
                       StoreRequest.Change.put(
-                          StoreKeys.abort(uid), new StoredRecord.Aborted(uid)))),
+                          StoreKeys.cancellation(uid), new StoredRecord.Cancellation(uid)))),
               RequestPriority.ABORT,
               reply -> {
                 if (reply instanceof Reply.Conflict conflict
-                    && conflict.failed().contains(StoreKeys.ended(uid))) {
-                  answerArchived(uid, UserResponse.unavailable(), answer);
+                    && conflict.failedKeys().contains(StoreKeys.ended(uid))) {
+                  respondWithArchivedStatus(uid, UserResponse.unavailable(), answer);
                   return;
                 }
                 boolean there =
                     reply instanceof Reply.Conflict conflict
-                        && conflict.failed().contains(StoreKeys.abort(uid));
+                        && conflict.failedKeys().contains(StoreKeys.cancellation(uid));
                 if (reply instanceof Reply.Committed || there) {
-                  jobs.markAborted(uid);
-                  answer.accept(UserResponse.ok(StoredJobReader.status(job, alloc, true)));
+                  jobs.markCancelled(uid);
+                  answer.accept(UserResponse.ok(StoredJobReader.status(job, allocation, true)));
                 } else if (reply instanceof Reply.Conflict) {
-                  tryAbort(job, tries + 1, answer);
+                  tryCancel(job, tries + 1, answer);
                 } else {
-                  abortFailed(uid, answer);
+                  onFailed(uid, answer);
                 }
               });
         });
--- a/src/main/java/eiderfork/controller/JobRegistry.java
+++ b/src/main/java/eiderfork/controller/JobRegistry.java
@@ -28,33 +28,36 @@
   private final Map<String, JobState> jobs = new LinkedHashMap<>();
 
   /** Jobs that still have something to do, so that rounds skip the long past. */
-  private final Map<String, JobState> active = new LinkedHashMap<>();
+  private final Map<String, JobState> activeJobs = new LinkedHashMap<>();
 
   /** Those of them that may have something to place or to write. */
   private final ReferenceLinkedOpenHashSet<JobState> backlog = new ReferenceLinkedOpenHashSet<>();
 
-  private final ResourceUsage tally = new ResourceUsage();
+  private final ResourceUsage resourceUsage = new ResourceUsage();
 
-  private final FinishedJobs ended = new FinishedJobs();
+  private final FinishedJobs finishedJobs = new FinishedJobs();
 
   /** Profiles in use; those of jobs that have left memory go with them. */
-  private final Interner<PlacementProfile> profiles = Interners.newWeakInterner();
+  private final Interner<PlacementProfile> profileInterner = Interners.newWeakInterner();
 
   /** Jobs of which a stored record can't be read. */
   private final Set<String> frozen = new HashSet<>();
 
   JobRegistry(
-      ControllerContext context, StoreClient gate, LeaderElection term, ClusterVersion version) {
+      ControllerContext context,
+      StoreClient store,
+      LeaderElection election,
+      ClusterVersion version) {
     this.context = context;
-    writer = new AllocationWriter(context, gate, term, version, this);
+    writer = new AllocationWriter(context, store, election, version, this);
   }
 
   void clear() {
     jobs.clear();
-    active.clear();
+    activeJobs.clear();
     backlog.clear();
-    tally.clear();
-    ended.clear();
+    resourceUsage.clear();
+    finishedJobs.clear();
     frozen.clear();
   }
 
@@ -64,77 +67,77 @@
    */
   void freeze(String uid) {
     frozen.add(uid);
-    JobState entry = jobs.get(uid);
-    if (entry != null) {
-      entry.freeze();
-      changed(entry);
+    JobState job = jobs.get(uid);
+    if (job != null) {
+      job.freeze();
+      refreshIndexes(job);
     }
   }
 
   /** Whether a job is frozen; a cancellation that was read still ends it. */
   boolean isFrozen(String uid) {
-    JobState entry = jobs.get(uid);
-    return frozen.contains(uid) && !(entry != null && entry.aborted);
+    JobState job = jobs.get(uid);
+    return frozen.contains(uid) && !(job != null && job.cancelled);
   }
 
   JobState get(String uid) {
     return jobs.get(uid);
   }
 
-  Collection<JobState> active() {
-    return active.values();
+  Collection<JobState> activeJobs() {
+    return activeJobs.values();
   }
 
   /** The active jobs that have something to place or to write. */
-  List<JobState> withWork() {
-    backlog.removeIf(entry -> !entry.hasWork());
+  List<JobState> jobsWithWork() {
+    backlog.removeIf(job -> !job.hasPendingWork());
     return new ArrayList<>(backlog);
   }
 
   /** What the tasks of active jobs take. */
-  ResourceUsage tally() {
-    return tally;
+  ResourceUsage resourceUsage() {
+    return resourceUsage;
   }
 
   /** Takes up what has changed of a job's tasks, or of whether it has something to do. */
-  void changed(JobState entry) {
-    tally.update(entry);
-    if (entry.active && entry.hasWork()) {
-      backlog.add(entry);
+  void refreshIndexes(JobState job) {
+    resourceUsage.update(job);
+    if (job.active && job.hasPendingWork()) {
+      backlog.add(job);
     }
   }
 
-  private void activate(JobState entry) {
-    entry.active = true;
-    active.put(entry.job.uid(), entry);
-    changed(entry);
+  private void activate(JobState job) {
+    job.active = true;
+    activeJobs.put(job.spec.uid(), job);
+    refreshIndexes(job);
   }
 
-  private void deactivate(JobState entry) {
-    entry.active = false;
-    active.remove(entry.job.uid(), entry);
-    backlog.remove(entry);
-    tally.update(entry);
+  private void deactivate(JobState job) {
+    job.active = false;
+    activeJobs.remove(job.spec.uid(), job);
+    backlog.remove(job);
+    resourceUsage.update(job);
   }
 
   /** The jobs that are over and of which nothing is left. */
-  FinishedJobs ended() {
-    return ended;
+  FinishedJobs finishedJobs() {
+    return finishedJobs;
   }
 
   /** Drops a job that memory has no use for any more. */
-  void forget(JobState entry) {
-    String uid = entry.job.uid();
-    if (jobs.remove(uid, entry)) {
-      deactivate(entry);
-      ended.remove(uid);
-      List.copyOf(entry.placed.values()).forEach(JobRegistry::drop);
+  void evict(JobState job) {
+    String uid = job.spec.uid();
+    if (jobs.remove(uid, job)) {
+      deactivate(job);
+      finishedJobs.remove(uid);
+      List.copyOf(job.reservations.values()).forEach(JobRegistry::detach);
     }
   }
 
   /** Removes what a late copy of an archived job's submission has left of it. */
-  void removeCopy(JobState entry) {
-    writer.removeCopy(entry);
+  void removeStaleSpec(JobState job) {
+    writer.removeStaleSpec(job);
   }
 
   int size() {
@@ -142,68 +145,69 @@
   }
 
   /** Takes a job that the state service holds; a known one stays as it is. */
-  JobState add(Job job, long order) {
+  JobState add(Job job, long specVersion) {
     JobState known = jobs.get(job.uid());
     if (known != null) {
       return known;
     }
     Backoff writeBackoff = new Backoff(context.stepMs() / 5, context.stepMs() * 2);
-    Backoff sizeBackoff = new Backoff(context.stepMs(), context.leaseMs());
-    PlacementProfile profile = profiles.intern(PlacementProfile.of(job));
+    Backoff sizeBackoff = new Backoff(context.stepMs(), context.workerLeaseMs());
+    PlacementProfile profile = profileInterner.intern(PlacementProfile.of(job));
     FailureHistory failures = new FailureHistory(context.stepMs());
     JobState entry =
-        new JobState(job, profile, order, context.nowMs, writeBackoff, sizeBackoff, failures);
+        new JobState(job, profile, specVersion, context.nowMs, writeBackoff, sizeBackoff, failures);
     jobs.put(job.uid(), entry);
     activate(entry);
     return entry;
   }
 
   /** Takes the reservations of a rebuilt job. */
-  void restore(JobState entry, StoredRecord.Alloc alloc, long version, MachineRegistry fleet) {
-    entry.committed = alloc;
-    entry.allocVersion = version;
-    entry.lastAttempt = alloc.lastAttempt();
-    for (StoredRecord.Range range : alloc.finished()) {
-      entry.finished.set(range.from(), range.to() + 1);
-      entry.waiting.clear(range.from(), range.to() + 1);
+  void restoreAllocation(
+      JobState job, StoredRecord.Allocation allocation, long version, MachineRegistry fleet) {
+    job.committedAllocation = allocation;
+    job.allocationVersion = version;
+    job.lastAttempt = allocation.lastAttempt();
+    for (StoredRecord.TaskRange range : allocation.finished()) {
+      job.finishedTasks.set(range.from(), range.to() + 1);
+      job.pendingTasks.clear(range.from(), range.to() + 1);
     }
-    for (StoredRecord.Span span : alloc.reserved()) {
-      MachineState machine = fleet.known(span.machine());
+    for (StoredRecord.ReservedRange span : allocation.reserved()) {
+      MachineState machine = fleet.getOrRegister(span.machine());
       for (int index = span.from(); index <= span.to(); index++) {
-        Reservation p = new Reservation(entry, index, span.attempt(), machine);
-        p.committed = true;
-        entry.placed.put(index, p);
-        entry.waiting.clear(index);
-        machine.add(p);
-        if (entry.aborted) {
-          machine.setUrgent();
+        Reservation reservation = new Reservation(job, index, span.attempt(), machine);
+        reservation.committed = true;
+        job.reservations.put(index, reservation);
+        job.pendingTasks.clear(index);
+        machine.addReservation(reservation);
+        if (job.cancelled) {
+          machine.requestCommand();
         }
       }
     }
-    if (entry.job.kind() == JobKind.ARRAY) {
-      entry.failures.restored(alloc, entry.job.tasks());
+    if (job.spec.kind() == JobKind.ARRAY) {
+      job.failureHistory.restore(allocation, job.spec.tasks());
     }
-    restoreGang(entry);
-    if (alloc.done()) {
-      retire(entry);
+    restoreGang(job);
+    if (allocation.done()) {
+      retire(job);
     } else {
       // A cancellation taken while rebuilding may have retired the job before its reservations
       // were read; they count for the quota until they are settled.
-      activate(entry);
-      ended.remove(entry.job.uid());
-      retireIfOver(entry);
+      activate(job);
+      finishedJobs.remove(job.spec.uid());
+      retireIfTerminal(job);
     }
   }
 
   /** An older leader may have seen a part of a gang end, and ended before it did what follows. */
-  private static void restoreGang(JobState entry) {
-    if (entry.gang == null || entry.aborted || entry.committed.done()) {
+  private static void restoreGang(JobState job) {
+    if (job.gang == null || job.cancelled || job.committedAllocation.done()) {
       return;
     }
-    if (!entry.finished.isEmpty()) {
-      finishGang(entry);
-    } else if (!entry.waiting.isEmpty()) {
-      entry.gang.taskLost();
+    if (!job.finishedTasks.isEmpty()) {
+      finishGang(job);
+    } else if (!job.pendingTasks.isEmpty()) {
+      job.gang.onTaskLost();
     }
   }
 
@@ -212,155 +216,155 @@
    * written. The alloc record of a cancelled service keeps its reservations, so a new leader knows
    * more than what runs now: without this, replicas went to machines that had to fetch first.
    */
-  void noteImages(MachineRegistry fleet) {
+  void restoreCachedImages(MachineRegistry fleet) {
     List<JobState> byAge = new ArrayList<>(jobs.values());
-    byAge.sort(Comparator.comparingLong(entry -> entry.allocVersion));
-    for (JobState entry : byAge) {
-      for (StoredRecord.Span span : entry.committed.reserved()) {
-        MachineState m = fleet.get(span.machine());
-        if (m != null && entry.job.image() != null) {
-          MachineType type = fleet.type(m);
-          double cacheGb = type == null ? Double.MAX_VALUE : type.cacheGb();
-          m.touchImage(entry.job.image(), entry.job.imageGb(), cacheGb);
+    byAge.sort(Comparator.comparingLong(job -> job.allocationVersion));
+    for (JobState job : byAge) {
+      for (StoredRecord.ReservedRange span : job.committedAllocation.reserved()) {
+        MachineState machine = fleet.get(span.machine());
+        if (machine != null && job.spec.image() != null) {
+          MachineType type = fleet.typeOf(machine);
+          double cacheGb = type == null ? Double.MAX_VALUE : type.imageCacheGb();
+          machine.recordImageUse(job.spec.image(), job.spec.imageGb(), cacheGb);
         }
       }
     }
   }
 
-  void markAborted(String uid) {
-    JobState entry = jobs.get(uid);
-    if (entry == null || entry.aborted) {
+  void markCancelled(String uid) {
+    JobState job = jobs.get(uid);
+    if (job == null || job.cancelled) {
       return;
     }
-    entry.aborted = true;
-    entry.waiting.clear();
-    entry.uncommitted.clear();
-    for (Reservation p : List.copyOf(entry.placed.values())) {
-      if (p.committed) {
-        p.machine.setUrgent();
-      } else if (!entry.writing) {
-        drop(p);
+    job.cancelled = true;
+    job.pendingTasks.clear();
+    job.uncommittedSettlements.clear();
+    for (Reservation reservation : List.copyOf(job.reservations.values())) {
+      if (reservation.committed) {
+        reservation.machine.requestCommand();
+      } else if (!job.writeInFlight) {
+        detach(reservation);
       }
     }
-    changed(entry);
-    retireIfOver(entry);
+    refreshIndexes(job);
+    retireIfTerminal(job);
   }
 
   /** Takes a job that is over, and of which nothing is left, out of what rounds look at. */
-  void retireIfOver(JobState entry) {
-    if (entry.over() && entry.placed.isEmpty() && !entry.writing) {
-      retire(entry);
+  void retireIfTerminal(JobState job) {
+    if (job.isTerminal() && job.reservations.isEmpty() && !job.writeInFlight) {
+      retire(job);
     }
   }
 
-  private void retire(JobState entry) {
-    deactivate(entry);
-    ended.add(entry, context.nowMs);
+  private void retire(JobState job) {
+    deactivate(job);
+    finishedJobs.add(job, context.nowMs);
   }
 
   /** A reservation is settled: the task has ended, or surely is not on its machine any more. */
-  void release(Reservation p, boolean done) {
-    JobState entry = p.job;
-    if (entry.placed.get(p.index) != p) {
+  void settle(Reservation reservation, boolean completed) {
+    JobState job = reservation.job;
+    if (job.reservations.get(reservation.taskIndex) != reservation) {
       return;
     }
-    drop(p);
-    if (entry.aborted) {
-      changed(entry);
-      retireIfOver(entry);
+    detach(reservation);
+    if (job.cancelled) {
+      refreshIndexes(job);
+      retireIfTerminal(job);
       return;
     }
-    if (done) {
-      entry.finished.set(p.index);
-      entry.failures.succeeded();
+    if (completed) {
+      job.finishedTasks.set(reservation.taskIndex);
+      job.failureHistory.recordSuccess();
     } else {
-      entry.waiting.set(p.index);
+      job.pendingTasks.set(reservation.taskIndex);
     }
-    entry.uncommitted.add(p);
-    entry.dirty = true;
-    if (entry.gang != null && done) {
-      finishGang(entry);
-    } else if (entry.gang != null) {
-      entry.gang.taskLost();
+    job.uncommittedSettlements.add(reservation);
+    job.dirty = true;
+    if (job.gang != null && completed) {
+      finishGang(job);
+    } else if (job.gang != null) {
+      job.gang.onTaskLost();
     }
-    changed(entry);
+    refreshIndexes(job);
   }
 
   /** The tasks of a gang complete together: where one is done, all are. */
-  private static void finishGang(JobState entry) {
-    for (Reservation other : List.copyOf(entry.placed.values())) {
-      drop(other);
-      entry.uncommitted.add(other);
+  private static void finishGang(JobState job) {
+    for (Reservation other : List.copyOf(job.reservations.values())) {
+      detach(other);
+      job.uncommittedSettlements.add(other);
     }
-    entry.finished.set(0, entry.job.tasks());
-    entry.waiting.clear();
-    entry.dirty = true;
+    job.finishedTasks.set(0, job.spec.tasks());
+    job.pendingTasks.clear();
+    job.dirty = true;
   }
 
   /** Has a task stopped; a gang is stopped as a whole and saves if it can. */
-  void stop(Reservation p) {
-    if (p.job.gang == null) {
-      p.stop();
+  void requestStop(Reservation reservation) {
+    if (reservation.job.gang == null) {
+      reservation.requestStop();
     } else {
-      p.job.gang.save();
+      reservation.job.gang.requestSave();
     }
-    changed(p.job);
+    refreshIndexes(reservation.job);
   }
 
   /** Takes back a decision to stop of which nothing was sent yet. */
-  void goOn(Reservation p) {
-    if (p.job.gang == null) {
-      p.goOn();
+  void revokeStop(Reservation reservation) {
+    if (reservation.job.gang == null) {
+      reservation.revokeStop();
     } else {
-      p.job.gang.goOn();
+      reservation.job.gang.revokeStop();
     }
-    changed(p.job);
+    refreshIndexes(reservation.job);
   }
 
   /** Takes back a proposal of this round. */
-  void withdraw(Reservation p) {
-    drop(p);
-    p.job.waiting.set(p.index);
-    changed(p.job);
+  void withdrawProposal(Reservation reservation) {
+    detach(reservation);
+    reservation.job.pendingTasks.set(reservation.taskIndex);
+    refreshIndexes(reservation.job);
   }
 
-  private static void drop(Reservation p) {
-    if (p.job.placed.remove(p.index) == p) {
-      p.removed();
+  private static void detach(Reservation reservation) {
+    if (reservation.job.reservations.remove(reservation.taskIndex) == reservation) {
+      reservation.onRemoved();
     }
-    p.machine.remove(p);
+    reservation.machine.removeReservation(reservation);
   }
 
   /**
    * Whether a worker must keep this attempt in its reports, because what is committed does not say
    * yet how it ended. A cleared attempt would start anew on a late repeat of its command.
    */
-  boolean mustKeep(JobState entry, long attempt, int index) {
-    for (Reservation p : entry.uncommitted) {
-      if (p.index == index && p.attempt == attempt) {
+  boolean mustRetainAttempt(JobState job, long attempt, int index) {
+    for (Reservation reservation : job.uncommittedSettlements) {
+      if (reservation.taskIndex == index && reservation.attempt == attempt) {
         return true;
       }
     }
     return false;
   }
 
-  Reservation propose(JobState entry, int index, long attempt, MachineState machine) {
-    Reservation p = new Reservation(entry, index, attempt, machine);
-    if (entry.gang != null && entry.gang.mayBegin()) {
-      entry.gang.begin();
+  Reservation propose(JobState job, int index, long attempt, MachineState machine) {
+    Reservation reservation = new Reservation(job, index, attempt, machine);
+    if (job.gang != null && job.gang.canStartAttempt()) {
+      job.gang.onAttemptStarted();
     }
-    entry.lastAttempt = attempt;
-    entry.placed.put(index, p);
-    entry.waiting.clear(index);
-    machine.add(p);
-    entry.dirty = true;
-    changed(entry);
-    return p;
+    job.lastAttempt = attempt;
+    job.reservations.put(index, reservation);
+    job.pendingTasks.clear(index);
+    machine.addReservation(reservation);
+    job.dirty = true;
+    refreshIndexes(job);
+    return reservation;
   }
 
   /** Writes what changed of a job, in one conditional write. */
-  void write(JobState entry, RequestPriority urgency) {
-    writer.write(entry, urgency);
+  void write(JobState job, RequestPriority urgency) {
+    writer.write(job, urgency);
   }
 
   void tick() {
@@ -368,12 +372,12 @@
   }
 
   /** Drops reservations that were never committed, of a job that was cancelled meanwhile. */
-  void dropUncommitted(JobState entry) {
-    for (Reservation p : List.copyOf(entry.placed.values())) {
-      if (!p.committed) {
-        drop(p);
+  void dropUncommittedReservations(JobState job) {
+    for (Reservation reservation : List.copyOf(job.reservations.values())) {
+      if (!reservation.committed) {
+        detach(reservation);
       }
     }
-    changed(entry);
+    refreshIndexes(job);
   }
 }
--- a/src/main/java/eiderfork/controller/JobState.java
+++ b/src/main/java/eiderfork/controller/JobState.java
@@ -20,25 +20,25 @@
 
 /** A job as the leader holds it. */
 final class JobState {
-  final Job job;
+  final Job spec;
 
   /** The same object for all jobs of this profile. */
   final PlacementProfile profile;
 
   /** Jobs of one rank go in the order in which the state service took them. */
-  final long order;
+  final long specVersion;
 
   /** Since when this leader knows the job. */
-  final long sinceMs;
+  final long firstSeenMs;
 
   /** What the state service holds, and the version it holds it under. */
-  StoredRecord.Alloc committed = StoredRecord.Alloc.EMPTY;
+  StoredRecord.Allocation committedAllocation = StoredRecord.Allocation.EMPTY;
 
-  long allocVersion;
-  boolean aborted;
+  long allocationVersion;
+  boolean cancelled;
 
   /** A cancellation is on its way; nothing new starts. */
-  boolean aborting;
+  boolean cancelling;
 
   /** What is in memory differs from what is committed. */
   boolean dirty;
@@ -50,87 +50,87 @@
   int stoppingTasks;
 
   /** What {@link ResourceUsage} has counted of it: its tasks, and itself. */
-  TaskCounts tallied = TaskCounts.NONE;
+  TaskCounts accountedTasks = TaskCounts.NONE;
 
-  boolean talliedActive;
+  boolean accountedActive;
 
   /** A stored record of the job can't be read. */
   private boolean frozen;
 
-  private boolean provenUnarchived;
+  private boolean confirmedNotArchived;
 
   /** A write of the alloc key is under way. */
-  boolean writing;
+  boolean writeInFlight;
 
   /**
    * The write under way says that the job is done. It may have been carried out and read by another
    * node already, whatever came back, so until it settles nobody is told the job's state from here.
    */
-  boolean ending;
+  boolean completionWriteInFlight;
 
   /** When the last write of the alloc key was handed over. */
-  long writtenMs;
+  long lastWriteMs;
 
-  long writeNotBeforeMs;
+  long writeRetryAtMs;
   final Backoff writeBackoff;
 
   /** Between writes of a record that is larger than the service takes. */
-  final Backoff sizeBackoff;
+  final Backoff oversizeBackoff;
 
   /** Until when the job is not written, since its record was too large. */
   private long writesBlockedUntilMs;
 
   long lastAttempt;
-  final Int2ObjectSortedMap<Reservation> placed = new Int2ObjectAVLTreeMap<>();
+  final Int2ObjectSortedMap<Reservation> reservations = new Int2ObjectAVLTreeMap<>();
 
   /** Settled reservations whose settlement is not committed yet: not to be cleared. */
-  final Set<Reservation> uncommitted = new LinkedHashSet<>();
+  final Set<Reservation> uncommittedSettlements = new LinkedHashSet<>();
 
-  final BitSet finished = new BitSet();
+  final BitSet finishedTasks = new BitSet();
 
   /** Room was examined where the image comes in time; once is enough. */
-  boolean soughtBetter;
+  boolean cachedImageSearched;
 
   /** What the tasks of a gang have in common; null for other jobs. */
   final Gang gang;
 
   /** Tasks neither placed nor finished. */
-  final BitSet waiting = new BitSet();
+  final BitSet pendingTasks = new BitSet();
 
-  final FailureHistory failures;
+  final FailureHistory failureHistory;
 
-  private final Int2IntOpenHashMap reclaims = new Int2IntOpenHashMap(0);
+  private final Int2IntOpenHashMap reclaimCounts = new Int2IntOpenHashMap(0);
 
   private long lastReclaimedMs;
 
   JobState(
-      Job job,
+      Job spec,
       PlacementProfile profile,
-      long order,
-      long sinceMs,
+      long specVersion,
+      long firstSeenMs,
       Backoff writeBackoff,
-      Backoff sizeBackoff,
-      FailureHistory failures) {
-    this.job = job;
-    this.failures = failures;
+      Backoff oversizeBackoff,
+      FailureHistory failureHistory) {
+    this.spec = spec;
+    this.failureHistory = failureHistory;
     this.profile = profile;
-    this.order = order;
-    this.sinceMs = sinceMs;
+    this.specVersion = specVersion;
+    this.firstSeenMs = firstSeenMs;
     this.writeBackoff = writeBackoff;
-    this.sizeBackoff = sizeBackoff;
-    gang = job.kind() == JobKind.GANG ? new Gang(this) : null;
-    waiting.set(0, job.tasks());
+    this.oversizeBackoff = oversizeBackoff;
+    gang = spec.kind() == JobKind.GANG ? new Gang(this) : null;
+    pendingTasks.set(0, spec.tasks());
   }
 
   /** The first task that may be tried now, or -1; of a suspected job the one that failed least. */
-  int firstToTry(long nowMs) {
-    int first = nextToTry(-1, nowMs, true);
-    if (!failures.isSuspected()) {
+  int firstSchedulableTask(long nowMs) {
+    int first = nextSchedulableTask(-1, nowMs, true);
+    if (!failureHistory.isSuspected()) {
       return first;
     }
     int best = first;
-    for (int index = first; index >= 0; index = nextToTry(index, nowMs, true)) {
-      if (failures.failuresOf(index) < failures.failuresOf(best)) {
+    for (int index = first; index >= 0; index = nextSchedulableTask(index, nowMs, true)) {
+      if (failureHistory.failureCount(index) < failureHistory.failureCount(best)) {
         best = index;
       }
     }
@@ -138,49 +138,49 @@
   }
 
   /** The task that may be tried after this one, or -1; of a suspected job there is one only. */
-  int nextToTry(int after, long nowMs) {
-    return nextToTry(after, nowMs, !failures.isSuspected());
+  int nextSchedulableTask(int after, long nowMs) {
+    return nextSchedulableTask(after, nowMs, !failureHistory.isSuspected());
   }
 
-  private int nextToTry(int after, long nowMs, boolean more) {
-    int index = more ? waiting.nextSetBit(after + 1) : -1;
-    while (index >= 0 && !failures.mayRetry(index, nowMs)) {
-      index = waiting.nextSetBit(index + 1);
+  private int nextSchedulableTask(int after, long nowMs, boolean moreAllowed) {
+    int index = moreAllowed ? pendingTasks.nextSetBit(after + 1) : -1;
+    while (index >= 0 && !failureHistory.canRetry(index, nowMs)) {
+      index = pendingTasks.nextSetBit(index + 1);
     }
     return index;
   }
 
   /** Whether something of the job is to be placed or written. */
-  boolean hasWork() {
-    return !waiting.isEmpty() || dirty;
+  boolean hasPendingWork() {
+    return !pendingTasks.isEmpty() || dirty;
   }
 
-  boolean over() {
-    return aborted || committed.done();
+  boolean isTerminal() {
+    return cancelled || committedAllocation.done();
   }
 
   /**
    * How many tasks the job counts for in its team's quota. A settled reservation counts until its
    * settlement is committed: a leader that takes over before starts it again.
    */
-  int counted() {
+  int quotaTaskCount() {
     // What of a frozen job runs is not known; all of it may.
-    return frozen ? job.tasks() : placed.size() + uncommitted.size();
+    return frozen ? spec.tasks() : reservations.size() + uncommittedSettlements.size();
   }
 
   /** How many of its tasks count for the team, and which of them hold no room for long. */
-  TaskCounts counts() {
+  TaskCounts taskCounts() {
     if (frozen) {
       // Nothing of it can be relied on.
-      return new TaskCounts(job.tasks(), job.tasks(), 0);
+      return new TaskCounts(spec.tasks(), spec.tasks(), 0);
     }
-    int stopping = aborted ? placed.size() : stoppingTasks;
-    return new TaskCounts(counted(), stopping, uncommitted.size());
+    int stopping = cancelled ? reservations.size() : stoppingTasks;
+    return new TaskCounts(quotaTaskCount(), stopping, uncommittedSettlements.size());
   }
 
   /** One of its tasks, or the whole gang, was reclaimed; how often is a hint that may be lost. */
-  void noteReclaimed(int index, long nowMs) {
-    reclaims.addTo(gang == null ? index : 0, 1);
+  void recordReclaim(int index, long nowMs) {
+    reclaimCounts.addTo(gang == null ? index : 0, 1);
     lastReclaimedMs = nowMs;
   }
 
@@ -190,170 +190,178 @@
   }
 
   /** How often this task, or the whole gang, was reclaimed under this leader. */
-  int timesReclaimed(int index) {
-    return reclaims.get(gang == null ? index : 0);
+  int reclaimCount(int index) {
+    return reclaimCounts.get(gang == null ? index : 0);
   }
 
   /** Keeps the job from being written before that time. */
-  void blockWrites(long untilMs) {
+  void blockWritesUntil(long untilMs) {
     writesBlockedUntilMs = untilMs;
   }
 
   /** Whether a write may begin now. */
-  boolean mayWrite(long nowMs) {
-    return !writing && !aborted && !aborting && nowMs >= writesBlockedUntilMs;
+  boolean canWrite(long nowMs) {
+    return !writeInFlight && !cancelled && !cancelling && nowMs >= writesBlockedUntilMs;
   }
 
   /** The state service was asked, or a write has shown, that the job is not archived. */
-  void proveUnarchived() {
-    provenUnarchived = true;
+  void confirmNotArchived() {
+    confirmedNotArchived = true;
   }
 
   /**
    * Whether the job surely is not archived. A submission of an older version that is carried out
    * after the job was archived brings its record back; such a job has no alloc record.
    */
-  boolean isKnownUnarchived() {
-    return provenUnarchived || allocVersion > 0;
+  boolean isKnownNotArchived() {
+    return confirmedNotArchived || allocationVersion > 0;
   }
 
   /** Whether nothing that is still open could change what is known of the job. */
   boolean isArchivable() {
-    return over() && placed.isEmpty() && uncommitted.isEmpty() && !writing && !frozen;
+    return isTerminal()
+        && reservations.isEmpty()
+        && uncommittedSettlements.isEmpty()
+        && !writeInFlight
+        && !frozen;
   }
 
   void freeze() {
     frozen = true;
-    waiting.clear();
+    pendingTasks.clear();
   }
 
   /** The number that the next attempts get, larger than that of any before. */
-  long nextAttempt() {
-    return Math.max(lastAttempt, committed.lastAttempt()) + 1;
+  long nextAttemptNumber() {
+    return Math.max(lastAttempt, committedAllocation.lastAttempt()) + 1;
   }
 
   /** How long a task that is told to stop may take to save. */
   double stopGraceS() {
-    if (aborted) {
+    if (cancelled) {
       // Nobody wants what a cancelled task saves.
       return 0;
     }
-    return gang == null ? job.saveS() : gang.graceS();
+    return gang == null ? spec.saveDurationS() : gang.stopGraceS();
   }
 
-  boolean allFinished() {
-    return finished.cardinality() == job.tasks();
+  boolean hasAllTasksFinished() {
+    return finishedTasks.cardinality() == spec.tasks();
   }
 
   JobStatus status() {
-    if (aborted) {
-      return new JobStatus(job.uid(), JobStatus.Stance.ABORTED, committedDone(committed), 0);
+    if (cancelled) {
+      return new JobStatus(
+          spec.uid(), JobStatus.Phase.ABORTED, countFinishedTasks(committedAllocation), 0);
     }
-    return status(job, committed, countRunning());
+    return status(spec, committedAllocation, countRunningTasks());
   }
 
-  private int countRunning() {
+  private int countRunningTasks() {
     int n = 0;
-    for (Reservation p : placed.values()) {
-      n += isShownRunning(p.seen) ? 1 : 0;
+    for (Reservation reservation : reservations.values()) {
+      n += isReportedRunning(reservation.reportedState) ? 1 : 0;
     }
     return n;
   }
 
   /** A gang does not run before all of its tasks do; a replica that fetches is on its way. */
-  private boolean isShownRunning(TaskStatus.State seen) {
+  private boolean isReportedRunning(TaskStatus.State seen) {
     if (seen == null || seen == TaskStatus.State.ENDED) {
       return false;
     }
-    return gang == null || seen != TaskStatus.State.FETCHING && seen != TaskStatus.State.GATHERING;
+    return gang == null
+        || seen != TaskStatus.State.FETCHING && seen != TaskStatus.State.WAITING_FOR_GANG;
   }
 
-  static JobStatus status(Job job, StoredRecord.Alloc alloc, int running) {
-    int done = committedDone(alloc);
-    if (alloc.done()) {
-      return new JobStatus(job.uid(), JobStatus.Stance.DONE, job.tasks(), 0);
+  static JobStatus status(Job job, StoredRecord.Allocation allocation, int running) {
+    int done = countFinishedTasks(allocation);
+    if (allocation.done()) {
+      return new JobStatus(job.uid(), JobStatus.Phase.DONE, job.tasks(), 0);
     }
     return new JobStatus(
-        job.uid(),
-        running > 0 ? JobStatus.Stance.RUNNING : JobStatus.Stance.PENDING,
-        done,
-        running);
+        job.uid(), running > 0 ? JobStatus.Phase.RUNNING : JobStatus.Phase.PENDING, done, running);
   }
 
-  static int committedDone(StoredRecord.Alloc alloc) {
+  static int countFinishedTasks(StoredRecord.Allocation allocation) {
     int n = 0;
-    for (StoredRecord.Range range : alloc.finished()) {
+    for (StoredRecord.TaskRange range : allocation.finished()) {
       n += range.to() - range.from() + 1;
     }
     return n;
   }
 
   /** What the plain form of the alloc record may take, with all that is reserved now. */
-  PlainAllocationSize size() {
-    PlainAllocationSize size = new PlainAllocationSize(job.tasks(), finishedRanges());
-    addPlaced(size);
+  PlainAllocationSize plainSize() {
+    PlainAllocationSize size = new PlainAllocationSize(spec.tasks(), countFinishedRanges());
+    addReservations(size);
     return size;
   }
 
   /** The same for the packed form. */
   PackedAllocationSize packedSize() {
-    PackedAllocationSize size = new PackedAllocationSize(job.tasks(), finishedRanges());
-    addPlaced(size);
+    PackedAllocationSize size = new PackedAllocationSize(spec.tasks(), countFinishedRanges());
+    addReservations(size);
     return size;
   }
 
   /** The same for the bitmap form. */
   BitmapAllocationSize bitmapSize() {
-    BitmapAllocationSize size = new BitmapAllocationSize(job.tasks(), finished);
-    for (Reservation p : placed.values()) {
-      size.addStanding(p.index, p.attempt, p.machine.name);
+    BitmapAllocationSize size = new BitmapAllocationSize(spec.tasks(), finishedTasks);
+    for (Reservation reservation : reservations.values()) {
+      size.addExisting(reservation.taskIndex, reservation.attempt, reservation.machine.name);
     }
     return size;
   }
 
-  private void addPlaced(AllocationSize size) {
-    for (Reservation p : placed.values()) {
-      size.add(p.index, p.attempt, p.machine.name);
+  private void addReservations(AllocationSize size) {
+    for (Reservation reservation : reservations.values()) {
+      size.add(reservation.taskIndex, reservation.attempt, reservation.machine.name);
     }
   }
 
-  private int finishedRanges() {
+  private int countFinishedRanges() {
     int ranges = 0;
-    for (int from = finished.nextSetBit(0);
+    for (int from = finishedTasks.nextSetBit(0);
         from >= 0;
-        from = finished.nextSetBit(finished.nextClearBit(from))) {
+        from = finishedTasks.nextSetBit(finishedTasks.nextClearBit(from))) {
       ranges++;
     }
     return ranges;
   }
 
   /** The alloc record that says what is in memory now. */
-  StoredRecord.Alloc toRecord() {
-    ImmutableList.Builder<StoredRecord.Span> spans = ImmutableList.builder();
-    StoredRecord.Span open = null;
-    for (Reservation p : placed.values()) {
-      String machine = p.machine.name;
+  StoredRecord.Allocation toAllocation() {
+    ImmutableList.Builder<StoredRecord.ReservedRange> spans = ImmutableList.builder();
+    StoredRecord.ReservedRange open = null;
+    for (Reservation reservation : reservations.values()) {
+      String machine = reservation.machine.name;
       if (open != null
-          && open.to() == p.index - 1
-          && open.attempt() == p.attempt
+          && open.to() == reservation.taskIndex - 1
+          && open.attempt() == reservation.attempt
           && open.machine().equals(machine)) {
-        open = new StoredRecord.Span(open.from(), p.index, p.attempt, machine);
+        open =
+            new StoredRecord.ReservedRange(
+                open.from(), reservation.taskIndex, reservation.attempt, machine);
       } else {
         if (open != null) {
           spans.add(open);
         }
-        open = new StoredRecord.Span(p.index, p.index, p.attempt, machine);
+        open =
+            new StoredRecord.ReservedRange(
+                reservation.taskIndex, reservation.taskIndex, reservation.attempt, machine);
       }
     }
     if (open != null) {
       spans.add(open);
     }
-    ImmutableList.Builder<StoredRecord.Range> ranges = ImmutableList.builder();
-    for (int from = finished.nextSetBit(0); from >= 0; ) {
-      int end = finished.nextClearBit(from);
-      ranges.add(new StoredRecord.Range(from, end - 1));
-      from = finished.nextSetBit(end);
+    ImmutableList.Builder<StoredRecord.TaskRange> ranges = ImmutableList.builder();
+    for (int from = finishedTasks.nextSetBit(0); from >= 0; ) {
+      int end = finishedTasks.nextClearBit(from);
+      ranges.add(new StoredRecord.TaskRange(from, end - 1));
+      from = finishedTasks.nextSetBit(end);
     }
-    return new StoredRecord.Alloc(lastAttempt, allFinished(), spans.build(), ranges.build());
+    return new StoredRecord.Allocation(
+        lastAttempt, hasAllTasksFinished(), spans.build(), ranges.build());
   }
 }
--- a/src/main/java/eiderfork/controller/LeaderRecovery.java
+++ b/src/main/java/eiderfork/controller/LeaderRecovery.java
@@ -29,89 +29,90 @@
 
   /** Cancellations come first: no worker's lease is renewed before they are known. */
   private static final ImmutableList<String> READ_BEFORE_JOBS =
-      ImmutableList.of(StoreKeys.ABORT, StoreKeys.VERSION, StoreKeys.TYPES);
+      ImmutableList.of(
+          StoreKeys.CANCELLATION_PREFIX, StoreKeys.CLUSTER_VERSION, StoreKeys.MACHINE_TYPES);
 
   /** How many jobs of a copy are taken up at a tick: some hundred milliseconds of a slow core. */
   private static final int COPIED_JOBS_PER_TICK = 1500;
 
   private static final ImmutableList<String> READ_AFTER_JOBS =
-      ImmutableList.of(StoreKeys.RENT, StoreKeys.RETURN);
+      ImmutableList.of(StoreKeys.RENT_PREFIX, StoreKeys.RETURN_PREFIX);
 
   private final ControllerContext context;
-  private final StoreClient gate;
-  private final LeaderElection term;
+  private final StoreClient store;
+  private final LeaderElection election;
   private final RangeReader reader;
-  private final JobPageReader pages;
-  private final FinishedJobSweeper sweep;
+  private final JobPageReader jobPageReader;
+  private final FinishedJobSweeper sweeper;
   private final JobRegistry jobs;
   private final MachineRegistry fleet;
   private final CloudProvisioner cloud;
-  private final Autoscaler planner;
+  private final Autoscaler autoscaler;
   private final ReadBarrier readBarrier;
   private final CancellationTracker cancellations;
   private final ClusterVersion version;
   private final Standby standby;
-  private final Consumer<Boolean> rebuilt;
-  private final Runnable kick;
+  private final Consumer<Boolean> onRecovered;
+  private final Runnable requestRound;
 
   /**
-   * @param rebuilt is called once memory holds all that was committed, with whether a copy of it
-   *     was used
-   * @param kick is called where a round has something new to place
+   * @param onRecovered is called once memory holds all that was committed, with whether a copy of
+   *     it was used
+   * @param requestRound is called where a round has something new to place
    */
   LeaderRecovery(
       ControllerContext context,
-      StoreClient gate,
-      LeaderElection term,
+      StoreClient store,
+      LeaderElection election,
       RangeReader reader,
-      JobPageReader pages,
-      FinishedJobSweeper sweep,
+      JobPageReader jobPageReader,
+      FinishedJobSweeper sweeper,
       JobRegistry jobs,
       MachineRegistry fleet,
       CloudProvisioner cloud,
-      Autoscaler planner,
+      Autoscaler autoscaler,
       ReadBarrier readBarrier,
       CancellationTracker cancellations,
       ClusterVersion version,
       Standby standby,
-      Consumer<Boolean> rebuilt,
-      Runnable kick) {
+      Consumer<Boolean> onRecovered,
+      Runnable requestRound) {
     this.context = context;
-    this.gate = gate;
-    this.term = term;
+    this.store = store;
+    this.election = election;
     this.reader = reader;
-    this.pages = pages;
-    this.sweep = sweep;
+    this.jobPageReader = jobPageReader;
+    this.sweeper = sweeper;
     this.jobs = jobs;
     this.fleet = fleet;
     this.cloud = cloud;
-    this.planner = planner;
+    this.autoscaler = autoscaler;
     this.readBarrier = readBarrier;
     this.cancellations = cancellations;
     this.version = version;
     this.standby = standby;
-    this.rebuilt = rebuilt;
-    this.kick = kick;
+    this.onRecovered = onRecovered;
+    this.requestRound = requestRound;
   }
 
   /**
    * Brings memory up to what was committed in earlier terms, from a copy that is proved whole or by
    * reading everything, and follows what comes.
    */
-  void rebuild() {
-    long number = term.number();
-    StandbyReplica copy = standby.copy();
-    if (!copy.isFollowing()) {
-      readEverything(number);
+  void recover() {
+    long leadingTerm = election.currentTerm();
+    StandbyReplica replica = standby.copy();
+    if (!replica.isFollowing()) {
+      readEverything(leadingTerm);
       return;
     }
-    copy.catchUp(
-        term.leaderRevision(),
+    replica.catchUp(
+        election.leaderRevision(),
         whole -> {
           if (whole) {
-            takeCopy(copy, number);
+            restoreFromReplica(replica, leadingTerm);
           } else {
-            readEverything(number);
+            readEverything(leadingTerm);
           }
         });
   }
@@ -121,28 +122,30 @@
    * that workers who wait are answered; jobs come some at a tick, since all of them at once once
    * kept the workers of a large cell waiting for longer than a read does.
    */
-  private void takeCopy(StandbyReplica copy, long number) {
-    copy.items(StoreKeys.ABORT).forEach(this::restore);
-    cancellations.caughtUp(copy.caughtUpMs(StoreKeys.ABORT));
-    copy.items(StoreKeys.VERSION).forEach(this::restore);
-    copy.items(StoreKeys.TYPES).forEach(this::restore);
-    reader.later(() -> takeJobs(copy, number, StoreKeys.JOB));
+  private void restoreFromReplica(StandbyReplica replica, long leadingTerm) {
+    replica.items(StoreKeys.CANCELLATION_PREFIX).forEach(this::restore);
+    cancellations.recordCaughtUp(replica.caughtUpMs(StoreKeys.CANCELLATION_PREFIX));
+    replica.items(StoreKeys.CLUSTER_VERSION).forEach(this::restore);
+    replica.items(StoreKeys.MACHINE_TYPES).forEach(this::restore);
+    reader.runAtNextTick(() -> restoreJobs(replica, leadingTerm, StoreKeys.JOB_PREFIX));
   }
 
   /** Takes up some of a copy's jobs; those that are over are left to the sweep. */
-  private void takeJobs(StandbyReplica copy, long number, String after) {
+  private void restoreJobs(StandbyReplica replica, long leadingTerm, String afterKey) {
     int taken = 0;
-    String last = after;
-    for (Reply.Item item : copy.itemsAfter(StoreKeys.JOB, after)) {
+    String last = afterKey;
+    for (Reply.Item item : replica.itemsAfter(StoreKeys.JOB_PREFIX, afterKey)) {
       if (taken >= COPIED_JOBS_PER_TICK) {
         String goOn = last;
-        reader.later(() -> takeJobs(copy, number, goOn));
+        reader.runAtNextTick(() -> restoreJobs(replica, leadingTerm, goOn));
         return;
       }
       last = item.key();
-      Reply.Item alloc = copy.item(StoreKeys.ALLOC, StoreKeys.alloc(StoreKeys.tail(item.key())));
+      Reply.Item alloc =
+          replica.item(
+              StoreKeys.ALLOC_PREFIX, StoreKeys.alloc(StoreKeys.withoutPrefix(item.key())));
       if (isOver(item, alloc)) {
-        sweep.leave();
+        sweeper.restart();
       } else {
         taken++;
         restore(item);
@@ -151,173 +154,185 @@
         }
       }
     }
-    READ_AFTER_JOBS.forEach(prefix -> copy.items(prefix).forEach(this::restore));
-    long revision = copy.revision();
-    copy.clear("this node leads");
-    allRead(number, revision, true);
+    READ_AFTER_JOBS.forEach(prefix -> replica.items(prefix).forEach(this::restore));
+    long revision = replica.revision();
+    replica.clear("this node leads");
+    finishRecovery(leadingTerm, revision, true);
   }
 
   /** Whether nothing is to be done about a job any more, and nothing known of its machines. */
   private boolean isOver(Reply.Item job, Reply.Item alloc) {
-    boolean stored = alloc != null && alloc.record() instanceof StoredRecord.Alloc;
-    StoredRecord.Alloc held =
-        stored ? (StoredRecord.Alloc) alloc.record() : StoredRecord.Alloc.EMPTY;
-    boolean cancelled = cancellations.contains(StoreKeys.tail(job.key()));
+    boolean stored = alloc != null && alloc.record() instanceof StoredRecord.Allocation;
+    StoredRecord.Allocation held =
+        stored ? (StoredRecord.Allocation) alloc.record() : StoredRecord.Allocation.EMPTY;
+    boolean cancelled = cancellations.contains(StoreKeys.withoutPrefix(job.key()));
     return held.done() || cancelled && held.reserved().isEmpty();
   }
 
-  private void readEverything(long number) {
+  private void readEverything(long leadingTerm) {
     readAll(
         READ_BEFORE_JOBS,
-        number,
+        leadingTerm,
         revision ->
-            rebuildJobs(
+            readJobs(
                 "",
-                number,
-                () -> readAll(READ_AFTER_JOBS, number, later -> allRead(number, revision, false))));
+                leadingTerm,
+                () ->
+                    readAll(
+                        READ_AFTER_JOBS,
+                        leadingTerm,
+                        later -> finishRecovery(leadingTerm, revision, false))));
   }
 
-  /** Reads the keys under one prefix after the other; {@code then} takes the first revision. */
-  private void readAll(ImmutableList<String> prefixes, long number, LongConsumer then) {
+  /**
+   * Reads the keys under one prefix after the other; {@code onComplete} takes the first revision.
+   */
+  private void readAll(ImmutableList<String> prefixes, long leadingTerm, LongConsumer onComplete) {
     String prefix = prefixes.get(0);
     ImmutableList<String> others = prefixes.subList(1, prefixes.size());
-    long askedMs = context.nowMs;
+    long requestedMs = context.nowMs;
     reader.scan(
         prefix,
         "",
-        number,
+        leadingTerm,
         this::restore,
         revision -> {
-          if (prefix.equals(StoreKeys.ABORT)) {
+          if (prefix.equals(StoreKeys.CANCELLATION_PREFIX)) {
             // Pages are read one after the other, so only the first moment is sure.
-            cancellations.caughtUp(askedMs);
+            cancellations.recordCaughtUp(requestedMs);
           }
           if (others.isEmpty()) {
-            then.accept(revision);
+            onComplete.accept(revision);
           } else {
-            readAll(others, number, later -> then.accept(revision));
+            readAll(others, leadingTerm, later -> onComplete.accept(revision));
           }
         });
   }
 
   /** Reads jobs a page at a time, and keeps of those that are over what memory has room for. */
-  private void rebuildJobs(String after, long number, Runnable then) {
-    pages.read(
-        after,
-        number,
+  private void readJobs(String afterJob, long leadingTerm, Runnable onComplete) {
+    jobPageReader.read(
+        afterJob,
+        leadingTerm,
         RequestPriority.START,
         page -> {
           page.jobs().forEach(this::restore);
           page.allocs().forEach(this::restore);
-          sweep.trim(page, after);
-          if (page.next() == null) {
-            then.run();
+          sweeper.evictExcess(page, afterJob);
+          if (page.continueAfter() == null) {
+            onComplete.run();
           } else {
-            rebuildJobs(page.next(), number, then);
+            readJobs(page.continueAfter(), leadingTerm, onComplete);
           }
         });
   }
 
-  private void allRead(long number, long revision, boolean copied) {
-    readBarrier.start(revision);
-    jobs.noteImages(fleet);
+  private void finishRecovery(long leadingTerm, long revision, boolean copied) {
+    readBarrier.advanceTo(revision);
+    jobs.restoreCachedImages(fleet);
     LOG.info("rebuilt: {} jobs, {} machines", jobs.size(), fleet.machines().size());
-    rebuilt.accept(copied);
-    follow(StoreKeys.JOB, number, revision);
-    follow(StoreKeys.ABORT, number, revision);
-    kick.run();
+    onRecovered.accept(copied);
+    follow(StoreKeys.JOB_PREFIX, leadingTerm, revision);
+    follow(StoreKeys.CANCELLATION_PREFIX, leadingTerm, revision);
+    requestRound.run();
   }
 
   private void restore(Reply.Item item) {
     StoredRecord record = item.record();
     if (record instanceof StoredRecord.Unreadable it) {
-      unreadable(item.key(), it);
+      handleUnreadable(item.key(), it);
     } else if (record instanceof StoredRecord.JobSpec spec) {
-      add(spec.job(), item.version());
-    } else if (record instanceof StoredRecord.Alloc alloc) {
-      JobState entry = jobs.get(StoreKeys.tail(item.key()));
-      if (entry != null) {
-        jobs.restore(entry, alloc, item.version(), fleet);
+      addJob(spec.job(), item.version());
+    } else if (record instanceof StoredRecord.Allocation allocation) {
+      JobState job = jobs.get(StoreKeys.withoutPrefix(item.key()));
+      if (job != null) {
+        jobs.restoreAllocation(job, allocation, item.version(), fleet);
       }
-    } else if (record instanceof StoredRecord.Aborted aborted) {
+    } else if (record instanceof StoredRecord.Cancellation aborted) {
       cancellations.read(aborted.uid());
-    } else if (record instanceof StoredRecord.Rent rent) {
+    } else if (record instanceof StoredRecord.ScaleOutIntent rent) {
       cloud.rents().restore(rent);
-    } else if (record instanceof StoredRecord.Return back) {
+    } else if (record instanceof StoredRecord.ScaleInIntent back) {
       cloud.returns().restore(item.key(), back);
     } else if (record instanceof StoredRecord.StoredVersion stored) {
-      version.read(stored, item.version());
-    } else if (record instanceof StoredRecord.Types types) {
+      version.recordStored(stored, item.version());
+    } else if (record instanceof StoredRecord.MachineTypes types) {
       fleet.types(types.types());
     }
   }
 
   /** Follows what other nodes write: submissions and cancellations. */
-  private void follow(String prefix, long number, long revision) {
-    long askedMs = context.nowMs;
-    gate.send(
+  private void follow(String prefix, long leadingTerm, long revision) {
+    long requestedMs = context.nowMs;
+    store.send(
         // Short, so that a lost reply does not leave memory behind for long.
         new StoreRequest.Watch(prefix, revision, 2 * context.stepMs()),
         RequestPriority.SUBMIT,
         reply -> {
-          if (!reader.leads(number)) {
+          if (!reader.isLeadingTerm(leadingTerm)) {
             return;
           }
           if (reply instanceof Reply.Changes changes) {
-            changes.items().forEach(this::changed);
-            if (prefix.equals(StoreKeys.ABORT)) {
-              cancellations.caughtUp(askedMs);
+            changes.items().forEach(this::applyChange);
+            if (prefix.equals(StoreKeys.CANCELLATION_PREFIX)) {
+              cancellations.recordCaughtUp(requestedMs);
               // The service forgets old changes; the readBarrier asks after none that came before.
-              readBarrier.start(changes.revision());
+              readBarrier.advanceTo(changes.revision());
             }
-            follow(prefix, number, changes.revision());
-          } else if (StoreClient.mustReadAnew(reply)) {
-            reader.scan(prefix, "", number, this::changed, seen -> follow(prefix, number, seen));
+            follow(prefix, leadingTerm, changes.revision());
+          } else if (StoreClient.requiresFullRead(reply)) {
+            reader.scan(
+                prefix,
+                "",
+                leadingTerm,
+                this::applyChange,
+                seen -> follow(prefix, leadingTerm, seen));
           } else {
-            reader.later(() -> follow(prefix, number, revision));
+            reader.runAtNextTick(() -> follow(prefix, leadingTerm, revision));
           }
         });
   }
 
   /** A job that memory can't hold truly is frozen, and the rest goes on without it. */
-  private void unreadable(String key, StoredRecord.Unreadable record) {
-    LOG.error("{} can't be read and is left as it is: {}", key, record.why());
-    if (key.startsWith(StoreKeys.JOB) || key.startsWith(StoreKeys.ALLOC)) {
-      jobs.freeze(StoreKeys.tail(key));
+  private void handleUnreadable(String key, StoredRecord.Unreadable record) {
+    LOG.error("{} can't be read and is left as it is: {}", key, record.reason());
+    if (key.startsWith(StoreKeys.JOB_PREFIX) || key.startsWith(StoreKeys.ALLOC_PREFIX)) {
+      jobs.freeze(StoreKeys.withoutPrefix(key));
     }
   }
 
   /** Takes what another node wrote. */
-  void changed(Reply.Item item) {
+  void applyChange(Reply.Item item) {
     if (item.record() == null) {
-      removed(item.key());
+      applyRemoval(item.key());
     } else if (item.record() instanceof StoredRecord.Unreadable it) {
-      unreadable(item.key(), it);
+      handleUnreadable(item.key(), it);
     } else if (item.record() instanceof StoredRecord.JobSpec spec) {
       if (jobs.get(spec.job().uid()) == null) {
-        add(spec.job(), item.version());
-        planner.arrived(spec.job());
-        kick.run();
+        addJob(spec.job(), item.version());
+        autoscaler.recordArrival(spec.job());
+        requestRound.run();
       }
-    } else if (item.record() instanceof StoredRecord.Aborted aborted) {
+    } else if (item.record() instanceof StoredRecord.Cancellation aborted) {
       cancellations.read(aborted.uid());
     }
   }
 
   /** Records of jobs and cancellations are removed only where the job is archived. */
-  private void removed(String key) {
-    if (key.startsWith(StoreKeys.ABORT)) {
-      cancellations.archived(StoreKeys.tail(key));
-    } else if (key.startsWith(StoreKeys.JOB) && jobs.get(StoreKeys.tail(key)) != null) {
-      jobs.forget(jobs.get(StoreKeys.tail(key)));
+  private void applyRemoval(String key) {
+    if (key.startsWith(StoreKeys.CANCELLATION_PREFIX)) {
+      cancellations.jobArchived(StoreKeys.withoutPrefix(key));
+    } else if (key.startsWith(StoreKeys.JOB_PREFIX)
+        && jobs.get(StoreKeys.withoutPrefix(key)) != null) {
+      jobs.evict(jobs.get(StoreKeys.withoutPrefix(key)));
     }
   }
 
   /** The two watches run side by side, so a job may come after its own cancellation. */
-  private void add(Job job, long order) {
+  private void addJob(Job job, long order) {
     jobs.add(job, order);
     if (cancellations.contains(job.uid())) {
-      jobs.markAborted(job.uid());
+      jobs.markCancelled(job.uid());
     }
   }
 }
--- a/src/main/java/eiderfork/controller/LeaseExpiry.java
+++ b/src/main/java/eiderfork/controller/LeaseExpiry.java
@@ -15,16 +15,16 @@
   private static final double SUSPECT_SHARE = 0.5;
 
   /** The same where its whole zone can't be reached, for lease proxies take until then to begin. */
-  private static final double APART_SUSPECT_SHARE = 0.75;
+  private static final double PARTITIONED_SUSPECT_SHARE = 0.75;
 
   /** A lease that has lapsed, and from when it ran. */
-  private record Lapse(MachineState machine, long leaseFromMs) {
+  private record ExpiredLease(MachineState machine, long leaseStartMs) {
     /**
      * Whether it is still the machine's lease. Of one that began later, and may have lapsed by now,
      * an older read of the records says nothing.
      */
-    boolean stands() {
-      return machine.session.leaseFromMs() == leaseFromMs;
+    boolean isCurrent() {
+      return machine.incarnation.leaseStartMs() == leaseStartMs;
     }
   }
 
@@ -32,115 +32,122 @@
   private final MachineRegistry fleet;
   private final PeerMonitor peers;
   private final MachineLiveness liveness;
-  private final WorkerLeaseLog log;
-  private final Consumer<Consumer<Set<String>>> readProxied;
-  private final Runnable kick;
-  private boolean readingProxied;
-  private long readProxiedNotBeforeMs;
+  private final WorkerLeaseLog leaseLog;
+  private final Consumer<Consumer<Set<String>>> readProxiedMachines;
+  private final Runnable requestRound;
+  private boolean proxyReadInFlight;
+  private long nextProxyReadMs;
 
   /**
-   * @param readProxied reads which machines other nodes answer in this one's place
-   * @param kick is called where a round has something new to place
+   * @param readProxiedMachines reads which machines other nodes answer in this one's place
+   * @param requestRound is called where a round has something new to place
    */
   LeaseExpiry(
       ControllerContext context,
       MachineRegistry fleet,
       PeerMonitor peers,
       MachineLiveness liveness,
-      WorkerLeaseLog log,
-      Consumer<Consumer<Set<String>>> readProxied,
-      Runnable kick) {
+      WorkerLeaseLog leaseLog,
+      Consumer<Consumer<Set<String>>> readProxiedMachines,
+      Runnable requestRound) {
     this.context = context;
     this.fleet = fleet;
     this.peers = peers;
     this.liveness = liveness;
-    this.log = log;
-    this.readProxied = readProxied;
-    this.kick = kick;
+    this.leaseLog = leaseLog;
+    this.readProxiedMachines = readProxiedMachines;
+    this.requestRound = requestRound;
   }
 
   /** A term begins; an answer to what an earlier one asked is of no use. */
-  void elected() {
-    readingProxied = false;
+  void onElected() {
+    proxyReadInFlight = false;
   }
 
   /** Whether another node answered the machine's worker in this one's place not long ago. */
-  boolean proxied(MachineState m) {
-    return m.proxiedMs > 0 && context.nowMs - m.proxiedMs <= 2 * context.stepMs();
+  boolean isProxied(MachineState machine) {
+    return machine.leaseProxySeenMs > 0
+        && context.nowMs - machine.leaseProxySeenMs <= 2 * context.stepMs();
   }
 
   /**
    * Whether a machine that is silent may be lost. For a while it is not where its whole zone can't
    * be reached, and nodes there may answer for this one.
    */
-  boolean suspected(MachineState m) {
-    double share = peers.apart(m.zone()) ? APART_SUSPECT_SHARE : SUSPECT_SHARE;
-    return !proxied(m) && liveness.silentForMs(m) > context.leaseMs() * share;
+  boolean isSuspected(MachineState machine) {
+    double share =
+        peers.isZoneUnreachable(machine.zone()) ? PARTITIONED_SUSPECT_SHARE : SUSPECT_SHARE;
+    return !isProxied(machine)
+        && liveness.sinceLastContactMs(machine) > context.workerLeaseMs() * share;
   }
 
   /** Takes the tasks off machines whose leases have lapsed, unless a leaseProxy renewed them. */
-  void settleLapsed() {
-    if (readingProxied || context.nowMs < readProxiedNotBeforeMs) {
+  void settleExpired() {
+    if (proxyReadInFlight || context.nowMs < nextProxyReadMs) {
       return;
     }
-    List<Lapse> over = new ArrayList<>();
+    List<ExpiredLease> expiredLeases = new ArrayList<>();
     boolean silent = false;
-    long suspectMs = (long) (context.leaseMs() * SUSPECT_SHARE);
-    for (MachineState m : fleet.notRenewedFor(suspectMs)) {
-      if (!m.placed.isEmpty()) {
-        if (lapsed(m)) {
-          over.add(new Lapse(m, m.session.leaseFromMs()));
+    long suspectMs = (long) (context.workerLeaseMs() * SUSPECT_SHARE);
+    for (MachineState machine : fleet.withLeaseNotRenewedFor(suspectMs)) {
+      if (!machine.reservations.isEmpty()) {
+        if (hasExpired(machine)) {
+          expiredLeases.add(new ExpiredLease(machine, machine.incarnation.leaseStartMs()));
         }
-        silent |= m.report() != null && liveness.silentForMs(m) > suspectMs;
+        silent |=
+            machine.lastHeartbeat() != null && liveness.sinceLastContactMs(machine) > suspectMs;
       }
     }
-    if (!mayBeProxied()) {
-      over.forEach(lapse -> settle(lapse.machine, 0));
-    } else if (silent || !over.isEmpty()) {
-      readingProxied = true;
-      readProxiedNotBeforeMs = context.nowMs + context.stepMs() / 2;
-      long askedMs = context.nowMs;
-      readProxied.accept(names -> proxied(over, askedMs, names));
+    if (!canBeProxied()) {
+      expiredLeases.forEach(expired -> settle(expired.machine, 0));
+    } else if (silent || !expiredLeases.isEmpty()) {
+      proxyReadInFlight = true;
+      nextProxyReadMs = context.nowMs + context.stepMs() / 2;
+      long requestedMs = context.nowMs;
+      readProxiedMachines.accept(names -> onProxiedMachinesRead(expiredLeases, requestedMs, names));
     }
   }
 
   /** Only nodes of another zone than the leader's stand in for it. */
-  private boolean mayBeProxied() {
+  private boolean canBeProxied() {
     return context.settings.peerZones().values().stream()
         .anyMatch(zone -> !zone.equals(context.settings.zone()));
   }
 
-  /** What was read after the leases in {@code over} had lapsed as far as this node knows. */
-  private void proxied(List<Lapse> over, long askedMs, Set<String> names) {
-    readingProxied = false;
-    if (names == null) {
+  /**
+   * What was read after the leases in {@code expiredLeases} had expired as far as this node knows.
+   */
+  private void onProxiedMachinesRead(
+      List<ExpiredLease> expiredLeases, long requestedMs, Set<String> machineNames) {
+    proxyReadInFlight = false;
+    if (machineNames == null) {
       return;
     }
-    for (String name : names) {
-      MachineState m = fleet.get(name);
-      if (m != null) {
-        m.proxiedMs = context.nowMs;
+    for (String name : machineNames) {
+      MachineState machine = fleet.get(name);
+      if (machine != null) {
+        machine.leaseProxySeenMs = context.nowMs;
       }
     }
-    for (Lapse lapse : over) {
-      MachineState m = lapse.machine;
-      if (fleet.get(m.name) != m) {
+    for (ExpiredLease expired : expiredLeases) {
+      MachineState machine = expired.machine;
+      if (fleet.get(machine.name) != machine) {
         continue;
       }
-      if (names.contains(m.name)) {
-        log.keptByProxy();
-      } else if (!lapse.stands()) {
-        log.outdatedRead();
+      if (machineNames.contains(machine.name)) {
+        leaseLog.keptByProxy();
+      } else if (!expired.isCurrent()) {
+        leaseLog.staleRead();
       } else {
-        settle(m, context.nowMs - askedMs);
+        settle(machine, context.nowMs - requestedMs);
       }
     }
   }
 
-  private void settle(MachineState m, long readMs) {
-    log.lapsed(m, readMs);
-    fleet.settleAll(m);
-    kick.run();
+  private void settle(MachineState machine, long readMs) {
+    leaseLog.leaseExpired(machine, readMs);
+    fleet.settleReservations(machine);
+    requestRound.run();
   }
 
   /**
@@ -149,15 +156,15 @@
    * was one: a leader that took over while a zone was cut off once left the zone's replicas
    * unplaced until the cut was over.
    */
-  boolean lapsed(MachineState m) {
-    if (!m.session.mayBeOver(context.nowMs, context.leaseMs())) {
+  boolean hasExpired(MachineState machine) {
+    if (!machine.incarnation.mayLeaseHaveExpired(context.nowMs, context.workerLeaseMs())) {
       return false;
     }
-    long olderTermsMs = liveness.shown(m) ? 0 : peers.olderTermsOverMs();
+    long olderTermsMs = liveness.hasTokenOfTerm(machine) ? 0 : peers.earlierTermsEndedMs();
     if (olderTermsMs == Long.MAX_VALUE) {
       return false;
     }
-    return m.session.isSurelyOver(
-        context.nowMs, context.leaseMs(), olderTermsMs, context.stepMs() / 2);
+    return machine.incarnation.hasLeaseSurelyExpired(
+        context.nowMs, context.workerLeaseMs(), olderTermsMs, context.stepMs() / 2);
   }
 }
--- a/src/main/java/eiderfork/controller/LeaseProxy.java
+++ b/src/main/java/eiderfork/controller/LeaseProxy.java
@@ -9,10 +9,10 @@
 import eiderfork.controller.message.StoreRequest;
 import eiderfork.controller.store.RequestPriority;
 import eiderfork.controller.store.StoreClient;
-import eiderfork.model.Command;
 import eiderfork.model.Heartbeat;
 import eiderfork.model.StoredRecord;
 import eiderfork.model.TaskStatus;
+import eiderfork.model.WorkerCommand;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -38,65 +38,65 @@
   private static final Logger LOG = LoggerFactory.getLogger(LeaseProxy.class);
 
   /** The record's lease, in leases of workers; one that is renewed now has to fit within. */
-  private static final int LIFE_LEASES = 3;
+  private static final int RECORD_TTL_LEASES = 3;
 
   /** A record's lease is renewed this many times in its life. */
-  private static final int RENEWALS = 6;
+  private static final int RENEWALS_PER_TTL = 6;
 
   /** How much of a value the names of a record may take. */
-  private static final double VALUE_SHARE = 0.8;
+  private static final double MAX_VALUE_SHARE = 0.8;
 
   /** Quotes and comma around a name. */
-  private static final int AROUND = 3;
+  private static final int BYTES_AROUND_NAME = 3;
 
   private final ControllerContext context;
-  private final StoreClient gate;
-  private final LeaderElection term;
+  private final StoreClient store;
+  private final LeaderElection election;
   private final PeerMonitor peers;
   private final CancellationTracker cancellations;
-  private final String prefix;
-  private final long lifeMs;
+  private final String keyPrefix;
+  private final long recordTtlMs;
 
   /** Counts what was begun anew, so that replies to what was given up are told. */
   private long generation;
 
   private boolean active;
-  private long lease;
-  private long leaseSureUntilMs;
+  private long recordLease;
+  private long leaseValidUntilMs;
   private long nextRenewMs;
-  private boolean leasing;
-  private boolean writing;
+  private boolean leaseRequestInFlight;
+  private boolean writeInFlight;
   private long nextWriteMs;
-  private int records;
-  private long answeredMs;
+  private int recordCount;
+  private long lastAnswerMs;
 
   /** Machines that a committed record names, and those that a next one will. */
-  private final Set<String> named = new HashSet<>();
+  private final Set<String> recordedMachines = new HashSet<>();
 
-  private final Set<String> wanted = new LinkedHashSet<>();
+  private final Set<String> pendingMachines = new LinkedHashSet<>();
 
   /** When a worker was last sent to the leader from here, and where it came back. */
-  private final Map<String, Long> sentAwayMs = new HashMap<>();
+  private final Map<String, Long> redirectedMs = new HashMap<>();
 
   LeaseProxy(
       ControllerContext context,
-      StoreClient gate,
-      LeaderElection term,
+      StoreClient store,
+      LeaderElection election,
       PeerMonitor peers,
       CancellationTracker cancellations) {
     this.context = context;
-    this.gate = gate;
-    this.term = term;
+    this.store = store;
+    this.election = election;
     this.peers = peers;
     this.cancellations = cancellations;
     // A name of this process alone: a late write of an earlier one changes nothing of its records.
-    prefix =
-        StoreKeys.LEASE_PROXY
-            + context.settings.node()
+    keyPrefix =
+        StoreKeys.LEASE_PROXY_PREFIX
+            + context.settings.nodeName()
             + "/"
             + Long.toHexString(context.random.nextLong())
             + "/";
-    lifeMs = LIFE_LEASES * context.leaseMs();
+    recordTtlMs = RECORD_TTL_LEASES * context.workerLeaseMs();
   }
 
   /**
@@ -104,79 +104,82 @@
    * worker has something to lose, stands in this zone, and the leader is out of reach from here: as
    * all of its zone is, or as the worker found that was sent there.
    */
-  boolean mayAnswer(Heartbeat report) {
-    String name = report.machine().name();
-    if (term.leading()
-        || report.tasks().isEmpty()
-        || !report.machine().zone().equals(context.settings.zone())) {
+  boolean canAnswer(Heartbeat heartbeat) {
+    String name = heartbeat.machine().name();
+    if (election.isLeading()
+        || heartbeat.tasks().isEmpty()
+        || !heartbeat.machine().zone().equals(context.settings.zone())) {
       return false;
     }
-    String leader = term.leader();
+    String leader = election.leader();
     if (leader == null) {
-      return named.contains(name);
+      return recordedMachines.contains(name);
     }
-    if (!context.settings.peers().containsKey(leader) || peers.reached(leader)) {
+    if (!context.settings.peerEndpoints().containsKey(leader) || peers.isReachable(leader)) {
       return false;
     }
     String zone = context.settings.peerZones().getOrDefault(leader, "");
     if (zone.isEmpty() || zone.equals(context.settings.zone())) {
       return false;
     }
-    Long awayMs = sentAwayMs.get(name);
+    Long awayMs = redirectedMs.get(name);
     boolean cameBack =
         awayMs != null
             && context.nowMs - awayMs > context.stepMs()
-            && context.nowMs - awayMs < context.leaseMs();
-    if (!named.contains(name) && !peers.apart(zone) && !cameBack) {
+            && context.nowMs - awayMs < context.workerLeaseMs();
+    if (!recordedMachines.contains(name) && !peers.isZoneUnreachable(zone) && !cameBack) {
       return false;
     }
-    if (!named.contains(name)) {
-      wanted.add(name);
-      begin();
+    if (!recordedMachines.contains(name)) {
+      pendingMachines.add(name);
+      start();
     }
     return true;
   }
 
   /** Whether the answer may go out now, to a worker that this node takes. */
-  boolean ready(Heartbeat report) {
-    long endMs = context.nowMs + ControllerContext.surely(context.leaseMs()) + context.stepMs() / 2;
-    return named.contains(report.machine().name())
-        && endMs < leaseSureUntilMs
-        && cancellations.mayRenew();
+  boolean canAnswerNow(Heartbeat heartbeat) {
+    long endMs =
+        context.nowMs
+            + ControllerContext.withClockDrift(context.workerLeaseMs())
+            + context.stepMs() / 2;
+    return recordedMachines.contains(heartbeat.machine().name())
+        && endMs < leaseValidUntilMs
+        && cancellations.mayRenewLeases();
   }
 
   /** Renews the worker's lease under the token that it shows, and ends what was cancelled. */
-  void answer(long ticket, Heartbeat report) {
-    answeredMs = context.nowMs;
-    ImmutableList.Builder<Command> stops = ImmutableList.builder();
-    for (TaskStatus task : report.tasks()) {
-      if (!task.ended() && cancellations.contains(task.attempt().task().job())) {
-        stops.add(new Command.Kill(task.attempt(), 0));
+  void answer(long ticket, Heartbeat heartbeat) {
+    lastAnswerMs = context.nowMs;
+    ImmutableList.Builder<WorkerCommand> stops = ImmutableList.builder();
+    for (TaskStatus task : heartbeat.tasks()) {
+      if (!task.hasEnded() && cancellations.contains(task.attempt().task().jobUid())) {
+        stops.add(new WorkerCommand.Kill(task.attempt(), 0));
       }
     }
-    context.emit(new Effect.AnswerWorker(ticket, report.token(), stops.build()));
+    context.emit(new Effect.RespondToWorker(ticket, heartbeat.fencingToken(), stops.build()));
   }
 
   /** A worker was sent to the leader. */
-  void sentAway(Heartbeat report) {
-    if (!report.tasks().isEmpty()) {
-      sentAwayMs.put(report.machine().name(), context.nowMs);
+  void recordRedirect(Heartbeat heartbeat) {
+    if (!heartbeat.tasks().isEmpty()) {
+      redirectedMs.put(heartbeat.machine().name(), context.nowMs);
     }
   }
 
   /** How many machines this node answers in the leader's place. */
-  int machineCount() {
-    return named.size();
+  int proxiedMachineCount() {
+    return recordedMachines.size();
   }
 
-  private void begin() {
+  private void start() {
     if (active) {
       return;
     }
-    LOG.info("answering workers in place of {}, who can't be reached", term.leader());
+    LOG.info("answering workers in place of {}, who can't be reached", election.leader());
     active = true;
     generation++;
-    answeredMs = context.nowMs;
+    lastAnswerMs = context.nowMs;
     readCancellations(generation, "", context.nowMs, -1);
   }
 
@@ -187,86 +190,92 @@
   void stop() {
     active = false;
     generation++;
-    named.clear();
-    wanted.clear();
-    lease = 0;
-    leaseSureUntilMs = 0;
-    leasing = false;
-    writing = false;
+    recordedMachines.clear();
+    pendingMachines.clear();
+    recordLease = 0;
+    leaseValidUntilMs = 0;
+    leaseRequestInFlight = false;
+    writeInFlight = false;
     // The times of the records of before are none of the next ones'.
     nextRenewMs = 0;
     nextWriteMs = 0;
   }
 
   void tick() {
-    sentAwayMs.values().removeIf(at -> context.nowMs - at > context.leaseMs());
+    redirectedMs.values().removeIf(at -> context.nowMs - at > context.workerLeaseMs());
     if (!active) {
       return;
     }
-    if (context.nowMs - answeredMs
-        > ControllerContext.surely(context.leaseMs()) + context.stepMs()) {
+    if (context.nowMs - lastAnswerMs
+        > ControllerContext.withClockDrift(context.workerLeaseMs()) + context.stepMs()) {
       LOG.info("no worker needs to be answered in the leader's place any more");
-      if (lease != 0) {
-        gate.send(new StoreRequest.Release(lease), RequestPriority.LEASE, reply -> {});
+      if (recordLease != 0) {
+        store.send(new StoreRequest.Release(recordLease), RequestPriority.LEASE, reply -> {});
       }
       stop();
-      cancellations.forget();
+      cancellations.reset();
       return;
     }
-    if (!leasing && context.nowMs >= nextRenewMs) {
-      lease();
+    if (!leaseRequestInFlight && context.nowMs >= nextRenewMs) {
+      recordLease();
     }
-    if (lease != 0 && !writing && !wanted.isEmpty() && context.nowMs >= nextWriteMs) {
-      write();
+    if (recordLease != 0
+        && !writeInFlight
+        && !pendingMachines.isEmpty()
+        && context.nowMs >= nextWriteMs) {
+      writeRecord();
     }
   }
 
-  private void lease() {
-    leasing = true;
+  private void recordLease() {
+    leaseRequestInFlight = true;
     long of = generation;
-    long askedMs = context.nowMs;
-    long renewed = lease;
-    gate.send(
-        renewed == 0 ? new StoreRequest.Grant(lifeMs) : new StoreRequest.Renew(renewed),
+    long requestedMs = context.nowMs;
+    long renewed = recordLease;
+    store.send(
+        renewed == 0 ? new StoreRequest.Grant(recordTtlMs) : new StoreRequest.Renew(renewed),
         RequestPriority.LEASE,
         reply -> {
           if (of != generation) {
             return;
           }
-          leasing = false;
+          leaseRequestInFlight = false;
           if (reply instanceof Reply.Leased leased) {
-            lease = renewed == 0 ? leased.lease() : renewed;
-            leaseSureUntilMs = askedMs + lifeMs - (ControllerContext.surely(lifeMs) - lifeMs);
-            nextRenewMs = askedMs + lifeMs / RENEWALS;
+            recordLease = renewed == 0 ? leased.leaseId() : renewed;
+            leaseValidUntilMs =
+                requestedMs
+                    + recordTtlMs
+                    - (ControllerContext.withClockDrift(recordTtlMs) - recordTtlMs);
+            nextRenewMs = requestedMs + recordTtlMs / RENEWALS_PER_TTL;
           } else if (reply instanceof Reply.Refused refused && refused.status() == 404) {
             // The records went with it; what they named needs new ones.
-            lease = 0;
-            leaseSureUntilMs = 0;
-            wanted.addAll(named);
-            named.clear();
+            recordLease = 0;
+            leaseValidUntilMs = 0;
+            pendingMachines.addAll(recordedMachines);
+            recordedMachines.clear();
           } else {
             nextRenewMs = context.nowMs + context.stepMs() / 2;
           }
         });
   }
 
-  private void write() {
-    writing = true;
+  private void writeRecord() {
+    writeInFlight = true;
     nextWriteMs = context.nowMs + context.stepMs() / 2;
     List<String> batch = new ArrayList<>();
-    double leftBytes = context.settings.alwaysStorableKb() * 1024 * VALUE_SHARE;
-    for (String name : wanted) {
-      leftBytes -= name.length() + AROUND;
+    double leftBytes = context.settings.safeValueKb() * 1024 * MAX_VALUE_SHARE;
+    for (String name : pendingMachines) {
+      leftBytes -= name.length() + BYTES_AROUND_NAME;
       if (leftBytes < 0) {
         break;
       }
       batch.add(name);
     }
     long of = generation;
-    long under = lease;
-    String key = prefix + ++records;
-    gate.send(
-        new StoreRequest.Transact(
+    long under = recordLease;
+    String key = keyPrefix + ++recordCount;
+    store.send(
+        new StoreRequest.Transaction(
             // A key is written once, so that a late write takes no name away.
             ImmutableList.of(new StoreRequest.Condition(key, 0)),
             ImmutableList.of(
@@ -277,92 +286,95 @@
           if (of != generation) {
             return;
           }
-          writing = false;
-          if (reply instanceof Reply.Committed && lease == under) {
-            named.addAll(batch);
-            batch.forEach(wanted::remove);
+          writeInFlight = false;
+          if (reply instanceof Reply.Committed && recordLease == under) {
+            recordedMachines.addAll(batch);
+            batch.forEach(pendingMachines::remove);
           } else if (reply instanceof Reply.Refused refused && refused.status() == 400) {
-            lease = 0;
-            leaseSureUntilMs = 0;
+            recordLease = 0;
+            leaseValidUntilMs = 0;
             nextRenewMs = context.nowMs;
-            wanted.addAll(named);
-            named.clear();
+            pendingMachines.addAll(recordedMachines);
+            recordedMachines.clear();
           }
         });
   }
 
   /** Reads which jobs were cancelled, and then follows it. */
-  private void readCancellations(long of, String after, long firstAskedMs, long firstRevision) {
-    gate.send(
-        new StoreRequest.Scan(StoreKeys.ABORT, after),
+  private void readCancellations(
+      long ofGeneration, String afterKey, long firstRequestMs, long firstRevision) {
+    store.send(
+        new StoreRequest.Scan(StoreKeys.CANCELLATION_PREFIX, afterKey),
         RequestPriority.LEASE,
         reply -> {
-          if (of != generation) {
+          if (ofGeneration != generation) {
             return;
           }
           if (!(reply instanceof Reply.Page page)) {
-            later(of, () -> readCancellations(of, after, firstAskedMs, firstRevision));
+            retryLater(
+                ofGeneration,
+                () -> readCancellations(ofGeneration, afterKey, firstRequestMs, firstRevision));
             return;
           }
-          String last = after;
+          String last = afterKey;
           for (Reply.Item item : page.items()) {
-            cancelled(item);
+            applyCancellation(item);
             last = item.key();
           }
           long revision = firstRevision < 0 ? page.revision() : firstRevision;
-          if (page.more()) {
-            readCancellations(of, last, firstAskedMs, revision);
+          if (page.hasMore()) {
+            readCancellations(ofGeneration, last, firstRequestMs, revision);
           } else {
-            cancellations.caughtUp(firstAskedMs);
-            followCancellations(of, revision);
+            cancellations.recordCaughtUp(firstRequestMs);
+            followCancellations(ofGeneration, revision);
           }
         });
   }
 
-  private void followCancellations(long of, long revision) {
-    long askedMs = context.nowMs;
-    gate.send(
-        new StoreRequest.Watch(StoreKeys.ABORT, revision, 2 * context.stepMs()),
+  private void followCancellations(long ofGeneration, long revision) {
+    long requestedMs = context.nowMs;
+    store.send(
+        new StoreRequest.Watch(StoreKeys.CANCELLATION_PREFIX, revision, 2 * context.stepMs()),
         RequestPriority.LEASE,
         reply -> {
-          if (of != generation) {
+          if (ofGeneration != generation) {
             return;
           }
           if (reply instanceof Reply.Changes changes) {
-            changes.items().forEach(this::cancelled);
-            cancellations.caughtUp(askedMs);
-            followCancellations(of, changes.revision());
-          } else if (StoreClient.mustReadAnew(reply)) {
-            readCancellations(of, "", context.nowMs, -1);
+            changes.items().forEach(this::applyCancellation);
+            cancellations.recordCaughtUp(requestedMs);
+            followCancellations(ofGeneration, changes.revision());
+          } else if (StoreClient.requiresFullRead(reply)) {
+            readCancellations(ofGeneration, "", context.nowMs, -1);
           } else {
-            later(of, () -> followCancellations(of, revision));
+            retryLater(ofGeneration, () -> followCancellations(ofGeneration, revision));
           }
         });
   }
 
-  private void cancelled(Reply.Item item) {
+  private void applyCancellation(Reply.Item item) {
     if (item.record() == null) {
-      cancellations.archived(StoreKeys.tail(item.key()));
-    } else if (item.record() instanceof StoredRecord.Aborted aborted) {
+      cancellations.jobArchived(StoreKeys.withoutPrefix(item.key()));
+    } else if (item.record() instanceof StoredRecord.Cancellation aborted) {
       cancellations.read(aborted.uid());
     }
   }
 
-  private final List<Runnable> again = new ArrayList<>();
+  private final List<Runnable> retries = new ArrayList<>();
 
-  private void later(long of, Runnable what) {
-    again.add(
+  private void retryLater(long ofGeneration, Runnable action) {
+    retries.add(
         () -> {
-          if (of == generation) {
-            what.run();
+          if (ofGeneration == generation) {
+            action.run();
           }
         });
   }
 
   /** Tries again what failed, a tick later. */
-  void retry() {
-    List<Runnable> due = List.copyOf(again);
-    again.clear();
+  void retryFailed() {
+    List<Runnable> due = List.copyOf(retries);
+    retries.clear();
     due.forEach(Runnable::run);
   }
 }
--- a/src/main/java/eiderfork/controller/MachineConsolidation.java
+++ b/src/main/java/eiderfork/controller/MachineConsolidation.java
@@ -26,98 +26,101 @@
   private static final Logger LOG = LoggerFactory.getLogger(MachineConsolidation.class);
 
   /** The most of a machine that may be in use for it to be emptied. */
-  private static final double MOST_USED = 0.6;
+  private static final double MAX_USED_SHARE = 0.6;
 
   /** A start that is undone before this time has passed does not count, by the protocol. */
-  static final long SETTLED_MS = 30_000;
+  static final long MIN_RUNNING_MS = 30_000;
 
   /** Past each of these machines one more may be emptied at the same time. */
-  private static final int MACHINES_PER_EMPTYING = 1000;
+  private static final int MACHINES_PER_DRAIN = 1000;
 
   /** How long an emptying may take before the machine is used again, in steps. */
-  private static final int EMPTYING_STEPS = 10;
+  private static final int MAX_DRAIN_STEPS = 10;
 
   /**
    * How many of the dearest machines for their tasks, and of the others, a plan looks at closely.
    */
-  private static final int TRIES = 8;
+  private static final int EXAMINED_CANDIDATES = 8;
 
   private final ControllerContext context;
   private final JobRegistry jobs;
   private final MachineRegistry fleet;
   private final MachineLiveness liveness;
-  private final Scheduler placer;
+  private final Scheduler scheduler;
 
   MachineConsolidation(
       ControllerContext context,
       JobRegistry jobs,
       MachineRegistry fleet,
       MachineLiveness liveness,
-      Scheduler placer) {
+      Scheduler scheduler) {
     this.context = context;
     this.jobs = jobs;
     this.fleet = fleet;
     this.liveness = liveness;
-    this.placer = placer;
+    this.scheduler = scheduler;
   }
 
-  /** Looks at what a plan has left over; nothing is emptied while the fleet is {@code growing}. */
-  void plan(BinPacking packing, boolean growing) {
+  /**
+   * Looks at what a plan has left over; nothing is emptied while the fleet is {@code isScalingOut}.
+   */
+  void plan(BinPacking packing, boolean isScalingOut) {
     int emptying = 0;
-    for (MachineState m : fleet.machines()) {
-      if (m.draining && context.nowMs - m.drainingSinceMs > EMPTYING_STEPS * context.stepMs()) {
+    for (MachineState machine : fleet.machines()) {
+      if (machine.draining
+          && context.nowMs - machine.drainingSinceMs > MAX_DRAIN_STEPS * context.stepMs()) {
         // Something holds on to it; it is used again.
-        m.draining = m.returning;
+        machine.draining = machine.scalingIn;
       }
-      emptying += m.draining && !m.returning ? 1 : 0;
+      emptying += machine.draining && !machine.scalingIn ? 1 : 0;
     }
-    if (growing) {
-      fleet.machines().forEach(m -> m.spareSinceMs = 0);
+    if (isScalingOut) {
+      fleet.machines().forEach(machine -> machine.drainableSinceMs = 0);
     }
-    int mayEmpty = atOnce() - emptying;
-    if (mayEmpty <= 0 || growing) {
+    int mayEmpty = maxConcurrentDrains() - emptying;
+    if (mayEmpty <= 0 || isScalingOut) {
       return;
     }
     List<Bin> candidates = candidates(packing);
-    Set<MachineState> spare = spare(candidates, packing);
-    for (MachineState m : fleet.machines()) {
-      if (!spare.contains(m)) {
-        m.spareSinceMs = 0;
-      } else if (m.spareSinceMs == 0) {
-        m.spareSinceMs = context.nowMs;
+    Set<MachineState> spare = findRemovable(candidates, packing);
+    for (MachineState machine : fleet.machines()) {
+      if (!spare.contains(machine)) {
+        machine.drainableSinceMs = 0;
+      } else if (machine.drainableSinceMs == 0) {
+        machine.drainableSinceMs = context.nowMs;
       }
     }
     for (Bin bin : candidates) {
-      if (mayEmpty > 0 && isSpareForLong(bin.machine)) {
-        empty(bin.machine);
+      if (mayEmpty > 0 && isRemovableForLong(bin.machine)) {
+        drain(bin.machine);
         mayEmpty--;
       }
     }
   }
 
   /** One at a time takes hours after a rush in a fleet of thousands. */
-  private int atOnce() {
-    return 1 + fleet.machines().size() / MACHINES_PER_EMPTYING;
+  private int maxConcurrentDrains() {
+    return 1 + fleet.machines().size() / MACHINES_PER_DRAIN;
   }
 
   /** The machines that may be emptied, those first that save most. */
   private List<Bin> candidates(BinPacking packing) {
     List<Bin> candidates = new ArrayList<>();
-    for (Bin bin : packing.known()) {
-      if (mayEmpty(bin)) {
+    for (Bin bin : packing.existingBins()) {
+      if (canDrain(bin)) {
         candidates.add(bin);
       }
     }
-    candidates.sort(Comparator.comparingDouble(bin -> -saving(bin)));
+    candidates.sort(Comparator.comparingDouble(bin -> -savingPerTask(bin)));
     return candidates;
   }
 
   /** Those of which all tasks fit elsewhere, beside the tasks of the ones before. */
-  private Set<MachineState> spare(List<Bin> candidates, BinPacking packing) {
+  private Set<MachineState> findRemovable(List<Bin> candidates, BinPacking packing) {
     Set<MachineState> spare = new HashSet<>();
     Map<Bin, Resources> taken = new Reference2ObjectOpenHashMap<>();
-    boolean several = atOnce() > 1;
-    for (Bin bin : tries(candidates)) {
+    boolean several = maxConcurrentDrains() > 1;
+    for (Bin bin : selectForExamination(candidates)) {
       Map<Bin, Resources> left = new Reference2ObjectOpenHashMap<>(taken);
       // What is to be emptied itself takes no tasks of another, nor the other way round.
       boolean isTarget = several && taken.containsKey(bin);
@@ -131,23 +134,26 @@
     return spare;
   }
 
-  private boolean isSpareForLong(MachineState m) {
-    double keepMs = fleet.type(m).bootS() * 1000 * context.settings.operator().idleShare();
-    return m.spareSinceMs > 0 && context.nowMs - m.spareSinceMs >= keepMs;
+  private boolean isRemovableForLong(MachineState machine) {
+    double keepMs =
+        fleet.typeOf(machine).bootS() * 1000 * context.settings.operator().idleBootShare();
+    return machine.drainableSinceMs > 0 && context.nowMs - machine.drainableSinceMs >= keepMs;
   }
 
   /**
    * The candidates that are looked at closely: the dearest, those that were spare before, and a
    * sample of the others, since the dearest may be such as can never be emptied.
    */
-  private List<Bin> tries(List<Bin> candidates) {
+  private List<Bin> selectForExamination(List<Bin> candidates) {
     List<Bin> tries = new ArrayList<>();
     List<Bin> others = new ArrayList<>();
     for (Bin bin : candidates) {
-      boolean surely = tries.size() < TRIES * atOnce() || bin.machine.spareSinceMs > 0;
+      boolean surely =
+          tries.size() < EXAMINED_CANDIDATES * maxConcurrentDrains()
+              || bin.machine.drainableSinceMs > 0;
       (surely ? tries : others).add(bin);
     }
-    for (int i = 0; i < TRIES * atOnce() && i < others.size(); i++) {
+    for (int i = 0; i < EXAMINED_CANDIDATES * maxConcurrentDrains() && i < others.size(); i++) {
       Collections.swap(others, i, i + context.random.nextInt(others.size() - i));
       tries.add(others.get(i));
     }
@@ -155,29 +161,29 @@
   }
 
   /** What is saved for each task that has to move. */
-  private double saving(Bin bin) {
-    MachineType type = fleet.type(bin.machine);
-    return type.price(bin.kind.spot()) / bin.machine.placed.size();
+  private double savingPerTask(Bin bin) {
+    MachineType type = fleet.typeOf(bin.machine);
+    return type.hourlyPrice(bin.kind.spot()) / bin.machine.reservations.size();
   }
 
-  private boolean mayEmpty(Bin bin) {
-    MachineState m = bin.machine;
-    if (m == null
-        || m.placed.isEmpty()
-        || fleet.type(m) == null
-        || !liveness.usable(m)
-        || context.nowMs - m.sinceMs < ScaleInPolicy.MIN_CHARGE_MS
-        || !bin.left.equals(m.free())
-        || bin.left.shareOf(bin.room) < 1 - MOST_USED) {
+  private boolean canDrain(Bin bin) {
+    MachineState machine = bin.machine;
+    if (machine == null
+        || machine.reservations.isEmpty()
+        || fleet.typeOf(machine) == null
+        || !liveness.isSchedulable(machine)
+        || context.nowMs - machine.knownSinceMs < ScaleInPolicy.MIN_CHARGE_MS
+        || !bin.free.equals(machine.freeCapacity())
+        || bin.free.shareOf(bin.capacity) < 1 - MAX_USED_SHARE) {
       return false;
     }
-    for (Reservation p : m.placed) {
+    for (Reservation reservation : machine.reservations) {
       boolean settled =
-          p.job.job.kind() == JobKind.SERVICE
-              && p.committed
-              && p.wanted()
-              && p.seen == TaskStatus.State.RUNNING
-              && context.nowMs - p.runningSinceMs > SETTLED_MS;
+          reservation.job.spec.kind() == JobKind.SERVICE
+              && reservation.committed
+              && reservation.isDesired()
+              && reservation.reportedState == TaskStatus.State.RUNNING
+              && context.nowMs - reservation.runningSinceMs > MIN_RUNNING_MS;
       if (!settled) {
         return false;
       }
@@ -193,12 +199,13 @@
    */
   private boolean fitsElsewhere(
       Bin from, BinPacking packing, Map<Bin, Resources> left, Set<MachineState> emptied) {
-    for (Reservation p : from.machine.placed) {
-      Bin best = fullestTarget(p.job.job, from, packing, left, emptied);
+    for (Reservation reservation : from.machine.reservations) {
+      Bin best = fullestTarget(reservation.job.spec, from, packing, left, emptied);
       if (best == null) {
         return false;
       }
-      left.put(best, left.getOrDefault(best, best.left).minus(p.job.job.need()));
+      left.put(
+          best, left.getOrDefault(best, best.free).minus(reservation.job.spec.taskResources()));
     }
     return true;
   }
@@ -208,19 +215,20 @@
       Job job, Bin from, BinPacking packing, Map<Bin, Resources> left, Set<MachineState> emptied) {
     Bin[] best = new Bin[1];
     double[] bestLeft = new double[1];
-    packing.forEachWithRoom(
+    packing.forEachWithFreeCapacity(
         job,
         bin -> {
-          Resources room = left.getOrDefault(bin, bin.left);
+          Resources room = left.getOrDefault(bin, bin.free);
           if (bin == from
               || bin.machine == null
               || emptied.contains(bin.machine)
-              || !job.need().fitsIn(room)
-              || !accepts(job, from, bin)
-              || from.room.gpus() <= 0 && placer.gpuBalance().strandedBy(job.need(), room) > 0) {
+              || !job.taskResources().fitsIn(room)
+              || !canMove(job, from, bin)
+              || from.capacity.gpus() <= 0
+                  && scheduler.gpuBalance().strandedGpusBy(job.taskResources(), room) > 0) {
             return;
           }
-          double share = room.minus(job.need()).shareOf(bin.room);
+          double share = room.minus(job.taskResources()).shareOf(bin.capacity);
           if (best[0] == null || share < bestLeft[0]) {
             best[0] = bin;
             bestLeft[0] = share;
@@ -230,15 +238,15 @@
   }
 
   /** On a machine that is the fuller one, in a zone that the job's other tasks leave open. */
-  private boolean accepts(Job job, Bin from, Bin to) {
+  private boolean canMove(Job job, Bin from, Bin to) {
     return to.machine != null
-        && !to.machine.placed.isEmpty()
-        && liveness.usable(to.machine)
-        && (to.kind.zone().equals(from.kind.zone()) || mayChangeZone(job, to.kind.zone()))
+        && !to.machine.reservations.isEmpty()
+        && liveness.isSchedulable(to.machine)
+        && (to.kind.zone().equals(from.kind.zone()) || canChangeZone(job, to.kind.zone()))
         && job.allowsType(to.kind.type())
-        && (job.spot() || !to.kind.spot())
-        && to.left.shareOf(to.room) <= from.left.shareOf(from.room)
-        && placer.imageFetch().waitS(job, to.machine) <= context.stepS();
+        && (job.spotAllowed() || !to.kind.spot())
+        && to.free.shareOf(to.capacity) <= from.free.shareOf(from.capacity)
+        && scheduler.imageFetch().waitS(job, to.machine) <= context.stepS();
   }
 
   /**
@@ -246,18 +254,18 @@
    * must be spread hold the machines of one zone, the GPUs beside them once stood free while other
    * replicas held half-empty machines of another zone.
    */
-  private static boolean mayChangeZone(Job job, String zone) {
-    return !job.spread() && !job.oneZone() && job.allowsZone(zone);
+  private static boolean canChangeZone(Job job, String zone) {
+    return !job.spreadZones() && !job.singleZone() && job.allowsZone(zone);
   }
 
-  private void empty(MachineState m) {
-    LOG.info("emptying {}, its {} tasks fit elsewhere", m.name, m.placed.size());
-    m.draining = true;
-    m.drainingSinceMs = context.nowMs;
-    m.setUrgent();
-    for (Reservation p : m.placed) {
-      p.stop();
-      jobs.changed(p.job);
+  private void drain(MachineState machine) {
+    LOG.info("emptying {}, its {} tasks fit elsewhere", machine.name, machine.reservations.size());
+    machine.draining = true;
+    machine.drainingSinceMs = context.nowMs;
+    machine.requestCommand();
+    for (Reservation reservation : machine.reservations) {
+      reservation.requestStop();
+      jobs.refreshIndexes(reservation.job);
     }
   }
 }
--- a/src/main/java/eiderfork/controller/MachineHintPublisher.java
+++ b/src/main/java/eiderfork/controller/MachineHintPublisher.java
@@ -23,90 +23,90 @@
  */
 final class MachineHintPublisher {
   /** The images told of a machine; older ones are not missed. */
-  private static final int MOST_IMAGES = 8;
+  private static final int MAX_IMAGES_PER_MACHINE = 8;
 
   /** A message stays far below the size of a request's body. */
-  private static final int MOST_BYTES = 32 * 1024;
+  private static final int MAX_BATCH_BYTES = 32 * 1024;
 
   private static final int IMAGE_BYTES = 24;
 
   private final ControllerContext context;
-  private final LeaderElection term;
-  private final StoreClient gate;
+  private final LeaderElection election;
+  private final StoreClient store;
   private final MachineRegistry fleet;
   private final Standby standby;
 
   /** Standbys that have not answered the last message. */
-  private final Set<String> open = new HashSet<>();
+  private final Set<String> unacknowledged = new HashSet<>();
 
-  private long number;
-  private long nextMs;
+  private long sequence;
+  private long nextSendMs;
 
   /** The machine told of last. */
   private int lastMachine;
 
   MachineHintPublisher(
       ControllerContext context,
-      LeaderElection term,
-      StoreClient gate,
+      LeaderElection election,
+      StoreClient store,
       MachineRegistry fleet,
       Standby standby) {
     this.context = context;
-    this.term = term;
-    this.gate = gate;
+    this.election = election;
+    this.store = store;
     this.fleet = fleet;
     this.standby = standby;
   }
 
   /** A term begins. */
   void elected() {
-    open.clear();
-    number = 0;
+    unacknowledged.clear();
+    sequence = 0;
     lastMachine = 0;
   }
 
   /** Sends what is due; only a rebuilt leader does. */
   void tick() {
-    if (context.settings.operator().standbys() == 0 || context.nowMs < nextMs) {
+    if (context.settings.operator().standbyCount() == 0 || context.nowMs < nextSendMs) {
       return;
     }
-    nextMs = context.nowMs + context.stepMs();
-    if (gate.waitMs(RequestPriority.BATCH) > context.stepMs() || fleet.machines().isEmpty()) {
+    nextSendMs = context.nowMs + context.stepMs();
+    if (store.writeWaitMs(RequestPriority.BATCH) > context.stepMs() || fleet.machines().isEmpty()) {
       return;
     }
-    MachineHintBatch message = new MachineHintBatch(term.number(), ++number, nextHints());
-    for (String node : standby.of(context.settings.node())) {
-      send(node, message);
+    MachineHintBatch batch = new MachineHintBatch(election.currentTerm(), ++sequence, nextHints());
+    for (String node : standby.standbysOf(context.settings.nodeName())) {
+      send(node, batch);
     }
   }
 
-  private void send(String node, MachineHintBatch message) {
-    if (!open.add(node)) {
+  private void send(String node, MachineHintBatch batch) {
+    if (!unacknowledged.add(node)) {
       return;
     }
-    long of = term.number();
-    context.ask(
-        call -> new Effect.AskPeerHints(call, node, message, context.stepMs()),
+    long sentTerm = election.currentTerm();
+    context.call(
+        call -> new Effect.SendHints(call, node, batch, context.stepMs()),
         reply -> {
           // A node that knows no hints is asked again; it costs one request a step.
-          if (term.number() == of) {
-            open.remove(node);
+          if (election.currentTerm() == sentTerm) {
+            unacknowledged.remove(node);
           }
         });
   }
 
   /** The hints of the machines behind the last one told of, and of the first after the end. */
   private ImmutableList<MachineHint> nextHints() {
-    int most =
-        (int) Math.ceil(fleet.machines().size() * context.stepS() * 1000 / context.leaseMs());
+    int machineCount =
+        (int) Math.ceil(fleet.machines().size() * context.stepS() * 1000 / context.workerLeaseMs());
     ImmutableList.Builder<MachineHint> hints = ImmutableList.builder();
     int bytes = 0;
-    for (int i = 0; i < most && bytes < MOST_BYTES; i++) {
-      MachineState m = fleet.after(lastMachine);
-      lastMachine = m.number;
-      MachineHint hint = hint(m);
+    for (int i = 0; i < machineCount && bytes < MAX_BATCH_BYTES; i++) {
+      MachineState machine = fleet.nextAfter(lastMachine);
+      lastMachine = machine.number;
+      MachineHint hint = hint(machine);
       hints.add(hint);
-      bytes += m.name.length();
+      bytes += machine.name.length();
       for (MachineHint.ImageHint image : hint.images()) {
         bytes += image.image().length() + IMAGE_BYTES;
       }
@@ -114,39 +114,40 @@
     return hints.build();
   }
 
-  private MachineHint hint(MachineState m) {
+  private MachineHint hint(MachineState machine) {
     List<MachineHint.ImageHint> images = new ArrayList<>();
-    for (Map.Entry<String, Double> image : m.images.entrySet()) {
-      long readyInMs = m.fetchedAtMs.getLong(image.getKey()) - context.nowMs;
+    for (Map.Entry<String, Double> image : machine.cachedImagesGb.entrySet()) {
+      long readyInMs = machine.imageReadyMs.getLong(image.getKey()) - context.nowMs;
       images.add(
           new MachineHint.ImageHint(image.getKey(), image.getValue(), Math.max(0, readyInMs)));
     }
-    int from = Math.max(0, images.size() - MOST_IMAGES);
-    return new MachineHint(m.name, ImmutableList.copyOf(images.subList(from, images.size())));
+    int from = Math.max(0, images.size() - MAX_IMAGES_PER_MACHINE);
+    return new MachineHint(machine.name, ImmutableList.copyOf(images.subList(from, images.size())));
   }
 
   /** Takes what an earlier leader has told of machines that this one knows. */
   void apply(MachineHintStore hints) {
     hints.forEach(
         (hint, toldMs) -> {
-          MachineState m = fleet.get(hint.machine());
-          MachineType type = m == null ? null : fleet.type(m);
+          MachineState machine = fleet.get(hint.machine());
+          MachineType type = machine == null ? null : fleet.typeOf(machine);
           if (type != null) {
             for (MachineHint.ImageHint image : hint.images()) {
-              apply(m, type, image, toldMs);
+              apply(machine, type, image, toldMs);
             }
           }
         });
   }
 
   private static void apply(
-      MachineState m, MachineType type, MachineHint.ImageHint image, long toldMs) {
-    boolean known = m.images.containsKey(image.image());
+      MachineState machine, MachineType type, MachineHint.ImageHint image, long toldMs) {
+    boolean known = machine.cachedImagesGb.containsKey(image.image());
     if (!known) {
-      m.touchImage(image.image(), image.gb(), type.cacheGb());
+      machine.recordImageUse(image.image(), image.sizeGb(), type.imageCacheGb());
     }
-    if (m.images.containsKey(image.image()) && !m.fetchedAtMs.containsKey(image.image())) {
-      m.fetchedAtMs.put(image.image(), toldMs + image.readyInMs());
+    if (machine.cachedImagesGb.containsKey(image.image())
+        && !machine.imageReadyMs.containsKey(image.image())) {
+      machine.imageReadyMs.put(image.image(), toldMs + image.readyInMs());
     }
   }
 }
--- a/src/main/java/eiderfork/controller/MachineIndexes.java
+++ b/src/main/java/eiderfork/controller/MachineIndexes.java
@@ -9,72 +9,72 @@
  */
 final class MachineIndexes {
   /** Machines to which a command should go out now. */
-  private final RoaringBitmap urgent = new RoaringBitmap();
+  private final RoaringBitmap commandDue = new RoaringBitmap();
 
   /** Machines that have not shown a token of this term. */
-  private final RoaringBitmap unshown = new RoaringBitmap();
+  private final RoaringBitmap awaitingToken = new RoaringBitmap();
 
   /** Machines with direct commands under way. */
-  private final RoaringBitmap commanding = new RoaringBitmap();
+  private final RoaringBitmap commandInFlight = new RoaringBitmap();
 
-  private final CapacityIndex roomIndex = new CapacityIndex();
+  private final CapacityIndex capacityIndex = new CapacityIndex();
 
   void clear() {
-    urgent.clear();
-    unshown.clear();
-    commanding.clear();
-    roomIndex.clear();
+    commandDue.clear();
+    awaitingToken.clear();
+    commandInFlight.clear();
+    capacityIndex.clear();
   }
 
   /** A machine is new; nothing is known of what it has seen. */
-  void added(MachineState m) {
-    unshown.add(m.number);
+  void add(MachineState machine) {
+    awaitingToken.add(machine.number);
   }
 
   /** A machine is gone. */
-  void removed(MachineState m) {
-    urgent.remove(m.number);
-    unshown.remove(m.number);
-    commanding.remove(m.number);
-    roomIndex.remove(m);
+  void remove(MachineState machine) {
+    commandDue.remove(machine.number);
+    awaitingToken.remove(machine.number);
+    commandInFlight.remove(machine.number);
+    capacityIndex.remove(machine);
   }
 
   /** The machine takes this term's commands. */
-  void shown(MachineState m) {
-    unshown.remove(m.number);
+  void recordTokenOfTerm(MachineState machine) {
+    awaitingToken.remove(machine.number);
   }
 
-  void urgent(MachineState m, boolean value) {
-    set(urgent, m, value);
+  void commandDue(MachineState machine, boolean value) {
+    update(commandDue, machine, value);
   }
 
-  void commanding(MachineState m, boolean value) {
-    set(commanding, m, value);
+  void commandInFlight(MachineState machine, boolean value) {
+    update(commandInFlight, machine, value);
   }
 
-  private static void set(RoaringBitmap set, MachineState m, boolean value) {
+  private static void update(RoaringBitmap set, MachineState machine, boolean value) {
     if (value) {
-      set.add(m.number);
+      set.add(machine.number);
     } else {
-      set.remove(m.number);
+      set.remove(machine.number);
     }
   }
 
-  int commandingCount() {
-    return commanding.getCardinality();
+  int commandsInFlight() {
+    return commandInFlight.getCardinality();
   }
 
   /** The numbers of the machines that may have to be contacted directly, in ascending order. */
-  int[] toContact() {
-    if (unshown.isEmpty()) {
-      return urgent.toArray();
+  int[] machinesToContact() {
+    if (awaitingToken.isEmpty()) {
+      return commandDue.toArray();
     }
-    return RoaringBitmap.or(urgent, unshown).toArray();
+    return RoaringBitmap.or(commandDue, awaitingToken).toArray();
   }
 
   /** Whether a machine that holds reservations has not shown yet what it runs. */
-  boolean anyUnshown(IntPredicate holdsReservations) {
-    for (int number : unshown.toArray()) {
+  boolean anyAwaitingToken(IntPredicate holdsReservations) {
+    for (int number : awaitingToken.toArray()) {
       if (holdsReservations.test(number)) {
         return true;
       }
@@ -83,7 +83,7 @@
   }
 
   /** Where there is room. */
-  CapacityIndex roomIndex() {
-    return roomIndex;
+  CapacityIndex capacityIndex() {
+    return capacityIndex;
   }
 }
--- a/src/main/java/eiderfork/controller/MachineLiveness.java
+++ b/src/main/java/eiderfork/controller/MachineLiveness.java
@@ -9,52 +9,62 @@
    * A machine is silent after the longest time between two of its reports, which is a quarter over
    * the interval, and this many steps more, for a report that was lost or tried another node.
    */
-  private static final double LONGEST_REPORTS = 1.25;
+  private static final double MAX_HEARTBEAT_INTERVALS = 1.25;
 
-  private static final double SILENT_STEPS = 1.35;
+  private static final double HEARTBEAT_GRACE_STEPS = 1.35;
 
   private final ControllerContext context;
-  private final LeaderElection term;
+  private final LeaderElection election;
 
-  MachineLiveness(ControllerContext context, LeaderElection term) {
+  MachineLiveness(ControllerContext context, LeaderElection election) {
     this.context = context;
-    this.term = term;
+    this.election = election;
   }
 
   /** How long the longest time between two reports of a machine that is heard is. */
-  long silentMs() {
-    return (long) (context.reportMs() * LONGEST_REPORTS + context.stepMs() * SILENT_STEPS);
+  long heartbeatTimeoutMs() {
+    return (long)
+        (context.heartbeatIntervalMs() * MAX_HEARTBEAT_INTERVALS
+            + context.stepMs() * HEARTBEAT_GRACE_STEPS);
   }
 
   /** Whether the worker takes this term's commands, so that no older leader can reach it. */
-  boolean shown(MachineState m) {
-    return m.report() != null && m.report().token() >= term.firstToken();
+  boolean hasTokenOfTerm(MachineState machine) {
+    return machine.lastHeartbeat() != null
+        && machine.lastHeartbeat().fencingToken() >= election.firstFencingToken();
   }
 
-  boolean heard(MachineState m) {
-    return m.session.heardMs() > 0 && context.nowMs - m.session.heardMs() <= silentMs();
+  boolean hasRecentHeartbeat(MachineState machine) {
+    return machine.incarnation.lastHeartbeatMs() > 0
+        && context.nowMs - machine.incarnation.lastHeartbeatMs() <= heartbeatTimeoutMs();
   }
 
   /** How long ago the machine last reported or was answered in this term. */
-  long silentForMs(MachineState m) {
-    return context.nowMs - Math.max(m.session.heardMs(), m.session.leaseFromMs());
+  long sinceLastContactMs(MachineState machine) {
+    return context.nowMs
+        - Math.max(machine.incarnation.lastHeartbeatMs(), machine.incarnation.leaseStartMs());
   }
 
   /** Reports come but commands do not arrive. */
-  boolean deaf(MachineState m) {
-    return m.deafSinceMs > 0 && context.nowMs - m.deafSinceMs > silentMs();
+  boolean isUnresponsive(MachineState machine) {
+    return machine.unresponsiveSinceMs > 0
+        && context.nowMs - machine.unresponsiveSinceMs > heartbeatTimeoutMs();
   }
 
   /**
    * Whether tasks may be placed here. A worker that is reached by direct commands alone is heard
    * after its lease has lapsed; what started then was settled with what the lapse has ended.
    */
-  boolean usable(MachineState m) {
-    return inService(m) && heard(m) && !deaf(m) && m.unanswered < 2 && !leaseMayBeOver(m);
+  boolean isSchedulable(MachineState machine) {
+    return isInService(machine)
+        && hasRecentHeartbeat(machine)
+        && !isUnresponsive(machine)
+        && machine.unansweredCommands < 2
+        && !mayLeaseHaveExpired(machine);
   }
 
-  private boolean leaseMayBeOver(MachineState m) {
-    return m.session.mayBeOver(context.nowMs, context.leaseMs());
+  private boolean mayLeaseHaveExpired(MachineState machine) {
+    return machine.incarnation.mayLeaseHaveExpired(context.nowMs, context.workerLeaseMs());
   }
 
   /**
@@ -62,16 +72,16 @@
    * answered what it was told. It need not be heard: after a takeover workers report to nobody for
    * seconds while they look for the leader.
    */
-  boolean keepsClaims(MachineState m) {
-    return inService(m) && m.unanswered == 0;
+  boolean canHoldClaims(MachineState machine) {
+    return isInService(machine) && machine.unansweredCommands == 0;
   }
 
-  private boolean inService(MachineState m) {
-    return m.room != null
-        && shown(m)
-        && !m.returning
-        && !m.draining
-        && !m.faulty
-        && m.report().noticeS() == null;
+  private boolean isInService(MachineState machine) {
+    return machine.capacity != null
+        && hasTokenOfTerm(machine)
+        && !machine.scalingIn
+        && !machine.draining
+        && !machine.faulty
+        && machine.lastHeartbeat().terminationNoticeS() == null;
   }
 }
--- a/src/main/java/eiderfork/controller/MachineRegistry.java
+++ b/src/main/java/eiderfork/controller/MachineRegistry.java
@@ -28,27 +28,27 @@
   private final JobRegistry jobs;
   private final Map<String, MachineState> machines = new LinkedHashMap<>();
   private final Int2ObjectOpenHashMap<MachineState> byNumber = new Int2ObjectOpenHashMap<>();
-  private final MachineIndexes sets = new MachineIndexes();
+  private final MachineIndexes indexes = new MachineIndexes();
   private int lastNumber;
 
   /** Machines not seen in this term, and the others in the order in which their leases began. */
-  private final ReferenceLinkedOpenHashSet<MachineState> unseen =
+  private final ReferenceLinkedOpenHashSet<MachineState> unseenInTerm =
       new ReferenceLinkedOpenHashSet<>();
 
-  private final ReferenceLinkedOpenHashSet<MachineState> byLease =
+  private final ReferenceLinkedOpenHashSet<MachineState> byLeaseStart =
       new ReferenceLinkedOpenHashSet<>();
 
   /**
    * After this many leases nothing that was sent before a machine went can come any more: messages
    * are late by minutes at most.
    */
-  private static final int GONE_LEASES = 60;
+  private static final int REMOVED_RETENTION_LEASES = 60;
 
   /**
    * Machines that surely are gone, the first one in front, and since when; their late reports and
    * list entries mean nothing.
    */
-  private final Map<String, Long> gone = new LinkedHashMap<>();
+  private final Map<String, Long> removedAtMs = new LinkedHashMap<>();
 
   private ImmutableMap<String, MachineType> types = ImmutableMap.of();
 
@@ -60,17 +60,17 @@
   void clear() {
     machines.clear();
     byNumber.clear();
-    sets.clear();
-    unseen.clear();
-    byLease.clear();
-    gone.clear();
+    indexes.clear();
+    unseenInTerm.clear();
+    byLeaseStart.clear();
+    removedAtMs.clear();
   }
 
   /** The longest boot of a machine that the job's tasks fit on. */
   double longestBootMs(Job job) {
     double bootS = 0;
     for (MachineType type : types.values()) {
-      if (job.allowsType(type.name()) && job.need().fitsIn(type.room())) {
+      if (job.allowsType(type.name()) && job.taskResources().fitsIn(type.capacity())) {
         bootS = Math.max(bootS, type.bootS());
       }
     }
@@ -78,16 +78,16 @@
   }
 
   /** The machines by what has to be done about them. */
-  MachineIndexes sets() {
-    return sets;
+  MachineIndexes indexes() {
+    return indexes;
   }
 
   /** The machine known next after the one with this number, or the first; there has to be one. */
-  MachineState after(int number) {
+  MachineState nextAfter(int number) {
     for (int i = number + 1; i <= lastNumber; i++) {
-      MachineState m = byNumber.get(i);
-      if (m != null) {
-        return m;
+      MachineState machine = byNumber.get(i);
+      if (machine != null) {
+        return machine;
       }
     }
     return machines.values().iterator().next();
@@ -99,9 +99,9 @@
   }
 
   /** A report of the machine is answered now, which may renew its worker's lease. */
-  void answered(MachineState m) {
-    m.session.renewed(context.nowMs);
-    movedToLast(m);
+  void renewLease(MachineState machine) {
+    machine.incarnation.renewLease(context.nowMs);
+    moveToEndOfLeaseOrder(machine);
   }
 
   /**
@@ -109,29 +109,29 @@
    *
    * @return whether it is the first that is seen of its session
    */
-  boolean reported(MachineState m, Heartbeat newest) {
-    boolean firstOfSession = m.reported(newest, context.nowMs);
+  boolean recordHeartbeat(MachineState machine, Heartbeat heartbeat) {
+    boolean firstOfSession = machine.recordHeartbeat(heartbeat, context.nowMs);
     if (firstOfSession) {
-      movedToLast(m);
+      moveToEndOfLeaseOrder(machine);
     }
     return firstOfSession;
   }
 
-  private void movedToLast(MachineState m) {
-    unseen.remove(m);
-    byLease.addAndMoveToLast(m);
+  private void moveToEndOfLeaseOrder(MachineState machine) {
+    unseenInTerm.remove(machine);
+    byLeaseStart.addAndMoveToLast(machine);
   }
 
   /** The machines whose lease was not renewed for that long, or that were not seen in this term. */
-  List<MachineState> notRenewedFor(long ms) {
-    List<MachineState> found = new ArrayList<>(unseen);
-    for (MachineState m : byLease) {
-      if (context.nowMs - m.session.leaseFromMs() <= ms) {
+  List<MachineState> withLeaseNotRenewedFor(long minAgeMs) {
+    List<MachineState> found = new ArrayList<>(unseenInTerm);
+    for (MachineState machine : byLeaseStart) {
+      if (context.nowMs - machine.incarnation.leaseStartMs() <= minAgeMs) {
         break;
       }
-      found.add(m);
+      found.add(machine);
     }
-    found.sort(Comparator.comparingInt(m -> m.number));
+    found.sort(Comparator.comparingInt(machine -> machine.number));
     return found;
   }
 
@@ -143,115 +143,117 @@
     return machines.get(name);
   }
 
-  boolean isGone(String name) {
-    return gone.containsKey(name);
+  boolean isRemoved(String name) {
+    return removedAtMs.containsKey(name);
   }
 
   ImmutableMap<String, MachineType> types() {
     return types;
   }
 
-  void types(ImmutableList<MachineType> list) {
+  void types(ImmutableList<MachineType> machineTypes) {
     ImmutableMap.Builder<String, MachineType> builder = ImmutableMap.builder();
-    list.forEach(type -> builder.put(type.name(), type));
+    machineTypes.forEach(type -> builder.put(type.name(), type));
     types = builder.buildKeepingLast();
-    machines.values().forEach(this::fillRoom);
+    machines.values().forEach(this::updateCapacity);
   }
 
   /** The machine types as the state service holds them. */
-  StoredRecord.Types typesRecord() {
-    return new StoredRecord.Types(types.values().asList());
+  StoredRecord.MachineTypes typesRecord() {
+    return new StoredRecord.MachineTypes(types.values().asList());
   }
 
-  MachineType type(MachineState m) {
-    return m.machine == null ? null : types.get(m.machine.type());
+  MachineType typeOf(MachineState machine) {
+    return machine.spec == null ? null : types.get(machine.spec.type());
   }
 
   /** The entry of a machine, made where there is none. */
-  MachineState known(String name) {
-    return machines.computeIfAbsent(name, this::add);
+  MachineState getOrRegister(String name) {
+    return machines.computeIfAbsent(name, this::register);
   }
 
-  private MachineState add(String name) {
-    MachineState m = new MachineState(name, ++lastNumber, sets, context.nowMs);
-    byNumber.put(m.number, m);
-    sets.added(m);
-    unseen.add(m);
-    return m;
+  private MachineState register(String name) {
+    MachineState machine = new MachineState(name, ++lastNumber, indexes, context.nowMs);
+    byNumber.put(machine.number, machine);
+    indexes.add(machine);
+    unseenInTerm.add(machine);
+    return machine;
   }
 
-  MachineState known(Machine machine) {
-    MachineState m = known(machine.name());
-    if (m.machine == null || m.machine.addr() == null) {
-      m.machine = machine;
-      fillRoom(m);
+  MachineState getOrRegister(Machine machine) {
+    MachineState m = getOrRegister(machine.name());
+    if (m.spec == null || m.spec.address() == null) {
+      m.spec = machine;
+      updateCapacity(m);
     }
     return m;
   }
 
-  private void fillRoom(MachineState m) {
-    MachineType type = type(m);
+  private void updateCapacity(MachineState machine) {
+    MachineType type = typeOf(machine);
     if (type != null) {
-      m.room(type.room());
+      machine.capacity(type.capacity());
     }
   }
 
   /** The machine and everything on it is gone. */
-  void remove(MachineState m, String why) {
-    LOG.info("machine {} is gone: {}", m.name, why);
-    settleAll(m);
-    machines.remove(m.name);
-    byNumber.remove(m.number);
-    sets.removed(m);
-    unseen.remove(m);
-    byLease.remove(m);
-    gone.put(m.name, context.nowMs);
+  void remove(MachineState machine, String reason) {
+    LOG.info("machine {} is gone: {}", machine.name, reason);
+    settleReservations(machine);
+    machines.remove(machine.name);
+    byNumber.remove(machine.number);
+    indexes.remove(machine);
+    unseenInTerm.remove(machine);
+    byLeaseStart.remove(machine);
+    removedAtMs.put(machine.name, context.nowMs);
   }
 
   /** Names would gather for as long as a leader leads. */
-  private void forgetLongGone() {
-    long keptMs = GONE_LEASES * context.leaseMs();
-    gone.values().removeIf(since -> context.nowMs - since > keptMs);
+  private void forgetLongRemoved() {
+    long keptMs = REMOVED_RETENTION_LEASES * context.workerLeaseMs();
+    removedAtMs.values().removeIf(since -> context.nowMs - since > keptMs);
   }
 
   /** None of the tasks reserved on this machine is there any more, nor can they start. */
-  void settleAll(MachineState m) {
-    for (Reservation p : List.copyOf(m.placed)) {
-      jobs.release(p, false);
-      m.remove(p);
+  void settleReservations(MachineState machine) {
+    for (Reservation reservation : List.copyOf(machine.reservations)) {
+      jobs.settle(reservation, false);
+      machine.removeReservation(reservation);
     }
   }
 
   /**
-   * Takes a whole machine list, asked for at {@code askedMs}. A list may be as old as twice the
+   * Takes a whole machine list, asked for at {@code requestedMs}. A list may be as old as twice the
    * lag, so a machine missing from it is gone only if it was alive before that time.
    */
-  void listing(Map<String, ListedMachine> entries, long askedMs) {
-    forgetLongGone();
-    long describesMs = askedMs - 2 * context.listLagMs();
+  void applyMachineList(Map<String, ListedMachine> entries, long requestedMs) {
+    forgetLongRemoved();
+    long describesMs = requestedMs - 2 * context.cloudListLagMs();
     for (ListedMachine entry : entries.values()) {
       String name = entry.machine().name();
-      if (isGone(name)) {
+      if (isRemoved(name)) {
         continue;
       }
-      MachineState m = known(entry.machine());
-      m.listed = true;
-      m.aliveMs = Math.max(m.aliveMs, describesMs);
-      m.sinceMs = Math.min(m.sinceMs, context.nowMs - (long) (entry.ageS() * 1000));
-      m.booting = m.report() == null && entry.state() == ListedMachine.State.BOOTING;
-      if (entry.state() == ListedMachine.State.RUNNING && m.upMs == 0) {
-        m.upMs = context.nowMs;
+      MachineState machine = getOrRegister(entry.machine());
+      machine.listedByCloud = true;
+      machine.lastAliveMs = Math.max(machine.lastAliveMs, describesMs);
+      machine.knownSinceMs =
+          Math.min(machine.knownSinceMs, context.nowMs - (long) (entry.ageS() * 1000));
+      machine.booting =
+          machine.lastHeartbeat() == null && entry.state() == ListedMachine.State.BOOTING;
+      if (entry.state() == ListedMachine.State.RUNNING && machine.firstRunningMs == 0) {
+        machine.firstRunningMs = context.nowMs;
       }
       if (entry.state() == ListedMachine.State.FAILED) {
-        if (!m.placed.isEmpty()) {
-          settleAll(m);
+        if (!machine.reservations.isEmpty()) {
+          settleReservations(machine);
         }
-        m.faulty = true;
+        machine.faulty = true;
       }
     }
-    for (MachineState m : List.copyOf(machines.values())) {
-      if (!entries.containsKey(m.name) && m.aliveMs < describesMs) {
-        remove(m, "the cloud lists it no more");
+    for (MachineState machine : List.copyOf(machines.values())) {
+      if (!entries.containsKey(machine.name) && machine.lastAliveMs < describesMs) {
+        remove(machine, "the cloud lists it no more");
       }
     }
   }
--- a/src/main/java/eiderfork/controller/MachineScorer.java
+++ b/src/main/java/eiderfork/controller/MachineScorer.java
@@ -11,15 +11,15 @@
  */
 final class MachineScorer {
   /** A stranded GPU weighs as much as an image wait of this many steps. */
-  private static final double STRANDED_STEPS = 100;
+  private static final double STRANDED_GPU_PENALTY_STEPS = 100;
 
   /**
    * The least image wait that counts, as a share of the time in which the job's tasks should start.
    */
-  private static final double STEP_SHARE = 0.25;
+  private static final double IMAGE_STEP_SHARE = 0.25;
 
   private final ImageFetchEstimator imageFetch;
-  private final CpusPerGpu balance;
+  private final CpusPerGpu cpusPerGpu;
   private final Job job;
 
   /** Machines of the kind that the job should leave to others, spot or ordinary. */
@@ -30,20 +30,20 @@
   MachineScorer(
       ControllerContext context,
       ImageFetchEstimator imageFetch,
-      CpusPerGpu balance,
+      CpusPerGpu cpusPerGpu,
       DeadlineEstimator deadlines,
       JobState entry) {
     this.imageFetch = imageFetch;
-    this.balance = balance;
-    job = entry.job;
-    avoidsSpot = deadlines.leavesNoSecondRun(entry);
-    double waitS = context.settings.shortestAimS(Objective.Kind.WAIT, job.jobClass());
-    imageStepS = Math.min(context.stepS(), waitS * STEP_SHARE);
+    this.cpusPerGpu = cpusPerGpu;
+    job = entry.spec;
+    avoidsSpot = deadlines.hasNoTimeForRerun(entry);
+    double waitS = context.settings.shortestObjectiveS(Objective.Kind.WAIT, job.jobClass());
+    imageStepS = Math.min(context.stepS(), waitS * IMAGE_STEP_SHARE);
   }
 
   /** Whether a task would leave free GPUs fewer processors than GPU work takes beside them. */
-  boolean strandsGpus(Resources free) {
-    return balance.strandedBy(job.need(), free) > 0;
+  boolean wouldStrandGpus(Resources free) {
+    return cpusPerGpu.strandedGpusBy(job.taskResources(), free) > 0;
   }
 
   /**
@@ -54,14 +54,14 @@
    *
    * @param free what the machine has left before the task
    */
-  double of(MachineState m, Resources free) {
-    double stranded = balance.strandedBy(job.need(), free);
-    double steps = Math.floor(imageFetch.waitS(job, m) / imageStepS);
-    double fullness = free.minus(job.need()).shareOf(m.room);
-    boolean wrongKind = job.spot() && m.machine.spot() == avoidsSpot;
+  double score(MachineState machine, Resources free) {
+    double stranded = cpusPerGpu.strandedGpusBy(job.taskResources(), free);
+    double steps = Math.floor(imageFetch.waitS(job, machine) / imageStepS);
+    double fullness = free.minus(job.taskResources()).shareOf(machine.capacity);
+    boolean wrongKind = job.spotAllowed() && machine.spec.spot() == avoidsSpot;
     return steps
         + fullness
-        + Math.max(0, stranded) * STRANDED_STEPS
+        + Math.max(0, stranded) * STRANDED_GPU_PENALTY_STEPS
         + (wrongKind ? job.imageGb() : 0);
   }
 }
--- a/src/main/java/eiderfork/controller/MachineSearch.java
+++ b/src/main/java/eiderfork/controller/MachineSearch.java
@@ -15,120 +15,131 @@
  * at once, and again only after it has taken a task.
  */
 final class MachineSearch {
-  private record Found(MachineState machine, double score) {
-    int order() {
+  private record Candidate(MachineState machine, double score) {
+    int machineNumber() {
       return machine.number;
     }
   }
 
   /** How many machines a sample has for each task. */
-  private static final int SAMPLE = 8;
+  private static final int SAMPLE_PER_TASK = 8;
 
-  private final FreeCapacity room;
-  private final MachineScorer score;
-  private final JobState entry;
-  private final SearchConstraints limits;
-  private final Map<String, Integer> perZone;
-  private final PriorityQueue<Found> found =
-      new PriorityQueue<>(Comparator.comparingDouble(Found::score).thenComparingInt(Found::order));
+  private final FreeCapacity capacity;
+  private final MachineScorer scorer;
+  private final JobState job;
+  private final SearchConstraints restrictions;
+  private final Map<String, Integer> tasksByZone;
+  private final PriorityQueue<Candidate> candidates =
+      new PriorityQueue<>(
+          Comparator.comparingDouble(Candidate::score).thenComparingInt(Candidate::machineNumber));
 
   /** Not every machine was looked at, so that nothing found is no proof of no room. */
   final boolean sampled;
 
   /** Zones in which some machine has room for a task. */
-  private final Set<String> roomy = new HashSet<>();
+  private final Set<String> zonesWithCapacity = new HashSet<>();
 
   /**
    * @param random draws the sample
-   * @param mostExamined past this many looks in a round only a sample of the machines is searched
+   * @param maxExaminations past this many looks in a round only a sample of the machines is
+   *     searched
    * @param believe whether what other jobs' searches proved holds for this one; room that was
    *     claimed for it is not in that
-   * @param limits which free room is left alone
+   * @param restrictions which free room is left alone
    */
   MachineSearch(
-      FreeCapacity room,
-      MachineScorer score,
+      FreeCapacity capacity,
+      MachineScorer scorer,
       RandomGenerator random,
-      double mostExamined,
-      JobState entry,
-      Map<String, Integer> perZone,
+      double maxExaminations,
+      JobState job,
+      Map<String, Integer> tasksByZone,
       boolean believe,
-      SearchConstraints limits) {
-    this.room = room;
-    this.limits = limits;
-    this.score = score;
-    this.entry = entry;
-    this.perZone = perZone;
-    Set<String> open = room.openZones(entry, perZone);
+      SearchConstraints restrictions) {
+    this.capacity = capacity;
+    this.restrictions = restrictions;
+    this.scorer = scorer;
+    this.job = job;
+    this.tasksByZone = tasksByZone;
+    Set<String> open = capacity.eligibleZones(job, tasksByZone);
     if (believe) {
-      open.removeIf(zone -> room.failedSearches().knows(entry.job, zone));
+      open.removeIf(zone -> capacity.failedSearches().isRuledOut(job.spec, zone));
     }
-    if (believe && limits.any()) {
-      open.removeIf(zone -> room.limitedSearches(limits).knows(entry.job, zone));
+    if (believe && restrictions.isRestricted()) {
+      open.removeIf(
+          zone -> capacity.failedRestrictedSearches(restrictions).isRuledOut(job.spec, zone));
     }
     if (open.isEmpty()) {
       sampled = false;
       return;
     }
-    List<MachineState> all = room.candidates(entry.job, open);
-    int sample = SAMPLE * entry.waiting.cardinality();
-    sampled = room.examined() > mostExamined && all.size() > sample;
+    List<MachineState> all = capacity.candidates(job.spec, open);
+    int sample = SAMPLE_PER_TASK * job.pendingTasks.cardinality();
+    sampled = capacity.examinedMachines() > maxExaminations && all.size() > sample;
     if (sampled) {
       for (int i = 0; i < sample; i++) {
         Collections.swap(all, i, i + random.nextInt(all.size() - i));
       }
       all = all.subList(0, sample);
     }
-    for (MachineState m : all) {
-      look(m);
+    for (MachineState machine : all) {
+      examine(machine);
     }
     if (!sampled) {
       open.stream()
-          .filter(z -> !roomy.contains(z))
-          .forEach(z -> room.failedSearches().note(entry.job, z));
-      if (limits.any() && found.isEmpty()) {
-        open.forEach(z -> room.limitedSearches(limits).note(entry.job, z));
+          .filter(z -> !zonesWithCapacity.contains(z))
+          .forEach(z -> capacity.failedSearches().recordFailure(job.spec, z));
+      if (restrictions.isRestricted() && candidates.isEmpty()) {
+        open.forEach(
+            z -> capacity.failedRestrictedSearches(restrictions).recordFailure(job.spec, z));
       }
     }
   }
 
-  private void look(MachineState m) {
-    room.countExamined();
-    Resources left = room.of(m);
-    if (!entry.job.need().fitsIn(left) || !PlacementConstraints.kindAllowed(entry.job, m)) {
+  private void examine(MachineState machine) {
+    capacity.countExamined();
+    Resources left = capacity.freeOn(machine);
+    if (!job.spec.taskResources().fitsIn(left)
+        || !PlacementConstraints.isMachineAllowed(job.spec, machine)) {
       return;
     }
-    if (!room.isUsable(m)) {
-      m.passedOver = true;
+    if (!capacity.isUsable(machine)) {
+      machine.skippedBySearch = true;
       return;
     }
-    roomy.add(m.zone());
-    if (limits.sparesGpus() && score.strandsGpus(left) || !fitsBesideLoans(m)) {
+    zonesWithCapacity.add(machine.zone());
+    if (restrictions.keepsGpuHeadroom() && scorer.wouldStrandGpus(left)
+        || !fitsOutsideReclaimed(machine)) {
       return;
     }
-    if (room.allowed(entry, m, perZone)) {
-      found.add(new Found(m, score.of(m, left)));
+    if (capacity.isAllowed(job, machine, tasksByZone)) {
+      candidates.add(new Candidate(machine, scorer.score(machine, left)));
     }
   }
 
-  private boolean fitsBesideLoans(MachineState m) {
-    return !limits.borrows() || entry.job.need().fitsIn(room.of(m, entry, true));
+  private boolean fitsOutsideReclaimed(MachineState machine) {
+    return !restrictions.excludesReclaimed()
+        || job.spec.taskResources().fitsIn(capacity.freeOn(machine, job, true));
   }
 
   /** The best machine for one more task, or null where none fits. */
-  MachineState best() {
+  MachineState bestMachine() {
     // A zone that is full for this job stays so, since its tasks only grow in number.
-    while (!found.isEmpty()
-        && !(room.allowed(entry, found.peek().machine, perZone)
-            && entry.job.need().fitsIn(room.of(found.peek().machine, entry, limits.borrows())))) {
-      found.remove();
+    while (!candidates.isEmpty()
+        && !(capacity.isAllowed(job, candidates.peek().machine, tasksByZone)
+            && job.spec
+                .taskResources()
+                .fitsIn(
+                    capacity.freeOn(
+                        candidates.peek().machine, job, restrictions.excludesReclaimed())))) {
+      candidates.remove();
     }
-    return found.isEmpty() ? null : found.peek().machine;
+    return candidates.isEmpty() ? null : candidates.peek().machine;
   }
 
   /** The best machine has taken a task. */
-  void taken() {
-    Found best = found.remove();
-    look(best.machine);
+  void taskPlaced() {
+    Candidate best = candidates.remove();
+    examine(best.machine);
   }
 }
