--- a/src/main/java/eiderfork/controller/MachineState.java
+++ b/src/main/java/eiderfork/controller/MachineState.java
@@ -18,81 +18,83 @@
   /** Ascends with the order in which the leader learned of its machines. */
   final int number;
 
-  private final MachineIndexes sets;
+  private final MachineIndexes indexes;
 
   /** Where the machine stands in the index of free room; null while it is not in it. */
-  CapacityIndex.Place place;
+  CapacityIndex.Place indexPosition;
 
   /** Null while only the name is known, from a rent or a reservation. */
-  Machine machine;
+  Machine spec;
 
-  /** What the type offers; null while the type is not known. Changed by {@link #room} alone. */
-  Resources room;
+  /** What the type offers; null while the type is not known. Changed by {@link #capacity} alone. */
+  Resources capacity;
 
-  /** What is reserved here; changed by {@link #add} and {@link #remove} alone. */
-  final Set<Reservation> placed = new LinkedHashSet<>();
+  /**
+   * What is reserved here; changed by {@link #enqueueQuery} and {@link #removeReservation} alone.
+   */
+  final Set<Reservation> reservations = new LinkedHashSet<>();
 
   /** What the reservations take; kept, since rounds and plans ask for it at every machine. */
-  private Resources taken = Resources.NONE;
+  private Resources reservedCapacity = Resources.NONE;
 
   /** What no reservation takes; null while the room is not known. */
-  private Resources free;
+  private Resources freeCapacity;
 
   /**
-   * The worker's session and its lease; changed by {@link #reported} and {@link MachineRegistry}
-   * alone.
+   * The worker's session and its lease; changed by {@link #recordHeartbeat} and {@link
+   * MachineRegistry} alone.
    */
-  final WorkerIncarnation session = new WorkerIncarnation();
+  final WorkerIncarnation incarnation = new WorkerIncarnation();
 
   /** The token that commands go out with now. */
-  long token;
+  long fencingToken;
 
   /** The largest token that a start was sent with in direct commands; 0 for none. */
-  long directToken;
+  long directStartToken;
 
   /** When a record was last seen by which another node answers its worker; 0 for never. */
-  long proxiedMs;
+  long leaseProxySeenMs;
 
   /** When anything last proved that the machine exists. */
-  long aliveMs;
+  long lastAliveMs;
 
   /** When it was rented or first known, and whether the cloud says that it is booting. */
-  long sinceMs;
+  long knownSinceMs;
 
   boolean booting;
 
   /** When the cloud's list first called it running in this term; 0 for not yet. */
-  long upMs;
+  long firstRunningMs;
 
   /** It was listed by the cloud at least once in this term. */
-  boolean listed;
+  boolean listedByCloud;
 
   /** Direct commands are under way. */
-  private boolean commanding;
+  private boolean commandInFlight;
 
   /** Something waits that should not wait for the next report. */
-  private boolean urgent;
+  private boolean commandDue;
 
   /** A search found room here and passed it over, since no task could be placed here then. */
-  boolean passedOver;
+  boolean skippedBySearch;
 
   /**
    * The newest report agrees with what is reserved in every task, so that the same tasks in the
    * next one say nothing new.
    */
-  boolean agrees;
+  boolean reconciled;
 
-  int unanswered;
-  long commandNotBeforeMs;
+  int unansweredCommands;
+  long nextCommandMs;
 
   /** Since when reports fail to show the token that was sent; 0 where they show it. */
-  long deafSinceMs;
+  long unresponsiveSinceMs;
 
   /** A return is decided: nothing starts here any more. */
-  boolean returning;
+  boolean scalingIn;
 
   /** When its return was decided because nothing was heard of it; 0 for other reasons. */
-  long returnedSilentMs;
+  long scaledInUnreachableMs;
 
   /** Its replicas are being moved away, and nothing starts here. */
   boolean draining;
@@ -100,57 +102,57 @@
   long drainingSinceMs;
 
   /** Since when all that it holds would fit elsewhere; 0 while it would not. */
-  long spareSinceMs;
+  long drainableSinceMs;
 
   /** Since when the machine holds nothing; 0 while it holds something. */
   long idleSinceMs;
 
   /** Jobs whose task ended here with an error since the last good end. */
-  final Set<String> errors = new HashSet<>();
+  final Set<String> failedJobs = new HashSet<>();
 
   /** Those of them that have since ended well on another machine. */
-  final Set<String> confirmedErrors = new HashSet<>();
+  final Set<String> jobsFailedOnlyHere = new HashSet<>();
 
   boolean faulty;
 
   /** Images last used, oldest first, with their size. */
-  final Map<String, Double> images = new LinkedHashMap<>();
+  final Map<String, Double> cachedImagesGb = new LinkedHashMap<>();
 
   /** When the fetch of an image should be over. */
-  final Object2LongOpenHashMap<String> fetchedAtMs = new Object2LongOpenHashMap<>();
+  final Object2LongOpenHashMap<String> imageReadyMs = new Object2LongOpenHashMap<>();
 
-  MachineState(String name, int number, MachineIndexes sets, long nowMs) {
+  MachineState(String name, int number, MachineIndexes indexes, long nowMs) {
     this.name = name;
     this.number = number;
-    this.sets = sets;
-    this.sinceMs = nowMs;
-    this.aliveMs = nowMs;
+    this.indexes = indexes;
+    this.knownSinceMs = nowMs;
+    this.lastAliveMs = nowMs;
   }
 
   String zone() {
-    return machine == null ? "" : machine.zone();
+    return spec == null ? "" : spec.zone();
   }
 
-  String addr() {
-    return machine == null ? null : machine.addr();
+  String address() {
+    return spec == null ? null : spec.address();
   }
 
   /** The newest report of this term, null before the first. */
-  Heartbeat report() {
-    return session.report();
+  Heartbeat lastHeartbeat() {
+    return incarnation.lastHeartbeat();
   }
 
   /** Takes what is known from the rent alone; the address comes with the first report or list. */
-  void rentedAs(CloudProvisioner.Kind kind, eiderfork.model.MachineType type) {
-    machine = new Machine(name, null, kind.type(), kind.zone(), kind.spot());
-    room(type == null ? null : type.room());
+  void provisionedAs(CloudProvisioner.MachineKind kind, eiderfork.model.MachineType type) {
+    spec = new Machine(name, null, kind.type(), kind.zone(), kind.spot());
+    capacity(type == null ? null : type.capacity());
   }
 
   /** Takes what the machine's type offers. */
-  void room(Resources offered) {
-    room = offered;
-    freeChanged();
-    sets.roomIndex().grew(this);
+  void capacity(Resources offered) {
+    capacity = offered;
+    updateFreeCapacity();
+    indexes.capacityIndex().capacityIncreased(this);
   }
 
   /**
@@ -158,84 +160,87 @@
    *
    * @return whether it is the first that is seen of its session
    */
-  boolean reported(Heartbeat newest, long nowMs) {
-    boolean firstOfAll = report() == null;
-    boolean firstOfSession = session.take(newest, nowMs);
+  boolean recordHeartbeat(Heartbeat heartbeat, long nowMs) {
+    boolean firstOfAll = lastHeartbeat() == null;
+    boolean firstOfSession = incarnation.recordHeartbeat(heartbeat, nowMs);
     if (firstOfAll) {
-      freeChanged();
-      sets.roomIndex().grew(this);
+      updateFreeCapacity();
+      indexes.capacityIndex().capacityIncreased(this);
     }
     return firstOfSession;
   }
 
-  private void freeChanged() {
-    agrees = false;
-    free = room == null ? null : room.minus(taken);
-    if (report() != null && room != null && machine != null) {
-      sets.roomIndex().put(this);
+  private void updateFreeCapacity() {
+    reconciled = false;
+    freeCapacity = capacity == null ? null : capacity.minus(reservedCapacity);
+    if (lastHeartbeat() != null && capacity != null && spec != null) {
+      indexes.capacityIndex().update(this);
     }
   }
 
-  boolean isUrgent() {
-    return urgent;
+  boolean isCommandDue() {
+    return commandDue;
   }
 
   /** Has the machine commanded soon. */
-  void setUrgent() {
-    agrees = false;
-    urgent = true;
-    sets.urgent(this, true);
+  void requestCommand() {
+    reconciled = false;
+    commandDue = true;
+    indexes.commandDue(this, true);
   }
 
-  void clearUrgent() {
-    urgent = false;
-    sets.urgent(this, false);
+  void clearCommandDue() {
+    commandDue = false;
+    indexes.commandDue(this, false);
   }
 
-  boolean isCommanding() {
-    return commanding;
+  boolean hasCommandInFlight() {
+    return commandInFlight;
   }
 
-  void setCommanding(boolean value) {
-    commanding = value;
-    sets.commanding(this, value);
+  void setCommandInFlight(boolean value) {
+    commandInFlight = value;
+    indexes.commandInFlight(this, value);
   }
 
-  void add(Reservation p) {
-    if (placed.add(p)) {
-      taken = taken.plus(p.job.job.need());
-      freeChanged();
+  void addReservation(Reservation reservation) {
+    if (reservations.add(reservation)) {
+      reservedCapacity = reservedCapacity.plus(reservation.job.spec.taskResources());
+      updateFreeCapacity();
     }
   }
 
-  void remove(Reservation p) {
-    if (placed.remove(p)) {
+  void removeReservation(Reservation reservation) {
+    if (reservations.remove(reservation)) {
       // Nothing is left of sums of decimal amounts where nothing is left of what was added.
-      taken = placed.isEmpty() ? Resources.NONE : taken.minus(p.job.job.need());
-      freeChanged();
-      sets.roomIndex().grew(this);
+      reservedCapacity =
+          reservations.isEmpty()
+              ? Resources.NONE
+              : reservedCapacity.minus(reservation.job.spec.taskResources());
+      updateFreeCapacity();
+      indexes.capacityIndex().capacityIncreased(this);
     }
   }
 
   /** What no reservation takes, whether its task has started or not. */
-  Resources free() {
-    return free;
+  Resources freeCapacity() {
+    return freeCapacity;
   }
 
-  ImmutableList<eiderfork.model.TaskStatus> tasks() {
-    return report() == null ? ImmutableList.of() : report().tasks();
+  ImmutableList<eiderfork.model.TaskStatus> reportedTasks() {
+    return lastHeartbeat() == null ? ImmutableList.of() : lastHeartbeat().tasks();
   }
 
   /** Notes that a task with this image was put here; the least recently used ones fall out. */
-  void touchImage(String image, double gb, double cacheGb) {
-    images.remove(image);
-    images.put(image, gb);
-    double sum = images.values().stream().mapToDouble(Double::doubleValue).sum();
-    var oldest = images.entrySet().iterator();
-    while (sum > cacheGb && images.size() > 1) {
+  void recordImageUse(String image, double sizeGb, double cacheGb) {
+    cachedImagesGb.remove(image);
+    cachedImagesGb.put(image, sizeGb);
+    double sum = cachedImagesGb.values().stream().mapToDouble(Double::doubleValue).sum();
+    var oldest = cachedImagesGb.entrySet().iterator();
+    while (sum > cacheGb && cachedImagesGb.size() > 1) {
       Map.Entry<String, Double> evicted = oldest.next();
       sum -= evicted.getValue();
-      fetchedAtMs.removeLong(evicted.getKey());
+      imageReadyMs.removeLong(evicted.getKey());
       oldest.remove();
     }
   }
--- a/src/main/java/eiderfork/controller/PeerMonitor.java
+++ b/src/main/java/eiderfork/controller/PeerMonitor.java
@@ -13,89 +13,91 @@
 /** What the peers say of themselves, and what this node tells them. */
 final class PeerMonitor {
   /** A ping each step; this many may be missed before a peer counts as out of reach. */
-  private static final double REACH_PINGS = 3;
+  private static final double MAX_STATUS_AGE_STEPS = 3;
 
-  private record Seen(PeerStatus view, long atMs) {}
+  private record ReceivedStatus(PeerStatus status, long receivedMs) {}
 
   private final ControllerContext context;
-  private final LeaderElection term;
+  private final LeaderElection election;
   private final CancellationTracker cancellations;
   private final ClusterVersion version;
-  private final Map<String, Seen> seen = new LinkedHashMap<>();
-  private final Map<String, Boolean> asking = new LinkedHashMap<>();
+  private final Map<String, ReceivedStatus> lastStatuses = new LinkedHashMap<>();
+  private final Map<String, Boolean> pingPending = new LinkedHashMap<>();
 
-  /** When each peer first answered a ping of this node's {@link #yieldedTo} with that term. */
-  private final Map<String, Long> yieldedMs = new LinkedHashMap<>();
+  /**
+   * When each peer first answered a ping of this node's {@link #acknowledgedTerm} with that term.
+   */
+  private final Map<String, Long> termAcknowledgedMs = new LinkedHashMap<>();
 
-  private long yieldedTo;
-  private long nextMs;
+  private long acknowledgedTerm;
+  private long nextPingMs;
 
   PeerMonitor(
       ControllerContext context,
-      LeaderElection term,
+      LeaderElection election,
       CancellationTracker cancellations,
       ClusterVersion version) {
     this.context = context;
-    this.term = term;
+    this.election = election;
     this.cancellations = cancellations;
     this.version = version;
     // Election and first answers come before the first ping, which loads Avro: on a sliver of a
     // core that takes as long as the election.
-    nextMs = context.nowMs + context.stepMs() * 5 / 2;
+    nextPingMs = context.nowMs + context.stepMs() * 5 / 2;
   }
 
-  /** Pings every peer that has answered the last ping, with what {@code view} tells it. */
-  void tick(Function<String, PeerStatus> view) {
-    if (context.nowMs < nextMs) {
+  /** Pings every peer that has answered the last ping, with what {@code statusFor} tells it. */
+  void tick(Function<String, PeerStatus> statusFor) {
+    if (context.nowMs < nextPingMs) {
       return;
     }
-    nextMs = context.nowMs + context.stepMs();
-    for (String node : context.settings.peers().keySet()) {
-      if (asking.getOrDefault(node, false)) {
+    nextPingMs = context.nowMs + context.stepMs();
+    for (String node : context.settings.peerEndpoints().keySet()) {
+      if (pingPending.getOrDefault(node, false)) {
         continue;
       }
-      asking.put(node, true);
-      long askedMs = context.nowMs;
-      PeerStatus own = view.apply(node);
-      context.ask(
-          call -> new Effect.AskPeerPing(call, node, own, context.stepMs()),
+      pingPending.put(node, true);
+      long requestedMs = context.nowMs;
+      PeerStatus own = statusFor.apply(node);
+      context.call(
+          call -> new Effect.PingPeer(call, node, own, context.stepMs()),
           reply -> {
-            asking.put(node, false);
-            if (reply instanceof Reply.PeerPong says) {
-              heard(says.view());
-              yielded(node, says.view());
-              if (says.view().node().equals(node)) {
-                cancellations.answered(node, says.view().news(), askedMs);
-                version.answered(node, says.view().version());
+            pingPending.put(node, false);
+            if (reply instanceof Reply.PeerPong pong) {
+              receiveStatus(pong.status());
+              recordAcknowledgedTerm(node, pong.status());
+              if (pong.status().node().equals(node)) {
+                cancellations.receiveReply(node, pong.status().cancellations(), requestedMs);
+                version.recordReply(node, pong.status().version());
               }
             }
           });
     }
   }
 
-  void heard(PeerStatus view) {
+  void receiveStatus(PeerStatus status) {
     Settings settings = context.settings;
-    if (!settings.peers().containsKey(view.node())) {
+    if (!settings.peerEndpoints().containsKey(status.node())) {
       return;
     }
-    seen.put(view.node(), new Seen(view, context.nowMs));
-    cancellations.heard(view.node(), view.news());
-    version.heard(view.node(), view.version());
-    if (view.leading()) {
-      term.heardLeader(view.node(), view.term());
+    lastStatuses.put(status.node(), new ReceivedStatus(status, context.nowMs));
+    cancellations.heard(status.node(), status.cancellations());
+    version.recordUnsolicited(status.node(), status.version());
+    if (status.leading()) {
+      election.observeLeader(status.node(), status.term());
     }
   }
 
-  private void yielded(String node, PeerStatus view) {
-    if (!term.leading()) {
+  private void recordAcknowledgedTerm(String node, PeerStatus status) {
+    if (!election.isLeading()) {
       return;
     }
-    if (yieldedTo != term.number()) {
-      yieldedTo = term.number();
-      yieldedMs.clear();
+    if (acknowledgedTerm != election.currentTerm()) {
+      acknowledgedTerm = election.currentTerm();
+      termAcknowledgedMs.clear();
     }
-    if (view.node().equals(node) && view.term() >= yieldedTo) {
-      yieldedMs.putIfAbsent(node, context.nowMs);
+    if (status.node().equals(node) && status.term() >= acknowledgedTerm) {
+      termAcknowledgedMs.putIfAbsent(node, context.nowMs);
     }
   }
 
@@ -104,41 +106,44 @@
    * which ends any lead of an earlier one, and a process started later never had one. {@link
    * Long#MAX_VALUE} while a peer has not said so.
    */
-  long olderTermsOverMs() {
-    if (yieldedTo != term.number() || yieldedMs.size() < context.settings.peers().size()) {
+  long earlierTermsEndedMs() {
+    if (acknowledgedTerm != election.currentTerm()
+        || termAcknowledgedMs.size() < context.settings.peerEndpoints().size()) {
       return Long.MAX_VALUE;
     }
-    return yieldedMs.values().stream().mapToLong(Long::longValue).max().orElse(0);
+    return termAcknowledgedMs.values().stream().mapToLong(Long::longValue).max().orElse(0);
   }
 
-  private boolean fresh(Seen it) {
-    return it != null && context.nowMs - it.atMs <= context.stepMs() * REACH_PINGS;
+  private boolean isFresh(ReceivedStatus received) {
+    return received != null
+        && context.nowMs - received.receivedMs <= context.stepMs() * MAX_STATUS_AGE_STEPS;
   }
 
   /** Whether this peer was heard and is not any more. */
-  boolean lost(String node) {
-    Seen it = seen.get(node);
-    return it != null && !fresh(it);
+  boolean isLost(String node) {
+    ReceivedStatus received = lastStatuses.get(node);
+    return received != null && !isFresh(received);
   }
 
   /** Whether any other peer than this one has been heard lately. */
-  boolean othersReached(String but) {
-    return seen.keySet().stream().anyMatch(node -> !node.equals(but) && reached(node));
+  boolean isAnyOtherReachable(String excludedNode) {
+    return lastStatuses.keySet().stream()
+        .anyMatch(node -> !node.equals(excludedNode) && isReachable(node));
   }
 
   /** Whether this peer has been heard lately. */
-  boolean reached(String node) {
-    return fresh(seen.get(node));
+  boolean isReachable(String node) {
+    return isFresh(lastStatuses.get(node));
   }
 
   /**
    * Whether another zone seems out of reach as a whole: none of its nodes has been heard lately,
    * and one of this zone has.
    */
-  boolean apart(String zone) {
+  boolean isZoneUnreachable(String zone) {
     boolean own = false;
     for (Map.Entry<String, String> peer : context.settings.peerZones().entrySet()) {
-      boolean reached = reached(peer.getKey());
+      boolean reached = isReachable(peer.getKey());
       if (peer.getValue().equals(zone) && reached) {
         return false;
       }
@@ -148,21 +153,24 @@
   }
 
   /** Whether any peer has been heard lately. */
-  boolean anyReached() {
-    return seen.values().stream().anyMatch(this::fresh);
+  boolean isAnyReachable() {
+    return lastStatuses.values().stream().anyMatch(this::isFresh);
   }
 
   /** Whether a peer has been heard lately that has the state service. */
-  boolean anyServed() {
-    return seen.values().stream().anyMatch(this::isServed);
+  boolean isAnyServedByStore() {
+    return lastStatuses.values().stream().anyMatch(this::isServedByStore);
   }
 
-  private boolean isServed(Seen it) {
-    return fresh(it) && it.view.stateAgeMs() < context.stepMs() * REACH_PINGS;
+  private boolean isServedByStore(ReceivedStatus received) {
+    return isFresh(received)
+        && received.status.storeAgeMs() < context.stepMs() * MAX_STATUS_AGE_STEPS;
   }
 
   /** Whether a peer that has the state service hears more machines than {@code count}. */
-  boolean betterHeard(int count) {
-    return seen.values().stream().anyMatch(it -> isServed(it) && it.view.machinesHeard() > count);
+  boolean hasPeerWithMoreMachines(int count) {
+    return lastStatuses.values().stream()
+        .anyMatch(
+            received -> isServedByStore(received) && received.status.reportingMachines() > count);
   }
 }
--- a/src/main/java/eiderfork/controller/PlacementProfile.java
+++ b/src/main/java/eiderfork/controller/PlacementProfile.java
@@ -9,8 +9,10 @@
  * found out for one of them. {@link JobRegistry} holds one object for all equal ones, so that they
  * are told apart without a look inside.
  */
-record PlacementProfile(Resources need, ImmutableSet<String> types, boolean spot, String image) {
+record PlacementProfile(
+    Resources taskResources, ImmutableSet<String> allowedTypes, boolean spotAllowed, String image) {
   static PlacementProfile of(Job job) {
-    return new PlacementProfile(job.need(), job.types(), job.spot(), job.image());
+    return new PlacementProfile(
+        job.taskResources(), job.allowedTypes(), job.spotAllowed(), job.image());
   }
 }
--- a/src/main/java/eiderfork/controller/PreemptionPlanner.java
+++ b/src/main/java/eiderfork/controller/PreemptionPlanner.java
@@ -26,32 +26,32 @@
   private static final Logger LOG = LoggerFactory.getLogger(PreemptionPlanner.class);
 
   /** How long room is claimed for a job while what holds it stops, in steps. */
-  private static final int CLAIM_STEPS = 5;
+  private static final int CLAIM_DURATION_STEPS = 5;
 
   /** What a job needs for which no room could be made in a zone. */
-  private record Hopeless(
+  private record InfeasibleRequest(
       Resources need,
       Priority priority,
       ImmutableSet<String> types,
       boolean spot,
       String zone,
       String image,
-      Object takerKind,
-      VictimPreference upTo) {}
+      Object preemptorClass,
+      VictimPreference maxPreference) {}
 
   /** What stopping or moving some tasks of a machine would cost. */
-  private record Option(MachineState machine, List<Victim> victims, double loss) {
-    int order() {
+  private record Option(MachineState machine, List<VictimTask> victims, double cost) {
+    int machineNumber() {
       return machine.number;
     }
 
-    List<PreemptionPolicy.Choice> stopped() {
+    List<PreemptionPolicy.Choice> stoppedTasks() {
       return victims.stream().filter(v -> v.choice != null).map(v -> v.choice).toList();
     }
 
     /** How long until the last of them has left, in seconds. */
     double delayS() {
-      return stopped().stream().mapToDouble(choice -> choice.plan().delayS()).max().orElse(0);
+      return stoppedTasks().stream().mapToDouble(choice -> choice.plan().delayS()).max().orElse(0);
     }
   }
 
@@ -60,65 +60,65 @@
    *
    * @param choice how it is stopped; null for a replica that is moved
    */
-  private record Victim(Reservation placed, PreemptionPolicy.Choice choice, double loss) {}
+  private record VictimTask(Reservation reservation, PreemptionPolicy.Choice choice, double cost) {}
 
   private final ControllerContext context;
   private final JobRegistry jobs;
-  private final FreeCapacity room;
+  private final FreeCapacity capacity;
   private final ImageFetchEstimator imageFetch;
-  private final CpusPerGpu balance;
+  private final CpusPerGpu cpusPerGpu;
   private final PreemptionPolicy policy;
-  private final ReplicaMigration moves;
-  private final double mostExamined;
+  private final ReplicaMigration migrations;
+  private final double maxExaminations;
 
   /** The replicas that move for the gang that room is being made for. */
-  private final List<Reservation> moved = new ArrayList<>();
+  private final List<Reservation> migratingReplicas = new ArrayList<>();
 
-  private final Set<Hopeless> hopeless = new HashSet<>();
+  private final Set<InfeasibleRequest> infeasible = new HashSet<>();
 
   /** Looks at a machine for this; past the bound on a search no more room is made in a round. */
-  private int examined;
+  private int examinedMachines;
 
   /** Whether work may be stopped, and not only replicas moved. */
-  private boolean mayStop;
+  private boolean canStopTasks;
 
   /** Up to which kind of work victims are looked for now. */
-  private VictimPreference upTo;
+  private VictimPreference maxPreference;
 
   /**
-   * @param mostExamined past this many looks at machines no more room is made in this round
+   * @param maxExaminations past this many looks at machines no more room is made in this round
    */
   PreemptionPlanner(
       ControllerContext context,
       JobRegistry jobs,
-      FreeCapacity room,
+      FreeCapacity capacity,
       ImageFetchEstimator imageFetch,
-      CpusPerGpu balance,
+      CpusPerGpu cpusPerGpu,
       PreemptionPolicy policy,
-      double mostExamined) {
+      double maxExaminations) {
     this.context = context;
     this.jobs = jobs;
-    this.room = room;
+    this.capacity = capacity;
     this.imageFetch = imageFetch;
-    this.balance = balance;
+    this.cpusPerGpu = cpusPerGpu;
     this.policy = policy;
-    this.mostExamined = mostExamined;
-    moves = new ReplicaMigration(context, room, imageFetch, balance);
+    this.maxExaminations = maxExaminations;
+    migrations = new ReplicaMigration(context, capacity, imageFetch, cpusPerGpu);
   }
 
   /** How many looks at machines were taken for this. */
-  int examined() {
-    return examined + moves.examined();
+  int examinedMachines() {
+    return examinedMachines + migrations.examinedMachines();
   }
 
   /**
    * For how many tasks room was found, on machines where the image comes within {@code imageS}. For
    * a better place than there is, only replicas are moved: what an array has done is worth more.
    */
-  int makeRoom(JobState entry, int wanted, Map<String, Integer> perZone, double imageS) {
-    int made = makeRoomUnconfirmed(entry, wanted, perZone, imageS);
-    policy.confirm(entry);
-    moved.clear();
+  int preempt(JobState job, int wanted, Map<String, Integer> tasksByZone, double imageS) {
+    int made = preemptUnconfirmed(job, wanted, tasksByZone, imageS);
+    policy.confirm(job);
+    migratingReplicas.clear();
     return made;
   }
 
@@ -126,197 +126,201 @@
    * Makes room for every task of a gang, with what is free and with what can be freed, or for none:
    * what would be stopped for a part of it alone goes on.
    *
-   * @param perZone the zones to be tried, with no tasks in them yet
+   * @param tasksByZone the zones to be tried, with no tasks in them yet
    */
-  boolean makeRoomForAll(JobState entry, Map<String, Integer> perZone) {
-    int wanted = entry.job.tasks();
-    Set<Hopeless> provedBefore = Set.copyOf(hopeless);
-    if (makeRoomUnconfirmed(entry, wanted, perZone, Double.MAX_VALUE) == wanted) {
-      policy.confirm(entry);
-      moved.clear();
+  boolean preemptForGang(JobState job, Map<String, Integer> tasksByZone) {
+    int wanted = job.spec.tasks();
+    Set<InfeasibleRequest> provedBefore = Set.copyOf(infeasible);
+    if (preemptUnconfirmed(job, wanted, tasksByZone, Double.MAX_VALUE) == wanted) {
+      policy.confirm(job);
+      migratingReplicas.clear();
       return true;
     }
-    policy.undo();
-    moved.forEach(jobs::goOn);
-    moved.clear();
-    room.takeClaims(entry);
+    policy.rollBack();
+    migratingReplicas.forEach(jobs::revokeStop);
+    migratingReplicas.clear();
+    capacity.releaseClaims(job);
     // What was proved beside the tasks that found room does not hold without them.
-    hopeless.retainAll(provedBefore);
+    infeasible.retainAll(provedBefore);
     return false;
   }
 
-  private int makeRoomUnconfirmed(
-      JobState entry, int wanted, Map<String, Integer> perZone, double imageS) {
-    boolean isArray = entry.job.kind() == JobKind.ARRAY;
-    if (isArray && !policy.mayTakeForArray(entry)) {
+  private int preemptUnconfirmed(
+      JobState job, int wanted, Map<String, Integer> tasksByZone, double imageS) {
+    boolean isArray = job.spec.kind() == JobKind.ARRAY;
+    if (isArray && !policy.canPreemptForArray(job)) {
       return 0;
     }
-    mayStop = imageS == Double.MAX_VALUE;
-    int most = policy.mostTasks(entry, wanted);
+    canStopTasks = imageS == Double.MAX_VALUE;
+    int most = policy.maxTasks(job, wanted);
     int made = 0;
-    for (VictimPreference preference : policy.preferences(entry)) {
-      upTo = preference;
-      if (made < most && examined() <= mostExamined) {
-        made += makeRoomUpTo(entry, most - made, perZone, imageS);
+    for (VictimPreference preference : policy.preferences(job)) {
+      maxPreference = preference;
+      if (made < most && examinedMachines() <= maxExaminations) {
+        made += preemptUpToPreference(job, most - made, tasksByZone, imageS);
       }
     }
     return made;
   }
 
   /** Each machine is looked at once for a job, and again only when it is chosen. */
-  private int makeRoomUpTo(
-      JobState entry, int wanted, Map<String, Integer> perZone, double imageS) {
-    Set<String> open = room.openZones(entry, perZone);
-    open.removeIf(zone -> hopeless.contains(hopeless(entry, zone)));
+  private int preemptUpToPreference(
+      JobState job, int wanted, Map<String, Integer> tasksByZone, double imageS) {
+    Set<String> open = capacity.eligibleZones(job, tasksByZone);
+    open.removeIf(zone -> infeasible.contains(infeasible(job, zone)));
     if (open.isEmpty()) {
       return 0;
     }
     PriorityQueue<Option> options =
         new PriorityQueue<>(
-            Comparator.comparingDouble(Option::loss).thenComparingInt(Option::order));
-    for (MachineState m : room.machines()) {
-      if (open.contains(m.zone())
-          && room.allowed(entry, m, perZone)
-          && imageFetch.waitS(entry.job, m) <= imageS) {
-        add(options, option(entry, m));
+            Comparator.comparingDouble(Option::cost).thenComparingInt(Option::machineNumber));
+    for (MachineState machine : capacity.usableMachines()) {
+      if (open.contains(machine.zone())
+          && capacity.isAllowed(job, machine, tasksByZone)
+          && imageFetch.waitS(job.spec, machine) <= imageS) {
+        addIfPresent(options, optionFor(job, machine));
       }
     }
     for (int made = 0; made < wanted; made++) {
-      Option best = best(entry, options, perZone);
+      Option best = cheapest(job, options, tasksByZone);
       if (best == null) {
-        note(entry, open, perZone);
+        recordInfeasible(job, open, tasksByZone);
         return made;
       }
-      choose(entry, best);
-      perZone.merge(best.machine.zone(), 1, Integer::sum);
-      add(options, option(entry, best.machine));
+      apply(job, best);
+      tasksByZone.merge(best.machine.zone(), 1, Integer::sum);
+      addIfPresent(options, optionFor(job, best.machine));
     }
     return wanted;
   }
 
-  private void choose(JobState entry, Option best) {
-    moves.confirm();
-    for (Victim victim : best.victims) {
+  private void apply(JobState job, Option best) {
+    migrations.confirm();
+    for (VictimTask victim : best.victims) {
       if (victim.choice == null) {
-        Reservation p = victim.placed;
-        LOG.info("moving {} off {} for {}", p.id(), best.machine.name, entry.job.uid());
-        jobs.stop(p);
-        best.machine.setUrgent();
-        moved.add(p);
+        Reservation reservation = victim.reservation;
+        LOG.info(
+            "moving {} off {} for {}", reservation.toAttempt(), best.machine.name, job.spec.uid());
+        jobs.requestStop(reservation);
+        best.machine.requestCommand();
+        migratingReplicas.add(reservation);
       }
     }
-    policy.stop(entry, best.machine, best.stopped());
+    policy.preempt(job, best.machine, best.stoppedTasks());
     long untilMs =
-        context.nowMs + CLAIM_STEPS * context.stepMs() + Math.round(best.delayS() * 1000);
-    room.claim(new FreeCapacity.Claim(entry, best.machine, untilMs));
+        context.nowMs + CLAIM_DURATION_STEPS * context.stepMs() + Math.round(best.delayS() * 1000);
+    capacity.addClaim(new FreeCapacity.Claim(job, best.machine, untilMs));
   }
 
-  private Hopeless hopeless(JobState entry, String zone) {
-    Job job = entry.job;
-    return new Hopeless(
-        job.need(),
+  private InfeasibleRequest infeasible(JobState entry, String zone) {
+    Job job = entry.spec;
+    return new InfeasibleRequest(
+        job.taskResources(),
         job.priority(),
-        job.types(),
-        job.spot(),
+        job.allowedTypes(),
+        job.spotAllowed(),
         zone,
-        mayStop ? null : job.image() + " in time",
-        policy.takerKind(entry),
-        upTo);
+        canStopTasks ? null : job.image() + " in time",
+        policy.preemptorClass(entry),
+        maxPreference);
   }
 
   /** In none of the zones that would take one more task can room be made. */
-  private void note(JobState entry, Set<String> open, Map<String, Integer> perZone) {
-    if (!entry.failures.machines().isEmpty()) {
+  private void recordInfeasible(JobState job, Set<String> open, Map<String, Integer> tasksByZone) {
+    if (!job.failureHistory.failedMachines().isEmpty()) {
       return;
     }
-    open.retainAll(room.openZones(entry, perZone));
-    open.forEach(zone -> hopeless.add(hopeless(entry, zone)));
+    open.retainAll(capacity.eligibleZones(job, tasksByZone));
+    open.forEach(zone -> infeasible.add(infeasible(job, zone)));
   }
 
-  private static void add(PriorityQueue<Option> options, Option option) {
+  private static void addIfPresent(PriorityQueue<Option> options, Option option) {
     if (option != null) {
       options.add(option);
     }
   }
 
   /** The cheapest option as it is now; the room that moves need may be taken meanwhile. */
-  private Option best(JobState entry, PriorityQueue<Option> options, Map<String, Integer> perZone) {
+  private Option cheapest(
+      JobState job, PriorityQueue<Option> options, Map<String, Integer> tasksByZone) {
     while (!options.isEmpty()) {
       Option top = options.remove();
-      if (!room.allowed(entry, top.machine, perZone)) {
+      if (!capacity.isAllowed(job, top.machine, tasksByZone)) {
         continue;
       }
-      Option now = option(entry, top.machine);
-      if (now != null && (options.isEmpty() || now.loss <= options.peek().loss)) {
+      Option now = optionFor(job, top.machine);
+      if (now != null && (options.isEmpty() || now.cost <= options.peek().cost)) {
         return now;
       }
-      add(options, now);
+      addIfPresent(options, now);
     }
     return null;
   }
 
   /** The tasks that have to go from a machine so that one of the job fits, or null. */
-  private Option option(JobState entry, MachineState m) {
-    Job job = entry.job;
-    examined++;
-    room.countExamined();
-    moves.beginOption();
+  private Option optionFor(JobState entry, MachineState machine) {
+    Job job = entry.spec;
+    examinedMachines++;
+    capacity.countExamined();
+    migrations.beginOption();
     policy.beginOption();
     // A gang that borrows once claimed the room that is kept from it, and kept it from all others.
-    Resources left = room.of(m, entry, policy.borrows(entry));
-    List<Victim> able = new ArrayList<>();
-    for (Reservation p : m.placed) {
-      if (policy.isLeaving(p)) {
-        left = left.plus(p.job.job.need());
-      } else if (p.committed && policy.mayAsk(m)) {
-        addVictim(able, entry, p);
+    Resources left = capacity.freeOn(machine, entry, policy.isBorrowing(entry));
+    List<VictimTask> able = new ArrayList<>();
+    for (Reservation reservation : machine.reservations) {
+      if (policy.isFreeingCapacity(reservation)) {
+        left = left.plus(reservation.job.spec.taskResources());
+      } else if (reservation.committed && policy.canPreemptOn(machine)) {
+        addVictim(able, entry, reservation);
       }
     }
-    if (job.need().fitsIn(left)) {
-      return new Option(m, List.of(), imageLoss(job, m));
+    if (job.taskResources().fitsIn(left)) {
+      return new Option(machine, List.of(), imageWaitCost(job, machine));
     }
-    able.sort(Comparator.comparingDouble(Victim::loss));
-    List<Victim> victims = new ArrayList<>();
-    for (Victim victim : able) {
-      if (job.need().fitsIn(left)) {
+    able.sort(Comparator.comparingDouble(VictimTask::cost));
+    List<VictimTask> victims = new ArrayList<>();
+    for (VictimTask victim : able) {
+      if (job.taskResources().fitsIn(left)) {
         break;
       }
-      if (take(entry, victim)) {
-        left = left.plus(victim.placed.job.job.need());
+      if (include(entry, victim)) {
+        left = left.plus(victim.reservation.job.spec.taskResources());
         victims.add(victim);
       }
     }
-    if (!job.need().fitsIn(left)) {
+    if (!job.taskResources().fitsIn(left)) {
       return null;
     }
-    dropSpared(job, victims, left);
-    double loss = imageLoss(job, m);
-    for (Victim victim : victims) {
-      loss += victim.loss;
+    dropUnneeded(job, victims, left);
+    double loss = imageWaitCost(job, machine);
+    for (VictimTask victim : victims) {
+      loss += victim.cost;
     }
-    return new Option(m, victims, loss);
+    return new Option(machine, victims, loss);
   }
 
-  private void addVictim(List<Victim> able, JobState entry, Reservation p) {
-    PreemptionPolicy.Choice choice = mayStop ? policy.choice(entry, p, upTo) : null;
-    double loss = choice == null ? moves.loss(entry.job, p, !mayStop) : choice.loss();
+  private void addVictim(List<VictimTask> able, JobState job, Reservation reservation) {
+    PreemptionPolicy.Choice choice =
+        canStopTasks ? policy.evaluate(job, reservation, maxPreference) : null;
+    double loss =
+        choice == null ? migrations.cost(job.spec, reservation, !canStopTasks) : choice.cost();
     if (loss < Double.MAX_VALUE) {
-      able.add(new Victim(p, choice, loss));
+      able.add(new VictimTask(reservation, choice, loss));
     }
   }
 
-  private boolean take(JobState entry, Victim victim) {
+  private boolean include(JobState job, VictimTask victim) {
     return victim.choice == null
-        ? moves.take(victim.placed)
-        : policy.take(entry, victim.choice, upTo);
+        ? migrations.reserveTarget(victim.reservation)
+        : policy.include(job, victim.choice, maxPreference);
   }
 
   /** Those taken first may not be needed beside those taken last. */
-  private static void dropSpared(Job job, List<Victim> victims, Resources room) {
+  private static void dropUnneeded(Job job, List<VictimTask> victims, Resources room) {
     Resources left = room;
-    for (Victim victim : List.copyOf(victims)) {
-      Resources without = left.minus(victim.placed.job.job.need());
-      if (job.need().fitsIn(without)) {
+    for (VictimTask victim : List.copyOf(victims)) {
+      Resources without = left.minus(victim.reservation.job.spec.taskResources());
+      if (job.taskResources().fitsIn(without)) {
         left = without;
         victims.remove(victim);
       }
@@ -327,7 +331,7 @@
    * What the wait for an image throws away. Without it a replica of four GPUs once took the room of
    * an array on a machine that was still fetching other images, and waited 62 s for its own.
    */
-  private double imageLoss(Job job, MachineState m) {
-    return imageFetch.waitS(job, m) * balance.weight(job.need());
+  private double imageWaitCost(Job job, MachineState machine) {
+    return imageFetch.waitS(job, machine) * cpusPerGpu.gpuWeight(job.taskResources());
   }
 }
--- a/src/main/java/eiderfork/controller/PreemptionPolicy.java
+++ b/src/main/java/eiderfork/controller/PreemptionPolicy.java
@@ -10,46 +10,46 @@
   /**
    * A task that may be stopped.
    *
-   * @param loss what that throws away, in seconds of its work weighted by its size
+   * @param cost what that throws away, in seconds of its work weighted by its size
    */
-  record Choice(Reservation task, PreemptionReason ground, PreemptionPlan plan, double loss) {}
+  record Choice(Reservation task, PreemptionReason reason, PreemptionPlan plan, double cost) {}
 
   /** Whether room may be made for an array; it may always be for other jobs. */
-  boolean mayTakeForArray(JobState taker);
+  boolean canPreemptForArray(JobState preemptor);
 
   /** How many of the wanted tasks may have room made for them now. */
-  int mostTasks(JobState taker, int wanted);
+  int maxTasks(JobState preemptor, int wanted);
 
   /** Up to which kinds of work victims are looked for, one after the other. */
-  List<VictimPreference> preferences(JobState taker);
+  List<VictimPreference> preferences(JobState preemptor);
 
   /** What distinguishes the jobs for which the same searches for victims fail. */
-  Object takerKind(JobState taker);
+  Object preemptorClass(JobState preemptor);
 
   /** Whether the job borrows, so that room which was reclaimed lately is not for it. */
-  boolean borrows(JobState taker);
+  boolean isBorrowing(JobState preemptor);
 
   /** Whether tasks on this machine may be told to stop, and are likely to do so. */
-  boolean mayAsk(MachineState m);
+  boolean canPreemptOn(MachineState machine);
 
   /** Whether the room of a task becomes free without anybody else being stopped. */
-  boolean isLeaving(Reservation p);
+  boolean isFreeingCapacity(Reservation reservation);
 
   /** A machine is looked at; nothing of it was chosen yet. */
   void beginOption();
 
   /** How a task may be stopped for the job; null where it may not be. */
-  Choice choice(JobState taker, Reservation p, VictimPreference upTo);
+  Choice evaluate(JobState preemptor, Reservation reservation, VictimPreference upTo);
 
   /** Whether a task may still be stopped after those taken since {@link #beginOption}; takes it. */
-  boolean take(JobState taker, Choice choice, VictimPreference upTo);
+  boolean include(JobState preemptor, Choice choice, VictimPreference upTo);
 
   /** Room for a task of the job is made on this machine, by stopping these. */
-  void stop(JobState taker, MachineState m, List<Choice> choices);
+  void preempt(JobState preemptor, MachineState machine, List<Choice> choices);
 
   /** What was stopped since the last call stays so. */
-  void confirm(JobState taker);
+  void confirm(JobState preemptor);
 
   /** What was stopped since the last confirmation goes on; nothing was sent to it yet. */
-  void undo();
+  void rollBack();
 }
--- a/src/main/java/eiderfork/controller/PriorityPreemptionPolicy.java
+++ b/src/main/java/eiderfork/controller/PriorityPreemptionPolicy.java
@@ -18,92 +18,97 @@
   private static final Logger LOG = LoggerFactory.getLogger(PriorityPreemptionPolicy.class);
 
   /** How long a gang is away when it is stopped, in steps. */
-  private static final double AWAY_STEPS = 2;
+  private static final double GANG_RESTART_STEPS = 2;
 
   /** How many runs of a task its job's deadline is worth when it is decided which one to stop. */
-  static final double LATE_RUNS = 4;
+  static final double MISSED_DEADLINE_RUNS = 4;
 
   private final ControllerContext context;
   private final JobRegistry jobs;
-  private final CpusPerGpu balance;
+  private final CpusPerGpu cpusPerGpu;
   private final DeadlineEstimator deadlines;
 
   /** What was stopped and not confirmed yet. */
-  private final List<Reservation> chosen = new ArrayList<>();
+  private final List<Reservation> unconfirmed = new ArrayList<>();
 
   PriorityPreemptionPolicy(
       ControllerContext context,
       JobRegistry jobs,
-      CpusPerGpu balance,
+      CpusPerGpu cpusPerGpu,
       DeadlineEstimator deadlines) {
     this.context = context;
     this.jobs = jobs;
-    this.balance = balance;
+    this.cpusPerGpu = cpusPerGpu;
     this.deadlines = deadlines;
   }
 
   @Override
-  public boolean mayTakeForArray(JobState taker) {
+  public boolean canPreemptForArray(JobState preemptor) {
     return false;
   }
 
   @Override
-  public int mostTasks(JobState taker, int wanted) {
+  public int maxTasks(JobState preemptor, int wanted) {
     return wanted;
   }
 
   @Override
-  public List<VictimPreference> preferences(JobState taker) {
+  public List<VictimPreference> preferences(JobState preemptor) {
     return List.of(VictimPreference.BORROWED_BATCH);
   }
 
   @Override
-  public Object takerKind(JobState taker) {
+  public Object preemptorClass(JobState preemptor) {
     return "";
   }
 
   @Override
-  public boolean borrows(JobState taker) {
+  public boolean isBorrowing(JobState preemptor) {
     return false;
   }
 
   @Override
-  public boolean mayAsk(MachineState m) {
+  public boolean canPreemptOn(MachineState machine) {
     return true;
   }
 
   @Override
-  public boolean isLeaving(Reservation p) {
-    return !p.wanted();
+  public boolean isFreeingCapacity(Reservation reservation) {
+    return !reservation.isDesired();
   }
 
   @Override
   public void beginOption() {}
 
   @Override
-  public Choice choice(JobState taker, Reservation p, VictimPreference upTo) {
-    Job its = p.job.job;
+  public Choice evaluate(JobState preemptor, Reservation reservation, VictimPreference upTo) {
+    Job spec = reservation.job.spec;
     boolean mayStop =
-        its.kind() != JobKind.SERVICE && its.priority().compareTo(taker.job.priority()) > 0;
+        spec.kind() != JobKind.SERVICE && spec.priority().compareTo(preemptor.spec.priority()) > 0;
     if (!mayStop) {
       return null;
     }
-    PreemptionPlan plan = new PreemptionPlan(PreemptionMode.SAVE, 0, lostS(p));
+    PreemptionPlan plan = new PreemptionPlan(PreemptionMode.SAVE, 0, lostWorkS(reservation));
     return new Choice(
-        p, PreemptionReason.PRIORITY, plan, plan.lostS() * balance.weight(its.need()));
+        reservation,
+        PreemptionReason.PRIORITY,
+        plan,
+        plan.lostWorkS() * cpusPerGpu.gpuWeight(spec.taskResources()));
   }
 
-  private double lostS(Reservation p) {
-    Job its = p.job.job;
-    if (p.job.gang != null) {
-      return gangLostS(p);
+  private double lostWorkS(Reservation reservation) {
+    Job spec = reservation.job.spec;
+    if (reservation.job.gang != null) {
+      return gangLostWorkS(reservation);
     }
-    if (p.seen != TaskStatus.State.RUNNING || p.runningSinceMs == 0) {
+    if (reservation.reportedState != TaskStatus.State.RUNNING || reservation.runningSinceMs == 0) {
       return 0;
     }
-    double ranS = (context.nowMs - p.runningSinceMs) / 1000.0;
-    double sinceCheckpointS = its.checkpointS() > 0 ? Math.min(ranS, its.checkpointS()) : ranS;
-    double lateS = deadlines.lateIfRunAgain(p) ? its.estimateS() * LATE_RUNS : 0;
+    double ranS = (context.nowMs - reservation.runningSinceMs) / 1000.0;
+    double sinceCheckpointS =
+        spec.checkpointIntervalS() > 0 ? Math.min(ranS, spec.checkpointIntervalS()) : ranS;
+    double lateS =
+        deadlines.isLateIfRerun(reservation) ? spec.estimatedRunS() * MISSED_DEADLINE_RUNS : 0;
     return sinceCheckpointS + lateS;
   }
 
@@ -111,42 +116,50 @@
    * What each of a gang's tasks on a machine bears of stopping all of the gang. It saves first if
    * it can, and is away for a while; a gang that can't save loses what it did.
    */
-  private double gangLostS(Reservation p) {
-    Job its = p.job.job;
-    double ranS = p.runningSinceMs == 0 ? 0 : (context.nowMs - p.runningSinceMs) / 1000.0;
-    double lostS = its.checkpointS() > 0 ? its.saveS() : ranS;
-    return (lostS + AWAY_STEPS * context.stepS()) * tasksForEachHere(p);
+  private double gangLostWorkS(Reservation reservation) {
+    Job spec = reservation.job.spec;
+    double ranS =
+        reservation.runningSinceMs == 0 ? 0 : (context.nowMs - reservation.runningSinceMs) / 1000.0;
+    double lostS = spec.checkpointIntervalS() > 0 ? spec.saveDurationS() : ranS;
+    return (lostS + GANG_RESTART_STEPS * context.stepS()) * gangTasksPerLocalTask(reservation);
   }
 
   /** How many of a gang's tasks end for each of them on a machine. */
-  static double tasksForEachHere(Reservation p) {
-    long here = p.machine.placed.stream().filter(other -> other.job == p.job).count();
-    return p.job.job.tasks() / (double) here;
+  static double gangTasksPerLocalTask(Reservation reservation) {
+    long here =
+        reservation.machine.reservations.stream()
+            .filter(other -> other.job == reservation.job)
+            .count();
+    return reservation.job.spec.tasks() / (double) here;
   }
 
   @Override
-  public boolean take(JobState taker, Choice choice, VictimPreference upTo) {
+  public boolean include(JobState preemptor, Choice choice, VictimPreference upTo) {
     return true;
   }
 
   @Override
-  public void stop(JobState taker, MachineState m, List<Choice> choices) {
+  public void preempt(JobState preemptor, MachineState machine, List<Choice> choices) {
     for (Choice choice : choices) {
-      LOG.info("stopping {} on {} for {}", choice.task().id(), m.name, taker.job.uid());
-      jobs.stop(choice.task());
-      m.setUrgent();
-      chosen.add(choice.task());
+      LOG.info(
+          "stopping {} on {} for {}",
+          choice.task().toAttempt(),
+          machine.name,
+          preemptor.spec.uid());
+      jobs.requestStop(choice.task());
+      machine.requestCommand();
+      unconfirmed.add(choice.task());
     }
   }
 
   @Override
-  public void confirm(JobState taker) {
-    chosen.clear();
+  public void confirm(JobState preemptor) {
+    unconfirmed.clear();
   }
 
   @Override
-  public void undo() {
-    chosen.forEach(jobs::goOn);
-    chosen.clear();
+  public void rollBack() {
+    unconfirmed.forEach(jobs::revokeStop);
+    unconfirmed.clear();
   }
 }
--- a/src/main/java/eiderfork/controller/ProvisioningIntents.java
+++ b/src/main/java/eiderfork/controller/ProvisioningIntents.java
@@ -12,56 +12,61 @@
 
 /** The records that stand in the state service before the cloud is asked for anything. */
 final class ProvisioningIntents {
-  private final LeaderElection term;
-  private final StoreClient gate;
+  private final LeaderElection election;
+  private final StoreClient store;
 
-  ProvisioningIntents(LeaderElection term, StoreClient gate) {
-    this.term = term;
-    this.gate = gate;
+  ProvisioningIntents(LeaderElection election, StoreClient store) {
+    this.election = election;
+    this.store = store;
   }
 
   /**
    * Writes a reservation; one that is left unanswered is repeated, since it may still apply.
    *
-   * @param live whether it is still wanted
+   * @param isStillWanted whether it is still wanted
    */
   void reserve(
-      String key, StoredRecord record, BooleanSupplier live, Runnable done, Runnable failed) {
-    gate.send(
-        new StoreRequest.Transact(
-            ImmutableList.of(term.condition(), new StoreRequest.Condition(key, 0)),
+      String key,
+      StoredRecord record,
+      BooleanSupplier isStillWanted,
+      Runnable onCommitted,
+      Runnable onFailed) {
+    store.send(
+        new StoreRequest.Transaction(
+            ImmutableList.of(election.leaderCondition(), new StoreRequest.Condition(key, 0)),
             ImmutableList.of(StoreRequest.Change.put(key, record))),
         RequestPriority.FLEET,
         reply -> {
-          if (!live.getAsBoolean() || !term.leading()) {
+          if (!isStillWanted.getAsBoolean() || !election.isLeading()) {
             return;
           }
           if (reply instanceof Reply.Committed) {
-            done.run();
+            onCommitted.run();
           } else if (reply instanceof Reply.Conflict conflict) {
-            if (conflict.failed().contains(StoreKeys.LEADER)) {
-              term.conditionFailed();
+            if (conflict.failedKeys().contains(StoreKeys.LEADER)) {
+              election.leaderConditionFailed();
             } else {
               // The key is this term's own: an earlier copy of this write has been applied.
-              done.run();
+              onCommitted.run();
             }
           } else if (reply instanceof Reply.Unanswered) {
-            reserve(key, record, live, done, failed);
+            reserve(key, record, isStillWanted, onCommitted, onFailed);
           } else {
-            failed.run();
+            onFailed.run();
           }
         });
   }
 
   /** Removes a reservation that is settled. */
-  void drop(String key) {
-    gate.send(
-        new StoreRequest.Transact(
-            ImmutableList.of(term.condition()), ImmutableList.of(StoreRequest.Change.remove(key))),
+  void remove(String key) {
+    store.send(
+        new StoreRequest.Transaction(
+            ImmutableList.of(election.leaderCondition()),
+            ImmutableList.of(StoreRequest.Change.remove(key))),
         RequestPriority.CLEANUP,
         reply -> {
           if (reply instanceof Reply.Conflict) {
-            term.conditionFailed();
+            election.leaderConditionFailed();
           }
         });
   }
--- a/src/main/java/eiderfork/controller/QueueOrder.java
+++ b/src/main/java/eiderfork/controller/QueueOrder.java
@@ -15,19 +15,19 @@
  */
 final class QueueOrder {
   /** The share of the time it has that an array may yield to smaller ones of its rank. */
-  private static final double YIELD_SHARE = 0.5;
+  private static final double SMALLER_ARRAYS_FIRST_SHARE = 0.5;
 
   /** The time, by the users, in which the largest jobs must have begun whatever their chances. */
-  private static final long MUST_BEGIN_MS = 240_000;
+  private static final long MAX_START_DELAY_MS = 240_000;
 
   /** The share of that time after which a late job that never started goes before all others. */
-  private static final double LATE_TURN_SHARE = 0.6;
+  private static final double OVERDUE_SHARE = 0.6;
 
   /** After this time work that never started goes before what is put first otherwise. */
-  static final long LATE_TURN_MS = (long) (MUST_BEGIN_MS * LATE_TURN_SHARE);
+  static final long OVERDUE_MS = (long) (MAX_START_DELAY_MS * OVERDUE_SHARE);
 
   /** Longer than any job lives: what is put off by this comes behind all others of its rank. */
-  private static final long BEHIND_ALL_MS = 1L << 50;
+  private static final long LAST_IN_RANK_OFFSET_MS = 1L << 50;
 
   private final ControllerContext context;
   private final DeadlineEstimator deadlines;
@@ -38,19 +38,19 @@
   }
 
   /**
-   * @param mostTasks the most tasks that any array has waiting
+   * @param maxWaitingTasks the most tasks that any array has waiting
    */
-  long turnMs(JobState entry, int mostTasks) {
-    Job job = entry.job;
+  long queueTimeMs(JobState entry, int maxWaitingTasks) {
+    Job job = entry.spec;
     if (job.kind() == JobKind.SERVICE) {
-      return entry.sinceMs;
+      return entry.firstSeenMs;
     }
     // Small arrays are sooner done, and a larger one loses less by waiting for them.
-    double size = entry.waiting.cardinality() / (double) mostTasks;
+    double size = entry.pendingTasks.cardinality() / (double) maxWaitingTasks;
     if (job.deadlineS() == null) {
-      double aimS = context.settings.shortestAimS(Objective.Kind.FINISHED, job.jobClass());
-      double yieldS = aimS == Double.MAX_VALUE ? 0 : aimS * YIELD_SHARE;
-      return entry.sinceMs + (job.kind() == JobKind.ARRAY ? toMs(yieldS * size) : 0);
+      double aimS = context.settings.shortestObjectiveS(Objective.Kind.FINISHED, job.jobClass());
+      double yieldS = aimS == Double.MAX_VALUE ? 0 : aimS * SMALLER_ARRAYS_FIRST_SHARE;
+      return entry.firstSeenMs + (job.kind() == JobKind.ARRAY ? toMs(yieldS * size) : 0);
     }
     OptionalLong latestStartMs = deadlines.latestStartMs(entry);
     if (latestStartMs.isPresent()) {
@@ -58,9 +58,9 @@
     }
     // Late work that never began has a right to begin; what has begun may wait for longer.
     boolean begun = entry.lastAttempt > 0;
-    double waitMostMs = MUST_BEGIN_MS * (begun ? 1 : LATE_TURN_SHARE);
-    boolean waitedLongEnough = context.nowMs - entry.sinceMs >= waitMostMs;
-    return entry.sinceMs + (waitedLongEnough ? 0 : BEHIND_ALL_MS);
+    double waitMostMs = MAX_START_DELAY_MS * (begun ? 1 : OVERDUE_SHARE);
+    boolean waitedLongEnough = context.nowMs - entry.firstSeenMs >= waitMostMs;
+    return entry.firstSeenMs + (waitedLongEnough ? 0 : LAST_IN_RANK_OFFSET_MS);
   }
 
   private static long toMs(double seconds) {
--- a/src/main/java/eiderfork/controller/QuotaBorrowing.java
+++ b/src/main/java/eiderfork/controller/QuotaBorrowing.java
@@ -12,17 +12,17 @@
   private final MachineRegistry fleet;
   private final MachineLiveness liveness;
   private final DeadlineEstimator deadlines;
-  private final BorrowedCapacity loans;
-  private final PendingReclaims reclaims;
-  private final TeamUsageTracker accounts;
-  private final QuotaReclaimLog log;
-  private final boolean on;
+  private final BorrowedCapacity borrowedCapacity;
+  private final DeferredPreemptions deferredPreemptions;
+  private final TeamUsageTracker teamUsage;
+  private final QuotaReclaimLog reclaimLog;
+  private final boolean isEnabled;
 
   /** When this leader began to decide; 0 for not yet. */
-  private long beganMs;
+  private long firstTickMs;
 
   /** The machines have shown what an older leader stopped, or had the time to. */
-  private boolean mayReclaim;
+  private boolean canReclaim;
 
   QuotaBorrowing(
       ControllerContext context,
@@ -30,36 +30,45 @@
       MachineRegistry fleet,
       MachineLiveness liveness,
       DeadlineEstimator deadlines,
-      FreeCapacity room,
-      BorrowedCapacity loans) {
+      FreeCapacity capacity,
+      BorrowedCapacity borrowedCapacity) {
     this.context = context;
     this.jobs = jobs;
     this.fleet = fleet;
     this.liveness = liveness;
     this.deadlines = deadlines;
-    this.loans = loans;
-    reclaims = new PendingReclaims(context, jobs, room);
-    accounts = new TeamUsageTracker(context, jobs, fleet, room, reclaims);
-    log = new QuotaReclaimLog(context);
-    on = context.settings.operator().lending();
+    this.borrowedCapacity = borrowedCapacity;
+    deferredPreemptions = new DeferredPreemptions(context, jobs, capacity);
+    teamUsage = new TeamUsageTracker(context, jobs, fleet, capacity, deferredPreemptions);
+    reclaimLog = new QuotaReclaimLog(context);
+    isEnabled = context.settings.operator().isLendingEnabled();
   }
 
   /** Forgets what belongs to a term that is over. */
   void clear() {
-    beganMs = 0;
-    mayReclaim = false;
-    loans.clear();
-    reclaims.clear();
-    accounts.clear();
-    log.clear();
+    firstTickMs = 0;
+    canReclaim = false;
+    borrowedCapacity.clear();
+    deferredPreemptions.clear();
+    teamUsage.clear();
+    reclaimLog.clear();
   }
 
   /** What may be stopped for jobs in a round. */
-  PreemptionPolicy stops(CpusPerGpu balance) {
-    return on
+  PreemptionPolicy preemptionPolicy(CpusPerGpu cpusPerGpu) {
+    return isEnabled
         ? new QuotaPreemptionPolicy(
-            context, jobs, fleet, balance, deadlines, accounts, reclaims, loans, log, mayReclaim)
-        : new PriorityPreemptionPolicy(context, jobs, balance, deadlines);
+            context,
+            jobs,
+            fleet,
+            cpusPerGpu,
+            deadlines,
+            teamUsage,
+            deferredPreemptions,
+            borrowedCapacity,
+            reclaimLog,
+            canReclaim)
+        : new PriorityPreemptionPolicy(context, jobs, cpusPerGpu, deadlines);
   }
 
   /**
@@ -67,31 +76,32 @@
    * has stopped there may be about to end, and others would be stopped in its stead. A machine that
    * stays silent is waited for no longer than until it counts as silent.
    */
-  private void lookForOlderReclaims() {
-    if (mayReclaim) {
+  private void awaitEarlierReclaims() {
+    if (canReclaim) {
       return;
     }
-    beganMs = beganMs == 0 ? context.nowMs : beganMs;
-    boolean anyUnshown = fleet.sets().anyUnshown(number -> !fleet.get(number).placed.isEmpty());
-    mayReclaim = !anyUnshown || context.nowMs - beganMs > liveness.silentMs();
+    firstTickMs = firstTickMs == 0 ? context.nowMs : firstTickMs;
+    boolean anyUnshown =
+        fleet.indexes().anyAwaitingToken(number -> !fleet.get(number).reservations.isEmpty());
+    canReclaim = !anyUnshown || context.nowMs - firstTickMs > liveness.heartbeatTimeoutMs();
   }
 
   /** Whether the next task of the job would run beyond what its team is guaranteed. */
-  boolean borrows(JobState entry) {
-    return loans.borrows(entry);
+  boolean isBorrowing(JobState job) {
+    return borrowedCapacity.isBorrowing(job);
   }
 
   /** Whether the job is a gang that may not borrow again yet. */
-  boolean isGangCoolingDown(JobState entry) {
-    return on && loans.isGangCoolingDown(entry);
+  boolean isGangCoolingDown(JobState job) {
+    return isEnabled && borrowedCapacity.isGangCoolingDown(job);
   }
 
   void tick() {
-    if (on) {
-      lookForOlderReclaims();
-      reclaims.tick();
-      loans.tick();
-      log.tell(accounts::withAsked);
+    if (isEnabled) {
+      awaitEarlierReclaims();
+      deferredPreemptions.tick();
+      borrowedCapacity.tick();
+      reclaimLog.logIfDue(teamUsage::accountsWithDemand);
     }
   }
 }
--- a/src/main/java/eiderfork/controller/QuotaPreemptionPolicy.java
+++ b/src/main/java/eiderfork/controller/QuotaPreemptionPolicy.java
@@ -27,97 +27,101 @@
  */
 final class QuotaPreemptionPolicy implements PreemptionPolicy {
   /** How long a gang is away when it is stopped, in steps. */
-  private static final double AWAY_STEPS = 2;
+  private static final double GANG_RESTART_STEPS = 2;
 
   /** How late a start may be seen, in report intervals. */
-  private static final double SEEN_LATE_REPORTS = 1.25;
+  private static final double START_OBSERVATION_DELAY_REPORTS = 1.25;
 
   private final ControllerContext context;
   private final JobRegistry jobs;
   private final MachineRegistry fleet;
-  private final CpusPerGpu balance;
+  private final CpusPerGpu cpusPerGpu;
   private final DeadlineEstimator deadlines;
-  private final TeamUsageTracker accounts;
-  private final PendingReclaims reclaims;
-  private final BorrowedCapacity loans;
-  private final QuotaReclaimLog log;
-  private final boolean mayReclaim;
+  private final TeamUsageTracker teamUsage;
+  private final DeferredPreemptions deferredPreemptions;
+  private final BorrowedCapacity borrowedCapacity;
+  private final QuotaReclaimLog reclaimLog;
+  private final boolean canReclaim;
 
   /** What was stopped and not confirmed yet. */
-  private final List<Choice> chosen = new ArrayList<>();
+  private final List<Choice> unconfirmed = new ArrayList<>();
 
   /** The ledger with what was taken of the machine that is looked at; null while nothing was. */
-  private QuotaLedger trial;
+  private QuotaLedger trialLedger;
 
   /** The gangs that were taken there. */
   private final Set<JobState> trialGangs = new HashSet<>();
 
   /** The job that room is made for, as it was judged by this ledger. */
-  private JobState judgedEntry;
+  private JobState cachedEntry;
 
-  private QuotaLedger judgedBy;
-  private Preemptor judged;
+  private QuotaLedger cachedLedger;
+  private Preemptor cachedPreemptor;
 
   QuotaPreemptionPolicy(
       ControllerContext context,
       JobRegistry jobs,
       MachineRegistry fleet,
-      CpusPerGpu balance,
+      CpusPerGpu cpusPerGpu,
       DeadlineEstimator deadlines,
-      TeamUsageTracker accounts,
-      PendingReclaims reclaims,
-      BorrowedCapacity loans,
-      QuotaReclaimLog log,
-      boolean mayReclaim) {
+      TeamUsageTracker teamUsage,
+      DeferredPreemptions deferredPreemptions,
+      BorrowedCapacity borrowedCapacity,
+      QuotaReclaimLog reclaimLog,
+      boolean canReclaim) {
     this.context = context;
     this.jobs = jobs;
     this.fleet = fleet;
-    this.balance = balance;
+    this.cpusPerGpu = cpusPerGpu;
     this.deadlines = deadlines;
-    this.accounts = accounts;
-    this.reclaims = reclaims;
-    this.loans = loans;
-    this.log = log;
-    this.mayReclaim = mayReclaim;
+    this.teamUsage = teamUsage;
+    this.deferredPreemptions = deferredPreemptions;
+    this.borrowedCapacity = borrowedCapacity;
+    this.reclaimLog = reclaimLog;
+    this.canReclaim = canReclaim;
   }
 
-  private Preemptor taker(JobState entry) {
-    QuotaLedger ledger = accounts.ledger();
-    if (judgedEntry != entry || judgedBy != ledger) {
-      judgedEntry = entry;
-      judgedBy = ledger;
-      judged = accounts.taker(entry);
+  private Preemptor preemptorOf(JobState job) {
+    QuotaLedger ledger = teamUsage.ledger();
+    if (cachedEntry != job || cachedLedger != ledger) {
+      cachedEntry = job;
+      cachedLedger = ledger;
+      cachedPreemptor = teamUsage.preemptorOf(job);
     }
-    return judged;
+    return cachedPreemptor;
   }
 
   @Override
-  public boolean mayTakeForArray(JobState entry) {
-    Preemptor taker = taker(entry);
-    return mayReclaim && taker.withinGuarantee() && accounts.ledger().othersBorrow(taker.team());
+  public boolean canPreemptForArray(JobState job) {
+    Preemptor preemptor = preemptorOf(job);
+    return canReclaim
+        && preemptor.isWithinGuarantee()
+        && teamUsage.ledger().hasOtherBorrower(preemptor.team());
   }
 
   /** No more than the team's limit leaves beside the room that is being made for it already. */
   @Override
-  public int mostTasks(JobState entry, int wanted) {
-    Job job = entry.job;
+  public int maxTasks(JobState entry, int wanted) {
+    Job job = entry.spec;
     Team team = context.settings.teams().get(job.team());
-    Resources used = jobs.tally().used(job.team());
-    for (FreeCapacity.Claim claim : accounts.claims()) {
-      if (claim.entry().job.team().equals(job.team())) {
-        used = used.plus(claim.entry().job.need());
+    Resources used = jobs.resourceUsage().used(job.team());
+    for (FreeCapacity.Claim claim : teamUsage.claims()) {
+      if (claim.entry().spec.team().equals(job.team())) {
+        used = used.plus(claim.entry().spec.taskResources());
       }
     }
-    return team == null || !mayReclaim ? 0 : team.tasksWithinLimit(used, job.need(), wanted);
+    return team == null || !canReclaim
+        ? 0
+        : team.countWithinLimit(used, job.taskResources(), wanted);
   }
 
   @Override
-  public List<VictimPreference> preferences(JobState entry) {
-    Preemptor taker = taker(entry);
-    if (!taker.withinGuarantee()) {
+  public List<VictimPreference> preferences(JobState job) {
+    Preemptor preemptor = preemptorOf(job);
+    if (!preemptor.isWithinGuarantee()) {
       return List.of(VictimPreference.BORROWED_BATCH);
     }
-    return taker.waitedForBoot()
+    return preemptor.hasWaitedForBoot()
         ? List.of(VictimPreference.values())
         : List.of(
             VictimPreference.BORROWED_BATCH,
@@ -126,153 +130,167 @@
   }
 
   @Override
-  public Object takerKind(JobState entry) {
-    return taker(entry);
+  public Object preemptorClass(JobState job) {
+    return preemptorOf(job);
   }
 
   @Override
-  public boolean borrows(JobState entry) {
-    return loans.borrows(entry);
+  public boolean isBorrowing(JobState job) {
+    return borrowedCapacity.isBorrowing(job);
   }
 
   @Override
-  public boolean mayAsk(MachineState m) {
-    return loans.mayAsk(m);
+  public boolean canPreemptOn(MachineState machine) {
+    return borrowedCapacity.isResponsive(machine);
   }
 
   /** A task on a machine that does not answer, or whose save hangs, holds its room for longer. */
   @Override
-  public boolean isLeaving(Reservation p) {
-    if (reclaims.isPending(p)) {
+  public boolean isFreeingCapacity(Reservation reservation) {
+    if (deferredPreemptions.isPending(reservation)) {
       return true;
     }
-    long marginMs = WorkerCommander.SAVE_MARGIN_STEPS * context.stepMs();
-    return !p.wanted() && loans.mayAsk(p.machine) && !p.isSaveOverdue(context.nowMs, marginMs);
+    long marginMs = WorkerCommander.CHECKPOINT_MARGIN_STEPS * context.stepMs();
+    return !reservation.isDesired()
+        && borrowedCapacity.isResponsive(reservation.machine)
+        && !reservation.isSaveOverdue(context.nowMs, marginMs);
   }
 
   @Override
   public void beginOption() {
-    trial = null;
+    trialLedger = null;
     trialGangs.clear();
   }
 
   @Override
-  public Choice choice(JobState entry, Reservation p, VictimPreference upTo) {
-    Job its = p.job.job;
-    if (its.kind() == JobKind.SERVICE && upTo != VictimPreference.BORROWED_REPLICA) {
+  public Choice evaluate(JobState job, Reservation reservation, VictimPreference upTo) {
+    Job spec = reservation.job.spec;
+    if (spec.kind() == JobKind.SERVICE && upTo != VictimPreference.BORROWED_REPLICA) {
       return null;
     }
-    Preemptor taker = taker(entry);
-    PreemptionDecision.Allowed allowed = judge(taker, p, accounts.ledger(), upTo);
+    Preemptor preemptor = preemptorOf(job);
+    PreemptionDecision.Allowed allowed =
+        evaluateVictim(preemptor, reservation, teamUsage.ledger(), upTo);
     if (allowed == null) {
       return null;
     }
-    PreemptionPlan plan = plan(p, taker);
-    return new Choice(p, allowed.ground(), plan, loss(p, plan));
+    PreemptionPlan plan = planFor(reservation, preemptor);
+    return new Choice(reservation, allowed.reason(), plan, costOf(reservation, plan));
   }
 
-  private PreemptionDecision.Allowed judge(
-      Preemptor taker, Reservation p, QuotaLedger ledger, VictimPreference upTo) {
-    PreemptionDecision verdict = ReclaimPolicy.judge(taker, victim(p), ledger);
+  private PreemptionDecision.Allowed evaluateVictim(
+      Preemptor preemptor, Reservation reservation, QuotaLedger ledger, VictimPreference upTo) {
+    PreemptionDecision verdict = ReclaimPolicy.evaluate(preemptor, victimOf(reservation), ledger);
     if (verdict instanceof PreemptionDecision.Refused refused) {
-      log.refused(refused.reason());
+      reclaimLog.recordRefusal(refused.reason());
       return null;
     }
     PreemptionDecision.Allowed allowed = (PreemptionDecision.Allowed) verdict;
     return allowed.preference().compareTo(upTo) <= 0 ? allowed : null;
   }
 
-  private static PreemptionVictim victim(Reservation p) {
-    Job its = p.job.job;
+  private static PreemptionVictim victimOf(Reservation reservation) {
+    Job spec = reservation.job.spec;
     return new PreemptionVictim(
-        new TeamId(its.team()), its.kind(), its.priority(), PendingReclaims.amount(p));
+        new TeamId(spec.team()),
+        spec.kind(),
+        spec.priority(),
+        DeferredPreemptions.amountFreedBy(reservation));
   }
 
-  private PreemptionPlan plan(Reservation p, Preemptor taker) {
-    Job its = p.job.job;
-    if (its.kind() == JobKind.SERVICE) {
+  private PreemptionPlan planFor(Reservation reservation, Preemptor preemptor) {
+    Job spec = reservation.job.spec;
+    if (spec.kind() == JobKind.SERVICE) {
       // It is away until a machine comes for it, whether it serves already or not.
-      return new PreemptionPlan(PreemptionMode.AT_ONCE, 0, fleet.longestBootMs(its) / 1000);
+      return new PreemptionPlan(PreemptionMode.AT_ONCE, 0, fleet.longestBootMs(spec) / 1000);
     }
-    if (p.seen != TaskStatus.State.RUNNING || p.runningSinceMs == 0) {
-      return PreemptionPlan.NOTHING_LOST;
+    if (reservation.reportedState != TaskStatus.State.RUNNING || reservation.runningSinceMs == 0) {
+      return PreemptionPlan.NO_WORK_LOST;
     }
     return PreemptionPlan.cheapest(
-        new CheckpointPolicy(its.checkpointS(), its.saveS()),
-        (context.nowMs - p.runningSinceMs) / 1000.0,
-        p.isStartSeen(),
-        taker.mayWaitS(),
-        SEEN_LATE_REPORTS * context.reportMs() / 1000.0);
+        new CheckpointPolicy(spec.checkpointIntervalS(), spec.saveDurationS()),
+        (context.nowMs - reservation.runningSinceMs) / 1000.0,
+        reservation.isStartObserved(),
+        preemptor.maxCheckpointWaitS(),
+        START_OBSERVATION_DELAY_REPORTS * context.heartbeatIntervalMs() / 1000.0);
   }
 
   /** What was reclaimed before weighs more, so that it is not always the same that is stopped. */
-  private double loss(Reservation p, PreemptionPlan plan) {
-    Job its = p.job.job;
+  private double costOf(Reservation reservation, PreemptionPlan plan) {
+    Job spec = reservation.job.spec;
     double lateS =
-        deadlines.lateIfRunAgain(p) ? its.estimateS() * PriorityPreemptionPolicy.LATE_RUNS : 0;
+        deadlines.isLateIfRerun(reservation)
+            ? spec.estimatedRunS() * PriorityPreemptionPolicy.MISSED_DEADLINE_RUNS
+            : 0;
     double costS = plan.costS() + lateS;
-    if (p.job.gang != null) {
-      costS = (costS + AWAY_STEPS * context.stepS()) * PriorityPreemptionPolicy.tasksForEachHere(p);
+    if (reservation.job.gang != null) {
+      costS =
+          (costS + GANG_RESTART_STEPS * context.stepS())
+              * PriorityPreemptionPolicy.gangTasksPerLocalTask(reservation);
     }
-    return costS * balance.weight(its.need()) * (1 + p.job.timesReclaimed(p.index));
+    return costS
+        * cpusPerGpu.gpuWeight(spec.taskResources())
+        * (1 + reservation.job.reclaimCount(reservation.taskIndex));
   }
 
   @Override
-  public boolean take(JobState entry, Choice choice, VictimPreference upTo) {
-    Reservation p = choice.task();
-    if (trialGangs.contains(p.job)) {
+  public boolean include(JobState job, Choice choice, VictimPreference upTo) {
+    Reservation reservation = choice.task();
+    if (trialGangs.contains(reservation.job)) {
       return true;
     }
-    QuotaLedger before = trial == null ? accounts.ledger() : trial;
-    if (trial != null && judge(taker(entry), p, before, upTo) == null) {
+    QuotaLedger before = trialLedger == null ? teamUsage.ledger() : trialLedger;
+    if (trialLedger != null
+        && evaluateVictim(preemptorOf(job), reservation, before, upTo) == null) {
       return false;
     }
-    trial = before.trial();
-    trial.stop(new TeamId(p.job.job.team()), PendingReclaims.amount(p));
-    if (p.job.gang != null) {
-      trialGangs.add(p.job);
+    trialLedger = before.copy();
+    trialLedger.addStopping(
+        new TeamId(reservation.job.spec.team()), DeferredPreemptions.amountFreedBy(reservation));
+    if (reservation.job.gang != null) {
+      trialGangs.add(reservation.job);
     }
     return true;
   }
 
   @Override
-  public void stop(JobState entry, MachineState m, List<Choice> choices) {
+  public void preempt(JobState job, MachineState machine, List<Choice> choices) {
     for (Choice choice : choices) {
-      Reservation p = choice.task();
-      if (!p.wanted() || reclaims.isPending(p)) {
+      Reservation reservation = choice.task();
+      if (!reservation.isDesired() || deferredPreemptions.isPending(reservation)) {
         // Another task of its gang was chosen before.
         continue;
       }
-      chosen.add(choice);
+      unconfirmed.add(choice);
       if (choice.plan().mode() == PreemptionMode.AFTER_CHECKPOINT) {
-        reclaims.stopLater(p, entry, choice.plan().delayS());
+        deferredPreemptions.preemptAfterCheckpoint(reservation, job, choice.plan().delayS());
       } else {
-        if (p.job.gang == null && choice.plan().mode() == PreemptionMode.AT_ONCE) {
-          p.endWithoutSave();
+        if (reservation.job.gang == null && choice.plan().mode() == PreemptionMode.AT_ONCE) {
+          reservation.skipSave();
         }
-        jobs.stop(p);
-        m.setUrgent();
+        jobs.requestStop(reservation);
+        machine.requestCommand();
       }
     }
   }
 
   @Override
-  public void confirm(JobState entry) {
-    for (Choice choice : chosen) {
-      Reservation p = choice.task();
-      p.job.noteReclaimed(p.index, context.nowMs);
-      loans.reclaimed(p, entry.job);
-      log.reclaimed(entry.job, choice);
+  public void confirm(JobState job) {
+    for (Choice choice : unconfirmed) {
+      Reservation reservation = choice.task();
+      reservation.job.recordReclaim(reservation.taskIndex, context.nowMs);
+      borrowedCapacity.recordReclaim(reservation, job.spec);
+      reclaimLog.recordReclaim(job.spec, choice);
     }
-    chosen.clear();
+    unconfirmed.clear();
   }
 
   @Override
-  public void undo() {
-    for (Choice choice : chosen) {
-      reclaims.cancel(choice.task());
-      jobs.goOn(choice.task());
+  public void rollBack() {
+    for (Choice choice : unconfirmed) {
+      deferredPreemptions.cancel(choice.task());
+      jobs.revokeStop(choice.task());
     }
-    chosen.clear();
+    unconfirmed.clear();
   }
 }
--- a/src/main/java/eiderfork/controller/QuotaReclaimLog.java
+++ b/src/main/java/eiderfork/controller/QuotaReclaimLog.java
@@ -15,13 +15,13 @@
 final class QuotaReclaimLog {
   private static final Logger LOG = LoggerFactory.getLogger(QuotaReclaimLog.class);
 
-  private static final long INTERVAL_MS = 60_000;
+  private static final long LOG_INTERVAL_MS = 60_000;
 
   private final ControllerContext context;
   private final Map<PreemptionDecision.Refusal, Long> refusals =
       new EnumMap<>(PreemptionDecision.Refusal.class);
-  private long reclaims;
-  private long nextMs;
+  private long reclaimCount;
+  private long nextLogMs;
 
   QuotaReclaimLog(ControllerContext context) {
     this.context = context;
@@ -29,39 +29,39 @@
 
   void clear() {
     refusals.clear();
-    reclaims = 0;
+    reclaimCount = 0;
   }
 
   /** A task, or a gang, is reclaimed for a job. */
-  void reclaimed(Job taker, PreemptionPolicy.Choice choice) {
-    reclaims++;
-    Job its = choice.task().job.job;
+  void recordReclaim(Job preemptor, PreemptionPolicy.Choice choice) {
+    reclaimCount++;
+    Job spec = choice.task().job.spec;
     LOG.info(
         "reclaim taker={} taker_team={} victim={} victim_team={} machine={} ground={} mode={}"
             + " delay_s={} lost_s={} cost={}",
-        taker.uid(),
-        taker.team(),
-        choice.task().id(),
-        its.team(),
+        preemptor.uid(),
+        preemptor.team(),
+        choice.task().toAttempt(),
+        spec.team(),
         choice.task().machine.name,
-        choice.ground(),
+        choice.reason(),
         choice.plan().mode(),
         "%.1f".formatted(choice.plan().delayS()),
-        "%.1f".formatted(choice.plan().lostS()),
-        "%.1f".formatted(choice.loss()));
+        "%.1f".formatted(choice.plan().lostWorkS()),
+        "%.1f".formatted(choice.cost()));
   }
 
   /** Some work was found that may not be stopped for a job. */
-  void refused(PreemptionDecision.Refusal reason) {
+  void recordRefusal(PreemptionDecision.Refusal reason) {
     refusals.merge(reason, 1L, Long::sum);
   }
 
   /** Once a minute: what each team uses and borrows, and how often what was refused. */
-  void tell(Supplier<List<TeamUsage>> accounts) {
-    if (context.nowMs < nextMs) {
+  void logIfDue(Supplier<List<TeamUsage>> accounts) {
+    if (context.nowMs < nextLogMs) {
       return;
     }
-    nextMs = context.nowMs + INTERVAL_MS;
+    nextLogMs = context.nowMs + LOG_INTERVAL_MS;
     for (TeamUsage account : accounts.get()) {
       LOG.info(
           "lending team={} guaranteed_gpus={} used_gpus={} borrowed_gpus={} asked_gpus={}"
@@ -70,12 +70,12 @@
           account.guarantee().gpus(),
           account.used().gpus(),
           account.borrowed().gpus(),
-          account.asked().gpus(),
-          account.lackedWithinGuarantee().gpus(),
+          account.requested().gpus(),
+          account.shortfallWithinGuarantee().gpus(),
           account.used().cpus(),
           account.borrowed().cpus());
     }
-    LOG.info("lending reclaims={} refusals={}", reclaims, refusals);
+    LOG.info("lending reclaims={} refusals={}", reclaimCount, refusals);
     clear();
   }
 }
--- a/src/main/java/eiderfork/controller/ReplicaMigration.java
+++ b/src/main/java/eiderfork/controller/ReplicaMigration.java
@@ -14,61 +14,62 @@
 /** Finds replicas that may move away for a job, and the room that they move to. */
 final class ReplicaMigration {
   /** How long a replica is away while it moves, in steps. */
-  private static final double MOVE_STEPS = 2;
+  private static final double MIGRATION_STEPS = 2;
 
   /** How long a replica has to run before it may move, in steps. */
-  private static final int MOVABLE_STEPS = 10;
+  private static final int MIN_RUN_STEPS = 10;
 
   /** Machines of a zone that may take replicas of a profile; those before the first are full. */
-  private static final class Targets {
+  private static final class MigrationTargets {
     final List<MachineState> machines;
-    int first;
+    int firstNotFull;
 
-    Targets(List<MachineState> machines) {
+    MigrationTargets(List<MachineState> machines) {
       this.machines = machines;
     }
   }
 
   private final ControllerContext context;
-  private final FreeCapacity room;
+  private final FreeCapacity capacity;
   private final ImageFetchEstimator imageFetch;
-  private final CpusPerGpu balance;
+  private final CpusPerGpu cpusPerGpu;
 
-  private final Map<PlacementProfile, Map<String, Targets>> targets =
+  private final Map<PlacementProfile, Map<String, MigrationTargets>> targets =
       new Reference2ObjectOpenHashMap<>();
 
   /** What moved replicas will take where they go; it only guards against moving too many. */
-  private final Map<MachineState, Resources> filling = new HashMap<>();
+  private final Map<MachineState, Resources> confirmedMigrations = new HashMap<>();
 
   /** The same for the option that is being looked at. */
-  private final Map<MachineState, Resources> trying = new HashMap<>();
+  private final Map<MachineState, Resources> proposedMigrations = new HashMap<>();
 
-  private int examined;
+  private int examinedMachines;
 
   ReplicaMigration(
       ControllerContext context,
-      FreeCapacity room,
+      FreeCapacity capacity,
       ImageFetchEstimator imageFetch,
-      CpusPerGpu balance) {
+      CpusPerGpu cpusPerGpu) {
     this.context = context;
-    this.room = room;
+    this.capacity = capacity;
     this.imageFetch = imageFetch;
-    this.balance = balance;
+    this.cpusPerGpu = cpusPerGpu;
   }
 
   /** How many looks at machines were taken for this. */
-  int examined() {
-    return examined;
+  int examinedMachines() {
+    return examinedMachines;
   }
 
   /** Another machine is looked at; what was to move from the one before it stays. */
   void beginOption() {
-    trying.clear();
+    proposedMigrations.clear();
   }
 
   /** The moves found since {@link #beginOption} are made. */
   void confirm() {
-    trying.forEach((m, needs) -> filling.merge(m, needs, Resources::plus));
+    proposedMigrations.forEach(
+        (machine, needs) -> confirmedMigrations.merge(machine, needs, Resources::plus));
   }
 
   /**
@@ -81,52 +82,56 @@
    *
    * @param forImage whether there is room elsewhere, where the image comes too late
    */
-  double loss(Job job, Reservation p, boolean forImage) {
-    Job its = p.job.job;
+  double cost(Job job, Reservation reservation, boolean forImage) {
+    Job spec = reservation.job.spec;
     boolean gpusMove =
         forImage
-            && its.priority().compareTo(job.priority()) > 0
-            && context.nowMs - p.runningSinceMs > MachineConsolidation.SETTLED_MS;
+            && spec.priority().compareTo(job.priority()) > 0
+            && context.nowMs - reservation.runningSinceMs > MachineConsolidation.MIN_RUNNING_MS;
     boolean movable =
-        its.kind() == JobKind.SERVICE
-            && (its.need().gpus() <= 0 || gpusMove)
-            && p.seen == TaskStatus.State.RUNNING
-            && its.need().shareOf(p.machine.room) < job.need().shareOf(p.machine.room)
-            && context.nowMs - p.runningSinceMs > MOVABLE_STEPS * context.stepMs();
-    double weight = balance.weight(its.need());
-    return movable ? MOVE_STEPS * context.stepS() * weight : Double.MAX_VALUE;
+        spec.kind() == JobKind.SERVICE
+            && (spec.taskResources().gpus() <= 0 || gpusMove)
+            && reservation.reportedState == TaskStatus.State.RUNNING
+            && spec.taskResources().shareOf(reservation.machine.capacity)
+                < job.taskResources().shareOf(reservation.machine.capacity)
+            && context.nowMs - reservation.runningSinceMs > MIN_RUN_STEPS * context.stepMs();
+    double weight = cpusPerGpu.gpuWeight(spec.taskResources());
+    return movable ? MIGRATION_STEPS * context.stepS() * weight : Double.MAX_VALUE;
   }
 
   /** Whether a replica finds room on another machine; takes that room. */
-  boolean take(Reservation p) {
-    Job job = p.job.job;
-    String zone = p.machine.zone();
-    Targets open =
+  boolean reserveTarget(Reservation reservation) {
+    Job job = reservation.job.spec;
+    String zone = reservation.machine.zone();
+    MigrationTargets open =
         targets
-            .computeIfAbsent(p.job.profile, profile -> new HashMap<>())
-            .computeIfAbsent(zone, z -> new Targets(room.candidates(job, Set.of(z))));
-    for (int i = open.first; i < open.machines.size(); i++) {
-      MachineState m = open.machines.get(i);
-      examined++;
-      room.countExamined();
-      Resources left = room.of(m).minus(filling.getOrDefault(m, Resources.NONE));
-      if (!room.isUsable(m)
-          || !acceptsMoved(job, left)
-          || imageFetch.waitS(job, m) > context.stepS()) {
-        if (i == open.first) {
-          open.first++;
+            .computeIfAbsent(reservation.job.profile, profile -> new HashMap<>())
+            .computeIfAbsent(zone, z -> new MigrationTargets(capacity.candidates(job, Set.of(z))));
+    for (int i = open.firstNotFull; i < open.machines.size(); i++) {
+      MachineState machine = open.machines.get(i);
+      examinedMachines++;
+      capacity.countExamined();
+      Resources left =
+          capacity.freeOn(machine).minus(confirmedMigrations.getOrDefault(machine, Resources.NONE));
+      if (!capacity.isUsable(machine)
+          || !canAccept(job, left)
+          || imageFetch.waitS(job, machine) > context.stepS()) {
+        if (i == open.firstNotFull) {
+          open.firstNotFull++;
         }
         continue;
       }
-      if (m != p.machine && acceptsMoved(job, left.minus(trying.getOrDefault(m, Resources.NONE)))) {
-        trying.merge(m, job.need(), Resources::plus);
+      if (machine != reservation.machine
+          && canAccept(job, left.minus(proposedMigrations.getOrDefault(machine, Resources.NONE)))) {
+        proposedMigrations.merge(machine, job.taskResources(), Resources::plus);
         return true;
       }
     }
     return false;
   }
 
-  private boolean acceptsMoved(Job job, Resources left) {
-    return job.need().fitsIn(left) && balance.strandedBy(job.need(), left) <= 0;
+  private boolean canAccept(Job job, Resources left) {
+    return job.taskResources().fitsIn(left)
+        && cpusPerGpu.strandedGpusBy(job.taskResources(), left) <= 0;
   }
 }
--- a/src/main/java/eiderfork/controller/RequestForwarder.java
+++ b/src/main/java/eiderfork/controller/RequestForwarder.java
@@ -18,15 +18,15 @@
  */
 final class RequestForwarder {
   /** The most questions in a request; with the longest ids they stay far below 64 KiB. */
-  private static final int MOST = 256;
+  private static final int MAX_BATCH_SIZE = 256;
 
   /** How long a peer may take over what is passed on, in steps. */
-  static final double STEPS = 0.5;
+  static final double TIMEOUT_STEPS = 0.5;
 
-  private record Question(String uid, Consumer<UserResponse> answer, Runnable here) {}
+  private record QueuedQuery(String uid, Consumer<UserResponse> onResponse, Runnable fallback) {}
 
   private final ControllerContext context;
-  private final Queue<Question> waiting = new ArrayDeque<>();
+  private final Queue<QueuedQuery> queue = new ArrayDeque<>();
 
   RequestForwarder(ControllerContext context) {
     this.context = context;
@@ -34,43 +34,45 @@
 
   /** How long a peer may take over what is passed on. */
   static long timeoutMs(ControllerContext context) {
-    return (long) (context.stepMs() * STEPS);
+    return (long) (context.stepMs() * TIMEOUT_STEPS);
   }
 
-  /** Passes a question on at the next tick; {@code here} is run where that brings no answer. */
-  void add(String uid, Consumer<UserResponse> answer, Runnable here) {
-    waiting.add(new Question(uid, answer, here));
+  /** Passes a question on at the next tick; {@code fallback} is run where that brings no answer. */
+  void enqueueQuery(String uid, Consumer<UserResponse> onResponse, Runnable fallback) {
+    queue.add(new QueuedQuery(uid, onResponse, fallback));
   }
 
   /** Sends what has gathered; {@code leader} is the node to ask, or null for none. */
-  void tick(String leader) {
-    while (!waiting.isEmpty()) {
-      List<Question> batch = new ArrayList<>();
-      while (!waiting.isEmpty() && batch.size() < MOST) {
-        batch.add(waiting.remove());
+  void sendQueued(String leader) {
+    while (!queue.isEmpty()) {
+      List<QueuedQuery> batch = new ArrayList<>();
+      while (!queue.isEmpty() && batch.size() < MAX_BATCH_SIZE) {
+        batch.add(queue.remove());
       }
       if (leader == null) {
-        batch.forEach(each -> each.here.run());
+        batch.forEach(each -> each.fallback.run());
       } else {
         send(leader, batch);
       }
     }
   }
 
-  private void send(String leader, List<Question> batch) {
+  private void send(String leader, List<QueuedQuery> batch) {
     ImmutableList<String> uids =
-        batch.stream().map(Question::uid).collect(ImmutableList.toImmutableList());
-    context.ask(
-        call -> new Effect.AskPeerQueries(call, leader, uids, timeoutMs(context)),
+        batch.stream().map(QueuedQuery::uid).collect(ImmutableList.toImmutableList());
+    context.call(
+        call -> new Effect.ForwardQueries(call, leader, uids, timeoutMs(context)),
         reply -> {
           boolean all =
-              reply instanceof Reply.PeerAnswers it && it.answers().size() == batch.size();
+              reply instanceof Reply.ForwardedResponses forwarded
+                  && forwarded.responses().size() == batch.size();
           for (int i = 0; i < batch.size(); i++) {
-            UserResponse said = all ? ((Reply.PeerAnswers) reply).answers().get(i) : null;
-            if (said != null && said.status() != 503) {
-              batch.get(i).answer.accept(said);
+            UserResponse response =
+                all ? ((Reply.ForwardedResponses) reply).responses().get(i) : null;
+            if (response != null && response.status() != 503) {
+              batch.get(i).onResponse.accept(response);
             } else {
-              batch.get(i).here.run();
+              batch.get(i).fallback.run();
             }
           }
         });
--- a/src/main/java/eiderfork/controller/Reservation.java
+++ b/src/main/java/eiderfork/controller/Reservation.java
@@ -7,7 +7,7 @@
 /** A task's reservation on a machine, from the round that proposes it until it is settled. */
 final class Reservation {
   final JobState job;
-  final int index;
+  final int taskIndex;
   final long attempt;
   final MachineState machine;
 
@@ -21,12 +21,12 @@
   private boolean withoutSave;
 
   /** The last state seen of it on the machine, null for none. */
-  TaskStatus.State seen;
+  TaskStatus.State reportedState;
 
   /** The largest token and session that its start was sent with; 0 for never in this term. */
-  long sentToken;
+  long startToken;
 
-  long sentSession;
+  long startIncarnation;
 
   /** When the task was first seen running, 0 for not yet. */
   long runningSinceMs;
@@ -34,19 +34,19 @@
   /** When the task was first seen saving, 0 for not yet. */
   private long savingSinceMs;
 
-  Reservation(JobState job, int index, long attempt, MachineState machine) {
+  Reservation(JobState job, int taskIndex, long attempt, MachineState machine) {
     this.job = job;
-    this.index = index;
+    this.taskIndex = taskIndex;
     this.attempt = attempt;
     this.machine = machine;
   }
 
-  Attempt id() {
-    return new Attempt(new TaskId(job.job.uid(), index), attempt);
+  Attempt toAttempt() {
+    return new Attempt(new TaskId(job.spec.uid(), taskIndex), attempt);
   }
 
   /** Has the task stopped; its job's owner of the tallies is to be told of it. */
-  void stop() {
+  void requestStop() {
     if (!stopping) {
       stopping = true;
       job.stoppingTasks++;
@@ -54,7 +54,7 @@
   }
 
   /** Takes back a decision to stop of which nothing was sent yet. */
-  void goOn() {
+  void revokeStop() {
     if (stopping) {
       stopping = false;
       job.stoppingTasks--;
@@ -63,12 +63,12 @@
   }
 
   /** The reservation is over, so that its task does not count as stopping any more. */
-  void removed() {
+  void onRemoved() {
     job.stoppingTasks -= stopping ? 1 : 0;
   }
 
   /** The task ends at once when it is stopped, or while it saves. */
-  void endWithoutSave() {
+  void skipSave() {
     withoutSave = true;
   }
 
@@ -82,7 +82,7 @@
   }
 
   /** The machine reports that the task is saving, because it was told to stop. */
-  void seenSaving(long nowMs) {
+  void onSavingReported(long nowMs) {
     if (savingSinceMs == 0) {
       savingSinceMs = nowMs;
     }
@@ -90,21 +90,21 @@
 
   /** Whether the task has been saving for longer than it should take, and this much longer. */
   boolean isSaveOverdue(long nowMs, long marginMs) {
-    long saveMs = (long) (job.job.saveS() * 1000);
+    long saveMs = (long) (job.spec.saveDurationS() * 1000);
     return savingSinceMs > 0 && nowMs - savingSinceMs > saveMs + marginMs;
   }
 
   /** Whether this leader has seen the task start, so that it knows for how long it has run. */
-  boolean isStartSeen() {
-    return sentToken > 0 && runningSinceMs > 0;
+  boolean isStartObserved() {
+    return startToken > 0 && runningSinceMs > 0;
   }
 
-  boolean mayStart() {
-    return committed && !stopping && !job.aborted && seen == null;
+  boolean canStart() {
+    return committed && !stopping && !job.cancelled && reportedState == null;
   }
 
   /** Whether the task is wanted where it is. */
-  boolean wanted() {
-    return !stopping && !job.aborted;
+  boolean isDesired() {
+    return !stopping && !job.cancelled;
   }
 }
--- a/src/main/java/eiderfork/controller/ResourceUsage.java
+++ b/src/main/java/eiderfork/controller/ResourceUsage.java
@@ -16,37 +16,38 @@
   private final Object2IntMap<Resources> gpuTasks = new Object2IntOpenHashMap<>();
 
   /** Counts the changes, so that what was made of the tally can be kept until the next one. */
-  private long changes;
+  private long changeCount;
 
   /** Null while it has to be made anew. */
-  private CpusPerGpu balance;
+  private CpusPerGpu cpusPerGpu;
 
   void clear() {
     used.clear();
     stopping.clear();
     settled.clear();
     gpuTasks.clear();
-    balance = null;
-    changes++;
+    cpusPerGpu = null;
+    changeCount++;
   }
 
   /** Takes up what has changed of a job. */
   void update(JobState entry) {
-    Job job = entry.job;
-    TaskCounts counts = entry.active ? entry.counts() : TaskCounts.NONE;
-    TaskCounts before = entry.tallied;
+    Job job = entry.spec;
+    TaskCounts counts = entry.active ? entry.taskCounts() : TaskCounts.NONE;
+    TaskCounts before = entry.accountedTasks;
     if (!counts.equals(before)) {
-      entry.tallied = counts;
-      changes++;
-      used.add(job.team(), job.need(), counts.used() - before.used());
-      stopping.add(job.team(), job.need(), counts.stopping() - before.stopping());
-      settled.add(job.team(), job.need(), counts.settled() - before.settled());
+      entry.accountedTasks = counts;
+      changeCount++;
+      used.add(job.team(), job.taskResources(), counts.used() - before.used());
+      stopping.add(job.team(), job.taskResources(), counts.stopping() - before.stopping());
+      settled.add(job.team(), job.taskResources(), counts.settled() - before.settled());
     }
-    if (entry.active != entry.talliedActive) {
-      entry.talliedActive = entry.active;
-      if (job.need().gpus() > 0) {
-        TaskSizeCounter.add(gpuTasks, job.need(), entry.active ? job.tasks() : -job.tasks());
-        balance = null;
+    if (entry.active != entry.accountedActive) {
+      entry.accountedActive = entry.active;
+      if (job.taskResources().gpus() > 0) {
+        TaskSizeCounter.add(
+            gpuTasks, job.taskResources(), entry.active ? job.tasks() : -job.tasks());
+        cpusPerGpu = null;
       }
     }
   }
@@ -72,16 +73,16 @@
   }
 
   /** Stays as it is while nothing has changed that is counted here. */
-  long changes() {
-    return changes;
+  long changeCount() {
+    return changeCount;
   }
 
   /** How many processors the GPU work of now takes beside each GPU. */
-  CpusPerGpu balance() {
-    if (balance == null) {
+  CpusPerGpu cpusPerGpu() {
+    if (cpusPerGpu == null) {
       Resources sum = TaskSizeCounter.sum(gpuTasks);
-      balance = new CpusPerGpu(sum.gpus() > 0 ? sum.cpus() / sum.gpus() : 0);
+      cpusPerGpu = new CpusPerGpu(sum.gpus() > 0 ? sum.cpus() / sum.gpus() : 0);
     }
-    return balance;
+    return cpusPerGpu;
   }
 }
--- a/src/main/java/eiderfork/controller/ScaleInPolicy.java
+++ b/src/main/java/eiderfork/controller/ScaleInPolicy.java
@@ -15,83 +15,87 @@
   private final ControllerContext context;
   private final MachineRegistry fleet;
   private final MachineLiveness liveness;
-  private final LeaseExpiry lapses;
+  private final LeaseExpiry leaseExpiry;
   private final CloudProvisioner cloud;
-  private final BootTimeEstimator boots;
+  private final BootTimeEstimator bootTimes;
 
   ScaleInPolicy(
       ControllerContext context,
       MachineRegistry fleet,
       MachineLiveness liveness,
-      LeaseExpiry lapses,
+      LeaseExpiry leaseExpiry,
       CloudProvisioner cloud,
-      BootTimeEstimator boots) {
+      BootTimeEstimator bootTimes) {
     this.context = context;
     this.fleet = fleet;
     this.liveness = liveness;
-    this.lapses = lapses;
+    this.leaseExpiry = leaseExpiry;
     this.cloud = cloud;
-    this.boots = boots;
+    this.bootTimes = bootTimes;
   }
 
   /** Gives back what the plan needs no more. */
-  void giveBack(List<Bin> bins) {
+  void returnUnneeded(List<Bin> bins) {
     Map<MachineState, Bin> packed = new Reference2ObjectOpenHashMap<>();
     for (Bin bin : bins) {
-      if (bin.machine != null && bin.machine.placed.isEmpty()) {
+      if (bin.machine != null && bin.machine.reservations.isEmpty()) {
         packed.put(bin.machine, bin);
       }
     }
     int silent = 0;
     int live = 0;
-    for (MachineState m : fleet.machines()) {
-      if (m.report() != null) {
+    for (MachineState machine : fleet.machines()) {
+      if (machine.lastHeartbeat() != null) {
         live++;
-        silent += liveness.heard(m) ? 0 : 1;
+        silent += liveness.hasRecentHeartbeat(machine) ? 0 : 1;
       }
     }
     // When most are silent at once it is this node that is cut off, not they that are lost.
     boolean believe = silent * 2 <= live;
-    for (MachineState m : ImmutableList.copyOf(fleet.machines())) {
-      if (m.returning || m.machine == null) {
+    for (MachineState machine : ImmutableList.copyOf(fleet.machines())) {
+      if (machine.scalingIn || machine.spec == null) {
         continue;
       }
-      MachineType type = fleet.type(m);
+      MachineType type = fleet.typeOf(machine);
       double bootMs = type == null ? 0 : type.bootS() * 1000;
-      long ageMs = context.nowMs - m.sinceMs;
-      if (m.faulty) {
-        cloud.returns().giveBack(m, "faulty");
-      } else if (m.report() == null) {
-        if (type != null && boots.hasFailed(m, type)) {
-          cloud.returns().giveBackSilent(m, "it does not come up");
+      long ageMs = context.nowMs - machine.knownSinceMs;
+      if (machine.faulty) {
+        cloud.returns().returnMachine(machine, "faulty");
+      } else if (machine.lastHeartbeat() == null) {
+        if (type != null && bootTimes.hasFailed(machine, type)) {
+          cloud.returns().returnSilent(machine, "it does not come up");
         }
       } else if (believe
-          && !lapses.proxied(m)
-          && liveness.silentForMs(m)
-              > BootTimeEstimator.SILENCE_LEASES * context.leaseMs() + bootMs) {
-        cloud.returns().giveBackSilent(m, "it is silent");
-      } else if (believe && liveness.heard(m) && liveness.deaf(m) && deafTooLong(m)) {
-        cloud.returns().giveBack(m, "commands do not reach it");
-      } else if (m.placed.isEmpty() && m.tasks().isEmpty()) {
-        Bin bin = packed.get(m);
-        boolean needed = bin != null && !bin.left.equals(m.room);
-        if (m.draining) {
-          cloud.returns().giveBack(m, "drained");
+          && !leaseExpiry.isProxied(machine)
+          && liveness.sinceLastContactMs(machine)
+              > BootTimeEstimator.UNREACHABLE_GRACE_LEASES * context.workerLeaseMs() + bootMs) {
+        cloud.returns().returnSilent(machine, "it is silent");
+      } else if (believe
+          && liveness.hasRecentHeartbeat(machine)
+          && liveness.isUnresponsive(machine)
+          && isUnreachableForLong(machine)) {
+        cloud.returns().returnMachine(machine, "commands do not reach it");
+      } else if (machine.reservations.isEmpty() && machine.reportedTasks().isEmpty()) {
+        Bin bin = packed.get(machine);
+        boolean needed = bin != null && !bin.free.equals(machine.capacity);
+        if (machine.draining) {
+          cloud.returns().returnMachine(machine, "drained");
         } else if (needed) {
-          m.idleSinceMs = 0;
-        } else if (m.idleSinceMs == 0) {
-          m.idleSinceMs = context.nowMs;
-        } else if (context.nowMs - m.idleSinceMs > bootMs * context.settings.operator().idleShare()
+          machine.idleSinceMs = 0;
+        } else if (machine.idleSinceMs == 0) {
+          machine.idleSinceMs = context.nowMs;
+        } else if (context.nowMs - machine.idleSinceMs
+                > bootMs * context.settings.operator().idleBootShare()
             && ageMs > MIN_CHARGE_MS) {
-          cloud.returns().giveBack(m, "idle");
+          cloud.returns().returnMachine(machine, "idle");
         }
       } else {
-        m.idleSinceMs = 0;
+        machine.idleSinceMs = 0;
       }
     }
   }
 
-  private boolean deafTooLong(MachineState m) {
-    return context.nowMs - m.deafSinceMs > context.leaseMs();
+  private boolean isUnreachableForLong(MachineState machine) {
+    return context.nowMs - machine.unresponsiveSinceMs > context.workerLeaseMs();
   }
 }
--- a/src/main/java/eiderfork/controller/ScaleInRequests.java
+++ b/src/main/java/eiderfork/controller/ScaleInRequests.java
@@ -23,25 +23,25 @@
   private static final Logger LOG = LoggerFactory.getLogger(ScaleInRequests.class);
 
   /** The most machines that the protocol lets one return name. */
-  private static final int RETURN_MOST = 100;
+  private static final int MAX_RETURN_COUNT = 100;
 
   /** How much of a value the names of a return may take. */
   private static final double VALUE_SHARE = 0.8;
 
   /** Quotes and comma around a name. */
-  private static final int AROUND_NAME = 3;
+  private static final int NAME_OVERHEAD_BYTES = 3;
 
   /** How a return stands. */
   private static final class Return {
     final String key;
     final ImmutableList<String> machines;
-    boolean committed;
-    boolean asking;
+    boolean isCommitted;
+    boolean isInFlight;
 
     /** It was asked for and not refused, so the machines may go at any time. */
-    boolean maybeDone;
+    boolean possiblyApplied;
 
-    long nextMs;
+    long nextAttemptMs;
     final Backoff backoff;
 
     Return(String key, ImmutableList<String> machines, Backoff backoff) {
@@ -52,131 +52,134 @@
   }
 
   private final ControllerContext context;
-  private final LeaderElection term;
+  private final LeaderElection election;
   private final MachineRegistry fleet;
-  private final ProvisioningIntents reservations;
-  private final TokenBucket calls;
+  private final ProvisioningIntents intents;
+  private final TokenBucket callBudget;
   private final Map<String, Return> returns = new LinkedHashMap<>();
-  private final Set<String> toReturn = new HashSet<>();
-  private int names;
+  private final Set<String> pendingNames = new HashSet<>();
+  private int lastRequestNumber;
 
   /**
-   * @param calls the budget of calls to the cloud
+   * @param callBudget the budget of calls to the cloud
    */
   ScaleInRequests(
       ControllerContext context,
-      LeaderElection term,
+      LeaderElection election,
       MachineRegistry fleet,
-      ProvisioningIntents reservations,
-      TokenBucket calls) {
+      ProvisioningIntents intents,
+      TokenBucket callBudget) {
     this.context = context;
-    this.term = term;
+    this.election = election;
     this.fleet = fleet;
-    this.reservations = reservations;
-    this.calls = calls;
+    this.intents = intents;
+    this.callBudget = callBudget;
   }
 
   private Backoff newBackoff() {
-    return new Backoff(context.stepMs(), context.listLagMs());
+    return new Backoff(context.stepMs(), context.cloudListLagMs());
   }
 
   /** Decides on no more of the returns of a term that is over. */
-  void clear() {
+  void reset() {
     returns.clear();
-    toReturn.clear();
-    names = 0;
+    pendingNames.clear();
+    lastRequestNumber = 0;
   }
 
   /** Takes up a return that an earlier leader reserved, and may have asked for. */
-  void restore(String key, StoredRecord.Return record) {
-    Return it = new Return(key, record.machines(), newBackoff());
-    it.committed = true;
-    it.maybeDone = true;
-    returns.put(key, it);
-    record.machines().forEach(name -> fleet.known(name).returning = true);
+  void restore(String key, StoredRecord.ScaleInIntent record) {
+    Return machineReturn = new Return(key, record.machines(), newBackoff());
+    machineReturn.isCommitted = true;
+    machineReturn.possiblyApplied = true;
+    returns.put(key, machineReturn);
+    record.machines().forEach(name -> fleet.getOrRegister(name).scalingIn = true);
   }
 
   /** Reserves returns that were decided, and asks for those whose reservation stands. */
   void tick() {
-    keepRevived();
-    if (!toReturn.isEmpty()) {
-      ImmutableList<String> batch = returnBatch();
-      batch.forEach(toReturn::remove);
-      String key = StoreKeys.RETURN + "t" + term.number() + "-" + ++names;
-      Return it = new Return(key, batch, newBackoff());
-      returns.put(key, it);
-      reservations.reserve(
+    keepRecovered();
+    if (!pendingNames.isEmpty()) {
+      ImmutableList<String> batch = nextBatch();
+      batch.forEach(pendingNames::remove);
+      String key =
+          StoreKeys.RETURN_PREFIX + "t" + election.currentTerm() + "-" + ++lastRequestNumber;
+      Return machineReturn = new Return(key, batch, newBackoff());
+      returns.put(key, machineReturn);
+      intents.reserve(
           key,
-          new StoredRecord.Return(batch),
-          () -> returns.get(key) == it,
-          () -> it.committed = true,
+          new StoredRecord.ScaleInIntent(batch),
+          () -> returns.get(key) == machineReturn,
+          () -> machineReturn.isCommitted = true,
           () -> {
             returns.remove(key);
-            toReturn.addAll(batch);
+            pendingNames.addAll(batch);
           });
     }
-    for (Return it : List.copyOf(returns.values())) {
-      if (it.committed
-          && !it.asking
-          && context.nowMs >= it.nextMs
-          && calls.take(1, context.nowMs)) {
-        ask(it);
+    for (Return machineReturn : List.copyOf(returns.values())) {
+      if (machineReturn.isCommitted
+          && !machineReturn.isInFlight
+          && context.nowMs >= machineReturn.nextAttemptMs
+          && callBudget.tryTake(1, context.nowMs)) {
+        send(machineReturn);
       }
     }
   }
 
   /** Gives a machine back because nothing is heard of it; it is kept if that ends in time. */
-  void giveBackSilent(MachineState m, String why) {
-    m.returnedSilentMs = context.nowMs;
-    giveBack(m, why);
+  void returnSilent(MachineState machine, String reason) {
+    machine.scaledInUnreachableMs = context.nowMs;
+    returnMachine(machine, reason);
   }
 
   /**
    * Keeps machines that are heard again before the cloud took their return: while it refuses all
    * calls, machines that had only hung once stood unused until it answered, and were lost then.
    */
-  private void keepRevived() {
-    toReturn.removeIf(this::revive);
-    for (Return it : List.copyOf(returns.values())) {
-      if (!it.committed || it.asking || it.maybeDone) {
+  private void keepRecovered() {
+    pendingNames.removeIf(this::keepIfRecovered);
+    for (Return machineReturn : List.copyOf(returns.values())) {
+      if (!machineReturn.isCommitted || machineReturn.isInFlight || machineReturn.possiblyApplied) {
         continue;
       }
-      List<String> others = new ArrayList<>(it.machines);
-      if (others.removeIf(this::revive)) {
-        returns.remove(it.key);
-        reservations.drop(it.key);
-        toReturn.addAll(others);
+      List<String> others = new ArrayList<>(machineReturn.machines);
+      if (others.removeIf(this::keepIfRecovered)) {
+        returns.remove(machineReturn.key);
+        intents.remove(machineReturn.key);
+        pendingNames.addAll(others);
       }
     }
   }
 
-  private boolean revive(String name) {
-    MachineState m = fleet.get(name);
-    if (m == null || m.returnedSilentMs == 0 || m.session.heardMs() <= m.returnedSilentMs) {
+  private boolean keepIfRecovered(String name) {
+    MachineState machine = fleet.get(name);
+    if (machine == null
+        || machine.scaledInUnreachableMs == 0
+        || machine.incarnation.lastHeartbeatMs() <= machine.scaledInUnreachableMs) {
       return false;
     }
     LOG.info("keeping {}: it is heard again", name);
-    m.returning = false;
-    m.returnedSilentMs = 0;
+    machine.scalingIn = false;
+    machine.scaledInUnreachableMs = 0;
     return true;
   }
 
-  void giveBack(MachineState m, String why) {
-    if (!m.returning) {
-      LOG.info("returning {}: {}", m.name, why);
-      m.returning = true;
-      toReturn.add(m.name);
+  void returnMachine(MachineState machine, String reason) {
+    if (!machine.scalingIn) {
+      LOG.info("returning {}: {}", machine.name, reason);
+      machine.scalingIn = true;
+      pendingNames.add(machine.name);
     }
   }
 
   /** The machines of the next return, as many as it may name and its reservation may hold. */
-  private ImmutableList<String> returnBatch() {
-    double leftBytes = context.settings.alwaysStorableKb() * 1024 * VALUE_SHARE;
+  private ImmutableList<String> nextBatch() {
+    double leftBytes = context.settings.safeValueKb() * 1024 * VALUE_SHARE;
     ImmutableList.Builder<String> batch = ImmutableList.builder();
     int count = 0;
-    for (String name : toReturn) {
-      leftBytes -= name.length() + AROUND_NAME;
-      if (count == RETURN_MOST || count > 0 && leftBytes < 0) {
+    for (String name : pendingNames) {
+      leftBytes -= name.length() + NAME_OVERHEAD_BYTES;
+      if (count == MAX_RETURN_COUNT || count > 0 && leftBytes < 0) {
         break;
       }
       batch.add(name);
@@ -185,27 +188,30 @@
     return batch.build();
   }
 
-  private void ask(Return it) {
-    it.asking = true;
-    context.ask(
-        call -> new Effect.AskReturn(call, it.machines, CloudProvisioner.timeoutMs(context)),
+  private void send(Return machineReturn) {
+    machineReturn.isInFlight = true;
+    context.call(
+        call ->
+            new Effect.ReturnMachines(
+                call, machineReturn.machines, CloudProvisioner.callTimeoutMs(context)),
         reply -> {
-          it.asking = false;
-          if (returns.get(it.key) != it) {
+          machineReturn.isInFlight = false;
+          if (returns.get(machineReturn.key) != machineReturn) {
             return;
           }
           if (reply instanceof Reply.Returned) {
-            returns.remove(it.key);
-            for (String name : it.machines) {
-              MachineState m = fleet.get(name);
-              if (m != null) {
-                fleet.remove(m, "returned");
+            returns.remove(machineReturn.key);
+            for (String name : machineReturn.machines) {
+              MachineState machine = fleet.get(name);
+              if (machine != null) {
+                fleet.remove(machine, "returned");
               }
             }
-            reservations.drop(it.key);
+            intents.remove(machineReturn.key);
           } else {
-            it.maybeDone |= reply instanceof Reply.Unanswered;
-            it.nextMs = context.nowMs + it.backoff.next(context.random);
+            machineReturn.possiblyApplied |= reply instanceof Reply.Unanswered;
+            machineReturn.nextAttemptMs =
+                context.nowMs + machineReturn.backoff.nextPauseMs(context.random);
           }
         });
   }
--- a/src/main/java/eiderfork/controller/ScaleOutRequests.java
+++ b/src/main/java/eiderfork/controller/ScaleOutRequests.java
@@ -26,86 +26,86 @@
 
   /** How a rent stands. */
   private static final class Rent {
-    final StoredRecord.Rent record;
+    final StoredRecord.ScaleOutIntent record;
     ImmutableList<String> machines;
-    boolean committed;
-    boolean asked;
-    boolean asking;
-    long nextMs;
+    boolean isCommitted;
+    boolean wasSent;
+    boolean isInFlight;
+    long nextAttemptMs;
     final Backoff backoff;
 
-    Rent(StoredRecord.Rent record, Backoff backoff) {
+    Rent(StoredRecord.ScaleOutIntent record, Backoff backoff) {
       this.record = record;
       this.backoff = backoff;
     }
   }
 
   private final ControllerContext context;
-  private final LeaderElection term;
+  private final LeaderElection election;
   private final MachineRegistry fleet;
-  private final ProvisioningIntents reservations;
-  private final TokenBucket calls;
+  private final ProvisioningIntents intents;
+  private final TokenBucket callBudget;
   private final Map<String, Rent> rents = new LinkedHashMap<>();
-  private final Map<CloudProvisioner.Kind, Long> emptyUntilMs = new HashMap<>();
-  private final Map<CloudProvisioner.Kind, Backoff> emptyBackoff = new HashMap<>();
+  private final Map<CloudProvisioner.MachineKind, Long> outOfStockUntilMs = new HashMap<>();
+  private final Map<CloudProvisioner.MachineKind, Backoff> outOfStockBackoffs = new HashMap<>();
 
   /** How many rents of a kind may be open at once, where the cloud has filled the ones before. */
-  private final Map<CloudProvisioner.Kind, Integer> atOnce = new HashMap<>();
+  private final Map<CloudProvisioner.MachineKind, Integer> filledRents = new HashMap<>();
 
-  private int names;
+  private int lastRequestNumber;
 
   /**
-   * @param calls the budget of calls to the cloud
+   * @param callBudget the budget of calls to the cloud
    */
   ScaleOutRequests(
       ControllerContext context,
-      LeaderElection term,
+      LeaderElection election,
       MachineRegistry fleet,
-      ProvisioningIntents reservations,
-      TokenBucket calls) {
+      ProvisioningIntents intents,
+      TokenBucket callBudget) {
     this.context = context;
-    this.term = term;
+    this.election = election;
     this.fleet = fleet;
-    this.reservations = reservations;
-    this.calls = calls;
+    this.intents = intents;
+    this.callBudget = callBudget;
   }
 
   private Backoff newBackoff() {
-    return new Backoff(context.stepMs(), context.listLagMs());
+    return new Backoff(context.stepMs(), context.cloudListLagMs());
   }
 
   /** Forgets the rents of a term that is over. */
-  void clear() {
+  void reset() {
     rents.clear();
-    emptyUntilMs.clear();
-    emptyBackoff.clear();
-    atOnce.clear();
-    names = 0;
+    outOfStockUntilMs.clear();
+    outOfStockBackoffs.clear();
+    filledRents.clear();
+    lastRequestNumber = 0;
   }
 
   /** Takes up a rent that an earlier leader reserved. */
-  void restore(StoredRecord.Rent record) {
+  void restore(StoredRecord.ScaleOutIntent record) {
     Rent rent = new Rent(record, newBackoff());
-    rent.committed = true;
+    rent.isCommitted = true;
     rents.put(record.requestName(), rent);
   }
 
   /** Asks for the rents whose reservation stands, as far as the budget of calls goes. */
   void tick() {
     for (Rent rent : List.copyOf(rents.values())) {
-      if (rent.committed
+      if (rent.isCommitted
           && rent.machines == null
-          && !rent.asking
-          && context.nowMs >= rent.nextMs
-          && calls.take(1, context.nowMs)) {
-        ask(rent);
+          && !rent.isInFlight
+          && context.nowMs >= rent.nextAttemptMs
+          && callBudget.tryTake(1, context.nowMs)) {
+        send(rent);
       }
     }
   }
 
   /** Rents whose machines are not known yet. */
-  List<StoredRecord.Rent> openRents() {
-    List<StoredRecord.Rent> open = new ArrayList<>();
+  List<StoredRecord.ScaleOutIntent> openRents() {
+    List<StoredRecord.ScaleOutIntent> open = new ArrayList<>();
     for (Rent rent : rents.values()) {
       if (rent.machines == null) {
         open.add(rent.record);
@@ -115,44 +115,44 @@
   }
 
   /** Whether a rent is reserved that the cloud has not been asked for, for want of its turn. */
-  boolean rentsWait() {
+  boolean hasUnsentRents() {
     for (Rent rent : rents.values()) {
-      if (!rent.asked) {
+      if (!rent.wasSent) {
         return true;
       }
     }
     return false;
   }
 
-  boolean inStock(CloudProvisioner.Kind kind) {
-    return emptyUntilMs.getOrDefault(kind, 0L) <= context.nowMs;
+  boolean isInStock(CloudProvisioner.MachineKind kind) {
+    return outOfStockUntilMs.getOrDefault(kind, 0L) <= context.nowMs;
   }
 
-  void rent(CloudProvisioner.Kind kind, int count) {
-    String requestName = "t" + term.number() + "-" + ++names;
-    StoredRecord.Rent record =
-        new StoredRecord.Rent(requestName, kind.type(), kind.zone(), kind.spot(), count);
+  void rent(CloudProvisioner.MachineKind kind, int count) {
+    String requestName = "t" + election.currentTerm() + "-" + ++lastRequestNumber;
+    StoredRecord.ScaleOutIntent record =
+        new StoredRecord.ScaleOutIntent(requestName, kind.type(), kind.zone(), kind.spot(), count);
     LOG.info("renting {} of {}", count, kind);
     Rent rent = new Rent(record, newBackoff());
     rents.put(requestName, rent);
-    reservations.reserve(
-        StoreKeys.RENT + requestName,
+    intents.reserve(
+        StoreKeys.RENT_PREFIX + requestName,
         record,
         () -> rents.get(requestName) == rent,
-        () -> rent.committed = true,
+        () -> rent.isCommitted = true,
         () -> rents.remove(requestName));
   }
 
-  private void ask(Rent rent) {
-    rent.asking = true;
-    rent.asked = true;
-    StoredRecord.Rent record = rent.record;
-    CloudProvisioner.Kind kind =
-        new CloudProvisioner.Kind(record.type(), record.zone(), record.spot());
-    context.ask(
-        call -> new Effect.AskRent(call, record, CloudProvisioner.timeoutMs(context)),
+  private void send(Rent rent) {
+    rent.isInFlight = true;
+    rent.wasSent = true;
+    StoredRecord.ScaleOutIntent record = rent.record;
+    CloudProvisioner.MachineKind kind =
+        new CloudProvisioner.MachineKind(record.type(), record.zone(), record.spot());
+    context.call(
+        call -> new Effect.RentMachines(call, record, CloudProvisioner.callTimeoutMs(context)),
         reply -> {
-          rent.asking = false;
+          rent.isInFlight = false;
           if (rents.get(record.requestName()) != rent) {
             return;
           }
@@ -165,33 +165,33 @@
                 kind,
                 rented.machines());
             for (String name : rented.machines()) {
-              if (!fleet.isGone(name)) {
-                MachineState m = fleet.known(name);
-                m.booting = m.report() == null;
-                m.aliveMs = context.nowMs;
-                if (m.machine == null) {
-                  m.rentedAs(kind, fleet.types().get(kind.type()));
+              if (!fleet.isRemoved(name)) {
+                MachineState machine = fleet.getOrRegister(name);
+                machine.booting = machine.lastHeartbeat() == null;
+                machine.lastAliveMs = context.nowMs;
+                if (machine.spec == null) {
+                  machine.provisionedAs(kind, fleet.types().get(kind.type()));
                 }
               }
             }
             if (rented.machines().size() < record.count()) {
-              shortOf(kind);
+              markOutOfStock(kind);
             } else {
-              emptyBackoff.remove(kind);
-              atOnce.merge(kind, 1, Integer::sum);
+              outOfStockBackoffs.remove(kind);
+              filledRents.merge(kind, 1, Integer::sum);
             }
           } else if (reply instanceof Reply.NoCapacity) {
             // No capacity, and nothing was rented: the reservation is over.
-            shortOf(kind);
+            markOutOfStock(kind);
             rents.remove(record.requestName());
-            reservations.drop(StoreKeys.RENT + record.requestName());
+            intents.remove(StoreKeys.RENT_PREFIX + record.requestName());
           } else if (reply instanceof Reply.Refused refused && refused.status() == 400) {
             LOG.error("the cloud calls the rent {} malformed", record);
-            shortOf(kind);
+            markOutOfStock(kind);
             rents.remove(record.requestName());
-            reservations.drop(StoreKeys.RENT + record.requestName());
+            intents.remove(StoreKeys.RENT_PREFIX + record.requestName());
           } else {
-            rent.nextMs = context.nowMs + rent.backoff.next(context.random);
+            rent.nextAttemptMs = context.nowMs + rent.backoff.nextPauseMs(context.random);
           }
         });
   }
@@ -201,33 +201,33 @@
    * was filled, since calls for what the cloud may not have take the turns of others; no more than
    * the rate lets through in a step.
    */
-  int mostAtOnce(CloudProvisioner.Kind kind) {
-    int most = (int) Math.max(1, context.settings.cloudLimits().rps() * context.stepS());
-    return Math.min(most, 1 + atOnce.getOrDefault(kind, 0));
+  int maxConcurrentRents(CloudProvisioner.MachineKind kind) {
+    int most = (int) Math.max(1, context.settings.cloudLimits().requestsPerS() * context.stepS());
+    return Math.min(most, 1 + filledRents.getOrDefault(kind, 0));
   }
 
-  private void shortOf(CloudProvisioner.Kind kind) {
-    atOnce.remove(kind);
+  private void markOutOfStock(CloudProvisioner.MachineKind kind) {
+    filledRents.remove(kind);
     Backoff backoff =
-        emptyBackoff.computeIfAbsent(
-            kind, k -> new Backoff(context.listLagMs() * 2, context.listLagMs() * 8));
-    emptyUntilMs.put(kind, context.nowMs + backoff.next(context.random));
+        outOfStockBackoffs.computeIfAbsent(
+            kind, k -> new Backoff(context.cloudListLagMs() * 2, context.cloudListLagMs() * 8));
+    outOfStockUntilMs.put(kind, context.nowMs + backoff.nextPauseMs(context.random));
   }
 
   /** A rent's key may go once its machines would be found without it. */
-  void forgetSettled() {
+  void removeSettled() {
     for (Rent rent : List.copyOf(rents.values())) {
       if (rent.machines == null) {
         continue;
       }
       boolean found = true;
       for (String name : rent.machines) {
-        MachineState m = fleet.get(name);
-        found &= m == null || m.listed;
+        MachineState machine = fleet.get(name);
+        found &= machine == null || machine.listedByCloud;
       }
       if (found) {
         rents.remove(rent.record.requestName());
-        reservations.drop(StoreKeys.RENT + rent.record.requestName());
+        intents.remove(StoreKeys.RENT_PREFIX + rent.record.requestName());
       }
     }
   }
--- a/src/main/java/eiderfork/controller/Scheduler.java
+++ b/src/main/java/eiderfork/controller/Scheduler.java
@@ -19,76 +19,80 @@
   private static final Logger LOG = LoggerFactory.getLogger(Scheduler.class);
 
   /** How many machines a whole core looks at in a second, for a job each; a low estimate. */
-  private static final double EXAMINED_PER_CORE_S = 1_000_000;
+  private static final double MACHINES_EXAMINED_PER_CORE_SECOND = 1_000_000;
 
   /**
    * The share of a step that the searches of a round may take; past it each further job looks at a
    * sample of machines only.
    */
-  private static final double SEARCH_SHARE = 0.1;
+  private static final double SEARCH_CPU_SHARE = 0.1;
 
   private final ControllerContext context;
-  private final LeaderElection term;
-  private final StoreClient gate;
+  private final LeaderElection election;
+  private final StoreClient store;
   private final JobRegistry jobs;
   private final MachineRegistry fleet;
   private final MachineLiveness liveness;
   private final ClusterVersion version;
-  private final FairShareOrder ranking;
+  private final FairShareOrder fairShareOrder;
   private final ImageFetchEstimator imageFetch;
   private final DeadlineEstimator deadlines;
 
   private final Map<String, Resources> usedByTeam = new HashMap<>();
-  private final FreeCapacity room;
-  private final DispatchEligibility turns;
-  private final ArrayParallelism waves;
-  private final GangScheduler gangPlacer;
-  private final GpuHeadroom spared;
-  private final QuotaBorrowing lending;
+  private final FreeCapacity capacity;
+  private final DispatchEligibility eligibility;
+  private final ArrayParallelism arrayParallelism;
+  private final GangScheduler gangScheduler;
+  private final GpuHeadroom gpuHeadroom;
+  private final QuotaBorrowing borrowing;
 
   /** Before this time no room is made, since making it has taken its share of the processor. */
-  private long makeRoomNotBeforeMs;
+  private long preemptionNotBeforeMs;
 
-  private final double fullSearchMost;
+  private final double maxFullSearchExaminations;
 
   Scheduler(
       ControllerContext context,
-      LeaderElection term,
-      StoreClient gate,
+      LeaderElection election,
+      StoreClient store,
       JobRegistry jobs,
       MachineRegistry fleet,
       MachineLiveness liveness,
       ClusterVersion version) {
     this.context = context;
-    this.term = term;
-    this.gate = gate;
+    this.election = election;
+    this.store = store;
     this.jobs = jobs;
     this.fleet = fleet;
     this.liveness = liveness;
     this.version = version;
     deadlines = new DeadlineEstimator(context, fleet);
-    ranking = new FairShareOrder(context, deadlines);
+    fairShareOrder = new FairShareOrder(context, deadlines);
     imageFetch = new ImageFetchEstimator(context, fleet);
-    fullSearchMost =
-        EXAMINED_PER_CORE_S
-            * context.settings.controller().cpuShare()
+    maxFullSearchExaminations =
+        MACHINES_EXAMINED_PER_CORE_SECOND
+            * context.settings.controllerResources().cpuShare()
             * context.stepS()
-            * SEARCH_SHARE;
-    BorrowedCapacity loans = new BorrowedCapacity(context, jobs, fleet);
-    boolean lends = context.settings.operator().lending();
-    room =
+            * SEARCH_CPU_SHARE;
+    BorrowedCapacity borrowedCapacity = new BorrowedCapacity(context, jobs, fleet);
+    boolean lends = context.settings.operator().isLendingEnabled();
+    capacity =
         new FreeCapacity(
-            fleet, liveness::usable, lends ? liveness::keepsClaims : liveness::usable, loans);
-    lending = new QuotaBorrowing(context, jobs, fleet, liveness, deadlines, room, loans);
-    turns = new DispatchEligibility(context, gate, jobs);
-    waves = new ArrayParallelism(context);
-    spared = new GpuHeadroom(context);
-    gangPlacer = new GangScheduler(jobs, room, context.random, fullSearchMost);
+            fleet,
+            liveness::isSchedulable,
+            lends ? liveness::canHoldClaims : liveness::isSchedulable,
+            borrowedCapacity);
+    borrowing =
+        new QuotaBorrowing(context, jobs, fleet, liveness, deadlines, capacity, borrowedCapacity);
+    eligibility = new DispatchEligibility(context, store, jobs);
+    arrayParallelism = new ArrayParallelism(context);
+    gpuHeadroom = new GpuHeadroom(context);
+    gangScheduler = new GangScheduler(jobs, capacity, context.random, maxFullSearchExaminations);
   }
 
   /** The balance of processors and GPUs that the jobs ask for. */
   CpusPerGpu gpuBalance() {
-    return jobs.tally().balance();
+    return jobs.resourceUsage().cpusPerGpu();
   }
 
   /** How long tasks wait for their images. */
@@ -97,8 +101,8 @@
   }
 
   /** How many looks at a machine the last round took. */
-  int examined() {
-    return room.examined();
+  int examinedMachines() {
+    return capacity.examinedMachines();
   }
 
   /**
@@ -107,103 +111,115 @@
    *
    * @return whether something was left for a later round
    */
-  boolean round() {
+  boolean runRound() {
     boolean left = false;
-    List<JobState> ranked = ranked();
-    room.begin(context.nowMs);
-    boolean collecting = ranked.stream().anyMatch(turns::collectsStarts);
-    if (ranked.stream().noneMatch(turns::mayPlace)) {
+    List<JobState> ranked = queuedJobs();
+    capacity.beginRound(context.nowMs);
+    boolean collecting = ranked.stream().anyMatch(eligibility::isBatchingStarts);
+    if (ranked.stream().noneMatch(eligibility::canPlace)) {
       // Only ends are to be written.
-      for (JobState entry : ranked) {
-        left |= turns.writeEnds(entry);
+      for (JobState job : ranked) {
+        left |= eligibility.writeCompletions(job);
       }
       return left || collecting;
     }
-    spared.begin(ranked);
-    PreemptionPolicy stops = lending.stops(gpuBalance());
+    gpuHeadroom.beginRound(ranked);
+    PreemptionPolicy stops = borrowing.preemptionPolicy(gpuBalance());
     PreemptionPlanner preemption =
-        new PreemptionPlanner(context, jobs, room, imageFetch, gpuBalance(), stops, fullSearchMost);
-    for (JobState entry : ranked) {
-      int before = entry.placed.size();
-      if (turns.mayWrite(entry) && turns.mayPlace(entry)) {
-        if (entry.gang == null) {
-          SearchConstraints limits =
-              new SearchConstraints(spared.isFrom(entry), lending.borrows(entry));
-          place(entry, preemption, limits, stops.mayTakeForArray(entry));
+        new PreemptionPlanner(
+            context, jobs, capacity, imageFetch, gpuBalance(), stops, maxFullSearchExaminations);
+    for (JobState job : ranked) {
+      int before = job.reservations.size();
+      if (eligibility.canWrite(job) && eligibility.canPlace(job)) {
+        if (job.gang == null) {
+          SearchConstraints restrictions =
+              new SearchConstraints(gpuHeadroom.appliesTo(job), borrowing.isBorrowing(job));
+          placeTasks(job, preemption, restrictions, stops.canPreemptForArray(job));
         } else {
-          placeGang(entry, preemption, new SearchConstraints(false, lending.borrows(entry)));
+          placeGang(job, preemption, new SearchConstraints(false, borrowing.isBorrowing(job)));
         }
       }
-      if (entry.placed.size() > before) {
-        jobs.write(entry, DispatchEligibility.startUrgency(entry));
+      if (job.reservations.size() > before) {
+        jobs.write(job, DispatchEligibility.startUrgency(job));
       } else {
-        left |= turns.writeEnds(entry);
+        left |= eligibility.writeCompletions(job);
       }
     }
-    makeRoomNotBeforeMs =
+    preemptionNotBeforeMs =
         Math.max(
-            makeRoomNotBeforeMs,
-            context.nowMs + (long) (preemption.examined() / fullSearchMost * context.stepMs()));
+            preemptionNotBeforeMs,
+            context.nowMs
+                + (long)
+                    (preemption.examinedMachines() / maxFullSearchExaminations * context.stepMs()));
     return left || collecting;
   }
 
   /** The jobs with something to do, the most urgent first. */
-  List<JobState> ranked() {
+  List<JobState> queuedJobs() {
     usedByTeam.clear();
-    return ranking.rank(jobs);
+    return fairShareOrder.sort(jobs);
   }
 
   /** What a team uses, with what this round has placed for it. */
-  private Resources used(String team) {
+  private Resources usageOf(String team) {
     Resources changed = usedByTeam.get(team);
-    return changed == null ? jobs.tally().used(team) : changed;
+    return changed == null ? jobs.resourceUsage().used(team) : changed;
   }
 
   /** Forgets what belongs to a term that is over. */
   void clear() {
-    room.clear();
-    lending.clear();
-    makeRoomNotBeforeMs = 0;
+    capacity.clear();
+    borrowing.clear();
+    preemptionNotBeforeMs = 0;
   }
 
   /** Does what is due between rounds. */
   void tick() {
-    lending.tick();
+    borrowing.tick();
   }
 
-  private void place(
+  private void placeTasks(
       JobState entry,
       PreemptionPlanner preemption,
-      SearchConstraints limits,
-      boolean mayTakeForArray) {
-    if (surelyFindsNothing(entry, mayTakeForArray)) {
+      SearchConstraints restrictions,
+      boolean canPreemptForArray) {
+    if (isKnownUnschedulable(entry, canPreemptForArray)) {
       return;
     }
-    Job job = entry.job;
+    Job job = entry.spec;
     Team team = context.settings.teams().get(job.team());
-    Map<String, Integer> perZone = PlacementConstraints.zonesOf(entry);
-    Resources used = used(job.team());
-    List<FreeCapacity.Claim> own = room.takeClaims(entry);
+    Map<String, Integer> tasksByZone = PlacementConstraints.countTasksByZone(entry);
+    Resources used = usageOf(job.team());
+    List<FreeCapacity.Claim> own = capacity.releaseClaims(entry);
     boolean noRoom = false;
-    int startable = waves.startable(entry);
-    long attempt = entry.nextAttempt();
-    AllocationSizeLimit stored = allocRoom(entry);
-    MachineScorer score = new MachineScorer(context, imageFetch, gpuBalance(), deadlines, entry);
+    int startable = arrayParallelism.tasksToStart(entry);
+    long attempt = entry.nextAttemptNumber();
+    AllocationSizeLimit stored = recordCapacity(entry);
+    MachineScorer scorer = new MachineScorer(context, imageFetch, gpuBalance(), deadlines, entry);
     MachineSearch search =
         new MachineSearch(
-            room, score, context.random, fullSearchMost, entry, perZone, own.isEmpty(), limits);
-    for (int index = entry.firstToTry(context.nowMs);
+            capacity,
+            scorer,
+            context.random,
+            maxFullSearchExaminations,
+            entry,
+            tasksByZone,
+            own.isEmpty(),
+            restrictions);
+    for (int index = entry.firstSchedulableTask(context.nowMs);
         index >= 0;
-        index = entry.nextToTry(index, context.nowMs)) {
-      if (startable-- <= 0 || team == null || !team.withinLimit(used.plus(job.need()))) {
+        index = entry.nextSchedulableTask(index, context.nowMs)) {
+      if (startable-- <= 0 || team == null || !team.isWithinLimit(used.plus(job.taskResources()))) {
         break;
       }
-      MachineState m = search.best();
-      if (m != null && !stored.fits(index, attempt, m.name)) {
+      MachineState machine = search.bestMachine();
+      if (machine != null && !stored.fits(index, attempt, machine.name)) {
         break;
       }
-      if (m == null || (late(job, m) && waitsForBetter(entry, own, preemption, perZone))) {
-        noRoom = m == null && !search.sampled;
+      if (machine == null
+          || (isImageTooLate(job, machine)
+              && isWaitingForBetterMachine(entry, own, preemption, tasksByZone))) {
+        noRoom = machine == null && !search.sampled;
         break;
       }
       if (LOG.isDebugEnabled()) {
@@ -212,24 +228,24 @@
             job.uid(),
             index,
             job.jobClass(),
-            m.name,
-            imageFetch.waitS(job, m));
+            machine.name,
+            imageFetch.waitS(job, machine));
       }
-      jobs.propose(entry, index, attempt, m);
-      stored.add(index, attempt, m.name);
-      own.removeIf(claim -> claim.machine() == m);
-      perZone.merge(m.zone(), 1, Integer::sum);
-      search.taken();
-      used = used.plus(job.need());
+      jobs.propose(entry, index, attempt, machine);
+      stored.add(index, attempt, machine.name);
+      own.removeIf(claim -> claim.machine() == machine);
+      tasksByZone.merge(machine.zone(), 1, Integer::sum);
+      search.taskPlaced();
+      used = used.plus(job.taskResources());
     }
     usedByTeam.put(job.team(), used);
-    int kept = Math.min(own.size(), entry.waiting.cardinality());
-    own.subList(0, kept).forEach(room::claim);
-    if (noRoom && !entry.failures.isProvenSuspect()) {
+    int kept = Math.min(own.size(), entry.pendingTasks.cardinality());
+    own.subList(0, kept).forEach(capacity::addClaim);
+    if (noRoom && !entry.failureHistory.isConfirmedSuspect()) {
       // A new leader may suspect an array that was only reclaimed again and again.
-      int most = entry.failures.isSuspected() ? 1 : startable + 1;
-      int wanted = Math.min(entry.waiting.cardinality(), most) - kept;
-      makeRoom(preemption, entry, wanted, perZone, Double.MAX_VALUE);
+      int most = entry.failureHistory.isSuspected() ? 1 : startable + 1;
+      int wanted = Math.min(entry.pendingTasks.cardinality(), most) - kept;
+      preempt(preemption, entry, wanted, tasksByZone, Double.MAX_VALUE);
     }
   }
 
@@ -237,78 +253,81 @@
    * Whether searches have proved that the job finds no room, and no room may be made for it now.
    * Thousands of jobs wait while machines boot, in round after round.
    */
-  private boolean surelyFindsNothing(JobState entry, boolean mayTakeForArray) {
-    boolean mayTake = entry.job.kind() != JobKind.ARRAY || mayTakeForArray;
-    boolean mayMakeRoom = mayTake && context.nowMs >= makeRoomNotBeforeMs;
-    return !mayMakeRoom && !room.hasClaims(entry) && room.knownFull(entry.job);
+  private boolean isKnownUnschedulable(JobState job, boolean canPreemptForArray) {
+    boolean mayTake = job.spec.kind() != JobKind.ARRAY || canPreemptForArray;
+    boolean mayMakeRoom = mayTake && context.nowMs >= preemptionNotBeforeMs;
+    return !mayMakeRoom && !capacity.hasClaims(job) && capacity.isKnownFull(job.spec);
   }
 
   /** Places a gang as a whole, or has room made for the whole of it. */
-  private void placeGang(JobState entry, PreemptionPlanner preemption, SearchConstraints limits) {
-    Job job = entry.job;
+  private void placeGang(
+      JobState entry, PreemptionPlanner preemption, SearchConstraints restrictions) {
+    Job job = entry.spec;
     Team team = context.settings.teams().get(job.team());
-    Resources used = used(job.team());
-    Resources with = used.plus(job.need().times(job.tasks()));
-    boolean mayBegin = entry.gang.mayBegin() && !lending.isGangCoolingDown(entry);
-    if (!mayBegin || team == null || !team.withinLimit(with)) {
+    Resources used = usageOf(job.team());
+    Resources with = used.plus(job.taskResources().times(job.tasks()));
+    boolean mayBegin = entry.gang.canStartAttempt() && !borrowing.isGangCoolingDown(entry);
+    if (!mayBegin || team == null || !team.isWithinLimit(with)) {
       return;
     }
-    List<FreeCapacity.Claim> own = room.takeClaims(entry);
-    MachineScorer score = new MachineScorer(context, imageFetch, gpuBalance(), deadlines, entry);
-    if (gangPlacer.place(entry, score, allocRoom(entry), limits)) {
+    List<FreeCapacity.Claim> own = capacity.releaseClaims(entry);
+    MachineScorer scorer = new MachineScorer(context, imageFetch, gpuBalance(), deadlines, entry);
+    if (gangScheduler.place(entry, scorer, recordCapacity(entry), restrictions)) {
       usedByTeam.put(job.team(), with);
     } else if (!own.isEmpty()) {
-      own.forEach(room::claim);
-    } else if (context.nowMs >= makeRoomNotBeforeMs) {
-      gangPlacer.makeRoom(entry, preemption);
+      own.forEach(capacity::addClaim);
+    } else if (context.nowMs >= preemptionNotBeforeMs) {
+      gangScheduler.preempt(entry, preemption);
     }
   }
 
-  private AllocationSizeLimit allocRoom(JobState entry) {
+  private AllocationSizeLimit recordCapacity(JobState job) {
     double plainKb =
-        version.allows(ClusterVersion.PACKED_ALLOCS) ? Double.POSITIVE_INFINITY : gate.valueKb();
-    boolean bitmap = version.allows(ClusterVersion.BITMAP_ALLOCS);
-    return new AllocationSizeLimit(entry, plainKb, context.settings.alwaysStorableKb(), bitmap);
+        version.isSupportedByAll(ClusterVersion.PACKED_ALLOCS)
+            ? Double.POSITIVE_INFINITY
+            : store.maxValueKb();
+    boolean bitmap = version.isSupportedByAll(ClusterVersion.BITMAP_ALLOCS);
+    return new AllocationSizeLimit(job, plainKb, context.settings.safeValueKb(), bitmap);
   }
 
   /** Whether the image takes longer to come here than the job's class may wait. */
-  private boolean late(Job job, MachineState m) {
-    return imageFetch.waitS(job, m) > waitAimS(job);
+  private boolean isImageTooLate(Job job, MachineState machine) {
+    return imageFetch.waitS(job, machine) > startObjectiveS(job);
   }
 
   /** How long a task of this class may wait for its start, by the users' aims. */
-  private double waitAimS(Job job) {
-    return context.settings.shortestAimS(Objective.Kind.WAIT, job.jobClass());
+  private double startObjectiveS(Job job) {
+    return context.settings.shortestObjectiveS(Objective.Kind.WAIT, job.jobClass());
   }
 
   /**
    * Tries once to make room where the image comes in time, and waits for what that frees as long as
    * the claim lasts.
    */
-  private boolean waitsForBetter(
-      JobState entry,
+  private boolean isWaitingForBetterMachine(
+      JobState job,
       List<FreeCapacity.Claim> own,
       PreemptionPlanner preemption,
-      Map<String, Integer> perZone) {
+      Map<String, Integer> tasksByZone) {
     if (!own.isEmpty()) {
       return true;
     }
-    if (entry.soughtBetter) {
+    if (job.cachedImageSearched) {
       return false;
     }
-    entry.soughtBetter = true;
-    int waiting = entry.waiting.cardinality();
-    return makeRoom(preemption, entry, waiting, perZone, waitAimS(entry.job)) > 0;
+    job.cachedImageSearched = true;
+    int waiting = job.pendingTasks.cardinality();
+    return preempt(preemption, job, waiting, tasksByZone, startObjectiveS(job.spec)) > 0;
   }
 
-  private int makeRoom(
+  private int preempt(
       PreemptionPlanner preemption,
-      JobState entry,
+      JobState job,
       int wanted,
-      Map<String, Integer> perZone,
+      Map<String, Integer> tasksByZone,
       double imageS) {
-    return context.nowMs < makeRoomNotBeforeMs
+    return context.nowMs < preemptionNotBeforeMs
         ? 0
-        : preemption.makeRoom(entry, wanted, perZone, imageS);
+        : preemption.preempt(job, wanted, tasksByZone, imageS);
   }
 }
--- a/src/main/java/eiderfork/controller/SearchConstraints.java
+++ b/src/main/java/eiderfork/controller/SearchConstraints.java
@@ -3,15 +3,15 @@
 /**
  * Which free room a search leaves alone.
  *
- * @param sparesGpus free GPUs keep the processors that GPU work takes
- * @param borrows room that was reclaimed lately is not taken
+ * @param keepsGpuHeadroom free GPUs keep the processors that GPU work takes
+ * @param excludesReclaimed room that was reclaimed lately is not taken
  */
-record SearchConstraints(boolean sparesGpus, boolean borrows) {
+record SearchConstraints(boolean keepsGpuHeadroom, boolean excludesReclaimed) {
   /** All free room is taken. */
   static final SearchConstraints NONE = new SearchConstraints(false, false);
 
   /** Whether some room is left alone. */
-  boolean any() {
-    return sparesGpus || borrows;
+  boolean isRestricted() {
+    return keepsGpuHeadroom || excludesReclaimed;
   }
 }
--- a/src/main/java/eiderfork/controller/StoredJobReader.java
+++ b/src/main/java/eiderfork/controller/StoredJobReader.java
@@ -13,10 +13,10 @@
 
 /** Reads jobs and what became of them from the state service. */
 final class StoredJobReader {
-  private final StoreClient gate;
+  private final StoreClient store;
 
-  StoredJobReader(StoreClient gate) {
-    this.gate = gate;
+  StoredJobReader(StoreClient store) {
+    this.store = store;
   }
 
   /**
@@ -26,104 +26,109 @@
    * cancellation is read before the alloc record, and the archive last, wherever the alloc record
    * was not there.
    */
-  void status(String uid, RequestPriority urgency, Consumer<Optional<JobStatus>> then) {
-    gate.send(
+  void status(String uid, RequestPriority urgency, Consumer<Optional<JobStatus>> onComplete) {
+    store.send(
         new StoreRequest.Get(StoreKeys.job(uid)),
         urgency,
         reply -> {
           if (!(reply instanceof Reply.Value spec)
               || spec.record() instanceof StoredRecord.Unreadable) {
-            then.accept(null);
-          } else if (!(spec.record() instanceof StoredRecord.JobSpec it)) {
-            archived(uid, urgency, then);
+            onComplete.accept(null);
+          } else if (!(spec.record() instanceof StoredRecord.JobSpec jobSpec)) {
+            readArchivedStatus(uid, urgency, onComplete);
           } else {
-            aborted(uid, urgency, aborted -> status(it.job(), aborted, urgency, then));
+            readCancelled(
+                uid, urgency, aborted -> status(jobSpec.job(), aborted, urgency, onComplete));
           }
         });
   }
 
   private void status(
-      Job job, Boolean aborted, RequestPriority urgency, Consumer<Optional<JobStatus>> then) {
+      Job job, Boolean aborted, RequestPriority urgency, Consumer<Optional<JobStatus>> onComplete) {
     if (aborted == null) {
-      then.accept(null);
+      onComplete.accept(null);
       return;
     }
-    alloc(
+    readAllocation(
         job,
         urgency,
-        (alloc, version) -> {
-          if (alloc == null) {
-            then.accept(null);
+        (allocation, version) -> {
+          if (allocation == null) {
+            onComplete.accept(null);
           } else if (version > 0) {
-            then.accept(Optional.of(status(job, alloc, aborted)));
+            onComplete.accept(Optional.of(status(job, allocation, aborted)));
           } else {
-            archived(
+            readArchivedStatus(
                 job.uid(),
                 urgency,
                 archived ->
-                    then.accept(
+                    onComplete.accept(
                         archived == null || archived.isPresent()
                             ? archived
-                            : Optional.of(status(job, alloc, aborted))));
+                            : Optional.of(status(job, allocation, aborted))));
           }
         });
   }
 
   /** Reads the final state of an archived job: null where the service did not say. */
-  void archived(String uid, RequestPriority urgency, Consumer<Optional<JobStatus>> then) {
-    gate.send(
+  void readArchivedStatus(
+      String uid, RequestPriority urgency, Consumer<Optional<JobStatus>> onComplete) {
+    store.send(
         new StoreRequest.Get(StoreKeys.ended(uid)),
         urgency,
         reply -> {
           if (!(reply instanceof Reply.Value value)
               || value.record() instanceof StoredRecord.Unreadable) {
-            then.accept(null);
-          } else if (value.record() instanceof StoredRecord.EndedJob it) {
-            then.accept(Optional.of(new JobStatus(uid, it.stance(), it.done(), 0)));
+            onComplete.accept(null);
+          } else if (value.record() instanceof StoredRecord.ArchivedJob archived) {
+            onComplete.accept(
+                Optional.of(new JobStatus(uid, archived.phase(), archived.doneTasks(), 0)));
           } else {
-            then.accept(Optional.empty());
+            onComplete.accept(Optional.empty());
           }
         });
   }
 
   /** A job's state by its records. */
-  static JobStatus status(Job job, StoredRecord.Alloc alloc, boolean aborted) {
+  static JobStatus status(Job job, StoredRecord.Allocation allocation, boolean aborted) {
     int reserved = 0;
-    for (StoredRecord.Span span : alloc.reserved()) {
+    for (StoredRecord.ReservedRange span : allocation.reserved()) {
       reserved += span.to() - span.from() + 1;
     }
     if (aborted) {
-      return new JobStatus(job.uid(), JobStatus.Stance.ABORTED, JobState.committedDone(alloc), 0);
+      return new JobStatus(
+          job.uid(), JobStatus.Phase.ABORTED, JobState.countFinishedTasks(allocation), 0);
     }
-    return JobState.status(job, alloc, reserved);
+    return JobState.status(job, allocation, reserved);
   }
 
   /** Takes a job's alloc record and its version; null where the service did not say. */
-  interface AllocTaker {
-    void take(StoredRecord.Alloc alloc, long version);
+  interface AllocationCallback {
+    void accept(StoredRecord.Allocation allocation, long version);
   }
 
   /** Reads the alloc record of a job, the empty one where there is none. */
-  void alloc(Job job, RequestPriority urgency, AllocTaker then) {
-    gate.send(
+  void readAllocation(Job job, RequestPriority urgency, AllocationCallback then) {
+    store.send(
         new StoreRequest.Get(StoreKeys.alloc(job.uid())),
         urgency,
         reply -> {
           if (!(reply instanceof Reply.Value value)
               || value.record() instanceof StoredRecord.Unreadable) {
-            then.take(null, 0);
-          } else if (value.record() instanceof StoredRecord.Alloc alloc) {
-            then.take(alloc, value.version());
+            then.accept(null, 0);
+          } else if (value.record() instanceof StoredRecord.Allocation allocation) {
+            then.accept(allocation, value.version());
           } else {
-            then.take(StoredRecord.Alloc.EMPTY, 0);
+            then.accept(StoredRecord.Allocation.EMPTY, 0);
           }
         });
   }
 
-  private void aborted(String uid, RequestPriority urgency, Consumer<Boolean> then) {
-    gate.send(
-        new StoreRequest.Get(StoreKeys.abort(uid)),
+  private void readCancelled(String uid, RequestPriority urgency, Consumer<Boolean> onComplete) {
+    store.send(
+        new StoreRequest.Get(StoreKeys.cancellation(uid)),
         urgency,
-        reply -> then.accept(reply instanceof Reply.Value value ? value.record() != null : null));
+        reply ->
+            onComplete.accept(reply instanceof Reply.Value value ? value.record() != null : null));
   }
 }
--- a/src/main/java/eiderfork/controller/TaskSizeCounter.java
+++ b/src/main/java/eiderfork/controller/TaskSizeCounter.java
@@ -20,19 +20,19 @@
   }
 
   /** So many tasks more of this size, or fewer. */
-  void add(String team, Resources need, int change) {
+  void add(String team, Resources demand, int change) {
     Object2IntMap<Resources> tasks =
         tasksByTeam.computeIfAbsent(team, name -> new Object2IntOpenHashMap<>());
-    add(tasks, need, change);
+    add(tasks, demand, change);
     sumByTeam.remove(team);
   }
 
-  static void add(Object2IntMap<Resources> tasks, Resources need, int change) {
-    int now = tasks.getInt(need) + change;
+  static void add(Object2IntMap<Resources> tasks, Resources demand, int change) {
+    int now = tasks.getInt(demand) + change;
     if (now == 0) {
-      tasks.removeInt(need);
+      tasks.removeInt(demand);
     } else {
-      tasks.put(need, now);
+      tasks.put(demand, now);
     }
   }
 
--- a/src/main/java/eiderfork/controller/UserRequestHandler.java
+++ b/src/main/java/eiderfork/controller/UserRequestHandler.java
@@ -23,52 +23,52 @@
   private static final Logger LOG = LoggerFactory.getLogger(UserRequestHandler.class);
 
   /** When to ask again for a job of which a record can't be read: an operator has to act first. */
-  private static final int RECORD_RETRY_S = 30;
+  private static final int UNREADABLE_RECORD_RETRY_S = 30;
 
   private final ControllerContext context;
-  private final LeaderElection term;
-  private final StoreClient gate;
+  private final LeaderElection election;
+  private final StoreClient store;
   private final JobRegistry jobs;
-  private final Autoscaler planner;
+  private final Autoscaler autoscaler;
   private final ReadBarrier readBarrier;
   private final CancellationTracker cancellations;
   private final ClusterVersion version;
-  private final Runnable kick;
+  private final Runnable triggerRound;
 
-  private final QueueTimeLimit waitLimit;
+  private final LoadShedder loadShedder;
   private final StoredJobReader storedJobs;
-  private final JobAdmission submissions;
-  private final JobCanceller aborts;
-  private final RequestForwarder forwards;
-  private final FinalStatusCache settled = new FinalStatusCache();
+  private final JobAdmission admission;
+  private final JobCanceller canceller;
+  private final RequestForwarder forwarder;
+  private final FinalStatusCache finalStatuses = new FinalStatusCache();
   private boolean ready;
 
   UserRequestHandler(
       ControllerContext context,
-      LeaderElection term,
-      StoreClient gate,
+      LeaderElection election,
+      StoreClient store,
       JobRegistry jobs,
       MachineRegistry fleet,
-      Autoscaler planner,
+      Autoscaler autoscaler,
       ReadBarrier readBarrier,
       CancellationTracker cancellations,
       ClusterVersion version,
-      Runnable kick) {
+      Runnable triggerRound) {
     this.context = context;
-    this.term = term;
-    this.gate = gate;
+    this.election = election;
+    this.store = store;
     this.jobs = jobs;
-    this.planner = planner;
+    this.autoscaler = autoscaler;
     this.readBarrier = readBarrier;
     this.cancellations = cancellations;
     this.version = version;
-    this.kick = kick;
-    forwards = new RequestForwarder(context);
-    waitLimit = new QueueTimeLimit(context);
-    storedJobs = new StoredJobReader(gate);
-    submissions =
-        new JobAdmission(context, gate, fleet, version, storedJobs, waitLimit, this::accepted);
-    aborts = new JobCanceller(gate, jobs, storedJobs);
+    this.triggerRound = triggerRound;
+    forwarder = new RequestForwarder(context);
+    loadShedder = new LoadShedder(context);
+    storedJobs = new StoredJobReader(store);
+    admission =
+        new JobAdmission(context, store, fleet, version, storedJobs, loadShedder, this::onAccepted);
+    canceller = new JobCanceller(store, jobs, storedJobs);
   }
 
   /** Whether memory holds all that is committed. */
@@ -76,19 +76,19 @@
     ready = value;
   }
 
-  private boolean fromMemory() {
-    return ready && term.sure();
+  private boolean canAnswerFromMemory() {
+    return ready && election.isLeaseValid();
   }
 
   /**
    * The final state of a job that this node knows to be over, which no later answer contradicts.
    */
-  private JobStatus over(String uid) {
-    JobStatus known = settled.get(uid);
-    JobState entry = jobs.get(uid);
-    if (known == null && cancellations.contains(uid) && mayTrustCancellation(uid, entry)) {
-      int done = entry == null ? 0 : JobState.committedDone(entry.committed);
-      return new JobStatus(uid, JobStatus.Stance.ABORTED, done, 0);
+  private JobStatus findFinalStatus(String uid) {
+    JobStatus known = finalStatuses.get(uid);
+    JobState job = jobs.get(uid);
+    if (known == null && cancellations.contains(uid) && isCancellationFinal(uid, job)) {
+      int done = job == null ? 0 : JobState.countFinishedTasks(job.committedAllocation);
+      return new JobStatus(uid, JobStatus.Phase.ABORTED, done, 0);
     }
     return known;
   }
@@ -97,26 +97,26 @@
    * Whether a cancellation that was read is the job's last word. A late write of an older version
    * may have put one there after the job was done and archived.
    */
-  private boolean mayTrustCancellation(String uid, JobState entry) {
-    return cancellations.wasConfirmed(uid) || entry != null && isSurelyUnarchived(entry);
+  private boolean isCancellationFinal(String uid, JobState job) {
+    return cancellations.wasConfirmed(uid) || job != null && isCertainlyNotArchived(job);
   }
 
-  private boolean isSurelyUnarchived(JobState entry) {
-    return entry.isKnownUnarchived() || !version.isSettledOn(ClusterVersion.ARCHIVED_JOBS);
+  private boolean isCertainlyNotArchived(JobState job) {
+    return job.isKnownNotArchived() || !version.isMinimumVersion(ClusterVersion.ARCHIVED_JOBS);
   }
 
   /** Takes a user's request, or one that a peer passed on, which is passed on no further. */
-  void take(Input request, boolean passOn, Consumer<UserResponse> asker) {
-    JobStatus over = over(uid(request));
-    if (over != null) {
-      asker.accept(UserResponse.ok(over));
+  void handle(Input request, boolean canForward, Consumer<UserResponse> requester) {
+    JobStatus finalStatus = findFinalStatus(uid(request));
+    if (finalStatus != null) {
+      requester.accept(UserResponse.ok(finalStatus));
       return;
     }
     Consumer<UserResponse> answer =
         it -> {
           if (it.job() != null) {
-            settled.note(it.job());
-            if (it.job().stance() == JobStatus.Stance.ABORTED) {
+            finalStatuses.putIfFinal(it.job());
+            if (it.job().phase() == JobStatus.Phase.ABORTED) {
               cancellations.confirm(it.job().uid());
             }
           } else if (!(request instanceof Input.Query) || LOG.isDebugEnabled()) {
@@ -127,40 +127,40 @@
                 it.status(),
                 it.error());
           }
-          asker.accept(it);
+          requester.accept(it);
         };
-    String leader = term.leader();
-    if (fromMemory() || !passOn || !isPeer(leader) || waitsForVersion(request)) {
-      here(request, answer);
+    String leader = election.leader();
+    if (canAnswerFromMemory() || !canForward || !isPeer(leader) || mustWaitForVersion(request)) {
+      handleLocally(request, answer);
     } else if (request instanceof Input.Query query) {
-      forwards.add(query.uid(), answer, () -> here(request, answer));
+      forwarder.enqueueQuery(query.uid(), answer, () -> handleLocally(request, answer));
     } else {
-      context.ask(
+      context.call(
           call ->
-              new Effect.AskPeerRequest(call, leader, request, RequestForwarder.timeoutMs(context)),
+              new Effect.ForwardRequest(call, leader, request, RequestForwarder.timeoutMs(context)),
           reply -> {
-            if (reply instanceof Reply.PeerAnswer it && it.answer().status() != 503) {
-              answer.accept(it.answer());
+            if (reply instanceof Reply.ForwardedResponse it && it.response().status() != 503) {
+              answer.accept(it.response());
             } else {
-              here(request, answer);
+              handleLocally(request, answer);
             }
           });
     }
   }
 
   /** Whether an older leader might take what only the current version carries out by the rules. */
-  private boolean waitsForVersion(Input request) {
-    return request instanceof Input.Submit it && submissions.waitForVersion(it.job());
+  private boolean mustWaitForVersion(Input request) {
+    return request instanceof Input.Submit it && admission.mustWaitForVersion(it.job());
   }
 
   private boolean isPeer(String node) {
-    return node != null && context.settings.peers().containsKey(node);
+    return node != null && context.settings.peerEndpoints().containsKey(node);
   }
 
   /** Sends on what has gathered since the last tick. */
   void tick() {
     readBarrier.tick();
-    forwards.tick(isPeer(term.leader()) ? term.leader() : null);
+    forwarder.sendQueued(isPeer(election.leader()) ? election.leader() : null);
   }
 
   private static String uid(Input request) {
@@ -170,29 +170,34 @@
     return request instanceof Input.Query query ? query.uid() : ((Input.Abort) request).uid();
   }
 
-  private void here(Input request, Consumer<UserResponse> answer) {
+  private void handleLocally(Input request, Consumer<UserResponse> answer) {
     if (jobs.isFrozen(uid(request))) {
-      answer.accept(UserResponse.later(RECORD_RETRY_S, "a stored record of the job can't be read"));
+      answer.accept(
+          UserResponse.retryAfter(
+              UNREADABLE_RECORD_RETRY_S, "a stored record of the job can't be read"));
     } else if (request instanceof Input.Submit submit) {
       submit(submit.job(), answer);
     } else if (request instanceof Input.Query query) {
       query(query.uid(), answer);
     } else if (request instanceof Input.Abort abort) {
-      aborts.abort(abort.uid(), fromMemory(), answer);
+      canceller.cancel(abort.uid(), canAnswerFromMemory(), answer);
     }
   }
 
   private void query(String uid, Consumer<UserResponse> answer) {
-    JobState entry = jobs.get(uid);
-    if (fromMemory() && entry != null && !isSurelyUnarchived(entry)) {
-      queryArchive(entry, answer);
-    } else if (fromMemory() && entry != null && entry.over()) {
-      answer.accept(UserResponse.ok(entry.status()));
-    } else if (fromMemory() && entry != null && !entry.ending) {
-      readBarrier.pass(
+    JobState job = jobs.get(uid);
+    if (canAnswerFromMemory() && job != null && !isCertainlyNotArchived(job)) {
+      queryArchived(job, answer);
+    } else if (canAnswerFromMemory() && job != null && job.isTerminal()) {
+      answer.accept(UserResponse.ok(job.status()));
+    } else if (canAnswerFromMemory() && job != null && !job.completionWriteInFlight) {
+      readBarrier.awaitCaughtUp(
           caughtUp -> {
-            if (caughtUp && fromMemory() && jobs.get(uid) == entry && !entry.ending) {
-              answer.accept(UserResponse.ok(entry.status()));
+            if (caughtUp
+                && canAnswerFromMemory()
+                && jobs.get(uid) == job
+                && !job.completionWriteInFlight) {
+              answer.accept(UserResponse.ok(job.status()));
             } else {
               queryStored(uid, answer);
             }
@@ -203,23 +208,23 @@
   }
 
   /** Answers from the archive, or from memory once the job is known not to be there. */
-  private void queryArchive(JobState entry, Consumer<UserResponse> answer) {
-    if (waitLimit.refuses(gate.readWaitMs(), answer)) {
+  private void queryArchived(JobState job, Consumer<UserResponse> answer) {
+    if (loadShedder.rejects(store.readWaitMs(), answer)) {
       return;
     }
-    String uid = entry.job.uid();
-    storedJobs.archived(
+    String uid = job.spec.uid();
+    storedJobs.readArchivedStatus(
         uid,
         RequestPriority.READ,
         status -> {
           if (status == null) {
             answer.accept(UserResponse.unavailable());
           } else if (status.isPresent()) {
-            jobs.forget(entry);
-            jobs.removeCopy(entry);
+            jobs.evict(job);
+            jobs.removeStaleSpec(job);
             answer.accept(UserResponse.ok(status.get()));
           } else {
-            entry.proveUnarchived();
+            job.confirmNotArchived();
             query(uid, answer);
           }
         });
@@ -227,7 +232,7 @@
 
   /** Memory may lag behind a peer that took the job, so only the state service denies one. */
   private void queryStored(String uid, Consumer<UserResponse> answer) {
-    if (waitLimit.refuses(gate.readWaitMs(), answer)) {
+    if (loadShedder.rejects(store.readWaitMs(), answer)) {
       return;
     }
     storedJobs.status(
@@ -245,25 +250,25 @@
   }
 
   private void submit(Job job, Consumer<UserResponse> answer) {
-    if (fromMemory() && jobs.get(job.uid()) != null) {
+    if (canAnswerFromMemory() && jobs.get(job.uid()) != null) {
       query(job.uid(), answer);
-    } else if (fromMemory()) {
-      submissions.submitNew(job, answer);
+    } else if (canAnswerFromMemory()) {
+      admission.admitNew(job, answer);
     } else {
-      submissions.submitUnknown(job, answer);
+      admission.admitAfterLookup(job, answer);
     }
   }
 
-  private void accepted(Job job, long revision) {
+  private void onAccepted(Job job, long revision) {
     if (!ready) {
       return;
     }
     boolean isNew = jobs.get(job.uid()) == null;
     // It was written under the condition that the job is not archived.
-    jobs.add(job, revision).proveUnarchived();
+    jobs.add(job, revision).confirmNotArchived();
     if (isNew) {
-      planner.arrived(job);
-      kick.run();
+      autoscaler.recordArrival(job);
+      triggerRound.run();
     }
   }
 }
--- a/src/main/java/eiderfork/controller/WorkerCommander.java
+++ b/src/main/java/eiderfork/controller/WorkerCommander.java
@@ -6,9 +6,9 @@
 import eiderfork.controller.message.Effect;
 import eiderfork.controller.message.Reply;
 import eiderfork.model.Attempt;
-import eiderfork.model.Command;
 import eiderfork.model.Heartbeat;
 import eiderfork.model.TaskStatus;
+import eiderfork.model.WorkerCommand;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -24,89 +24,89 @@
   private static final Logger LOG = LoggerFactory.getLogger(WorkerCommander.class);
 
   /** How much longer than it should a save may take before it is given up, in steps. */
-  static final int SAVE_MARGIN_STEPS = 3;
+  static final int CHECKPOINT_MARGIN_STEPS = 3;
 
   private final ControllerContext context;
-  private final LeaderElection term;
+  private final LeaderElection election;
   private final JobRegistry jobs;
   private final MachineRegistry fleet;
   private final CancellationTracker cancellations;
   private final MachineLiveness liveness;
-  private final LeaseExpiry lapses;
-  private final WorkerLeaseLog log;
-  private final HeartbeatReconciler reconciler;
-  private boolean rebuilt;
+  private final LeaseExpiry leaseExpiry;
+  private final WorkerLeaseLog leaseLog;
+  private final ReservationReconciler reconciler;
+  private boolean recovered;
   private long electedMs;
 
   WorkerCommander(
       ControllerContext context,
-      LeaderElection term,
+      LeaderElection election,
       JobRegistry jobs,
       MachineRegistry fleet,
       CancellationTracker cancellations,
       MachineLiveness liveness,
-      LeaseExpiry lapses,
-      WorkerLeaseLog log,
-      Runnable kick) {
+      LeaseExpiry leaseExpiry,
+      WorkerLeaseLog leaseLog,
+      Runnable requestRound) {
     this.context = context;
-    this.term = term;
+    this.election = election;
     this.jobs = jobs;
     this.fleet = fleet;
     this.cancellations = cancellations;
     this.liveness = liveness;
-    this.lapses = lapses;
-    this.log = log;
-    reconciler = new HeartbeatReconciler(context, term, jobs, fleet, kick);
+    this.leaseExpiry = leaseExpiry;
+    this.leaseLog = leaseLog;
+    reconciler = new ReservationReconciler(context, election, jobs, fleet, requestRound);
   }
 
-  void elected() {
-    rebuilt = false;
-    lapses.elected();
-    log.clear();
+  void onElected() {
+    recovered = false;
+    leaseExpiry.onElected();
+    leaseLog.reset();
     electedMs = context.nowMs;
   }
 
   /** Brings the reservations on a machine up to what its newest report shows. */
-  void reconcile(MachineState m) {
-    reconciler.reconcile(m);
+  void reconcile(MachineState machine) {
+    reconciler.reconcile(machine);
   }
 
-  void rebuilt() {
-    rebuilt = true;
+  void recovered() {
+    recovered = true;
   }
 
   /** A worker reports to this node, which leads. */
-  void report(long ticket, Heartbeat report) {
-    String name = report.machine().name();
-    if (report.token() >= term.endOfTokens()) {
+  void handleHeartbeat(long ticket, Heartbeat heartbeat) {
+    String name = heartbeat.machine().name();
+    if (heartbeat.fencingToken() >= election.endOfFencingTokens()) {
       // Another leader rules this worker, so this one's term is over.
-      term.outdated(report.token() >> LeaderElection.SEQUENCE_BITS);
+      election.observeTerm(heartbeat.fencingToken() >> LeaderElection.TOKEN_SEQUENCE_BITS);
       context.emit(new Effect.RedirectWorker(ticket, null));
       return;
     }
-    if (fleet.isGone(name)) {
+    if (fleet.isRemoved(name)) {
       context.emit(new Effect.RedirectWorker(ticket, null));
       return;
     }
-    MachineState m = fleet.known(report.machine());
-    boolean news = absorb(m, report, false);
-    if (m.token == 0) {
-      m.token = term.firstToken() + 1;
+    MachineState machine = fleet.getOrRegister(heartbeat.machine());
+    boolean news = applyHeartbeat(machine, heartbeat, false);
+    if (machine.fencingToken == 0) {
+      machine.fencingToken = election.firstFencingToken() + 1;
     }
-    fleet.answered(m);
-    noteUsable(m);
+    fleet.renewLease(machine);
+    reindexIfSchedulable(machine);
     // While direct commands are under way, the two ways could overtake each other.
-    ImmutableList<Command> commands = ImmutableList.of();
-    if (news && !m.agrees && !m.isCommanding()) {
-      commands = mayCommand() ? commands(m) : stops(m);
-      log.commanded(m, commands, false);
+    ImmutableList<WorkerCommand> commands = ImmutableList.of();
+    if (news && !machine.reconciled && !machine.hasCommandInFlight()) {
+      commands = canCommand() ? buildCommands(machine) : stopCommands(machine);
+      leaseLog.commandsSent(machine, commands, false);
     }
-    context.emit(new Effect.AnswerWorker(ticket, m.token, commands));
+    context.emit(new Effect.RespondToWorker(ticket, machine.fencingToken, commands));
   }
 
   /** Whether memory and lease allow any command; stopping what is cancelled asks for neither. */
-  private boolean mayCommand() {
-    return term.sure() && rebuilt;
+  private boolean canCommand() {
+    return election.isLeaseValid() && recovered;
   }
 
   /**
@@ -114,14 +114,14 @@
    * job, its reservations tell where it runs, and what runs without one is stopped at the next
    * report anyhow.
    */
-  void cancelled(String uid) {
-    if (rebuilt && jobs.get(uid) != null) {
+  void onJobCancelled(String uid) {
+    if (recovered && jobs.get(uid) != null) {
       return;
     }
-    for (MachineState m : fleet.machines()) {
-      for (TaskStatus task : m.tasks()) {
-        if (!task.ended() && task.attempt().task().job().equals(uid)) {
-          m.setUrgent();
+    for (MachineState machine : fleet.machines()) {
+      for (TaskStatus task : machine.reportedTasks()) {
+        if (!task.hasEnded() && task.attempt().task().jobUid().equals(uid)) {
+          machine.requestCommand();
         }
       }
     }
@@ -131,48 +131,51 @@
    * The tasks of cancelled jobs, stopped at once. This is right without the state service and
    * before anything is rebuilt: a confirmed cancellation is final.
    */
-  private ImmutableList<Command> stops(MachineState m) {
-    ImmutableList.Builder<Command> list = ImmutableList.builder();
-    for (TaskStatus task : m.tasks()) {
-      if (!task.ended() && cancellations.contains(task.attempt().task().job())) {
-        list.add(new Command.Kill(task.attempt(), 0));
+  private ImmutableList<WorkerCommand> stopCommands(MachineState machine) {
+    ImmutableList.Builder<WorkerCommand> list = ImmutableList.builder();
+    for (TaskStatus task : machine.reportedTasks()) {
+      if (!task.hasEnded() && cancellations.contains(task.attempt().task().jobUid())) {
+        list.add(new WorkerCommand.Kill(task.attempt(), 0));
       }
     }
     return list.build();
   }
 
   /** Takes a report, or the one in a direct answer, if it is the newest; whether it was. */
-  private boolean absorb(MachineState m, Heartbeat report, boolean byCommand) {
-    if (!m.session.isNews(report)) {
+  private boolean applyHeartbeat(MachineState machine, Heartbeat heartbeat, boolean byCommand) {
+    if (!machine.incarnation.isNewer(heartbeat)) {
       return false;
     }
-    Heartbeat before = m.report();
-    boolean sameTasks = saysNothingNew(m, report);
-    long leaseBeforeMs = m.session.leaseFromMs();
-    boolean begun = fleet.reported(m, sameTasks ? report.withTasks(before.tasks()) : report);
-    if (begun && before != null) {
-      log.begun(m, before.session(), leaseBeforeMs, byCommand);
+    Heartbeat previous = machine.lastHeartbeat();
+    boolean sameTasks = isUnchanged(machine, heartbeat);
+    long leaseBeforeMs = machine.incarnation.leaseStartMs();
+    boolean begun =
+        fleet.recordHeartbeat(
+            machine, sameTasks ? heartbeat.withTasks(previous.tasks()) : heartbeat);
+    if (begun && previous != null) {
+      leaseLog.incarnationStarted(machine, previous.incarnation(), leaseBeforeMs, byCommand);
     }
-    m.aliveMs = context.nowMs;
-    m.booting = false;
-    if (report.token() >= m.token) {
-      m.deafSinceMs = 0;
-      m.unanswered = 0;
-    } else if (m.deafSinceMs == 0) {
-      m.deafSinceMs = context.nowMs;
+    machine.lastAliveMs = context.nowMs;
+    machine.booting = false;
+    if (heartbeat.fencingToken() >= machine.fencingToken) {
+      machine.unresponsiveSinceMs = 0;
+      machine.unansweredCommands = 0;
+    } else if (machine.unresponsiveSinceMs == 0) {
+      machine.unresponsiveSinceMs = context.nowMs;
     }
-    if (liveness.shown(m) && (before == null || before.token() < term.firstToken())) {
+    if (liveness.hasTokenOfTerm(machine)
+        && (previous == null || previous.fencingToken() < election.firstFencingToken())) {
       // From here on only this term's answers renew the lease.
-      fleet.answered(m);
+      fleet.renewLease(machine);
     }
-    if (liveness.shown(m)) {
-      fleet.sets().shown(m);
+    if (liveness.hasTokenOfTerm(machine)) {
+      fleet.indexes().recordTokenOfTerm(machine);
     }
-    if (rebuilt && !sameTasks) {
-      m.agrees = false;
-      reconciler.reconcile(m);
+    if (recovered && !sameTasks) {
+      machine.reconciled = false;
+      reconciler.reconcile(machine);
     }
-    noteUsable(m);
+    reindexIfSchedulable(machine);
     return true;
   }
 
@@ -180,193 +183,203 @@
    * Whether a report has the tasks of the one before, which agreed with what is reserved. Most
    * reports do, and nothing follows from them but that the machine is alive.
    */
-  private static boolean saysNothingNew(MachineState m, Heartbeat report) {
-    Heartbeat before = m.report();
-    return m.agrees
-        && report.session() == before.session()
-        && report.token() == before.token()
-        && report.noticeS() == null
-        && report.tasks().equals(before.tasks());
+  private static boolean isUnchanged(MachineState machine, Heartbeat heartbeat) {
+    Heartbeat previous = machine.lastHeartbeat();
+    return machine.reconciled
+        && heartbeat.incarnation() == previous.incarnation()
+        && heartbeat.fencingToken() == previous.fencingToken()
+        && heartbeat.terminationNoticeS() == null
+        && heartbeat.tasks().equals(previous.tasks());
   }
 
   /** What searches have proved does not hold for a machine that they passed over. */
-  private void noteUsable(MachineState m) {
-    if (m.passedOver && liveness.usable(m)) {
-      m.passedOver = false;
-      fleet.sets().roomIndex().grew(m);
+  private void reindexIfSchedulable(MachineState machine) {
+    if (machine.skippedBySearch && liveness.isSchedulable(machine)) {
+      machine.skippedBySearch = false;
+      fleet.indexes().capacityIndex().capacityIncreased(machine);
     }
   }
 
   /** The commands that a worker needs now. */
-  private ImmutableList<Command> commands(MachineState m) {
-    ImmutableList.Builder<Command> list = ImmutableList.builder();
+  private ImmutableList<WorkerCommand> buildCommands(MachineState machine) {
+    ImmutableList.Builder<WorkerCommand> list = ImmutableList.builder();
     Set<Attempt> held = new HashSet<>();
-    for (Reservation p : m.placed) {
-      if (p.committed) {
-        held.add(p.id());
+    for (Reservation reservation : machine.reservations) {
+      if (reservation.committed) {
+        held.add(reservation.toAttempt());
       }
     }
-    boolean agrees = m.tasks().size() == m.placed.size();
-    for (TaskStatus task : m.tasks()) {
+    boolean agrees = machine.reportedTasks().size() == machine.reservations.size();
+    for (TaskStatus task : machine.reportedTasks()) {
       Attempt attempt = task.attempt();
-      if (jobs.isFrozen(attempt.task().job())) {
+      if (jobs.isFrozen(attempt.task().jobUid())) {
         agrees = false;
         continue;
       }
-      JobState job = jobs.get(attempt.task().job());
-      Reservation p = job == null ? null : job.placed.get(attempt.task().index());
-      boolean ours = p != null && held.contains(attempt);
-      agrees &= ours && p.wanted() && p.job.gang == null && isUnderWay(task);
-      if (task.ended()) {
+      JobState job = jobs.get(attempt.task().jobUid());
+      Reservation reservation = job == null ? null : job.reservations.get(attempt.task().index());
+      boolean ours = reservation != null && held.contains(attempt);
+      agrees &= ours && reservation.isDesired() && reservation.job.gang == null && isActive(task);
+      if (task.hasEnded()) {
         if (!ours
-            && (job == null || !jobs.mustKeep(job, attempt.number(), attempt.task().index()))) {
-          list.add(new Command.Clear(attempt));
+            && (job == null
+                || !jobs.mustRetainAttempt(job, attempt.number(), attempt.task().index()))) {
+          list.add(new WorkerCommand.Clear(attempt));
         }
       } else if (!ours) {
-        list.add(new Command.Kill(attempt, 0));
-      } else if (!p.wanted()) {
-        list.add(new Command.Kill(attempt, saveOverdue(p) ? 0 : p.stopGraceS()));
+        list.add(new WorkerCommand.Kill(attempt, 0));
+      } else if (!reservation.isDesired()) {
+        list.add(
+            new WorkerCommand.Kill(
+                attempt, isCheckpointOverdue(reservation) ? 0 : reservation.stopGraceS()));
       }
     }
-    boolean clears = list.build().stream().anyMatch(Command.Clear.class::isInstance);
-    if (clears && m.token <= m.directToken) {
+    boolean clears = list.build().stream().anyMatch(WorkerCommand.Clear.class::isInstance);
+    if (clears && machine.fencingToken <= machine.directStartToken) {
       // A late copy of direct commands would start what is cleared anew.
-      m.token = m.directToken + 1;
+      machine.fencingToken = machine.directStartToken + 1;
     }
-    if (liveness.usable(m)) {
-      for (Reservation p : m.placed) {
-        if (p.mayStart() && !p.job.aborting) {
-          list.add(new Command.Run(p.id()));
-          p.sentToken = m.token;
-          p.sentSession = m.session.number();
-          reconciler.noteImage(m, p);
+    if (liveness.isSchedulable(machine)) {
+      for (Reservation reservation : machine.reservations) {
+        if (reservation.canStart() && !reservation.job.cancelling) {
+          list.add(new WorkerCommand.Run(reservation.toAttempt()));
+          reservation.startToken = machine.fencingToken;
+          reservation.startIncarnation = machine.incarnation.number();
+          reconciler.recordImageUse(machine, reservation);
         }
       }
     }
-    m.clearUrgent();
-    m.agrees = agrees;
+    machine.clearCommandDue();
+    machine.reconciled = agrees;
     return list.build();
   }
 
   /** A save that hangs is given up: its GPUs are wanted, and the task would never end. */
-  private boolean saveOverdue(Reservation p) {
-    return context.settings.operator().lending()
-        && p.job.gang == null
-        && p.isSaveOverdue(context.nowMs, SAVE_MARGIN_STEPS * context.stepMs());
+  private boolean isCheckpointOverdue(Reservation reservation) {
+    return context.settings.operator().isLendingEnabled()
+        && reservation.job.gang == null
+        && reservation.isSaveOverdue(context.nowMs, CHECKPOINT_MARGIN_STEPS * context.stepMs());
   }
 
-  private static boolean isUnderWay(TaskStatus task) {
+  private static boolean isActive(TaskStatus task) {
     return task.state() == TaskStatus.State.RUNNING || task.state() == TaskStatus.State.FETCHING;
   }
 
   void tick() {
-    if (rebuilt) {
-      lapses.settleLapsed();
+    if (recovered) {
+      leaseExpiry.settleExpired();
     }
-    log.tell();
+    leaseLog.logSummaryIfDue();
     // Every worker turns to a new leader at once, and commands go out beside that; without a bound
     // on them the sockets ran out, and nobody could connect.
-    int forCommands = context.settings.controller().outbound() / 2;
-    int free = context.settings.controller().outbound() - fleet.sets().commandingCount();
-    for (int number : fleet.sets().toContact()) {
+    int forCommands = context.settings.controllerResources().maxOutboundConnections() / 2;
+    int free =
+        context.settings.controllerResources().maxOutboundConnections()
+            - fleet.indexes().commandsInFlight();
+    for (int number : fleet.indexes().machinesToContact()) {
       if (free <= 0) {
         return;
       }
-      MachineState m = fleet.get(number);
-      if (m.addr() == null || m.isCommanding() || context.nowMs < m.commandNotBeforeMs) {
+      MachineState machine = fleet.get(number);
+      if (machine.address() == null
+          || machine.hasCommandInFlight()
+          || context.nowMs < machine.nextCommandMs) {
         continue;
       }
-      if (m.report() == null || !liveness.shown(m)) {
+      if (machine.lastHeartbeat() == null || !liveness.hasTokenOfTerm(machine)) {
         // Reached directly, so that an older leader's token ends there soon.
-        if (!m.booting && context.nowMs - electedMs > context.stepMs() && free > forCommands) {
-          reach(m);
+        if (!machine.booting
+            && context.nowMs - electedMs > context.stepMs()
+            && free > forCommands) {
+          contact(machine);
         }
-      } else if (m.isUrgent() && liveness.heard(m)) {
-        if (mayCommand()) {
-          command(m);
+      } else if (machine.isCommandDue() && liveness.hasRecentHeartbeat(machine)) {
+        if (canCommand()) {
+          sendCommands(machine);
         } else {
-          stop(m);
+          sendStops(machine);
         }
       }
-      free -= m.isCommanding() ? 1 : 0;
+      free -= machine.hasCommandInFlight() ? 1 : 0;
     }
   }
 
-  private void reach(MachineState m) {
-    m.setCommanding(true);
-    if (m.report() == null) {
-      context.ask(
-          call -> new Effect.AskInspect(call, m.addr(), context.stepMs() * 2),
-          reply -> commanded(m, reply, 0));
+  private void contact(MachineState machine) {
+    machine.setCommandInFlight(true);
+    if (machine.lastHeartbeat() == null) {
+      context.call(
+          call -> new Effect.InspectWorker(call, machine.address(), context.stepMs() * 2),
+          reply -> handleDirectReply(machine, reply, 0));
     } else {
-      m.token = Math.max(m.token, term.firstToken() + 1);
-      send(m, ImmutableList.of());
+      machine.fencingToken = Math.max(machine.fencingToken, election.firstFencingToken() + 1);
+      sendDirectly(machine, ImmutableList.of());
     }
   }
 
-  private void stop(MachineState m) {
-    ImmutableList<Command> stops = stops(m);
+  private void sendStops(MachineState machine) {
+    ImmutableList<WorkerCommand> stops = stopCommands(machine);
     if (!stops.isEmpty()) {
-      m.setCommanding(true);
-      send(m, stops);
+      machine.setCommandInFlight(true);
+      sendDirectly(machine, stops);
     }
   }
 
-  private void command(MachineState m) {
-    boolean raiseOnly = m.token > m.report().token();
-    ImmutableList<Command> commands = commands(m);
-    List<Command> prompt = new ArrayList<>();
-    for (Command command : commands) {
-      if (!(command instanceof Command.Clear)) {
+  private void sendCommands(MachineState machine) {
+    boolean raiseOnly = machine.fencingToken > machine.lastHeartbeat().fencingToken();
+    ImmutableList<WorkerCommand> commands = buildCommands(machine);
+    List<WorkerCommand> prompt = new ArrayList<>();
+    for (WorkerCommand command : commands) {
+      if (!(command instanceof WorkerCommand.Clear)) {
         prompt.add(command);
       }
     }
     if (prompt.isEmpty() && !raiseOnly) {
       return;
     }
-    m.setCommanding(true);
-    if (prompt.stream().anyMatch(Command.Run.class::isInstance)) {
-      m.directToken = m.token;
+    machine.setCommandInFlight(true);
+    if (prompt.stream().anyMatch(WorkerCommand.Run.class::isInstance)) {
+      machine.directStartToken = machine.fencingToken;
     }
-    send(m, ImmutableList.copyOf(prompt));
+    sendDirectly(machine, ImmutableList.copyOf(prompt));
   }
 
-  private void send(MachineState m, ImmutableList<Command> commands) {
-    log.commanded(m, commands, true);
-    long token = m.token;
-    long session = m.session.number();
-    context.ask(
+  private void sendDirectly(MachineState machine, ImmutableList<WorkerCommand> commands) {
+    leaseLog.commandsSent(machine, commands, true);
+    long token = machine.fencingToken;
+    long session = machine.incarnation.number();
+    context.call(
         call ->
-            new Effect.AskCommands(call, m.addr(), token, session, commands, context.stepMs() * 2),
-        reply -> commanded(m, reply, token));
+            new Effect.SendCommands(
+                call, machine.address(), token, session, commands, context.stepMs() * 2),
+        reply -> handleDirectReply(machine, reply, token));
   }
 
-  private void commanded(MachineState m, Reply reply, long token) {
-    if (fleet.get(m.name) != m || !term.leading()) {
+  private void handleDirectReply(MachineState machine, Reply reply, long token) {
+    if (fleet.get(machine.name) != machine || !election.isLeading()) {
       return;
     }
-    m.setCommanding(false);
-    if (reply instanceof Reply.WorkerAnswer says) {
-      m.unanswered = 0;
-      if (says.report().token() >= term.endOfTokens()) {
-        term.outdated(says.report().token() >> LeaderElection.SEQUENCE_BITS);
+    machine.setCommandInFlight(false);
+    if (reply instanceof Reply.WorkerReply says) {
+      machine.unansweredCommands = 0;
+      if (says.report().fencingToken() >= election.endOfFencingTokens()) {
+        election.observeTerm(says.report().fencingToken() >> LeaderElection.TOKEN_SEQUENCE_BITS);
         return;
       }
-      absorb(m, says.report(), true);
-      if (m.token == 0) {
-        m.token = term.firstToken() + 1;
+      applyHeartbeat(machine, says.report(), true);
+      if (machine.fencingToken == 0) {
+        machine.fencingToken = election.firstFencingToken() + 1;
       }
       if (!says.executed()) {
-        m.setUrgent();
+        machine.requestCommand();
       }
     } else {
       // Unanswered commands may be executed yet; a higher token ends that.
-      m.unanswered++;
+      machine.unansweredCommands++;
       if (token > 0) {
-        reconciler.raise(m);
-        m.clearUrgent();
+        reconciler.raiseFencingToken(machine);
+        machine.clearCommandDue();
       }
-      m.commandNotBeforeMs =
+      machine.nextCommandMs =
           context.nowMs + context.stepMs() + context.random.nextLong(context.stepMs());
     }
   }
--- a/src/main/java/eiderfork/controller/WorkerIncarnation.java
+++ b/src/main/java/eiderfork/controller/WorkerIncarnation.java
@@ -10,37 +10,38 @@
  */
 final class WorkerIncarnation {
   /** The newest report of this term, null before the first. */
-  private Heartbeat report;
+  private Heartbeat lastHeartbeat;
 
-  private long heardMs;
-  private long leaseFromMs;
+  private long lastHeartbeatMs;
+  private long leaseStartMs;
 
   /** The newest report of this term, null before the first. */
-  Heartbeat report() {
-    return report;
+  Heartbeat lastHeartbeat() {
+    return lastHeartbeat;
   }
 
   /** The session's number, 0 before the first report. */
   long number() {
-    return report == null ? 0 : report.session();
+    return lastHeartbeat == null ? 0 : lastHeartbeat.incarnation();
   }
 
   /** When the newest report came, by itself or with an answer; 0 for never in this term. */
-  long heardMs() {
-    return heardMs;
+  long lastHeartbeatMs() {
+    return lastHeartbeatMs;
   }
 
   /**
    * The latest moment from which the lease may run: when a report was last answered or, where that
    * is later, when the session was first seen. 0 for never in this term.
    */
-  long leaseFromMs() {
-    return leaseFromMs;
+  long leaseStartMs() {
+    return leaseStartMs;
   }
 
   /** Whether the report is newer than all that is known of the worker. */
-  boolean isNews(Heartbeat other) {
-    return report == null || other.newerThan(report.session(), report.seq());
+  boolean isNewer(Heartbeat heartbeat) {
+    return lastHeartbeat == null
+        || heartbeat.isNewerThan(lastHeartbeat.incarnation(), lastHeartbeat.sequenceNumber());
   }
 
   /**
@@ -48,35 +49,35 @@
    *
    * @return whether it is the first that is seen of its session
    */
-  boolean take(Heartbeat newest, long nowMs) {
-    boolean first = report == null || newest.session() != report.session();
-    report = newest;
-    heardMs = nowMs;
+  boolean recordHeartbeat(Heartbeat heartbeat, long nowMs) {
+    boolean first = lastHeartbeat == null || heartbeat.incarnation() != lastHeartbeat.incarnation();
+    lastHeartbeat = heartbeat;
+    lastHeartbeatMs = nowMs;
     if (first) {
       // A lease counted from an answer in the session before once ended while tasks ran in this
       // one.
-      leaseFromMs = nowMs;
+      leaseStartMs = nowMs;
     }
     return first;
   }
 
   /** The worker's lease may be renewed now. */
-  void renewed(long nowMs) {
-    leaseFromMs = nowMs;
+  void renewLease(long nowMs) {
+    leaseStartMs = nowMs;
   }
 
   /** Whether the lease may be over, so that nothing should start in this session any more. */
-  boolean mayBeOver(long nowMs, long leaseMs) {
-    return nowMs - leaseFromMs > leaseMs;
+  boolean mayLeaseHaveExpired(long nowMs, long leaseMs) {
+    return nowMs - leaseStartMs > leaseMs;
   }
 
   /**
    * Whether the lease is surely over by the worker's clock, too.
    *
-   * @param notBeforeMs up to when somebody else may have renewed it
+   * @param renewedByOthersMs up to when somebody else may have renewed it
    */
-  boolean isSurelyOver(long nowMs, long leaseMs, long notBeforeMs, long marginMs) {
-    long fromMs = Math.max(leaseFromMs, notBeforeMs);
-    return nowMs - fromMs > ControllerContext.surely(leaseMs) + marginMs;
+  boolean hasLeaseSurelyExpired(long nowMs, long leaseMs, long renewedByOthersMs, long marginMs) {
+    long fromMs = Math.max(leaseStartMs, renewedByOthersMs);
+    return nowMs - fromMs > ControllerContext.withClockDrift(leaseMs) + marginMs;
   }
 }
--- a/src/main/java/eiderfork/controller/WorkerLeaseLog.java
+++ b/src/main/java/eiderfork/controller/WorkerLeaseLog.java
@@ -1,8 +1,8 @@
 package eiderfork.controller;
 
 import eiderfork.controller.context.ControllerContext;
-import eiderfork.model.Command;
 import eiderfork.model.TaskStatus;
+import eiderfork.model.WorkerCommand;
 import java.util.List;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -16,78 +16,82 @@
   private static final Logger LOG = LoggerFactory.getLogger(WorkerLeaseLog.class);
 
   /** The most lines that are written in a step. */
-  private static final int LINES_IN_STEP = 20;
+  private static final int MAX_LINES_PER_STEP = 20;
 
-  private static final long INTERVAL_MS = 60_000;
+  private static final long SUMMARY_INTERVAL_MS = 60_000;
 
   private final ControllerContext context;
 
-  private long begunByReport;
-  private long begunByCommand;
-  private long lapses;
+  private long startedByHeartbeat;
+  private long startedByCommand;
+  private long expiredLeases;
   private long keptByProxy;
-  private long outdatedReads;
-  private long settled;
-  private long settledRunning;
-  private long leftOut;
+  private long staleReads;
+  private long settledTasks;
+  private long settledRunningTasks;
+  private long suppressedLines;
 
-  private int lines;
+  private int linesInStep;
   private long stepEndsMs;
-  private long nextMs;
+  private long nextSummaryMs;
 
   WorkerLeaseLog(ControllerContext context) {
     this.context = context;
   }
 
   /** A term begins. */
-  void clear() {
-    begunByReport = 0;
-    begunByCommand = 0;
-    lapses = 0;
+  void reset() {
+    startedByHeartbeat = 0;
+    startedByCommand = 0;
+    expiredLeases = 0;
     keptByProxy = 0;
-    outdatedReads = 0;
-    settled = 0;
-    settledRunning = 0;
-    leftOut = 0;
+    staleReads = 0;
+    settledTasks = 0;
+    settledRunningTasks = 0;
+    suppressedLines = 0;
   }
 
   /** How many sessions were first seen by the answer to a direct command since the last line. */
-  long begunByCommand() {
-    return begunByCommand;
+  long startedByCommand() {
+    return startedByCommand;
   }
 
   /** How many lapses a read said nothing of, since the lease was renewed after it was sent. */
-  long outdatedReads() {
-    return outdatedReads;
+  long staleReads() {
+    return staleReads;
   }
 
   /** How many lines were left out since the last count. */
-  long leftOut() {
-    return leftOut;
+  long suppressedLines() {
+    return suppressedLines;
   }
 
   /**
    * A worker shows another session than before.
    *
-   * @param beforeMs from when the lease of the session before may have run
+   * @param previousLeaseStartMs from when the lease of the session before may have run
    * @param byCommand the answer to a direct command shows it, and no report
    */
-  void begun(MachineState m, long before, long beforeMs, boolean byCommand) {
+  void incarnationStarted(
+      MachineState machine,
+      long previousIncarnation,
+      long previousLeaseStartMs,
+      boolean byCommand) {
     if (byCommand) {
-      begunByCommand++;
+      startedByCommand++;
     } else {
-      begunByReport++;
+      startedByHeartbeat++;
     }
-    if (mayWrite()) {
+    if (canWriteLine()) {
       LOG.info(
           "session machine={} session={} before={} by={} token={} lease_before_ms={} reserved={}",
-          m.name,
-          m.session.number(),
-          before,
+          machine.name,
+          machine.incarnation.number(),
+          previousIncarnation,
           byCommand ? "command" : "report",
-          m.report().token(),
-          context.nowMs - beforeMs,
-          m.placed.size());
+          machine.lastHeartbeat().fencingToken(),
+          context.nowMs - previousLeaseStartMs,
+          machine.reservations.size());
     }
   }
 
@@ -96,23 +100,23 @@
    *
    * @param readMs how long the read of the lease proxies' records took, 0 for none
    */
-  void lapsed(MachineState m, long readMs) {
+  void leaseExpired(MachineState machine, long readMs) {
     int running = 0;
-    for (Reservation task : m.placed) {
-      running += task.seen == TaskStatus.State.RUNNING ? 1 : 0;
+    for (Reservation task : machine.reservations) {
+      running += task.reportedState == TaskStatus.State.RUNNING ? 1 : 0;
     }
-    lapses++;
-    settled += m.placed.size();
-    settledRunning += running;
-    if (mayWrite()) {
+    expiredLeases++;
+    settledTasks += machine.reservations.size();
+    settledRunningTasks += running;
+    if (canWriteLine()) {
       LOG.info(
           "lapse machine={} session={} lease_ms={} heard_ms={} read_ms={} settled={} running={}",
-          m.name,
-          m.session.number(),
-          context.nowMs - m.session.leaseFromMs(),
-          context.nowMs - m.session.heardMs(),
+          machine.name,
+          machine.incarnation.number(),
+          context.nowMs - machine.incarnation.leaseStartMs(),
+          context.nowMs - machine.incarnation.lastHeartbeatMs(),
           readMs,
-          m.placed.size(),
+          machine.reservations.size(),
           running);
     }
   }
@@ -123,57 +127,57 @@
   }
 
   /** A lapse is not settled, since the lease was renewed, or a session began, after the read. */
-  void outdatedRead() {
-    outdatedReads++;
+  void staleRead() {
+    staleReads++;
   }
 
   /** Commands go to a worker, by an answer to its report or directly. */
-  void commanded(MachineState m, List<Command> commands, boolean directly) {
+  void commandsSent(MachineState machine, List<WorkerCommand> commands, boolean sentDirectly) {
     if (LOG.isDebugEnabled() && !commands.isEmpty()) {
       LOG.debug(
           "command machine={} session={} token={} by={} heard_ms={} lease_ms={} commands={}",
-          m.name,
-          m.session.number(),
-          m.token,
-          directly ? "command" : "report",
-          context.nowMs - m.session.heardMs(),
-          context.nowMs - m.session.leaseFromMs(),
+          machine.name,
+          machine.incarnation.number(),
+          machine.fencingToken,
+          sentDirectly ? "command" : "report",
+          context.nowMs - machine.incarnation.lastHeartbeatMs(),
+          context.nowMs - machine.incarnation.leaseStartMs(),
           commands);
     }
   }
 
   /** Once a minute: the counts since the last time, where anything happened. */
-  void tell() {
-    if (context.nowMs < nextMs) {
+  void logSummaryIfDue() {
+    if (context.nowMs < nextSummaryMs) {
       return;
     }
-    nextMs = context.nowMs + INTERVAL_MS;
-    if (begunByReport + begunByCommand + lapses + keptByProxy + outdatedReads > 0) {
+    nextSummaryMs = context.nowMs + SUMMARY_INTERVAL_MS;
+    if (startedByHeartbeat + startedByCommand + expiredLeases + keptByProxy + staleReads > 0) {
       LOG.info(
           "sessions begun_by_report={} begun_by_command={} lapses={} settled={} settled_running={}"
               + " kept_by_proxy={} outdated_reads={} lines_left_out={}",
-          begunByReport,
-          begunByCommand,
-          lapses,
-          settled,
-          settledRunning,
+          startedByHeartbeat,
+          startedByCommand,
+          expiredLeases,
+          settledTasks,
+          settledRunningTasks,
           keptByProxy,
-          outdatedReads,
-          leftOut);
+          staleReads,
+          suppressedLines);
     }
-    clear();
+    reset();
   }
 
-  private boolean mayWrite() {
+  private boolean canWriteLine() {
     if (context.nowMs >= stepEndsMs) {
       stepEndsMs = context.nowMs + context.stepMs();
-      lines = 0;
+      linesInStep = 0;
     }
-    if (lines >= LINES_IN_STEP) {
-      leftOut++;
+    if (linesInStep >= MAX_LINES_PER_STEP) {
+      suppressedLines++;
       return false;
     }
-    lines++;
+    linesInStep++;
     return true;
   }
 }
