--- a/src/main/java/eiderfork/controller/WorkerReachability.java
+++ b/src/main/java/eiderfork/controller/WorkerReachability.java
@@ -15,38 +15,38 @@
   private static final Logger LOG = LoggerFactory.getLogger(WorkerReachability.class);
 
   /** How long a new leader waits for the first report of any machine, in steps. */
-  private static final int FIRST_REPORTS_STEPS = 4;
+  private static final int FIRST_HEARTBEATS_STEPS = 4;
 
   /** How long workers may take to find a new leader: an answer waited for in vain, and a report. */
-  private static final int SETTLED_STEPS = 6;
+  private static final int RECONNECT_STEPS = 6;
 
   /** Of fewer machines all may be silent by chance. */
-  private static final int FEWEST_FOR_SILENCE = 3;
+  private static final int MIN_MACHINES_FOR_SILENCE = 3;
 
   private final ControllerContext context;
-  private final LeaderElection term;
+  private final LeaderElection election;
   private final MachineRegistry fleet;
   private final MachineLiveness liveness;
   private final PeerMonitor peers;
   private final LeaseProxy leaseProxy;
 
   /** When each machine last reported here, whether this node leads or not. */
-  private final Map<String, Long> heardMs = new HashMap<>();
+  private final Map<String, Long> lastHeartbeatMs = new HashMap<>();
 
-  private long countedMs;
-  private long checkNextMs;
+  private long lastCountMs;
+  private long nextCheckMs;
   private long electedMs;
-  private long awakeMs;
+  private long resumedMs;
 
   WorkerReachability(
       ControllerContext context,
-      LeaderElection term,
+      LeaderElection election,
       MachineRegistry fleet,
       MachineLiveness liveness,
       PeerMonitor peers,
       LeaseProxy leaseProxy) {
     this.context = context;
-    this.term = term;
+    this.election = election;
     this.fleet = fleet;
     this.liveness = liveness;
     this.peers = peers;
@@ -54,61 +54,67 @@
   }
 
   /** This node leads now. */
-  void elected() {
+  void onElected() {
     electedMs = context.nowMs;
   }
 
   /** A machine reports here. */
-  void heard(String machine) {
-    heardMs.put(machine, context.nowMs);
+  void recordHeartbeat(String machineName) {
+    lastHeartbeatMs.put(machineName, context.nowMs);
   }
 
   /** How many machines report here, counted once in half a step. */
-  int count() {
-    if (context.nowMs - countedMs >= context.stepMs() / 2) {
-      countedMs = context.nowMs;
-      heardMs.values().removeIf(at -> context.nowMs - at > liveness.silentMs());
+  int reachableMachineCount() {
+    if (context.nowMs - lastCountMs >= context.stepMs() / 2) {
+      lastCountMs = context.nowMs;
+      lastHeartbeatMs.values().removeIf(at -> context.nowMs - at > liveness.heartbeatTimeoutMs());
     }
     // Machines that have to be answered here don't need this node to lead.
-    return Math.max(0, heardMs.size() - leaseProxy.machineCount());
+    return Math.max(0, lastHeartbeatMs.size() - leaseProxy.proxiedMachineCount());
   }
 
   /** Workers that can't reach this leader, but can reach a peer, need that peer to lead. */
-  void resignIfUnheard() {
-    if (context.nowMs < checkNextMs) {
+  void resignIfUnreachable() {
+    if (context.nowMs < nextCheckMs) {
       return;
     }
-    boolean stoodStill = context.nowMs - checkNextMs > context.stepMs();
-    checkNextMs = context.nowMs + context.stepMs() / 2;
+    boolean stoodStill = context.nowMs - nextCheckMs > context.stepMs();
+    nextCheckMs = context.nowMs + context.stepMs() / 2;
     if (stoodStill) {
       // What came meanwhile is still to be read.
-      awakeMs = context.nowMs;
+      resumedMs = context.nowMs;
     }
     int known = 0;
     int heard = 0;
     int tasked = 0;
-    for (MachineState m : fleet.machines()) {
-      if (m.report() != null && !m.returning) {
+    for (MachineState machine : fleet.machines()) {
+      if (machine.lastHeartbeat() != null && !machine.scalingIn) {
         known++;
-        heard += liveness.heard(m) ? 1 : 0;
+        heard += liveness.hasRecentHeartbeat(machine) ? 1 : 0;
       }
-      tasked += m.placed.isEmpty() ? 0 : 1;
+      tasked += machine.reservations.isEmpty() ? 0 : 1;
     }
-    if (known >= FEWEST_FOR_SILENCE && heard == 0 && isLongAwake() && peers.anyServed()) {
+    if (known >= MIN_MACHINES_FOR_SILENCE
+        && heard == 0
+        && hasRunLongEnough()
+        && peers.isAnyServedByStore()) {
       // All at once: it is this node that is cut off. Workers wait four seconds for an answer here
       // before a peer could hear them, and half of their lease was over before it took the lead.
       LOG.info("hears none of {} machines any more", known);
-      term.resign(context.leaseMs());
-    } else if (known >= 2 && heard * 2 < known && isSettled() && peers.betterHeard(heard)) {
+      election.resign(context.workerLeaseMs());
+    } else if (known >= 2
+        && heard * 2 < known
+        && hasReconnectTimePassed()
+        && peers.hasPeerWithMoreMachines(heard)) {
       LOG.info("hears {} of {} machines, a peer hears more", heard, known);
-      term.resign(context.leaseMs());
+      election.resign(context.workerLeaseMs());
     } else if (known == 0
         && tasked >= 2
-        && isLongElected()
-        && peers.betterHeard(fewestElsewhere())) {
+        && hasFirstHeartbeatsTimePassed()
+        && peers.hasPeerWithMoreMachines(minMachinesAtPeer())) {
       // A leader that was cut from the workers when it was elected once held the lead for 32 s.
       LOG.info("has heard none of {} machines with tasks, a peer hears some", tasked);
-      term.resign(context.leaseMs());
+      election.resign(context.workerLeaseMs());
     }
   }
 
@@ -117,8 +123,8 @@
    * before can't reach the state service, workers go round between the nodes and each of them is
    * seldom heard at the one that could lead.
    */
-  private int fewestElsewhere() {
-    return context.nowMs - electedMs > 2 * FIRST_REPORTS_STEPS * context.stepMs() ? 0 : 1;
+  private int minMachinesAtPeer() {
+    return context.nowMs - electedMs > 2 * FIRST_HEARTBEATS_STEPS * context.stepMs() ? 0 : 1;
   }
 
   /**
@@ -126,20 +132,20 @@
    * leader that takes over from one that heard nobody has no machines that it knows; where no
    * worker reaches any node the lead moves once, and not to and fro.
    */
-  private boolean isLongAwake() {
-    return context.nowMs - Math.max(electedMs, awakeMs) > context.leaseMs();
+  private boolean hasRunLongEnough() {
+    return context.nowMs - Math.max(electedMs, resumedMs) > context.workerLeaseMs();
   }
 
   /**
    * Whether workers that waited for an answer elsewhere have had the time to come here. A leader
    * that took over from one that was cut from all of them once resigned before they did.
    */
-  private boolean isSettled() {
-    return context.nowMs - electedMs > SETTLED_STEPS * context.stepMs();
+  private boolean hasReconnectTimePassed() {
+    return context.nowMs - electedMs > RECONNECT_STEPS * context.stepMs();
   }
 
   /** Whether workers that can reach this node have had the time to find it. */
-  private boolean isLongElected() {
-    return context.nowMs - electedMs > FIRST_REPORTS_STEPS * context.stepMs();
+  private boolean hasFirstHeartbeatsTimePassed() {
+    return context.nowMs - electedMs > FIRST_HEARTBEATS_STEPS * context.stepMs();
   }
 }
--- a/src/main/java/eiderfork/controller/WorkerRedirector.java
+++ b/src/main/java/eiderfork/controller/WorkerRedirector.java
@@ -16,48 +16,49 @@
  */
 final class WorkerRedirector {
   /** What a worker was told last. */
-  private record Sent(long term, long atMs) {}
+  private record Redirect(long term, long sentMs) {}
 
   private final ControllerContext context;
-  private final LeaderElection term;
-  private final Map<String, Sent> sent = new HashMap<>();
+  private final LeaderElection election;
+  private final Map<String, Redirect> lastRedirects = new HashMap<>();
 
-  WorkerRedirector(ControllerContext context, LeaderElection term) {
+  WorkerRedirector(ControllerContext context, LeaderElection election) {
     this.context = context;
-    this.term = term;
+    this.election = election;
   }
 
   /** Whether a worker with tasks was with the leader of now and has left it. */
-  boolean hasLostLeader(Heartbeat report) {
-    return !term.leading()
-        && term.leader() != null
-        && !report.tasks().isEmpty()
-        && report.token() >= term.firstToken()
-        && report.token() < term.endOfTokens();
+  boolean hasLostLeader(Heartbeat heartbeat) {
+    return !election.isLeading()
+        && election.leader() != null
+        && !heartbeat.tasks().isEmpty()
+        && heartbeat.fencingToken() >= election.firstFencingToken()
+        && heartbeat.fencingToken() < election.endOfFencingTokens();
   }
 
   /** The node that a worker is sent to, or null for the next one that it knows. */
-  String target(Heartbeat report) {
-    String leader = term.leader();
-    if (leader == null || leader.equals(context.settings.node())) {
+  String target(Heartbeat heartbeat) {
+    String leader = election.leader();
+    if (leader == null || leader.equals(context.settings.nodeName())) {
       return null;
     }
-    String machine = report.machine().name();
-    Sent before = sent.put(machine, new Sent(term.number(), context.nowMs));
+    String machine = heartbeat.machine().name();
+    Redirect previous =
+        lastRedirects.put(machine, new Redirect(election.currentTerm(), context.nowMs));
     boolean cameBack =
-        before != null
-            && before.term == term.number()
-            && context.nowMs - before.atMs < context.leaseMs();
+        previous != null
+            && previous.term == election.currentTerm()
+            && context.nowMs - previous.sentMs < context.workerLeaseMs();
     if (!cameBack) {
       return leader;
     }
     // Told once, the next time it is sent to the leader again.
-    sent.remove(machine);
+    lastRedirects.remove(machine);
     return null;
   }
 
   /** Forgets what is too long ago to matter. */
   void tick() {
-    sent.values().removeIf(it -> context.nowMs - it.atMs > context.leaseMs());
+    lastRedirects.values().removeIf(it -> context.nowMs - it.sentMs > context.workerLeaseMs());
   }
 }
--- a/src/main/java/eiderfork/controller/context/ControllerContext.java
+++ b/src/main/java/eiderfork/controller/context/ControllerContext.java
@@ -18,9 +18,10 @@
   /** The steady time of the input being taken. */
   public long nowMs;
 
-  private final Long2ObjectOpenHashMap<Consumer<Reply>> open = new Long2ObjectOpenHashMap<>();
+  private final Long2ObjectOpenHashMap<Consumer<Reply>> pendingCalls =
+      new Long2ObjectOpenHashMap<>();
   private List<Effect> effects = new ArrayList<>();
-  private long lastCall;
+  private long lastCallId;
 
   /** Makes what the parts of a controller share. */
   public ControllerContext(Settings settings, RandomGenerator random, long nowMs) {
@@ -34,31 +35,31 @@
     effects.add(effect);
   }
 
-  /** Sends a call and has {@code then} take its reply. */
-  public void ask(LongFunction<Effect.Call> call, Consumer<Reply> then) {
-    long id = ++lastCall;
-    open.put(id, then);
-    effects.add(call.apply(id));
+  /** Sends a call and has {@code onComplete} take its reply. */
+  public void call(LongFunction<Effect.Call> callFactory, Consumer<Reply> onComplete) {
+    long id = ++lastCallId;
+    pendingCalls.put(id, onComplete);
+    effects.add(callFactory.apply(id));
   }
 
   /** Hands a reply to whoever asked. */
-  public void answered(long call, Reply reply) {
-    Consumer<Reply> then = open.remove(call);
-    if (then != null) {
-      then.accept(reply);
+  public void completeCall(long callId, Reply reply) {
+    Consumer<Reply> onComplete = pendingCalls.remove(callId);
+    if (onComplete != null) {
+      onComplete.accept(reply);
     }
   }
 
   /** What is to be sent and answered since this was last taken. */
-  public List<Effect> takeEffects() {
+  public List<Effect> drainEffects() {
     List<Effect> taken = effects;
     effects = new ArrayList<>();
     return taken;
   }
 
   /** The interval of workers' reports. */
-  public long reportMs() {
-    return (long) (settings.workers().reportS() * 1000);
+  public long heartbeatIntervalMs() {
+    return (long) (settings.workerTimings().heartbeatS() * 1000);
   }
 
   /**
@@ -67,7 +68,7 @@
    * hung on the report interval, an interval of 4 s had users and workers wait past their time.
    */
   public long stepMs() {
-    return Math.min(reportMs(), ANSWER_MS / 4);
+    return Math.min(heartbeatIntervalMs(), HEARTBEAT_REPLY_TIMEOUT_MS / 4);
   }
 
   /** The step in seconds. */
@@ -76,28 +77,28 @@
   }
 
   /** The workers' lease. */
-  public long leaseMs() {
-    return (long) (settings.workers().leaseS() * 1000);
+  public long workerLeaseMs() {
+    return (long) (settings.workerTimings().leaseS() * 1000);
   }
 
   /** The time in which a cancelled task must have ended. */
-  public long cancelMs() {
-    return (long) (settings.workers().cancelS() * 1000);
+  public long cancellationTimeoutMs() {
+    return (long) (settings.workerTimings().cancelDeadlineS() * 1000);
   }
 
   /** How old the cloud's list may be. */
-  public long listLagMs() {
+  public long cloudListLagMs() {
     return (long) (settings.cloudLimits().listLagS() * 1000);
   }
 
   /** How long a worker waits for the answer to a report, by the protocol. */
-  private static final long ANSWER_MS = 4000;
+  private static final long HEARTBEAT_REPLY_TIMEOUT_MS = 4000;
 
   /** A steady clock may be off by this share; lapses are judged with twice that to spare. */
-  public static final double CLOCK_DRIFT = 0.001;
+  public static final double MAX_CLOCK_DRIFT = 0.001;
 
-  /** A time span after which another clock has surely seen {@code ms} go by. */
-  public static long surely(long ms) {
-    return (long) Math.ceil(ms * (1 + CLOCK_DRIFT));
+  /** A time span after which another clock has surely seen {@code durationMs} go by. */
+  public static long withClockDrift(long durationMs) {
+    return (long) Math.ceil(durationMs * (1 + MAX_CLOCK_DRIFT));
   }
 }
--- a/src/main/java/eiderfork/controller/election/CandidateOrder.java
+++ b/src/main/java/eiderfork/controller/election/CandidateOrder.java
@@ -13,15 +13,15 @@
 public record CandidateOrder(List<String> nodes, Settings settings) {
   /** The order of all nodes that the settings name. */
   public static CandidateOrder of(Settings settings) {
-    List<String> nodes = new ArrayList<>(settings.peers().keySet());
-    nodes.add(settings.node());
+    List<String> nodes = new ArrayList<>(settings.peerEndpoints().keySet());
+    nodes.add(settings.nodeName());
     nodes.sort(Comparator.comparingInt(String::length).thenComparing(Comparator.naturalOrder()));
     return new CandidateOrder(List.copyOf(nodes), settings);
   }
 
   /** The node that workers try after this one. */
-  public String next() {
-    return nodes.get((nodes.indexOf(settings.node()) + 1) % nodes.size());
+  public String nextNode() {
+    return nodes.get((nodes.indexOf(settings.nodeName()) + 1) % nodes.size());
   }
 
   /**
@@ -30,10 +30,10 @@
    * stands in the leader's zone too, the second try takes the rest of its lease. A leader behind
    * which workers find a node of the other zone loses none of them in a split.
    */
-  public boolean nextStandsInOtherZone() {
+  public boolean isNextNodeInOtherZone() {
     String own = settings.zone();
     boolean severalZones = settings.peerZones().values().stream().anyMatch(z -> !z.equals(own));
-    String nextZone = settings.peerZones().getOrDefault(next(), own);
+    String nextZone = settings.peerZones().getOrDefault(nextNode(), own);
     return !severalZones || !nextZone.equals(own);
   }
 }
--- a/src/main/java/eiderfork/controller/election/LeaderElection.java
+++ b/src/main/java/eiderfork/controller/election/LeaderElection.java
@@ -24,31 +24,31 @@
   /** What the owner of the term does on a change of it. */
   public interface Listener {
     /** This node leads now, in a term of its own. */
-    void elected();
+    void onElected();
 
     /** This node led and surely does so no more; somebody else may. */
-    void deposed();
+    void onLeadershipLost();
   }
 
-  private enum Phase {
+  private enum Role {
     /** Reads the leader key or waits for it to go. */
-    FOLLOWING,
+    FOLLOWER,
     /** Takes the leader key. */
-    STANDING,
-    LEADING
+    CANDIDATE,
+    LEADER
   }
 
   /** The term stands in the bits above these of a token, the per-worker sequence below. */
-  public static final int SEQUENCE_BITS = 24;
+  public static final int TOKEN_SEQUENCE_BITS = 24;
 
   /** A lease is renewed this many times in its life, so that two lost renewals are survived. */
-  private static final int RENEWALS = 3;
+  private static final int RENEWALS_PER_LEASE = 3;
 
   /**
    * The share of the workers' lease that the leader's takes is of no more than this many steps.
    * Users wait for a new leader as well as workers, and not longer where workers' leases are long.
    */
-  private static final int MOST_STEPS = 10;
+  private static final int MAX_LEASE_STEPS = 10;
 
   /**
    * How long a node that others should rather lead waits for one of them, in steps. It is far more
@@ -60,24 +60,24 @@
   private static final double LEASE_MARGIN = 0.1;
 
   private final ControllerContext context;
-  private final StoreClient gate;
+  private final StoreClient store;
   private final Listener listener;
   private final long leaseMs;
   private final Backoff backoff;
 
-  private Phase phase = Phase.FOLLOWING;
-  private long lease;
-  private long leaseSureUntilMs;
-  private long leaderVersion;
+  private Role role = Role.FOLLOWER;
+  private long leaseId;
+  private long leaseValidUntilMs;
+  private long leaderKeyVersion;
   private long term;
   private String leader;
-  private boolean busy;
-  private boolean renewing;
-  private long nextMs;
-  private long standDownUntilMs;
+  private boolean requestPending;
+  private boolean renewalPending;
+  private long nextAttemptMs;
+  private long candidacyPausedUntilMs;
 
   /** Whether other nodes should rather lead, see {@link CandidateOrder}. */
-  private final boolean yields;
+  private final boolean yieldsByNodeOrder;
 
   /** The node that workers try after this one. */
   private final String nextNode;
@@ -86,83 +86,83 @@
   private String lastLeader;
 
   /** Whether a node was heard and is not any more. */
-  private Predicate<String> isLost = node -> false;
+  private Predicate<String> isPeerLost = node -> false;
 
   /** Whether any node but this one and the one named is heard. */
-  private Predicate<String> othersHeard = node -> false;
+  private Predicate<String> isOtherPeerReachable = node -> false;
 
   /** Decides on that anew, given what the order of nodes says. */
   private UnaryOperator<Boolean> yieldRule = byOrder -> byOrder;
 
   /** Since when the leader key has been seen to be missing; -1 while it stands. */
-  private long vacantSinceMs = -1;
+  private long keyMissingSinceMs = -1;
 
-  private long vacantSeenMs = -1;
+  private long vacancySeenMs = -1;
 
   /** Makes a term that this node follows in; {@code listener} is told of changes. */
-  public LeaderElection(ControllerContext context, StoreClient gate, Listener listener) {
+  public LeaderElection(ControllerContext context, StoreClient store, Listener listener) {
     this.context = context;
-    this.gate = gate;
+    this.store = store;
     this.listener = listener;
-    long mostMs = Math.min(context.leaseMs(), MOST_STEPS * context.stepMs());
-    leaseMs = (long) (mostMs * context.settings.operator().stateLeaseShare());
+    long mostMs = Math.min(context.workerLeaseMs(), MAX_LEASE_STEPS * context.stepMs());
+    leaseMs = (long) (mostMs * context.settings.operator().leaderLeaseShare());
     backoff = new Backoff(leaseMs / 20, leaseMs / 4);
-    nextMs = context.nowMs;
+    nextAttemptMs = context.nowMs;
     CandidateOrder order = CandidateOrder.of(context.settings);
-    yields = !order.nextStandsInOtherZone();
-    nextNode = order.next();
+    yieldsByNodeOrder = !order.isNextNodeInOtherZone();
+    nextNode = order.nextNode();
   }
 
   /** Whether this node leads, as far as it knows. */
-  public boolean leading() {
-    return phase == Phase.LEADING;
+  public boolean isLeading() {
+    return role == Role.LEADER;
   }
 
   /** Whether the lease surely holds, so that nobody else can lead. */
-  public boolean sure() {
-    return leading() && context.nowMs < leaseSureUntilMs;
+  public boolean isLeaseValid() {
+    return isLeading() && context.nowMs < leaseValidUntilMs;
   }
 
   /** The term that this node leads in or follows. */
-  public long number() {
+  public long currentTerm() {
     return term;
   }
 
   /** The smallest fencing token of this term. */
-  public long firstToken() {
-    return term << SEQUENCE_BITS;
+  public long firstFencingToken() {
+    return term << TOKEN_SEQUENCE_BITS;
   }
 
   /** The smallest fencing token of the next term. */
-  public long endOfTokens() {
-    return (term + 1) << SEQUENCE_BITS;
+  public long endOfFencingTokens() {
+    return (term + 1) << TOKEN_SEQUENCE_BITS;
   }
 
   /** The node that leads as far as known, or null. */
   public String leader() {
-    return leading() ? context.settings.node() : leader;
+    return isLeading() ? context.settings.nodeName() : leader;
   }
 
   /** The condition under which a leader's write is carried out in its own term alone. */
-  public StoreRequest.Condition condition() {
-    return new StoreRequest.Condition(StoreKeys.LEADER, leaderVersion);
+  public StoreRequest.Condition leaderCondition() {
+    return new StoreRequest.Condition(StoreKeys.LEADER, leaderKeyVersion);
   }
 
   /** Renews the lease, or looks for a lead that is vacant. */
   public void tick() {
-    if (leading()) {
-      if (!renewing && context.nowMs >= nextMs) {
-        renew();
+    if (isLeading()) {
+      if (!renewalPending && context.nowMs >= nextAttemptMs) {
+        renewLease();
       }
-    } else if (!busy && context.nowMs >= nextMs) {
-      if (phase == Phase.FOLLOWING) {
-        read();
+    } else if (!requestPending && context.nowMs >= nextAttemptMs) {
+      if (role == Role.FOLLOWER) {
+        readLeaderKey();
       }
     }
   }
 
   /** Has this rule decide whether a vacant lead is left to others for a while. */
-  public void yieldWhere(UnaryOperator<Boolean> rule) {
+  public void setYieldRule(UnaryOperator<Boolean> rule) {
     yieldRule = rule;
   }
 
@@ -172,130 +172,130 @@
    * @param lost whether a node was heard and is not any more
    * @param others whether any node but this one and the one named is heard
    */
-  public void hearsNodes(Predicate<String> lost, Predicate<String> others) {
-    isLost = lost;
-    othersHeard = others;
+  public void setPeerReachability(Predicate<String> lost, Predicate<String> others) {
+    isPeerLost = lost;
+    isOtherPeerReachable = others;
   }
 
   /** The revision as which this leader's key was written. */
   public long leaderRevision() {
-    return leaderVersion;
+    return leaderKeyVersion;
   }
 
   /** When the lead that this node holds was first seen to be vacant; -1 where it was not. */
-  public long vacantSeenMs() {
-    return vacantSeenMs;
+  public long vacancySeenMs() {
+    return vacancySeenMs;
   }
 
   /** A higher term was seen somewhere: this node's is over. */
-  public void outdated(long seen) {
-    if (leading() && seen > term) {
-      LOG.info("term {} is over: term {} was seen", term, seen);
-      lose();
+  public void observeTerm(long observedTerm) {
+    if (isLeading() && observedTerm > term) {
+      LOG.info("term {} is over: term {} was seen", term, observedTerm);
+      stepDown();
     }
   }
 
   /** Gives the lead up, and leaves it to others for a while. */
-  public void resign(long quietMs) {
-    if (!leading()) {
+  public void resign(long pauseMs) {
+    if (!isLeading()) {
       return;
     }
     LOG.info("resigning term {}", term);
-    long old = lease;
-    lose();
-    standDownUntilMs = context.nowMs + quietMs;
-    gate.send(new StoreRequest.Release(old), RequestPriority.LEASE, reply -> {});
+    long old = leaseId;
+    stepDown();
+    candidacyPausedUntilMs = context.nowMs + pauseMs;
+    store.send(new StoreRequest.Release(old), RequestPriority.LEASE, reply -> {});
   }
 
   /** A peer says that it leads. */
-  public void heardLeader(String node, long itsTerm) {
-    if (itsTerm > term) {
-      outdated(itsTerm);
-      term = itsTerm;
+  public void observeLeader(String node, long observedTerm) {
+    if (observedTerm > term) {
+      observeTerm(observedTerm);
+      term = observedTerm;
       leader = node;
     }
   }
 
-  private void renew() {
-    renewing = true;
+  private void renewLease() {
+    renewalPending = true;
     long sentMs = context.nowMs;
-    nextMs = sentMs + leaseMs / RENEWALS;
-    long renewed = lease;
-    gate.send(
+    nextAttemptMs = sentMs + leaseMs / RENEWALS_PER_LEASE;
+    long renewed = leaseId;
+    store.send(
         new StoreRequest.Renew(renewed),
         RequestPriority.LEASE,
         reply -> {
-          renewing = false;
-          if (!leading() || lease != renewed) {
+          renewalPending = false;
+          if (!isLeading() || leaseId != renewed) {
             return;
           }
           if (reply instanceof Reply.Leased) {
             backoff.reset();
-            leaseSureUntilMs = sentMs + sureMs();
+            leaseValidUntilMs = sentMs + usableLeaseMs();
           } else if (reply instanceof Reply.Refused refused && refused.status() == 404) {
             LOG.info("term {}: the lease is gone", term);
-            lose();
+            stepDown();
           } else {
-            nextMs = context.nowMs + backoff.next(context.random);
+            nextAttemptMs = context.nowMs + backoff.nextPauseMs(context.random);
           }
         });
   }
 
-  private long sureMs() {
+  private long usableLeaseMs() {
     return (long) (leaseMs * (1 - LEASE_MARGIN));
   }
 
   /** The leader key's conditions failed: somebody else's key stands there. */
-  public void conditionFailed() {
-    if (leading()) {
+  public void leaderConditionFailed() {
+    if (isLeading()) {
       LOG.info("term {}: the leader key is not ours any more", term);
-      lose();
+      stepDown();
     }
   }
 
-  private void lose() {
-    phase = Phase.FOLLOWING;
+  private void stepDown() {
+    role = Role.FOLLOWER;
     leader = null;
-    leaseSureUntilMs = 0;
-    nextMs = context.nowMs;
-    gate.leading(false);
-    listener.deposed();
+    leaseValidUntilMs = 0;
+    nextAttemptMs = context.nowMs;
+    store.leading(false);
+    listener.onLeadershipLost();
   }
 
-  private void later() {
-    busy = false;
-    phase = Phase.FOLLOWING;
-    nextMs = context.nowMs + backoff.next(context.random);
+  private void retryAfterBackoff() {
+    requestPending = false;
+    role = Role.FOLLOWER;
+    nextAttemptMs = context.nowMs + backoff.nextPauseMs(context.random);
   }
 
-  private void read() {
-    busy = true;
-    gate.send(
+  private void readLeaderKey() {
+    requestPending = true;
+    store.send(
         new StoreRequest.Get(StoreKeys.LEADER),
         RequestPriority.LEASE,
         reply -> {
           if (!(reply instanceof Reply.Value value)) {
-            later();
+            retryAfterBackoff();
             return;
           }
           backoff.reset();
           if (value.record() instanceof StoredRecord.Leadership it) {
-            follow(it, value.version());
-          } else if (context.nowMs < standDownUntilMs || leavesToOthers()) {
-            later();
+            followLeader(it, value.version());
+          } else if (context.nowMs < candidacyPausedUntilMs || shouldYield()) {
+            retryAfterBackoff();
           } else {
-            stand();
+            startElection();
           }
         });
   }
 
   /** Whether this node still waits for one of those that should rather lead. */
-  private boolean leavesToOthers() {
-    if (vacantSinceMs < 0) {
-      vacantSinceMs = context.nowMs;
+  private boolean shouldYield() {
+    if (keyMissingSinceMs < 0) {
+      keyMissingSinceMs = context.nowMs;
     }
-    return yieldRule.apply(yields || isNextOut())
-        && context.nowMs - vacantSinceMs < YIELD_STEPS * context.stepMs();
+    return yieldRule.apply(yieldsByNodeOrder || isNextNodeUnreachable())
+        && context.nowMs - keyMissingSinceMs < YIELD_STEPS * context.stepMs();
   }
 
   /**
@@ -303,98 +303,98 @@
    * front of it that fails soon loses the workers: four seconds at each of the two nodes are half
    * of their lease. Two silent nodes in a row once cost 1,862 tasks.
    */
-  private boolean isNextOut() {
-    boolean isOut = nextNode.equals(lastLeader) || isLost.test(nextNode);
-    return isOut && othersHeard.test(nextNode);
+  private boolean isNextNodeUnreachable() {
+    boolean isOut = nextNode.equals(lastLeader) || isPeerLost.test(nextNode);
+    return isOut && isOtherPeerReachable.test(nextNode);
   }
 
   /** Waits for the leader key to change. */
-  private void follow(StoredRecord.Leadership it, long version) {
-    vacantSinceMs = -1;
-    if (!it.node().equals(leader) || it.term() != term) {
-      LOG.info("following {} in term {}", it.node(), it.term());
+  private void followLeader(StoredRecord.Leadership leaderRecord, long keyVersion) {
+    keyMissingSinceMs = -1;
+    if (!leaderRecord.node().equals(leader) || leaderRecord.term() != term) {
+      LOG.info("following {} in term {}", leaderRecord.node(), leaderRecord.term());
     }
-    leader = it.node();
+    leader = leaderRecord.node();
     lastLeader = leader;
-    term = Math.max(term, it.term());
-    gate.send(
-        new StoreRequest.Watch(StoreKeys.LEADER, version, leaseMs),
+    term = Math.max(term, leaderRecord.term());
+    store.send(
+        new StoreRequest.Watch(StoreKeys.LEADER, keyVersion, leaseMs),
         RequestPriority.LEASE,
         reply -> {
-          busy = false;
-          nextMs = context.nowMs;
+          requestPending = false;
+          nextAttemptMs = context.nowMs;
           if (reply instanceof Reply.Changes changes) {
             if (!changes.items().isEmpty()) {
               leader = null;
-              vacantSeenMs = context.nowMs;
+              vacancySeenMs = context.nowMs;
             }
           } else {
-            later();
+            retryAfterBackoff();
           }
         });
   }
 
-  private void stand() {
-    phase = Phase.STANDING;
+  private void startElection() {
+    role = Role.CANDIDATE;
     leader = null;
-    gate.send(
+    store.send(
         new StoreRequest.Get(StoreKeys.TERM),
         RequestPriority.LEASE,
         reply -> {
           if (reply instanceof Reply.Value value) {
-            long last = value.record() instanceof StoredRecord.Term t ? t.term() : 0;
-            grant(last, value.version());
+            long last = value.record() instanceof StoredRecord.TermCounter t ? t.term() : 0;
+            requestLease(last, value.version());
           } else {
-            later();
+            retryAfterBackoff();
           }
         });
   }
 
-  private void grant(long last, long termVersion) {
+  private void requestLease(long previousTerm, long termVersion) {
     long grantSentMs = context.nowMs;
-    gate.send(
+    store.send(
         new StoreRequest.Grant(leaseMs),
         RequestPriority.LEASE,
         reply -> {
           if (reply instanceof Reply.Leased leased) {
-            take(leased.lease(), grantSentMs, last + 1, termVersion);
+            claimLeadership(leased.leaseId(), grantSentMs, previousTerm + 1, termVersion);
           } else {
-            later();
+            retryAfterBackoff();
           }
         });
   }
 
-  private void take(long newLease, long grantSentMs, long newTerm, long termVersion) {
-    String node = context.settings.node();
-    gate.send(
-        new StoreRequest.Transact(
+  private void claimLeadership(long newLeaseId, long grantSentMs, long newTerm, long termVersion) {
+    String node = context.settings.nodeName();
+    store.send(
+        new StoreRequest.Transaction(
             ImmutableList.of(
                 new StoreRequest.Condition(StoreKeys.LEADER, 0),
                 new StoreRequest.Condition(StoreKeys.TERM, termVersion)),
             ImmutableList.of(
                 new StoreRequest.Change(
-                    StoreKeys.LEADER, new StoredRecord.Leadership(node, newTerm), newLease),
-                StoreRequest.Change.put(StoreKeys.TERM, new StoredRecord.Term(newTerm)))),
+                    StoreKeys.LEADER, new StoredRecord.Leadership(node, newTerm), newLeaseId),
+                StoreRequest.Change.put(StoreKeys.TERM, new StoredRecord.TermCounter(newTerm)))),
         RequestPriority.LEASE,
         reply -> {
           if (reply instanceof Reply.Committed committed) {
-            busy = false;
-            phase = Phase.LEADING;
-            lease = newLease;
+            requestPending = false;
+            role = Role.LEADER;
+            leaseId = newLeaseId;
             term = newTerm;
-            leaderVersion = committed.revision();
+            leaderKeyVersion = committed.revision();
             // The lease runs since it was asked for. Counted from when the lead was taken, a node
             // that stood still in between was sure of a lease that was over. Renewed at once.
-            leaseSureUntilMs = grantSentMs + sureMs();
-            nextMs = context.nowMs;
-            renewing = false;
-            gate.leading(true);
-            LOG.info("leading term {} with tokens from {}", term, firstToken());
-            listener.elected();
+            leaseValidUntilMs = grantSentMs + usableLeaseMs();
+            nextAttemptMs = context.nowMs;
+            renewalPending = false;
+            store.leading(true);
+            LOG.info("leading term {} with tokens from {}", term, firstFencingToken());
+            listener.onElected();
           } else {
             // Unanswered, it may still apply: the lease then runs out, since nobody renews it.
-            gate.send(new StoreRequest.Release(newLease), RequestPriority.LEASE, ignored -> {});
-            later();
+            store.send(new StoreRequest.Release(newLeaseId), RequestPriority.LEASE, ignored -> {});
+            retryAfterBackoff();
           }
         });
   }
--- a/src/main/java/eiderfork/controller/message/Input.java
+++ b/src/main/java/eiderfork/controller/message/Input.java
@@ -31,11 +31,11 @@
   record PeerQueries(long ticket, ImmutableList<String> uids) implements Input {}
 
   /** A peer tells its view and asks for this node's. */
-  record PeerPing(long ticket, PeerStatus view) implements Input {}
+  record PeerPing(long ticket, PeerStatus status) implements Input {}
 
   /** The leader tells this node, which may stand by for it, what is not committed. */
   record PeerHints(long ticket, MachineHintBatch hints) implements Input {}
 
   /** The reply to a call that an effect asked for. */
-  record Answered(long call, Reply reply) implements Input {}
+  record Answered(long callId, Reply reply) implements Input {}
 }
--- a/src/main/java/eiderfork/controller/message/MachineHint.java
+++ b/src/main/java/eiderfork/controller/message/MachineHint.java
@@ -13,5 +13,5 @@
    *
    * @param readyInMs how long its fetch still takes; 0 for over
    */
-  public record ImageHint(String image, double gb, long readyInMs) {}
+  public record ImageHint(String image, double sizeGb, long readyInMs) {}
 }
--- a/src/main/java/eiderfork/controller/message/MachineHintBatch.java
+++ b/src/main/java/eiderfork/controller/message/MachineHintBatch.java
@@ -6,6 +6,6 @@
  * One message of the stream of hints from a leader to its standby.
  *
  * @param term the term of the leader
- * @param number counts up with each message of a term
+ * @param sequence counts up with each message of a term
  */
-public record MachineHintBatch(long term, long number, ImmutableList<MachineHint> machines) {}
+public record MachineHintBatch(long term, long sequence, ImmutableList<MachineHint> machines) {}
--- a/src/main/java/eiderfork/controller/message/Reply.java
+++ b/src/main/java/eiderfork/controller/message/Reply.java
@@ -31,7 +31,7 @@
   record Committed(long revision) implements Reply {}
 
   /** The transaction was not applied, since the conditions on these keys failed. */
-  record Conflict(ImmutableList<String> failed) implements Reply {}
+  record Conflict(ImmutableList<String> failedKeys) implements Reply {}
 
   /** {@code record} is null where the key does not exist. */
   record Value(StoredRecord record, long version) implements Reply {}
@@ -40,13 +40,13 @@
   record Item(String key, StoredRecord record, long version) {}
 
   /** A part of a range of keys, as of the revision. */
-  record Page(ImmutableList<Item> items, boolean more, long revision) implements Reply {}
+  record Page(ImmutableList<Item> items, boolean hasMore, long revision) implements Reply {}
 
   /** Changes under a watched prefix; a removed key's record is null. */
   record Changes(ImmutableList<Item> items, long revision) implements Reply {}
 
   /** A lease was granted or renewed. */
-  record Leased(long lease) implements Reply {}
+  record Leased(long leaseId) implements Reply {}
 
   /** The cloud's machine types. */
   record Types(ImmutableList<MachineType> types) implements Reply {}
@@ -61,20 +61,20 @@
   record Returned() implements Reply {}
 
   /** A part of the cloud's machine list. */
-  record Hosts(ImmutableList<ListedMachine> entries, boolean more) implements Reply {}
+  record Hosts(ImmutableList<ListedMachine> entries, boolean hasMore) implements Reply {}
 
   /** A worker's report, sent back for commands ({@code executed}) or instead of them. */
-  record WorkerAnswer(boolean executed, Heartbeat report) implements Reply {}
+  record WorkerReply(boolean executed, Heartbeat report) implements Reply {}
 
   /** A peer's view, in answer to a ping. */
-  record PeerPong(PeerStatus view) implements Reply {}
+  record PeerPong(PeerStatus status) implements Reply {}
 
   /** A standby has taken hints. */
-  record PeerTookHints() implements Reply {}
+  record HintsAcknowledged() implements Reply {}
 
   /** A peer's answer to a request that was passed on to it. */
-  record PeerAnswer(UserResponse answer) implements Reply {}
+  record ForwardedResponse(UserResponse response) implements Reply {}
 
   /** A peer's answers to queries that were passed on to it, in their order. */
-  record PeerAnswers(ImmutableList<UserResponse> answers) implements Reply {}
+  record ForwardedResponses(ImmutableList<UserResponse> responses) implements Reply {}
 }
--- a/src/main/java/eiderfork/controller/message/StoreRequest.java
+++ b/src/main/java/eiderfork/controller/message/StoreRequest.java
@@ -9,7 +9,7 @@
   record Condition(String key, long version) {}
 
   /** A change: {@code record} null removes the key; lease 0 is none. */
-  record Change(String key, StoredRecord record, long lease) {
+  record Change(String key, StoredRecord record, long leaseId) {
     /** Writes a key that hangs on no lease. */
     public static Change put(String key, StoredRecord record) {
       return new Change(key, record, 0);
@@ -22,24 +22,24 @@
   }
 
   /** Applies all changes if all conditions hold, or nothing. */
-  record Transact(ImmutableList<Condition> conditions, ImmutableList<Change> changes)
+  record Transaction(ImmutableList<Condition> conditions, ImmutableList<Change> changes)
       implements StoreRequest {}
 
   /** Reads one key. */
   record Get(String key) implements StoreRequest {}
 
-  /** Reads a page of the keys with this prefix, beginning after {@code after}. */
-  record Scan(String prefix, String after) implements StoreRequest {}
+  /** Reads a page of the keys with this prefix, beginning after {@code afterKey}. */
+  record Scan(String prefix, String afterKey) implements StoreRequest {}
 
   /** Waits for changes of keys with this prefix after a revision. */
-  record Watch(String prefix, long after, long waitMs) implements StoreRequest {}
+  record Watch(String prefix, long afterRevision, long timeoutMs) implements StoreRequest {}
 
   /** Asks for a new lease. */
-  record Grant(long lifeMs) implements StoreRequest {}
+  record Grant(long ttlMs) implements StoreRequest {}
 
   /** Renews a lease. */
-  record Renew(long lease) implements StoreRequest {}
+  record Renew(long leaseId) implements StoreRequest {}
 
   /** Ends a lease, and with it the keys attached to it. */
-  record Release(long lease) implements StoreRequest {}
+  record Release(long leaseId) implements StoreRequest {}
 }
--- a/src/main/java/eiderfork/controller/message/UserResponse.java
+++ b/src/main/java/eiderfork/controller/message/UserResponse.java
@@ -25,12 +25,12 @@
   }
 
   /** The request can be repeated after so many seconds. */
-  public static UserResponse later(int seconds, String error) {
+  public static UserResponse retryAfter(int seconds, String error) {
     return new UserResponse(503, null, seconds, error);
   }
 
   /** The answer where it is not known whether anything was done. */
   public static UserResponse unavailable() {
-    return later(1, "the state service can't be reached");
+    return retryAfter(1, "the state service can't be reached");
   }
 }
--- a/src/main/java/eiderfork/controller/quota/CheckpointPolicy.java
+++ b/src/main/java/eiderfork/controller/quota/CheckpointPolicy.java
@@ -8,17 +8,17 @@
  */
 public record CheckpointPolicy(double intervalS, double saveS) {
   /** Whether the task saves at all. */
-  public boolean exist() {
+  public boolean isEnabled() {
     return intervalS > 0;
   }
 
   /** The work since the last checkpoint of a task that has run for so long. */
-  public double sinceLastS(double ranS) {
-    return exist() ? ranS % intervalS : ranS;
+  public double workSinceLastS(double ranS) {
+    return isEnabled() ? ranS % intervalS : ranS;
   }
 
   /** How long until the next checkpoint. */
-  public double dueInS(double ranS) {
-    return exist() ? intervalS - ranS % intervalS : Double.MAX_VALUE;
+  public double untilNextS(double ranS) {
+    return isEnabled() ? intervalS - ranS % intervalS : Double.MAX_VALUE;
   }
 }
--- a/src/main/java/eiderfork/controller/quota/PreemptionDecision.java
+++ b/src/main/java/eiderfork/controller/quota/PreemptionDecision.java
@@ -3,7 +3,7 @@
 /** Whether some work may be stopped for a job. */
 public sealed interface PreemptionDecision {
   /** It may. */
-  record Allowed(PreemptionReason ground, VictimPreference preference)
+  record Allowed(PreemptionReason reason, VictimPreference preference)
       implements PreemptionDecision {}
 
   /** It may not. */
--- a/src/main/java/eiderfork/controller/quota/QuotaAmount.java
+++ b/src/main/java/eiderfork/controller/quota/QuotaAmount.java
@@ -29,7 +29,7 @@
 
   /** Whether there is something of either kind. */
   public boolean isPositive() {
-    return gpus > Resources.DUST || cpus > Resources.DUST;
+    return gpus > Resources.ROUNDING_TOLERANCE || cpus > Resources.ROUNDING_TOLERANCE;
   }
 
   @Override
--- a/src/main/java/eiderfork/controller/quota/QuotaLedger.java
+++ b/src/main/java/eiderfork/controller/quota/QuotaLedger.java
@@ -32,24 +32,25 @@
   }
 
   /** A ledger that goes on from here and leaves this one as it is. */
-  public QuotaLedger trial() {
+  public QuotaLedger copy() {
     return new QuotaLedger(accounts);
   }
 
   /** Work of this size of a team is to be stopped. */
-  public void stop(TeamId team, QuotaAmount stopped) {
-    accounts.computeIfPresent(team, (id, account) -> account.withStopped(stopped));
+  public void addStopping(TeamId team, QuotaAmount stopped) {
+    accounts.computeIfPresent(team, (id, account) -> account.withStopping(stopped));
   }
 
   /** Room of this size is being made, or was taken, for a team. */
-  public void promise(TeamId team, QuotaAmount room) {
+  public void addPromised(TeamId team, QuotaAmount room) {
     accounts.computeIfPresent(team, (id, account) -> account.withPromised(room));
   }
 
   /** Whether any team but this one uses something beyond its guarantee. */
-  public boolean othersBorrow(TeamId team) {
+  public boolean hasOtherBorrower(TeamId team) {
     for (TeamUsage account : accounts.values()) {
-      if (!account.team().equals(team) && account.guarantee().beyond(account.kept()).isPositive()) {
+      if (!account.team().equals(team)
+          && account.guarantee().excess(account.usedAfterStopping()).isPositive()) {
         return true;
       }
     }
--- a/src/main/java/eiderfork/controller/quota/ReclaimPolicy.java
+++ b/src/main/java/eiderfork/controller/quota/ReclaimPolicy.java
@@ -15,44 +15,46 @@
   private ReclaimPolicy() {}
 
   /** Whether the victim may be stopped for the taker, as the ledger stands now. */
-  public static PreemptionDecision judge(
-      Preemptor taker, PreemptionVictim victim, QuotaLedger ledger) {
+  public static PreemptionDecision evaluate(
+      Preemptor preemptor, PreemptionVictim victim, QuotaLedger ledger) {
     TeamUsage lender = ledger.account(victim.team());
-    boolean sameTeam = taker.team().equals(victim.team());
+    boolean sameTeam = preemptor.team().equals(victim.team());
     boolean borrowed =
-        lender != null && lender.guarantee().isPartlyBorrowed(victim.amount(), lender.kept());
-    if (!sameTeam && taker.withinGuarantee() && borrowed) {
-      return byGuarantee(taker, victim, lender);
+        lender != null
+            && lender.guarantee().isPartlyBorrowed(victim.amount(), lender.usedAfterStopping());
+    if (!sameTeam && preemptor.isWithinGuarantee() && borrowed) {
+      return byGuarantee(preemptor, victim, lender);
     }
-    return byPriority(taker, victim, lender, sameTeam);
+    return byPriority(preemptor, victim, lender, sameTeam);
   }
 
   private static PreemptionDecision byGuarantee(
-      Preemptor taker, PreemptionVictim victim, TeamUsage lender) {
+      Preemptor preemptor, PreemptionVictim victim, TeamUsage lender) {
     if (victim.isBatch()) {
-      boolean wholly = lender.guarantee().isBorrowed(victim.amount(), lender.kept());
+      boolean wholly = lender.guarantee().isBorrowed(victim.amount(), lender.usedAfterStopping());
       return new Allowed(
           PreemptionReason.GUARANTEE,
           wholly ? VictimPreference.BORROWED_BATCH : VictimPreference.PARTLY_BORROWED_BATCH);
     }
-    return taker.waitedForBoot()
+    return preemptor.hasWaitedForBoot()
         ? new Allowed(PreemptionReason.GUARANTEE, VictimPreference.BORROWED_REPLICA)
         : new Refused(Refusal.REPLICA_NOT_YET);
   }
 
   private static PreemptionDecision byPriority(
-      Preemptor taker, PreemptionVictim victim, TeamUsage lender, boolean sameTeam) {
-    boolean moreUrgent = victim.priority().compareTo(taker.priority()) > 0;
+      Preemptor preemptor, PreemptionVictim victim, TeamUsage lender, boolean sameTeam) {
+    boolean moreUrgent = victim.priority().compareTo(preemptor.priority()) > 0;
     // Arrays stop nothing for their priority alone: their turn comes.
-    if (!moreUrgent || !victim.isBatch() || taker.kind() == JobKind.ARRAY) {
+    if (!moreUrgent || !victim.isBatch() || preemptor.kind() == JobKind.ARRAY) {
       return new Refused(sameTeam ? Refusal.SAME_TEAM : Refusal.NOT_MORE_URGENT);
     }
     boolean keepsGuarantee =
-        lender == null || lender.guarantee().isKeptWithout(victim.amount(), lender.kept());
+        lender == null
+            || lender.guarantee().isMetWithout(victim.amount(), lender.usedAfterStopping());
     if (sameTeam || keepsGuarantee) {
       return new Allowed(PreemptionReason.PRIORITY, VictimPreference.BORROWED_BATCH);
     }
-    return taker.withinGuarantee()
+    return preemptor.isWithinGuarantee()
         ? new Allowed(PreemptionReason.PRIORITY, VictimPreference.GUARANTEED_BATCH)
         : new Refused(Refusal.LENDER_AT_GUARANTEE);
   }
--- a/src/main/java/eiderfork/controller/quota/TeamUsage.java
+++ b/src/main/java/eiderfork/controller/quota/TeamUsage.java
@@ -6,7 +6,7 @@
  * @param used all that its tasks hold, unknown starts and tasks that are stopping included
  * @param stopping the part of it that is about to end
  * @param promised room that is being made or was placed for the team since {@code used} was counted
- * @param asked what its waiting tasks would take
+ * @param requested what its waiting tasks would take
  */
 public record TeamUsage(
     TeamId team,
@@ -15,38 +15,38 @@
     QuotaAmount used,
     QuotaAmount stopping,
     QuotaAmount promised,
-    QuotaAmount asked) {
+    QuotaAmount requested) {
   /** What the team goes on using once all that is stopping has ended. */
-  public QuotaAmount kept() {
+  public QuotaAmount usedAfterStopping() {
     return used.minus(stopping);
   }
 
   /** What it uses beyond its guarantee. */
   public QuotaAmount borrowed() {
-    return guarantee.beyond(used);
+    return guarantee.excess(used);
   }
 
   /** What it asks for and is not given, as far as the guarantee covers it. */
-  public QuotaAmount lackedWithinGuarantee() {
+  public QuotaAmount shortfallWithinGuarantee() {
     return new QuotaAmount(
-        lacked(guarantee.gpus(), used.gpus(), asked.gpus()),
-        lacked(guarantee.cpus(), used.cpus(), asked.cpus()));
+        shortfall(guarantee.gpus(), used.gpus(), requested.gpus()),
+        shortfall(guarantee.cpus(), used.cpus(), requested.cpus()));
   }
 
-  private static double lacked(double guaranteed, double used, double asked) {
+  private static double shortfall(double guaranteed, double used, double asked) {
     return Math.max(0, Math.min(guaranteed - used, asked));
   }
 
   /** Whether work of this size fits into the guarantee beside all that is used and promised. */
-  public boolean coversAlso(QuotaAmount need) {
-    return guarantee.concerns(need) && guarantee.covers(used.plus(promised).plus(need));
+  public boolean canCover(QuotaAmount need) {
+    return guarantee.appliesTo(need) && guarantee.covers(used.plus(promised).plus(need));
   }
 
-  TeamUsage withStopped(QuotaAmount stopped) {
-    return new TeamUsage(team, guarantee, limit, used, stopping.plus(stopped), promised, asked);
+  TeamUsage withStopping(QuotaAmount stopped) {
+    return new TeamUsage(team, guarantee, limit, used, stopping.plus(stopped), promised, requested);
   }
 
   TeamUsage withPromised(QuotaAmount more) {
-    return new TeamUsage(team, guarantee, limit, used, stopping, promised.plus(more), asked);
+    return new TeamUsage(team, guarantee, limit, used, stopping, promised.plus(more), requested);
   }
 }
--- a/src/main/java/eiderfork/controller/ratelimit/TokenBucket.java
+++ b/src/main/java/eiderfork/controller/ratelimit/TokenBucket.java
@@ -2,22 +2,22 @@
 
 /** The budget for one outside limit. */
 public final class TokenBucket {
-  private double perS;
+  private double tokensPerS;
   private double burst;
   private double tokens;
-  private long atMs;
+  private long refilledAtMs;
 
-  /** Makes a full bucket of {@code burst} tokens that gains {@code perS} a second. */
-  public TokenBucket(double perS, double burst, long nowMs) {
-    this.perS = perS;
+  /** Makes a full bucket of {@code burst} tokens that gains {@code tokensPerS} a second. */
+  public TokenBucket(double tokensPerS, double burst, long nowMs) {
+    this.tokensPerS = tokensPerS;
     this.burst = burst;
     this.tokens = burst;
-    this.atMs = nowMs;
+    this.refilledAtMs = nowMs;
   }
 
   /** Changes the rate; what is saved stays as far as the new burst allows. */
-  public void rate(double newPerS, double newBurst) {
-    perS = newPerS;
+  public void setRate(double newPerS, double newBurst) {
+    tokensPerS = newPerS;
     burst = newBurst;
     tokens = Math.min(tokens, burst);
   }
@@ -28,22 +28,24 @@
   }
 
   /** The tokens gained in a second. */
-  public double perS() {
-    return perS;
+  public double tokensPerS() {
+    return tokensPerS;
   }
 
-  /** Whether {@code n} tokens could be taken now, or all that can be saved where that is less. */
-  public boolean has(double n, long nowMs) {
+  /**
+   * Whether {@code count} tokens could be taken now, or all that can be saved where that is less.
+   */
+  public boolean hasTokens(double count, long nowMs) {
     refill(nowMs);
-    return tokens >= Math.min(n, burst);
+    return tokens >= Math.min(count, burst);
   }
 
-  /** Takes {@code n} tokens where they are there; whether they were. */
-  public boolean take(double n, long nowMs) {
-    if (!has(n, nowMs)) {
+  /** Takes {@code count} tokens where they are there; whether they were. */
+  public boolean tryTake(double count, long nowMs) {
+    if (!hasTokens(count, nowMs)) {
       return false;
     }
-    tokens -= n;
+    tokens -= count;
     return true;
   }
 
@@ -54,7 +56,7 @@
   }
 
   private void refill(long nowMs) {
-    tokens = Math.min(burst, tokens + perS * Math.max(0, nowMs - atMs) / 1000.0);
-    atMs = Math.max(atMs, nowMs);
+    tokens = Math.min(burst, tokens + tokensPerS * Math.max(0, nowMs - refilledAtMs) / 1000.0);
+    refilledAtMs = Math.max(refilledAtMs, nowMs);
   }
 }
--- a/src/main/java/eiderfork/controller/recovery/JobPageReader.java
+++ b/src/main/java/eiderfork/controller/recovery/JobPageReader.java
@@ -13,15 +13,16 @@
   /**
    * A page of submissions, and the alloc records between the page before and this one's end.
    *
-   * @param next the id of the job after which the next page begins; null where this is the last
+   * @param continueAfter the id of the job after which the next page begins; null where this is the
+   *     last
    */
   public record JobPage(
-      ImmutableList<Reply.Item> jobs, ImmutableList<Reply.Item> allocs, String next) {}
+      ImmutableList<Reply.Item> jobs, ImmutableList<Reply.Item> allocs, String continueAfter) {}
 
   /** Takes a page. */
-  public interface Taker {
+  public interface PageConsumer {
     /** Takes the page. */
-    void take(JobPage page);
+    void accept(JobPage page);
   }
 
   private final RangeReader reader;
@@ -34,21 +35,29 @@
   /**
    * Reads a page.
    *
-   * @param after the id of the job after which the page begins; empty for the first page
-   * @param number the term in which this node leads
+   * @param afterJob the id of the job after which the page begins; empty for the first page
+   * @param leadingTerm the term in which this node leads
    */
-  public void read(String after, long number, RequestPriority urgency, Taker taker) {
-    reader.page(
-        StoreKeys.JOB,
-        keyAfter(StoreKeys.JOB, after),
-        number,
+  public void read(
+      String afterJob, long leadingTerm, RequestPriority urgency, PageConsumer pageConsumer) {
+    reader.readPage(
+        StoreKeys.JOB_PREFIX,
+        keyAfter(StoreKeys.JOB_PREFIX, afterJob),
+        leadingTerm,
         urgency,
         page -> {
           String last = null;
-          if (page.more()) {
-            last = StoreKeys.tail(page.items().get(page.items().size() - 1).key());
+          if (page.hasMore()) {
+            last = StoreKeys.withoutPrefix(page.items().get(page.items().size() - 1).key());
           }
-          readAllocs(page.items(), after, last, ImmutableList.builder(), number, urgency, taker);
+          readAllocs(
+              page.items(),
+              afterJob,
+              last,
+              ImmutableList.builder(),
+              leadingTerm,
+              urgency,
+              pageConsumer);
         });
   }
 
@@ -58,30 +67,30 @@
 
   private void readAllocs(
       ImmutableList<Reply.Item> jobs,
-      String after,
-      String last,
+      String afterJob,
+      String lastJob,
       ImmutableList.Builder<Reply.Item> allocs,
-      long number,
+      long leadingTerm,
       RequestPriority urgency,
-      Taker taker) {
-    reader.page(
-        StoreKeys.ALLOC,
-        keyAfter(StoreKeys.ALLOC, after),
-        number,
+      PageConsumer pageConsumer) {
+    reader.readPage(
+        StoreKeys.ALLOC_PREFIX,
+        keyAfter(StoreKeys.ALLOC_PREFIX, afterJob),
+        leadingTerm,
         urgency,
         page -> {
-          String uid = after;
+          String uid = afterJob;
           for (Reply.Item item : page.items()) {
-            uid = StoreKeys.tail(item.key());
-            if (last == null || uid.compareTo(last) <= 0) {
+            uid = StoreKeys.withoutPrefix(item.key());
+            if (lastJob == null || uid.compareTo(lastJob) <= 0) {
               allocs.add(item);
             }
           }
-          boolean more = page.more() && (last == null || uid.compareTo(last) < 0);
+          boolean more = page.hasMore() && (lastJob == null || uid.compareTo(lastJob) < 0);
           if (more) {
-            readAllocs(jobs, uid, last, allocs, number, urgency, taker);
+            readAllocs(jobs, uid, lastJob, allocs, leadingTerm, urgency, pageConsumer);
           } else {
-            taker.take(new JobPage(jobs, allocs.build(), last));
+            pageConsumer.accept(new JobPage(jobs, allocs.build(), lastJob));
           }
         });
   }
--- a/src/main/java/eiderfork/controller/recovery/RangeReader.java
+++ b/src/main/java/eiderfork/controller/recovery/RangeReader.java
@@ -16,99 +16,108 @@
 
 /** A leader's reads of whole ranges of keys. One that fails is tried again at the next tick. */
 public final class RangeReader {
-  private final StoreClient gate;
-  private final LeaderElection term;
-  private final List<Runnable> again = new ArrayList<>();
+  private final StoreClient store;
+  private final LeaderElection election;
+  private final List<Runnable> deferred = new ArrayList<>();
 
   /** Makes a reader that reads while this node leads. */
-  public RangeReader(StoreClient gate, LeaderElection term) {
-    this.gate = gate;
-    this.term = term;
+  public RangeReader(StoreClient store, LeaderElection election) {
+    this.store = store;
+    this.election = election;
   }
 
   /** Tries again what has failed. */
   public void tick() {
-    List<Runnable> due = List.copyOf(again);
-    again.clear();
+    List<Runnable> due = List.copyOf(deferred);
+    deferred.clear();
     due.forEach(Runnable::run);
   }
 
   /** Gives up what was to be tried again. */
-  public void stop() {
-    again.clear();
+  public void cancelPending() {
+    deferred.clear();
   }
 
   /** Has something tried at the next tick. */
-  public void later(Runnable what) {
-    again.add(what);
+  public void runAtNextTick(Runnable action) {
+    deferred.add(action);
   }
 
   /** Whether this node still leads this term. */
-  public boolean leads(long number) {
-    return term.leading() && term.number() == number;
+  public boolean isLeadingTerm(long leadingTerm) {
+    return election.isLeading() && election.currentTerm() == leadingTerm;
   }
 
   /**
    * Reads all keys under a prefix, page by page, as often as it takes while this node leads.
    *
-   * @param taker takes each of them
-   * @param then takes the revision of the first page once all were read
+   * @param consumer takes each of them
+   * @param onComplete takes the revision of the first page once all were read
    */
   public void scan(
-      String prefix, String after, long number, Consumer<Reply.Item> taker, LongConsumer then) {
-    page(
+      String prefix,
+      String afterKey,
+      long leadingTerm,
+      Consumer<Reply.Item> consumer,
+      LongConsumer onComplete) {
+    readPage(
         prefix,
-        after,
-        number,
+        afterKey,
+        leadingTerm,
         RequestPriority.START,
         page -> {
-          page.items().forEach(taker);
-          if (page.more()) {
+          page.items().forEach(consumer);
+          if (page.hasMore()) {
             String last = page.items().get(page.items().size() - 1).key();
-            scan(prefix, last, number, taker, revision -> then.accept(page.revision()));
+            scan(
+                prefix,
+                last,
+                leadingTerm,
+                consumer,
+                revision -> onComplete.accept(page.revision()));
           } else {
-            then.accept(page.revision());
+            onComplete.accept(page.revision());
           }
         });
   }
 
   /** Reads one page of the keys under a prefix, as often as it takes while this node leads. */
-  public void page(
+  public void readPage(
       String prefix,
-      String after,
-      long number,
+      String afterKey,
+      long leadingTerm,
       RequestPriority urgency,
-      Consumer<Reply.Page> taker) {
-    gate.send(
-        new StoreRequest.Scan(prefix, after),
+      Consumer<Reply.Page> consumer) {
+    store.send(
+        new StoreRequest.Scan(prefix, afterKey),
         urgency,
         reply -> {
-          if (!leads(number)) {
+          if (!isLeadingTerm(leadingTerm)) {
             return;
           }
           if (reply instanceof Reply.Page page) {
-            taker.accept(page);
+            consumer.accept(page);
           } else {
-            later(() -> page(prefix, after, number, urgency, taker));
+            runAtNextTick(() -> readPage(prefix, afterKey, leadingTerm, urgency, consumer));
           }
         });
   }
 
   /** Reads which machines other nodes answer in this one's place; null where a record is spoilt. */
-  public void readProxied(Consumer<Set<String>> then) {
+  public void readProxiedMachines(Consumer<Set<String>> onComplete) {
     Set<String> names = new HashSet<>();
     boolean[] whole = {true};
     scan(
-        StoreKeys.LEASE_PROXY,
+        StoreKeys.LEASE_PROXY_PREFIX,
         "",
-        term.number(),
+        election.currentTerm(),
         item -> {
-          if (item.record() instanceof StoredRecord.ProxiedLeases it) {
-            names.addAll(it.machines());
+          if (item.record() instanceof StoredRecord.ProxiedLeases proxiedLeases) {
+            names.addAll(proxiedLeases.machines());
           } else {
             whole[0] = false;
           }
         },
-        revision -> then.accept(whole[0] ? names : null));
+        revision -> onComplete.accept(whole[0] ? names : null));
   }
 }
--- a/src/main/java/eiderfork/controller/standby/MachineHintStore.java
+++ b/src/main/java/eiderfork/controller/standby/MachineHintStore.java
@@ -11,11 +11,11 @@
  * it is used for better guesses alone.
  */
 public final class MachineHintStore {
-  private record Told(MachineHint hint, long atMs) {}
+  private record ReceivedHint(MachineHint hint, long receivedMs) {}
 
-  private final Map<String, Told> machines = new HashMap<>();
+  private final Map<String, ReceivedHint> machines = new HashMap<>();
   private long term;
-  private long lastNumber;
+  private long lastSequence;
 
   /** Makes an empty store. */
   public MachineHintStore() {}
@@ -23,29 +23,28 @@
   /** Forgets everything. */
   public void clear() {
     machines.clear();
-    lastNumber = 0;
+    lastSequence = 0;
   }
 
   /** Takes a message of a leader; one that is older than the last says nothing. */
-  public void take(MachineHintBatch message, long nowMs) {
-    boolean newer =
-        message.term() > term || message.term() == term && message.number() > lastNumber;
+  public void receive(MachineHintBatch batch, long nowMs) {
+    boolean newer = batch.term() > term || batch.term() == term && batch.sequence() > lastSequence;
     if (!newer) {
       return;
     }
-    if (message.term() > term) {
+    if (batch.term() > term) {
       clear();
-      term = message.term();
+      term = batch.term();
     }
-    lastNumber = message.number();
-    for (MachineHint hint : message.machines()) {
-      machines.put(hint.machine(), new Told(hint, nowMs));
+    lastSequence = batch.sequence();
+    for (MachineHint hint : batch.machines()) {
+      machines.put(hint.machine(), new ReceivedHint(hint, nowMs));
     }
   }
 
   /** Shows each machine's hint and when it was told. */
-  public void forEach(BiConsumer<MachineHint, Long> taker) {
-    machines.values().forEach(told -> taker.accept(told.hint, told.atMs));
+  public void forEach(BiConsumer<MachineHint, Long> action) {
+    machines.values().forEach(told -> action.accept(told.hint, told.receivedMs));
   }
 
   /** How many machines were told of. */
--- a/src/main/java/eiderfork/controller/standby/RecordFootprint.java
+++ b/src/main/java/eiderfork/controller/standby/RecordFootprint.java
@@ -23,22 +23,22 @@
   }
 
   private static long bytes(StoredRecord record) {
-    if (record instanceof StoredRecord.JobSpec it) {
-      return JOB_BYTES + texts(it.job());
+    if (record instanceof StoredRecord.JobSpec jobSpec) {
+      return JOB_BYTES + texts(jobSpec.job());
     }
-    if (record instanceof StoredRecord.Alloc it) {
+    if (record instanceof StoredRecord.Allocation allocation) {
       return OTHER_BYTES
-          + (long) SPAN_BYTES * it.reserved().size()
-          + (long) RANGE_BYTES * it.finished().size();
+          + (long) SPAN_BYTES * allocation.reserved().size()
+          + (long) RANGE_BYTES * allocation.finished().size();
     }
-    if (record instanceof StoredRecord.Return it) {
-      return OTHER_BYTES + (long) NAME_BYTES * it.machines().size();
+    if (record instanceof StoredRecord.ScaleInIntent machineReturn) {
+      return OTHER_BYTES + (long) NAME_BYTES * machineReturn.machines().size();
     }
     return OTHER_BYTES;
   }
 
   private static int texts(Job job) {
-    int types = job.types() == null ? 0 : NAME_BYTES * job.types().size();
+    int types = job.allowedTypes() == null ? 0 : NAME_BYTES * job.allowedTypes().size();
     return job.uid().length() + job.jobClass().length() + job.team().length() + types;
   }
 }
--- a/src/main/java/eiderfork/controller/standby/ReplicaInvalidException.java
+++ b/src/main/java/eiderfork/controller/standby/ReplicaInvalidException.java
@@ -4,7 +4,7 @@
 final class ReplicaInvalidException extends Exception {
   private static final long serialVersionUID = 1;
 
-  ReplicaInvalidException(String why) {
-    super(why);
+  ReplicaInvalidException(String reason) {
+    super(reason);
   }
 }
--- a/src/main/java/eiderfork/controller/standby/ReplicatedRange.java
+++ b/src/main/java/eiderfork/controller/standby/ReplicatedRange.java
@@ -12,7 +12,7 @@
   private final String prefix;
   private final TreeMap<String, Reply.Item> items = new TreeMap<>();
   private long revision = NOT_READ;
-  private long newestPage = NOT_READ;
+  private long newestPageRevision = NOT_READ;
   private long caughtUpMs;
   private long bytes;
 
@@ -64,12 +64,12 @@
    *
    * @throws ReplicaInvalidException where it holds what can't be read
    */
-  void take(Reply.Page page, long askedMs) throws ReplicaInvalidException {
+  void take(Reply.Page page, long requestedMs) throws ReplicaInvalidException {
     if (revision == NOT_READ) {
       revision = page.revision();
-      caughtUpMs = askedMs;
+      caughtUpMs = requestedMs;
     }
-    newestPage = Math.max(newestPage, page.revision());
+    newestPageRevision = Math.max(newestPageRevision, page.revision());
     for (Reply.Item item : page.items()) {
       put(item);
     }
@@ -80,15 +80,17 @@
    *
    * @throws ReplicaInvalidException where the answer does not follow on what was taken
    */
-  void take(Reply.Changes changes, long after, long askedMs) throws ReplicaInvalidException {
+  void take(Reply.Changes changes, long afterRevision, long requestedMs)
+      throws ReplicaInvalidException {
     // An answer from before a page was read would set back what the page had.
-    if (after != revision || changes.revision() < Math.max(after, newestPage)) {
+    if (afterRevision != revision
+        || changes.revision() < Math.max(afterRevision, newestPageRevision)) {
       throw new ReplicaInvalidException(
           "an answer for " + prefix + " does not follow on the one before");
     }
-    long last = after;
+    long last = afterRevision;
     for (Reply.Item change : changes.items()) {
-      boolean follows = change.version() > after && change.version() >= last;
+      boolean follows = change.version() > afterRevision && change.version() >= last;
       if (!follows || change.version() > changes.revision()) {
         throw new ReplicaInvalidException("changes of " + prefix + " are out of order");
       }
@@ -96,7 +98,7 @@
       apply(change);
     }
     revision = changes.revision();
-    caughtUpMs = askedMs;
+    caughtUpMs = requestedMs;
   }
 
   private void apply(Reply.Item change) throws ReplicaInvalidException {
@@ -108,8 +110,8 @@
   }
 
   private void put(Reply.Item item) throws ReplicaInvalidException {
-    if (item.record() instanceof StoredRecord.Unreadable it) {
-      throw new ReplicaInvalidException(item.key() + " can't be read: " + it.why());
+    if (item.record() instanceof StoredRecord.Unreadable unreadable) {
+      throw new ReplicaInvalidException(item.key() + " can't be read: " + unreadable.reason());
     }
     remove(item.key());
     items.put(item.key(), item);
--- a/src/main/java/eiderfork/controller/standby/Standby.java
+++ b/src/main/java/eiderfork/controller/standby/Standby.java
@@ -10,46 +10,46 @@
 public final class Standby {
   private static final Logger LOG = LoggerFactory.getLogger(Standby.class);
 
-  private static final long TELL_MS = 60_000;
+  private static final long LOG_INTERVAL_MS = 60_000;
 
   private final ControllerContext context;
-  private final LeaderElection term;
-  private final StandbyReplica copy;
+  private final LeaderElection election;
+  private final StandbyReplica replica;
   private final MachineHintStore hints = new MachineHintStore();
 
   /** The node that led last, as far as known; null before the first. */
   private String lastLeader;
 
-  private long tellNextMs;
+  private long nextLogMs;
 
   /** Makes a node that stands by where the operators' settings want it. */
-  public Standby(ControllerContext context, LeaderElection term, StandbyReplica copy) {
+  public Standby(ControllerContext context, LeaderElection election, StandbyReplica replica) {
     this.context = context;
-    this.term = term;
-    this.copy = copy;
-    term.yieldWhere(this::leavesLeadToOthers);
+    this.election = election;
+    this.replica = replica;
+    election.setYieldRule(this::shouldYield);
   }
 
-  private boolean isWanted() {
-    return context.settings.operator().standbys() > 0;
+  private boolean isEnabled() {
+    return context.settings.operator().standbyCount() > 0;
   }
 
   /** The nodes that stand by for this leader. */
-  public ImmutableList<String> of(String leader) {
+  public ImmutableList<String> standbysOf(String leader) {
     return StandbyRanking.of(context.settings, leader);
   }
 
   /** Whether a vacant lead is another's before it is this node's. */
-  private boolean leavesLeadToOthers(boolean otherwise) {
-    if (!isWanted() || lastLeader == null) {
-      return otherwise;
+  private boolean shouldYield(boolean byNodeOrder) {
+    if (!isEnabled() || lastLeader == null) {
+      return byNodeOrder;
     }
-    return !of(lastLeader).contains(context.settings.node());
+    return !standbysOf(lastLeader).contains(context.settings.nodeName());
   }
 
   /** The copy of what is committed. */
   public StandbyReplica copy() {
-    return copy;
+    return replica;
   }
 
   /** What the leader has told. */
@@ -59,40 +59,41 @@
 
   /** Follows the leader where this node stands by for it. */
   public void tick() {
-    if (!isWanted()) {
+    if (!isEnabled()) {
       return;
     }
-    if (term.leader() != null) {
-      lastLeader = term.leader();
+    if (election.leader() != null) {
+      lastLeader = election.leader();
     }
-    copy.tick();
-    if (term.leading()) {
+    replica.tick();
+    if (election.isLeading()) {
       return;
     }
-    boolean standsBy = lastLeader != null && of(lastLeader).contains(context.settings.node());
+    boolean standsBy =
+        lastLeader != null && standbysOf(lastLeader).contains(context.settings.nodeName());
     if (standsBy) {
-      copy.beginIfDue();
-      tell();
-    } else if (copy.isFollowing()) {
-      copy.clear("another node stands by for " + lastLeader);
+      replica.startIfDue();
+      logState();
+    } else if (replica.isFollowing()) {
+      replica.clear("another node stands by for " + lastLeader);
       hints.clear();
     }
   }
 
-  private void tell() {
-    if (context.nowMs >= tellNextMs) {
-      tellNextMs = context.nowMs + TELL_MS;
+  private void logState() {
+    if (context.nowMs >= nextLogMs) {
+      nextLogMs = context.nowMs + LOG_INTERVAL_MS;
       LOG.info(
           "standing by for {}: {}, hints of {} machines",
           lastLeader,
-          copy.describe(),
+          replica.describe(),
           hints.size());
     }
   }
 
   /** This node's lead is over; what it held as a standby went with its beginning. */
   public void deposed() {
-    copy.clear("a lead is over");
+    replica.clear("a lead is over");
     hints.clear();
   }
 }
--- a/src/main/java/eiderfork/controller/standby/StandbyRanking.java
+++ b/src/main/java/eiderfork/controller/standby/StandbyRanking.java
@@ -28,12 +28,12 @@
       (other ? otherZones : sameZone).add(node);
     }
     otherZones.addAll(sameZone);
-    int count = Math.min(settings.operator().standbys(), otherZones.size());
+    int count = Math.min(settings.operator().standbyCount(), otherZones.size());
     return ImmutableList.copyOf(otherZones.subList(0, count));
   }
 
   private static String zone(Settings settings, String node) {
-    return node.equals(settings.node())
+    return node.equals(settings.nodeName())
         ? settings.zone()
         : settings.peerZones().getOrDefault(node, "");
   }
--- a/src/main/java/eiderfork/controller/standby/StandbyReplica.java
+++ b/src/main/java/eiderfork/controller/standby/StandbyReplica.java
@@ -32,13 +32,13 @@
   /** In the order in which a new leader takes them up. */
   private static final ImmutableList<String> PREFIXES =
       ImmutableList.of(
-          StoreKeys.ABORT,
-          StoreKeys.VERSION,
-          StoreKeys.TYPES,
-          StoreKeys.JOB,
-          StoreKeys.ALLOC,
-          StoreKeys.RENT,
-          StoreKeys.RETURN);
+          StoreKeys.CANCELLATION_PREFIX,
+          StoreKeys.CLUSTER_VERSION,
+          StoreKeys.MACHINE_TYPES,
+          StoreKeys.JOB_PREFIX,
+          StoreKeys.ALLOC_PREFIX,
+          StoreKeys.RENT_PREFIX,
+          StoreKeys.RETURN_PREFIX);
 
   /** The share of the state service's rate of requests that the watches may take. */
   private static final double REQUEST_SHARE = 0.05;
@@ -53,7 +53,7 @@
   private static final double MEMORY_SHARE = 0.25;
 
   /** How long a dropped copy is not read anew, in leases of workers. */
-  private static final int REST_LEASES = 1;
+  private static final int RETRY_LEASES = 1;
 
   private static final double MB = 1024 * 1024;
 
@@ -65,21 +65,21 @@
     CATCHING_UP
   }
 
-  private record Later(long atMs, Runnable what) {}
+  private record ScheduledAction(long atMs, Runnable action) {}
 
   private final ControllerContext context;
-  private final StoreClient gate;
+  private final StoreClient store;
   private final Map<String, ReplicatedRange> ranges = new LinkedHashMap<>();
-  private final List<Later> later = new ArrayList<>();
+  private final List<ScheduledAction> scheduleAfterPause = new ArrayList<>();
   private Phase phase = Phase.NONE;
   private long generation;
-  private long notBeforeMs;
-  private String droppedWhy = "never read";
+  private long nextReadMs;
+  private String dropReason = "never read";
 
   /** Makes a copy that holds nothing. */
-  public StandbyReplica(ControllerContext context, StoreClient gate) {
+  public StandbyReplica(ControllerContext context, StoreClient store) {
     this.context = context;
-    this.gate = gate;
+    this.store = store;
   }
 
   /** Whether the copy is followed, so that a new leader may bring it up to its own revision. */
@@ -88,8 +88,8 @@
   }
 
   /** Begins to read where nothing is held and the rest after a failure is over. */
-  public void beginIfDue() {
-    if (phase == Phase.NONE && context.nowMs >= notBeforeMs) {
+  public void startIfDue() {
+    if (phase == Phase.NONE && context.nowMs >= nextReadMs) {
       LOG.info("a copy of what is committed is read");
       generation++;
       phase = Phase.READING;
@@ -99,130 +99,133 @@
   }
 
   /** Lets go of everything, for want of a use for it. */
-  public void clear(String why) {
+  public void clear(String reason) {
     if (phase != Phase.NONE) {
-      LOG.info("the copy is dropped: {}", why);
+      LOG.info("the copy is dropped: {}", reason);
     }
-    droppedWhy = why;
+    dropReason = reason;
     generation++;
     phase = Phase.NONE;
     ranges.clear();
-    later.clear();
+    scheduleAfterPause.clear();
   }
 
   /** The copy can't be proved right; it is read anew after a while. */
-  private void broken(String why) {
-    clear(why);
-    notBeforeMs = context.nowMs + REST_LEASES * context.leaseMs();
+  private void invalidate(String reason) {
+    clear(reason);
+    nextReadMs = context.nowMs + RETRY_LEASES * context.workerLeaseMs();
   }
 
   /** Does what its time has come for. */
   public void tick() {
-    if (later.isEmpty()) {
+    if (scheduleAfterPause.isEmpty()) {
       return;
     }
-    List<Later> due = new ArrayList<>();
-    later.removeIf(it -> it.atMs <= context.nowMs && due.add(it));
-    due.forEach(it -> it.what.run());
+    List<ScheduledAction> due = new ArrayList<>();
+    scheduleAfterPause.removeIf(it -> it.atMs <= context.nowMs && due.add(it));
+    due.forEach(it -> it.action.run());
   }
 
-  private void later(long of, Runnable what) {
-    later.add(
-        new Later(
+  private void scheduleAfterPause(long expectedGeneration, Runnable action) {
+    scheduleAfterPause.add(
+        new ScheduledAction(
             context.nowMs + pauseMs(),
             () -> {
-              if (of == generation) {
-                what.run();
+              if (expectedGeneration == generation) {
+                action.run();
               }
             }));
   }
 
   private long pauseMs() {
-    double rps = context.settings.stateLimits().rps() * REQUEST_SHARE;
+    double rps = context.settings.storeLimits().requestsPerS() * REQUEST_SHARE;
     double leastS = PREFIXES.size() / rps;
     return (long) Math.max(context.stepMs() * PAUSE_STEPS, 1000 * leastS);
   }
 
   // Reading.
 
-  private void read(int at, String after, long of) {
-    ReplicatedRange range = ranges.get(PREFIXES.get(at));
-    long askedMs = context.nowMs;
-    gate.send(
-        new StoreRequest.Scan(range.prefix(), after),
+  private void read(int rangeIndex, String afterKey, long expectedGeneration) {
+    ReplicatedRange range = ranges.get(PREFIXES.get(rangeIndex));
+    long requestedMs = context.nowMs;
+    store.send(
+        new StoreRequest.Scan(range.prefix(), afterKey),
         RequestPriority.CLEANUP,
         reply -> {
-          if (of != generation) {
+          if (expectedGeneration != generation) {
             return;
           }
           if (!(reply instanceof Reply.Page page)) {
-            later(of, () -> read(at, after, of));
+            scheduleAfterPause(
+                expectedGeneration, () -> read(rangeIndex, afterKey, expectedGeneration));
             return;
           }
           try {
-            range.take(page, askedMs);
+            range.take(page, requestedMs);
             checkMemory();
           } catch (ReplicaInvalidException e) {
-            broken(e.getMessage());
+            invalidate(e.getMessage());
             return;
           }
-          if (page.more()) {
+          if (page.hasMore()) {
             String last = page.items().get(page.items().size() - 1).key();
-            read(at, last, of);
-          } else if (at + 1 < PREFIXES.size()) {
-            read(at + 1, "", of);
+            read(rangeIndex, last, expectedGeneration);
+          } else if (rangeIndex + 1 < PREFIXES.size()) {
+            read(rangeIndex + 1, "", expectedGeneration);
           } else {
             phase = Phase.FOLLOWING;
-            ranges.values().forEach(each -> follow(each, of));
+            ranges.values().forEach(each -> follow(each, expectedGeneration));
           }
         });
   }
 
   // Following.
 
-  private void follow(ReplicatedRange range, long of) {
-    long askedMs = context.nowMs;
-    long after = range.revision();
-    gate.send(
-        new StoreRequest.Watch(range.prefix(), after, WATCH_STEPS * context.stepMs()),
+  private void follow(ReplicatedRange range, long expectedGeneration) {
+    long requestedMs = context.nowMs;
+    long afterRevision = range.revision();
+    store.send(
+        new StoreRequest.Watch(range.prefix(), afterRevision, WATCH_STEPS * context.stepMs()),
         RequestPriority.CLEANUP,
         reply -> {
-          if (of != generation) {
+          if (expectedGeneration != generation) {
             return;
           }
           try {
             if (reply instanceof Reply.Changes changes) {
-              takeChanges(range, changes, after, askedMs);
+              takeChanges(range, changes, afterRevision, requestedMs);
             } else {
-              checkKept(range, reply);
+              checkChangesAvailable(range, reply);
             }
           } catch (ReplicaInvalidException e) {
-            broken(e.getMessage());
+            invalidate(e.getMessage());
             return;
           }
-          later(of, () -> follow(range, of));
+          scheduleAfterPause(expectedGeneration, () -> follow(range, expectedGeneration));
         });
   }
 
-  private void takeChanges(ReplicatedRange range, Reply.Changes changes, long after, long askedMs)
+  private void takeChanges(
+      ReplicatedRange range, Reply.Changes changes, long afterRevision, long requestedMs)
       throws ReplicaInvalidException {
-    if (range.prefix().equals(StoreKeys.VERSION) && !changes.items().isEmpty()) {
+    if (range.prefix().equals(StoreKeys.CLUSTER_VERSION) && !changes.items().isEmpty()) {
       // Records of a form that came with it may be in what was read before.
       throw new ReplicaInvalidException("the cluster's version has moved");
     }
-    range.take(changes, after, askedMs);
+    range.take(changes, afterRevision, requestedMs);
     checkMemory();
   }
 
-  private static void checkKept(ReplicatedRange range, Reply reply) throws ReplicaInvalidException {
-    if (StoreClient.mustReadAnew(reply)) {
+  private static void checkChangesAvailable(ReplicatedRange range, Reply reply)
+      throws ReplicaInvalidException {
+    if (StoreClient.requiresFullRead(reply)) {
       throw new ReplicaInvalidException(
           "changes of " + range.prefix() + " are not to be had any more");
     }
   }
 
   private void checkMemory() throws ReplicaInvalidException {
-    double mostMb = context.settings.controller().memoryMb() * MEMORY_SHARE;
+    double mostMb = context.settings.controllerResources().memoryMb() * MEMORY_SHARE;
     if (memoryMb() > mostMb) {
       throw new ReplicaInvalidException("it takes more than " + Math.round(mostMb) + " MB");
     }
@@ -234,44 +237,50 @@
    * Brings the copy to this revision or a later one; only a leader does whose key was written as
    * that revision.
    *
-   * @param then takes whether the copy holds all that was committed up to there
+   * @param onComplete takes whether the copy holds all that was committed up to there
    */
-  public void catchUp(long atLeast, Consumer<Boolean> then) {
+  public void catchUp(long minRevision, Consumer<Boolean> onComplete) {
     generation++;
-    later.clear();
+    scheduleAfterPause.clear();
     phase = Phase.CATCHING_UP;
     int[] open = {ranges.size()};
     for (ReplicatedRange range : ranges.values()) {
-      catchUp(range, atLeast, generation, open, then);
+      catchUp(range, minRevision, generation, open, onComplete);
     }
   }
 
   private void catchUp(
-      ReplicatedRange range, long atLeast, long of, int[] open, Consumer<Boolean> then) {
-    long askedMs = context.nowMs;
-    long after = range.revision();
-    gate.send(
-        new StoreRequest.Watch(range.prefix(), after, 0),
+      ReplicatedRange range,
+      long minRevision,
+      long expectedGeneration,
+      int[] open,
+      Consumer<Boolean> onComplete) {
+    long requestedMs = context.nowMs;
+    long afterRevision = range.revision();
+    store.send(
+        new StoreRequest.Watch(range.prefix(), afterRevision, 0),
         RequestPriority.START,
         reply -> {
-          if (of != generation) {
+          if (expectedGeneration != generation) {
             return;
           }
           try {
             if (reply instanceof Reply.Changes changes) {
-              takeChanges(range, changes, after, askedMs);
+              takeChanges(range, changes, afterRevision, requestedMs);
             } else {
-              checkKept(range, reply);
+              checkChangesAvailable(range, reply);
             }
           } catch (ReplicaInvalidException e) {
-            broken(e.getMessage());
-            then.accept(false);
+            invalidate(e.getMessage());
+            onComplete.accept(false);
             return;
           }
-          if (!(reply instanceof Reply.Changes) || range.revision() < atLeast) {
-            later(of, () -> catchUp(range, atLeast, of, open, then));
+          if (!(reply instanceof Reply.Changes) || range.revision() < minRevision) {
+            scheduleAfterPause(
+                expectedGeneration,
+                () -> catchUp(range, minRevision, expectedGeneration, open, onComplete));
           } else if (--open[0] == 0) {
-            then.accept(true);
+            onComplete.accept(true);
           }
         });
   }
@@ -309,7 +318,7 @@
   /** How the copy stands, for an operator. */
   public String describe() {
     if (phase != Phase.FOLLOWING) {
-      return phase == Phase.NONE ? "none, " + droppedWhy : "being read";
+      return phase == Phase.NONE ? "none, " + dropReason : "being read";
     }
     int keys = ranges.values().stream().mapToInt(ReplicatedRange::size).sum();
     long oldestMs = ranges.values().stream().mapToLong(ReplicatedRange::caughtUpMs).min().orElse(0);
--- a/src/main/java/eiderfork/controller/store/ReadBarrier.java
+++ b/src/main/java/eiderfork/controller/store/ReadBarrier.java
@@ -17,76 +17,76 @@
  */
 public final class ReadBarrier {
   private final ControllerContext context;
-  private final StoreClient gate;
-  private final Consumer<Reply.Item> taker;
+  private final StoreClient store;
+  private final Consumer<Reply.Item> cancellationConsumer;
   private final LongConsumer caughtUpTo;
-  private List<Consumer<Boolean>> waiting = new ArrayList<>();
-  private boolean asking;
+  private List<Consumer<Boolean>> waiters = new ArrayList<>();
+  private boolean readPending;
   private long revision;
-  private long round;
+  private long generation;
 
   /**
-   * @param taker takes each cancellation
+   * @param consumer takes each cancellation
    * @param caughtUpTo takes the moment of which all cancellations have been taken
    */
   public ReadBarrier(
       ControllerContext context,
-      StoreClient gate,
-      Consumer<Reply.Item> taker,
+      StoreClient store,
+      Consumer<Reply.Item> consumer,
       LongConsumer caughtUpTo) {
     this.context = context;
-    this.gate = gate;
-    this.taker = taker;
+    this.store = store;
+    this.cancellationConsumer = consumer;
     this.caughtUpTo = caughtUpTo;
   }
 
   /** Memory holds what was committed up to this revision. */
-  public void start(long upTo) {
+  public void advanceTo(long upTo) {
     revision = Math.max(revision, upTo);
   }
 
   /** Gives those who wait no for an answer: memory is not this node's to speak from any more. */
-  public void stop() {
-    round++;
-    asking = false;
+  public void failWaiters() {
+    generation++;
+    readPending = false;
     revision = 0;
-    List<Consumer<Boolean>> all = waiting;
-    waiting = new ArrayList<>();
+    List<Consumer<Boolean>> all = waiters;
+    waiters = new ArrayList<>();
     all.forEach(each -> each.accept(false));
   }
 
   /** Calls back with whether memory has caught up with this moment, or with a later one. */
-  public void pass(Consumer<Boolean> then) {
-    waiting.add(then);
+  public void awaitCaughtUp(Consumer<Boolean> onComplete) {
+    waiters.add(onComplete);
   }
 
   /** Asks for all that came since the last tick; a question waits for that, not for long. */
   public void tick() {
-    if (!asking && !waiting.isEmpty()) {
-      ask();
+    if (!readPending && !waiters.isEmpty()) {
+      readChanges();
     }
   }
 
-  private void ask() {
-    asking = true;
-    long of = round;
-    long askedMs = context.nowMs;
-    List<Consumer<Boolean>> served = waiting;
-    waiting = new ArrayList<>();
-    gate.send(
-        new StoreRequest.Watch(StoreKeys.ABORT, revision, 0),
+  private void readChanges() {
+    readPending = true;
+    long sentGeneration = generation;
+    long requestedMs = context.nowMs;
+    List<Consumer<Boolean>> served = waiters;
+    waiters = new ArrayList<>();
+    store.send(
+        new StoreRequest.Watch(StoreKeys.CANCELLATION_PREFIX, revision, 0),
         RequestPriority.SUBMIT,
         reply -> {
-          boolean caughtUp = of == round && reply instanceof Reply.Changes;
+          boolean caughtUp = sentGeneration == generation && reply instanceof Reply.Changes;
           if (caughtUp) {
             Reply.Changes changes = (Reply.Changes) reply;
-            changes.items().forEach(taker);
+            changes.items().forEach(cancellationConsumer);
             revision = Math.max(revision, changes.revision());
-            caughtUpTo.accept(askedMs);
+            caughtUpTo.accept(requestedMs);
           }
           served.forEach(each -> each.accept(caughtUp));
-          if (of == round) {
-            asking = false;
+          if (sentGeneration == generation) {
+            readPending = false;
           }
         });
   }
--- a/src/main/java/eiderfork/controller/store/StoreClient.java
+++ b/src/main/java/eiderfork/controller/store/StoreClient.java
@@ -23,63 +23,68 @@
   private static final double TIMEOUT_STEPS = 1.5;
 
   /** The leader's share of the common limit on writes; its peers divide the rest. */
-  private static final double LEADER_WRITES = 0.85;
+  private static final double LEADER_WRITE_SHARE = 0.85;
 
   /**
    * The leader's share of the common limit on requests. It answers from memory and needs few; a
    * peer that can't reach it reads for every poll.
    */
-  private static final double LEADER_REQUESTS = 0.5;
+  private static final double LEADER_REQUEST_SHARE = 0.5;
 
-  private record Waiting(StoreRequest op, int writes, long sinceMs, Consumer<Reply> then) {}
+  private record QueuedRequest(
+      StoreRequest request, int writes, long queuedAtMs, Consumer<Reply> callback) {}
 
   private final ControllerContext context;
-  private final TokenBucket requests;
-  private final TokenBucket writes;
-  private final Map<RequestPriority, Queue<Waiting>> queues = new EnumMap<>(RequestPriority.class);
+  private final TokenBucket requestBudget;
+  private final TokenBucket writeBudget;
+  private final Map<RequestPriority, Queue<QueuedRequest>> queues =
+      new EnumMap<>(RequestPriority.class);
 
   /** How long the writes of each urgency waited for their turn since this was last told. */
-  private final Map<RequestPriority, LongSummaryStatistics> waits =
+  private final Map<RequestPriority, LongSummaryStatistics> writeWaits =
       new EnumMap<>(RequestPriority.class);
 
   /** Whether the service has been seen to hold to the lower limits that the settings announce. */
-  private boolean lowered;
+  private boolean limitsLowered;
 
   private boolean leading;
 
   private final int[] queuedWrites = new int[RequestPriority.values().length];
-  private long lastServedMs;
+  private long lastServedAtMs;
 
   /** Makes the way to the state service of a node that follows. */
   public StoreClient(ControllerContext context) {
     this.context = context;
-    requests = new TokenBucket(1, 1, context.nowMs);
-    writes = new TokenBucket(1, 1, context.nowMs);
+    requestBudget = new TokenBucket(1, 1, context.nowMs);
+    writeBudget = new TokenBucket(1, 1, context.nowMs);
     for (RequestPriority urgency : RequestPriority.values()) {
       queues.put(urgency, new ArrayDeque<>());
-      waits.put(urgency, new LongSummaryStatistics());
+      writeWaits.put(urgency, new LongSummaryStatistics());
     }
-    lastServedMs = context.nowMs;
+    lastServedAtMs = context.nowMs;
     leading(false);
   }
 
   /** Takes the leader's share of the limits, or a follower's. */
   public void leading(boolean leads) {
     leading = leads;
-    int followers = Math.max(1, context.settings.peers().size());
-    double rps = limits().rps() * (leading ? LEADER_REQUESTS : (1 - LEADER_REQUESTS) / followers);
+    int followers = Math.max(1, context.settings.peerEndpoints().size());
+    double rps =
+        limits().requestsPerS()
+            * (leading ? LEADER_REQUEST_SHARE : (1 - LEADER_REQUEST_SHARE) / followers);
     double writeRps =
-        limits().writeRps() * (leading ? LEADER_WRITES : (1 - LEADER_WRITES) / followers);
-    requests.rate(rps, Math.max(1, rps));
-    writes.rate(writeRps, Math.max(1, writeRps));
+        limits().writesPerS()
+            * (leading ? LEADER_WRITE_SHARE : (1 - LEADER_WRITE_SHARE) / followers);
+    requestBudget.setRate(rps, Math.max(1, rps));
+    writeBudget.setRate(writeRps, Math.max(1, writeRps));
   }
 
-  private Settings.StateLimits limits() {
-    return lowered ? context.settings.nextStateLimits() : context.settings.stateLimits();
+  private Settings.StoreLimits limits() {
+    return limitsLowered ? context.settings.nextStoreLimits() : context.settings.storeLimits();
   }
 
   /** The largest value that the service is known to take now. */
-  public double valueKb() {
+  public double maxValueKb() {
     return limits().valueKb();
   }
 
@@ -87,51 +92,52 @@
    * Whether a watch can't be followed on: the service has forgotten the changes, or they are more
    * than one response may hold. Asked for again, they would be so again.
    */
-  public static boolean mustReadAnew(Reply reply) {
+  public static boolean requiresFullRead(Reply reply) {
     return reply instanceof Reply.Oversized
         || reply instanceof Reply.Refused refused && refused.status() == 410;
   }
 
-  /** Sends an operation once its turn has come, and has {@code then} take its reply. */
-  public void send(StoreRequest op, RequestPriority urgency, Consumer<Reply> then) {
-    int cost = op instanceof StoreRequest.Transact t ? t.changes().size() : 0;
-    queues.get(urgency).add(new Waiting(op, cost, context.nowMs, then));
+  /** Sends an operation once its turn has come, and has {@code onComplete} take its reply. */
+  public void send(StoreRequest request, RequestPriority urgency, Consumer<Reply> onComplete) {
+    int cost = request instanceof StoreRequest.Transaction t ? t.changes().size() : 0;
+    queues.get(urgency).add(new QueuedRequest(request, cost, context.nowMs, onComplete));
     queuedWrites[urgency.ordinal()] += cost;
-    pump();
+    sendQueued();
   }
 
   /** How long a write of this urgency would wait for its turn. */
-  public long waitMs(RequestPriority urgency) {
+  public long writeWaitMs(RequestPriority urgency) {
     double ahead = 0;
     for (int i = 0; i <= urgency.ordinal(); i++) {
       ahead += queuedWrites[i];
     }
-    return (long) (1000 * ahead / writes.perS());
+    return (long) (1000 * ahead / writeBudget.tokensPerS());
   }
 
   /**
    * Whether so many changes would leave at least half of what may be written at once, and nothing
    * else waits.
    */
-  public boolean hasSpareWrites(int changes) {
+  public boolean hasSpareWriteCapacity(int changes) {
     boolean idle = queues.values().stream().allMatch(Queue::isEmpty);
-    double kept = writes.burst() / 2;
-    return idle && writes.has(Math.min(changes + kept, writes.burst()), context.nowMs);
+    double kept = writeBudget.burst() / 2;
+    return idle
+        && writeBudget.hasTokens(Math.min(changes + kept, writeBudget.burst()), context.nowMs);
   }
 
   /** How long a request of the least urgency would wait for its turn. */
   public long readWaitMs() {
     int ahead = 0;
-    for (Queue<Waiting> queue : queues.values()) {
+    for (Queue<QueuedRequest> queue : queues.values()) {
       ahead += queue.size();
     }
-    return (long) (1000 * ahead / requests.perS());
+    return (long) (1000 * ahead / requestBudget.tokensPerS());
   }
 
   /** Tells how long the writes of each urgency waited for their turn since the last time. */
-  public String tellWaits() {
+  public String drainWriteWaits() {
     StringBuilder text = new StringBuilder();
-    waits.forEach(
+    writeWaits.forEach(
         (urgency, it) -> {
           if (it.getCount() > 0) {
             text.append(urgency)
@@ -144,63 +150,63 @@
                 .append(" ms) ");
           }
         });
-    waits.replaceAll((urgency, it) -> new LongSummaryStatistics());
+    writeWaits.replaceAll((urgency, it) -> new LongSummaryStatistics());
     return text.toString();
   }
 
   /** How long ago the service last answered with anything but a refusal. */
-  public long servedAgeMs() {
-    return context.nowMs - lastServedMs;
+  public long sinceServedMs() {
+    return context.nowMs - lastServedAtMs;
   }
 
   /** Sends what waits, as far as the limits allow now. */
-  public void pump() {
-    for (Map.Entry<RequestPriority, Queue<Waiting>> entry : queues.entrySet()) {
-      Queue<Waiting> queue = entry.getValue();
+  public void sendQueued() {
+    for (Map.Entry<RequestPriority, Queue<QueuedRequest>> entry : queues.entrySet()) {
+      Queue<QueuedRequest> queue = entry.getValue();
       while (!queue.isEmpty()) {
-        Waiting next = queue.peek();
+        QueuedRequest next = queue.peek();
         boolean lease = entry.getKey() == RequestPriority.LEASE;
         // A lease renewal goes out whatever the budget says: without the lease nothing else does.
-        if (!lease && !requests.has(1, context.nowMs)) {
+        if (!lease && !requestBudget.hasTokens(1, context.nowMs)) {
           return;
         }
-        if (!lease && next.writes > 0 && !writes.take(next.writes, context.nowMs)) {
+        if (!lease && next.writes > 0 && !writeBudget.tryTake(next.writes, context.nowMs)) {
           break;
         }
-        requests.take(1, context.nowMs);
+        requestBudget.tryTake(1, context.nowMs);
         queue.remove();
         queuedWrites[entry.getKey().ordinal()] -= next.writes;
         if (next.writes > 0) {
-          waits.get(entry.getKey()).accept(context.nowMs - next.sinceMs);
+          writeWaits.get(entry.getKey()).accept(context.nowMs - next.queuedAtMs);
         }
         dispatch(next);
       }
     }
   }
 
-  private void dispatch(Waiting waiting) {
+  private void dispatch(QueuedRequest queued) {
     long timeout = (long) (context.stepMs() * TIMEOUT_STEPS);
-    if (waiting.op instanceof StoreRequest.Watch watch) {
-      timeout += watch.waitMs();
+    if (queued.request instanceof StoreRequest.Watch watch) {
+      timeout += watch.timeoutMs();
     }
     long timeoutMs = timeout;
-    context.ask(
-        call -> new Effect.AskState(call, waiting.op, timeoutMs),
+    context.call(
+        call -> new Effect.CallStore(call, queued.request, timeoutMs),
         reply -> {
-          note(waiting.op, reply);
-          waiting.then.accept(reply);
+          recordReply(queued.request, reply);
+          queued.callback.accept(reply);
         });
   }
 
-  private void note(StoreRequest op, Reply reply) {
+  private void recordReply(StoreRequest request, Reply reply) {
     boolean refused = reply instanceof Reply.Refused it && (it.status() == 503 || it.isOverLimit());
-    noteLowered(op, reply);
+    detectLoweredLimits(request, reply);
     if (refused && ((Reply.Refused) reply).isOverLimit()) {
-      requests.drain(context.nowMs);
-      writes.drain(context.nowMs);
+      requestBudget.drain(context.nowMs);
+      writeBudget.drain(context.nowMs);
     }
     if (!refused && !(reply instanceof Reply.Unanswered)) {
-      lastServedMs = context.nowMs;
+      lastServedAtMs = context.nowMs;
     }
   }
 
@@ -209,16 +215,16 @@
    * refused for its size or rate tells that the lower ones are in force. A lease that has ended is
    * refused in the same way, and tells nothing.
    */
-  private void noteLowered(StoreRequest op, Reply reply) {
-    if (lowered
-        || !(op instanceof StoreRequest.Transact transact)
+  private void detectLoweredLimits(StoreRequest request, Reply reply) {
+    if (limitsLowered
+        || !(request instanceof StoreRequest.Transaction transact)
         || !(reply instanceof Reply.Refused refused)) {
       return;
     }
-    boolean onLease = transact.changes().stream().anyMatch(change -> change.lease() != 0);
+    boolean onLease = transact.changes().stream().anyMatch(change -> change.leaseId() != 0);
     if (refused.isOverLimit() || refused.isMalformed() && !onLease) {
       LOG.info("a change got {}: the limits to come are taken to be in force", refused.status());
-      lowered = true;
+      limitsLowered = true;
       leading(leading);
     }
   }
--- a/src/main/java/eiderfork/loadtest/ControllerSettingsWriter.java
+++ b/src/main/java/eiderfork/loadtest/ControllerSettingsWriter.java
@@ -44,10 +44,10 @@
     for (Team team : teams) {
       text.append("[[deployment.teams]]\n");
       put(text, "name", team.name());
-      put(text, "cpus", team.cpus());
-      put(text, "cpus_max", team.cpusMax());
-      put(text, "gpus", team.gpus());
-      put(text, "gpus_max", team.gpusMax());
+      put(text, "cpus", team.guaranteedCpus());
+      put(text, "cpus_max", team.maxCpus());
+      put(text, "gpus", team.guaranteedGpus());
+      put(text, "gpus_max", team.maxGpus());
     }
     text.append("[deployment.workers]\n");
     put(text, "report_s", run.workers().reportS());
--- a/src/main/java/eiderfork/loadtest/EmulatedCell.java
+++ b/src/main/java/eiderfork/loadtest/EmulatedCell.java
@@ -263,9 +263,9 @@
   }
 
   /** Begins to measure how long a trouble is felt. */
-  void troubleBegins(LoadTestSettings.Trouble trouble) {
+  void troubleBegins(LoadTestSettings.Trouble fault) {
     recoveries.forEach(RecoveryTimer::stop);
-    recoveries.add(new RecoveryTimer(trouble, term(), missingReplicas(), SteadyClock.nowMs()));
+    recoveries.add(new RecoveryTimer(fault, term(), missingReplicas(), SteadyClock.nowMs()));
   }
 
   private long term() {
@@ -315,7 +315,7 @@
     int racks = settings.cells().racksPerZone() * settings.cells().zones();
     EmulatedWorker worker = new EmulatedWorker(machine, type, lastRack++ % racks, this);
     workers.put(machine.name(), worker);
-    byAddress.put(machine.addr(), worker);
+    byAddress.put(machine.address(), worker);
   }
 
   @Override
@@ -323,8 +323,8 @@
     EmulatedWorker worker = workers.remove(machine.name());
     if (worker != null) {
       worker.stop();
-      byAddress.remove(machine.addr());
-      freeAddresses.add(machine.addr());
+      byAddress.remove(machine.address());
+      freeAddresses.add(machine.address());
     }
   }
 
@@ -338,11 +338,11 @@
     counters.starts++;
     runningTasks++;
     checker.started(worker.machine.name(), attempt, nowMs);
-    Standing service = standing.get(attempt.task().job());
+    Standing service = standing.get(attempt.task().jobUid());
     if (service != null) {
       service.running++;
     }
-    BitSet started = everStarted.computeIfAbsent(attempt.task().job(), uid -> new BitSet());
+    BitSet started = everStarted.computeIfAbsent(attempt.task().jobUid(), uid -> new BitSet());
     if (!started.get(attempt.task().index())) {
       started.set(attempt.task().index());
       histogram(entry).recordValue(Math.min(MOST_MS, nowMs - entry.submittedMs()));
@@ -360,7 +360,7 @@
     runningTasks--;
     counters.ends += done ? 1 : 0;
     checker.gone(worker.machine.name(), attempt, done);
-    Standing service = standing.get(attempt.task().job());
+    Standing service = standing.get(attempt.task().jobUid());
     if (service != null) {
       service.running--;
     }
@@ -380,12 +380,12 @@
     }
   }
 
-  void accepted(JobCatalog.Entry entry, long askedMs) {
+  void accepted(JobCatalog.Entry entry, long requestedMs) {
     long nowMs = SteadyClock.nowMs();
     counters.accepted++;
     liveJobs.add(entry.job().uid());
     acceptMs.recordValue(Math.min(MOST_MS, nowMs - entry.submittedMs()));
-    recoveries.forEach(timer -> timer.accepted(askedMs, nowMs));
+    recoveries.forEach(timer -> timer.accepted(requestedMs, nowMs));
     Standing service = standing.get(entry.job().uid());
     if (service != null) {
       service.acceptedMs = Math.min(service.acceptedMs, nowMs);
--- a/src/main/java/eiderfork/loadtest/EmulatedCloud.java
+++ b/src/main/java/eiderfork/loadtest/EmulatedCloud.java
@@ -107,41 +107,41 @@
 
   void handle(HttpServer.Exchange exchange) {
     counters.cloudRequests++;
-    if (!requests.take(1, SteadyClock.nowMs())) {
+    if (!requests.tryTake(1, SteadyClock.nowMs())) {
       counters.cloudRefused++;
-      exchange.answer(429, TROUBLE, 0);
+      exchange.respond(429, TROUBLE, 0);
       return;
     }
     try {
       if (exchange.path.equals("/flavors")) {
-        exchange.answer(200, CloudServerCodec.types(List.copyOf(types.values())), 0);
+        exchange.respond(200, CloudServerCodec.encodeTypes(List.copyOf(types.values())), 0);
       } else if (exchange.path.equals("/hosts")) {
-        rent(exchange, CloudServerCodec.rent(exchange.body));
+        rent(exchange, CloudServerCodec.decodeRent(exchange.body));
       } else if (exchange.path.equals("/hosts/return")) {
         CloudServerCodec.machines(exchange.body).forEach(this::giveBack);
-        exchange.answer(200, CloudServerCodec.machines(List.of()), 0);
+        exchange.respond(200, CloudServerCodec.machines(List.of()), 0);
       } else {
         list(exchange, new QueryStringDecoder(exchange.path));
       }
     } catch (MalformedMessageException e) {
-      exchange.answer(400, TROUBLE, 0);
+      exchange.respond(400, TROUBLE, 0);
     }
   }
 
-  private void rent(HttpServer.Exchange exchange, StoredRecord.Rent request) {
+  private void rent(HttpServer.Exchange exchange, StoredRecord.ScaleOutIntent request) {
     ImmutableList<String> before = answered.get(request.requestName());
     if (before == null) {
       before = rentNew(request);
     }
     if (before.isEmpty()) {
-      exchange.answer(503, NO_CAPACITY, 0);
+      exchange.respond(503, NO_CAPACITY, 0);
     } else {
       answered.put(request.requestName(), before);
-      exchange.answer(200, CloudServerCodec.machines(before), 0);
+      exchange.respond(200, CloudServerCodec.machines(before), 0);
     }
   }
 
-  private ImmutableList<String> rentNew(StoredRecord.Rent request) {
+  private ImmutableList<String> rentNew(StoredRecord.ScaleOutIntent request) {
     String kind = request.type() + " " + request.zone();
     // Spot machines come from the same stock and are not taken back here.
     int left = closedZones.contains(request.zone()) ? 0 : free.getOrDefault(kind, 0);
@@ -215,6 +215,6 @@
       }
       entries.add(new ListedMachine(it.machine, it.state(atMs), (atMs - it.rentedMs) / 1000.0));
     }
-    exchange.answer(200, CloudServerCodec.hosts(entries, more), 0);
+    exchange.respond(200, CloudServerCodec.encodeHosts(entries, more), 0);
   }
 }
--- a/src/main/java/eiderfork/loadtest/EmulatedStore.java
+++ b/src/main/java/eiderfork/loadtest/EmulatedStore.java
@@ -85,7 +85,7 @@
   void handle(HttpServer.Exchange exchange) {
     counters.stateRequests++;
     counters.stateBytesIn += exchange.body.length;
-    if (!requests.take(1, SteadyClock.nowMs())) {
+    if (!requests.tryTake(1, SteadyClock.nowMs())) {
       counters.stateRefused++;
       answer(exchange, 429, EMPTY);
       return;
@@ -104,11 +104,11 @@
     } else if (path.startsWith("/keys?")) {
       page(exchange, new QueryStringDecoder(path));
     } else if (path.equals("/multi")) {
-      transact(exchange, StoreServerCodec.transaction(exchange.body));
+      transact(exchange, StoreServerCodec.decodeTransaction(exchange.body));
     } else if (path.startsWith("/follow?")) {
       follow(exchange, new QueryStringDecoder(path));
     } else if (path.equals("/leases")) {
-      grant(exchange, StoreServerCodec.leaseMs(exchange.body));
+      grant(exchange, StoreServerCodec.decodeLeaseMs(exchange.body));
     } else if (path.startsWith("/leases/")) {
       lease(exchange, path.substring("/leases/".length()));
     } else {
@@ -119,10 +119,10 @@
   private void get(HttpServer.Exchange exchange, String key) {
     Stored stored = keys.get(key);
     if (stored == null) {
-      answer(exchange, 404, StoreServerCodec.revision(revision));
+      answer(exchange, 404, StoreServerCodec.encodeRevision(revision));
     } else {
       RawItem item = new RawItem(key, stored.value, stored.version);
-      answer(exchange, 200, StoreServerCodec.item(item));
+      answer(exchange, 200, StoreServerCodec.encodeItem(item));
     }
   }
 
@@ -151,13 +151,13 @@
       Stored stored = entry.getValue();
       items.add(new RawItem(entry.getKey(), stored.value, stored.version));
     }
-    answer(exchange, 200, StoreServerCodec.page(items, more, revision));
+    answer(exchange, 200, StoreServerCodec.encodePage(items, more, revision));
   }
 
   private void transact(HttpServer.Exchange exchange, RawTransaction transaction) {
     int changes = transaction.changes().size();
     counters.stateWrites += changes;
-    if (!writes.take(changes, SteadyClock.nowMs())) {
+    if (!writes.tryTake(changes, SteadyClock.nowMs())) {
       counters.stateRefused++;
       answer(exchange, 429, EMPTY);
       return;
@@ -175,7 +175,7 @@
     }
     if (!failed.isEmpty()) {
       counters.stateConflicts++;
-      answer(exchange, 409, StoreServerCodec.failed(failed, revision));
+      answer(exchange, 409, StoreServerCodec.encodeConflict(failed, revision));
       return;
     }
     if (changes > 0) {
@@ -183,7 +183,7 @@
       transaction.changes().forEach(this::apply);
       serveWatches(transaction.changes().stream().map(RawChange::key).toList());
     }
-    answer(exchange, 200, StoreServerCodec.revision(revision));
+    answer(exchange, 200, StoreServerCodec.encodeRevision(revision));
   }
 
   private boolean isWithinLimits(RawTransaction transaction) {
@@ -250,7 +250,7 @@
     if (changes.isEmpty() && nowMs < watch.endsMs) {
       return false;
     }
-    answer(watch.exchange, 200, StoreServerCodec.log(changes, revision));
+    answer(watch.exchange, 200, StoreServerCodec.encodeWatchLog(changes, revision));
     return true;
   }
 
@@ -265,7 +265,7 @@
     Lease lease = new Lease(lifeMs);
     lease.endsMs = SteadyClock.nowMs() + lifeMs;
     leases.put(++lastLease, lease);
-    answer(exchange, 200, StoreServerCodec.lease(lastLease));
+    answer(exchange, 200, StoreServerCodec.encodeLease(lastLease));
   }
 
   private void lease(HttpServer.Exchange exchange, String rest) {
@@ -276,7 +276,7 @@
       answer(exchange, 404, EMPTY);
     } else if (renews) {
       lease.endsMs = SteadyClock.nowMs() + lease.lifeMs;
-      answer(exchange, 200, StoreServerCodec.lease(id));
+      answer(exchange, 200, StoreServerCodec.encodeLease(id));
     } else {
       end(id);
       answer(exchange, 200, EMPTY);
@@ -310,6 +310,6 @@
   private void answer(HttpServer.Exchange exchange, int status, byte[] body) {
     counters.stateBytesOut += body.length;
     long delayUs = (long) (1000 * limits.answerMs() * (0.5 + random.nextDouble()));
-    loop.schedule(() -> exchange.answer(status, body, 0), delayUs, TimeUnit.MICROSECONDS);
+    loop.schedule(() -> exchange.respond(status, body, 0), delayUs, TimeUnit.MICROSECONDS);
   }
 }
--- a/src/main/java/eiderfork/loadtest/EmulatedUsers.java
+++ b/src/main/java/eiderfork/loadtest/EmulatedUsers.java
@@ -58,12 +58,12 @@
       client.send(
           cell.controllers().get(node).publicAddress(),
           "GET",
-          UserCodec.HEALTH,
+          UserCodec.HEALTH_PATH,
           null,
           PROBE_MS,
           (status, body) -> failedProbes[node] = status == 200 ? 0 : failedProbes[node] + 1);
     }
-    client.sweep();
+    client.closeExpired();
   }
 
   /** A healthy node, any node where none is. */
@@ -79,9 +79,9 @@
   }
 
   private void send(
-      String method, String path, byte[] body, long timeoutMs, HttpClient.Taker taker) {
-    var to = cell.controllers().get(anyNode()).publicAddress();
-    client.send(to, method, path, body, timeoutMs, taker);
+      String method, String path, byte[] body, long timeoutMs, HttpClient.ResponseListener taker) {
+    var endpoint = cell.controllers().get(anyNode()).publicAddress();
+    client.send(endpoint, method, path, body, timeoutMs, taker);
   }
 
   // The load.
@@ -154,22 +154,22 @@
     long taskMs = service ? 0 : (long) (1000 * jobClass.runS());
     JobCatalog.Entry entry = new JobCatalog.Entry(job, jobClass, SteadyClock.nowMs(), taskMs);
     cell.submitting(entry);
-    trySubmit(entry, UserClientCodec.submission(job));
+    trySubmit(entry, UserClientCodec.encodeSubmission(job));
   }
 
   private void trySubmit(JobCatalog.Entry entry, byte[] body) {
-    long askedMs = SteadyClock.nowMs();
+    long requestedMs = SteadyClock.nowMs();
     send(
         "POST",
-        UserCodec.RUNS,
+        UserCodec.JOBS_PATH,
         body,
         SUBMIT_MS,
-        (status, said) -> {
+        (status, responseBody) -> {
           String uid = entry.job().uid();
           if (status == 201 || status == 200) {
             cell.checker.accepted(uid);
-            told(said, askedMs);
-            cell.accepted(entry, askedMs);
+            told(responseBody, requestedMs);
+            cell.accepted(entry, requestedMs);
             live(entry);
           } else if (status == 400 || status == 422) {
             cell.counters.userRefusals++;
@@ -199,7 +199,7 @@
     ask(
         uid,
         status -> {
-          if (status != null && status.stance().isFinal()) {
+          if (status != null && status.phase().isFinal()) {
             cell.jobOver(uid);
             over.add(uid);
           } else {
@@ -213,25 +213,25 @@
     ask(uid, status -> {});
   }
 
-  private void ask(String uid, Consumer<JobStatus> then) {
-    long askedMs = SteadyClock.nowMs();
+  private void ask(String uid, Consumer<JobStatus> onComplete) {
+    long requestedMs = SteadyClock.nowMs();
     boolean acceptedBefore = cell.checker.isAccepted(uid);
     cell.counters.polls++;
     send(
         "GET",
-        UserCodec.RUNS + "/" + uid,
+        UserCodec.JOBS_PATH + "/" + uid,
         null,
         POLL_MS,
         (status, body) -> {
           if (status == 200) {
-            then.accept(told(body, askedMs));
+            onComplete.accept(told(body, requestedMs));
             return;
           }
           if (status == 404) {
             cell.checker.denied(uid, acceptedBefore);
           }
           cell.counters.pollFailures++;
-          then.accept(null);
+          onComplete.accept(null);
         });
   }
 
@@ -244,15 +244,15 @@
   }
 
   private void tryCancel(String uid) {
-    long askedMs = SteadyClock.nowMs();
+    long requestedMs = SteadyClock.nowMs();
     send(
         "POST",
-        UserCodec.RUNS + "/" + uid + UserCodec.ABORT,
+        UserCodec.JOBS_PATH + "/" + uid + UserCodec.CANCEL_SUFFIX,
         "{}".getBytes(StandardCharsets.UTF_8),
         SUBMIT_MS,
         (status, body) -> {
           if (status == 200) {
-            told(body, askedMs);
+            told(body, requestedMs);
           } else {
             cell.counters.userRefusals++;
             cell.loop.schedule(() -> tryCancel(uid), RETRY_MS, TimeUnit.MILLISECONDS);
@@ -260,10 +260,10 @@
         });
   }
 
-  private JobStatus told(byte[] body, long askedMs) {
+  private JobStatus told(byte[] body, long requestedMs) {
     try {
-      JobStatus status = UserClientCodec.status(body);
-      cell.checker.told(status, askedMs, SteadyClock.nowMs());
+      JobStatus status = UserClientCodec.decodeStatus(body);
+      cell.checker.told(status, requestedMs, SteadyClock.nowMs());
       return status;
     } catch (MalformedMessageException e) {
       return null;
--- a/src/main/java/eiderfork/loadtest/EmulatedWorker.java
+++ b/src/main/java/eiderfork/loadtest/EmulatedWorker.java
@@ -2,12 +2,12 @@
 
 import com.google.common.collect.ImmutableList;
 import eiderfork.model.Attempt;
-import eiderfork.model.Command;
 import eiderfork.model.Heartbeat;
 import eiderfork.model.Machine;
 import eiderfork.model.MachineType;
 import eiderfork.model.Resources;
 import eiderfork.model.TaskStatus;
+import eiderfork.model.WorkerCommand;
 import eiderfork.net.HttpClient;
 import eiderfork.net.HttpServer;
 import eiderfork.wire.MalformedMessageException;
@@ -151,17 +151,17 @@
           () -> answered(sentMs, session, 0, EMPTY), ANSWER_MS, TimeUnit.MILLISECONDS);
       return;
     }
-    byte[] body = WorkerClientCodec.report(report());
+    byte[] body = WorkerClientCodec.encodeReport(report());
     cell.counters.reports++;
     cell.counters.reportedTasks += tasks.size();
     long ofSession = session;
     client.send(
         cell.controllers().get(node).publicAddress(),
         "POST",
-        WorkerCodec.REPORT,
+        WorkerCodec.REPORT_PATH,
         body,
         ANSWER_MS,
-        (status, said) -> answered(sentMs, ofSession, cutOff ? 0 : status, said));
+        (status, responseBody) -> answered(sentMs, ofSession, cutOff ? 0 : status, responseBody));
   }
 
   private void answered(long sentMs, long ofSession, int status, byte[] body) {
@@ -171,14 +171,14 @@
     }
     try {
       if (status == 200) {
-        taken(sentMs, ofSession, WorkerClientCodec.commands(body));
+        taken(sentMs, ofSession, WorkerClientCodec.decodeCommands(body));
         if (changed) {
           changed();
         } else {
           reportRegularly();
         }
       } else if (status == 421) {
-        redirected(WorkerClientCodec.leader(body));
+        redirected(WorkerClientCodec.decodeLeader(body));
       } else {
         tryNextNode();
       }
@@ -202,12 +202,12 @@
     reportIn(NEXT_NODE_MS);
   }
 
-  private void taken(long sentMs, long ofSession, WorkerClientCodec.Commands commands) {
-    if (ofSession != session || commands.token() < token) {
+  private void taken(long sentMs, long ofSession, WorkerClientCodec.FencedCommands commands) {
+    if (ofSession != session || commands.fencingToken() < token) {
       return;
     }
     leaseFromMs = Math.max(leaseFromMs, sentMs);
-    seen(commands.token());
+    seen(commands.fencingToken());
     commands.commands().forEach(this::execute);
   }
 
@@ -228,36 +228,36 @@
     if (gone || cutOff) {
       return;
     }
-    if (exchange.path.equals(WorkerCodec.INSPECT)) {
-      exchange.answer(200, WorkerClientCodec.report(report()), 0);
+    if (exchange.path.equals(WorkerCodec.INSPECT_PATH)) {
+      exchange.respond(200, WorkerClientCodec.encodeReport(report()), 0);
       return;
     }
     try {
-      var commands = WorkerClientCodec.commands(exchange.body);
-      boolean valid = commands.token() >= token && commands.session() == session;
+      var commands = WorkerClientCodec.decodeCommands(exchange.body);
+      boolean valid = commands.fencingToken() >= token && commands.incarnation() == session;
       if (valid) {
         cell.counters.directCommands += commands.commands().size();
-        seen(commands.token());
+        seen(commands.fencingToken());
         commands.commands().forEach(this::execute);
       }
-      exchange.answer(valid ? 200 : 409, WorkerClientCodec.report(report()), 0);
+      exchange.respond(valid ? 200 : 409, WorkerClientCodec.encodeReport(report()), 0);
       if (changed) {
         changed();
       }
     } catch (MalformedMessageException e) {
-      exchange.answer(400, EMPTY, 0);
+      exchange.respond(400, EMPTY, 0);
     }
   }
 
   // Commands.
 
-  private void execute(Command command) {
+  private void execute(WorkerCommand command) {
     Task task = tasks.get(command.attempt());
-    if (command instanceof Command.Run) {
+    if (command instanceof WorkerCommand.Run) {
       if (task == null) {
         run(command.attempt());
       }
-    } else if (command instanceof Command.Kill) {
+    } else if (command instanceof WorkerCommand.Kill) {
       if (task != null && task.state != TaskStatus.State.ENDED) {
         end(command.attempt(), task, TaskStatus.Cause.STOPPED);
       }
@@ -270,15 +270,15 @@
     Task task = new Task();
     tasks.put(attempt, task);
     changed = true;
-    JobCatalog.Entry entry = cell.catalogue.get(attempt.task().job());
+    JobCatalog.Entry entry = cell.catalogue.get(attempt.task().jobUid());
     if (entry == null) {
       end(attempt, task, TaskStatus.Cause.UNKNOWN);
     } else if (isHereAlready(attempt)) {
       end(attempt, task, TaskStatus.Cause.BUSY);
-    } else if (!used.plus(entry.job().need()).fitsIn(type.room())) {
+    } else if (!used.plus(entry.job().taskResources()).fitsIn(type.capacity())) {
       end(attempt, task, TaskStatus.Cause.NO_ROOM);
     } else {
-      task.need = entry.job().need();
+      task.need = entry.job().taskResources();
       used = used.plus(task.need);
       long waitMs = Math.max(1, imageReadyMs(entry) - SteadyClock.nowMs());
       cell.loop.schedule(() -> start(attempt, task, entry), waitMs, TimeUnit.MILLISECONDS);
@@ -297,7 +297,7 @@
   }
 
   private long imageReadyMs(JobCatalog.Entry entry) {
-    double fetchS = entry.job().imageGb() / type.fetchGbPerS();
+    double fetchS = entry.job().imageGb() / type.imageFetchGbPerS();
     return imageReadyMs.computeIfAbsent(
         entry.job().image(), image -> SteadyClock.nowMs() + (long) (1000 * fetchS));
   }
--- a/src/main/java/eiderfork/loadtest/FaultInjector.java
+++ b/src/main/java/eiderfork/loadtest/FaultInjector.java
@@ -39,53 +39,50 @@
 
   private void makeDue(double elapsedS) throws InterruptedException {
     while (!troubles.isEmpty() && troubles.get(0).atS() <= elapsedS) {
-      LoadTestSettings.Trouble trouble = troubles.remove(0);
-      EmulatedCell cell = cells.get(trouble.cell());
+      LoadTestSettings.Trouble fault = troubles.remove(0);
+      EmulatedCell cell = cells.get(fault.cell());
       LoadTest.on(
           cell,
           () -> {
-            cell.troubleBegins(trouble);
+            cell.troubleBegins(fault);
             return null;
           });
-      make(trouble, cell);
+      make(fault, cell);
     }
   }
 
-  private void make(LoadTestSettings.Trouble trouble, EmulatedCell cell)
-      throws InterruptedException {
-    switch (trouble.kind()) {
-      case "leader" -> kill(cell.controllers().get(LoadTest.on(cell, cell::leader)), trouble);
-      case "controllers" -> cell.controllers().forEach(each -> kill(each, trouble));
-      case "rack" -> cutOff(trouble, cell, EmulatedCell::isInFirstRack);
-      case "third" -> cutOff(trouble, cell, EmulatedCell::isInFirstThird);
-      case "workers" -> cutOff(trouble, cell, worker -> true);
+  private void make(LoadTestSettings.Trouble fault, EmulatedCell cell) throws InterruptedException {
+    switch (fault.kind()) {
+      case "leader" -> kill(cell.controllers().get(LoadTest.on(cell, cell::leader)), fault);
+      case "controllers" -> cell.controllers().forEach(each -> kill(each, fault));
+      case "rack" -> cutOff(fault, cell, EmulatedCell::isInFirstRack);
+      case "third" -> cutOff(fault, cell, EmulatedCell::isInFirstThird);
+      case "workers" -> cutOff(fault, cell, worker -> true);
       case "zone" -> {
-        makeAndMend(trouble, cell, cell::closeZone, cell::openZone);
-        cell.controllers().stream()
-            .filter(cell::isInClosedZone)
-            .forEach(each -> kill(each, trouble));
+        makeAndMend(fault, cell, cell::closeZone, cell::openZone);
+        cell.controllers().stream().filter(cell::isInClosedZone).forEach(each -> kill(each, fault));
       }
-      default -> throw new IllegalStateException(trouble.kind());
+      default -> throw new IllegalStateException(fault.kind());
     }
   }
 
   private void cutOff(
-      LoadTestSettings.Trouble trouble, EmulatedCell cell, Predicate<EmulatedWorker> which) {
-    makeAndMend(trouble, cell, () -> cell.cutOff(which, true), () -> cell.cutOff(which, false));
+      LoadTestSettings.Trouble fault, EmulatedCell cell, Predicate<EmulatedWorker> which) {
+    makeAndMend(fault, cell, () -> cell.cutOff(which, true), () -> cell.cutOff(which, false));
   }
 
   private void makeAndMend(
-      LoadTestSettings.Trouble trouble, EmulatedCell cell, Runnable make, Runnable mend) {
+      LoadTestSettings.Trouble fault, EmulatedCell cell, Runnable make, Runnable mend) {
     cell.loop.execute(make);
-    mendings.add(new Mending(cell, mend, untilMs(trouble)));
+    mendings.add(new Mending(cell, mend, untilMs(fault)));
   }
 
-  private static long untilMs(LoadTestSettings.Trouble trouble) {
-    return SteadyClock.nowMs() + (long) (1000 * trouble.forS());
+  private static long untilMs(LoadTestSettings.Trouble fault) {
+    return SteadyClock.nowMs() + (long) (1000 * fault.forS());
   }
 
-  private void kill(ControllerProcess controller, LoadTestSettings.Trouble trouble) {
-    restarts.add(new Restart(controller, untilMs(trouble)));
+  private void kill(ControllerProcess controller, LoadTestSettings.Trouble fault) {
+    restarts.add(new Restart(controller, untilMs(fault)));
     controller.kill();
   }
 
--- a/src/main/java/eiderfork/loadtest/InvariantChecker.java
+++ b/src/main/java/eiderfork/loadtest/InvariantChecker.java
@@ -46,7 +46,7 @@
     final Set<TaskId> running = new HashSet<>();
     boolean accepted;
     boolean cancelAsked;
-    JobStatus.Stance over;
+    JobStatus.Phase over;
     long overMs;
 
     Known(Job job) {
@@ -113,28 +113,28 @@
     jobs.get(uid).cancelAsked = true;
   }
 
-  /** A user who asked at {@code askedMs} was told this. */
-  void told(JobStatus status, long askedMs, long nowMs) {
+  /** A user who asked at {@code requestedMs} was told this. */
+  void told(JobStatus status, long requestedMs, long nowMs) {
     Known known = jobs.get(status.uid());
     if (known == null) {
-      note(Rule.INVENTED, status.uid() + " is " + status.stance());
+      note(Rule.INVENTED, status.uid() + " is " + status.phase());
       return;
     }
     known.accepted = true;
-    if (known.over != null && askedMs >= known.overMs && status.stance() != known.over) {
-      note(Rule.WENT_BACK, status.uid() + " was " + known.over + ", is " + status.stance());
+    if (known.over != null && requestedMs >= known.overMs && status.phase() != known.over) {
+      note(Rule.WENT_BACK, status.uid() + " was " + known.over + ", is " + status.phase());
     }
-    if (status.stance() == JobStatus.Stance.DONE
+    if (status.phase() == JobStatus.Phase.DONE
         && known.finished.cardinality() < known.job.tasks()) {
       note(Rule.NOT_DONE, status.uid() + " has " + known.finished.cardinality() + " tasks done");
     }
-    if (status.stance() == JobStatus.Stance.ABORTED && !known.cancelAsked) {
+    if (status.phase() == JobStatus.Phase.ABORTED && !known.cancelAsked) {
       note(Rule.WENT_BACK, status.uid() + " was cancelled by nobody");
     }
-    if (status.stance().isFinal() && known.over == null) {
-      known.over = status.stance();
+    if (status.phase().isFinal() && known.over == null) {
+      known.over = status.phase();
       known.overMs = nowMs;
-      if (status.stance() == JobStatus.Stance.ABORTED) {
+      if (status.phase() == JobStatus.Phase.ABORTED) {
         cancelled.put(status.uid(), known);
       }
     }
@@ -144,18 +144,18 @@
 
   void started(String machine, Attempt attempt, long nowMs) {
     TaskId task = attempt.task();
-    Known known = jobs.get(task.job());
+    Known known = jobs.get(task.jobUid());
     String other = machineOf.put(task, machine);
     if (other != null) {
       note(Rule.RAN_TWICE, task + " started on " + machine + " while on " + other);
       return;
     }
     known.running.add(task);
-    if (known.over == JobStatus.Stance.ABORTED && nowMs - known.overMs > cancelMs) {
+    if (known.over == JobStatus.Phase.ABORTED && nowMs - known.overMs > cancelMs) {
       note(Rule.RAN_CANCELLED, task + " started on " + machine);
     }
-    Resources used = usedBy.merge(known.job.team(), known.job.need(), Resources::plus);
-    if (!teams.get(known.job.team()).withinLimit(used)) {
+    Resources used = usedBy.merge(known.job.team(), known.job.taskResources(), Resources::plus);
+    if (!teams.get(known.job.team()).isWithinLimit(used)) {
       note(Rule.QUOTA, "team " + known.job.team() + " uses " + used);
     }
   }
@@ -163,19 +163,19 @@
   /** An attempt is not on its machine any more; {@code done} where it completed. */
   void gone(String machine, Attempt attempt, boolean done) {
     TaskId task = attempt.task();
-    Known known = jobs.get(task.job());
+    Known known = jobs.get(task.jobUid());
     if (done) {
       known.finished.set(task.index());
     }
     if (machine.equals(machineOf.get(task))) {
       machineOf.remove(task);
       known.running.remove(task);
-      usedBy.merge(known.job.team(), known.job.need(), Resources::minus);
+      usedBy.merge(known.job.team(), known.job.taskResources(), Resources::minus);
     }
   }
 
   boolean isFinished(TaskId task) {
-    Known known = jobs.get(task.job());
+    Known known = jobs.get(task.jobUid());
     return known != null && known.finished.get(task.index());
   }
 
--- a/src/main/java/eiderfork/loadtest/PreloadedJobs.java
+++ b/src/main/java/eiderfork/loadtest/PreloadedJobs.java
@@ -25,22 +25,25 @@
   }
 
   static void storeArchived(EmulatedStore state, int count, UniformRandomProvider random) {
-    String value = StoreServerCodec.value(new StoredRecord.EndedJob(JobStatus.Stance.DONE, 1));
+    String value =
+        StoreServerCodec.encodeRecord(new StoredRecord.ArchivedJob(JobStatus.Phase.DONE, 1));
     for (int i = 0; i < count; i++) {
-      state.preload(StoreKeys.ENDED + uid(random), value);
+      state.preload(StoreKeys.ENDED_PREFIX + uid(random), value);
     }
   }
 
   static void storeEnded(EmulatedStore state, int count, UniformRandomProvider random) {
     for (int i = 0; i < count; i++) {
       String uid = uid(random);
-      StoredRecord.Alloc alloc =
-          new StoredRecord.Alloc(
-              1, true, ImmutableList.of(), ImmutableList.of(new StoredRecord.Range(0, 0)));
+      StoredRecord.Allocation allocation =
+          new StoredRecord.Allocation(
+              1, true, ImmutableList.of(), ImmutableList.of(new StoredRecord.TaskRange(0, 0)));
       state.preload(
-          StoreKeys.JOB + uid, StoreServerCodec.value(new StoredRecord.JobSpec(job(uid))));
+          StoreKeys.JOB_PREFIX + uid,
+          StoreServerCodec.encodeRecord(new StoredRecord.JobSpec(job(uid))));
       state.preload(
-          StoreKeys.ALLOC + uid, StoreServerCodec.value(new StoredRecord.PackedAlloc(alloc)));
+          StoreKeys.ALLOC_PREFIX + uid,
+          StoreServerCodec.encodeRecord(new StoredRecord.PackedAllocation(allocation)));
     }
   }
 
--- a/src/main/java/eiderfork/loadtest/RecoveryTimer.java
+++ b/src/main/java/eiderfork/loadtest/RecoveryTimer.java
@@ -26,8 +26,8 @@
   private int mostMissing;
   private boolean stopped;
 
-  RecoveryTimer(LoadTestSettings.Trouble trouble, long termBefore, int missingBefore, long nowMs) {
-    this.trouble = trouble;
+  RecoveryTimer(LoadTestSettings.Trouble fault, long termBefore, int missingBefore, long nowMs) {
+    this.trouble = fault;
     this.termBefore = termBefore;
     this.missingBefore = missingBefore;
     beganMs = nowMs;
@@ -45,8 +45,8 @@
     }
   }
 
-  void accepted(long askedMs, long nowMs) {
-    if (!stopped && acceptedMs < 0 && askedMs > beganMs) {
+  void accepted(long requestedMs, long nowMs) {
+    if (!stopped && acceptedMs < 0 && requestedMs > beganMs) {
       acceptedMs = nowMs;
     }
   }
--- a/src/main/java/eiderfork/model/BitmapAllocationSize.java
+++ b/src/main/java/eiderfork/model/BitmapAllocationSize.java
@@ -19,16 +19,16 @@
   private static final int FRAME_BYTES = 64;
 
   /** The JSON around the text. */
-  private static final int AROUND_TEXT = 20;
+  private static final int JSON_ENVELOPE_BYTES = 20;
 
   /** The lengths of a series' prefix and of its numbers, beside the prefix. */
-  private static final int SERIES_BYTES = 4;
+  private static final int SERIES_OVERHEAD_BYTES = 4;
 
   /** A run's series of machine names. */
   private static final int SERIES_INDEX_BYTES = 1;
 
   /** One that is put between others begins a run of its own and has another begin anew. */
-  private static final int RUNS_OF_ONE_MORE = 2;
+  private static final int MAX_RUNS_PER_INSERTION = 2;
 
   private static final int TASKS_PER_WORD = 32;
   private static final int BYTES_PER_WORD = 4;
@@ -40,10 +40,10 @@
   private static final int WORDS_PER_BITMAP = 5;
 
   private static final int BITMAPS = 2;
-  private static final double TEXT_PER_BYTE = 4 / 3.0;
+  private static final double BASE64_EXPANSION = 4 / 3.0;
 
   /** The share of a value that is used, for what a store may count beside the text. */
-  private static final double VALUE_SHARE = 0.95;
+  private static final double USABLE_VALUE_SHARE = 0.95;
 
   private final int tasks;
 
@@ -55,7 +55,7 @@
   private int endOfWords;
   private int runs;
   private int seriesBytes;
-  private long numberBound = 1;
+  private long maxNumberBound = 1;
   private int lastIndex = -1;
   private long lastAttempt;
   private String lastMachine = "";
@@ -78,18 +78,18 @@
   }
 
   /** Counts reservations that stand already, in the order of their tasks. */
-  public void addStanding(int index, long attempt, String machine) {
+  public void addExisting(int index, long attempt, String machine) {
     boolean sameRun = lastIndex >= 0 && attempt == lastAttempt && machine.equals(lastMachine);
     count(index, attempt, machine, sameRun ? 0 : 1);
   }
 
   @Override
   public void add(int index, long attempt, String machine) {
-    count(index, attempt, machine, runsOfOneMore(index, attempt, machine));
+    count(index, attempt, machine, additionalRuns(index, attempt, machine));
   }
 
-  private void count(int index, long attempt, String machine, int moreRuns) {
-    runs += moreRuns;
+  private void count(int index, long attempt, String machine, int newRuns) {
+    runs += newRuns;
     lastIndex = index;
     lastAttempt = attempt;
     lastMachine = machine;
@@ -99,45 +99,54 @@
       unfinishedWords.set(endOfWords, word + 1);
       endOfWords = word + 1;
     }
-    NumberedName.Series named = NumberedName.of(machine).series();
-    if (series.add(named)) {
-      seriesBytes += bytesOf(named);
-      numberBound = Math.max(numberBound, named.bound());
+    NumberedName.Series nameSeries = NumberedName.of(machine).series();
+    if (series.add(nameSeries)) {
+      seriesBytes += bytesOf(nameSeries);
+      maxNumberBound = Math.max(maxNumberBound, nameSeries.exclusiveUpperBound());
     }
   }
 
-  private int runsOfOneMore(int index, long attempt, String machine) {
+  private int additionalRuns(int index, long attempt, String machine) {
     boolean extendsLast =
         index == lastIndex + 1 && attempt == lastAttempt && machine.equals(lastMachine);
-    return extendsLast ? 0 : RUNS_OF_ONE_MORE;
+    return extendsLast ? 0 : MAX_RUNS_PER_INSERTION;
   }
 
   @Override
   public boolean fits(int index, long attempt, String machine, double valueKb) {
-    NumberedName.Series named = NumberedName.of(machine).series();
-    int moreSeries = series.contains(named) ? 0 : bytesOf(named);
+    NumberedName.Series nameSeries = NumberedName.of(machine).series();
+    int additionalSeriesBytes = series.contains(nameSeries) ? 0 : bytesOf(nameSeries);
     // A run's attempt is told as how far it lies behind the newest one.
-    int run =
-        VarintSize.bytes(tasks)
-            + VarintSize.bytes(attempt)
-            + VarintSize.bytes(Math.max(numberBound, named.bound()))
+    int runBytes =
+        VarintSize.maxBytes(tasks)
+            + VarintSize.maxBytes(attempt)
+            + VarintSize.maxBytes(Math.max(maxNumberBound, nameSeries.exclusiveUpperBound()))
             + SERIES_INDEX_BYTES;
-    int allRuns = runs + runsOfOneMore(index, attempt, machine);
-    int bytes = FRAME_BYTES + seriesBytes + moreSeries + bitmapBytes(index) + allRuns * run;
-    return bytes * TEXT_PER_BYTE + AROUND_TEXT <= valueKb * 1024 * VALUE_SHARE;
+    int totalRuns = runs + additionalRuns(index, attempt, machine);
+    int totalBytes =
+        FRAME_BYTES
+            + seriesBytes
+            + additionalSeriesBytes
+            + bitmapBytes(index)
+            + totalRuns * runBytes;
+    return totalBytes * BASE64_EXPANSION + JSON_ENVELOPE_BYTES
+        <= valueKb * 1024 * USABLE_VALUE_SHARE;
   }
 
   private int bitmapBytes(int index) {
     int word = index / TASKS_PER_WORD;
-    int moreUnfinished = Math.max(0, word + 1 - endOfWords);
-    int moreReserved = reservedWords.get(word) ? 0 : 1;
-    int changing =
-        unfinishedWords.cardinality() + moreUnfinished + reservedWords.cardinality() + moreReserved;
-    int words = WORDS_PER_CHANGING_WORD * changing + BITMAPS * WORDS_PER_BITMAP;
+    int additionalUnfinished = Math.max(0, word + 1 - endOfWords);
+    int additionalReserved = reservedWords.get(word) ? 0 : 1;
+    int changingWords =
+        unfinishedWords.cardinality()
+            + additionalUnfinished
+            + reservedWords.cardinality()
+            + additionalReserved;
+    int words = WORDS_PER_CHANGING_WORD * changingWords + BITMAPS * WORDS_PER_BITMAP;
     return words * BYTES_PER_WORD;
   }
 
   private static int bytesOf(NumberedName.Series series) {
-    return SERIES_BYTES + series.prefix().length() * NumberedName.MOST_BYTES_PER_CHARACTER;
+    return SERIES_OVERHEAD_BYTES + series.prefix().length() * NumberedName.MAX_BYTES_PER_CHARACTER;
   }
 }
--- a/src/main/java/eiderfork/model/Job.java
+++ b/src/main/java/eiderfork/model/Job.java
@@ -5,8 +5,8 @@
 /**
  * What a user submitted; never changes once accepted.
  *
- * @param types allowed machine types, null for any
- * @param zone the only allowed zone, null for any
+ * @param allowedTypes allowed machine types, null for any
+ * @param requiredZone the only allowed zone, null for any
  * @param deadlineS null for none
  */
 public record Job(
@@ -16,33 +16,33 @@
     JobKind kind,
     Priority priority,
     int tasks,
-    Resources need,
-    ImmutableSet<String> types,
-    String zone,
-    boolean oneZone,
-    boolean spread,
-    boolean spot,
+    Resources taskResources,
+    ImmutableSet<String> allowedTypes,
+    String requiredZone,
+    boolean singleZone,
+    boolean spreadZones,
+    boolean spotAllowed,
     String image,
     double imageGb,
-    double estimateS,
-    double checkpointS,
-    double saveS,
+    double estimatedRunS,
+    double checkpointIntervalS,
+    double saveDurationS,
     Double deadlineS) {
   /** The most tasks that a job may have. */
-  public static final int MOST_TASKS = 100_000;
+  public static final int MAX_TASKS = 100_000;
 
   /** Whether the job's tasks may run on machines of this type. */
   public boolean allowsType(String type) {
-    return types == null || types.contains(type);
+    return allowedTypes == null || allowedTypes.contains(type);
   }
 
   /** Whether the job's tasks may run in this zone, as far as the job names one. */
-  public boolean allowsZone(String z) {
-    return zone == null || zone.equals(z);
+  public boolean allowsZone(String candidateZone) {
+    return requiredZone == null || requiredZone.equals(candidateZone);
   }
 
   /** The most tasks of this job that one zone may hold. */
-  public int perZone() {
-    return spread ? (tasks + 1) / 2 : tasks;
+  public int maxTasksPerZone() {
+    return spreadZones ? (tasks + 1) / 2 : tasks;
   }
 }
--- a/src/main/java/eiderfork/model/JobStatus.java
+++ b/src/main/java/eiderfork/model/JobStatus.java
@@ -1,9 +1,9 @@
 package eiderfork.model;
 
 /** What a user is told of a job. */
-public record JobStatus(String uid, Stance stance, int done, int running) {
+public record JobStatus(String uid, Phase phase, int doneTasks, int runningTasks) {
   /** The state of a job as users see it. */
-  public enum Stance {
+  public enum Phase {
     PENDING,
     RUNNING,
     DONE,
--- a/src/main/java/eiderfork/model/Machine.java
+++ b/src/main/java/eiderfork/model/Machine.java
@@ -1,4 +1,4 @@
 package eiderfork.model;
 
 /** A machine as rented: what never changes about it. */
-public record Machine(String name, String addr, String type, String zone, boolean spot) {}
+public record Machine(String name, String address, String type, String zone, boolean spot) {}
--- a/src/main/java/eiderfork/model/MachineType.java
+++ b/src/main/java/eiderfork/model/MachineType.java
@@ -5,16 +5,16 @@
 /** A kind of machine that the cloud rents out, with its room, image cache, prices and zones. */
 public record MachineType(
     String name,
-    Resources room,
-    double cacheGb,
-    double fetchGbPerS,
-    double price,
-    double spotPrice,
+    Resources capacity,
+    double imageCacheGb,
+    double imageFetchGbPerS,
+    double hourlyPrice,
+    double spotHourlyPrice,
     double bootS,
     ImmutableList<String> zones) {
 
   /** The price of an hour, on a spot machine or an ordinary one. */
-  public double price(boolean spot) {
-    return spot ? spotPrice : price;
+  public double hourlyPrice(boolean spot) {
+    return spot ? spotHourlyPrice : hourlyPrice;
   }
 }
--- a/src/main/java/eiderfork/model/NumberedName.java
+++ b/src/main/java/eiderfork/model/NumberedName.java
@@ -9,15 +9,15 @@
  */
 public record NumberedName(Series series, long number) {
   /** Characters take at most this many bytes in UTF-8. */
-  static final int MOST_BYTES_PER_CHARACTER = 3;
+  static final int MAX_BYTES_PER_CHARACTER = 3;
 
   /** Digits that surely fit into a long. */
-  private static final int MOST_DIGITS = 17;
+  private static final int MAX_DIGITS = 17;
 
   /** Names of one prefix and one number of digits. */
   public record Series(String prefix, int digits) {
     /** A number that all numbers of the series are below. */
-    long bound() {
+    long exclusiveUpperBound() {
       long bound = 1;
       for (int i = 0; i < digits; i++) {
         bound *= 10;
@@ -29,7 +29,7 @@
   /** Takes a name apart. */
   public static NumberedName of(String name) {
     int start = name.length();
-    while (start > 0 && name.length() - start < MOST_DIGITS && isDigit(name.charAt(start - 1))) {
+    while (start > 0 && name.length() - start < MAX_DIGITS && isDigit(name.charAt(start - 1))) {
       start--;
     }
     int digits = name.length() - start;
--- a/src/main/java/eiderfork/model/PackedAllocationSize.java
+++ b/src/main/java/eiderfork/model/PackedAllocationSize.java
@@ -15,25 +15,25 @@
   private static final int FRAME_BYTES = 64;
 
   /** The JSON around the text. */
-  private static final int AROUND_TEXT = 20;
+  private static final int JSON_ENVELOPE_BYTES = 20;
 
   /** The length of a run of tasks and the series of its machine's name. */
   private static final int SMALL_COLUMNS_BYTES = 3;
 
   /** The lengths of a series' prefix and of its numbers, beside the prefix. */
-  private static final int SERIES_BYTES = 4;
+  private static final int SERIES_OVERHEAD_BYTES = 4;
 
   private static final int TASKS_PER_BYTE = 8;
-  private static final double TEXT_PER_BYTE = 4 / 3.0;
+  private static final double BASE64_EXPANSION = 4 / 3.0;
 
   /** The share of a value that is used, for what a store may count beside the text. */
-  private static final double VALUE_SHARE = 0.95;
+  private static final double USABLE_VALUE_SHARE = 0.95;
 
   private final int tasks;
   private final int finishedRanges;
   private final Set<NumberedName.Series> series = new HashSet<>();
-  private int reserved;
-  private int reservedBytes;
+  private int reservations;
+  private int reservationBytes;
   private long newestAttempt;
   private int seriesBytes;
 
@@ -51,9 +51,9 @@
   @Override
   public void add(int index, long attempt, String machine) {
     NumberedName name = NumberedName.of(machine);
-    reserved++;
+    reservations++;
     newestAttempt = Math.max(newestAttempt, attempt);
-    reservedBytes += bytesOf(name);
+    reservationBytes += bytesOf(name);
     if (series.add(name.series())) {
       seriesBytes += bytesOf(name.series());
     }
@@ -62,23 +62,33 @@
   @Override
   public boolean fits(int index, long attempt, String machine, double valueKb) {
     NumberedName name = NumberedName.of(machine);
-    int more = bytesOf(name);
+    int additionalBytes = bytesOf(name);
     // An attempt is told as how far it lies behind the newest, which is more the older it is.
-    int attempts = (reserved + 1) * VarintSize.bytes(Math.max(newestAttempt, attempt));
-    int moreSeries = series.contains(name.series()) ? 0 : bytesOf(name.series());
-    int ranges = finishedRanges + reserved + 1 + 1;
-    int finishedBytes = Math.min(tasks / TASKS_PER_BYTE + 1, ranges * 2 * VarintSize.bytes(tasks));
-    int bytes =
-        FRAME_BYTES + reservedBytes + more + attempts + seriesBytes + moreSeries + finishedBytes;
-    return bytes * TEXT_PER_BYTE + AROUND_TEXT <= valueKb * 1024 * VALUE_SHARE;
+    int attemptBytes = (reservations + 1) * VarintSize.maxBytes(Math.max(newestAttempt, attempt));
+    int additionalSeriesBytes = series.contains(name.series()) ? 0 : bytesOf(name.series());
+    int rangeCount = finishedRanges + reservations + 1 + 1;
+    int finishedBytes =
+        Math.min(tasks / TASKS_PER_BYTE + 1, rangeCount * 2 * VarintSize.maxBytes(tasks));
+    int totalBytes =
+        FRAME_BYTES
+            + reservationBytes
+            + additionalBytes
+            + attemptBytes
+            + seriesBytes
+            + additionalSeriesBytes
+            + finishedBytes;
+    return totalBytes * BASE64_EXPANSION + JSON_ENVELOPE_BYTES
+        <= valueKb * 1024 * USABLE_VALUE_SHARE;
   }
 
   /** A run of tasks takes no more than its tasks alone, so it does not matter how they end. */
   private int bytesOf(NumberedName name) {
-    return VarintSize.bytes(tasks) + VarintSize.bytes(name.series().bound()) + SMALL_COLUMNS_BYTES;
+    return VarintSize.maxBytes(tasks)
+        + VarintSize.maxBytes(name.series().exclusiveUpperBound())
+        + SMALL_COLUMNS_BYTES;
   }
 
   private static int bytesOf(NumberedName.Series series) {
-    return SERIES_BYTES + series.prefix().length() * NumberedName.MOST_BYTES_PER_CHARACTER;
+    return SERIES_OVERHEAD_BYTES + series.prefix().length() * NumberedName.MAX_BYTES_PER_CHARACTER;
   }
 }
--- a/src/main/java/eiderfork/model/Resources.java
+++ b/src/main/java/eiderfork/model/Resources.java
@@ -6,46 +6,48 @@
   public static final Resources NONE = new Resources(0, 0, 0);
 
   /** Sums of decimal amounts pick up rounding dust; nothing real is smaller than this. */
-  public static final double DUST = 1e-6;
+  public static final double ROUNDING_TOLERANCE = 1e-6;
 
   /** The sum of both amounts. */
-  public Resources plus(Resources o) {
-    return new Resources(cpus + o.cpus, gpus + o.gpus, ramGb + o.ramGb);
+  public Resources plus(Resources other) {
+    return new Resources(cpus + other.cpus, gpus + other.gpus, ramGb + other.ramGb);
   }
 
   /** What is left of this amount without the other; may be negative. */
-  public Resources minus(Resources o) {
-    return new Resources(cpus - o.cpus, gpus - o.gpus, ramGb - o.ramGb);
+  public Resources minus(Resources other) {
+    return new Resources(cpus - other.cpus, gpus - other.gpus, ramGb - other.ramGb);
   }
 
-  /** This amount {@code n} times. */
-  public Resources times(double n) {
-    return new Resources(cpus * n, gpus * n, ramGb * n);
+  /** This amount {@code factor} times. */
+  public Resources times(double factor) {
+    return new Resources(cpus * factor, gpus * factor, ramGb * factor);
   }
 
-  /** Whether no part of this amount exceeds the same part of {@code room}. */
-  public boolean fitsIn(Resources room) {
-    return fitsIn(room.cpus, room.gpus, room.ramGb);
+  /** Whether no part of this amount exceeds the same part of {@code capacity}. */
+  public boolean fitsIn(Resources capacity) {
+    return fitsIn(capacity.cpus, capacity.gpus, capacity.ramGb);
   }
 
   /** Whether no part of this amount exceeds what there is of it. */
-  public boolean fitsIn(double roomCpus, double roomGpus, double roomRamGb) {
-    return cpus <= roomCpus + DUST && gpus <= roomGpus + DUST && ramGb <= roomRamGb + DUST;
+  public boolean fitsIn(double availableCpus, double availableGpus, double availableRamGb) {
+    return cpus <= availableCpus + ROUNDING_TOLERANCE
+        && gpus <= availableGpus + ROUNDING_TOLERANCE
+        && ramGb <= availableRamGb + ROUNDING_TOLERANCE;
   }
 
-  /** How many of {@code one} fit into this amount. */
-  public int count(Resources one) {
-    double n = Double.MAX_VALUE;
-    if (one.cpus > 0) {
-      n = Math.min(n, (cpus + DUST) / one.cpus);
+  /** How many of {@code unit} fit into this amount. */
+  public int countFitting(Resources unit) {
+    double count = Double.MAX_VALUE;
+    if (unit.cpus > 0) {
+      count = Math.min(count, (cpus + ROUNDING_TOLERANCE) / unit.cpus);
     }
-    if (one.gpus > 0) {
-      n = Math.min(n, (gpus + DUST) / one.gpus);
+    if (unit.gpus > 0) {
+      count = Math.min(count, (gpus + ROUNDING_TOLERANCE) / unit.gpus);
     }
-    if (one.ramGb > 0) {
-      n = Math.min(n, (ramGb + DUST) / one.ramGb);
+    if (unit.ramGb > 0) {
+      count = Math.min(count, (ramGb + ROUNDING_TOLERANCE) / unit.ramGb);
     }
-    return (int) Math.max(0, Math.min(n, Integer.MAX_VALUE));
+    return (int) Math.max(0, Math.min(count, Integer.MAX_VALUE));
   }
 
   /** The mean share of {@code whole} that this amount is, over the kinds that it has. */
--- a/src/main/java/eiderfork/model/StoredRecord.java
+++ b/src/main/java/eiderfork/model/StoredRecord.java
@@ -12,50 +12,54 @@
   record Leadership(String node, long term) implements StoredRecord {}
 
   /** A value that this version can't read; what it stands for is left as it is. */
-  record Unreadable(String why) implements StoredRecord {}
+  record Unreadable(String reason) implements StoredRecord {}
 
   /** The counter of terms. */
-  record Term(long term) implements StoredRecord {}
+  record TermCounter(long term) implements StoredRecord {}
 
   /** A confirmed cancellation of a job; written once and never removed. */
-  record Aborted(String uid) implements StoredRecord {}
+  record Cancellation(String uid) implements StoredRecord {}
 
   /** Tasks {@code from} to {@code to}, both included, reserved on a machine as one attempt. */
-  record Span(int from, int to, long attempt, String machine) {}
+  record ReservedRange(int from, int to, long attempt, String machine) {}
 
   /** Tasks {@code from} to {@code to}, both included. */
-  record Range(int from, int to) {}
+  record TaskRange(int from, int to) {}
 
   /**
    * The leader's own record of a job.
    *
    * @param lastAttempt the largest attempt number ever reserved in this job
    */
-  record Alloc(
-      long lastAttempt, boolean done, ImmutableList<Span> reserved, ImmutableList<Range> finished)
+  record Allocation(
+      long lastAttempt,
+      boolean done,
+      ImmutableList<ReservedRange> reserved,
+      ImmutableList<TaskRange> finished)
       implements StoredRecord {
     /** The record of a job that nothing was ever reserved for. */
-    public static final Alloc EMPTY = new Alloc(0, false, ImmutableList.of(), ImmutableList.of());
+    public static final Allocation EMPTY =
+        new Allocation(0, false, ImmutableList.of(), ImmutableList.of());
   }
 
   /**
    * The same record in a form that takes a fraction of the space. Versions before the second can't
    * read it; it is read back as the record that it holds.
    */
-  record PackedAlloc(Alloc alloc) implements StoredRecord {}
+  record PackedAllocation(Allocation alloc) implements StoredRecord {}
 
   /**
    * The same record in the packed or the bitmap form, whichever is shorter. Versions before the
    * fourth can't read the bitmap one; both are read back as the record that they hold.
    */
-  record BitmapAlloc(Alloc alloc) implements StoredRecord {}
+  record BitmapAllocation(Allocation alloc) implements StoredRecord {}
 
   /** A rent reserved before the cloud is asked, under the name that the request carries. */
-  record Rent(String requestName, String type, String zone, boolean spot, int count)
+  record ScaleOutIntent(String requestName, String type, String zone, boolean spot, int count)
       implements StoredRecord {}
 
   /** A return reserved before the cloud is asked. */
-  record Return(ImmutableList<String> machines) implements StoredRecord {}
+  record ScaleInIntent(ImmutableList<String> machines) implements StoredRecord {}
 
   /** Machines whose workers a node answers in the place of a leader that they can't reach. */
   record ProxiedLeases(ImmutableList<String> machines) implements StoredRecord {}
@@ -63,13 +67,13 @@
   /**
    * The final state of a job that was archived: its other records are gone.
    *
-   * @param done how many of its tasks had completed
+   * @param doneTasks how many of its tasks had completed
    */
-  record EndedJob(JobStatus.Stance stance, int done) implements StoredRecord {}
+  record ArchivedJob(JobStatus.Phase phase, int doneTasks) implements StoredRecord {}
 
   /** The newest version that every member of the cluster runs. */
   record StoredVersion(int version) implements StoredRecord {}
 
   /** The machine types, kept for nodes that must judge a submission without the cloud. */
-  record Types(ImmutableList<MachineType> types) implements StoredRecord {}
+  record MachineTypes(ImmutableList<MachineType> types) implements StoredRecord {}
 }
--- a/src/main/java/eiderfork/model/TaskId.java
+++ b/src/main/java/eiderfork/model/TaskId.java
@@ -1,10 +1,10 @@
 package eiderfork.model;
 
 /** One task of a job, by the job's id and the task's number from 0. */
-public record TaskId(String job, int index) {
+public record TaskId(String jobUid, int index) {
   @Override
   public String toString() {
-    return job + "/" + index;
+    return jobUid + "/" + index;
   }
 
   /** Null where the text names no task. */
--- a/src/main/java/eiderfork/model/TaskStatus.java
+++ b/src/main/java/eiderfork/model/TaskStatus.java
@@ -1,14 +1,14 @@
 package eiderfork.model;
 
 /** What a worker says of one attempt; {@code cause} is null unless it has ended. */
-public record TaskStatus(Attempt attempt, State state, Cause cause, boolean saved) {
+public record TaskStatus(Attempt attempt, State state, Cause cause, boolean checkpointed) {
   /** What an attempt is doing on its machine. */
   public enum State {
     FETCHING,
     /** A gang's task that waits for the others. */
-    GATHERING,
+    WAITING_FOR_GANG,
     RUNNING,
-    SAVING,
+    CHECKPOINTING,
     /** On the machine, in a state that this version does not know. */
     OTHER,
     ENDED
@@ -23,13 +23,13 @@
     BUSY,
     UNKNOWN,
     /** A task of the same gang was lost. */
-    PEERS,
+    PEER_LOST,
     /** The others of the gang did not come. */
-    INCOMPLETE
+    GANG_INCOMPLETE
   }
 
   /** Whether the attempt has ended; only then it has a cause. */
-  public boolean ended() {
+  public boolean hasEnded() {
     return state == State.ENDED;
   }
 }
--- a/src/main/java/eiderfork/model/VarintSize.java
+++ b/src/main/java/eiderfork/model/VarintSize.java
@@ -7,7 +7,7 @@
   private VarintSize() {}
 
   /** How many bytes a number of this size, or its negative, takes at most. */
-  static int bytes(long number) {
+  static int maxBytes(long number) {
     int bits = Long.SIZE - Long.numberOfLeadingZeros(number) + 1;
     return (bits + BITS_PER_BYTE - 1) / BITS_PER_BYTE;
   }
--- a/src/main/java/eiderfork/model/Command.java
+++ b/src/main/java/eiderfork/model/WorkerCommand.java
@@ -1,16 +1,16 @@
 package eiderfork.model;
 
 /** What a controller tells a worker to do with one attempt of a task. */
-public sealed interface Command {
+public sealed interface WorkerCommand {
   /** The attempt that the command is about. */
   Attempt attempt();
 
   /** Start the attempt; without effect where the worker knows it in any state. */
-  record Run(Attempt attempt) implements Command {}
+  record Run(Attempt attempt) implements WorkerCommand {}
 
   /** Stop the attempt, which may save its progress for up to {@code graceS} seconds. */
-  record Kill(Attempt attempt, double graceS) implements Command {}
+  record Kill(Attempt attempt, double graceS) implements WorkerCommand {}
 
   /** Forget an attempt that has ended. */
-  record Clear(Attempt attempt) implements Command {}
+  record Clear(Attempt attempt) implements WorkerCommand {}
 }
--- a/src/main/java/eiderfork/net/ClassDataTraining.java
+++ b/src/main/java/eiderfork/net/ClassDataTraining.java
@@ -19,13 +19,13 @@
  */
 public final class ClassDataTraining {
   /** One controller asks, over a handful of connections. */
-  private static final int STAND_IN_BACKLOG = 16;
+  private static final int STUB_BACKLOG = 16;
 
-  private static final long REPORTS = 8;
-  private static final long PAUSE_MS = 150;
-  private static final int TRIES = 5;
+  private static final long ROUNDS = 8;
+  private static final long ROUND_PAUSE_MS = 150;
+  private static final int MAX_ATTEMPTS = 5;
 
-  private final AtomicLong ledger = new AtomicLong(1);
+  private final AtomicLong revision = new AtomicLong(1);
   private final MultiThreadIoEventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
 
@@ -37,9 +37,9 @@
    * @throws Exception where the controller or a stand-in fails
    */
   public static void run() throws Exception {
-    for (int left = TRIES; ; left--) {
+    for (int left = MAX_ATTEMPTS; ; left--) {
       try {
-        new ClassDataTraining().play();
+        new ClassDataTraining().runOnce();
         return;
       } catch (IOException e) {
         // Another program took a port between the look for a free one and its use.
@@ -50,11 +50,11 @@
     }
   }
 
-  private void play() throws Exception {
+  private void runOnce() throws Exception {
     Endpoint any = new Endpoint("127.0.0.1", 0);
-    int services = port(new HttpServer(this::standIn, STAND_IN_BACKLOG).listen(group, any));
-    int publicPort = free();
-    int peerPort = free();
+    int services = localPort(new HttpServer(this::respondAsStub, STUB_BACKLOG).listen(group, any));
+    int publicPort = findFreePort();
+    int peerPort = findFreePort();
     String settings =
         """
         host_name = "roost-0"
@@ -98,16 +98,16 @@
             SettingsParser.parse("training-run", settings, OperatorSettings.DEFAULTS));
     node.start();
     HttpClient client = new HttpClient(group.next(), 1);
-    Endpoint to = new Endpoint("127.0.0.1", publicPort);
-    for (int i = 1; i <= REPORTS; i++) {
-      Thread.sleep(PAUSE_MS);
+    Endpoint endpoint = new Endpoint("127.0.0.1", publicPort);
+    for (int i = 1; i <= ROUNDS; i++) {
+      Thread.sleep(ROUND_PAUSE_MS);
       String report =
           """
           {"Roost":"n-1","Addr":"127.0.0.1:%d","Breed":"t","Shore":"a","Driftwood":false,
           "Tenure":1,"Tally":%d,"Warrant":%d,"WarningS":null,
           "Hatchlings":[{"Hatchling":"run-1/1","Try":1,"Stance":"ended","Cause":"done"}]}"""
               .formatted(services, i, (1L << 24) + 1);
-      call(client, to, "POST", "/v1/report", report);
+      sendAndAwait(client, endpoint, "POST", "/v1/report", report);
       String job =
           """
           {"Uid":"run-%d","Flock":"class","Crew":"team","Guise":"standing","Precedence":"high",
@@ -115,49 +115,50 @@
           "Together":false,"Scatter":false,"Driftwood":false,"Plumage":"i","ImageGb":1.0,
           "ReckonS":0.0,"MoultS":0.0,"StowS":0.0,"DueS":null}"""
               .formatted(i);
-      call(client, to, "POST", "/v2/runs", job);
-      call(client, to, "GET", "/v2/runs/run-" + i, null);
-      call(client, to, "GET", "/healthz", null);
-      call(client, to, "POST", "/v2/runs/run-" + Math.max(1, i - 3) + "/abort", "{}");
+      sendAndAwait(client, endpoint, "POST", "/v2/runs", job);
+      sendAndAwait(client, endpoint, "GET", "/v2/runs/run-" + i, null);
+      sendAndAwait(client, endpoint, "GET", "/healthz", null);
+      sendAndAwait(client, endpoint, "POST", "/v2/runs/run-" + Math.max(1, i - 3) + "/abort", "{}");
     }
     node.close();
     group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
   }
 
-  private static void call(HttpClient client, Endpoint to, String method, String path, String body)
+  private static void sendAndAwait(
+      HttpClient client, Endpoint endpoint, String method, String path, String body)
       throws InterruptedException {
     CountDownLatch done = new CountDownLatch(1);
     byte[] bytes = body == null ? null : body.getBytes(StandardCharsets.UTF_8);
-    client.send(to, method, path, bytes, 1000, (status, said) -> done.countDown());
+    client.send(endpoint, method, path, bytes, 1000, (status, responseBody) -> done.countDown());
     done.await(2, TimeUnit.SECONDS);
   }
 
-  private static int port(io.netty.channel.Channel channel) {
+  private static int localPort(io.netty.channel.Channel channel) {
     return ((InetSocketAddress) channel.localAddress()).getPort();
   }
 
-  private static int free() throws IOException {
+  private static int findFreePort() throws IOException {
     try (var socket = new java.net.ServerSocket(0)) {
       return socket.getLocalPort();
     }
   }
 
-  private void standIn(HttpServer.Exchange exchange) {
+  private void respondAsStub(HttpServer.Exchange exchange) {
     String path = exchange.path;
     int status = 200;
     String body;
     if (path.startsWith("/keys/")) {
       status = 404;
-      body = "{\"Ledger\":%d}".formatted(ledger.get());
+      body = "{\"Ledger\":%d}".formatted(revision.get());
     } else if (path.startsWith("/keys?")) {
-      body = "{\"Items\":[],\"HasNext\":false,\"Ledger\":%d}".formatted(ledger.get());
+      body = "{\"Items\":[],\"HasNext\":false,\"Ledger\":%d}".formatted(revision.get());
     } else if (path.startsWith("/follow")) {
       // Left open, as a watch without changes is.
       return;
     } else if (path.startsWith("/leases")) {
       body = "{\"Tether\":1}";
     } else if (path.startsWith("/multi")) {
-      body = "{\"Ledger\":%d}".formatted(ledger.incrementAndGet());
+      body = "{\"Ledger\":%d}".formatted(revision.incrementAndGet());
     } else if (path.startsWith("/flavors")) {
       body =
           """
@@ -178,8 +179,8 @@
           """
           {"Roost":"n-1","Addr":"127.0.0.1:1","Breed":"t","Shore":"a","Driftwood":false,
           "Tenure":1,"Tally":%d,"Warrant":%d,"Hatchlings":[]}"""
-              .formatted(1000 + ledger.incrementAndGet(), (1L << 24) + 1);
+              .formatted(1000 + revision.incrementAndGet(), (1L << 24) + 1);
     }
-    exchange.answer(status, body.getBytes(StandardCharsets.UTF_8), 0);
+    exchange.respond(status, body.getBytes(StandardCharsets.UTF_8), 0);
   }
 }
--- a/src/main/java/eiderfork/net/ControllerNode.java
+++ b/src/main/java/eiderfork/net/ControllerNode.java
@@ -30,11 +30,11 @@
 public final class ControllerNode implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(ControllerNode.class);
 
-  private static final byte[] NOTHING = new byte[0];
+  private static final byte[] EMPTY_BODY = new byte[0];
   private static final long NANOS_PER_MS = 1_000_000;
 
   /** How often it is told what the event loop's time goes into. */
-  private static final long TELL_S = 60;
+  private static final long METRICS_LOG_INTERVAL_S = 60;
 
   private final Settings settings;
   private final MultiThreadIoEventLoopGroup group =
@@ -42,20 +42,21 @@
   private final EventLoop loop = group.next();
   private final HttpClient client;
   private final Controller controller;
-  private final EventLoopMetrics meter = new EventLoopMetrics();
+  private final EventLoopMetrics metrics = new EventLoopMetrics();
   private final FailoverTracer tracer;
-  private final Long2ObjectOpenHashMap<HttpServer.Exchange> open = new Long2ObjectOpenHashMap<>();
-  private long tickets;
+  private final Long2ObjectOpenHashMap<HttpServer.Exchange> openExchanges =
+      new Long2ObjectOpenHashMap<>();
+  private long lastTicket;
 
   /** Requests that a peer passed on; they are answered in the peers' format. */
-  private final Long2ObjectOpenHashMap<HttpServer.Exchange> passedOn =
+  private final Long2ObjectOpenHashMap<HttpServer.Exchange> forwardedExchanges =
       new Long2ObjectOpenHashMap<>();
 
   /** Makes a node that does nothing until it is started. */
   public ControllerNode(Settings settings) {
     this.settings = settings;
-    client = new HttpClient(loop, settings.controller().outbound());
-    tracer = FailoverTracer.of(settings.node(), settings.operator().traceFile());
+    client = new HttpClient(loop, settings.controllerResources().maxOutboundConnections());
+    tracer = FailoverTracer.of(settings.nodeName(), settings.operator().traceFile());
     controller = new Controller(settings, ThreadLocalRandom.current(), nowMs());
   }
 
@@ -65,22 +66,23 @@
 
   /** Opens the listening ports and starts the controller. */
   public void start() throws InterruptedException {
-    new HttpServer(this::publicRequest, settings.controller().sockets())
-        .listen(group, settings.listen());
-    new HttpServer(this::peerRequest, settings.controller().sockets())
-        .listen(group, settings.peerListen());
-    long tickMs = Math.max(1, controller.tickMs());
+    new HttpServer(this::onPublicRequest, settings.controllerResources().sockets())
+        .listen(group, settings.publicEndpoint());
+    new HttpServer(this::onPeerRequest, settings.controllerResources().sockets())
+        .listen(group, settings.peerListenEndpoint());
+    long tickMs = Math.max(1, controller.tickIntervalMs());
     loop.scheduleWithFixedDelay(this::tick, 0, tickMs, TimeUnit.MILLISECONDS);
     loop.scheduleWithFixedDelay(
-        client::sweep, 1, (long) settings.workers().leaseS(), TimeUnit.SECONDS);
-    HeapMonitor heap = new HeapMonitor(HeapMonitor.OWN, settings.controller().memoryMb());
-    loop.scheduleWithFixedDelay(heap::check, 1, 1, TimeUnit.SECONDS);
+        client::closeExpired, 1, (long) settings.workerTimings().leaseS(), TimeUnit.SECONDS);
+    HeapMonitor heap =
+        new HeapMonitor(HeapMonitor.PROCESS_HEAP, settings.controllerResources().memoryMb());
+    loop.scheduleWithFixedDelay(heap::collectIfNeeded, 1, 1, TimeUnit.SECONDS);
     loop.scheduleWithFixedDelay(
-        () -> LOG.info("work of the last minute: {}", meter.tell()),
-        TELL_S,
-        TELL_S,
+        () -> LOG.info("work of the last minute: {}", metrics.takeSummary()),
+        METRICS_LOG_INTERVAL_S,
+        METRICS_LOG_INTERVAL_S,
         TimeUnit.SECONDS);
-    LOG.info("{} listens on {}", settings.node(), settings.listen());
+    LOG.info("{} listens on {}", settings.nodeName(), settings.publicEndpoint());
   }
 
   /** Waits until the node is closed. */
@@ -95,16 +97,16 @@
   }
 
   private void tick() {
-    take(new Input.Tick());
+    handle(new Input.Tick());
   }
 
-  private void take(Input input) {
+  private void handle(Input input) {
     long beganNs = System.nanoTime();
     try {
-      for (Effect effect : controller.take(beganNs / NANOS_PER_MS, input)) {
-        carryOut(effect);
+      for (Effect effect : controller.handle(beganNs / NANOS_PER_MS, input)) {
+        execute(effect);
       }
-      meter.took(input, System.nanoTime() - beganNs);
+      metrics.recordInput(input, System.nanoTime() - beganNs);
     } catch (RuntimeException e) {
       // The state in memory can't be trusted any more; a fresh process rebuilds it.
       LOG.error("controller-failed input={}", input, e);
@@ -114,259 +116,302 @@
 
   // Requests to this node.
 
-  private long ticket(HttpServer.Exchange exchange) {
-    open.put(++tickets, exchange);
-    return tickets;
+  private long openTicket(HttpServer.Exchange exchange) {
+    openExchanges.put(++lastTicket, exchange);
+    return lastTicket;
   }
 
-  private static void refuse(HttpServer.Exchange exchange, int status, String error) {
-    exchange.answer(status, UserCodec.error(error), 0);
+  private static void reject(HttpServer.Exchange exchange, int status, String error) {
+    exchange.respond(status, UserCodec.encodeError(error), 0);
   }
 
-  private void publicRequest(HttpServer.Exchange exchange) {
+  private void onPublicRequest(HttpServer.Exchange exchange) {
     int query = exchange.path.indexOf('?');
     String path = query < 0 ? exchange.path : exchange.path.substring(0, query);
     try {
-      if (path.equals(WorkerCodec.REPORT)) {
-        if (method(exchange, "POST")) {
-          var report = WorkerCodec.report(exchange.body);
-          take(new Input.WorkerReport(ticket(exchange), report));
+      if (path.equals(WorkerCodec.REPORT_PATH)) {
+        if (requireMethod(exchange, "POST")) {
+          var heartbeat = WorkerCodec.decodeReport(exchange.body);
+          handle(new Input.WorkerReport(openTicket(exchange), heartbeat));
         }
-      } else if (path.equals(UserCodec.HEALTH)) {
-        if (method(exchange, "GET")) {
-          take(new Input.HealthCheck(ticket(exchange)));
+      } else if (path.equals(UserCodec.HEALTH_PATH)) {
+        if (requireMethod(exchange, "GET")) {
+          handle(new Input.HealthCheck(openTicket(exchange)));
         }
-      } else if (path.equals(UserCodec.RUNS)) {
-        if (method(exchange, "POST")) {
-          Job job = UserCodec.job(exchange.body);
-          take(new Input.Submit(ticket(exchange), job, exchange.body));
+      } else if (path.equals(UserCodec.JOBS_PATH)) {
+        if (requireMethod(exchange, "POST")) {
+          Job job = UserCodec.decodeJob(exchange.body);
+          handle(new Input.Submit(openTicket(exchange), job, exchange.body));
         }
-      } else if (path.startsWith(UserCodec.RUNS + "/")) {
-        jobRequest(exchange, path.substring(UserCodec.RUNS.length() + 1));
+      } else if (path.startsWith(UserCodec.JOBS_PATH + "/")) {
+        onJobRequest(exchange, path.substring(UserCodec.JOBS_PATH.length() + 1));
       } else {
-        refuse(exchange, 404, "no such path");
+        reject(exchange, 404, "no such path");
       }
     } catch (MalformedMessageException e) {
-      refuse(exchange, 400, e.getMessage());
+      reject(exchange, 400, e.getMessage());
     }
   }
 
-  private void jobRequest(HttpServer.Exchange exchange, String rest) {
-    boolean abort = rest.endsWith(UserCodec.ABORT);
-    String uid = abort ? rest.substring(0, rest.length() - UserCodec.ABORT.length()) : rest;
+  private void onJobRequest(HttpServer.Exchange exchange, String rest) {
+    boolean abort = rest.endsWith(UserCodec.CANCEL_SUFFIX);
+    String uid = abort ? rest.substring(0, rest.length() - UserCodec.CANCEL_SUFFIX.length()) : rest;
     if (uid.contains("/")) {
-      refuse(exchange, 404, "no such path");
-    } else if (method(exchange, abort ? "POST" : "GET")) {
-      if (!UserCodec.isUid(uid)) {
-        refuse(exchange, 404, "no such job");
+      reject(exchange, 404, "no such path");
+    } else if (requireMethod(exchange, abort ? "POST" : "GET")) {
+      if (!UserCodec.isJobId(uid)) {
+        reject(exchange, 404, "no such job");
       } else if (abort) {
-        take(new Input.Abort(ticket(exchange), uid));
+        handle(new Input.Abort(openTicket(exchange), uid));
       } else {
-        take(new Input.Query(ticket(exchange), uid));
+        handle(new Input.Query(openTicket(exchange), uid));
       }
     }
   }
 
-  private static boolean method(HttpServer.Exchange exchange, String expected) {
+  private static boolean requireMethod(HttpServer.Exchange exchange, String expected) {
     if (exchange.method.equals(expected)) {
       return true;
     }
-    refuse(exchange, 405, "the method is " + expected);
+    reject(exchange, 405, "the method is " + expected);
     return false;
   }
 
-  private void peerRequest(HttpServer.Exchange exchange) {
-    meter.peerAsked(exchange.body.length);
+  private void onPeerRequest(HttpServer.Exchange exchange) {
+    metrics.recordPeerRequest(exchange.body.length);
     try {
-      if (exchange.path.equals(PeerCodec.PING)) {
-        var view = PeerCodec.view(exchange.body);
-        take(new Input.PeerPing(ticket(exchange), view));
-      } else if (exchange.path.equals(PeerCodec.QUERIES)) {
+      if (exchange.path.equals(PeerCodec.PING_PATH)) {
+        var status = PeerCodec.view(exchange.body);
+        handle(new Input.PeerPing(openTicket(exchange), status));
+      } else if (exchange.path.equals(PeerCodec.QUERIES_PATH)) {
         var uids = PeerCodec.queries(exchange.body);
-        take(new Input.PeerQueries(ticket(exchange), uids));
-      } else if (exchange.path.equals(PeerCodec.HINTS)) {
+        handle(new Input.PeerQueries(openTicket(exchange), uids));
+      } else if (exchange.path.equals(PeerCodec.HINTS_PATH)) {
         var hints = PeerCodec.hints(exchange.body);
-        take(new Input.PeerHints(ticket(exchange), hints));
-      } else if (exchange.path.equals(PeerCodec.REQUEST)) {
+        handle(new Input.PeerHints(openTicket(exchange), hints));
+      } else if (exchange.path.equals(PeerCodec.REQUEST_PATH)) {
         Input request = PeerCodec.request(exchange.body);
-        passedOn.put(++tickets, exchange);
-        take(new Input.PeerRequest(tickets, request));
+        forwardedExchanges.put(++lastTicket, exchange);
+        handle(new Input.PeerRequest(lastTicket, request));
       } else {
-        refuse(exchange, 404, "no such path");
+        reject(exchange, 404, "no such path");
       }
     } catch (MalformedMessageException e) {
-      refuse(exchange, 400, e.getMessage());
+      reject(exchange, 400, e.getMessage());
     }
   }
 
   // Effects.
 
-  private void carryOut(Effect effect) {
-    if (effect instanceof Effect.AskState it) {
-      StoreCodec.Request request = StoreCodec.request(it.op());
-      ask(
+  private void execute(Effect effect) {
+    if (effect instanceof Effect.CallStore it) {
+      StoreCodec.Request request = StoreCodec.encodeRequest(it.request());
+      send(
           it,
-          settings.state(),
+          settings.storeEndpoint(),
           request.method(),
           request.path(),
           request.body(),
-          (status, body) -> StoreCodec.reply(it.op(), status, body));
-    } else if (effect instanceof Effect.AskTypes it) {
-      ask(it, settings.cloud(), "GET", CloudCodec.TYPES, null, CloudCodec::types);
-    } else if (effect instanceof Effect.AskRent it) {
-      byte[] body = CloudCodec.rent(it.rent());
-      ask(it, settings.cloud(), "POST", CloudCodec.HOSTS, body, CloudCodec::rented);
-    } else if (effect instanceof Effect.AskReturn it) {
-      byte[] body = CloudCodec.giveBack(it.machines());
-      ask(
+          (status, body) -> StoreCodec.decodeReply(it.request(), status, body));
+    } else if (effect instanceof Effect.ListMachineTypes it) {
+      send(
+          it,
+          settings.cloudEndpoint(),
+          "GET",
+          CloudCodec.TYPES_PATH,
+          null,
+          CloudCodec::decodeTypes);
+    } else if (effect instanceof Effect.RentMachines it) {
+      byte[] body = CloudCodec.encodeRent(it.rent());
+      send(
           it,
-          settings.cloud(),
+          settings.cloudEndpoint(),
           "POST",
-          CloudCodec.RETURN,
+          CloudCodec.HOSTS_PATH,
           body,
-          (status, said) -> CloudCodec.returned(status));
-    } else if (effect instanceof Effect.AskHosts it) {
-      ask(it, settings.cloud(), "GET", CloudCodec.hostsPath(it.after()), null, CloudCodec::hosts);
-    } else if (effect instanceof Effect.AskCommands it) {
-      byte[] body = WorkerCodec.commands(it.token(), it.session(), it.commands());
-      ask(it, endpoint(it.addr()), "POST", WorkerCodec.COMMANDS, body, ControllerNode::workerSays);
-    } else if (effect instanceof Effect.AskInspect it) {
-      ask(it, endpoint(it.addr()), "GET", WorkerCodec.INSPECT, null, ControllerNode::workerSays);
-    } else if (effect instanceof Effect.AskPeerPing it) {
-      byte[] body = PeerCodec.view(it.view());
-      ask(
+          CloudCodec::decodeRentReply);
+    } else if (effect instanceof Effect.ReturnMachines it) {
+      byte[] body = CloudCodec.encodeReturn(it.machines());
+      send(
           it,
-          settings.peers().get(it.node()),
+          settings.cloudEndpoint(),
           "POST",
-          PeerCodec.PING,
+          CloudCodec.RETURN_PATH,
           body,
-          ControllerNode::peerSays);
-    } else if (effect instanceof Effect.AskPeerRequest it) {
+          (status, responseBody) -> CloudCodec.decodeReturnReply(status));
+    } else if (effect instanceof Effect.ListHosts it) {
+      send(
+          it,
+          settings.cloudEndpoint(),
+          "GET",
+          CloudCodec.hostsPath(it.after()),
+          null,
+          CloudCodec::decodeHosts);
+    } else if (effect instanceof Effect.FailoverCompleted it) {
+      tracer.trace(it);
+    } else if (effect instanceof Effect.Call) {
+      callWorkerOrPeer(effect);
+    } else {
+      respond(effect);
+    }
+  }
+
+  private void callWorkerOrPeer(Effect effect) {
+    if (effect instanceof Effect.SendCommands it) {
+      byte[] body = WorkerCodec.encodeCommands(it.fencingToken(), it.incarnation(), it.commands());
+      send(
+          it,
+          parseEndpoint(it.address()),
+          "POST",
+          WorkerCodec.COMMANDS_PATH,
+          body,
+          ControllerNode::decodeWorkerReply);
+    } else if (effect instanceof Effect.InspectWorker it) {
+      send(
+          it,
+          parseEndpoint(it.address()),
+          "GET",
+          WorkerCodec.INSPECT_PATH,
+          null,
+          ControllerNode::decodeWorkerReply);
+    } else if (effect instanceof Effect.PingPeer it) {
+      byte[] body = PeerCodec.view(it.status());
+      send(
+          it,
+          settings.peerEndpoints().get(it.node()),
+          "POST",
+          PeerCodec.PING_PATH,
+          body,
+          ControllerNode::decodePong);
+    } else if (effect instanceof Effect.ForwardRequest it) {
       byte[] body = PeerCodec.request(it.request());
-      ask(
+      send(
           it,
-          settings.peers().get(it.node()),
+          settings.peerEndpoints().get(it.node()),
           "POST",
-          PeerCodec.REQUEST,
+          PeerCodec.REQUEST_PATH,
           body,
-          ControllerNode::peerAnswered);
-    } else if (effect instanceof Effect.AskPeerQueries it) {
+          ControllerNode::decodePeerAnswer);
+    } else if (effect instanceof Effect.ForwardQueries it) {
       byte[] body = PeerCodec.queries(it.uids());
-      ask(
+      send(
           it,
-          settings.peers().get(it.node()),
+          settings.peerEndpoints().get(it.node()),
           "POST",
-          PeerCodec.QUERIES,
+          PeerCodec.QUERIES_PATH,
           body,
-          ControllerNode::peerAnsweredAll);
-    } else if (effect instanceof Effect.AskPeerHints it) {
+          ControllerNode::decodePeerAnswers);
+    } else if (effect instanceof Effect.SendHints it) {
       byte[] body = PeerCodec.hints(it.hints());
-      ask(
+      send(
           it,
-          settings.peers().get(it.node()),
+          settings.peerEndpoints().get(it.node()),
           "POST",
-          PeerCodec.HINTS,
+          PeerCodec.HINTS_PATH,
           body,
-          ControllerNode::peerTookHints);
-    } else if (effect instanceof Effect.TookOver it) {
-      tracer.trace(it);
-    } else {
-      answer(effect);
+          ControllerNode::decodeHintsReply);
     }
   }
 
-  private void answer(Effect effect) {
-    if (effect instanceof Effect.AnswerUser it) {
-      UserResponse answer = it.answer();
-      HttpServer.Exchange peer = passedOn.remove(it.ticket());
+  private void respond(Effect effect) {
+    if (effect instanceof Effect.RespondToUser it) {
+      UserResponse response = it.response();
+      HttpServer.Exchange peer = forwardedExchanges.remove(it.ticket());
       if (peer != null) {
-        answerPeer(peer, PeerCodec.answer(answer));
+        respondToPeer(peer, PeerCodec.answer(response));
       } else {
-        HttpServer.Exchange user = open.remove(it.ticket());
-        user.answer(answer.status(), UserCodec.body(answer), answer.retryAfterS());
+        HttpServer.Exchange user = openExchanges.remove(it.ticket());
+        user.respond(response.status(), UserCodec.encodeAnswer(response), response.retryAfterS());
       }
-    } else if (effect instanceof Effect.AnswerPeerQueries it) {
-      answerPeer(open.remove(it.ticket()), PeerCodec.answers(it.answers()));
-    } else if (effect instanceof Effect.AnswerPeerHints it) {
-      answerPeer(open.remove(it.ticket()), NOTHING);
-    } else if (effect instanceof Effect.AnswerHealth it) {
-      byte[] body = UserCodec.health(it.healthy(), it.why());
-      open.remove(it.ticket()).answer(it.healthy() ? 200 : 503, body, 0);
-    } else if (effect instanceof Effect.AnswerWorker it) {
-      open.remove(it.ticket()).answer(200, WorkerCodec.answer(it.token(), it.commands()), 0);
+    } else if (effect instanceof Effect.RespondToQueries it) {
+      respondToPeer(openExchanges.remove(it.ticket()), PeerCodec.answers(it.responses()));
+    } else if (effect instanceof Effect.AcknowledgeHints it) {
+      respondToPeer(openExchanges.remove(it.ticket()), EMPTY_BODY);
+    } else if (effect instanceof Effect.RespondToHealthCheck it) {
+      byte[] body = UserCodec.encodeHealth(it.healthy(), it.reason());
+      openExchanges.remove(it.ticket()).respond(it.healthy() ? 200 : 503, body, 0);
+    } else if (effect instanceof Effect.RespondToWorker it) {
+      openExchanges
+          .remove(it.ticket())
+          .respond(200, WorkerCodec.encodeReportResponse(it.fencingToken(), it.commands()), 0);
     } else if (effect instanceof Effect.RedirectWorker it) {
-      open.remove(it.ticket()).answer(421, WorkerCodec.redirect(it.leader()), 0);
-    } else if (effect instanceof Effect.AnswerPing it) {
-      answerPeer(open.remove(it.ticket()), PeerCodec.view(it.view()));
+      openExchanges.remove(it.ticket()).respond(421, WorkerCodec.encodeRedirect(it.leader()), 0);
+    } else if (effect instanceof Effect.RespondToPing it) {
+      respondToPeer(openExchanges.remove(it.ticket()), PeerCodec.view(it.status()));
     }
   }
 
-  private void answerPeer(HttpServer.Exchange peer, byte[] body) {
-    meter.peerAnswered(body.length);
-    peer.answer(200, body, 0);
+  private void respondToPeer(HttpServer.Exchange peer, byte[] body) {
+    metrics.recordPeerResponse(body.length);
+    peer.respond(200, body, 0);
   }
 
-  private interface Reader {
-    Reply read(int status, byte[] body) throws MalformedMessageException;
+  private interface ReplyDecoder {
+    Reply decode(int status, byte[] body) throws MalformedMessageException;
   }
 
-  private void ask(
-      Effect.Call call, Endpoint to, String method, String path, byte[] body, Reader reader) {
-    if (to == null) {
-      loop.execute(() -> take(new Input.Answered(call.call(), new Reply.Unanswered())));
+  private void send(
+      Effect.Call call,
+      Endpoint endpoint,
+      String method,
+      String path,
+      byte[] body,
+      ReplyDecoder reader) {
+    if (endpoint == null) {
+      loop.execute(() -> handle(new Input.Answered(call.callId(), new Reply.Unanswered())));
       return;
     }
     client.send(
-        to,
+        endpoint,
         method,
         path,
         body,
         call.timeoutMs(),
-        (status, said) -> {
+        (status, responseBody) -> {
           Reply reply;
           try {
-            reply = read(status, said, reader);
+            reply = decode(status, responseBody, reader);
           } catch (MalformedMessageException e) {
-            LOG.info("{} {} of {} said {}: {}", method, path, to, status, e.getMessage());
+            LOG.info("{} {} of {} said {}: {}", method, path, endpoint, status, e.getMessage());
             reply = new Reply.Unanswered();
           }
-          take(new Input.Answered(call.call(), reply));
+          handle(new Input.Answered(call.callId(), reply));
         });
   }
 
-  private static Reply read(int status, byte[] said, Reader reader)
+  private static Reply decode(int status, byte[] responseBody, ReplyDecoder reader)
       throws MalformedMessageException {
     return switch (status) {
       case 0 -> new Reply.Unanswered();
-      case HttpClient.OVERSIZED -> new Reply.Oversized();
-      default -> reader.read(status, said);
+      case HttpClient.STATUS_OVERSIZED -> new Reply.Oversized();
+      default -> reader.decode(status, responseBody);
     };
   }
 
-  private static Reply workerSays(int status, byte[] body) throws MalformedMessageException {
+  private static Reply decodeWorkerReply(int status, byte[] body) throws MalformedMessageException {
     if (status != 200 && status != 409) {
       return new Reply.Refused(status);
     }
-    return new Reply.WorkerAnswer(status == 200, WorkerCodec.report(body));
+    return new Reply.WorkerReply(status == 200, WorkerCodec.decodeReport(body));
   }
 
-  private static Reply peerSays(int status, byte[] body) throws MalformedMessageException {
+  private static Reply decodePong(int status, byte[] body) throws MalformedMessageException {
     return status == 200 ? new Reply.PeerPong(PeerCodec.view(body)) : new Reply.Refused(status);
   }
 
-  private static Reply peerAnswered(int status, byte[] body) throws MalformedMessageException {
+  private static Reply decodePeerAnswer(int status, byte[] body) throws MalformedMessageException {
     return status == 200 ? PeerCodec.answer(body) : new Reply.Refused(status);
   }
 
-  private static Reply peerTookHints(int status, byte[] body) {
-    return status == 200 ? new Reply.PeerTookHints() : new Reply.Refused(status);
+  private static Reply decodeHintsReply(int status, byte[] body) {
+    return status == 200 ? new Reply.HintsAcknowledged() : new Reply.Refused(status);
   }
 
-  private static Reply peerAnsweredAll(int status, byte[] body) throws MalformedMessageException {
+  private static Reply decodePeerAnswers(int status, byte[] body) throws MalformedMessageException {
     return status == 200 ? PeerCodec.answers(body) : new Reply.Refused(status);
   }
 
-  private static Endpoint endpoint(String addr) {
+  private static Endpoint parseEndpoint(String addr) {
     int colon = addr.lastIndexOf(':');
     try {
       return new Endpoint(addr.substring(0, colon), Integer.parseInt(addr.substring(colon + 1)));
--- a/src/main/java/eiderfork/net/EventLoopMetrics.java
+++ b/src/main/java/eiderfork/net/EventLoopMetrics.java
@@ -13,49 +13,50 @@
   private static final double NANOS_PER_MS = 1e6;
   private static final double BYTES_PER_KB = 1024;
 
-  private static final class Count {
+  private static final class InputStats {
     long inputs;
     long nanos;
-    long mostNanos;
+    long maxNanos;
   }
 
-  private final Map<String, Count> byKind = new TreeMap<>();
+  private final Map<String, InputStats> statsByKind = new TreeMap<>();
   private long peerRequests;
   private long peerBytesIn;
   private long peerBytesOut;
 
   /** An input took that long, with all that it had sent. */
-  void took(Input input, long nanos) {
-    Count count = byKind.computeIfAbsent(input.getClass().getSimpleName(), k -> new Count());
-    count.inputs++;
-    count.nanos += nanos;
-    count.mostNanos = Math.max(count.mostNanos, nanos);
+  void recordInput(Input input, long nanos) {
+    InputStats stats =
+        statsByKind.computeIfAbsent(input.getClass().getSimpleName(), k -> new InputStats());
+    stats.inputs++;
+    stats.nanos += nanos;
+    stats.maxNanos = Math.max(stats.maxNanos, nanos);
   }
 
   /** A peer sent a request of that size. */
-  void peerAsked(int bytes) {
+  void recordPeerRequest(int bytes) {
     peerRequests++;
     peerBytesIn += bytes;
   }
 
   /** A peer was answered with that much. */
-  void peerAnswered(int bytes) {
+  void recordPeerResponse(int bytes) {
     peerBytesOut += bytes;
   }
 
   /** What there was since this was last told. */
-  String tell() {
+  String takeSummary() {
     StringBuilder text = new StringBuilder();
-    byKind.forEach(
-        (kind, it) ->
+    statsByKind.forEach(
+        (kind, stats) ->
             text.append(
                 String.format(
                     Locale.ROOT,
                     "%s %d (mean %.2f, most %.0f ms), ",
                     kind,
-                    it.inputs,
-                    it.nanos / NANOS_PER_MS / it.inputs,
-                    it.mostNanos / NANOS_PER_MS)));
+                    stats.inputs,
+                    stats.nanos / NANOS_PER_MS / stats.inputs,
+                    stats.maxNanos / NANOS_PER_MS)));
     text.append(
         String.format(
             Locale.ROOT,
@@ -63,7 +64,7 @@
             peerRequests,
             peerBytesIn / BYTES_PER_KB,
             peerBytesOut / BYTES_PER_KB));
-    byKind.clear();
+    statsByKind.clear();
     peerRequests = 0;
     peerBytesIn = 0;
     peerBytesOut = 0;
--- a/src/main/java/eiderfork/net/FailoverSpanTracer.java
+++ b/src/main/java/eiderfork/net/FailoverSpanTracer.java
@@ -30,7 +30,7 @@
   }
 
   @Override
-  public void trace(Effect.TookOver takeover) {
+  public void trace(Effect.FailoverCompleted takeover) {
     List<Effect.Phase> phases = takeover.phases();
     // The steady time counts from anywhere; spans want the time of day.
     long offsetMs = System.currentTimeMillis() - System.nanoTime() / 1_000_000;
--- a/src/main/java/eiderfork/net/FailoverTracer.java
+++ b/src/main/java/eiderfork/net/FailoverTracer.java
@@ -8,7 +8,7 @@
   FailoverTracer NONE =
       new FailoverTracer() {
         @Override
-        public void trace(Effect.TookOver takeover) {}
+        public void trace(Effect.FailoverCompleted takeover) {}
 
         @Override
         public void close() {}
@@ -24,7 +24,7 @@
   }
 
   /** Traces a takeover with its phases. */
-  void trace(Effect.TookOver takeover);
+  void trace(Effect.FailoverCompleted takeover);
 
   @Override
   void close();
--- a/src/main/java/eiderfork/net/HeapMonitor.java
+++ b/src/main/java/eiderfork/net/HeapMonitor.java
@@ -15,13 +15,13 @@
   /**
    * What a controller takes beside its heap: code, classes, buffers, stacks, the machine itself.
    */
-  private static final double BESIDE_HEAP_MB = 72;
+  private static final double NON_HEAP_MB = 72;
 
   /** The share of what there is for the heap at which it is first collected. */
-  private static final double FIRST_SHARE = 0.75;
+  private static final double INITIAL_THRESHOLD_SHARE = 0.75;
 
   /** By how much the heap may grow past what a collection left before the next one. */
-  private static final double GROWTH = 1.25;
+  private static final double GROWTH_FACTOR = 1.25;
 
   /** The heap as this needs it. */
   interface Heap {
@@ -33,7 +33,7 @@
   }
 
   /** The heap of this process. */
-  static final Heap OWN =
+  static final Heap PROCESS_HEAP =
       new Heap() {
         private static final double MB = 1024 * 1024;
 
@@ -49,33 +49,33 @@
       };
 
   private final Heap heap;
-  private final double mostMb;
-  private double collectAtMb;
+  private final double maxHeapMb;
+  private double thresholdMb;
 
   /**
    * @param machineMb what the machine gives the process
    */
   HeapMonitor(Heap heap, double machineMb) {
     this.heap = heap;
-    mostMb = machineMb - BESIDE_HEAP_MB;
-    collectAtMb = mostMb * FIRST_SHARE;
+    maxHeapMb = machineMb - NON_HEAP_MB;
+    thresholdMb = maxHeapMb * INITIAL_THRESHOLD_SHARE;
   }
 
   /** Collects where it is due; to be called about once a second. */
-  void check() {
+  void collectIfNeeded() {
     double beforeMb = heap.committedMb();
-    if (beforeMb <= collectAtMb) {
+    if (beforeMb <= thresholdMb) {
       return;
     }
     heap.collect();
     double afterMb = heap.committedMb();
-    collectAtMb = Math.max(mostMb * FIRST_SHARE, afterMb * GROWTH);
+    thresholdMb = Math.max(maxHeapMb * INITIAL_THRESHOLD_SHARE, afterMb * GROWTH_FACTOR);
     LOG.info("heap of {} MB collected, {} MB are left", Math.round(beforeMb), Math.round(afterMb));
-    if (afterMb > mostMb) {
+    if (afterMb > maxHeapMb) {
       LOG.warn(
           "the heap takes {} MB, more than the {} MB that this machine's memory leaves for it",
           Math.round(afterMb),
-          Math.round(mostMb));
+          Math.round(maxHeapMb));
     }
   }
 }
