--- a/src/main/java/eiderfork/net/HttpClient.java
+++ b/src/main/java/eiderfork/net/HttpClient.java
@@ -36,39 +36,41 @@
 public final class HttpClient {
   /**
    * The largest response taken. A page of the state service holds half a mebibyte of values; only a
-   * watch that lags far behind is answered with more, see {@link #OVERSIZED}.
+   * watch that lags far behind is answered with more, see {@link #STATUS_OVERSIZED}.
    */
-  static final int MOST_BODY = 8 * 1024 * 1024;
+  static final int MAX_BODY_BYTES = 8 * 1024 * 1024;
 
   /** The status that stands for a response that is larger than that. */
-  public static final int OVERSIZED = -1;
+  public static final int STATUS_OVERSIZED = -1;
 
   /** The part of all kept connections that may be open to one address. */
-  private static final int KEPT_PART = 8;
+  private static final int PER_ENDPOINT_DIVISOR = 8;
 
   /** Connections that may be kept open to one address however few are kept in all. */
-  private static final int LEAST_KEPT = 4;
+  private static final int MIN_IDLE_PER_ENDPOINT = 4;
 
   /** Unused connections are closed after this long. */
-  private static final long KEPT_MS = 20_000;
+  private static final long IDLE_TIMEOUT_MS = 20_000;
 
-  /** Takes a response; status 0 is none in time or at all, {@link #OVERSIZED} one too large. */
-  public interface Taker {
+  /**
+   * Takes a response; status 0 is none in time or at all, {@link #STATUS_OVERSIZED} one too large.
+   */
+  public interface ResponseListener {
     /** Takes the response. */
-    void take(int status, byte[] body);
+    void onResponse(int status, byte[] body);
   }
 
-  private record Kept(Endpoint to, Channel channel, long sinceMs) {}
+  private record IdleConnection(Endpoint endpoint, Channel channel, long idleSinceMs) {}
 
   private final EventLoop loop;
   private final Bootstrap bootstrap;
-  private final Map<Endpoint, Deque<Kept>> kept = new HashMap<>();
+  private final Map<Endpoint, Deque<IdleConnection>> idleByEndpoint = new HashMap<>();
 
   /** All kept connections, the one longest unused first. */
-  private final Set<Kept> oldest = new LinkedHashSet<>();
+  private final Set<IdleConnection> idleOldestFirst = new LinkedHashSet<>();
 
-  private final int mostKept;
-  private final int mostKeptToOne;
+  private final int maxIdle;
+  private final int maxIdlePerEndpoint;
 
   /**
    * Makes a client that keeps up to {@code mostKept} connections open while they are not in use.
@@ -80,10 +82,10 @@
   /**
    * Makes a client whose connections are shown to {@code opened} before anything is sent on them.
    */
-  public HttpClient(EventLoop loop, int mostKept, Consumer<Channel> opened) {
+  public HttpClient(EventLoop loop, int maxIdle, Consumer<Channel> opened) {
     this.loop = loop;
-    this.mostKept = mostKept;
-    mostKeptToOne = Math.max(LEAST_KEPT, mostKept / KEPT_PART);
+    this.maxIdle = maxIdle;
+    maxIdlePerEndpoint = Math.max(MIN_IDLE_PER_ENDPOINT, maxIdle / PER_ENDPOINT_DIVISOR);
     bootstrap =
         new Bootstrap()
             .group(loop)
@@ -97,41 +99,46 @@
                     channel
                         .pipeline()
                         .addLast(new HttpClientCodec())
-                        .addLast(new HttpObjectAggregator(MOST_BODY))
-                        .addLast(new Handler());
+                        .addLast(new HttpObjectAggregator(MAX_BODY_BYTES))
+                        .addLast(new ResponseHandler());
                   }
                 });
   }
 
   /** Sends a request, which has {@code timeoutMs} until its response is given up. */
   public void send(
-      Endpoint to, String method, String path, byte[] body, long timeoutMs, Taker taker) {
-    Call call = new Call(to, taker);
-    call.timeout = loop.schedule(call::timedOut, timeoutMs, TimeUnit.MILLISECONDS);
-    Channel channel = takeKept(to);
+      Endpoint endpoint,
+      String method,
+      String path,
+      byte[] body,
+      long timeoutMs,
+      ResponseListener taker) {
+    PendingRequest call = new PendingRequest(endpoint, taker);
+    call.timeoutTask = loop.schedule(call::onTimeout, timeoutMs, TimeUnit.MILLISECONDS);
+    Channel channel = takeIdle(endpoint);
     if (channel != null) {
       call.start(channel, method, path, body);
       return;
     }
-    ChannelFuture connected = bootstrap.connect(to.host(), to.port());
+    ChannelFuture connected = bootstrap.connect(endpoint.host(), endpoint.port());
     call.channel = connected.channel();
     connected.addListener(
         done -> {
-          if (call.over) {
+          if (call.isCompleted) {
             connected.channel().close();
           } else if (done.isSuccess()) {
             call.start(connected.channel(), method, path, body);
           } else {
-            call.end(0, new byte[0]);
+            call.complete(0, new byte[0]);
           }
         });
   }
 
-  private Channel takeKept(Endpoint to) {
-    Deque<Kept> open = kept.get(to);
+  private Channel takeIdle(Endpoint endpoint) {
+    Deque<IdleConnection> open = idleByEndpoint.get(endpoint);
     while (open != null && !open.isEmpty()) {
-      Kept last = open.pollLast();
-      oldest.remove(last);
+      IdleConnection last = open.pollLast();
+      idleOldestFirst.remove(last);
       if (last.channel.isActive()) {
         return last.channel;
       }
@@ -139,53 +146,54 @@
     return null;
   }
 
-  private void keep(Endpoint to, Channel channel) {
-    Deque<Kept> open = kept.computeIfAbsent(to, e -> new ArrayDeque<>());
-    if (open.size() >= mostKeptToOne) {
+  private void release(Endpoint endpoint, Channel channel) {
+    Deque<IdleConnection> open = idleByEndpoint.computeIfAbsent(endpoint, e -> new ArrayDeque<>());
+    if (open.size() >= maxIdlePerEndpoint) {
       channel.close();
       return;
     }
-    Kept fresh = new Kept(to, channel, System.nanoTime() / 1_000_000);
+    IdleConnection fresh = new IdleConnection(endpoint, channel, System.nanoTime() / 1_000_000);
     open.addLast(fresh);
-    oldest.add(fresh);
-    if (oldest.size() > mostKept) {
-      close(oldest.iterator().next());
+    idleOldestFirst.add(fresh);
+    if (idleOldestFirst.size() > maxIdle) {
+      close(idleOldestFirst.iterator().next());
     }
   }
 
-  private void close(Kept it) {
-    oldest.remove(it);
-    Deque<Kept> open = kept.get(it.to);
-    open.remove(it);
+  private void close(IdleConnection connection) {
+    idleOldestFirst.remove(connection);
+    Deque<IdleConnection> open = idleByEndpoint.get(connection.endpoint);
+    open.remove(connection);
     if (open.isEmpty()) {
-      kept.remove(it.to);
+      idleByEndpoint.remove(connection.endpoint);
     }
-    it.channel.close();
+    connection.channel.close();
   }
 
   /** Closes connections that nothing has used for a while. */
-  public void sweep() {
+  public void closeExpired() {
     long nowMs = System.nanoTime() / 1_000_000;
-    while (!oldest.isEmpty() && nowMs - oldest.iterator().next().sinceMs > KEPT_MS) {
-      close(oldest.iterator().next());
+    while (!idleOldestFirst.isEmpty()
+        && nowMs - idleOldestFirst.iterator().next().idleSinceMs > IDLE_TIMEOUT_MS) {
+      close(idleOldestFirst.iterator().next());
     }
   }
 
-  private final class Call {
-    final Endpoint to;
-    final Taker taker;
+  private final class PendingRequest {
+    final Endpoint endpoint;
+    final ResponseListener listener;
     Channel channel;
-    ScheduledFuture<?> timeout;
-    boolean over;
+    ScheduledFuture<?> timeoutTask;
+    boolean isCompleted;
 
-    Call(Endpoint to, Taker taker) {
-      this.to = to;
-      this.taker = taker;
+    PendingRequest(Endpoint endpoint, ResponseListener listener) {
+      this.endpoint = endpoint;
+      this.listener = listener;
     }
 
     void start(Channel on, String method, String path, byte[] body) {
       channel = on;
-      on.pipeline().get(Handler.class).call = this;
+      on.pipeline().get(ResponseHandler.class).pending = this;
       byte[] content = body == null ? new byte[0] : body;
       var request =
           new DefaultFullHttpRequest(
@@ -193,7 +201,7 @@
               HttpMethod.valueOf(method),
               path,
               Unpooled.wrappedBuffer(content));
-      request.headers().set(HttpHeaderNames.HOST, to.toString());
+      request.headers().set(HttpHeaderNames.HOST, endpoint.toString());
       if (body != null) {
         request.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/json");
       }
@@ -201,56 +209,56 @@
       on.writeAndFlush(request);
     }
 
-    void timedOut() {
+    void onTimeout() {
       if (channel != null) {
         channel.close();
       }
-      end(0, new byte[0]);
+      complete(0, new byte[0]);
     }
 
-    void end(int status, byte[] body) {
-      if (!over) {
-        over = true;
-        timeout.cancel(false);
-        taker.take(status, body);
+    void complete(int status, byte[] body) {
+      if (!isCompleted) {
+        isCompleted = true;
+        timeoutTask.cancel(false);
+        listener.onResponse(status, body);
       }
     }
   }
 
-  private final class Handler extends SimpleChannelInboundHandler<FullHttpResponse> {
-    Call call;
+  private final class ResponseHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
+    PendingRequest pending;
 
     @Override
     protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
-      Call ended = call;
-      call = null;
+      PendingRequest ended = pending;
+      pending = null;
       if (ended == null || !response.decoderResult().isSuccess()) {
         context.close();
         if (ended != null) {
-          ended.end(0, new byte[0]);
+          ended.complete(0, new byte[0]);
         }
         return;
       }
       byte[] body = ByteBufUtil.getBytes(response.content());
       if (HttpUtil.isKeepAlive(response)) {
-        keep(ended.to, context.channel());
+        release(ended.endpoint, context.channel());
       } else {
         context.close();
       }
-      ended.end(response.status().code(), body);
+      ended.complete(response.status().code(), body);
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-      if (call != null) {
-        call.end(0, new byte[0]);
+      if (pending != null) {
+        pending.complete(0, new byte[0]);
       }
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-      if (call != null && cause instanceof TooLongHttpContentException) {
-        call.end(OVERSIZED, new byte[0]);
+      if (pending != null && cause instanceof TooLongHttpContentException) {
+        pending.complete(STATUS_OVERSIZED, new byte[0]);
       }
       context.close();
     }
--- a/src/main/java/eiderfork/net/HttpServer.java
+++ b/src/main/java/eiderfork/net/HttpServer.java
@@ -30,7 +30,7 @@
   private static final Logger LOG = LoggerFactory.getLogger(HttpServer.class);
 
   /** The protocol's limit on a request body. */
-  private static final int MOST_BODY = 64 * 1024;
+  private static final int MAX_BODY_BYTES = 64 * 1024;
 
   /** A request and the way back. */
   public static final class Exchange {
@@ -49,22 +49,22 @@
     }
 
     /** Answers the request; {@code retryAfterS} 0 is none. */
-    public void answer(int status, byte[] answer, int retryAfterS) {
-      HttpServer.answer(context, status, answer, retryAfterS, keepAlive);
+    public void respond(int status, byte[] answer, int retryAfterS) {
+      HttpServer.writeResponse(context, status, answer, retryAfterS, keepAlive);
     }
   }
 
-  private final Consumer<Exchange> taker;
+  private final Consumer<Exchange> requestHandler;
   private final int backlog;
 
   /**
-   * Makes a server that hands each request to {@code taker}.
+   * Makes a server that hands each request to {@code consumer}.
    *
    * @param backlog how many connections may wait to be accepted: every worker and user may turn to
    *     this node in the same moment
    */
-  public HttpServer(Consumer<Exchange> taker, int backlog) {
-    this.taker = taker;
+  public HttpServer(Consumer<Exchange> consumer, int backlog) {
+    this.requestHandler = consumer;
     this.backlog = backlog;
   }
 
@@ -83,8 +83,8 @@
                 channel
                     .pipeline()
                     .addLast(new HttpServerCodec())
-                    .addLast(new Aggregator())
-                    .addLast(new Handler());
+                    .addLast(new BodyAggregator())
+                    .addLast(new RequestChannelHandler());
               }
             })
         .bind(endpoint.host(), endpoint.port())
@@ -92,7 +92,7 @@
         .channel();
   }
 
-  private static void answer(
+  private static void writeResponse(
       ChannelHandlerContext context, int status, byte[] body, int retryAfterS, boolean keepAlive) {
     var response =
         new DefaultFullHttpResponse(
@@ -112,25 +112,25 @@
   }
 
   /** Refuses an oversized body as malformed. */
-  private static final class Aggregator extends HttpObjectAggregator {
-    Aggregator() {
-      super(MOST_BODY);
+  private static final class BodyAggregator extends HttpObjectAggregator {
+    BodyAggregator() {
+      super(MAX_BODY_BYTES);
     }
 
     @Override
     protected void handleOversizedMessage(ChannelHandlerContext context, HttpMessage message) {
-      answer(context, 400, eiderfork.wire.UserCodec.error("over 64 KiB"), 0, false);
+      writeResponse(context, 400, eiderfork.wire.UserCodec.encodeError("over 64 KiB"), 0, false);
     }
   }
 
-  private final class Handler extends SimpleChannelInboundHandler<FullHttpRequest> {
+  private final class RequestChannelHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
     @Override
     protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
       if (!request.decoderResult().isSuccess()) {
-        answer(context, 400, eiderfork.wire.UserCodec.error("not HTTP"), 0, false);
+        writeResponse(context, 400, eiderfork.wire.UserCodec.encodeError("not HTTP"), 0, false);
         return;
       }
-      taker.accept(new Exchange(context, request));
+      requestHandler.accept(new Exchange(context, request));
     }
 
     @Override
--- a/src/main/java/eiderfork/wire/AvroCodec.java
+++ b/src/main/java/eiderfork/wire/AvroCodec.java
@@ -16,7 +16,7 @@
   private AvroCodec() {}
 
   /** Loads a schema from the resource of this name. */
-  static Schema schema(String resource) {
+  static Schema loadSchema(String resource) {
     try (InputStream in = AvroCodec.class.getResourceAsStream(resource)) {
       return new Schema.Parser().parse(in);
     } catch (IOException e) {
@@ -24,7 +24,7 @@
     }
   }
 
-  static byte[] write(GenericRecord record) {
+  static byte[] encode(GenericRecord record) {
     try {
       ByteArrayOutputStream out = new ByteArrayOutputStream();
       var encoder = EncoderFactory.get().directBinaryEncoder(out, null);
@@ -36,7 +36,7 @@
   }
 
   /** Reads what was written by one schema as a record of another, usually the same. */
-  static GenericRecord read(Schema writer, Schema schema, byte[] bytes)
+  static GenericRecord decode(Schema writer, Schema schema, byte[] bytes)
       throws MalformedMessageException {
     try {
       var decoder = DecoderFactory.get().binaryDecoder(bytes, null);
--- a/src/main/java/eiderfork/wire/BitmapAllocationCodec.java
+++ b/src/main/java/eiderfork/wire/BitmapAllocationCodec.java
@@ -20,91 +20,93 @@
  */
 final class BitmapAllocationCodec {
   /** The field that tells this form from the others. */
-  static final String FIELD = "bitmaps";
+  static final String JSON_FIELD = "bitmaps";
 
-  private static final Schema SCHEMA = AvroCodec.schema("bitmap-alloc.avsc");
-  private static final Schema SERIES = SCHEMA.getField("series").schema().getElementType();
+  private static final Schema SCHEMA = AvroCodec.loadSchema("bitmap-alloc.avsc");
+  private static final Schema SERIES_SCHEMA = SCHEMA.getField("series").schema().getElementType();
 
   private BitmapAllocationCodec() {}
 
-  static ObjectNode node(StoredRecord.Alloc alloc) {
-    byte[] bytes = AvroCodec.write(columns(alloc));
-    return JsonReader.object()
-        .put(FIELD, Base64.getEncoder().withoutPadding().encodeToString(bytes));
+  static ObjectNode toJson(StoredRecord.Allocation allocation) {
+    byte[] bytes = AvroCodec.encode(toAvro(allocation));
+    return JsonReader.newObject()
+        .put(JSON_FIELD, Base64.getEncoder().withoutPadding().encodeToString(bytes));
   }
 
-  private static GenericRecord columns(StoredRecord.Alloc alloc) {
+  private static GenericRecord toAvro(StoredRecord.Allocation allocation) {
     List<Integer> starts = new ArrayList<>();
     List<Long> attempts = new ArrayList<>();
     MachineNameColumns names = new MachineNameColumns();
     CompressedBitmap reserved = new CompressedBitmap();
     CompressedBitmap finished = new CompressedBitmap();
     int lastStart = 0;
-    StoredRecord.Span run = null;
-    for (StoredRecord.Span span : alloc.reserved()) {
+    StoredRecord.ReservedRange run = null;
+    for (StoredRecord.ReservedRange span : allocation.reserved()) {
       if (run == null || !isSameRun(run, span)) {
         starts.add(span.from() - lastStart);
-        attempts.add(alloc.lastAttempt() - span.attempt());
+        attempts.add(allocation.lastAttempt() - span.attempt());
         names.add(span.machine());
         lastStart = span.from();
         run = span;
       }
       reserved.addRange(span.from(), span.to());
     }
-    alloc.finished().forEach(range -> finished.addRange(range.from(), range.to()));
+    allocation.finished().forEach(range -> finished.addRange(range.from(), range.to()));
     GenericRecord record = new GenericData.Record(SCHEMA);
-    record.put("last", alloc.lastAttempt());
-    record.put("done", alloc.done());
-    names.put(record, SERIES);
+    record.put("last", allocation.lastAttempt());
+    record.put("done", allocation.done());
+    names.writeTo(record, SERIES_SCHEMA);
     record.put("start", starts);
     record.put("attempt", attempts);
-    record.put("reserved", reserved.bytes());
-    record.put("finished", finished.bytes());
+    record.put("reserved", reserved.encode());
+    record.put("finished", finished.encode());
     return record;
   }
 
-  private static boolean isSameRun(StoredRecord.Span run, StoredRecord.Span span) {
+  private static boolean isSameRun(
+      StoredRecord.ReservedRange run, StoredRecord.ReservedRange span) {
     return run.attempt() == span.attempt() && run.machine().equals(span.machine());
   }
 
   /** Reads the bitmap form. */
-  static StoredRecord.Alloc alloc(JsonNode node) throws MalformedMessageException {
+  static StoredRecord.Allocation fromJson(JsonNode node) throws MalformedMessageException {
     byte[] bytes;
     try {
-      bytes = Base64.getDecoder().decode(JsonReader.text(node, FIELD));
+      bytes = Base64.getDecoder().decode(JsonReader.text(node, JSON_FIELD));
     } catch (IllegalArgumentException e) {
-      throw new MalformedMessageException("field " + FIELD + " is not Base64");
+      throw new MalformedMessageException("field " + JSON_FIELD + " is not Base64");
     }
-    GenericRecord record = AvroCodec.read(SCHEMA, SCHEMA, bytes);
-    BitSet reserved = CompressedBitmap.read((ByteBuffer) record.get("reserved"));
-    BitSet finished = CompressedBitmap.read((ByteBuffer) record.get("finished"));
+    GenericRecord record = AvroCodec.decode(SCHEMA, SCHEMA, bytes);
+    BitSet reserved = CompressedBitmap.decode((ByteBuffer) record.get("reserved"));
+    BitSet finished = CompressedBitmap.decode((ByteBuffer) record.get("finished"));
     if (reserved.intersects(finished)) {
       throw new MalformedMessageException("a task is both reserved and finished");
     }
-    return new StoredRecord.Alloc(
+    return new StoredRecord.Allocation(
         (Long) record.get("last"),
         (Boolean) record.get("done"),
-        spans(record, reserved),
-        ranges(finished));
+        decodeSpans(record, reserved),
+        toRanges(finished));
   }
 
-  private static ImmutableList<StoredRecord.Span> spans(GenericRecord record, BitSet reserved)
-      throws MalformedMessageException {
+  private static ImmutableList<StoredRecord.ReservedRange> decodeSpans(
+      GenericRecord record, BitSet reserved) throws MalformedMessageException {
     List<?> steps = (List<?>) record.get("start");
-    List<?> attempts = MachineNameColumns.column(record, "attempt", steps.size());
-    List<String> machines = MachineNameColumns.names(record, steps.size());
-    int[] starts = starts(steps, reserved);
+    List<?> attempts = MachineNameColumns.readColumn(record, "attempt", steps.size());
+    List<String> machines = MachineNameColumns.readNames(record, steps.size());
+    int[] starts = decodeRunStarts(steps, reserved);
     long last = (Long) record.get("last");
-    ImmutableList.Builder<StoredRecord.Span> spans = ImmutableList.builder();
+    ImmutableList.Builder<StoredRecord.ReservedRange> spans = ImmutableList.builder();
     for (int i = 0; i < steps.size(); i++) {
       long attempt = last - (Long) attempts.get(i);
-      addRun(spans, reserved, starts[i], starts[i + 1], attempt, machines.get(i));
+      addRunSpans(spans, reserved, starts[i], starts[i + 1], attempt, machines.get(i));
     }
     return spans.build();
   }
 
   /** Where each run starts, and where the last one ends; every reserved task has to be in one. */
-  private static int[] starts(List<?> steps, BitSet reserved) throws MalformedMessageException {
+  private static int[] decodeRunStarts(List<?> steps, BitSet reserved)
+      throws MalformedMessageException {
     int[] starts = new int[steps.size() + 1];
     long start = 0;
     for (int i = 0; i < steps.size(); i++) {
@@ -124,8 +126,8 @@
     return starts;
   }
 
-  private static void addRun(
-      ImmutableList.Builder<StoredRecord.Span> spans,
+  private static void addRunSpans(
+      ImmutableList.Builder<StoredRecord.ReservedRange> spans,
       BitSet reserved,
       int start,
       int end,
@@ -134,16 +136,16 @@
     int from = start;
     while (from >= 0 && from < end) {
       int to = Math.min(reserved.nextClearBit(from), end) - 1;
-      spans.add(new StoredRecord.Span(from, to, attempt, machine));
+      spans.add(new StoredRecord.ReservedRange(from, to, attempt, machine));
       from = reserved.nextSetBit(to + 1);
     }
   }
 
-  private static ImmutableList<StoredRecord.Range> ranges(BitSet finished) {
-    ImmutableList.Builder<StoredRecord.Range> ranges = ImmutableList.builder();
+  private static ImmutableList<StoredRecord.TaskRange> toRanges(BitSet finished) {
+    ImmutableList.Builder<StoredRecord.TaskRange> ranges = ImmutableList.builder();
     for (int from = finished.nextSetBit(0); from >= 0; ) {
       int end = finished.nextClearBit(from);
-      ranges.add(new StoredRecord.Range(from, end - 1));
+      ranges.add(new StoredRecord.TaskRange(from, end - 1));
       from = finished.nextSetBit(end);
     }
     return ranges.build();
--- a/src/main/java/eiderfork/wire/CloudCodec.java
+++ b/src/main/java/eiderfork/wire/CloudCodec.java
@@ -15,41 +15,41 @@
 /** What the cloud is asked and says. */
 public final class CloudCodec {
   /** Where the cloud tells its machine types. */
-  public static final String TYPES = "/flavors";
+  public static final String TYPES_PATH = "/flavors";
 
   /** Where machines are rented and listed. */
-  public static final String HOSTS = "/hosts";
+  public static final String HOSTS_PATH = "/hosts";
 
   /** Where machines are returned. */
-  public static final String RETURN = "/hosts/return";
+  public static final String RETURN_PATH = "/hosts/return";
 
   /** The most entries of a page of the machine list. */
-  private static final int PAGE = 500;
+  private static final int MAX_PAGE_ENTRIES = 500;
 
   private CloudCodec() {}
 
   /** The path of the page of the machine list that begins after this machine. */
   public static String hostsPath(String after) {
-    return HOSTS + "?Page=" + PAGE + (after.isEmpty() ? "" : "&After=" + after);
+    return HOSTS_PATH + "?Page=" + MAX_PAGE_ENTRIES + (after.isEmpty() ? "" : "&After=" + after);
   }
 
   /** The body of a request to rent machines. */
-  public static byte[] rent(StoredRecord.Rent rent) {
-    ObjectNode node = JsonReader.object();
+  public static byte[] encodeRent(StoredRecord.ScaleOutIntent rent) {
+    ObjectNode node = JsonReader.newObject();
     node.put("Charter", rent.requestName());
     node.put("Breed", rent.type());
     node.put("Shore", rent.zone());
     node.put("Driftwood", rent.spot());
     node.put("Count", rent.count());
-    return JsonReader.bytes(node);
+    return JsonReader.toBytes(node);
   }
 
   /** The body of a request to return machines. */
-  public static byte[] giveBack(List<String> machines) {
-    ObjectNode node = JsonReader.object();
+  public static byte[] encodeReturn(List<String> machines) {
+    ObjectNode node = JsonReader.newObject();
     ArrayNode names = node.putArray("Roosts");
     machines.forEach(names::add);
-    return JsonReader.bytes(node);
+    return JsonReader.toBytes(node);
   }
 
   /**
@@ -57,14 +57,14 @@
    *
    * @throws MalformedMessageException where it does not follow the protocol
    */
-  public static Reply types(int status, byte[] body) throws MalformedMessageException {
+  public static Reply decodeTypes(int status, byte[] body) throws MalformedMessageException {
     if (status != 200) {
       return new Reply.Refused(status);
     }
-    return new Reply.Types(types(JsonReader.array(JsonReader.parse(body), "Breeds")));
+    return new Reply.Types(decodeTypes(JsonReader.array(JsonReader.parse(body), "Breeds")));
   }
 
-  static ImmutableList<MachineType> types(ArrayNode array) throws MalformedMessageException {
+  static ImmutableList<MachineType> decodeTypes(ArrayNode array) throws MalformedMessageException {
     ImmutableList.Builder<MachineType> types = ImmutableList.builder();
     for (JsonNode node : array) {
       types.add(
@@ -72,42 +72,42 @@
               JsonReader.text(node, "Label"),
               new Resources(
                   JsonReader.amount(node, "Cpus"),
-                  orNone(node, "Gpus"),
+                  amountOrZero(node, "Gpus"),
                   JsonReader.amount(node, "RamGb")),
               JsonReader.amount(node, "LocalGb"),
               JsonReader.amount(node, "PullGbPerS"),
               JsonReader.amount(node, "Rate"),
               JsonReader.amount(node, "MarketPrice"),
               JsonReader.amount(node, "ReadyS"),
-              texts(JsonReader.array(node, "Shores"))));
+              decodeTexts(JsonReader.array(node, "Shores"))));
     }
     return types.build();
   }
 
-  private static double orNone(JsonNode node, String name) throws MalformedMessageException {
+  private static double amountOrZero(JsonNode node, String name) throws MalformedMessageException {
     Double amount = JsonReader.amountOrNull(node, name);
     return amount == null ? 0 : amount;
   }
 
-  static ArrayNode nodes(List<MachineType> types) {
-    ArrayNode array = JsonReader.object().putArray("Breeds");
+  static ArrayNode typesToJson(List<MachineType> types) {
+    ArrayNode array = JsonReader.newObject().putArray("Breeds");
     for (MachineType type : types) {
       ObjectNode node = array.addObject();
       node.put("Label", type.name());
-      node.put("Cpus", type.room().cpus());
-      node.put("Gpus", type.room().gpus());
-      node.put("RamGb", type.room().ramGb());
-      node.put("LocalGb", type.cacheGb());
-      node.put("PullGbPerS", type.fetchGbPerS());
-      node.put("Rate", type.price());
-      node.put("MarketPrice", type.spotPrice());
+      node.put("Cpus", type.capacity().cpus());
+      node.put("Gpus", type.capacity().gpus());
+      node.put("RamGb", type.capacity().ramGb());
+      node.put("LocalGb", type.imageCacheGb());
+      node.put("PullGbPerS", type.imageFetchGbPerS());
+      node.put("Rate", type.hourlyPrice());
+      node.put("MarketPrice", type.spotHourlyPrice());
       node.put("ReadyS", type.bootS());
       type.zones().forEach(node.putArray("Shores")::add);
     }
     return array;
   }
 
-  static ImmutableList<String> texts(ArrayNode array) throws MalformedMessageException {
+  static ImmutableList<String> decodeTexts(ArrayNode array) throws MalformedMessageException {
     ImmutableList.Builder<String> texts = ImmutableList.builder();
     for (JsonNode text : array) {
       if (!text.isTextual()) {
@@ -123,9 +123,9 @@
    *
    * @throws MalformedMessageException where it does not follow the protocol
    */
-  public static Reply rented(int status, byte[] body) throws MalformedMessageException {
+  public static Reply decodeRentReply(int status, byte[] body) throws MalformedMessageException {
     if (status == 200) {
-      return new Reply.Rented(texts(JsonReader.array(JsonReader.parse(body), "Roosts")));
+      return new Reply.Rented(decodeTexts(JsonReader.array(JsonReader.parse(body), "Roosts")));
     }
     if (status == 503 && "no capacity".equals(JsonReader.parse(body).path("error").asText())) {
       return new Reply.NoCapacity();
@@ -134,7 +134,7 @@
   }
 
   /** What the answer to a return says. */
-  public static Reply returned(int status) {
+  public static Reply decodeReturnReply(int status) {
     return status == 200 ? new Reply.Returned() : new Reply.Refused(status);
   }
 
@@ -143,7 +143,7 @@
    *
    * @throws MalformedMessageException where it does not follow the protocol
    */
-  public static Reply hosts(int status, byte[] body) throws MalformedMessageException {
+  public static Reply decodeHosts(int status, byte[] body) throws MalformedMessageException {
     if (status != 200) {
       return new Reply.Refused(status);
     }
@@ -158,7 +158,7 @@
                   JsonReader.text(host, "Breed"),
                   JsonReader.text(host, "Shore"),
                   JsonReader.flag(host, "Driftwood")),
-              JsonReader.oneOf(host, "Stance", ProtocolNames.HOST_STATE::get),
+              JsonReader.oneOf(host, "Stance", ProtocolNames.HOST_STATES::get),
               JsonReader.amount(host, "AgeS")));
     }
     return new Reply.Hosts(entries.build(), JsonReader.flag(node, "HasNext"));
--- a/src/main/java/eiderfork/wire/CloudServerCodec.java
+++ b/src/main/java/eiderfork/wire/CloudServerCodec.java
@@ -14,10 +14,10 @@
   private CloudServerCodec() {}
 
   /** The machine types. */
-  public static byte[] types(List<MachineType> types) {
-    ObjectNode node = JsonReader.object();
-    node.set("Breeds", CloudCodec.nodes(types));
-    return JsonReader.bytes(node);
+  public static byte[] encodeTypes(List<MachineType> types) {
+    ObjectNode node = JsonReader.newObject();
+    node.set("Breeds", CloudCodec.typesToJson(types));
+    return JsonReader.toBytes(node);
   }
 
   /**
@@ -25,9 +25,10 @@
    *
    * @throws MalformedMessageException where it does not follow the protocol
    */
-  public static StoredRecord.Rent rent(byte[] body) throws MalformedMessageException {
+  public static StoredRecord.ScaleOutIntent decodeRent(byte[] body)
+      throws MalformedMessageException {
     JsonNode node = JsonReader.parse(body);
-    return new StoredRecord.Rent(
+    return new StoredRecord.ScaleOutIntent(
         JsonReader.text(node, "Charter"),
         JsonReader.text(node, "Breed"),
         JsonReader.text(node, "Shore"),
@@ -41,31 +42,31 @@
    * @throws MalformedMessageException where it does not follow the protocol
    */
   public static ImmutableList<String> machines(byte[] body) throws MalformedMessageException {
-    return CloudCodec.texts(JsonReader.array(JsonReader.parse(body), "Roosts"));
+    return CloudCodec.decodeTexts(JsonReader.array(JsonReader.parse(body), "Roosts"));
   }
 
   /** The answer to a rent or a return: the machines that it is about. */
   public static byte[] machines(List<String> names) {
-    ObjectNode node = JsonReader.object();
+    ObjectNode node = JsonReader.newObject();
     names.forEach(node.putArray("Roosts")::add);
-    return JsonReader.bytes(node);
+    return JsonReader.toBytes(node);
   }
 
   /** A page of the machine list. */
-  public static byte[] hosts(List<ListedMachine> entries, boolean more) {
-    ObjectNode node = JsonReader.object();
+  public static byte[] encodeHosts(List<ListedMachine> entries, boolean more) {
+    ObjectNode node = JsonReader.newObject();
     ArrayNode list = node.putArray("Roosts");
     for (ListedMachine entry : entries) {
       ObjectNode host = list.addObject();
       host.put("Uid", entry.machine().name());
-      host.put("Addr", entry.machine().addr());
+      host.put("Addr", entry.machine().address());
       host.put("Breed", entry.machine().type());
       host.put("Shore", entry.machine().zone());
       host.put("Driftwood", entry.machine().spot());
-      host.put("Stance", ProtocolNames.HOST_STATE.inverse().get(entry.state()));
+      host.put("Stance", ProtocolNames.HOST_STATES.inverse().get(entry.state()));
       host.put("AgeS", entry.ageS());
     }
     node.put("HasNext", more);
-    return JsonReader.bytes(node);
+    return JsonReader.toBytes(node);
   }
 }
--- a/src/main/java/eiderfork/wire/CompressedBitmap.java
+++ b/src/main/java/eiderfork/wire/CompressedBitmap.java
@@ -24,7 +24,7 @@
     bitmap.setSizeInBits(to + 1, true);
   }
 
-  ByteBuffer bytes() {
+  ByteBuffer encode() {
     try {
       ByteArrayOutputStream out = new ByteArrayOutputStream();
       bitmap.serialize(new DataOutputStream(out));
@@ -35,7 +35,7 @@
   }
 
   /** Reads the tasks back; no task lies beyond the largest job. */
-  static BitSet read(ByteBuffer buffer) throws MalformedMessageException {
+  static BitSet decode(ByteBuffer buffer) throws MalformedMessageException {
     byte[] bytes = new byte[buffer.remaining()];
     buffer.get(bytes);
     checkLength(bytes);
@@ -45,7 +45,7 @@
       read.deserialize(new DataInputStream(new ByteArrayInputStream(bytes)));
       for (var all = read.intIterator(); all.hasNext(); ) {
         int task = all.next();
-        if (task < 0 || task >= Job.MOST_TASKS) {
+        if (task < 0 || task >= Job.MAX_TASKS) {
           throw new MalformedMessageException("task " + task + " is not that of a job");
         }
         tasks.set(task);
--- a/src/main/java/eiderfork/wire/JsonReader.java
+++ b/src/main/java/eiderfork/wire/JsonReader.java
@@ -14,11 +14,11 @@
 
   private JsonReader() {}
 
-  static ObjectNode object() {
+  static ObjectNode newObject() {
     return MAPPER.createObjectNode();
   }
 
-  static byte[] bytes(JsonNode node) {
+  static byte[] toBytes(JsonNode node) {
     try {
       return MAPPER.writeValueAsBytes(node);
     } catch (JsonProcessingException e) {
@@ -42,7 +42,8 @@
     }
   }
 
-  private static JsonNode field(JsonNode node, String name) throws MalformedMessageException {
+  private static JsonNode requiredField(JsonNode node, String name)
+      throws MalformedMessageException {
     JsonNode value = node.get(name);
     if (value == null || value.isNull()) {
       throw new MalformedMessageException("missing field " + name);
@@ -51,7 +52,7 @@
   }
 
   static String text(JsonNode node, String name) throws MalformedMessageException {
-    JsonNode value = field(node, name);
+    JsonNode value = requiredField(node, name);
     if (!value.isTextual()) {
       throw new MalformedMessageException("field " + name + " is not a text");
     }
@@ -64,7 +65,7 @@
 
   /** A decimal number of at least 0. */
   static double amount(JsonNode node, String name) throws MalformedMessageException {
-    JsonNode value = field(node, name);
+    JsonNode value = requiredField(node, name);
     if (!value.isNumber()
         || !(value.doubleValue() >= 0)
         || Double.isInfinite(value.doubleValue())) {
@@ -78,7 +79,7 @@
   }
 
   static long integer(JsonNode node, String name) throws MalformedMessageException {
-    JsonNode value = field(node, name);
+    JsonNode value = requiredField(node, name);
     if (!value.isIntegralNumber() || value.bigIntegerValue().signum() < 0) {
       throw new MalformedMessageException("field " + name + " is not a whole number");
     }
@@ -86,7 +87,7 @@
   }
 
   static boolean flag(JsonNode node, String name) throws MalformedMessageException {
-    JsonNode value = field(node, name);
+    JsonNode value = requiredField(node, name);
     if (!value.isBoolean()) {
       throw new MalformedMessageException("field " + name + " is not true or false");
     }
@@ -94,7 +95,7 @@
   }
 
   static ArrayNode array(JsonNode node, String name) throws MalformedMessageException {
-    if (!(field(node, name) instanceof ArrayNode array)) {
+    if (!(requiredField(node, name) instanceof ArrayNode array)) {
       throw new MalformedMessageException("field " + name + " is not a list");
     }
     return array;
--- a/src/main/java/eiderfork/wire/MachineNameColumns.java
+++ b/src/main/java/eiderfork/wire/MachineNameColumns.java
@@ -29,7 +29,7 @@
   }
 
   /** Puts the columns into a record whose list of series has elements of this schema. */
-  void put(GenericRecord record, Schema seriesSchema) {
+  void writeTo(GenericRecord record, Schema seriesSchema) {
     record.put("series", series.stream().map(it -> seriesRecord(it, seriesSchema)).toList());
     record.put("seriesIndex", seriesIndexes);
     record.put("number", numbers);
@@ -43,10 +43,10 @@
   }
 
   /** Reads the names back; there have to be so many. */
-  static List<String> names(GenericRecord record, int size) throws MalformedMessageException {
+  static List<String> readNames(GenericRecord record, int size) throws MalformedMessageException {
     List<?> series = (List<?>) record.get("series");
-    List<?> seriesIndexes = column(record, "seriesIndex", size);
-    List<?> numbers = column(record, "number", size);
+    List<?> seriesIndexes = readColumn(record, "seriesIndex", size);
+    List<?> numbers = readColumn(record, "number", size);
     List<String> names = new ArrayList<>(size);
     long number = 0;
     for (int i = 0; i < size; i++) {
@@ -55,13 +55,13 @@
         throw new MalformedMessageException("series " + seriesIndex + " is not listed");
       }
       number += (Long) numbers.get(i);
-      names.add(machine((GenericRecord) series.get(seriesIndex), number));
+      names.add(readName((GenericRecord) series.get(seriesIndex), number));
     }
     return names;
   }
 
   /** A column, which has to have one entry for each run of tasks. */
-  static List<?> column(GenericRecord record, String name, int size)
+  static List<?> readColumn(GenericRecord record, String name, int size)
       throws MalformedMessageException {
     List<?> column = (List<?>) record.get(name);
     if (column.size() != size) {
@@ -70,7 +70,7 @@
     return column;
   }
 
-  private static String machine(GenericRecord series, long number)
+  private static String readName(GenericRecord series, long number)
       throws MalformedMessageException {
     int digits = (Integer) series.get("digits");
     NumberedName name =
--- a/src/main/java/eiderfork/wire/PackedAllocationCodec.java
+++ b/src/main/java/eiderfork/wire/PackedAllocationCodec.java
@@ -20,66 +20,66 @@
  */
 final class PackedAllocationCodec {
   /** The field that tells this form from the others. */
-  static final String FIELD = "packed";
+  static final String JSON_FIELD = "packed";
 
-  private static final Schema SCHEMA = AvroCodec.schema("alloc.avsc");
-  private static final Schema SERIES = SCHEMA.getField("series").schema().getElementType();
+  private static final Schema SCHEMA = AvroCodec.loadSchema("alloc.avsc");
+  private static final Schema SERIES_SCHEMA = SCHEMA.getField("series").schema().getElementType();
 
   private PackedAllocationCodec() {}
 
-  static ObjectNode node(StoredRecord.Alloc alloc) {
-    byte[] bytes = AvroCodec.write(columns(alloc));
-    return JsonReader.object()
-        .put(FIELD, Base64.getEncoder().withoutPadding().encodeToString(bytes));
+  static ObjectNode toJson(StoredRecord.Allocation allocation) {
+    byte[] bytes = AvroCodec.encode(toAvro(allocation));
+    return JsonReader.newObject()
+        .put(JSON_FIELD, Base64.getEncoder().withoutPadding().encodeToString(bytes));
   }
 
-  private static GenericRecord columns(StoredRecord.Alloc alloc) {
+  private static GenericRecord toAvro(StoredRecord.Allocation allocation) {
     MachineNameColumns names = new MachineNameColumns();
     List<Integer> gaps = new ArrayList<>();
     List<Integer> lengths = new ArrayList<>();
     List<Long> attempts = new ArrayList<>();
     int next = 0;
-    for (StoredRecord.Span span : alloc.reserved()) {
+    for (StoredRecord.ReservedRange span : allocation.reserved()) {
       gaps.add(span.from() - next);
       lengths.add(span.to() - span.from());
-      attempts.add(alloc.lastAttempt() - span.attempt());
+      attempts.add(allocation.lastAttempt() - span.attempt());
       names.add(span.machine());
       next = span.to() + 1;
     }
     GenericRecord record = new GenericData.Record(SCHEMA);
-    record.put("last", alloc.lastAttempt());
-    record.put("done", alloc.done());
-    names.put(record, SERIES);
+    record.put("last", allocation.lastAttempt());
+    record.put("done", allocation.done());
+    names.writeTo(record, SERIES_SCHEMA);
     record.put("gap", gaps);
     record.put("length", lengths);
     record.put("attempt", attempts);
-    putFinished(record, alloc.finished());
+    putFinished(record, allocation.finished());
     return record;
   }
 
-  private static void putFinished(GenericRecord record, List<StoredRecord.Range> finished) {
+  private static void putFinished(GenericRecord record, List<StoredRecord.TaskRange> finished) {
     List<Integer> runs = new ArrayList<>();
     BitSet bits = new BitSet();
     int next = 0;
-    for (StoredRecord.Range range : finished) {
+    for (StoredRecord.TaskRange range : finished) {
       runs.add(range.from() - next);
       runs.add(range.to() - range.from());
       bits.set(range.from(), range.to() + 1);
       next = range.to() + 1;
     }
     byte[] bitmap = bits.toByteArray();
-    boolean runsAreShorter = bytesOf(runs) <= bitmap.length;
+    boolean runsAreShorter = encodedSize(runs) <= bitmap.length;
     record.put("finished", runsAreShorter ? runs : List.of());
     record.put("finishedBits", ByteBuffer.wrap(runsAreShorter ? new byte[0] : bitmap));
   }
 
-  private static int bytesOf(List<Integer> runs) {
-    GenericRecord probe = new GenericData.Record(FINISHED_ONLY);
+  private static int encodedSize(List<Integer> runs) {
+    GenericRecord probe = new GenericData.Record(FINISHED_SCHEMA);
     probe.put("finished", runs);
-    return AvroCodec.write(probe).length;
+    return AvroCodec.encode(probe).length;
   }
 
-  private static final Schema FINISHED_ONLY =
+  private static final Schema FINISHED_SCHEMA =
       Schema.createRecord(
           "Finished",
           null,
@@ -88,60 +88,61 @@
           List.of(new Schema.Field("finished", SCHEMA.getField("finished").schema())));
 
   /** Reads the packed form. */
-  static StoredRecord.Alloc alloc(JsonNode node) throws MalformedMessageException {
+  static StoredRecord.Allocation fromJson(JsonNode node) throws MalformedMessageException {
     byte[] bytes;
     try {
-      bytes = Base64.getDecoder().decode(JsonReader.text(node, FIELD));
+      bytes = Base64.getDecoder().decode(JsonReader.text(node, JSON_FIELD));
     } catch (IllegalArgumentException e) {
-      throw new MalformedMessageException("field " + FIELD + " is not Base64");
+      throw new MalformedMessageException("field " + JSON_FIELD + " is not Base64");
     }
-    GenericRecord record = AvroCodec.read(SCHEMA, SCHEMA, bytes);
+    GenericRecord record = AvroCodec.decode(SCHEMA, SCHEMA, bytes);
     long last = (Long) record.get("last");
-    return new StoredRecord.Alloc(
-        last, (Boolean) record.get("done"), reserved(record, last), finished(record));
+    return new StoredRecord.Allocation(
+        last, (Boolean) record.get("done"), decodeReserved(record, last), decodeFinished(record));
   }
 
-  private static ImmutableList<StoredRecord.Span> reserved(GenericRecord record, long last)
-      throws MalformedMessageException {
+  private static ImmutableList<StoredRecord.ReservedRange> decodeReserved(
+      GenericRecord record, long last) throws MalformedMessageException {
     List<?> gaps = (List<?>) record.get("gap");
-    List<?> lengths = MachineNameColumns.column(record, "length", gaps.size());
-    List<?> attempts = MachineNameColumns.column(record, "attempt", gaps.size());
-    List<String> machines = MachineNameColumns.names(record, gaps.size());
-    ImmutableList.Builder<StoredRecord.Span> spans = ImmutableList.builder();
+    List<?> lengths = MachineNameColumns.readColumn(record, "length", gaps.size());
+    List<?> attempts = MachineNameColumns.readColumn(record, "attempt", gaps.size());
+    List<String> machines = MachineNameColumns.readNames(record, gaps.size());
+    ImmutableList.Builder<StoredRecord.ReservedRange> spans = ImmutableList.builder();
     int next = 0;
     for (int i = 0; i < gaps.size(); i++) {
-      StoredRecord.Range run = run(next, (Integer) gaps.get(i), (Integer) lengths.get(i));
+      StoredRecord.TaskRange run = decodeRun(next, (Integer) gaps.get(i), (Integer) lengths.get(i));
       spans.add(
-          new StoredRecord.Span(
+          new StoredRecord.ReservedRange(
               run.from(), run.to(), last - (Long) attempts.get(i), machines.get(i)));
       next = run.to() + 1;
     }
     return spans.build();
   }
 
-  private static StoredRecord.Range run(int next, int gap, int length)
+  private static StoredRecord.TaskRange decodeRun(int next, int gap, int length)
       throws MalformedMessageException {
     long to = (long) next + gap + length;
-    if (gap < 0 || length < 0 || to >= Job.MOST_TASKS) {
+    if (gap < 0 || length < 0 || to >= Job.MAX_TASKS) {
       throw new MalformedMessageException("tasks are no run");
     }
-    return new StoredRecord.Range(next + gap, (int) to);
+    return new StoredRecord.TaskRange(next + gap, (int) to);
   }
 
-  private static ImmutableList<StoredRecord.Range> finished(GenericRecord record)
+  private static ImmutableList<StoredRecord.TaskRange> decodeFinished(GenericRecord record)
       throws MalformedMessageException {
-    ImmutableList.Builder<StoredRecord.Range> ranges = ImmutableList.builder();
+    ImmutableList.Builder<StoredRecord.TaskRange> ranges = ImmutableList.builder();
     List<?> runs = (List<?>) record.get("finished");
     int next = 0;
     for (int i = 0; i + 1 < runs.size(); i += 2) {
-      StoredRecord.Range run = run(next, (Integer) runs.get(i), (Integer) runs.get(i + 1));
+      StoredRecord.TaskRange run =
+          decodeRun(next, (Integer) runs.get(i), (Integer) runs.get(i + 1));
       ranges.add(run);
       next = run.to() + 1;
     }
     BitSet bits = BitSet.valueOf((ByteBuffer) record.get("finishedBits"));
     for (int from = bits.nextSetBit(0); from >= 0; ) {
       int end = bits.nextClearBit(from);
-      ranges.add(new StoredRecord.Range(from, end - 1));
+      ranges.add(new StoredRecord.TaskRange(from, end - 1));
       from = bits.nextSetBit(end);
     }
     return ranges.build();
--- a/src/main/java/eiderfork/wire/PeerCodec.java
+++ b/src/main/java/eiderfork/wire/PeerCodec.java
@@ -18,40 +18,40 @@
 /** What the nodes exchange with each other, in Avro. */
 public final class PeerCodec {
   /** Where peers exchange their views. */
-  public static final String PING = "/peer/ping";
+  public static final String PING_PATH = "/peer/ping";
 
   /** Where a user's request is passed on. */
-  public static final String REQUEST = "/peer/request";
+  public static final String REQUEST_PATH = "/peer/request";
 
   /** Where several queries are passed on together. */
-  public static final String QUERIES = "/peer/queries";
+  public static final String QUERIES_PATH = "/peer/queries";
 
   /** Where a leader tells a standby what is not committed. */
-  public static final String HINTS = "/peer/hints";
+  public static final String HINTS_PATH = "/peer/hints";
 
-  private static final String SCHEMAS = "peer.avpr.json";
-  private static final Schema UNION = AvroCodec.schema(SCHEMAS);
-  private static final Schema VIEW = UNION.getTypes().get(0);
+  private static final String SCHEMA_RESOURCE = "peer.avpr.json";
+  private static final Schema UNION_SCHEMA = AvroCodec.loadSchema(SCHEMA_RESOURCE);
+  private static final Schema VIEW_SCHEMA = UNION_SCHEMA.getTypes().get(0);
 
   /** The forms that a view has had, the newest first: each version added a field at the end. */
-  private static final ImmutableList<Schema> VIEW_FORMS = forms(VIEW);
+  private static final ImmutableList<Schema> VIEW_SCHEMA_VERSIONS = schemaVersions(VIEW_SCHEMA);
 
-  private static final Schema NEWS = VIEW.getField("news").schema().getTypes().get(1);
-  private static final Schema ASKED = UNION.getTypes().get(1);
-  private static final Schema ANSWER = UNION.getTypes().get(2);
-  private static final Schema QUESTIONS = UNION.getTypes().get(3);
-  private static final Schema ANSWERS = UNION.getTypes().get(4);
+  private static final Schema NEWS_SCHEMA = VIEW_SCHEMA.getField("news").schema().getTypes().get(1);
+  private static final Schema REQUEST_SCHEMA = UNION_SCHEMA.getTypes().get(1);
+  private static final Schema ANSWER_SCHEMA = UNION_SCHEMA.getTypes().get(2);
+  private static final Schema QUERIES_SCHEMA = UNION_SCHEMA.getTypes().get(3);
+  private static final Schema ANSWERS_SCHEMA = UNION_SCHEMA.getTypes().get(4);
 
-  private static final Schema HINT_MESSAGE = UNION.getTypes().get(5);
-  private static final Schema MACHINE_HINT =
-      HINT_MESSAGE.getField("machines").schema().getElementType();
-  private static final Schema IMAGE_HINT =
-      MACHINE_HINT.getField("images").schema().getElementType();
+  private static final Schema HINT_MESSAGE_SCHEMA = UNION_SCHEMA.getTypes().get(5);
+  private static final Schema MACHINE_HINT_SCHEMA =
+      HINT_MESSAGE_SCHEMA.getField("machines").schema().getElementType();
+  private static final Schema IMAGE_HINT_SCHEMA =
+      MACHINE_HINT_SCHEMA.getField("images").schema().getElementType();
 
   private PeerCodec() {}
 
   /** A record's schema, and what it was before each field that came later and has a default. */
-  private static ImmutableList<Schema> forms(Schema schema) {
+  private static ImmutableList<Schema> schemaVersions(Schema schema) {
     ImmutableList.Builder<Schema> forms = ImmutableList.builder();
     int fields = schema.getFields().size();
     forms.add(schema);
@@ -73,27 +73,27 @@
   }
 
   /** Writes a node's view. */
-  public static byte[] view(PeerStatus view) {
-    GenericRecord record = new GenericData.Record(VIEW);
-    record.put("node", view.node());
-    record.put("term", view.term());
-    record.put("leading", view.leading());
-    record.put("stateAgeMs", view.stateAgeMs());
-    record.put("machinesHeard", view.machinesHeard());
-    record.put("news", news(view.news()));
-    record.put("version", view.version());
-    return AvroCodec.write(record);
+  public static byte[] view(PeerStatus status) {
+    GenericRecord record = new GenericData.Record(VIEW_SCHEMA);
+    record.put("node", status.node());
+    record.put("term", status.term());
+    record.put("leading", status.leading());
+    record.put("stateAgeMs", status.storeAgeMs());
+    record.put("machinesHeard", status.reportingMachines());
+    record.put("news", news(status.cancellations()));
+    record.put("version", status.version());
+    return AvroCodec.encode(record);
   }
 
-  private static GenericRecord news(CancellationGossip news) {
-    GenericRecord record = new GenericData.Record(NEWS);
-    record.put("process", news.process());
-    record.put("upMs", news.upMs());
-    record.put("after", news.after());
-    record.put("uids", news.uids());
-    record.put("complete", news.complete());
-    record.put("heardProcess", news.heardProcess());
-    record.put("heardUpTo", news.heardUpTo());
+  private static GenericRecord news(CancellationGossip gossip) {
+    GenericRecord record = new GenericData.Record(NEWS_SCHEMA);
+    record.put("process", gossip.processId());
+    record.put("upMs", gossip.uptimeMs());
+    record.put("after", gossip.afterNumber());
+    record.put("uids", gossip.uids());
+    record.put("complete", gossip.complete());
+    record.put("heardProcess", gossip.acknowledgedProcessId());
+    record.put("heardUpTo", gossip.acknowledgedNumber());
     return record;
   }
 
@@ -121,7 +121,7 @@
    * @throws MalformedMessageException where it can't be read
    */
   public static PeerStatus view(byte[] bytes) throws MalformedMessageException {
-    GenericRecord record = readView(bytes);
+    GenericRecord record = decodeViewOfAnyVersion(bytes);
     return new PeerStatus(
         record.get("node").toString(),
         (Long) record.get("term"),
@@ -134,20 +134,20 @@
 
   /** Writes a user's request that is passed on. */
   public static byte[] request(Input request) {
-    GenericRecord record = new GenericData.Record(ASKED);
+    GenericRecord record = new GenericData.Record(REQUEST_SCHEMA);
     if (request instanceof Input.Submit it) {
-      put(record, "SUBMIT", it.job().uid());
+      putKind(record, "SUBMIT", it.job().uid());
       record.put("body", ByteBuffer.wrap(it.body()));
     } else if (request instanceof Input.Query it) {
-      put(record, "QUERY", it.uid());
+      putKind(record, "QUERY", it.uid());
     } else if (request instanceof Input.Abort it) {
-      put(record, "ABORT", it.uid());
+      putKind(record, "ABORT", it.uid());
     }
-    return AvroCodec.write(record);
+    return AvroCodec.encode(record);
   }
 
-  private static void put(GenericRecord record, String kind, String uid) {
-    record.put("kind", new GenericData.EnumSymbol(ASKED.getField("kind").schema(), kind));
+  private static void putKind(GenericRecord record, String kind, String uid) {
+    record.put("kind", new GenericData.EnumSymbol(REQUEST_SCHEMA.getField("kind").schema(), kind));
     record.put("uid", uid);
   }
 
@@ -157,7 +157,7 @@
    * @throws MalformedMessageException where it can't be read
    */
   public static Input request(byte[] bytes) throws MalformedMessageException {
-    GenericRecord record = read(ASKED, bytes);
+    GenericRecord record = decode(REQUEST_SCHEMA, bytes);
     String uid = record.get("uid").toString();
     switch (record.get("kind").toString()) {
       case "SUBMIT":
@@ -166,7 +166,7 @@
         }
         byte[] body = new byte[buffer.remaining()];
         buffer.get(body);
-        return new Input.Submit(0, UserCodec.job(body), body);
+        return new Input.Submit(0, UserCodec.decodeJob(body), body);
       case "QUERY":
         return new Input.Query(0, uid);
       default:
@@ -176,9 +176,9 @@
 
   /** Writes the ids of jobs that are asked for together. */
   public static byte[] queries(List<String> uids) {
-    GenericRecord record = new GenericData.Record(QUESTIONS);
+    GenericRecord record = new GenericData.Record(QUERIES_SCHEMA);
     record.put("uids", uids);
-    return AvroCodec.write(record);
+    return AvroCodec.encode(record);
   }
 
   /**
@@ -187,14 +187,14 @@
    * @throws MalformedMessageException where they can't be read
    */
   public static ImmutableList<String> queries(byte[] bytes) throws MalformedMessageException {
-    return strings((List<?>) read(QUESTIONS, bytes).get("uids"));
+    return strings((List<?>) decode(QUERIES_SCHEMA, bytes).get("uids"));
   }
 
   /** Writes the answers to queries, in the order of the queries. */
   public static byte[] answers(List<UserResponse> answers) {
-    GenericRecord record = new GenericData.Record(ANSWERS);
+    GenericRecord record = new GenericData.Record(ANSWERS_SCHEMA);
     record.put("answers", answers.stream().map(PeerCodec::toRecord).toList());
-    return AvroCodec.write(record);
+    return AvroCodec.encode(record);
   }
 
   /**
@@ -204,27 +204,27 @@
    */
   public static Reply answers(byte[] bytes) throws MalformedMessageException {
     ImmutableList.Builder<UserResponse> answers = ImmutableList.builder();
-    for (Object answer : (List<?>) read(ANSWERS, bytes).get("answers")) {
+    for (Object answer : (List<?>) decode(ANSWERS_SCHEMA, bytes).get("answers")) {
       answers.add(fromRecord((GenericRecord) answer));
     }
-    return new Reply.PeerAnswers(answers.build());
+    return new Reply.ForwardedResponses(answers.build());
   }
 
   /** Writes the answer to a request that was passed on. */
-  public static byte[] answer(UserResponse answer) {
-    return AvroCodec.write(toRecord(answer));
+  public static byte[] answer(UserResponse response) {
+    return AvroCodec.encode(toRecord(response));
   }
 
-  private static GenericRecord toRecord(UserResponse answer) {
-    GenericRecord record = new GenericData.Record(ANSWER);
-    record.put("status", answer.status());
-    record.put("retryAfterS", answer.retryAfterS());
-    record.put("error", answer.error());
-    JobStatus job = answer.job();
+  private static GenericRecord toRecord(UserResponse response) {
+    GenericRecord record = new GenericData.Record(ANSWER_SCHEMA);
+    record.put("status", response.status());
+    record.put("retryAfterS", response.retryAfterS());
+    record.put("error", response.error());
+    JobStatus job = response.job();
     record.put("uid", job == null ? null : job.uid());
-    record.put("stance", job == null ? null : job.stance().name());
-    record.put("done", job == null ? 0 : job.done());
-    record.put("running", job == null ? 0 : job.running());
+    record.put("stance", job == null ? null : job.phase().name());
+    record.put("done", job == null ? 0 : job.doneTasks());
+    record.put("running", job == null ? 0 : job.runningTasks());
     return record;
   }
 
@@ -234,7 +234,7 @@
    * @throws MalformedMessageException where it can't be read
    */
   public static Reply answer(byte[] bytes) throws MalformedMessageException {
-    return new Reply.PeerAnswer(fromRecord(read(ANSWER, bytes)));
+    return new Reply.ForwardedResponse(fromRecord(decode(ANSWER_SCHEMA, bytes)));
   }
 
   private static UserResponse fromRecord(GenericRecord record) throws MalformedMessageException {
@@ -244,7 +244,7 @@
         job =
             new JobStatus(
                 record.get("uid").toString(),
-                JobStatus.Stance.valueOf(record.get("stance").toString()),
+                JobStatus.Phase.valueOf(record.get("stance").toString()),
                 (Integer) record.get("done"),
                 (Integer) record.get("running"));
       } catch (IllegalArgumentException e) {
@@ -260,25 +260,25 @@
   }
 
   /** Writes hints for a standby. */
-  public static byte[] hints(MachineHintBatch message) {
-    GenericRecord record = new GenericData.Record(HINT_MESSAGE);
-    record.put("term", message.term());
-    record.put("number", message.number());
-    record.put("machines", message.machines().stream().map(PeerCodec::toRecord).toList());
-    return AvroCodec.write(record);
+  public static byte[] hints(MachineHintBatch batch) {
+    GenericRecord record = new GenericData.Record(HINT_MESSAGE_SCHEMA);
+    record.put("term", batch.term());
+    record.put("number", batch.sequence());
+    record.put("machines", batch.machines().stream().map(PeerCodec::toRecord).toList());
+    return AvroCodec.encode(record);
   }
 
   private static GenericRecord toRecord(MachineHint hint) {
-    GenericRecord record = new GenericData.Record(MACHINE_HINT);
+    GenericRecord record = new GenericData.Record(MACHINE_HINT_SCHEMA);
     record.put("machine", hint.machine());
     record.put("images", hint.images().stream().map(PeerCodec::toRecord).toList());
     return record;
   }
 
   private static GenericRecord toRecord(MachineHint.ImageHint image) {
-    GenericRecord record = new GenericData.Record(IMAGE_HINT);
+    GenericRecord record = new GenericData.Record(IMAGE_HINT_SCHEMA);
     record.put("image", image.image());
-    record.put("gb", image.gb());
+    record.put("gb", image.sizeGb());
     record.put("readyInMs", image.readyInMs());
     return record;
   }
@@ -289,7 +289,7 @@
    * @throws MalformedMessageException where they can't be read
    */
   public static MachineHintBatch hints(byte[] bytes) throws MalformedMessageException {
-    GenericRecord record = read(HINT_MESSAGE, bytes);
+    GenericRecord record = decode(HINT_MESSAGE_SCHEMA, bytes);
     ImmutableList.Builder<MachineHint> machines = ImmutableList.builder();
     for (Object machine : (List<?>) record.get("machines")) {
       machines.add(machineHint((GenericRecord) machine));
@@ -312,11 +312,12 @@
   }
 
   /** A peer of an earlier version ends after the fields that there were then. */
-  private static GenericRecord readView(byte[] bytes) throws MalformedMessageException {
+  private static GenericRecord decodeViewOfAnyVersion(byte[] bytes)
+      throws MalformedMessageException {
     MalformedMessageException newest = null;
-    for (Schema form : VIEW_FORMS) {
+    for (Schema form : VIEW_SCHEMA_VERSIONS) {
       try {
-        return AvroCodec.read(form, VIEW, bytes);
+        return AvroCodec.decode(form, VIEW_SCHEMA, bytes);
       } catch (MalformedMessageException e) {
         newest = newest == null ? e : newest;
       }
@@ -324,7 +325,8 @@
     throw newest;
   }
 
-  private static GenericRecord read(Schema schema, byte[] bytes) throws MalformedMessageException {
-    return AvroCodec.read(schema, schema, bytes);
+  private static GenericRecord decode(Schema schema, byte[] bytes)
+      throws MalformedMessageException {
+    return AvroCodec.decode(schema, schema, bytes);
   }
 }
--- a/src/main/java/eiderfork/wire/ProtocolNames.java
+++ b/src/main/java/eiderfork/wire/ProtocolNames.java
@@ -2,7 +2,7 @@
 
 import com.google.common.collect.ImmutableBiMap;
 import eiderfork.model.JobKind;
-import eiderfork.model.JobStatus.Stance;
+import eiderfork.model.JobStatus.Phase;
 import eiderfork.model.ListedMachine;
 import eiderfork.model.Priority;
 import eiderfork.model.TaskStatus.Cause;
@@ -10,32 +10,32 @@
 
 /** The protocol's words for what the model has its own names for. */
 final class ProtocolNames {
-  static final ImmutableBiMap<String, JobKind> KIND =
+  static final ImmutableBiMap<String, JobKind> JOB_KINDS =
       ImmutableBiMap.of("array", JobKind.ARRAY, "group", JobKind.GANG, "standing", JobKind.SERVICE);
 
-  static final ImmutableBiMap<String, Priority> PRIORITY =
+  static final ImmutableBiMap<String, Priority> PRIORITIES =
       ImmutableBiMap.of(
           "production", Priority.PRODUCTION,
           "high", Priority.HIGH,
           "standard", Priority.STANDARD,
           "low", Priority.LOW);
 
-  static final ImmutableBiMap<String, Stance> STANCE =
+  static final ImmutableBiMap<String, Phase> JOB_STATES =
       ImmutableBiMap.of(
-          "pending", Stance.PENDING,
-          "running", Stance.RUNNING,
-          "done", Stance.DONE,
-          "aborted", Stance.ABORTED);
+          "pending", Phase.PENDING,
+          "running", Phase.RUNNING,
+          "done", Phase.DONE,
+          "aborted", Phase.ABORTED);
 
-  static final ImmutableBiMap<String, State> TASK_STATE =
+  static final ImmutableBiMap<String, State> TASK_STATES =
       ImmutableBiMap.of(
           "pulling", State.FETCHING,
-          "gathering", State.GATHERING,
+          "gathering", State.WAITING_FOR_GANG,
           "running", State.RUNNING,
-          "saving", State.SAVING,
+          "saving", State.CHECKPOINTING,
           "ended", State.ENDED);
 
-  static final ImmutableBiMap<String, Cause> CAUSE =
+  static final ImmutableBiMap<String, Cause> END_CAUSES =
       ImmutableBiMap.of(
           "done", Cause.DONE,
           "halted", Cause.STOPPED,
@@ -43,10 +43,10 @@
           "full", Cause.NO_ROOM,
           "in_use", Cause.BUSY,
           "unknown", Cause.UNKNOWN,
-          "peers", Cause.PEERS,
-          "incomplete", Cause.INCOMPLETE);
+          "peers", Cause.PEER_LOST,
+          "incomplete", Cause.GANG_INCOMPLETE);
 
-  static final ImmutableBiMap<String, ListedMachine.State> HOST_STATE =
+  static final ImmutableBiMap<String, ListedMachine.State> HOST_STATES =
       ImmutableBiMap.of(
           "starting", ListedMachine.State.BOOTING,
           "running", ListedMachine.State.RUNNING,
--- a/src/main/java/eiderfork/wire/StoreCodec.java
+++ b/src/main/java/eiderfork/wire/StoreCodec.java
@@ -10,7 +10,7 @@
 /** What the state service is asked and says. */
 public final class StoreCodec {
   /** The most items in a page. */
-  private static final int PAGE = 1000;
+  private static final int MAX_PAGE_ITEMS = 1000;
 
   private StoreCodec() {}
 
@@ -18,33 +18,39 @@
   public record Request(String method, String path, byte[] body) {}
 
   /** The request that carries out an operation. */
-  public static Request request(StoreRequest op) {
-    if (op instanceof StoreRequest.Transact it) {
-      return new Request("POST", "/multi", transaction(it));
-    } else if (op instanceof StoreRequest.Get it) {
+  public static Request encodeRequest(StoreRequest request) {
+    if (request instanceof StoreRequest.Transaction it) {
+      return new Request("POST", "/multi", encodeTransaction(it));
+    } else if (request instanceof StoreRequest.Get it) {
       return new Request("GET", "/keys/" + it.key(), null);
-    } else if (op instanceof StoreRequest.Scan it) {
-      String after = it.after().isEmpty() ? "" : "&After=" + it.after();
-      return new Request("GET", "/keys?Starts=" + it.prefix() + after + "&Page=" + PAGE, null);
-    } else if (op instanceof StoreRequest.Watch it) {
+    } else if (request instanceof StoreRequest.Scan it) {
+      String after = it.afterKey().isEmpty() ? "" : "&After=" + it.afterKey();
+      return new Request(
+          "GET", "/keys?Starts=" + it.prefix() + after + "&Page=" + MAX_PAGE_ITEMS, null);
+    } else if (request instanceof StoreRequest.Watch it) {
       return new Request(
           "GET",
-          "/follow?Starts=" + it.prefix() + "&After=" + it.after() + "&BlockMs=" + it.waitMs(),
+          "/follow?Starts="
+              + it.prefix()
+              + "&After="
+              + it.afterRevision()
+              + "&BlockMs="
+              + it.timeoutMs(),
           null);
-    } else if (op instanceof StoreRequest.Grant it) {
+    } else if (request instanceof StoreRequest.Grant it) {
       return new Request(
-          "POST", "/leases", JsonReader.bytes(JsonReader.object().put("LifeMs", it.lifeMs())));
-    } else if (op instanceof StoreRequest.Renew it) {
+          "POST", "/leases", JsonReader.toBytes(JsonReader.newObject().put("LifeMs", it.ttlMs())));
+    } else if (request instanceof StoreRequest.Renew it) {
       return new Request(
-          "POST", "/leases/" + it.lease() + "/renew", JsonReader.bytes(JsonReader.object()));
-    } else if (op instanceof StoreRequest.Release it) {
-      return new Request("DELETE", "/leases/" + it.lease(), null);
+          "POST", "/leases/" + it.leaseId() + "/renew", JsonReader.toBytes(JsonReader.newObject()));
+    } else if (request instanceof StoreRequest.Release it) {
+      return new Request("DELETE", "/leases/" + it.leaseId(), null);
     }
-    throw new IllegalStateException("unknown operation " + op);
+    throw new IllegalStateException("unknown operation " + request);
   }
 
-  private static byte[] transaction(StoreRequest.Transact it) {
-    ObjectNode node = JsonReader.object();
+  private static byte[] encodeTransaction(StoreRequest.Transaction it) {
+    ObjectNode node = JsonReader.newObject();
     ArrayNode conditions = node.putArray("If");
     for (StoreRequest.Condition condition : it.conditions()) {
       conditions.addObject().put("Path", condition.key()).put("Stamp", condition.version());
@@ -56,13 +62,13 @@
         one.put("Drop", change.key());
       } else {
         one.put("Write", change.key());
-        one.set("V", StoredRecordCodec.node(change.record()));
-        if (change.lease() != 0) {
-          one.put("Tether", change.lease());
+        one.set("V", StoredRecordCodec.toJson(change.record()));
+        if (change.leaseId() != 0) {
+          one.put("Tether", change.leaseId());
         }
       }
     }
-    return JsonReader.bytes(node);
+    return JsonReader.toBytes(node);
   }
 
   /**
@@ -70,45 +76,45 @@
    *
    * @throws MalformedMessageException where it does not follow the protocol
    */
-  public static Reply reply(StoreRequest op, int status, byte[] body)
+  public static Reply decodeReply(StoreRequest request, int status, byte[] body)
       throws MalformedMessageException {
-    if (op instanceof StoreRequest.Get get && status == 404) {
+    if (request instanceof StoreRequest.Get get && status == 404) {
       // A 404 that is not the state service's own says nothing about the key.
       JsonReader.integer(JsonReader.parse(body), "Ledger");
       return new Reply.Value(null, 0);
     }
-    if (op instanceof StoreRequest.Transact && status == 409) {
+    if (request instanceof StoreRequest.Transaction && status == 409) {
       return new Reply.Conflict(
-          CloudCodec.texts(JsonReader.array(JsonReader.parse(body), "failed")));
+          CloudCodec.decodeTexts(JsonReader.array(JsonReader.parse(body), "failed")));
     }
-    if (op instanceof StoreRequest.Release && status / 100 == 2) {
+    if (request instanceof StoreRequest.Release && status / 100 == 2) {
       return new Reply.Leased(0);
     }
     if (status != 200) {
       return new Reply.Refused(status);
     }
-    if (op instanceof StoreRequest.Renew renew) {
-      return new Reply.Leased(renew.lease());
+    if (request instanceof StoreRequest.Renew renew) {
+      return new Reply.Leased(renew.leaseId());
     }
     JsonNode node = JsonReader.parse(body);
-    if (op instanceof StoreRequest.Transact) {
+    if (request instanceof StoreRequest.Transaction) {
       return new Reply.Committed(JsonReader.integer(node, "Ledger"));
-    } else if (op instanceof StoreRequest.Get get) {
+    } else if (request instanceof StoreRequest.Get get) {
       return new Reply.Value(
-          StoredRecordCodec.record(get.key(), node.path("V")), JsonReader.integer(node, "Stamp"));
-    } else if (op instanceof StoreRequest.Scan) {
+          StoredRecordCodec.fromJson(get.key(), node.path("V")), JsonReader.integer(node, "Stamp"));
+    } else if (request instanceof StoreRequest.Scan) {
       ImmutableList.Builder<Reply.Item> items = ImmutableList.builder();
       for (JsonNode item : JsonReader.array(node, "Items")) {
         String key = JsonReader.text(item, "Path");
         items.add(
             new Reply.Item(
                 key,
-                StoredRecordCodec.record(key, item.path("V")),
+                StoredRecordCodec.fromJson(key, item.path("V")),
                 JsonReader.integer(item, "Stamp")));
       }
       return new Reply.Page(
           items.build(), JsonReader.flag(node, "HasNext"), JsonReader.integer(node, "Ledger"));
-    } else if (op instanceof StoreRequest.Watch) {
+    } else if (request instanceof StoreRequest.Watch) {
       ImmutableList.Builder<Reply.Item> items = ImmutableList.builder();
       for (JsonNode event : JsonReader.array(node, "Log")) {
         long version = JsonReader.integer(event, "Stamp");
@@ -116,13 +122,13 @@
           items.add(new Reply.Item(JsonReader.text(event, "Drop"), null, version));
         } else {
           String key = JsonReader.text(event, "Write");
-          items.add(new Reply.Item(key, StoredRecordCodec.record(key, event.path("V")), version));
+          items.add(new Reply.Item(key, StoredRecordCodec.fromJson(key, event.path("V")), version));
         }
       }
       return new Reply.Changes(items.build(), JsonReader.integer(node, "Ledger"));
-    } else if (op instanceof StoreRequest.Grant) {
+    } else if (request instanceof StoreRequest.Grant) {
       return new Reply.Leased(JsonReader.integer(node, "Tether"));
     }
-    throw new IllegalStateException("unknown operation " + op);
+    throw new IllegalStateException("unknown operation " + request);
   }
 }
--- a/src/main/java/eiderfork/wire/StoreServerCodec.java
+++ b/src/main/java/eiderfork/wire/StoreServerCodec.java
@@ -26,7 +26,7 @@
    *
    * @throws MalformedMessageException where it does not follow the protocol
    */
-  public static RawTransaction transaction(byte[] body) throws MalformedMessageException {
+  public static RawTransaction decodeTransaction(byte[] body) throws MalformedMessageException {
     JsonNode node = JsonReader.parse(body);
     ImmutableList.Builder<StoreRequest.Condition> conditions = ImmutableList.builder();
     for (JsonNode it : node.path("If")) {
@@ -50,35 +50,35 @@
    *
    * @throws MalformedMessageException where the request does not follow the protocol
    */
-  public static long leaseMs(byte[] body) throws MalformedMessageException {
+  public static long decodeLeaseMs(byte[] body) throws MalformedMessageException {
     return JsonReader.integer(JsonReader.parse(body), "LifeMs");
   }
 
   /** The JSON text of a record, as controllers store it. */
-  public static String value(StoredRecord record) {
-    return StoredRecordCodec.node(record).toString();
+  public static String encodeRecord(StoredRecord record) {
+    return StoredRecordCodec.toJson(record).toString();
   }
 
   /** The answer to a transaction that was applied, or to a question for a missing key. */
-  public static byte[] revision(long revision) {
-    return bytes("{\"Ledger\":" + revision + "}");
+  public static byte[] encodeRevision(long revision) {
+    return utf8Bytes("{\"Ledger\":" + revision + "}");
   }
 
   /** The answer to a transaction of which these conditions failed. */
-  public static byte[] failed(List<String> keys, long revision) {
+  public static byte[] encodeConflict(List<String> keys, long revision) {
     StringBuilder text = new StringBuilder("{\"failed\":[");
     for (int i = 0; i < keys.size(); i++) {
       text.append(i == 0 ? "\"" : ",\"").append(keys.get(i)).append('"');
     }
-    return bytes(text.append("],\"Ledger\":").append(revision).append('}').toString());
+    return utf8Bytes(text.append("],\"Ledger\":").append(revision).append('}').toString());
   }
 
   /** The answer to a question for a key. */
-  public static byte[] item(RawItem item) {
-    return bytes(text(new StringBuilder(), item).toString());
+  public static byte[] encodeItem(RawItem item) {
+    return utf8Bytes(appendItem(new StringBuilder(), item).toString());
   }
 
-  private static StringBuilder text(StringBuilder to, RawItem item) {
+  private static StringBuilder appendItem(StringBuilder to, RawItem item) {
     return to.append("{\"Path\":\"")
         .append(item.key())
         .append("\",\"V\":")
@@ -89,17 +89,17 @@
   }
 
   /** A page of a range of keys. */
-  public static byte[] page(List<RawItem> items, boolean more, long revision) {
+  public static byte[] encodePage(List<RawItem> items, boolean more, long revision) {
     StringBuilder text = new StringBuilder("{\"Items\":[");
     for (int i = 0; i < items.size(); i++) {
-      text(i == 0 ? text : text.append(','), items.get(i));
+      appendItem(i == 0 ? text : text.append(','), items.get(i));
     }
     text.append("],\"HasNext\":").append(more).append(",\"Ledger\":").append(revision);
-    return bytes(text.append('}').toString());
+    return utf8Bytes(text.append('}').toString());
   }
 
   /** The answer to a watch. */
-  public static byte[] log(List<RawItem> changes, long revision) {
+  public static byte[] encodeWatchLog(List<RawItem> changes, long revision) {
     StringBuilder text = new StringBuilder("{\"Ledger\":").append(revision).append(",\"Log\":[");
     for (int i = 0; i < changes.size(); i++) {
       RawItem it = changes.get(i);
@@ -113,15 +113,15 @@
       }
       text.append(",\"Stamp\":").append(it.version()).append('}');
     }
-    return bytes(text.append("]}").toString());
+    return utf8Bytes(text.append("]}").toString());
   }
 
   /** The answer to a granted or renewed lease. */
-  public static byte[] lease(long lease) {
-    return bytes("{\"Tether\":" + lease + "}");
+  public static byte[] encodeLease(long lease) {
+    return utf8Bytes("{\"Tether\":" + lease + "}");
   }
 
-  private static byte[] bytes(String text) {
+  private static byte[] utf8Bytes(String text) {
     return text.getBytes(StandardCharsets.UTF_8);
   }
 }
--- a/src/main/java/eiderfork/wire/StoredRecordCodec.java
+++ b/src/main/java/eiderfork/wire/StoredRecordCodec.java
@@ -21,48 +21,48 @@
 final class StoredRecordCodec {
   private StoredRecordCodec() {}
 
-  static JsonNode node(StoredRecord record) {
-    ObjectNode node = JsonReader.object();
+  static JsonNode toJson(StoredRecord record) {
+    ObjectNode node = JsonReader.newObject();
     if (record instanceof StoredRecord.JobSpec spec) {
-      return UserCodec.node(spec.job());
+      return UserCodec.toJson(spec.job());
     } else if (record instanceof StoredRecord.Leadership it) {
       node.put("node", it.node());
       node.put("term", it.term());
-    } else if (record instanceof StoredRecord.Term it) {
+    } else if (record instanceof StoredRecord.TermCounter it) {
       node.put("term", it.term());
-    } else if (record instanceof StoredRecord.Aborted it) {
+    } else if (record instanceof StoredRecord.Cancellation it) {
       node.put("uid", it.uid());
-    } else if (record instanceof StoredRecord.Alloc it) {
-      return node(it);
-    } else if (record instanceof StoredRecord.PackedAlloc it) {
-      return PackedAllocationCodec.node(it.alloc());
-    } else if (record instanceof StoredRecord.BitmapAlloc it) {
+    } else if (record instanceof StoredRecord.Allocation allocation) {
+      return toJson(allocation);
+    } else if (record instanceof StoredRecord.PackedAllocation it) {
+      return PackedAllocationCodec.toJson(it.alloc());
+    } else if (record instanceof StoredRecord.BitmapAllocation it) {
       return shorter(
-          PackedAllocationCodec.node(it.alloc()), BitmapAllocationCodec.node(it.alloc()));
-    } else if (record instanceof StoredRecord.Rent it) {
+          PackedAllocationCodec.toJson(it.alloc()), BitmapAllocationCodec.toJson(it.alloc()));
+    } else if (record instanceof StoredRecord.ScaleOutIntent it) {
       node.put("charter", it.requestName());
       node.put("type", it.type());
       node.put("zone", it.zone());
       node.put("spot", it.spot());
       node.put("count", it.count());
-    } else if (record instanceof StoredRecord.Return it) {
-      it.machines().forEach(node.putArray("machines")::add);
-    } else if (record instanceof StoredRecord.ProxiedLeases it) {
-      it.machines().forEach(node.putArray("machines")::add);
-    } else if (record instanceof StoredRecord.EndedJob it) {
-      node.put("state", ProtocolNames.STANCE.inverse().get(it.stance()));
-      node.put("done", it.done());
+    } else if (record instanceof StoredRecord.ScaleInIntent machineReturn) {
+      machineReturn.machines().forEach(node.putArray("machines")::add);
+    } else if (record instanceof StoredRecord.ProxiedLeases proxiedLeases) {
+      proxiedLeases.machines().forEach(node.putArray("machines")::add);
+    } else if (record instanceof StoredRecord.ArchivedJob archived) {
+      node.put("state", ProtocolNames.JOB_STATES.inverse().get(archived.phase()));
+      node.put("done", archived.doneTasks());
     } else if (record instanceof StoredRecord.StoredVersion it) {
       node.put("version", it.version());
-    } else if (record instanceof StoredRecord.Types it) {
-      node.set("types", CloudCodec.nodes(it.types()));
+    } else if (record instanceof StoredRecord.MachineTypes stored) {
+      node.set("types", CloudCodec.typesToJson(stored.types()));
     }
     return node;
   }
 
   private static ObjectNode shorter(ObjectNode packed, ObjectNode bitmap) {
-    int packedLength = packed.path(PackedAllocationCodec.FIELD).asText().length();
-    int bitmapLength = bitmap.path(BitmapAllocationCodec.FIELD).asText().length();
+    int packedLength = packed.path(PackedAllocationCodec.JSON_FIELD).asText().length();
+    int bitmapLength = bitmap.path(BitmapAllocationCodec.JSON_FIELD).asText().length();
     return bitmapLength < packedLength ? bitmap : packed;
   }
 
@@ -71,19 +71,19 @@
    * small: {@code PlainAllocationSize} bounds what this takes. Finished tasks are runs too, or a
    * bitmap where that is shorter.
    */
-  private static ObjectNode node(StoredRecord.Alloc alloc) {
-    ObjectNode node = JsonReader.object();
-    node.put("last", alloc.lastAttempt());
-    if (alloc.done()) {
+  private static ObjectNode toJson(StoredRecord.Allocation allocation) {
+    ObjectNode node = JsonReader.newObject();
+    node.put("last", allocation.lastAttempt());
+    if (allocation.done()) {
       node.put("done", true);
     }
     Map<Long, Map<String, StringBuilder>> byAttempt = new TreeMap<>();
-    for (StoredRecord.Span span : alloc.reserved()) {
+    for (StoredRecord.ReservedRange span : allocation.reserved()) {
       StringBuilder runs =
           byAttempt
               .computeIfAbsent(span.attempt(), a -> new LinkedHashMap<>())
               .computeIfAbsent(span.machine(), m -> new StringBuilder());
-      addRun(runs, span.from(), span.to());
+      appendRun(runs, span.from(), span.to());
     }
     ObjectNode by = node.putObject("by");
     byAttempt.forEach(
@@ -93,8 +93,8 @@
         });
     StringBuilder runs = new StringBuilder();
     BitSet bits = new BitSet();
-    for (StoredRecord.Range range : alloc.finished()) {
-      addRun(runs, range.from(), range.to());
+    for (StoredRecord.TaskRange range : allocation.finished()) {
+      appendRun(runs, range.from(), range.to());
       bits.set(range.from(), range.to() + 1);
     }
     String bitmap = Base64.getEncoder().withoutPadding().encodeToString(bits.toByteArray());
@@ -106,7 +106,7 @@
     return node;
   }
 
-  private static void addRun(StringBuilder runs, int from, int to) {
+  private static void appendRun(StringBuilder runs, int from, int to) {
     if (runs.length() > 0) {
       runs.append(',');
     }
@@ -116,8 +116,9 @@
     }
   }
 
-  private static List<StoredRecord.Range> runs(String text) throws MalformedMessageException {
-    List<StoredRecord.Range> runs = new ArrayList<>();
+  private static List<StoredRecord.TaskRange> parseRuns(String text)
+      throws MalformedMessageException {
+    List<StoredRecord.TaskRange> runs = new ArrayList<>();
     for (String run : Splitter.on(',').omitEmptyStrings().split(text)) {
       int dash = run.indexOf('-');
       try {
@@ -126,7 +127,7 @@
         if (from < 0 || to < from) {
           throw new MalformedMessageException("tasks " + run + " are no run");
         }
-        runs.add(new StoredRecord.Range(from, to));
+        runs.add(new StoredRecord.TaskRange(from, to));
       } catch (NumberFormatException e) {
         throw new MalformedMessageException("tasks " + run + " are no run");
       }
@@ -135,9 +136,9 @@
   }
 
   /** The record under a key, or null where the key is not this version's. */
-  static StoredRecord record(String key, JsonNode node) throws MalformedMessageException {
+  static StoredRecord fromJson(String key, JsonNode node) throws MalformedMessageException {
     try {
-      return read(key, node);
+      return decode(key, node);
     } catch (MalformedMessageException e) {
       if (key.equals(StoreKeys.LEADER) || key.equals(StoreKeys.TERM)) {
         throw e;
@@ -146,58 +147,62 @@
     }
   }
 
-  private static StoredRecord read(String key, JsonNode node) throws MalformedMessageException {
-    if (key.startsWith(StoreKeys.JOB)) {
-      return new StoredRecord.JobSpec(UserCodec.job(node));
-    } else if (key.startsWith(StoreKeys.ALLOC)) {
-      return alloc(node);
-    } else if (key.startsWith(StoreKeys.ABORT)) {
-      return new StoredRecord.Aborted(JsonReader.text(node, "uid"));
+  private static StoredRecord decode(String key, JsonNode node) throws MalformedMessageException {
+    if (key.startsWith(StoreKeys.JOB_PREFIX)) {
+      return new StoredRecord.JobSpec(UserCodec.decodeJob(node));
+    } else if (key.startsWith(StoreKeys.ALLOC_PREFIX)) {
+      return decodeAlloc(node);
+    } else if (key.startsWith(StoreKeys.CANCELLATION_PREFIX)) {
+      return new StoredRecord.Cancellation(JsonReader.text(node, "uid"));
     } else if (key.equals(StoreKeys.LEADER)) {
       return new StoredRecord.Leadership(
           JsonReader.text(node, "node"), JsonReader.integer(node, "term"));
     } else if (key.equals(StoreKeys.TERM)) {
-      return new StoredRecord.Term(JsonReader.integer(node, "term"));
-    } else if (key.startsWith(StoreKeys.RENT)) {
-      return new StoredRecord.Rent(
+      return new StoredRecord.TermCounter(JsonReader.integer(node, "term"));
+    } else if (key.startsWith(StoreKeys.RENT_PREFIX)) {
+      return new StoredRecord.ScaleOutIntent(
           JsonReader.text(node, "charter"),
           JsonReader.text(node, "type"),
           JsonReader.text(node, "zone"),
           JsonReader.flag(node, "spot"),
           (int) JsonReader.integer(node, "count"));
-    } else if (key.startsWith(StoreKeys.RETURN)) {
-      return new StoredRecord.Return(CloudCodec.texts(JsonReader.array(node, "machines")));
-    } else if (key.startsWith(StoreKeys.LEASE_PROXY)) {
-      return new StoredRecord.ProxiedLeases(CloudCodec.texts(JsonReader.array(node, "machines")));
-    } else if (key.startsWith(StoreKeys.ENDED)) {
-      return endedJob(node);
-    } else if (key.equals(StoreKeys.VERSION)) {
+    } else if (key.startsWith(StoreKeys.RETURN_PREFIX)) {
+      return new StoredRecord.ScaleInIntent(
+          CloudCodec.decodeTexts(JsonReader.array(node, "machines")));
+    } else if (key.startsWith(StoreKeys.LEASE_PROXY_PREFIX)) {
+      return new StoredRecord.ProxiedLeases(
+          CloudCodec.decodeTexts(JsonReader.array(node, "machines")));
+    } else if (key.startsWith(StoreKeys.ENDED_PREFIX)) {
+      return decodeEndedJob(node);
+    } else if (key.equals(StoreKeys.CLUSTER_VERSION)) {
       return new StoredRecord.StoredVersion((int) JsonReader.integer(node, "version"));
-    } else if (key.equals(StoreKeys.TYPES)) {
-      return new StoredRecord.Types(CloudCodec.types(JsonReader.array(node, "types")));
+    } else if (key.equals(StoreKeys.MACHINE_TYPES)) {
+      return new StoredRecord.MachineTypes(CloudCodec.decodeTypes(JsonReader.array(node, "types")));
     }
     return null;
   }
 
-  private static StoredRecord.EndedJob endedJob(JsonNode node) throws MalformedMessageException {
-    JobStatus.Stance stance = JsonReader.oneOf(node, "state", ProtocolNames.STANCE::get);
+  private static StoredRecord.ArchivedJob decodeEndedJob(JsonNode node)
+      throws MalformedMessageException {
+    JobStatus.Phase stance = JsonReader.oneOf(node, "state", ProtocolNames.JOB_STATES::get);
     if (!stance.isFinal()) {
       throw new MalformedMessageException("field state is not that of a job that is over");
     }
-    return new StoredRecord.EndedJob(stance, (int) JsonReader.integer(node, "done"));
+    return new StoredRecord.ArchivedJob(stance, (int) JsonReader.integer(node, "done"));
   }
 
-  private static StoredRecord.Alloc alloc(JsonNode node) throws MalformedMessageException {
-    if (node.has(PackedAllocationCodec.FIELD)) {
-      return PackedAllocationCodec.alloc(node);
+  private static StoredRecord.Allocation decodeAlloc(JsonNode node)
+      throws MalformedMessageException {
+    if (node.has(PackedAllocationCodec.JSON_FIELD)) {
+      return PackedAllocationCodec.fromJson(node);
     }
-    if (node.has(BitmapAllocationCodec.FIELD)) {
-      return BitmapAllocationCodec.alloc(node);
+    if (node.has(BitmapAllocationCodec.JSON_FIELD)) {
+      return BitmapAllocationCodec.fromJson(node);
     }
-    List<StoredRecord.Span> spans = new ArrayList<>();
-    ImmutableList.Builder<StoredRecord.Range> finished = ImmutableList.builder();
+    List<StoredRecord.ReservedRange> spans = new ArrayList<>();
+    ImmutableList.Builder<StoredRecord.TaskRange> finished = ImmutableList.builder();
     if (node.has("on")) {
-      readFirstForm(node, spans, finished);
+      decodeFirstForm(node, spans, finished);
     } else {
       for (var by : node.path("by").properties()) {
         Long attempt = Longs.tryParse(by.getKey());
@@ -205,8 +210,8 @@
           throw new MalformedMessageException("attempt " + by.getKey() + " is no number");
         }
         for (var on : by.getValue().properties()) {
-          for (StoredRecord.Range run : runs(on.getValue().asText())) {
-            spans.add(new StoredRecord.Span(run.from(), run.to(), attempt, on.getKey()));
+          for (StoredRecord.TaskRange run : parseRuns(on.getValue().asText())) {
+            spans.add(new StoredRecord.ReservedRange(run.from(), run.to(), attempt, on.getKey()));
           }
         }
       }
@@ -219,15 +224,15 @@
         }
         for (int from = bits.nextSetBit(0); from >= 0; ) {
           int end = bits.nextClearBit(from);
-          finished.add(new StoredRecord.Range(from, end - 1));
+          finished.add(new StoredRecord.TaskRange(from, end - 1));
           from = bits.nextSetBit(end);
         }
       } else {
-        finished.addAll(runs(JsonReader.text(node, "ended")));
+        finished.addAll(parseRuns(JsonReader.text(node, "ended")));
       }
     }
-    spans.sort(Comparator.comparingInt(StoredRecord.Span::from));
-    return new StoredRecord.Alloc(
+    spans.sort(Comparator.comparingInt(StoredRecord.ReservedRange::from));
+    return new StoredRecord.Allocation(
         JsonReader.integer(node, "last"),
         node.path("done").asBoolean(),
         ImmutableList.copyOf(spans),
@@ -235,15 +240,15 @@
   }
 
   /** The form that 0.1 wrote: numbers from, to and attempt under each machine. */
-  private static void readFirstForm(
+  private static void decodeFirstForm(
       JsonNode node,
-      List<StoredRecord.Span> spans,
-      ImmutableList.Builder<StoredRecord.Range> finished) {
+      List<StoredRecord.ReservedRange> spans,
+      ImmutableList.Builder<StoredRecord.TaskRange> finished) {
     for (var on : node.path("on").properties()) {
       JsonNode runs = on.getValue();
       for (int i = 0; i + 2 < runs.size(); i += 3) {
         spans.add(
-            new StoredRecord.Span(
+            new StoredRecord.ReservedRange(
                 runs.get(i).asInt(),
                 runs.get(i + 1).asInt(),
                 runs.get(i + 2).asLong(),
@@ -252,7 +257,7 @@
     }
     JsonNode ranges = node.path("finished");
     for (int i = 0; i + 1 < ranges.size(); i += 2) {
-      finished.add(new StoredRecord.Range(ranges.get(i).asInt(), ranges.get(i + 1).asInt()));
+      finished.add(new StoredRecord.TaskRange(ranges.get(i).asInt(), ranges.get(i + 1).asInt()));
     }
   }
 }
--- a/src/main/java/eiderfork/wire/UserClientCodec.java
+++ b/src/main/java/eiderfork/wire/UserClientCodec.java
@@ -9,8 +9,8 @@
   private UserClientCodec() {}
 
   /** The body of a submission. */
-  public static byte[] submission(Job job) {
-    return JsonReader.bytes(UserCodec.node(job));
+  public static byte[] encodeSubmission(Job job) {
+    return JsonReader.toBytes(UserCodec.toJson(job));
   }
 
   /**
@@ -18,11 +18,11 @@
    *
    * @throws MalformedMessageException where it does not follow the protocol
    */
-  public static JobStatus status(byte[] body) throws MalformedMessageException {
+  public static JobStatus decodeStatus(byte[] body) throws MalformedMessageException {
     JsonNode node = JsonReader.parse(body);
     return new JobStatus(
         JsonReader.text(node, "Uid"),
-        JsonReader.oneOf(node, "Stance", ProtocolNames.STANCE::get),
+        JsonReader.oneOf(node, "Stance", ProtocolNames.JOB_STATES::get),
         node.path("done").asInt(),
         node.path("running").asInt());
   }
--- a/src/main/java/eiderfork/wire/UserCodec.java
+++ b/src/main/java/eiderfork/wire/UserCodec.java
@@ -13,21 +13,21 @@
 /** What users send and are told. */
 public final class UserCodec {
   /** Where jobs are submitted and asked for. */
-  public static final String RUNS = "/v2/runs";
+  public static final String JOBS_PATH = "/v2/runs";
 
   /** What a job's path ends with to cancel it. */
-  public static final String ABORT = "/abort";
+  public static final String CANCEL_SUFFIX = "/abort";
 
   /** Where the load balancer probes. */
-  public static final String HEALTH = "/healthz";
+  public static final String HEALTH_PATH = "/healthz";
 
-  private static final Pattern UID = Pattern.compile("run-[0-9]{1,18}");
+  private static final Pattern JOB_ID_PATTERN = Pattern.compile("run-[0-9]{1,18}");
 
   private UserCodec() {}
 
   /** Whether the text has the form of a job's id. */
-  public static boolean isUid(String text) {
-    return UID.matcher(text).matches();
+  public static boolean isJobId(String text) {
+    return JOB_ID_PATTERN.matcher(text).matches();
   }
 
   /**
@@ -35,31 +35,31 @@
    *
    * @throws MalformedMessageException where it does not follow the protocol
    */
-  public static Job job(byte[] body) throws MalformedMessageException {
-    return job(JsonReader.parse(body));
+  public static Job decodeJob(byte[] body) throws MalformedMessageException {
+    return decodeJob(JsonReader.parse(body));
   }
 
-  static Job job(JsonNode node) throws MalformedMessageException {
+  static Job decodeJob(JsonNode node) throws MalformedMessageException {
     String uid = JsonReader.text(node, "Uid");
-    if (!isUid(uid)) {
+    if (!isJobId(uid)) {
       throw new MalformedMessageException("field Uid is not a job id");
     }
     long tasks = JsonReader.integer(node, "Hatchlings");
-    if (tasks < 1 || tasks > Job.MOST_TASKS) {
-      throw new MalformedMessageException("field Hatchlings is not from 1 to " + Job.MOST_TASKS);
+    if (tasks < 1 || tasks > Job.MAX_TASKS) {
+      throw new MalformedMessageException("field Hatchlings is not from 1 to " + Job.MAX_TASKS);
     }
     return new Job(
         uid,
         JsonReader.text(node, "Flock"),
         JsonReader.text(node, "Crew"),
-        JsonReader.oneOf(node, "Guise", ProtocolNames.KIND::get),
-        JsonReader.oneOf(node, "Precedence", ProtocolNames.PRIORITY::get),
+        JsonReader.oneOf(node, "Guise", ProtocolNames.JOB_KINDS::get),
+        JsonReader.oneOf(node, "Precedence", ProtocolNames.PRIORITIES::get),
         (int) tasks,
         new Resources(
             JsonReader.amount(node, "Cpus"),
             JsonReader.amount(node, "Gpus"),
             JsonReader.amount(node, "RamGb")),
-        types(node),
+        decodeTypes(node),
         JsonReader.textOrNull(node, "Shore"),
         JsonReader.flag(node, "Together"),
         JsonReader.flag(node, "Scatter"),
@@ -72,7 +72,7 @@
         JsonReader.amountOrNull(node, "DueS"));
   }
 
-  private static ImmutableSet<String> types(JsonNode node) throws MalformedMessageException {
+  private static ImmutableSet<String> decodeTypes(JsonNode node) throws MalformedMessageException {
     if (!node.hasNonNull("Breeds")) {
       return null;
     }
@@ -86,32 +86,32 @@
     return types.build();
   }
 
-  static ObjectNode node(Job job) {
-    ObjectNode node = JsonReader.object();
+  static ObjectNode toJson(Job job) {
+    ObjectNode node = JsonReader.newObject();
     node.put("Uid", job.uid());
     node.put("Flock", job.jobClass());
     node.put("Crew", job.team());
-    node.put("Guise", ProtocolNames.KIND.inverse().get(job.kind()));
-    node.put("Precedence", ProtocolNames.PRIORITY.inverse().get(job.priority()));
+    node.put("Guise", ProtocolNames.JOB_KINDS.inverse().get(job.kind()));
+    node.put("Precedence", ProtocolNames.PRIORITIES.inverse().get(job.priority()));
     node.put("Hatchlings", job.tasks());
-    node.put("Cpus", job.need().cpus());
-    node.put("Gpus", job.need().gpus());
-    node.put("RamGb", job.need().ramGb());
-    if (job.types() != null) {
+    node.put("Cpus", job.taskResources().cpus());
+    node.put("Gpus", job.taskResources().gpus());
+    node.put("RamGb", job.taskResources().ramGb());
+    if (job.allowedTypes() != null) {
       ArrayNode types = node.putArray("Breeds");
-      job.types().forEach(types::add);
+      job.allowedTypes().forEach(types::add);
     }
-    if (job.zone() != null) {
-      node.put("Shore", job.zone());
+    if (job.requiredZone() != null) {
+      node.put("Shore", job.requiredZone());
     }
-    node.put("Together", job.oneZone());
-    node.put("Scatter", job.spread());
-    node.put("Driftwood", job.spot());
+    node.put("Together", job.singleZone());
+    node.put("Scatter", job.spreadZones());
+    node.put("Driftwood", job.spotAllowed());
     node.put("Plumage", job.image());
     node.put("ImageGb", job.imageGb());
-    node.put("ReckonS", job.estimateS());
-    node.put("MoultS", job.checkpointS());
-    node.put("StowS", job.saveS());
+    node.put("ReckonS", job.estimatedRunS());
+    node.put("MoultS", job.checkpointIntervalS());
+    node.put("StowS", job.saveDurationS());
     if (job.deadlineS() != null) {
       node.put("DueS", job.deadlineS());
     }
@@ -119,30 +119,30 @@
   }
 
   /** The body of an answer to a user. */
-  public static byte[] body(UserResponse answer) {
-    ObjectNode node = JsonReader.object();
-    JobStatus job = answer.job();
+  public static byte[] encodeAnswer(UserResponse response) {
+    ObjectNode node = JsonReader.newObject();
+    JobStatus job = response.job();
     if (job == null) {
-      node.put("error", answer.error());
+      node.put("error", response.error());
     } else {
       node.put("Uid", job.uid());
-      node.put("Stance", ProtocolNames.STANCE.inverse().get(job.stance()));
-      node.put("done", job.done());
-      node.put("running", job.running());
+      node.put("Stance", ProtocolNames.JOB_STATES.inverse().get(job.phase()));
+      node.put("done", job.doneTasks());
+      node.put("running", job.runningTasks());
     }
-    return JsonReader.bytes(node);
+    return JsonReader.toBytes(node);
   }
 
   /** The body of an answer to a health check. */
-  public static byte[] health(boolean healthy, String why) {
-    ObjectNode node = JsonReader.object();
+  public static byte[] encodeHealth(boolean healthy, String reason) {
+    ObjectNode node = JsonReader.newObject();
     node.put("healthy", healthy);
-    node.put("why", why);
-    return JsonReader.bytes(node);
+    node.put("why", reason);
+    return JsonReader.toBytes(node);
   }
 
   /** The body of an answer that says what is wrong. */
-  public static byte[] error(String error) {
-    return JsonReader.bytes(JsonReader.object().put("error", error));
+  public static byte[] encodeError(String error) {
+    return JsonReader.toBytes(JsonReader.newObject().put("error", error));
   }
 }
--- a/src/main/java/eiderfork/wire/WorkerCodec.java
+++ b/src/main/java/eiderfork/wire/WorkerCodec.java
@@ -5,11 +5,11 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import com.google.common.collect.ImmutableList;
 import eiderfork.model.Attempt;
-import eiderfork.model.Command;
 import eiderfork.model.Heartbeat;
 import eiderfork.model.Machine;
 import eiderfork.model.TaskId;
 import eiderfork.model.TaskStatus;
+import eiderfork.model.WorkerCommand;
 import java.util.List;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -19,13 +19,13 @@
   private static final Logger LOG = LoggerFactory.getLogger(WorkerCodec.class);
 
   /** Where workers report. */
-  public static final String REPORT = "/v1/report";
+  public static final String REPORT_PATH = "/v1/report";
 
   /** Where a worker takes direct commands. */
-  public static final String COMMANDS = "/do";
+  public static final String COMMANDS_PATH = "/do";
 
   /** Where a worker tells its report. */
-  public static final String INSPECT = "/inspect";
+  public static final String INSPECT_PATH = "/inspect";
 
   private WorkerCodec() {}
 
@@ -34,7 +34,7 @@
    *
    * @throws MalformedMessageException where it does not follow the protocol
    */
-  public static Heartbeat report(byte[] body) throws MalformedMessageException {
+  public static Heartbeat decodeReport(byte[] body) throws MalformedMessageException {
     JsonNode node = JsonReader.parse(body);
     Machine machine =
         new Machine(
@@ -45,7 +45,7 @@
             JsonReader.flag(node, "Driftwood"));
     ImmutableList.Builder<TaskStatus> tasks = ImmutableList.builder();
     for (JsonNode task : JsonReader.array(node, "Hatchlings")) {
-      tasks.add(task(task));
+      tasks.add(decodeTask(task));
     }
     return new Heartbeat(
         machine,
@@ -56,21 +56,21 @@
         tasks.build());
   }
 
-  private static TaskStatus task(JsonNode node) throws MalformedMessageException {
+  private static TaskStatus decodeTask(JsonNode node) throws MalformedMessageException {
     TaskId id = TaskId.parse(JsonReader.text(node, "Hatchling"));
     if (id == null) {
       throw new MalformedMessageException("field Hatchling names no task");
     }
-    TaskStatus.State state = state(id, JsonReader.text(node, "Stance"));
+    TaskStatus.State state = decodeState(id, JsonReader.text(node, "Stance"));
     TaskStatus.Cause cause =
-        state == TaskStatus.State.ENDED ? cause(id, JsonReader.text(node, "Cause")) : null;
+        state == TaskStatus.State.ENDED ? decodeCause(id, JsonReader.text(node, "Cause")) : null;
     boolean saved = node.hasNonNull("Kept") && JsonReader.flag(node, "Kept");
     return new TaskStatus(new Attempt(id, JsonReader.integer(node, "Try")), state, cause, saved);
   }
 
   /** A task in a state that this version does not know is on its machine all the same. */
-  private static TaskStatus.State state(TaskId id, String name) {
-    TaskStatus.State state = ProtocolNames.TASK_STATE.get(name);
+  private static TaskStatus.State decodeState(TaskId id, String name) {
+    TaskStatus.State state = ProtocolNames.TASK_STATES.get(name);
     if (state == null) {
       LOG.warn("{} is in a state that is not known: {}", id, name);
       return TaskStatus.State.OTHER;
@@ -79,8 +79,8 @@
   }
 
   /** A cause that this version does not know still ends the task; it is tried again elsewhere. */
-  private static TaskStatus.Cause cause(TaskId id, String name) {
-    TaskStatus.Cause cause = ProtocolNames.CAUSE.get(name);
+  private static TaskStatus.Cause decodeCause(TaskId id, String name) {
+    TaskStatus.Cause cause = ProtocolNames.END_CAUSES.get(name);
     if (cause == null) {
       LOG.warn("{} has ended for a reason that is not known: {}", id, name);
       return TaskStatus.Cause.STOPPED;
@@ -89,46 +89,46 @@
   }
 
   /** The body of an answer to a report. */
-  public static byte[] answer(long token, List<Command> commands) {
-    ObjectNode node = JsonReader.object();
+  public static byte[] encodeReportResponse(long token, List<WorkerCommand> commands) {
+    ObjectNode node = JsonReader.newObject();
     node.put("Warrant", token);
-    put(node.putArray("Calls"), commands);
-    return JsonReader.bytes(node);
+    putCommands(node.putArray("Calls"), commands);
+    return JsonReader.toBytes(node);
   }
 
   /** The body of direct commands. */
-  public static byte[] commands(long token, long session, List<Command> commands) {
-    ObjectNode node = JsonReader.object();
+  public static byte[] encodeCommands(long token, long session, List<WorkerCommand> commands) {
+    ObjectNode node = JsonReader.newObject();
     node.put("Warrant", token);
     node.put("Tenure", session);
-    put(node.putArray("Calls"), commands);
-    return JsonReader.bytes(node);
+    putCommands(node.putArray("Calls"), commands);
+    return JsonReader.toBytes(node);
   }
 
-  private static void put(ArrayNode calls, List<Command> commands) {
-    for (Command command : commands) {
+  private static void putCommands(ArrayNode calls, List<WorkerCommand> commands) {
+    for (WorkerCommand command : commands) {
       ObjectNode call = calls.addObject();
-      if (command instanceof Command.Run) {
+      if (command instanceof WorkerCommand.Run) {
         call.put("Call", "run");
-      } else if (command instanceof Command.Kill) {
+      } else if (command instanceof WorkerCommand.Kill) {
         call.put("Call", "kill");
       } else {
         call.put("Call", "clear");
       }
       call.put("Hatchling", command.attempt().task().toString());
       call.put("Try", command.attempt().number());
-      if (command instanceof Command.Kill kill) {
+      if (command instanceof WorkerCommand.Kill kill) {
         call.put("RespiteS", kill.graceS());
       }
     }
   }
 
   /** The body of a redirect to the leader; {@code leader} is null where it is not known. */
-  public static byte[] redirect(String leader) {
-    ObjectNode node = JsonReader.object();
+  public static byte[] encodeRedirect(String leader) {
+    ObjectNode node = JsonReader.newObject();
     if (leader != null) {
       node.put("Herald", leader);
     }
-    return JsonReader.bytes(node);
+    return JsonReader.toBytes(node);
   }
 }
--- a/src/test/java/eiderfork/cli/ControllerStartTest.java
+++ b/src/test/java/eiderfork/cli/ControllerStartTest.java
@@ -33,7 +33,7 @@
         .start();
   }
 
-  private String said(String stream) throws IOException {
+  private String streamText(String stream) throws IOException {
     return Files.readString(folder.resolve(stream));
   }
 
@@ -44,7 +44,7 @@
     assertTrue(process.waitFor(30, TimeUnit.SECONDS));
     assertEquals(2, process.exitValue());
     String line =
-        said("err")
+        streamText("err")
             .lines()
             .filter(each -> each.startsWith("eiderfork: "))
             .reduce((a, b) -> a + b)
@@ -57,10 +57,10 @@
     Process process = start("--help");
     assertTrue(process.waitFor(30, TimeUnit.SECONDS));
     assertEquals(0, process.exitValue());
-    assertTrue(said("out").contains("serve"));
+    assertTrue(streamText("out").contains("serve"));
   }
 
-  private static int free() throws IOException {
+  private static int findFreePort() throws IOException {
     try (ServerSocket socket = new ServerSocket(0)) {
       return socket.getLocalPort();
     }
@@ -68,7 +68,7 @@
 
   @Test
   void answersEveryRequestAtOnceWithoutItsServices() throws Exception {
-    int port = free();
+    int port = findFreePort();
     String settings =
         """
         host_name = "roost-0"
@@ -95,18 +95,18 @@
         cpu_share = 0.2
         sockets = 600
         """
-            .formatted(port, free(), free(), free());
+            .formatted(port, findFreePort(), findFreePort(), findFreePort());
     Path file = Files.writeString(folder.resolve("s.toml"), settings);
     Process process = start("serve", file.toString());
     try {
       awaitListening(port);
-      assertEquals(404, ask(port, "GET", "/elsewhere", null).statusCode());
-      assertEquals(405, ask(port, "DELETE", "/v2/runs", null).statusCode());
-      assertEquals(400, ask(port, "POST", "/v2/runs", "{").statusCode());
-      assertEquals(400, ask(port, "POST", "/v2/runs", "[]").statusCode());
-      assertEquals(400, ask(port, "POST", "/v2/runs", " ".repeat(70_000)).statusCode());
-      assertEquals(400, ask(port, "POST", "/v1/report", "{\"Roost\":7}").statusCode());
-      HttpResponse<String> later = ask(port, "GET", "/v2/runs/run-000001", null);
+      assertEquals(404, send(port, "GET", "/elsewhere", null).statusCode());
+      assertEquals(405, send(port, "DELETE", "/v2/runs", null).statusCode());
+      assertEquals(400, send(port, "POST", "/v2/runs", "{").statusCode());
+      assertEquals(400, send(port, "POST", "/v2/runs", "[]").statusCode());
+      assertEquals(400, send(port, "POST", "/v2/runs", " ".repeat(70_000)).statusCode());
+      assertEquals(400, send(port, "POST", "/v1/report", "{\"Roost\":7}").statusCode());
+      HttpResponse<String> later = send(port, "GET", "/v2/runs/run-000001", null);
       assertEquals(503, later.statusCode());
       assertTrue(later.headers().firstValue("retry-after").isPresent());
       assertTrue(process.isAlive());
@@ -118,7 +118,7 @@
   private static void awaitListening(int port) throws Exception {
     for (int i = 0; ; i++) {
       try {
-        ask(port, "GET", "/healthz", null);
+        send(port, "GET", "/healthz", null);
         return;
       } catch (IOException e) {
         if (i == 100) {
@@ -129,7 +129,7 @@
     }
   }
 
-  private static HttpResponse<String> ask(int port, String method, String path, String body)
+  private static HttpResponse<String> send(int port, String method, String path, String body)
       throws IOException, InterruptedException {
     HttpRequest.BodyPublisher publisher =
         body == null
--- a/src/test/java/eiderfork/config/SettingsTest.java
+++ b/src/test/java/eiderfork/config/SettingsTest.java
@@ -12,7 +12,7 @@
 
 /** Settings that can't be used end the start with file, field and reason; others are taken. */
 class SettingsTest {
-  static final String GOOD =
+  static final String VALID =
       """
       host_name = "roost-0"
       zone = "a"
@@ -54,7 +54,7 @@
       memory_mb = 148.0
       """;
 
-  private static String complaint(String text) {
+  private static String rejectionMessage(String text) {
     return assertThrows(
             InvalidSettingsException.class,
             () -> SettingsParser.parse("s.toml", text, OperatorSettings.DEFAULTS))
@@ -63,23 +63,24 @@
 
   @Test
   void readsThePlatformsSettings() throws InvalidSettingsException {
-    Settings settings = SettingsParser.parse("s.toml", GOOD, OperatorSettings.DEFAULTS);
-    assertEquals("roost-0", settings.node());
-    assertEquals(8082, settings.peers().get("roost-1").port());
-    assertEquals(80.0, settings.teams().get("red").gpusMax());
-    assertEquals(10.0, settings.workers().leaseS());
+    Settings settings = SettingsParser.parse("s.toml", VALID, OperatorSettings.DEFAULTS);
+    assertEquals("roost-0", settings.nodeName());
+    assertEquals(8082, settings.peerEndpoints().get("roost-1").port());
+    assertEquals(80.0, settings.teams().get("red").maxGpus());
+    assertEquals(10.0, settings.workerTimings().leaseS());
   }
 
   @Test
   void namesFileFieldAndReason() {
     assertEquals(
         "s.toml: deployment.workers.lease_s: missing or not above 0",
-        complaint(GOOD.replace("lease_s = 10.0\n", "")));
+        rejectionMessage(VALID.replace("lease_s = 10.0\n", "")));
     assertEquals(
         "s.toml: public_addr: not an address of the form host:port",
-        complaint(GOOD.replace("127.0.0.1:8080", "here")));
-    assertEquals("s.toml: host_name: not a text", complaint(GOOD.replace("\"roost-0\"", "4")));
-    assertTrue(complaint("= = =").startsWith("s.toml: not TOML"));
+        rejectionMessage(VALID.replace("127.0.0.1:8080", "here")));
+    assertEquals(
+        "s.toml: host_name: not a text", rejectionMessage(VALID.replace("\"roost-0\"", "4")));
+    assertTrue(rejectionMessage("= = =").startsWith("s.toml: not TOML"));
   }
 
   @ParameterizedTest
@@ -92,11 +93,11 @@
     "memory_mb = 148.0,memory_mb = -1,deployment.resources.memory_mb"
   })
   void refusesFiguresThatCannotWorkTogether(String good, String bad, String field) {
-    assertTrue(GOOD.contains(good));
-    assertTrue(complaint(GOOD.replace(good, bad)).startsWith("s.toml: " + field + ": "));
+    assertTrue(VALID.contains(good));
+    assertTrue(rejectionMessage(VALID.replace(good, bad)).startsWith("s.toml: " + field + ": "));
   }
 
-  private static final String NEXT =
+  private static final String NEXT_LIMITS =
       """
       [deployment.state.next]
       write_rps = 15.0
@@ -106,12 +107,13 @@
 
   @Test
   void readsTheLimitsThatAreToCome() throws InvalidSettingsException {
-    Settings settings = SettingsParser.parse("s.toml", GOOD + NEXT, OperatorSettings.DEFAULTS);
-    assertEquals(new Settings.StateLimits(150, 20, 8, 16), settings.stateLimits());
-    assertEquals(new Settings.StateLimits(150, 15, 2, 5), settings.nextStateLimits());
-    assertEquals(2.0, settings.alwaysStorableKb());
-    Settings without = SettingsParser.parse("s.toml", GOOD, OperatorSettings.DEFAULTS);
-    assertEquals(without.stateLimits(), without.nextStateLimits(), "they stay");
+    Settings settings =
+        SettingsParser.parse("s.toml", VALID + NEXT_LIMITS, OperatorSettings.DEFAULTS);
+    assertEquals(new Settings.StoreLimits(150, 20, 8, 16), settings.storeLimits());
+    assertEquals(new Settings.StoreLimits(150, 15, 2, 5), settings.nextStoreLimits());
+    assertEquals(2.0, settings.safeValueKb());
+    Settings without = SettingsParser.parse("s.toml", VALID, OperatorSettings.DEFAULTS);
+    assertEquals(without.storeLimits(), without.nextStoreLimits(), "they stay");
   }
 
   @ParameterizedTest
@@ -122,10 +124,12 @@
     "write_rps = 15.0,write_rps = 0.0,deployment.state.next.write_rps"
   })
   void refusesLimitsToComeThatCannotWork(String good, String bad, String field) {
-    assertTrue(NEXT.contains(good));
-    assertTrue(complaint(GOOD + NEXT.replace(good, bad)).startsWith("s.toml: " + field + ": "));
+    assertTrue(NEXT_LIMITS.contains(good));
+    assertTrue(
+        rejectionMessage(VALID + NEXT_LIMITS.replace(good, bad))
+            .startsWith("s.toml: " + field + ": "));
     assertTrue(
-        complaint(GOOD.replace("txn_ops = 16", "txn_ops = 16\nnext = 3"))
+        rejectionMessage(VALID.replace("txn_ops = 16", "txn_ops = 16\nnext = 3"))
             .startsWith("s.toml: deployment.state.next: "));
   }
 
@@ -155,14 +159,16 @@
         kind = "of-a-later-version"
         share = 0.9
         """;
-    Settings settings = SettingsParser.parse("s.toml", GOOD + aims, OperatorSettings.DEFAULTS);
-    assertEquals(List.of(1.0, 1.5), settings.deadlineTimes("batch"));
-    assertEquals(List.of(1.0), settings.deadlineTimes("web"), "the deadline itself");
-    assertEquals(8.0, settings.shortestAimS(Settings.Objective.Kind.WAIT, "web"));
+    Settings settings = SettingsParser.parse("s.toml", VALID + aims, OperatorSettings.DEFAULTS);
+    assertEquals(List.of(1.0, 1.5), settings.deadlineFactors("batch"));
+    assertEquals(List.of(1.0), settings.deadlineFactors("web"), "the deadline itself");
+    assertEquals(8.0, settings.shortestObjectiveS(Settings.Objective.Kind.WAIT, "web"));
     assertEquals(
-        Double.MAX_VALUE, settings.shortestAimS(Settings.Objective.Kind.WAIT, "batch"), "no aim");
+        Double.MAX_VALUE,
+        settings.shortestObjectiveS(Settings.Objective.Kind.WAIT, "batch"),
+        "no aim");
     assertTrue(
-        complaint(GOOD + aims.replace("times = 1.5", "times = \"often\""))
+        rejectionMessage(VALID + aims.replace("times = 1.5", "times = \"often\""))
             .startsWith("s.toml: deployment.objectives.times: "));
   }
 
@@ -170,24 +176,24 @@
   void readsOperatorsSettingsWithDefaults() throws InvalidSettingsException {
     OperatorSettings own =
         OperatorSettingsParser.parse("o.edn", "{:headroom 2.5 :spot false} ; ours");
-    assertEquals(2.5, own.headroom());
-    assertFalse(own.spot());
-    assertEquals(OperatorSettings.DEFAULTS.roundShare(), own.roundShare());
-    assertEquals(3600, own.endedJobsStayS());
+    assertEquals(2.5, own.headroomDeviations());
+    assertFalse(own.isSpotAllowed());
+    assertEquals(OperatorSettings.DEFAULTS.updateWindowShare(), own.updateWindowShare());
+    assertEquals(3600, own.endedJobRetentionS());
     OperatorSettings archive =
         OperatorSettingsParser.parse("o.edn", "{:ended-jobs-stay-s 60 :most-ended-jobs 500}");
-    assertEquals(60, archive.endedJobsStayS());
-    assertEquals(500, archive.mostEndedJobs());
-    assertEquals(0, own.standbys(), "off unless set");
+    assertEquals(60, archive.endedJobRetentionS());
+    assertEquals(500, archive.maxEndedJobs());
+    assertEquals(0, own.standbyCount(), "off unless set");
     OperatorSettings standby =
         OperatorSettingsParser.parse("o.edn", "{:standbys 2 :trace-file \"/tmp/t\"}");
-    assertEquals(2, standby.standbys());
+    assertEquals(2, standby.standbyCount());
     assertEquals("/tmp/t", standby.traceFile());
-    assertFalse(own.lending(), "off unless set");
+    assertFalse(own.isLendingEnabled(), "off unless set");
     OperatorSettings lending =
         OperatorSettingsParser.parse("o.edn", "{:lending true :loan-cooldown 2}");
-    assertTrue(lending.lending());
-    assertEquals(2.0, lending.loanCooldown());
+    assertTrue(lending.isLendingEnabled());
+    assertEquals(2.0, lending.loanCooldownBoots());
   }
 
   @ParameterizedTest
--- a/src/test/java/eiderfork/controller/AllocationSizeTest.java
+++ b/src/test/java/eiderfork/controller/AllocationSizeTest.java
@@ -24,7 +24,8 @@
   @ParameterizedTest
   @CsvSource({"1,180,180", "2,180,180", "3,180,180", "4,25,25", "5,2000,150", "6,40000,100"})
   void everyRecordFitsIntoAValue(long seed, int tasks, int atLeastAtOnce) {
-    everyRecordFits(seed, tasks, atLeastAtOnce, VALUE_KB, JobState::size, alloc -> alloc);
+    everyRecordFits(
+        seed, tasks, atLeastAtOnce, VALUE_KB, JobState::plainSize, allocation -> allocation);
   }
 
   /** With half of the space, the packed form lets most of them run at once. */
@@ -45,7 +46,7 @@
         atLeastAtOnce,
         SMALL_VALUE_KB,
         JobState::packedSize,
-        StoredRecord.PackedAlloc::new);
+        StoredRecord.PackedAllocation::new);
   }
 
   /** The bitmap form is made for runs of tasks; on machines of their own it holds as many. */
@@ -58,7 +59,7 @@
         atLeastAtOnce,
         SMALL_VALUE_KB,
         JobState::bitmapSize,
-        StoredRecord.BitmapAlloc::new);
+        StoredRecord.BitmapAllocation::new);
   }
 
   private static void everyRecordFits(
@@ -67,40 +68,40 @@
       int atLeastAtOnce,
       double valueKb,
       Function<JobState, AllocationSize> sizeOf,
-      Function<StoredRecord.Alloc, StoredRecord> form) {
+      Function<StoredRecord.Allocation, StoredRecord> form) {
     Random random = new Random(seed);
     Job job = TestFixtures.job(1, JobKind.ARRAY, tasks, 1);
     JobState entry = TestFixtures.entry(job);
     int most = 0;
     long attempt = 0;
-    while (!entry.allFinished()) {
+    while (!entry.hasAllTasksFinished()) {
       attempt++;
       AllocationSize size = sizeOf.apply(entry);
-      for (int index = entry.waiting.nextSetBit(0);
+      for (int index = entry.pendingTasks.nextSetBit(0);
           index >= 0;
-          index = entry.waiting.nextSetBit(index + 1)) {
-        MachineState m =
+          index = entry.pendingTasks.nextSetBit(index + 1)) {
+        MachineState machine =
             new MachineState("n-%06d".formatted(random.nextInt(250)), 0, new MachineIndexes(), 0);
-        if (!size.fits(index, attempt, m.name, valueKb)) {
+        if (!size.fits(index, attempt, machine.name, valueKb)) {
           break;
         }
-        size.add(index, attempt, m.name);
-        entry.placed.put(index, new Reservation(entry, index, attempt, m));
-        entry.waiting.clear(index);
+        size.add(index, attempt, machine.name);
+        entry.reservations.put(index, new Reservation(entry, index, attempt, machine));
+        entry.pendingTasks.clear(index);
         entry.lastAttempt = attempt;
       }
       assertFits(entry, valueKb, form);
-      most = Math.max(most, entry.placed.size());
-      List<Reservation> ending = new ArrayList<>(entry.placed.values());
+      most = Math.max(most, entry.reservations.size());
+      List<Reservation> ending = new ArrayList<>(entry.reservations.values());
       assertTrue(!ending.isEmpty(), "something always goes on");
       java.util.Collections.shuffle(ending, random);
       int ends = 1 + random.nextInt(ending.size());
-      for (Reservation p : ending.subList(0, ends)) {
-        entry.placed.remove(p.index);
+      for (Reservation reservation : ending.subList(0, ends)) {
+        entry.reservations.remove(reservation.taskIndex);
         if (random.nextInt(8) == 0) {
-          entry.waiting.set(p.index);
+          entry.pendingTasks.set(reservation.taskIndex);
         } else {
-          entry.finished.set(p.index);
+          entry.finishedTasks.set(reservation.taskIndex);
         }
         if (random.nextInt(1 + ends / 4) == 0) {
           assertFits(entry, valueKb, form);
@@ -112,14 +113,15 @@
   }
 
   private static void assertFits(
-      JobState entry, double valueKb, Function<StoredRecord.Alloc, StoredRecord> form) {
-    int bytes = transaction(StoreRequest.Change.put("k", form.apply(entry.toRecord())));
+      JobState job, double valueKb, Function<StoredRecord.Allocation, StoredRecord> form) {
+    int bytes = transaction(StoreRequest.Change.put("k", form.apply(job.toAllocation())));
     int around = transaction(StoreRequest.Change.remove("k"));
     assertTrue(bytes - around <= valueKb * 1024, () -> bytes - around + " bytes");
   }
 
   private static int transaction(StoreRequest.Change change) {
-    StoreRequest op = new StoreRequest.Transact(ImmutableList.of(), ImmutableList.of(change));
-    return StoreCodec.request(op).body().length;
+    StoreRequest request =
+        new StoreRequest.Transaction(ImmutableList.of(), ImmutableList.of(change));
+    return StoreCodec.encodeRequest(request).body().length;
   }
 }
--- a/src/test/java/eiderfork/controller/ArrayParallelismTest.java
+++ b/src/test/java/eiderfork/controller/ArrayParallelismTest.java
@@ -21,17 +21,18 @@
   private static final int TASKS = 3000;
 
   private static Settings settings(double aimS) {
-    Objective aim = new Objective(Objective.Kind.FINISHED, "batch", aimS, 1, 0.9);
-    return TestFixtures.withObjectives(TestFixtures.settings("roost-0"), ImmutableList.of(aim));
+    Objective objective = new Objective(Objective.Kind.FINISHED, "batch", aimS, 1, 0.9);
+    return TestFixtures.withObjectives(
+        TestFixtures.settings("roost-0"), ImmutableList.of(objective));
   }
 
   private static Job array(int number) {
-    Job like = TestFixtures.job(number, JobKind.ARRAY, TASKS, 0);
+    Job template = TestFixtures.job(number, JobKind.ARRAY, TASKS, 0);
     return new Job(
-        like.uid(),
-        like.jobClass(),
-        like.team(),
-        like.kind(),
+        template.uid(),
+        template.jobClass(),
+        template.team(),
+        template.kind(),
         Priority.LOW,
         TASKS,
         new Resources(0.25, 0, 0.5),
@@ -87,13 +88,14 @@
   @Test
   void itGoesOnUnderHalfOfTheLimitWhileMachinesDie() {
     Settings base = settings(400);
-    Settings.StateLimits limits = base.stateLimits();
-    Settings.StateLimits half =
-        new Settings.StateLimits(limits.rps(), limits.writeRps(), 2, limits.txnOps());
+    Settings.StoreLimits limits = base.storeLimits();
+    Settings.StoreLimits half =
+        new Settings.StoreLimits(
+            limits.requestsPerS(), limits.writesPerS(), 2, limits.transactionOps());
     SimulatedCluster world = new SimulatedCluster(9, TestFixtures.withNextLimits(base, half));
     world.cloud.capacity = 6;
     world.submit(array(1));
-    world.at(10_000, () -> world.state.lowerLimits(2, limits.writeRps(), world.nowMs));
+    world.at(10_000, () -> world.state.lowerLimits(2, limits.writesPerS(), world.nowMs));
     for (int i = 0; i < 4; i++) {
       world.at(20_000 + i * 9000L, () -> world.die(world.workers().get(0).machine.name()));
     }
--- a/src/test/java/eiderfork/controller/BinPackingTest.java
+++ b/src/test/java/eiderfork/controller/BinPackingTest.java
@@ -25,25 +25,27 @@
       new MachineType("g8", new Resources(40, 8, 400), 50, 2, 20, 8, 4, ImmutableList.of("a"));
   private static final MachineType CPU_MACHINE =
       new MachineType("c8", new Resources(8, 0, 64), 50, 2, 1, 0.4, 4, ImmutableList.of("a"));
-  private static final CloudProvisioner.Kind GPU_KIND = new CloudProvisioner.Kind("g8", "a", false);
+  private static final CloudProvisioner.MachineKind GPU_KIND =
+      new CloudProvisioner.MachineKind("g8", "a", false);
 
   /** Each GPU takes four processors, so eight of a GPU machine's forty are to spare. */
   private static final CpusPerGpu FOUR_CPUS_A_GPU = new CpusPerGpu(4);
 
-  private final Bin gpuBin = new Bin(null, GPU_KIND, GPU_MACHINE.room(), GPU_MACHINE.room());
+  private final Bin gpuBin =
+      new Bin(null, GPU_KIND, GPU_MACHINE.capacity(), GPU_MACHINE.capacity());
 
   private BinPacking packing(MachineType... types) {
     return packing(Set.of(), types);
   }
 
-  private BinPacking packing(Set<CloudProvisioner.Kind> lateKinds, MachineType... types) {
+  private BinPacking packing(Set<CloudProvisioner.MachineKind> lateKinds, MachineType... types) {
     ControllerContext context =
         new ControllerContext(TestFixtures.settings("roost-0"), new Random(1), 1000);
-    StoreClient gate = new StoreClient(context);
+    StoreClient store = new StoreClient(context);
     MachineRegistry fleet =
-        new MachineRegistry(context, new JobRegistry(context, gate, null, null));
+        new MachineRegistry(context, new JobRegistry(context, store, null, null));
     fleet.types(ImmutableList.copyOf(types));
-    CloudProvisioner cloud = new CloudProvisioner(context, null, gate, fleet);
+    CloudProvisioner cloud = new CloudProvisioner(context, null, store, fleet);
     return new BinPacking(
         context, fleet, cloud, FOUR_CPUS_A_GPU, new ArrayList<>(List.of(gpuBin)), lateKinds);
   }
@@ -52,42 +54,42 @@
     return TestFixtures.job(1, JobKind.SERVICE, tasks, 0, "blue", Priority.HIGH, false, false);
   }
 
-  private static int put(BinPacking packing, Job job) {
-    return packing.put(job, job.tasks(), new HashMap<>(), job.perZone());
+  private static int placeAll(BinPacking packing, Job job) {
+    return packing.place(job, job.tasks(), new HashMap<>(), job.maxTasksPerZone());
   }
 
   /** Small services once left up to 94 of 584 GPUs without processors, and arrays waited. */
   @Test
   void tasksWithoutGpusLeaveFreeGpusTheirProcessors() {
     BinPacking packing = packing(GPU_MACHINE, CPU_MACHINE);
-    assertEquals(20, put(packing, cpuService(20)));
-    assertEquals(32, gpuBin.left.cpus(), "eight were to spare");
-    assertEquals(2, packing.toRent().size(), "twelve tasks on machines of eight processors");
-    assertTrue(packing.toRent().stream().allMatch(bin -> bin.kind.type().equals("c8")));
+    assertEquals(20, placeAll(packing, cpuService(20)));
+    assertEquals(32, gpuBin.free.cpus(), "eight were to spare");
+    assertEquals(2, packing.binsToRent().size(), "twelve tasks on machines of eight processors");
+    assertTrue(packing.binsToRent().stream().allMatch(bin -> bin.kind.type().equals("c8")));
   }
 
   @Test
   void tasksWithoutGpusTakeWhatThereIsWhereNoOtherMachineCanBeHad() {
     BinPacking packing = packing(GPU_MACHINE);
-    assertEquals(60, put(packing, cpuService(60)));
-    assertEquals(0, gpuBin.left.cpus());
-    assertEquals(1, packing.toRent().size(), "a further GPU machine for the last twenty");
+    assertEquals(60, placeAll(packing, cpuService(60)));
+    assertEquals(0, gpuBin.free.cpus());
+    assertEquals(1, packing.binsToRent().size(), "a further GPU machine for the last twenty");
   }
 
   @Test
   void processorsBesideGpusInUseAreFree() {
     BinPacking packing = packing(GPU_MACHINE, CPU_MACHINE);
-    gpuBin.left = new Resources(20, 0, 200);
-    assertEquals(20, put(packing, cpuService(20)));
-    assertEquals(List.of(), packing.toRent());
+    gpuBin.free = new Resources(20, 0, 200);
+    assertEquals(20, placeAll(packing, cpuService(20)));
+    assertEquals(List.of(), packing.binsToRent());
   }
 
   @Test
   void aZoneTakesNoMoreThanItMay() {
     BinPacking packing = packing(GPU_MACHINE, CPU_MACHINE);
     Job spread = TestFixtures.job(1, JobKind.SERVICE, 5, 0, "blue", Priority.HIGH, true, false);
-    assertEquals(3, put(packing, spread));
-    assertEquals(0, packing.put(spread, 1, new HashMap<>(Map.of("a", 3)), 3));
+    assertEquals(3, placeAll(packing, spread));
+    assertEquals(0, packing.place(spread, 1, new HashMap<>(Map.of("a", 3)), 3));
   }
 
   private static MachineType cpuMachine(String name, double price, String... zones) {
@@ -95,26 +97,26 @@
     return new MachineType(name, new Resources(8, 0, 64), 50, 2, price, price, 4, where);
   }
 
-  private static List<String> rented(BinPacking packing) {
-    return packing.toRent().stream().map(bin -> bin.kind.type() + bin.kind.zone()).toList();
+  private static List<String> rentedKinds(BinPacking packing) {
+    return packing.binsToRent().stream().map(bin -> bin.kind.type() + bin.kind.zone()).toList();
   }
 
   /** Where half of the machines of a kind are overdue another zone or type takes its place. */
   @Test
   void kindsThatComeUpLateAreRentedLast() {
-    CloudProvisioner.Kind late = new CloudProvisioner.Kind("c8", "a", false);
+    CloudProvisioner.MachineKind late = new CloudProvisioner.MachineKind("c8", "a", false);
     MachineType cheap = cpuMachine("c8", 1, "a", "b");
     BinPacking zones = packing(Set.of(late), cheap);
-    gpuBin.left = Resources.NONE;
-    put(zones, cpuService(24));
-    assertEquals(List.of("c8b", "c8b", "c8b"), rented(zones));
+    gpuBin.free = Resources.NONE;
+    placeAll(zones, cpuService(24));
+    assertEquals(List.of("c8b", "c8b", "c8b"), rentedKinds(zones));
     MachineType other = cpuMachine("d8", 1.5, "a");
     BinPacking types = packing(Set.of(late), cpuMachine("c8", 1, "a"), other);
-    put(types, cpuService(8));
-    assertEquals(List.of("d8a"), rented(types));
+    placeAll(types, cpuService(8));
+    assertEquals(List.of("d8a"), rentedKinds(types));
     MachineType dear = cpuMachine("d8", 3, "a");
     BinPacking prices = packing(Set.of(late), cpuMachine("c8", 1, "a"), dear);
-    put(prices, cpuService(8));
-    assertEquals(List.of("c8a"), rented(prices), "the other costs more than the wait");
+    placeAll(prices, cpuService(8));
+    assertEquals(List.of("c8a"), rentedKinds(prices), "the other costs more than the wait");
   }
 }
--- a/src/test/java/eiderfork/controller/CancellationTest.java
+++ b/src/test/java/eiderfork/controller/CancellationTest.java
@@ -6,7 +6,7 @@
 
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
-import eiderfork.model.JobStatus.Stance;
+import eiderfork.model.JobStatus.Phase;
 import java.util.List;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
@@ -20,7 +20,7 @@
   private Job cancelled;
 
   @AfterEach
-  void rulesHold() {
+  void assertNoBreaches() {
     assertEquals(List.of(), world.checker.breaches);
   }
 
@@ -62,7 +62,7 @@
     outage(1500, 55_000);
     world.run(40);
     assertEquals(3, world.checker.running(kept.uid()), "held without the state service");
-    if (world.checker.finalStance(cancelled.uid()) == Stance.ABORTED) {
+    if (world.checker.finalStance(cancelled.uid()) == Phase.ABORTED) {
       assertEquals(0, world.checker.running(cancelled.uid()));
     }
     world.run(30);
@@ -85,7 +85,7 @@
     world.at(afterMs, () -> world.abortAt(peer, cancelled.uid()));
     outage(1500, 55_000);
     world.run(5.8);
-    assertEquals(Stance.ABORTED, world.checker.finalStance(cancelled.uid()));
+    assertEquals(Phase.ABORTED, world.checker.finalStance(cancelled.uid()));
     assertEquals(3, world.checker.running(cancelled.uid()), "the leader can't know yet");
     world.run(4);
     assertEquals(0, world.checker.running(cancelled.uid()));
@@ -106,7 +106,7 @@
     world.at(afterMs + 400, () -> world.crash(other, 3000));
     outage(1500, 70_000);
     world.run(100);
-    if (world.checker.finalStance(cancelled.uid()) == Stance.ABORTED) {
+    if (world.checker.finalStance(cancelled.uid()) == Phase.ABORTED) {
       assertEquals(0, world.checker.running(cancelled.uid()));
     }
   }
@@ -128,7 +128,7 @@
     world.isolate(old, 90_000);
     world.at(afterMs, () -> world.abortAt(peer, cancelled.uid()));
     world.run(60);
-    assertEquals(Stance.ABORTED, world.checker.finalStance(cancelled.uid()));
+    assertEquals(Phase.ABORTED, world.checker.finalStance(cancelled.uid()));
     assertNotEquals(old, world.leader());
     assertEquals(0, world.checker.running(cancelled.uid()));
     world.run(60);
@@ -178,7 +178,7 @@
     world.cut(peer + ">" + old, 90_000);
     outage(1000, outageMs);
     world.run(60);
-    assertEquals(Stance.ABORTED, world.checker.finalStance(cancelled.uid()));
+    assertEquals(Phase.ABORTED, world.checker.finalStance(cancelled.uid()));
     assertEquals(0, world.checker.running(cancelled.uid()));
   }
 
@@ -196,7 +196,7 @@
     world.abortAt(peer, cancelled.uid());
     outage(afterMs, 60_000);
     world.run(50);
-    if (world.checker.finalStance(cancelled.uid()) == Stance.ABORTED) {
+    if (world.checker.finalStance(cancelled.uid()) == Phase.ABORTED) {
       assertEquals(0, world.checker.running(cancelled.uid()));
     }
     world.run(60);
--- a/src/test/java/eiderfork/controller/CancellationTrackerTest.java
+++ b/src/test/java/eiderfork/controller/CancellationTrackerTest.java
@@ -28,7 +28,7 @@
   @BeforeEach
   void theLeaderHasReadEverything() {
     at(60_000);
-    leader.caughtUp(60_000);
+    leader.recordCaughtUp(60_000);
   }
 
   private void at(long nowMs) {
@@ -39,23 +39,23 @@
 
   /** The leader pings, and the answer arrives a while after it was asked for. */
   private void ping(String node, CancellationTracker to, long tookMs) {
-    long askedMs = leaderTime.nowMs;
-    to.heard("roost-0", leader.newsFor(node));
-    CancellationGossip news = to.newsFor("roost-0");
-    at(askedMs + tookMs);
-    leader.answered(node, news, askedMs);
+    long requestedMs = leaderTime.nowMs;
+    to.heard("roost-0", leader.gossipFor(node));
+    CancellationGossip gossip = to.gossipFor("roost-0");
+    at(requestedMs + tookMs);
+    leader.receiveReply(node, gossip, requestedMs);
   }
 
   @Test
   void theEarliestQuestionThatAPeerAnsweredIsTheProof() {
     at(70_000);
     ping("roost-1", peer, 300);
-    assertEquals(60_000, leader.provenMs(), "the other peer has not answered");
+    assertEquals(60_000, leader.completeUpToMs(), "the other peer has not answered");
     ping("roost-2", other, 700);
-    assertEquals(70_000, leader.provenMs(), "not when the answers came");
+    assertEquals(70_000, leader.completeUpToMs(), "not when the answers came");
     at(80_000);
     ping("roost-1", peer, 10);
-    assertEquals(70_300, leader.provenMs());
+    assertEquals(70_300, leader.completeUpToMs());
   }
 
   @Test
@@ -65,21 +65,21 @@
     at(71_000);
     ping("roost-1", peer, 10);
     ping("roost-2", other, 10);
-    assertEquals(60_000, leader.provenMs());
-    leader.caughtUp(71_500);
+    assertEquals(60_000, leader.completeUpToMs());
+    leader.recordCaughtUp(71_500);
     at(72_000);
     ping("roost-1", peer, 10);
     ping("roost-2", other, 10);
-    assertEquals(72_000, leader.provenMs(), "it has run since before the newest read");
+    assertEquals(72_000, leader.completeUpToMs(), "it has run since before the newest read");
   }
 
   @Test
   void leasesEndWithinTheCancellationTimeOfTheProof() {
     // Leases of 10 s, cancellations of 30 s.
     at(79_000);
-    assertTrue(leader.mayRenew());
+    assertTrue(leader.mayRenewLeases());
     at(79_500);
-    assertFalse(leader.mayRenew());
+    assertFalse(leader.mayRenewLeases());
   }
 
   /** More than one message holds: until the last part is there, nothing is proven. */
@@ -92,13 +92,14 @@
     ping("roost-2", other, 10);
     ping("roost-1", peer, 10);
     assertEquals(256, learned.size());
-    assertEquals(60_000, leader.provenMs());
+    assertEquals(60_000, leader.completeUpToMs());
     ping("roost-1", peer, 10);
     ping("roost-1", peer, 10);
     assertEquals(600, learned.size());
-    assertEquals(61_000, leader.provenMs());
+    assertEquals(61_000, leader.completeUpToMs());
     ping("roost-1", peer, 10);
-    assertEquals(0, peer.newsFor("roost-0").uids().size(), "acknowledged ones are not told again");
+    assertEquals(
+        0, peer.gossipFor("roost-0").uids().size(), "acknowledged ones are not told again");
   }
 
   /** What was dropped for want of memory before its time makes the peer's word incomplete. */
@@ -107,25 +108,25 @@
     for (int i = 0; i < 17_000; i++) {
       peer.confirm("run-" + i);
     }
-    assertFalse(peer.newsFor("roost-0").complete());
+    assertFalse(peer.gossipFor("roost-0").complete());
     for (int i = 0; i < 80; i++) {
       ping("roost-1", peer, 1);
     }
     assertTrue(leader.contains("run-16999"));
     ping("roost-2", other, 1);
     assertFalse(leader.contains("run-0"), "it was dropped before it was told");
-    assertEquals(60_000, leader.provenMs());
+    assertEquals(60_000, leader.completeUpToMs());
     at(60_000 + 200_000);
     ping("roost-1", peer, 1);
-    assertEquals(60_080, leader.provenMs(), "the other peer was asked last long ago");
+    assertEquals(60_080, leader.completeUpToMs(), "the other peer was asked last long ago");
     ping("roost-2", other, 1);
-    assertEquals(260_000, leader.provenMs(), "what was dropped matters no more");
+    assertEquals(260_000, leader.completeUpToMs(), "what was dropped matters no more");
   }
 
   @Test
   void aLateMessageOfAnEarlierProcessIsTakenForWhatItSays() {
     peer.confirm("run-1");
-    CancellationGossip late = peer.newsFor("roost-0");
+    CancellationGossip late = peer.gossipFor("roost-0");
     peer = new CancellationTracker(peerTime, uid -> {});
     peer.confirm("run-2");
     ping("roost-1", peer, 10);
--- a/src/test/java/eiderfork/controller/CapacityIndexTest.java
+++ b/src/test/java/eiderfork/controller/CapacityIndexTest.java
@@ -30,7 +30,7 @@
   private final JobRegistry jobs = new JobRegistry(context, new StoreClient(context), null, null);
   private final MachineRegistry fleet = new MachineRegistry(context, jobs);
   private final BorrowedCapacity loans = new BorrowedCapacity(context, jobs, fleet);
-  private final CapacityIndex index = fleet.sets().roomIndex();
+  private final CapacityIndex index = fleet.indexes().capacityIndex();
   private final Random random = new Random(2);
   private int lastJob;
 
@@ -43,15 +43,15 @@
 
   private MachineState machine(String name, String type, String zone, boolean spot) {
     Machine machine = new Machine(name, name + ":1", type, zone, spot);
-    MachineState entry = fleet.known(machine);
-    fleet.reported(entry, new Heartbeat(machine, 1, 1, 0, null, ImmutableList.of()));
+    MachineState entry = fleet.getOrRegister(machine);
+    fleet.recordHeartbeat(entry, new Heartbeat(machine, 1, 1, 0, null, ImmutableList.of()));
     return entry;
   }
 
-  private Job job(Resources need, boolean spot) {
-    Job like =
+  private Job job(Resources demand, boolean spot) {
+    Job template =
         TestFixtures.job(++lastJob, JobKind.SERVICE, 1, 0, "blue", Priority.HIGH, false, spot);
-    Job sized = TestFixtures.sized(like, need, 0, "any");
+    Job sized = TestFixtures.sized(template, demand, 0, "any");
     return new Job(
         sized.uid(),
         sized.jobClass(),
@@ -59,7 +59,7 @@
         sized.kind(),
         sized.priority(),
         1,
-        need,
+        demand,
         null,
         null,
         false,
@@ -88,18 +88,20 @@
     for (int step = 0; step < 2000; step++) {
       MachineState m = machines.get(random.nextInt(machines.size()));
       Job job = job(need(), true);
-      if (random.nextInt(3) > 0 && job.need().fitsIn(m.free())) {
+      if (random.nextInt(3) > 0 && job.taskResources().fitsIn(m.freeCapacity())) {
         placed.add(jobs.propose(jobs.add(job, lastJob), 0, 1, m));
       } else if (!placed.isEmpty()) {
-        jobs.release(placed.remove(random.nextInt(placed.size())), false);
+        jobs.settle(placed.remove(random.nextInt(placed.size())), false);
       }
       Job wanted = job(need(), random.nextBoolean());
       Set<MachineState> named = new HashSet<>();
       index.forEachCandidate(wanted, Set.of("a"), number -> named.add(fleet.get(number)));
       for (MachineState each : machines) {
-        boolean fits = wanted.need().fitsIn(each.free());
-        boolean allowed = each.zone().equals("a") && (wanted.spot() || !each.machine.spot());
-        assertTrue(!fits || !allowed || named.contains(each), wanted.need() + " on " + each.free());
+        boolean fits = wanted.taskResources().fitsIn(each.freeCapacity());
+        boolean allowed = each.zone().equals("a") && (wanted.spotAllowed() || !each.spec.spot());
+        assertTrue(
+            !fits || !allowed || named.contains(each),
+            wanted.taskResources() + " on " + each.freeCapacity());
         assertTrue(allowed || !named.contains(each), "only what is allowed");
       }
     }
@@ -128,48 +130,50 @@
     Reservation task = jobs.propose(large, 0, 1, m);
     Job waits = job(new Resources(8, 1, 1), false);
     Job waitsForMore = job(new Resources(70, 1, 1), false);
-    index.failedSearches().note(waits, "a");
-    index.failedSearches().note(waits, "b");
-    jobs.release(task, false);
-    assertTrue(!index.failedSearches().knows(waits, "a"), "the machine has room now");
-    assertTrue(index.failedSearches().knows(waits, "b"), "in the other zone nothing has changed");
-    index.failedSearches().note(waitsForMore, "a");
-    jobs.release(jobs.propose(large, 0, 2, m), false);
-    assertTrue(index.failedSearches().knows(waitsForMore, "a"), "more than the machine has");
+    index.failedSearches().recordFailure(waits, "a");
+    index.failedSearches().recordFailure(waits, "b");
+    jobs.settle(task, false);
+    assertTrue(!index.failedSearches().isRuledOut(waits, "a"), "the machine has room now");
+    assertTrue(
+        index.failedSearches().isRuledOut(waits, "b"), "in the other zone nothing has changed");
+    index.failedSearches().recordFailure(waitsForMore, "a");
+    jobs.settle(jobs.propose(large, 0, 2, m), false);
+    assertTrue(index.failedSearches().isRuledOut(waitsForMore, "a"), "more than the machine has");
   }
 
   /** Room that was claimed for one job is free for others once the claim is over. */
   @Test
   void aClaimThatLapsesContradictsWhatWasProvedBesideIt() {
     MachineState m = machine("n-1", "g8", "a", false);
-    FreeCapacity room = new FreeCapacity(fleet, machine -> true, machine -> true, loans);
-    room.begin(0);
+    FreeCapacity capacity = new FreeCapacity(fleet, machine -> true, machine -> true, loans);
+    capacity.beginRound(0);
     JobState claims = jobs.add(job(new Resources(64, 8, 1), false), 1);
-    room.claim(new FreeCapacity.Claim(claims, m, 1000));
+    capacity.addClaim(new FreeCapacity.Claim(claims, m, 1000));
     Job waits = job(new Resources(8, 1, 1), false);
-    index.failedSearches().note(waits, "a");
-    room.begin(500);
-    assertEquals(0, room.of(m).gpus());
-    assertTrue(index.failedSearches().knows(waits, "a"));
-    room.begin(1000);
-    assertEquals(8, room.of(m).gpus());
-    assertTrue(!index.failedSearches().knows(waits, "a"));
+    index.failedSearches().recordFailure(waits, "a");
+    capacity.beginRound(500);
+    assertEquals(0, capacity.freeOn(m).gpus());
+    assertTrue(index.failedSearches().isRuledOut(waits, "a"));
+    capacity.beginRound(1000);
+    assertEquals(8, capacity.freeOn(m).gpus());
+    assertTrue(!index.failedSearches().isRuledOut(waits, "a"));
   }
 
   @Test
   void aSearchMarksMachinesWithRoomThatItMayNotUse() {
     MachineState m = machine("n-1", "g8", "a", false);
-    FreeCapacity room = new FreeCapacity(fleet, machine -> false, machine -> false, loans);
-    room.begin(0);
+    FreeCapacity capacity = new FreeCapacity(fleet, machine -> false, machine -> false, loans);
+    capacity.beginRound(0);
     JobState entry = jobs.add(job(new Resources(8, 1, 1), false), 1);
     ImageFetchEstimator imageFetch = new ImageFetchEstimator(context, fleet);
     DeadlineEstimator deadlines = new DeadlineEstimator(context, fleet);
-    MachineScorer score = new MachineScorer(context, imageFetch, CpusPerGpu.NONE, deadlines, entry);
+    MachineScorer scorer =
+        new MachineScorer(context, imageFetch, CpusPerGpu.NONE, deadlines, entry);
     MachineSearch search =
         new MachineSearch(
-            room, score, random, 1000, entry, new HashMap<>(), true, SearchConstraints.NONE);
-    assertEquals(null, search.best());
-    assertTrue(m.passedOver);
-    assertTrue(index.failedSearches().knows(entry.job, "a"));
+            capacity, scorer, random, 1000, entry, new HashMap<>(), true, SearchConstraints.NONE);
+    assertEquals(null, search.bestMachine());
+    assertTrue(m.skippedBySearch);
+    assertTrue(index.failedSearches().isRuledOut(entry.spec, "a"));
   }
 }
--- a/src/test/java/eiderfork/controller/ClusterVersionTest.java
+++ b/src/test/java/eiderfork/controller/ClusterVersionTest.java
@@ -14,42 +14,43 @@
 class ClusterVersionTest {
   private final ControllerContext context =
       new ControllerContext(TestFixtures.settings("roost-0"), new Random(1), 0);
-  private final StoreClient gate = new StoreClient(context);
+  private final StoreClient store = new StoreClient(context);
   private final ClusterVersion version =
-      new ClusterVersion(context, gate, new LeaderElection(context, gate, null));
+      new ClusterVersion(context, store, new LeaderElection(context, store, null));
 
   private void allAnswer() {
-    version.answered("roost-1", ClusterVersion.CURRENT);
-    version.answered("roost-2", ClusterVersion.CURRENT);
+    version.recordReply("roost-1", ClusterVersion.CURRENT);
+    version.recordReply("roost-2", ClusterVersion.CURRENT);
   }
 
   @Test
   void everyPeerHasToAnswerThatItIsNew() {
-    version.answered("roost-1", ClusterVersion.CURRENT);
-    assertFalse(version.allows(ClusterVersion.CURRENT));
-    version.answered("roost-2", ClusterVersion.FIRST);
-    assertFalse(version.allows(ClusterVersion.CURRENT));
+    version.recordReply("roost-1", ClusterVersion.CURRENT);
+    assertFalse(version.isSupportedByAll(ClusterVersion.CURRENT));
+    version.recordReply("roost-2", ClusterVersion.FIRST);
+    assertFalse(version.isSupportedByAll(ClusterVersion.CURRENT));
     allAnswer();
-    assertTrue(version.allows(ClusterVersion.CURRENT));
+    assertTrue(version.isSupportedByAll(ClusterVersion.CURRENT));
   }
 
   /** A held-up ping of a process that was taken back to the older version meanwhile. */
   @Test
   void whatAPeerSaysUnaskedMayBeOldAndProvesNothing() {
-    version.heard("roost-1", ClusterVersion.CURRENT);
-    version.heard("roost-2", ClusterVersion.CURRENT);
-    assertFalse(version.allows(ClusterVersion.CURRENT));
+    version.recordUnsolicited("roost-1", ClusterVersion.CURRENT);
+    version.recordUnsolicited("roost-2", ClusterVersion.CURRENT);
+    assertFalse(version.isSupportedByAll(ClusterVersion.CURRENT));
     allAnswer();
-    version.heard("roost-2", ClusterVersion.FIRST);
-    assertFalse(version.allows(ClusterVersion.CURRENT), "it is back at the older version");
+    version.recordUnsolicited("roost-2", ClusterVersion.FIRST);
+    assertFalse(
+        version.isSupportedByAll(ClusterVersion.CURRENT), "it is back at the older version");
   }
 
   @Test
   void whatIsStoredHoldsWhateverPeersSay() {
-    version.read(new StoredRecord.StoredVersion(ClusterVersion.CURRENT), 5);
-    version.heard("roost-1", ClusterVersion.FIRST);
-    assertTrue(version.allows(ClusterVersion.CURRENT));
-    version.read(new StoredRecord.StoredVersion(ClusterVersion.FIRST), 4);
-    assertTrue(version.allows(ClusterVersion.CURRENT));
+    version.recordStored(new StoredRecord.StoredVersion(ClusterVersion.CURRENT), 5);
+    version.recordUnsolicited("roost-1", ClusterVersion.FIRST);
+    assertTrue(version.isSupportedByAll(ClusterVersion.CURRENT));
+    version.recordStored(new StoredRecord.StoredVersion(ClusterVersion.FIRST), 4);
+    assertTrue(version.isSupportedByAll(ClusterVersion.CURRENT));
   }
 }
--- a/src/test/java/eiderfork/controller/ControllerTest.java
+++ b/src/test/java/eiderfork/controller/ControllerTest.java
@@ -30,7 +30,7 @@
   private final List<Effect> effects = new ArrayList<>();
 
   private void take(long nowMs, Input input) {
-    effects.addAll(node.take(nowMs, input));
+    effects.addAll(node.handle(nowMs, input));
   }
 
   private static Input report(long ticket) {
@@ -60,12 +60,12 @@
   private void learnLeader(long nowMs) {
     long read =
         effects.stream()
-            .filter(Effect.AskState.class::isInstance)
-            .map(Effect.AskState.class::cast)
-            .filter(ask -> ask.op().equals(new StoreRequest.Get(StoreKeys.LEADER)))
+            .filter(Effect.CallStore.class::isInstance)
+            .map(Effect.CallStore.class::cast)
+            .filter(ask -> ask.request().equals(new StoreRequest.Get(StoreKeys.LEADER)))
             .findFirst()
             .orElseThrow()
-            .call();
+            .callId();
     take(
         nowMs,
         new Input.Answered(read, new Reply.Value(new StoredRecord.Leadership("roost-2", 4), 9)));
@@ -78,7 +78,7 @@
         new TaskStatus(
             new Attempt(new TaskId("run-000001", 0), 1), TaskStatus.State.RUNNING, null, false);
     ImmutableList<TaskStatus> tasks = hasTask ? ImmutableList.of(task) : ImmutableList.of();
-    long token = (4L << LeaderElection.SEQUENCE_BITS) + 1;
+    long token = (4L << LeaderElection.TOKEN_SEQUENCE_BITS) + 1;
     return new Input.WorkerReport(ticket, new Heartbeat(machine, 1, 5, token, null, tasks));
   }
 
@@ -101,30 +101,38 @@
   void aNewLeaderReachesNoMoreMachinesAtOnceThanItsSocketsAllow() {
     ControllerContext context =
         new ControllerContext(TestFixtures.settings("roost-0"), new Random(1), 0);
-    StoreClient gate = new StoreClient(context);
-    LeaderElection term = new LeaderElection(context, gate, null);
-    ClusterVersion version = new ClusterVersion(context, gate, term);
-    JobRegistry jobs = new JobRegistry(context, gate, term, version);
+    StoreClient store = new StoreClient(context);
+    LeaderElection election = new LeaderElection(context, store, null);
+    ClusterVersion version = new ClusterVersion(context, store, election);
+    JobRegistry jobs = new JobRegistry(context, store, election, version);
     MachineRegistry fleet = new MachineRegistry(context, jobs);
     CancellationTracker cancellations = new CancellationTracker(context, uid -> {});
-    MachineLiveness liveness = new MachineLiveness(context, term);
-    PeerMonitor peers = new PeerMonitor(context, term, cancellations, version);
-    WorkerLeaseLog log = new WorkerLeaseLog(context);
-    LeaseExpiry lapses =
-        new LeaseExpiry(context, fleet, peers, liveness, log, then -> {}, () -> {});
-    WorkerCommander workers =
+    MachineLiveness liveness = new MachineLiveness(context, election);
+    PeerMonitor peers = new PeerMonitor(context, election, cancellations, version);
+    WorkerLeaseLog leaseLog = new WorkerLeaseLog(context);
+    LeaseExpiry leaseExpiry =
+        new LeaseExpiry(context, fleet, peers, liveness, leaseLog, onComplete -> {}, () -> {});
+    WorkerCommander commander =
         new WorkerCommander(
-            context, term, jobs, fleet, cancellations, liveness, lapses, log, () -> {});
+            context,
+            election,
+            jobs,
+            fleet,
+            cancellations,
+            liveness,
+            leaseExpiry,
+            leaseLog,
+            () -> {});
     for (int i = 0; i < 100; i++) {
-      fleet.known(new Machine("n-" + i, "n-" + i + ":1", "g4", "a", false));
+      fleet.getOrRegister(new Machine("n-" + i, "n-" + i + ":1", "g4", "a", false));
     }
-    workers.elected();
+    commander.onElected();
     context.nowMs = 5000;
-    workers.tick();
-    int outbound = context.settings.controller().outbound();
-    assertEquals(outbound - outbound / 2, context.takeEffects().size());
-    workers.tick();
-    assertTrue(context.takeEffects().isEmpty(), "the rest waits for answers");
+    commander.tick();
+    int outbound = context.settings.controllerResources().maxOutboundConnections();
+    assertEquals(outbound - outbound / 2, context.drainEffects().size());
+    commander.tick();
+    assertTrue(context.drainEffects().isEmpty(), "the rest waits for answers");
   }
 
   @Test
@@ -139,9 +147,9 @@
   /** A wait of a report interval outlived the worker's own, which is 4 s whatever the interval. */
   @Test
   void noReportWaitsLongerForBeingASeldomOne() {
-    Controller slow = new Controller(TestFixtures.slow(), new Random(1), 0);
-    slow.take(10, report(7));
-    List<Effect> later = slow.take(1010, new Input.Tick());
+    Controller slow = new Controller(TestFixtures.longLeaseSettings(), new Random(1), 0);
+    slow.handle(10, report(7));
+    List<Effect> later = slow.handle(1010, new Input.Tick());
     assertTrue(later.contains(new Effect.RedirectWorker(7, null)), later::toString);
   }
 }
--- a/src/test/java/eiderfork/controller/ElectedLeader.java
+++ b/src/test/java/eiderfork/controller/ElectedLeader.java
@@ -16,35 +16,35 @@
   static final LeaderElection.Listener NO_LISTENER =
       new LeaderElection.Listener() {
         @Override
-        public void elected() {}
+        public void onElected() {}
 
         @Override
-        public void deposed() {}
+        public void onLeadershipLost() {}
       };
 
   private ElectedLeader() {}
 
   /** The state service holds nothing, and the node becomes the leader of term 1. */
-  static void win(ControllerContext context, LeaderElection term) {
-    term.tick();
+  static void win(ControllerContext context, LeaderElection election) {
+    election.tick();
     answer(context, new Reply.Value(null, 0));
     answer(context, new Reply.Value(null, 0));
     answer(context, new Reply.Leased(7));
     answer(context, new Reply.Committed(1));
-    assertTrue(term.leading());
+    assertTrue(election.isLeading());
   }
 
   /** Answers the one call to the state service that is open. */
   static void answer(ControllerContext context, Reply reply) {
-    List<Effect.AskState> asked = effects(context, Effect.AskState.class);
+    List<Effect.CallStore> asked = effects(context, Effect.CallStore.class);
     assertEquals(1, asked.size());
-    context.answered(asked.get(0).call(), reply);
+    context.completeCall(asked.get(0).callId(), reply);
   }
 
   /** Takes all effects, and gives those of this kind. */
   static <T extends Effect> List<T> effects(ControllerContext context, Class<T> kind) {
     List<T> found = new ArrayList<>();
-    context.takeEffects().stream().filter(kind::isInstance).map(kind::cast).forEach(found::add);
+    context.drainEffects().stream().filter(kind::isInstance).map(kind::cast).forEach(found::add);
     return found;
   }
 }
--- a/src/test/java/eiderfork/controller/ExpectedOutcome.java
+++ b/src/test/java/eiderfork/controller/ExpectedOutcome.java
@@ -5,7 +5,7 @@
 
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
-import eiderfork.model.JobStatus.Stance;
+import eiderfork.model.JobStatus.Phase;
 import java.util.List;
 
 /** What has to come of every meeting of troubles. */
@@ -38,12 +38,12 @@
     assertEquals(startsBefore, world.checker.startsAfterCancellation);
     for (Job job : jobs) {
       assertTrue(world.checker.wasAccepted(job.uid()), job::uid);
-      if (world.checker.finalStance(job.uid()) == Stance.ABORTED) {
+      if (world.checker.finalStance(job.uid()) == Phase.ABORTED) {
         assertEquals(0, world.checker.running(job.uid()), job::uid);
       } else if (job.kind() == JobKind.SERVICE) {
         assertEquals(job.tasks(), world.checker.running(job.uid()), job::uid);
       } else {
-        assertEquals(Stance.DONE, world.checker.finalStance(job.uid()), job::uid);
+        assertEquals(Phase.DONE, world.checker.finalStance(job.uid()), job::uid);
       }
     }
   }
--- a/src/test/java/eiderfork/controller/FailedSearchCacheTest.java
+++ b/src/test/java/eiderfork/controller/FailedSearchCacheTest.java
@@ -17,13 +17,13 @@
   @Test
   void whatTakesAsMuchFindsNoRoomEitherAndNothingElseIsRuledOut() {
     FailedSearchCache proved = new FailedSearchCache();
-    proved.note(job(2, false), "a");
-    assertTrue(proved.knows(job(2, false), "a"));
-    assertTrue(proved.knows(job(3, false), "a"), "a larger task of the same kind");
-    assertFalse(proved.knows(job(1, false), "a"), "a smaller one may fit");
-    assertFalse(proved.knows(job(2, true), "a"), "spot machines were not searched");
-    assertFalse(proved.knows(job(2, false), "b"));
+    proved.recordFailure(job(2, false), "a");
+    assertTrue(proved.isRuledOut(job(2, false), "a"));
+    assertTrue(proved.isRuledOut(job(3, false), "a"), "a larger task of the same kind");
+    assertFalse(proved.isRuledOut(job(1, false), "a"), "a smaller one may fit");
+    assertFalse(proved.isRuledOut(job(2, true), "a"), "spot machines were not searched");
+    assertFalse(proved.isRuledOut(job(2, false), "b"));
     proved.clear();
-    assertFalse(proved.knows(job(2, false), "a"));
+    assertFalse(proved.isRuledOut(job(2, false), "a"));
   }
 }
--- a/src/test/java/eiderfork/controller/FailingJobsTest.java
+++ b/src/test/java/eiderfork/controller/FailingJobsTest.java
@@ -6,7 +6,7 @@
 
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
-import eiderfork.model.JobStatus.Stance;
+import eiderfork.model.JobStatus.Phase;
 import eiderfork.model.TaskId;
 import java.util.List;
 import org.junit.jupiter.api.AfterEach;
@@ -17,7 +17,7 @@
   private final SimulatedCluster world = new SimulatedCluster(11);
 
   @AfterEach
-  void rulesHold() {
+  void assertNoBreaches() {
     assertEquals(List.of(), world.checker.breaches);
   }
 
@@ -34,7 +34,7 @@
 
   private List<String> busyMachines() {
     return world.workers().stream()
-        .filter(worker -> !worker.present().isEmpty())
+        .filter(worker -> !worker.presentTasks().isEmpty())
         .map(worker -> worker.machine.name())
         .toList();
   }
@@ -93,7 +93,7 @@
     assertEquals(rented, world.cloud.hosts().size(), "machines were rented for it again");
     world.abort(bad.uid());
     world.run(5);
-    assertEquals(Stance.ABORTED, world.checker.finalStance(bad.uid()));
+    assertEquals(Phase.ABORTED, world.checker.finalStance(bad.uid()));
   }
 
   /** A new leader knows nothing of the failures; it used to begin with all tasks again. */
@@ -124,7 +124,7 @@
     world.run(10);
     world.abort(bad.uid());
     world.run(10);
-    assertEquals(Stance.ABORTED, world.checker.finalStance(bad.uid()));
+    assertEquals(Phase.ABORTED, world.checker.finalStance(bad.uid()));
     assertEquals(0, world.checker.running(bad.uid()));
   }
 
--- a/src/test/java/eiderfork/controller/FailoverTest.java
+++ b/src/test/java/eiderfork/controller/FailoverTest.java
@@ -178,7 +178,7 @@
   void tasksThatEndFarApart(int afterMs) {
     SimulatedCluster world = new SimulatedCluster(6);
     world.cloud.capacity = 1;
-    world.cloud.stock.put(new CloudProvisioner.Kind("g4", "b", false), 0);
+    world.cloud.stock.put(new CloudProvisioner.MachineKind("g4", "b", false), 0);
     List<Job> jobs = new ArrayList<>();
     for (int i = 1; i <= 4; i++) {
       jobs.add(TestFixtures.job(i, JobKind.ARRAY, 3, 2));
--- a/src/test/java/eiderfork/controller/FailureHistoryTest.java
+++ b/src/test/java/eiderfork/controller/FailureHistoryTest.java
@@ -17,22 +17,22 @@
   private static final int TASKS = 8;
 
   private final FailureHistory history = new FailureHistory(STEP_MS);
-  private final Job job =
+  private final Job spec =
       TestFixtures.sized(
           TestFixtures.job(1, JobKind.ARRAY, TASKS, 1), new Resources(1, 1, 4), 300, "g4");
-  private final JobState entry = TestFixtures.entry(job);
+  private final JobState job = TestFixtures.entry(spec);
 
   private Reservation reservation(int index, long attempt, String machine) {
     MachineState on = new MachineState(machine, 1, new MachineIndexes(), 0);
-    return new Reservation(entry, index, attempt, on);
+    return new Reservation(job, index, attempt, on);
   }
 
   private void fails(int index, long attempt, String machine, long nowMs) {
-    history.failed(reservation(index, attempt, machine), attempt, nowMs);
+    history.recordFailure(reservation(index, attempt, machine), attempt, nowMs);
   }
 
-  private static StoredRecord.Alloc attempts(long last) {
-    return new StoredRecord.Alloc(last, false, ImmutableList.of(), ImmutableList.of());
+  private static StoredRecord.Allocation attempts(long last) {
+    return new StoredRecord.Allocation(last, false, ImmutableList.of(), ImmutableList.of());
   }
 
   @Test
@@ -42,8 +42,8 @@
     }
     assertFalse(history.isSuspected());
     assertEquals(0, history.notBeforeMs(), "the job may go on elsewhere");
-    assertFalse(history.mayRetry(0, 500));
-    assertTrue(history.mayRetry(0, 10 + STEP_MS));
+    assertFalse(history.canRetry(0, 500));
+    assertTrue(history.canRetry(0, 10 + STEP_MS));
   }
 
   @Test
@@ -52,13 +52,13 @@
     for (int attempt = 1; attempt <= 12; attempt++) {
       long nowMs = attempt * 100_000L;
       fails(0, attempt, "n-" + attempt % 4, nowMs);
-      assertEquals(attempt >= 2, history.isProvenSuspect());
+      assertEquals(attempt >= 2, history.isConfirmedSuspect());
       long nextMs = Math.max(0, history.notBeforeMs() - nowMs);
       assertTrue(nextMs >= delayMs && nextMs <= 32 * STEP_MS, nextMs + " ms");
       delayMs = nextMs;
     }
     assertEquals(32 * STEP_MS, delayMs);
-    history.succeeded();
+    history.recordSuccess();
     assertFalse(history.isSuspected());
     assertEquals(0, history.notBeforeMs());
   }
@@ -66,41 +66,42 @@
   /** Arrays that were stopped for others again and again look alike to a new leader. */
   @Test
   void whatANewLeaderOnlyPresumesIsSoonDisproved() {
-    history.restored(attempts(30), TASKS);
+    history.restore(attempts(30), TASKS);
     assertTrue(history.isSuspected());
-    assertFalse(history.isProvenSuspect(), "machines are rented for it");
+    assertFalse(history.isConfirmedSuspect(), "machines are rented for it");
     Reservation trial = reservation(0, 31, "n-1");
     trial.runningSinceMs = 1000;
-    assertFalse(history.outlived(trial, 1000 + 5 * STEP_MS));
-    assertTrue(history.outlived(trial, 1000 + 10 * STEP_MS), "not after a whole run only");
+    assertFalse(history.hasOutlivedFailures(trial, 1000 + 5 * STEP_MS));
+    assertTrue(
+        history.hasOutlivedFailures(trial, 1000 + 10 * STEP_MS), "not after a whole run only");
   }
 
   @Test
   void aNewLeaderThatSeesItFailNeedsNoFurtherTry() {
-    history.restored(attempts(30), TASKS);
+    history.restore(attempts(30), TASKS);
     fails(0, 31, "n-1", 5000);
-    assertTrue(history.isProvenSuspect());
+    assertTrue(history.isConfirmedSuspect());
     assertTrue(history.notBeforeMs() >= 5000 + 32 * STEP_MS);
   }
 
   @Test
   void anArrayOfWhichSomethingIsDoneIsNoSuspectToANewLeader() {
-    StoredRecord.Alloc some =
-        new StoredRecord.Alloc(
-            30, false, ImmutableList.of(), ImmutableList.of(new StoredRecord.Range(0, 0)));
-    history.restored(some, TASKS);
+    StoredRecord.Allocation some =
+        new StoredRecord.Allocation(
+            30, false, ImmutableList.of(), ImmutableList.of(new StoredRecord.TaskRange(0, 0)));
+    history.restore(some, TASKS);
     assertFalse(history.isSuspected());
   }
 
   @Test
   void aMachineIsAvoidedForAWhileAndNotOnceTheJobIsAtFault() {
     fails(0, 1, "n-1", 1000);
-    assertTrue(history.avoids("n-1", 2000));
-    assertFalse(history.avoids("n-2", 2000));
-    assertFalse(history.avoids("n-1", 1000 + 31 * STEP_MS), "others may be full for ever");
+    assertTrue(history.isAvoided("n-1", 2000));
+    assertFalse(history.isAvoided("n-2", 2000));
+    assertFalse(history.isAvoided("n-1", 1000 + 31 * STEP_MS), "others may be full for ever");
     fails(0, 2, "n-2", 2000);
     fails(0, 3, "n-3", 3000);
-    assertFalse(history.avoids("n-1", 3000));
+    assertFalse(history.isAvoided("n-1", 3000));
     assertTrue(history.isJobAtFault());
   }
 }
--- a/src/test/java/eiderfork/controller/FakeCloud.java
+++ b/src/test/java/eiderfork/controller/FakeCloud.java
@@ -36,10 +36,10 @@
   long bootMs;
 
   /** How long machines of a kind boot where that is not {@link #bootMs}. */
-  final Map<CloudProvisioner.Kind, Long> bootMsOf = new HashMap<>();
+  final Map<CloudProvisioner.MachineKind, Long> bootMsByKind = new HashMap<>();
 
   /** The cloud refuses every request. */
-  boolean down;
+  boolean isDown;
 
   /** How much it has of each kind that {@link #stock} does not name. */
   int capacity = 10;
@@ -47,7 +47,7 @@
   /** What the cloud has, and how much of each kind where that is not {@link #capacity}. */
   ImmutableList<MachineType> types = SMALL_TYPES;
 
-  final Map<CloudProvisioner.Kind, Integer> stock = new HashMap<>();
+  final Map<CloudProvisioner.MachineKind, Integer> stock = new HashMap<>();
 
   private static final ImmutableList<MachineType> SMALL_TYPES =
       ImmutableList.of(
@@ -60,10 +60,10 @@
   private final long lagMs;
   private final TreeMap<String, Host> hosts = new TreeMap<>();
   private final Map<String, ImmutableList<String>> requests = new HashMap<>();
-  private int hostNames;
+  private int lastHostNumber;
 
   /** How many machines were given back. */
-  int returnedHosts;
+  int returnedHostCount;
 
   FakeCloud(Random random, double listLagS) {
     this.random = random;
@@ -80,7 +80,7 @@
     return hosts.get(name);
   }
 
-  Reply rent(StoredRecord.Rent rent, long nowMs) {
+  Reply rent(StoredRecord.ScaleOutIntent rent, long nowMs) {
     ImmutableList<String> known = requests.get(rent.requestName());
     if (known != null) {
       return new Reply.Rented(known);
@@ -95,12 +95,13 @@
                         && h.machine.zone().equals(rent.zone())
                         && h.machine.spot() == rent.spot())
             .count();
-    CloudProvisioner.Kind kind = new CloudProvisioner.Kind(rent.type(), rent.zone(), rent.spot());
+    CloudProvisioner.MachineKind kind =
+        new CloudProvisioner.MachineKind(rent.type(), rent.zone(), rent.spot());
     int count = (int) Math.min(rent.count(), stock.getOrDefault(kind, capacity) - same);
     for (int i = 0; i < count; i++) {
       long slowMs = 2000 + random.nextLong(6000);
       long usualMs = bootMs > 0 ? bootMs : slowMs;
-      long upAfterMs = bootMsOf.getOrDefault(kind, usualMs);
+      long upAfterMs = bootMsByKind.getOrDefault(kind, usualMs);
       addHost(rent.type(), rent.zone(), rent.spot(), upAfterMs, nowMs);
       names.add(hosts.lastKey());
     }
@@ -113,29 +114,29 @@
 
   /** A machine that comes up after a while, asked for or not. */
   void addHost(String type, String zone, boolean spot, long upAfterMs, long nowMs) {
-    String name = "n-%06d".formatted(++hostNames);
+    String name = "n-%06d".formatted(++lastHostNumber);
     Machine machine = new Machine(name, name + ":9000", type, zone, spot);
     hosts.put(name, new Host(machine, nowMs, nowMs + upAfterMs));
   }
 
-  void giveBack(String name, long nowMs) {
+  void returnHost(String name, long nowMs) {
     Host host = hosts.get(name);
     if (host != null && host.goneMs == Long.MAX_VALUE) {
       host.goneMs = nowMs;
-      returnedHosts++;
+      returnedHostCount++;
       kill(host);
     }
   }
 
   private void kill(Host host) {
     if (host.worker != null) {
-      host.worker.loseAll();
+      host.worker.loseAllTasks();
       host.worker.dead = true;
     }
   }
 
   /** A machine stops with all that is on it. */
-  void die(String name, long nowMs) {
+  void fail(String name, long nowMs) {
     Host host = hosts.get(name);
     host.goneMs = nowMs;
     kill(host);
@@ -168,7 +169,7 @@
     return live;
   }
 
-  long liveHosts() {
+  long liveHostCount() {
     return hosts.values().stream().filter(h -> h.goneMs == Long.MAX_VALUE).count();
   }
 }
--- a/src/test/java/eiderfork/controller/FakeGangs.java
+++ b/src/test/java/eiderfork/controller/FakeGangs.java
@@ -58,26 +58,26 @@
   }
 
   private static Key key(FakeWorker.Task task) {
-    return new Key(task.attempt.task().job(), task.attempt.number());
+    return new Key(task.attempt.task().jobUid(), task.attempt.number());
   }
 
   /** A task is told to stop; whether it saves first. */
   boolean saves(FakeWorker worker, FakeWorker.Task task, double graceS) {
-    Job job = world.job(task.attempt.task().job());
+    Job job = world.job(task.attempt.task().jobUid());
     Attempt attempt = attempts.get(key(task));
     boolean able =
         job.kind() == JobKind.GANG
             && attempt != null
             && attempt.running
             && attempt.brokenMs == 0
-            && job.checkpointS() > 0
+            && job.checkpointIntervalS() > 0
             && graceS > 0
-            && graceS >= job.saveS();
-    if (!able || task.state == State.SAVING && graceS <= 0) {
+            && graceS >= job.saveDurationS();
+    if (!able || task.state == State.CHECKPOINTING && graceS <= 0) {
       return false;
     }
     if (task.state == State.RUNNING) {
-      task.state = State.SAVING;
+      task.state = State.CHECKPOINTING;
       worker.changed = true;
       attempt.savingMs = attempt.savingMs == 0 ? world.nowMs : attempt.savingMs;
       attempt.savingSinceMs.put(task.attempt.task().index(), world.nowMs);
@@ -92,7 +92,7 @@
         continue;
       }
       for (FakeWorker.Task task : worker.tasks()) {
-        Job job = world.job(task.attempt.task().job());
+        Job job = world.job(task.attempt.task().jobUid());
         if (job.kind() == JobKind.GANG
             && task.state != State.ENDED
             && task.state != State.FETCHING) {
@@ -145,7 +145,7 @@
     for (Member member : List.copyOf(attempt.members.values())) {
       long waitedMs = world.nowMs - attempt.gatheredMs.get(member.index());
       if (waitedMs > WAIT_MS && !member.worker.hanging) {
-        member.worker.end(member.task, Cause.INCOMPLETE);
+        member.worker.end(member.task, Cause.GANG_INCOMPLETE);
       }
     }
   }
@@ -156,7 +156,7 @@
     long progressMs = beganMs + world.nowMs - attempt.startedMs;
     if (!whole) {
       fail(attempt, job, there, progressMs);
-    } else if (progressMs >= job.estimateS() * 1000) {
+    } else if (progressMs >= job.estimatedRunS() * 1000) {
       for (Member member : there) {
         TaskId id = member.task.attempt.task();
         world.completed(id);
@@ -169,7 +169,7 @@
   private void fail(Attempt attempt, Job job, List<Member> there, long progressMs) {
     if (attempt.brokenMs == 0) {
       attempt.brokenMs = world.nowMs;
-      long stepMs = (long) (job.checkpointS() * 1000);
+      long stepMs = (long) (job.checkpointIntervalS() * 1000);
       if (stepMs > 0) {
         safeMs.merge(job.uid(), progressMs / stepMs * stepMs, Math::max);
       }
@@ -177,7 +177,7 @@
     if (world.nowMs - attempt.brokenMs > PEER_MS / 2) {
       for (Member member : there) {
         if (!member.worker.hanging) {
-          member.worker.end(member.task, Cause.PEERS);
+          member.worker.end(member.task, Cause.PEER_LOST);
         }
       }
     }
@@ -188,7 +188,7 @@
     boolean allSaved =
         allTold
             && attempt.savingSinceMs.values().stream()
-                .allMatch(since -> world.nowMs - since >= job.saveS() * 1000);
+                .allMatch(since -> world.nowMs - since >= job.saveDurationS() * 1000);
     if (allSaved) {
       saves++;
       long savedMs = safeMs.getOrDefault(job.uid(), 0L) + attempt.savingMs - attempt.startedMs;
@@ -200,7 +200,7 @@
     } else if (there.size() < job.tasks() || world.nowMs - attempt.savingMs > PEER_MS) {
       for (Member member : there) {
         if (!member.worker.hanging) {
-          member.worker.end(member.task, Cause.PEERS);
+          member.worker.end(member.task, Cause.PEER_LOST);
         }
       }
     }
--- a/src/test/java/eiderfork/controller/FakeNetwork.java
+++ b/src/test/java/eiderfork/controller/FakeNetwork.java
@@ -28,7 +28,7 @@
   }
 
   private interface Service {
-    void serve(Consumer<Reply> then);
+    void serve(Consumer<Reply> onComplete);
   }
 
   /**
@@ -42,7 +42,7 @@
         reply -> {
           if (!over[0] && world.lives.get(node) == life) {
             over[0] = true;
-            world.input(node, new Input.Answered(call.call(), reply));
+            world.input(node, new Input.Answered(call.callId(), reply));
           }
         };
     world.at(call.timeoutMs(), () -> back.accept(new Reply.Unanswered()));
@@ -65,49 +65,58 @@
   }
 
   void carryOut(String node, Effect effect) {
-    if (effect instanceof Effect.AskState it) {
-      if (it.op() instanceof StoreRequest.Transact
+    if (effect instanceof Effect.CallStore it) {
+      if (it.request() instanceof StoreRequest.Transaction
           && world.random.nextDouble() < world.lateWrites) {
         world.at(
             2000 + world.random.nextLong(10_000),
-            () -> world.state.execute(it.op(), world.nowMs, reply -> {}));
-        call(node, it, "nowhere", then -> {});
-      } else if (it.op() instanceof StoreRequest.Transact
+            () -> world.state.execute(it.request(), world.nowMs, reply -> {}));
+        call(node, it, "nowhere", onComplete -> {});
+      } else if (it.request() instanceof StoreRequest.Transaction
           && world.random.nextDouble() < world.lostAnswers) {
-        call(node, it, "state", then -> world.stateAccess.serve(node, it.op(), reply -> {}));
+        call(
+            node,
+            it,
+            "state",
+            onComplete -> world.stateAccess.serve(node, it.request(), reply -> {}));
       } else {
-        call(node, it, "state", then -> world.stateAccess.serve(node, it.op(), then));
+        call(
+            node,
+            it,
+            "state",
+            onComplete -> world.stateAccess.serve(node, it.request(), onComplete));
       }
-    } else if (effect instanceof Effect.AskTypes it) {
+    } else if (effect instanceof Effect.ListMachineTypes it) {
       askCloud(node, it, () -> new Reply.Types(world.cloud.types));
-    } else if (effect instanceof Effect.AskRent it) {
+    } else if (effect instanceof Effect.RentMachines it) {
       askCloud(node, it, () -> world.cloud.rent(it.rent(), world.nowMs));
-    } else if (effect instanceof Effect.AskReturn it) {
+    } else if (effect instanceof Effect.ReturnMachines it) {
       askCloud(
           node,
           it,
           () -> {
-            it.machines().forEach(name -> world.cloud.giveBack(name, world.nowMs));
+            it.machines().forEach(name -> world.cloud.returnHost(name, world.nowMs));
             return new Reply.Returned();
           });
-    } else if (effect instanceof Effect.AskHosts it) {
+    } else if (effect instanceof Effect.ListHosts it) {
       askCloud(node, it, () -> world.cloud.list(it.after(), world.nowMs));
-    } else if (effect instanceof Effect.AskCommands it) {
+    } else if (effect instanceof Effect.SendCommands it) {
       worker(
           node,
           it,
-          it.addr(),
+          it.address(),
           world.commandsLateMs,
           w -> {
-            boolean executed = w.direct(it.token(), it.session(), it.commands());
-            return new Reply.WorkerAnswer(executed, w.report());
+            boolean executed =
+                w.handleDirectCommands(it.fencingToken(), it.incarnation(), it.commands());
+            return new Reply.WorkerReply(executed, w.nextHeartbeat());
           });
-    } else if (effect instanceof Effect.AskInspect it) {
-      worker(node, it, it.addr(), 0, w -> new Reply.WorkerAnswer(true, w.report()));
-    } else if (effect instanceof Effect.Answer it) {
-      Consumer<Effect> then = world.answers.remove(it.ticket());
-      if (then != null) {
-        then.accept(effect);
+    } else if (effect instanceof Effect.InspectWorker it) {
+      worker(node, it, it.address(), 0, w -> new Reply.WorkerReply(true, w.nextHeartbeat()));
+    } else if (effect instanceof Effect.Response it) {
+      Consumer<Effect> onComplete = world.answers.remove(it.ticket());
+      if (onComplete != null) {
+        onComplete.accept(effect);
       }
     } else {
       askPeer(node, effect);
@@ -115,53 +124,58 @@
   }
 
   private void askPeer(String node, Effect effect) {
-    if (effect instanceof Effect.AskPeerPing it) {
+    if (effect instanceof Effect.PingPeer it) {
       call(
           node,
           it,
           it.node(),
-          then ->
+          onComplete ->
               world.ask(
                   it.node(),
-                  ticket -> new Input.PeerPing(ticket, it.view()),
-                  said -> then.accept(new Reply.PeerPong(((Effect.AnswerPing) said).view()))));
-    } else if (effect instanceof Effect.AskPeerRequest it) {
+                  ticket -> new Input.PeerPing(ticket, it.status()),
+                  said ->
+                      onComplete.accept(
+                          new Reply.PeerPong(((Effect.RespondToPing) said).status()))));
+    } else if (effect instanceof Effect.ForwardRequest it) {
       call(
           node,
           it,
           it.node(),
-          then ->
+          onComplete ->
               world.ask(
                   it.node(),
                   ticket -> new Input.PeerRequest(ticket, it.request()),
-                  said -> then.accept(new Reply.PeerAnswer(((Effect.AnswerUser) said).answer()))));
-    } else if (effect instanceof Effect.AskPeerHints it) {
+                  said ->
+                      onComplete.accept(
+                          new Reply.ForwardedResponse(((Effect.RespondToUser) said).response()))));
+    } else if (effect instanceof Effect.SendHints it) {
       call(
           node,
           it,
           it.node(),
-          then -> {
+          onComplete -> {
             if (world.older.contains(it.node())) {
-              then.accept(new Reply.Refused(404));
+              onComplete.accept(new Reply.Refused(404));
             } else {
               world.ask(
                   it.node(),
                   ticket -> new Input.PeerHints(ticket, it.hints()),
-                  said -> then.accept(new Reply.PeerTookHints()));
+                  said -> onComplete.accept(new Reply.HintsAcknowledged()));
             }
           });
-    } else if (effect instanceof Effect.AskPeerQueries it) {
+    } else if (effect instanceof Effect.ForwardQueries it) {
       call(
           node,
           it,
           it.node(),
-          then ->
+          onComplete ->
               world.ask(
                   it.node(),
                   ticket -> new Input.PeerQueries(ticket, it.uids()),
                   said ->
-                      then.accept(
-                          new Reply.PeerAnswers(((Effect.AnswerPeerQueries) said).answers()))));
+                      onComplete.accept(
+                          new Reply.ForwardedResponses(
+                              ((Effect.RespondToQueries) said).responses()))));
     }
   }
 
@@ -170,7 +184,8 @@
         node,
         call,
         "cloud",
-        then -> then.accept(world.cloud.down ? new Reply.Refused(503) : answer.get()));
+        onComplete ->
+            onComplete.accept(world.cloud.isDown ? new Reply.Refused(503) : answer.get()));
   }
 
   private void worker(
@@ -181,20 +196,22 @@
       java.util.function.Function<FakeWorker, Reply> answer) {
     String name = addr.substring(0, addr.indexOf(':'));
     String to = world.isCut(node, "*") ? "*" : name;
-    call(node, call, to, then -> world.at(lateMs, () -> deliver(name, answer, then)));
+    call(node, call, to, onComplete -> world.at(lateMs, () -> deliver(name, answer, onComplete)));
   }
 
   private void deliver(
-      String name, java.util.function.Function<FakeWorker, Reply> answer, Consumer<Reply> then) {
+      String name,
+      java.util.function.Function<FakeWorker, Reply> answer,
+      Consumer<Reply> onComplete) {
     FakeCloud.Host host = world.cloud.host(name);
     if (host == null || host.worker == null || host.worker.dead) {
       return;
     }
     if (host.worker.hanging) {
       // Held until the machine goes on.
-      world.at(SimulatedCluster.TICK_MS, () -> deliver(name, answer, then));
+      world.at(SimulatedCluster.TICK_MS, () -> deliver(name, answer, onComplete));
     } else {
-      then.accept(answer.apply(host.worker));
+      onComplete.accept(answer.apply(host.worker));
     }
   }
 
--- a/src/test/java/eiderfork/controller/FakeProgress.java
+++ b/src/test/java/eiderfork/controller/FakeProgress.java
@@ -39,7 +39,7 @@
 
   /** How long a task still has to run. */
   long leftMs(Job job, TaskId id) {
-    return Math.max(0, (long) (job.estimateS() * 1000) - safeMs.getOrDefault(id, 0L));
+    return Math.max(0, (long) (job.estimatedRunS() * 1000) - safeMs.getOrDefault(id, 0L));
   }
 
   /** An attempt is told to stop, for the first time or again. */
@@ -51,14 +51,14 @@
 
   /** How many attempts of jobs that were not cancelled were told to stop. */
   long stops() {
-    return stopped.stream().filter(a -> !world.checker.wasCancelled(a.task().job())).count();
+    return stopped.stream().filter(a -> !world.checker.wasCancelled(a.task().jobUid())).count();
   }
 
   /** The most attempts of any task that were told to stop, of jobs that were not cancelled. */
   long mostStopsOfATask() {
     Map<TaskId, Long> byTask = new HashMap<>();
     for (Attempt attempt : stopped) {
-      if (!world.checker.wasCancelled(attempt.task().job())) {
+      if (!world.checker.wasCancelled(attempt.task().jobUid())) {
         byTask.merge(attempt.task(), 1L, Long::sum);
       }
     }
@@ -67,20 +67,20 @@
 
   /** A task is told to stop; whether it saves first, or goes on saving. */
   boolean saves(FakeWorker worker, FakeWorker.Task task, double graceS) {
-    Job job = world.job(task.attempt.task().job());
-    boolean able = job.kind() == JobKind.ARRAY && job.checkpointS() > 0 && graceS > 0;
-    if (!able || graceS < job.saveS()) {
-      savesCutShort += task.state == State.SAVING ? 1 : 0;
+    Job job = world.job(task.attempt.task().jobUid());
+    boolean able = job.kind() == JobKind.ARRAY && job.checkpointIntervalS() > 0 && graceS > 0;
+    if (!able || graceS < job.saveDurationS()) {
+      savesCutShort += task.state == State.CHECKPOINTING ? 1 : 0;
       return false;
     }
     if (task.state == State.RUNNING) {
-      task.state = State.SAVING;
+      task.state = State.CHECKPOINTING;
       task.savingSinceMs = world.nowMs;
       boolean hangs = savesHangOn.contains(worker.machine.name());
-      task.nextMs = hangs ? Long.MAX_VALUE : world.nowMs + (long) (job.saveS() * 1000);
+      task.nextMs = hangs ? Long.MAX_VALUE : world.nowMs + (long) (job.saveDurationS() * 1000);
       worker.changed = true;
     }
-    return task.state == State.SAVING;
+    return task.state == State.CHECKPOINTING;
   }
 
   /** A task has saved all that it did. */
@@ -91,14 +91,14 @@
 
   /** A task ends, whatever for: what it did since its last checkpoint is lost. */
   void ends(FakeWorker.Task task) {
-    Job job = world.job(task.attempt.task().job());
+    Job job = world.job(task.attempt.task().jobUid());
     boolean ran = task.runningSinceMs > 0 && task.state != State.ENDED;
     if (job == null || !ran || job.kind() != JobKind.ARRAY || task.saved) {
       return;
     }
-    long untilMs = task.state == State.SAVING ? task.savingSinceMs : world.nowMs;
+    long untilMs = task.state == State.CHECKPOINTING ? task.savingSinceMs : world.nowMs;
     long ranMs = untilMs - task.runningSinceMs;
-    long stepMs = (long) (job.checkpointS() * 1000);
+    long stepMs = (long) (job.checkpointIntervalS() * 1000);
     long keptMs = stepMs > 0 ? ranMs / stepMs * stepMs : 0;
     safeMs.merge(task.attempt.task(), keptMs, Long::sum);
     if (!world.hasResult(task.attempt.task())) {
--- a/src/test/java/eiderfork/controller/FakeStore.java
+++ b/src/test/java/eiderfork/controller/FakeStore.java
@@ -63,10 +63,10 @@
 
   StoredRecord get(String key) {
     StoredRecord stored = stored(key);
-    if (stored instanceof StoredRecord.BitmapAlloc bitmap) {
+    if (stored instanceof StoredRecord.BitmapAllocation bitmap) {
       return bitmap.alloc();
     }
-    return stored instanceof StoredRecord.PackedAlloc packed ? packed.alloc() : stored;
+    return stored instanceof StoredRecord.PackedAllocation packed ? packed.alloc() : stored;
   }
 
   /** What was written, in the form that it was written in. */
@@ -90,8 +90,9 @@
   }
 
   private static int bytes(StoreRequest.Change change) {
-    StoreRequest op = new StoreRequest.Transact(ImmutableList.of(), ImmutableList.of(change));
-    return StoreCodec.request(op).body().length;
+    StoreRequest request =
+        new StoreRequest.Transaction(ImmutableList.of(), ImmutableList.of(change));
+    return StoreCodec.encodeRequest(request).body().length;
   }
 
   /** The keys under a prefix. */
@@ -161,25 +162,25 @@
     due.forEach(w -> w.then.accept(since(w.prefix, w.after)));
   }
 
-  void execute(StoreRequest op, long nowMs, Consumer<Reply> then) {
-    if (requestLimit != null && !requestLimit.take(1, nowMs)) {
+  void execute(StoreRequest request, long nowMs, Consumer<Reply> onComplete) {
+    if (requestLimit != null && !requestLimit.tryTake(1, nowMs)) {
       overLimit++;
-      then.accept(new Reply.Refused(429));
+      onComplete.accept(new Reply.Refused(429));
       return;
     }
     if (out()) {
-      if (op instanceof StoreRequest.Watch w) {
-        watchers.add(new Watcher(w.prefix(), w.after(), nowMs + w.waitMs(), then));
+      if (request instanceof StoreRequest.Watch w) {
+        watchers.add(new Watcher(w.prefix(), w.afterRevision(), nowMs + w.timeoutMs(), onComplete));
       } else {
-        then.accept(new Reply.Refused(503));
+        onComplete.accept(new Reply.Refused(503));
       }
       return;
     }
-    if (op instanceof StoreRequest.Get it) {
+    if (request instanceof StoreRequest.Get it) {
       Entry entry = entries.get(it.key());
-      then.accept(
+      onComplete.accept(
           entry == null ? new Reply.Value(null, 0) : new Reply.Value(entry.record, entry.version));
-    } else if (op instanceof StoreRequest.Scan it) {
+    } else if (request instanceof StoreRequest.Scan it) {
       ImmutableList.Builder<Reply.Item> items = ImmutableList.builder();
       int n = 0;
       boolean more = false;
@@ -187,7 +188,7 @@
         if (!e.getKey().startsWith(it.prefix())) {
           break;
         }
-        if (e.getKey().compareTo(it.after()) > 0) {
+        if (e.getKey().compareTo(it.afterKey()) > 0) {
           // Small pages, so that paging is walked through.
           if (n++ == 7) {
             more = true;
@@ -196,44 +197,45 @@
           items.add(new Reply.Item(e.getKey(), e.getValue().record, e.getValue().version));
         }
       }
-      then.accept(new Reply.Page(items.build(), more, ledger));
-    } else if (op instanceof StoreRequest.Watch it) {
-      if (it.waitMs() > 0 && since(it.prefix(), it.after()).items().isEmpty()) {
-        watchers.add(new Watcher(it.prefix(), it.after(), nowMs + it.waitMs(), then));
+      onComplete.accept(new Reply.Page(items.build(), more, ledger));
+    } else if (request instanceof StoreRequest.Watch it) {
+      if (it.timeoutMs() > 0 && since(it.prefix(), it.afterRevision()).items().isEmpty()) {
+        watchers.add(
+            new Watcher(it.prefix(), it.afterRevision(), nowMs + it.timeoutMs(), onComplete));
       } else {
-        then.accept(since(it.prefix(), it.after()));
+        onComplete.accept(since(it.prefix(), it.afterRevision()));
       }
-    } else if (op instanceof StoreRequest.Grant it) {
-      leases.put(++lastLease, new long[] {it.lifeMs(), nowMs + it.lifeMs()});
-      then.accept(new Reply.Leased(lastLease));
-    } else if (op instanceof StoreRequest.Renew it) {
-      long[] lease = leases.get(it.lease());
+    } else if (request instanceof StoreRequest.Grant it) {
+      leases.put(++lastLease, new long[] {it.ttlMs(), nowMs + it.ttlMs()});
+      onComplete.accept(new Reply.Leased(lastLease));
+    } else if (request instanceof StoreRequest.Renew it) {
+      long[] lease = leases.get(it.leaseId());
       if (lease == null) {
-        then.accept(new Reply.Refused(404));
+        onComplete.accept(new Reply.Refused(404));
       } else {
         lease[1] = nowMs + lease[0];
-        then.accept(new Reply.Leased(it.lease()));
+        onComplete.accept(new Reply.Leased(it.leaseId()));
       }
-    } else if (op instanceof StoreRequest.Release it) {
-      if (leases.remove(it.lease()) != null) {
-        drop(it.lease());
+    } else if (request instanceof StoreRequest.Release it) {
+      if (leases.remove(it.leaseId()) != null) {
+        drop(it.leaseId());
       }
-      then.accept(new Reply.Leased(0));
-    } else if (op instanceof StoreRequest.Transact it) {
+      onComplete.accept(new Reply.Leased(0));
+    } else if (request instanceof StoreRequest.Transaction it) {
       if (it.changes().stream().anyMatch(change -> valueBytes(change) > mostValueBytes)) {
         tooLarge++;
-        then.accept(new Reply.Refused(400));
-      } else if (changeLimit != null && !changeLimit.take(it.changes().size(), nowMs)) {
+        onComplete.accept(new Reply.Refused(400));
+      } else if (changeLimit != null && !changeLimit.tryTake(it.changes().size(), nowMs)) {
         overChangeLimit++;
-        then.accept(new Reply.Refused(429));
+        onComplete.accept(new Reply.Refused(429));
       } else {
-        then.accept(transact(it));
+        onComplete.accept(transact(it));
         wake();
       }
     }
   }
 
-  private Reply transact(StoreRequest.Transact it) {
+  private Reply transact(StoreRequest.Transaction it) {
     ImmutableList.Builder<String> failed = ImmutableList.builder();
     for (StoreRequest.Condition condition : it.conditions()) {
       Entry entry = entries.get(condition.key());
@@ -245,13 +247,13 @@
       return new Reply.Conflict(failed.build());
     }
     for (StoreRequest.Change change : it.changes()) {
-      if (change.lease() != 0 && !leases.containsKey(change.lease())) {
+      if (change.leaseId() != 0 && !leases.containsKey(change.leaseId())) {
         return new Reply.Refused(400);
       }
     }
     ledger++;
     writes++;
-    it.changes().forEach(change -> change(change.key(), change.record(), change.lease()));
+    it.changes().forEach(change -> change(change.key(), change.record(), change.leaseId()));
     return new Reply.Committed(ledger);
   }
 }
--- a/src/test/java/eiderfork/controller/FakeStoreAccess.java
+++ b/src/test/java/eiderfork/controller/FakeStoreAccess.java
@@ -27,30 +27,32 @@
   }
 
   /** Carries out a node's request. */
-  void serve(String node, StoreRequest op, Consumer<Reply> then) {
+  void serve(String node, StoreRequest request, Consumer<Reply> onComplete) {
     if (world.stateDelayMs > 0) {
-      world.at(world.stateDelayMs, () -> served(node, op, then));
+      world.at(world.stateDelayMs, () -> served(node, request, onComplete));
     } else {
-      served(node, op, then);
+      served(node, request, onComplete);
     }
   }
 
-  private boolean isBlindTo(String node, StoreRequest op) {
+  private boolean isBlindTo(String node, StoreRequest request) {
     return blind.contains(node)
-        && op instanceof StoreRequest.Watch watch
-        && watch.waitMs() > 0
+        && request instanceof StoreRequest.Watch watch
+        && watch.timeoutMs() > 0
         && !watch.prefix().equals(StoreKeys.LEADER);
   }
 
-  private void served(String node, StoreRequest op, Consumer<Reply> then) {
-    if (isBlindTo(node, op)) {
+  private void served(String node, StoreRequest request, Consumer<Reply> onComplete) {
+    if (isBlindTo(node, request)) {
       return;
     }
     if (!refused.contains(node)) {
       world.state.execute(
-          op, world.nowMs, reply -> whenServed(node, () -> then.accept(asRead(node, reply))));
-    } else if (!(op instanceof StoreRequest.Watch)) {
-      then.accept(new Reply.Refused(503));
+          request,
+          world.nowMs,
+          reply -> whenServed(node, () -> onComplete.accept(asRead(node, reply))));
+    } else if (!(request instanceof StoreRequest.Watch)) {
+      onComplete.accept(new Reply.Refused(503));
     }
   }
 
@@ -59,7 +61,7 @@
     if (reply instanceof Reply.Value it) {
       return new Reply.Value(asRead(node, it.record()), it.version());
     } else if (reply instanceof Reply.Page it) {
-      return new Reply.Page(asRead(node, it.items()), it.more(), it.revision());
+      return new Reply.Page(asRead(node, it.items()), it.hasMore(), it.revision());
     } else if (reply instanceof Reply.Changes it) {
       return new Reply.Changes(asRead(node, it.items()), it.revision());
     }
@@ -74,23 +76,24 @@
 
   private StoredRecord asRead(String node, StoredRecord record) {
     int version = world.version(node);
-    if (record instanceof StoredRecord.BitmapAlloc it) {
+    if (record instanceof StoredRecord.BitmapAllocation it) {
       return readFrom(ClusterVersion.BITMAP_ALLOCS, version, it.alloc());
-    } else if (record instanceof StoredRecord.PackedAlloc it) {
+    } else if (record instanceof StoredRecord.PackedAllocation it) {
       return readFrom(ClusterVersion.PACKED_ALLOCS, version, it.alloc());
     }
     return record;
   }
 
-  private static StoredRecord readFrom(int firstVersion, int version, StoredRecord.Alloc alloc) {
-    return version < firstVersion ? new StoredRecord.Unreadable("a newer form") : alloc;
+  private static StoredRecord readFrom(
+      int firstVersion, int version, StoredRecord.Allocation allocation) {
+    return version < firstVersion ? new StoredRecord.Unreadable("a newer form") : allocation;
   }
 
-  private void whenServed(String node, Runnable what) {
+  private void whenServed(String node, Runnable action) {
     if (refused.contains(node)) {
-      world.at(SimulatedCluster.TICK_MS, () -> whenServed(node, what));
+      world.at(SimulatedCluster.TICK_MS, () -> whenServed(node, action));
     } else {
-      what.run();
+      action.run();
     }
   }
 }
--- a/src/test/java/eiderfork/controller/FakeUsers.java
+++ b/src/test/java/eiderfork/controller/FakeUsers.java
@@ -61,7 +61,7 @@
   }
 
   /** Asks all nodes at once, and submits the job once more at each. */
-  void lookClosely(String uid) {
+  void queryAndResubmitEverywhere(String uid) {
     queryAll(uid);
     for (int i = 0; i < world.count; i++) {
       String node = "roost-" + i;
@@ -72,7 +72,7 @@
   }
 
   /** After each answer that says something new of a job, all nodes are asked within moments. */
-  boolean closeLooks;
+  boolean probeAfterNews;
 
   private void user(
       java.util.function.LongFunction<Input> request, String uid, boolean submission, int tries) {
@@ -85,26 +85,28 @@
       String uid,
       boolean submission,
       int tries) {
-    boolean[] over = {false};
+    boolean[] answered = {false};
     ProtocolChecker.Known known = world.checker.known(uid);
     Consumer<UserResponse> end =
-        answer -> {
-          if (over[0]) {
+        response -> {
+          if (answered[0]) {
             return;
           }
-          over[0] = true;
-          if (answer != null) {
-            boolean news = world.checker.told(world.nowMs, uid, answer, submission, known);
-            if (closeLooks && news) {
+          answered[0] = true;
+          if (response != null) {
+            boolean news = world.checker.told(world.nowMs, uid, response, submission, known);
+            if (probeAfterNews && news) {
               for (int ms : new int[] {0, 1, 3, 10, 40, 120}) {
-                world.at(ms, () -> lookClosely(uid));
+                world.at(ms, () -> queryAndResubmitEverywhere(uid));
               }
             }
           }
           // A cancellation is repeated until it is confirmed or the job is done.
-          boolean again =
-              answer == null || answer.status() >= 429 || (!submission && answer.status() != 200);
-          if (again && tries < 60) {
+          boolean retry =
+              response == null
+                  || response.status() >= 429
+                  || (!submission && response.status() != 200);
+          if (retry && tries < 60) {
             world.at(1000, () -> user(request, uid, submission, tries + 1));
           }
         };
@@ -119,6 +121,7 @@
             world.ask(
                 node,
                 request,
-                effect -> world.at(1, () -> end.accept(((Effect.AnswerUser) effect).answer()))));
+                effect ->
+                    world.at(1, () -> end.accept(((Effect.RespondToUser) effect).response()))));
   }
 }
