--- a/src/test/java/eiderfork/controller/FakeWorker.java
+++ b/src/test/java/eiderfork/controller/FakeWorker.java
@@ -2,13 +2,13 @@
 
 import com.google.common.collect.ImmutableList;
 import eiderfork.model.Attempt;
-import eiderfork.model.Command;
 import eiderfork.model.Heartbeat;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
 import eiderfork.model.Machine;
 import eiderfork.model.TaskId;
 import eiderfork.model.TaskStatus;
+import eiderfork.model.WorkerCommand;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
@@ -45,73 +45,75 @@
   private static final long FETCH_MS = 700;
 
   /** Tasks whose result is kept: started again they end at once. */
-  private final Set<TaskId> results;
+  private final Set<TaskId> finishedTasks;
 
   /** Images that the machine has fetched. */
-  private final Set<String> images = new HashSet<>();
-
-  private long session = 1;
-  private long seq;
-  long token;
-  private long answeredSentMs;
-  long nextReportMs;
-  long reportedMs;
-  boolean waiting;
-  int node;
+  private final Set<String> fetchedImages = new HashSet<>();
+
+  private long incarnation = 1;
+  private long sequenceNumber;
+  long fencingToken;
+  private long lastAnsweredHeartbeatMs;
+  long nextHeartbeatMs;
+  long lastHeartbeatMs;
+  boolean awaitingResponse;
+  int nodeIndex;
   boolean dead;
   boolean hanging;
   boolean changed;
 
   /** Seconds until the cloud takes the machine; null for no notice. */
-  Double noticeS;
+  Double terminationNoticeS;
 
-  FakeWorker(SimulatedCluster world, Machine machine, Set<TaskId> results) {
+  FakeWorker(SimulatedCluster world, Machine machine, Set<TaskId> finishedTasks) {
     this.world = world;
     this.machine = machine;
-    this.results = results;
-    answeredSentMs = world.nowMs;
+    this.finishedTasks = finishedTasks;
+    lastAnsweredHeartbeatMs = world.nowMs;
   }
 
-  Heartbeat report() {
+  Heartbeat nextHeartbeat() {
     ImmutableList.Builder<TaskStatus> list = ImmutableList.builder();
     tasks.values().forEach(t -> list.add(new TaskStatus(t.attempt, t.state, t.cause, t.saved)));
-    return new Heartbeat(machine, session, ++seq, token, noticeS, list.build());
+    return new Heartbeat(
+        machine, incarnation, ++sequenceNumber, fencingToken, terminationNoticeS, list.build());
   }
 
-  long session() {
-    return session;
+  long incarnation() {
+    return incarnation;
   }
 
-  /** The answer to the report sent at {@code sentMs} in {@code ofSession}. */
-  void answered(long sentMs, long ofSession, long given, List<Command> commands) {
-    if (ofSession != session || given < token) {
+  /** The answer to the report sent at {@code sentMs} in {@code ofIncarnation}. */
+  void handleResponse(
+      long sentMs, long ofIncarnation, long givenToken, List<WorkerCommand> commands) {
+    if (ofIncarnation != incarnation || givenToken < fencingToken) {
       return;
     }
-    token = given;
-    answeredSentMs = Math.max(answeredSentMs, sentMs);
+    fencingToken = givenToken;
+    lastAnsweredHeartbeatMs = Math.max(lastAnsweredHeartbeatMs, sentMs);
     execute(commands);
   }
 
-  boolean direct(long given, long ofSession, List<Command> commands) {
-    if (given < token || ofSession != session) {
+  boolean handleDirectCommands(long givenToken, long ofIncarnation, List<WorkerCommand> commands) {
+    if (givenToken < fencingToken || ofIncarnation != incarnation) {
       return false;
     }
-    if (given > token) {
+    if (givenToken > fencingToken) {
       changed = true;
     }
-    token = given;
+    fencingToken = givenToken;
     execute(commands);
     return true;
   }
 
-  private void execute(List<Command> commands) {
-    for (Command command : commands) {
+  private void execute(List<WorkerCommand> commands) {
+    for (WorkerCommand command : commands) {
       Task task = tasks.get(command.attempt());
-      if (command instanceof Command.Run) {
+      if (command instanceof WorkerCommand.Run) {
         if (task == null) {
           run(command.attempt());
         }
-      } else if (command instanceof Command.Kill kill) {
+      } else if (command instanceof WorkerCommand.Kill kill) {
         if (task != null && task.state != TaskStatus.State.ENDED) {
           world.progress.stopped(this, task.attempt);
           if (!world.gangs.saves(this, task, kill.graceS())
@@ -126,7 +128,7 @@
   }
 
   private void run(Attempt attempt) {
-    boolean fetched = !images.add(world.job(attempt.task().job()).image());
+    boolean fetched = !fetchedImages.add(world.job(attempt.task().jobUid()).image());
     long fetchMs = world.imagesStay && fetched ? 0 : FETCH_MS;
     Task task = new Task(attempt, world.nowMs + fetchMs);
     boolean busy =
@@ -152,9 +154,9 @@
 
   /** Whether a task has its image and has not ended. */
   private static boolean isOnMachine(TaskStatus.State state) {
-    return state == TaskStatus.State.GATHERING
+    return state == TaskStatus.State.WAITING_FOR_GANG
         || state == TaskStatus.State.RUNNING
-        || state == TaskStatus.State.SAVING;
+        || state == TaskStatus.State.CHECKPOINTING;
   }
 
   /** The attempts on this machine. */
@@ -166,11 +168,11 @@
     if (dead) {
       return;
     }
-    if (world.nowMs - answeredSentMs > world.settings.workers().leaseS() * 1000) {
-      loseAll();
-      session++;
-      seq = 0;
-      answeredSentMs = world.nowMs;
+    if (world.nowMs - lastAnsweredHeartbeatMs > world.settings.workerTimings().leaseS() * 1000) {
+      loseAllTasks();
+      incarnation++;
+      sequenceNumber = 0;
+      lastAnsweredHeartbeatMs = world.nowMs;
     }
     if (hanging) {
       return;
@@ -180,45 +182,45 @@
         continue;
       }
       TaskId id = task.attempt.task();
-      Job job = world.job(id.job());
+      Job job = world.job(id.jobUid());
       if (task.state == TaskStatus.State.FETCHING) {
         world.checker.starts(world.nowMs, id, machine);
         changed = true;
         if (job.kind() == JobKind.GANG) {
-          gather(task);
+          joinGang(task);
           continue;
         }
         task.state = TaskStatus.State.RUNNING;
-        boolean kept = results.contains(id);
+        boolean kept = finishedTasks.contains(id);
         task.runningSinceMs = world.nowMs;
         task.nextMs =
             job.kind() == JobKind.SERVICE
                 ? Long.MAX_VALUE
                 : world.nowMs + (kept ? 0 : world.progress.leftMs(job, id));
-      } else if (task.state == TaskStatus.State.SAVING) {
+      } else if (task.state == TaskStatus.State.CHECKPOINTING) {
         world.progress.saved(task);
         end(task, TaskStatus.Cause.STOPPED);
       } else if (world.failing(id, machine)) {
         end(task, TaskStatus.Cause.ERROR);
       } else {
-        results.add(id);
+        finishedTasks.add(id);
         world.checker.completes(id);
         end(task, TaskStatus.Cause.DONE);
       }
     }
   }
 
-  private void gather(Task task) {
-    task.state = TaskStatus.State.GATHERING;
+  private void joinGang(Task task) {
+    task.state = TaskStatus.State.WAITING_FOR_GANG;
     task.nextMs = Long.MAX_VALUE;
-    if (results.contains(task.attempt.task())) {
+    if (finishedTasks.contains(task.attempt.task())) {
       end(task, TaskStatus.Cause.DONE);
     } else if (world.failing(task.attempt.task(), machine)) {
       end(task, TaskStatus.Cause.ERROR);
     }
   }
 
-  void loseAll() {
+  void loseAllTasks() {
     for (Task task : tasks.values()) {
       world.progress.ends(task);
       if (isOnMachine(task.state)) {
@@ -228,7 +230,7 @@
     tasks.clear();
   }
 
-  Set<TaskId> present() {
+  Set<TaskId> presentTasks() {
     Set<TaskId> ids = new HashSet<>();
     tasks.values().forEach(t -> ids.add(t.attempt.task()));
     return ids;
--- a/src/test/java/eiderfork/controller/FirstFitTreeTest.java
+++ b/src/test/java/eiderfork/controller/FirstFitTreeTest.java
@@ -25,15 +25,16 @@
   }
 
   private Bin bin(int kinds) {
-    CloudProvisioner.Kind kind =
-        new CloudProvisioner.Kind("type-" + random.nextInt(kinds), "a", random.nextBoolean());
+    CloudProvisioner.MachineKind kind =
+        new CloudProvisioner.MachineKind(
+            "type-" + random.nextInt(kinds), "a", random.nextBoolean());
     return new Bin(null, kind, ROOM, amount());
   }
 
   /** The first bin in order, by a look at each. */
-  private static int firstByLooking(List<Bin> bins, Resources need, Predicate<Bin> accepts) {
+  private static int firstByLinearSearch(List<Bin> bins, Resources demand, Predicate<Bin> accepts) {
     for (int i = 0; i < bins.size(); i++) {
-      if (need.fitsIn(bins.get(i).left) && accepts.test(bins.get(i))) {
+      if (demand.fitsIn(bins.get(i).free) && accepts.test(bins.get(i))) {
         return i;
       }
     }
@@ -53,13 +54,14 @@
         tree.add(bin(kinds));
       }
       int changed = random.nextInt(bins.size());
-      bins.get(changed).left = amount();
-      tree.changed(changed);
-      Resources need = amount();
+      bins.get(changed).free = amount();
+      tree.update(changed);
+      Resources demand = amount();
       String type = "type-" + random.nextInt(kinds);
       Predicate<Bin> ofType = it -> it.kind.type().equals(type);
-      long bits = tree.kinds(kind -> kind.type().equals(type));
-      assertEquals(firstByLooking(bins, need, ofType), tree.first(need, bits, false, ofType));
+      long bits = tree.kindMasks(kind -> kind.type().equals(type));
+      assertEquals(
+          firstByLinearSearch(bins, demand, ofType), tree.findFirst(demand, bits, false, ofType));
     }
   }
 
@@ -71,10 +73,10 @@
     }
     FirstFitTree tree = new FirstFitTree(bins, FOUR_CPUS_A_GPU);
     for (int cpus = 1; cpus < 64; cpus++) {
-      Resources need = new Resources(cpus, 0, 4);
-      Predicate<Bin> sparing = it -> FOUR_CPUS_A_GPU.strandedBy(need, it.left) <= 0;
-      int expected = firstByLooking(bins, need, sparing);
-      assertEquals(expected, tree.first(need, ALL_KINDS, true, sparing));
+      Resources demand = new Resources(cpus, 0, 4);
+      Predicate<Bin> sparing = it -> FOUR_CPUS_A_GPU.strandedGpusBy(demand, it.free) <= 0;
+      int expected = firstByLinearSearch(bins, demand, sparing);
+      assertEquals(expected, tree.findFirst(demand, ALL_KINDS, true, sparing));
     }
   }
 
@@ -82,16 +84,16 @@
   @Test
   void fullBinsAreNotLookedAt() {
     List<Bin> bins = new ArrayList<>();
-    CloudProvisioner.Kind kind = new CloudProvisioner.Kind("g8", "a", false);
+    CloudProvisioner.MachineKind kind = new CloudProvisioner.MachineKind("g8", "a", false);
     for (int i = 0; i < 6000; i++) {
       bins.add(new Bin(null, kind, ROOM, Resources.NONE));
     }
-    bins.get(4321).left = ROOM;
+    bins.get(4321).free = ROOM;
     FirstFitTree tree = new FirstFitTree(bins, FOUR_CPUS_A_GPU);
     for (int i = 0; i < 100; i++) {
-      assertEquals(4321, tree.first(ROOM, ALL_KINDS, false, it -> true));
+      assertEquals(4321, tree.findFirst(ROOM, ALL_KINDS, false, it -> true));
     }
-    assertEquals(100, tree.visited());
+    assertEquals(100, tree.visitedBins());
   }
 
   @Test
@@ -101,10 +103,10 @@
       bins.add(bin(3));
     }
     FirstFitTree tree = new FirstFitTree(bins, FOUR_CPUS_A_GPU);
-    Resources need = new Resources(20, 2, 100);
+    Resources demand = new Resources(20, 2, 100);
     List<Bin> shown = new ArrayList<>();
-    tree.forEachWithRoom(need, ALL_KINDS, shown::add);
-    assertEquals(bins.stream().filter(it -> need.fitsIn(it.left)).toList(), shown);
+    tree.forEachWithFreeCapacity(demand, ALL_KINDS, shown::add);
+    assertEquals(bins.stream().filter(it -> demand.fitsIn(it.free)).toList(), shown);
     assertTrue(shown.size() < bins.size());
   }
 }
--- a/src/test/java/eiderfork/controller/GangTest.java
+++ b/src/test/java/eiderfork/controller/GangTest.java
@@ -6,7 +6,7 @@
 
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
-import eiderfork.model.JobStatus.Stance;
+import eiderfork.model.JobStatus.Phase;
 import eiderfork.model.Priority;
 import eiderfork.model.Resources;
 import eiderfork.model.TaskStatus;
@@ -23,7 +23,7 @@
   private final List<Job> jobs = new ArrayList<>();
 
   /** Machines of both zones are up, and every node knows that all others run this version. */
-  private void warm() {
+  private void startReferenceService() {
     submit(TestFixtures.job(1, JobKind.SERVICE, 4, 2));
     world.run(30);
   }
@@ -36,29 +36,32 @@
 
   private List<FakeWorker> workersWith(Job job) {
     return world.workers().stream()
-        .filter(w -> !w.dead && w.present().stream().anyMatch(t -> t.job().equals(job.uid())))
-        .sorted(Comparator.comparing(w -> w.machine.name()))
+        .filter(
+            worker ->
+                !worker.dead
+                    && worker.presentTasks().stream().anyMatch(t -> t.jobUid().equals(job.uid())))
+        .sorted(Comparator.comparing(worker -> worker.machine.name()))
         .toList();
   }
 
   private boolean anyTask(Job job, TaskStatus.State state) {
     return world.workers().stream()
-        .flatMap(w -> w.tasks().stream())
-        .anyMatch(t -> t.attempt.task().job().equals(job.uid()) && t.state == state);
+        .flatMap(worker -> worker.tasks().stream())
+        .anyMatch(t -> t.attempt.task().jobUid().equals(job.uid()) && t.state == state);
   }
 
-  private void allServed() {
+  private void assertAllServed() {
     ExpectedOutcome.allServed(world, jobs);
   }
 
   @Test
   void aGangStartsAndEndsWhole() {
-    warm();
+    startReferenceService();
     Job gang = submit(TestFixtures.gang(2, 6, 2, 6, true));
     world.run(15);
     assertEquals(1, world.gangs.starts);
     assertTrue(world.checker.isDone(gang.uid()));
-    allServed();
+    assertAllServed();
   }
 
   @Test
@@ -76,7 +79,7 @@
       long running = world.checker.running(gang.uid());
       assertTrue(running == 0 || running == 6, running + " of a gang hold room");
     }
-    allServed();
+    assertAllServed();
     assertEquals(4, world.gangs.starts, "none was broken off");
   }
 
@@ -84,10 +87,11 @@
   @Test
   void aGangOfOneZoneGoesWhereTheWholeOfItFits() {
     for (String zone : List.of("a", "b")) {
-      world.cloud.stock.put(new CloudProvisioner.Kind("g4", zone, false), zone.equals("a") ? 1 : 3);
-      world.cloud.stock.put(new CloudProvisioner.Kind("g4", zone, true), 0);
-      world.cloud.stock.put(new CloudProvisioner.Kind("c8", zone, false), 0);
-      world.cloud.stock.put(new CloudProvisioner.Kind("c8", zone, true), 0);
+      world.cloud.stock.put(
+          new CloudProvisioner.MachineKind("g4", zone, false), zone.equals("a") ? 1 : 3);
+      world.cloud.stock.put(new CloudProvisioner.MachineKind("g4", zone, true), 0);
+      world.cloud.stock.put(new CloudProvisioner.MachineKind("c8", zone, false), 0);
+      world.cloud.stock.put(new CloudProvisioner.MachineKind("c8", zone, true), 0);
     }
     submit(TestFixtures.job(1, JobKind.SERVICE, 4, 3));
     world.run(25);
@@ -95,25 +99,25 @@
     Job gang = submit(TestFixtures.gang(2, 5, 5, 4, true));
     world.run(12);
     assertTrue(world.checker.isDone(gang.uid()), "three machines of the one zone hold it");
-    allServed();
+    assertAllServed();
   }
 
   @ParameterizedTest
   @ValueSource(ints = {0, 50, 100, 200, 300, 500, 700, 900, 1200, 1600, 2500})
   void aCrashOfTheLeaderAtAnyMomentOfTheStartChangesNothing(int afterMs) {
-    warm();
+    startReferenceService();
     Job gang = submit(TestFixtures.gang(2, 6, 2, 8, true));
     world.at(afterMs, () -> world.crash(world.leader(), 3000));
     world.run(25);
     assertTrue(world.checker.isDone(gang.uid()));
-    allServed();
+    assertAllServed();
     assertEquals(1, world.gangs.starts);
   }
 
   @ParameterizedTest
   @ValueSource(ints = {-1, 0, 300, 1000, 3000, 5000, 9000, 10_500, 12_000})
   void aGangThatLosesAMachineStartsAnewFromItsCheckpoint(int crashAfterMs) {
-    warm();
+    startReferenceService();
     Job gang = submit(TestFixtures.gang(2, 6, 4, 12, true));
     world.run(6);
     assertEquals(1, world.gangs.starts);
@@ -124,7 +128,7 @@
     world.run(45);
     assertEquals(2, world.gangs.starts);
     assertTrue(world.gangs.safeMs.get(gang.uid()) >= 2000);
-    allServed();
+    assertAllServed();
   }
 
   /**
@@ -133,7 +137,7 @@
   @ParameterizedTest
   @ValueSource(ints = {3000, 7000, 9500, 10_500, 14_000, 25_000})
   void aHungMemberCountsUntilItsLeaseHasLapsed(int hangMs) {
-    warm();
+    startReferenceService();
     Job gang = submit(TestFixtures.gang(2, 6, 4, 12, true));
     world.run(6);
     FakeWorker hung = workersWith(gang).get(0);
@@ -141,37 +145,37 @@
     world.at(hangMs, () -> hung.hanging = false);
     world.run(70);
     assertTrue(world.checker.isDone(gang.uid()));
-    allServed();
+    assertAllServed();
   }
 
   /** What the leader knew of a lost member goes with it; its successor must not wait for it. */
   @Test
   void aSuccessorStopsTheRestOfABrokenGang() {
-    warm();
+    startReferenceService();
     Job gang = submit(TestFixtures.gang(2, 6, 4, 30, true));
     world.run(6);
     FakeWorker refusing = workersWith(gang).get(0);
     world.badMachines.add(refusing.machine.name());
     refusing.tasks().stream()
-        .filter(t -> t.attempt.task().job().equals(gang.uid()))
+        .filter(t -> t.attempt.task().jobUid().equals(gang.uid()))
         .findFirst()
         .ifPresent(t -> refusing.end(t, TaskStatus.Cause.ERROR));
     world.at(600, () -> world.crash(world.leader(), 3000));
     world.run(60);
     assertTrue(world.checker.isDone(gang.uid()));
-    allServed();
+    assertAllServed();
   }
 
   /** A gang that has to leave a machine saves, if all of its tasks are told in time. */
   @ParameterizedTest
   @ValueSource(ints = {-1, 0, 100, 300, 600, 1200})
   void aGangOnAMachineWithANoticeIsSavedWhole(int crashAfterMs) {
-    warm();
+    startReferenceService();
     Job gang = submit(TestFixtures.gang(2, 6, 4, 25, true, "blue", true));
     world.run(6);
     assertEquals(1, world.gangs.starts);
     FakeWorker noticed = workersWith(gang).get(0);
-    noticed.noticeS = 12.0;
+    noticed.terminationNoticeS = 12.0;
     noticed.changed = true;
     if (crashAfterMs >= 0) {
       world.at(crashAfterMs, () -> world.crash(world.leader(), 3000));
@@ -180,17 +184,17 @@
     world.run(60);
     assertEquals(1, world.gangs.saves);
     assertTrue(world.gangs.safeMs.get(gang.uid()) % 2000 != 0, "not only the checkpoint");
-    allServed();
+    assertAllServed();
   }
 
   /** With less time than it takes to save, going on loses no more and may end before. */
   @Test
   void aGangIsNotStoppedForANoticeThatIsTooShortToSave() {
-    warm();
+    startReferenceService();
     Job gang = submit(TestFixtures.gang(2, 4, 4, 7, true, "blue", true));
     world.run(4);
     FakeWorker noticed = workersWith(gang).get(0);
-    noticed.noticeS = 0.5;
+    noticed.terminationNoticeS = 0.5;
     noticed.changed = true;
     world.run(8);
     assertEquals(1, world.gangs.starts);
@@ -200,20 +204,20 @@
   @ParameterizedTest
   @ValueSource(ints = {0, 100, 300, 600, 900, 1500, 4000, 6500, 8000})
   void aCancelledGangIsGoneAtOnce(int afterMs) {
-    warm();
+    startReferenceService();
     Job gang = submit(TestFixtures.gang(2, 6, 4, 6, true));
     world.at(afterMs, () -> world.abort(gang.uid()));
     world.run(afterMs / 1000.0 + 4);
     assertEquals(0, world.checker.running(gang.uid()));
     assertTrue(world.checker.finalStance(gang.uid()) != null);
-    allServed();
+    assertAllServed();
   }
 
   /** One task's end is known, another's machine dies before it says so: all are done. */
   @ParameterizedTest
   @ValueSource(ints = {-1, 0, 200, 600, 1500})
   void whereOneTaskIsDoneAllAre(int crashAfterMs) {
-    warm();
+    startReferenceService();
     Job gang = submit(TestFixtures.gang(2, 6, 4, 6, true));
     world.run(5);
     FakeWorker unheard = workersWith(gang).get(0);
@@ -227,7 +231,7 @@
     world.run(9);
     world.query(gang.uid());
     world.run(2);
-    assertEquals(Stance.DONE, world.checker.finalStance(gang.uid()));
+    assertEquals(Phase.DONE, world.checker.finalStance(gang.uid()));
     assertEquals(1, world.gangs.starts);
   }
 
@@ -243,7 +247,7 @@
     world.abort(service.uid());
     world.run(12);
     assertTrue(world.checker.isDone(gang.uid()));
-    allServed();
+    assertAllServed();
   }
 
   @Test
@@ -278,7 +282,7 @@
   @Test
   void noGangIsStoppedForAPartOfAnother() {
     world.cloud.capacity = 0;
-    world.cloud.stock.put(new CloudProvisioner.Kind("c8", "a", false), 2);
+    world.cloud.stock.put(new CloudProvisioner.MachineKind("c8", "a", false), 2);
     world.run(5);
     Job low = TestFixtures.gang(1, 4, 4, 60, true);
     submit(TestFixtures.withPriority(low, Priority.LOW));
@@ -290,7 +294,7 @@
     assertEquals(0, world.gangs.saves);
     assertEquals(4, world.checker.running(low.uid()));
     world.abort(large.uid());
-    allServed();
+    assertAllServed();
     assertEquals(1, world.gangs.starts);
   }
 
@@ -300,7 +304,7 @@
   void aGangThatIsStoppedForAnUrgentServiceSavesWhole(int crashAfterMs) {
     world.cloud.types = world.cloud.types.subList(1, 2);
     world.cloud.capacity = 0;
-    world.cloud.stock.put(new CloudProvisioner.Kind("c8", "a", false), 2);
+    world.cloud.stock.put(new CloudProvisioner.MachineKind("c8", "a", false), 2);
     world.run(5);
     Job gang = submit(TestFixtures.gang(1, 4, 4, 25, true));
     world.run(20);
@@ -316,13 +320,14 @@
     assertEquals(0, world.checker.running(gang.uid()));
     assertEquals(1, world.gangs.saves);
     world.abort(urgent.uid());
-    allServed();
+    assertAllServed();
     assertEquals(2, world.gangs.starts);
   }
 
   private static Job array(int number, int tasks, double runS) {
-    Job like = TestFixtures.job(number, JobKind.ARRAY, tasks, 0, "blue", Priority.LOW, false, true);
-    return TestFixtures.sized(like, new Resources(7, 0, 4), runS, "c8");
+    Job template =
+        TestFixtures.job(number, JobKind.ARRAY, tasks, 0, "blue", Priority.LOW, false, true);
+    return TestFixtures.sized(template, new Resources(7, 0, 4), runS, "c8");
   }
 
   /** Everything that the protocol lets go wrong, at once, while gangs come and are cancelled. */
@@ -330,6 +335,11 @@
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16})
   void rulesHoldWhereTroublesMeet(long seed) {
     SimulatedCluster troubled = new SimulatedCluster(seed);
+    ExpectedOutcome.allServed(troubled, play(troubled, seed));
+  }
+
+  /** Plays the history of gangs under troubles of this seed, and tells the gangs. */
+  static List<Job> play(SimulatedCluster troubled, long seed) {
     List<Job> gangs = new ArrayList<>();
     troubled.loss = 0.01;
     troubled.doubled = 0.02;
@@ -360,25 +370,26 @@
       troubled.at(12_000 + i * 6500L, () -> trouble(troubled, kind));
     }
     troubled.run(85);
-    ExpectedOutcome.allServed(troubled, gangs);
+    return gangs;
   }
 
   private static void trouble(SimulatedCluster world, int kind) {
     String leader = world.leader() == null ? "roost-0" : world.leader();
-    List<FakeWorker> busy = world.workers().stream().filter(w -> !w.present().isEmpty()).toList();
+    List<FakeWorker> busy =
+        world.workers().stream().filter(worker -> !worker.presentTasks().isEmpty()).toList();
     switch (kind) {
       case 0 -> world.crash(leader, 400);
       case 1 ->
           busy.stream()
               .limit(1)
               .forEach(
-                  w -> {
-                    w.hanging = true;
-                    world.at(7000, () -> w.hanging = false);
+                  worker -> {
+                    worker.hanging = true;
+                    world.at(7000, () -> worker.hanging = false);
                   });
-      case 2 -> busy.stream().limit(1).forEach(w -> world.die(w.machine.name()));
-      case 3 -> busy.stream().limit(2).forEach(w -> world.deafen(w.machine.name(), 9000));
-      case 4 -> busy.stream().limit(2).forEach(w -> world.mute(w.machine.name(), 9000));
+      case 2 -> busy.stream().limit(1).forEach(worker -> world.die(worker.machine.name()));
+      case 3 -> busy.stream().limit(2).forEach(worker -> world.deafen(worker.machine.name(), 9000));
+      case 4 -> busy.stream().limit(2).forEach(worker -> world.mute(worker.machine.name(), 9000));
       default -> {
         world.refuse(leader, 6000);
         world.holdNextReports(4000);
@@ -389,7 +400,7 @@
   /** Without the state service nothing is decided, and a gang that runs goes on. */
   @Test
   void aGangOutlivesAnOutage() {
-    warm();
+    startReferenceService();
     Job gang = submit(TestFixtures.gang(2, 6, 2, 15, true));
     world.run(5);
     world.state.outage(world.nowMs);
--- a/src/test/java/eiderfork/controller/GpuHeadroomTest.java
+++ b/src/test/java/eiderfork/controller/GpuHeadroomTest.java
@@ -12,9 +12,10 @@
 
 /** Arrays without GPUs leave free GPUs the processors that GPU work takes. */
 class GpuHeadroomTest {
-  private static Job array(int number, int tasks, Resources need, double runS) {
-    Job like = TestFixtures.job(number, JobKind.ARRAY, tasks, 0);
-    return TestFixtures.sized(TestFixtures.withPriority(like, Priority.LOW), need, runS, "g4");
+  private static Job array(int number, int tasks, Resources demand, double runS) {
+    Job template = TestFixtures.job(number, JobKind.ARRAY, tasks, 0);
+    return TestFixtures.sized(
+        TestFixtures.withPriority(template, Priority.LOW), demand, runS, "g4");
   }
 
   /**
@@ -24,10 +25,10 @@
   @Test
   void idleWorkLeavesTheProcessorsToArraysThatWaitForGpus() {
     SimulatedCluster world = new SimulatedCluster(3);
-    world.cloud.stock.put(new CloudProvisioner.Kind("g4", "a", false), 2);
-    world.cloud.stock.put(new CloudProvisioner.Kind("g4", "b", false), 0);
-    world.cloud.stock.put(new CloudProvisioner.Kind("g4", "a", true), 0);
-    world.cloud.stock.put(new CloudProvisioner.Kind("g4", "b", true), 0);
+    world.cloud.stock.put(new CloudProvisioner.MachineKind("g4", "a", false), 2);
+    world.cloud.stock.put(new CloudProvisioner.MachineKind("g4", "b", false), 0);
+    world.cloud.stock.put(new CloudProvisioner.MachineKind("g4", "a", true), 0);
+    world.cloud.stock.put(new CloudProvisioner.MachineKind("g4", "b", true), 0);
     Job first = array(1, 8, new Resources(3, 1, 4), 20);
     world.submit(first);
     world.run(14);
@@ -47,10 +48,10 @@
   @Test
   void idleWorkDoesNotTakeWhatWaitingGpuWorkStillLacks() {
     SimulatedCluster world = new SimulatedCluster(5);
-    world.cloud.stock.put(new CloudProvisioner.Kind("g4", "a", false), 1);
-    world.cloud.stock.put(new CloudProvisioner.Kind("g4", "b", false), 0);
-    world.cloud.stock.put(new CloudProvisioner.Kind("g4", "a", true), 0);
-    world.cloud.stock.put(new CloudProvisioner.Kind("g4", "b", true), 0);
+    world.cloud.stock.put(new CloudProvisioner.MachineKind("g4", "a", false), 1);
+    world.cloud.stock.put(new CloudProvisioner.MachineKind("g4", "b", false), 0);
+    world.cloud.stock.put(new CloudProvisioner.MachineKind("g4", "a", true), 0);
+    world.cloud.stock.put(new CloudProvisioner.MachineKind("g4", "b", true), 0);
     world.submit(array(1, 4, new Resources(2, 0, 2), 20));
     world.run(14);
     Job waits = array(2, 1, new Resources(12, 4, 4), 10);
@@ -67,10 +68,10 @@
   @Test
   void idleWorkTakesThemWhereNoGpuWorkWaits() {
     SimulatedCluster world = new SimulatedCluster(4);
-    world.cloud.stock.put(new CloudProvisioner.Kind("g4", "a", false), 1);
-    world.cloud.stock.put(new CloudProvisioner.Kind("g4", "b", false), 0);
-    world.cloud.stock.put(new CloudProvisioner.Kind("g4", "a", true), 0);
-    world.cloud.stock.put(new CloudProvisioner.Kind("g4", "b", true), 0);
+    world.cloud.stock.put(new CloudProvisioner.MachineKind("g4", "a", false), 1);
+    world.cloud.stock.put(new CloudProvisioner.MachineKind("g4", "b", false), 0);
+    world.cloud.stock.put(new CloudProvisioner.MachineKind("g4", "a", true), 0);
+    world.cloud.stock.put(new CloudProvisioner.MachineKind("g4", "b", true), 0);
     world.submit(TestFixtures.job(1, JobKind.SERVICE, 1, 1));
     world.run(14);
     Job guest = array(3, 7, new Resources(2, 0, 2), 10);
--- a/src/test/java/eiderfork/controller/GuaranteeChecker.java
+++ b/src/test/java/eiderfork/controller/GuaranteeChecker.java
@@ -42,8 +42,8 @@
     final long minute;
     final String team;
     final double guaranteed;
-    double askedMost;
-    double heldLeast = Double.MAX_VALUE;
+    double maxRequested;
+    double minHeld = Double.MAX_VALUE;
     int secondsBelow;
     final Map<Cause, Integer> causes = new LinkedHashMap<>();
 
@@ -59,14 +59,20 @@
           (cause, seconds) -> text.append(cause).append(':').append(seconds).append(' '));
       return "%d,%s,%.0f,%.0f,%.0f,%d,%s"
           .formatted(
-              minute, team, guaranteed, askedMost, heldLeast, secondsBelow, text.toString().trim());
+              minute,
+              team,
+              guaranteed,
+              maxRequested,
+              minHeld,
+              secondsBelow,
+              text.toString().trim());
     }
   }
 
   static final String CSV_HEADER =
       "minute,team,guaranteed_gpus,asked_gpus_most,held_gpus_least,seconds_below,causes";
 
-  private static final long LOOK_MS = 1000;
+  private static final long CHECK_INTERVAL_MS = 1000;
   private static final long MINUTE_MS = 60_000;
 
   /** A report, a round, a write and a command, each with its slack. */
@@ -74,17 +80,17 @@
 
   private final SimulatedCluster world;
   private final long beganMs;
-  private final Map<String, Integer> lackingS = new LinkedHashMap<>();
-  private final Map<String, Minute> open = new LinkedHashMap<>();
+  private final Map<String, Integer> shortfallS = new LinkedHashMap<>();
+  private final Map<String, Minute> currentMinutes = new LinkedHashMap<>();
   final List<Minute> minutes = new ArrayList<>();
 
-  private final Map<String, Double> gpusOf = new HashMap<>();
+  private final Map<String, Double> gpusPerType = new HashMap<>();
 
   /** Until when what went wrong explains that a guarantee is not there. */
-  private long troubleUntilMs;
+  private long disruptedUntilMs;
 
   /** The longest that each team lacked its guarantee while another borrowed, in seconds. */
-  final Map<String, Integer> longestS = new LinkedHashMap<>();
+  final Map<String, Integer> longestShortfallS = new LinkedHashMap<>();
 
   /** Seconds in which a guarantee was not there for no known cause. */
   final List<String> unexplained = new ArrayList<>();
@@ -92,23 +98,23 @@
   GuaranteeChecker(SimulatedCluster world) {
     this.world = world;
     beganMs = world.nowMs;
-    look();
+    check();
   }
 
   /** Something goes wrong for this long. */
-  void trouble(long forMs) {
-    long leaseAndBootMs = (long) (world.settings.workers().leaseS() * 1000) + 15_000;
-    troubleUntilMs = Math.max(troubleUntilMs, world.nowMs + forMs + leaseAndBootMs);
+  void expectDisruption(long forMs) {
+    long leaseAndBootMs = (long) (world.settings.workerTimings().leaseS() * 1000) + 15_000;
+    disruptedUntilMs = Math.max(disruptedUntilMs, world.nowMs + forMs + leaseAndBootMs);
   }
 
-  private void look() {
+  private void check() {
     for (Team team : world.settings.teams().values()) {
-      look(team);
+      check(team);
     }
-    world.at(LOOK_MS, this::look);
+    world.at(CHECK_INTERVAL_MS, this::check);
   }
 
-  private void look(Team team) {
+  private void check(Team team) {
     double held = world.checker.held(team.name()).gpus();
     double asked = world.checker.asked(team.name()).gpus();
     Cause cause = cause(team, held, asked);
@@ -116,28 +122,33 @@
         cause != Cause.NONE
             && cause != Cause.NOBODY_BORROWS
             && cause != Cause.TOO_LITTLE_IS_BORROWED;
-    int lacking = counts ? lackingS.merge(team.name(), 1, Integer::sum) : 0;
-    lackingS.put(team.name(), lacking);
-    longestS.merge(team.name(), lacking, Math::max);
+    int lacking = counts ? shortfallS.merge(team.name(), 1, Integer::sum) : 0;
+    shortfallS.put(team.name(), lacking);
+    longestShortfallS.merge(team.name(), lacking, Math::max);
     if (cause == Cause.UNEXPLAINED) {
       unexplained.add(
           "%d s: %s holds %.0f of %.0f, asks for %.0f, for %d s"
               .formatted(
-                  (world.nowMs - beganMs) / 1000, team.name(), held, team.gpus(), asked, lacking));
-    }
-    note(team, held, asked, cause);
+                  (world.nowMs - beganMs) / 1000,
+                  team.name(),
+                  held,
+                  team.guaranteedGpus(),
+                  asked,
+                  lacking));
+    }
+    record(team, held, asked, cause);
   }
 
-  private void note(Team team, double held, double asked, Cause cause) {
+  private void record(Team team, double held, double asked, Cause cause) {
     long minute = (world.nowMs - beganMs) / MINUTE_MS;
-    Minute row = open.get(team.name());
+    Minute row = currentMinutes.get(team.name());
     if (row == null || row.minute != minute) {
-      row = new Minute(minute, team.name(), team.gpus());
-      open.put(team.name(), row);
+      row = new Minute(minute, team.name(), team.guaranteedGpus());
+      currentMinutes.put(team.name(), row);
       minutes.add(row);
     }
-    row.askedMost = Math.max(row.askedMost, asked);
-    row.heldLeast = Math.min(row.heldLeast, held);
+    row.maxRequested = Math.max(row.maxRequested, asked);
+    row.minHeld = Math.min(row.minHeld, held);
     if (cause != Cause.NONE) {
       row.secondsBelow++;
       row.causes.merge(cause, 1, Integer::sum);
@@ -145,7 +156,7 @@
   }
 
   private Cause cause(Team team, double held, double asked) {
-    double lacked = Math.min(asked, team.gpus()) - held;
+    double lacked = Math.min(asked, team.guaranteedGpus()) - held;
     if (lacked < 1) {
       return Cause.NONE;
     }
@@ -153,20 +164,20 @@
     if (borrowed <= 0) {
       return Cause.NOBODY_BORROWS;
     }
-    if (borrowed + free() < world.checker.smallestWaiting(team.name())) {
+    if (borrowed + freeGpus() < world.checker.smallestWaiting(team.name())) {
       return Cause.TOO_LITTLE_IS_BORROWED;
     }
-    if (inState(team.name(), TaskStatus.State.FETCHING) >= lacked) {
+    if (gpusInState(team.name(), TaskStatus.State.FETCHING) >= lacked) {
       return Cause.STARTING;
     }
-    if (inState(null, TaskStatus.State.SAVING) > 0) {
+    if (gpusInState(null, TaskStatus.State.CHECKPOINTING) > 0) {
       return Cause.SAVING;
     }
-    if (world.nowMs < troubleUntilMs) {
+    if (world.nowMs < disruptedUntilMs) {
       return Cause.TROUBLE;
     }
-    int lackingForS = lackingS.getOrDefault(team.name(), 0);
-    if (lackingForS < bootS() + REACTION_S && !batchBorrows(team)) {
+    int lackingForS = shortfallS.getOrDefault(team.name(), 0);
+    if (lackingForS < bootS() + REACTION_S && !hasBatchBorrower(team)) {
       return Cause.REPLICAS_BORROW;
     }
     return lackingForS < REACTION_S ? Cause.REACTING : Cause.UNEXPLAINED;
@@ -177,9 +188,9 @@
   }
 
   /** Whether batch work of another team stands on a machine while that team is beyond its own. */
-  private boolean batchBorrows(Team team) {
+  private boolean hasBatchBorrower(Team team) {
     for (Team other : world.settings.teams().values()) {
-      boolean borrows = world.checker.held(other.name()).gpus() > other.gpus();
+      boolean borrows = world.checker.held(other.name()).gpus() > other.guaranteedGpus();
       if (other != team && borrows && world.checker.holdsBatch(other.name())) {
         return true;
       }
@@ -192,16 +203,16 @@
     double borrowed = 0;
     for (Team other : world.settings.teams().values()) {
       double held = world.checker.held(other.name()).gpus();
-      borrowed += other == team ? 0 : Math.max(0, held - other.gpus());
+      borrowed += other == team ? 0 : Math.max(0, held - other.guaranteedGpus());
     }
     return borrowed;
   }
 
   /** The GPUs of machines that are up on which nothing runs. */
-  private double free() {
+  private double freeGpus() {
     double gpus = 0;
     for (FakeWorker worker : world.workers()) {
-      gpus += gpusOf.computeIfAbsent(worker.machine.type(), this::gpusOf);
+      gpus += gpusPerType.computeIfAbsent(worker.machine.type(), this::gpusPerType);
     }
     for (Team team : world.settings.teams().values()) {
       gpus -= world.checker.held(team.name()).gpus();
@@ -209,22 +220,22 @@
     return gpus;
   }
 
-  private double gpusOf(String type) {
+  private double gpusPerType(String type) {
     return world.cloud.types.stream()
         .filter(it -> it.name().equals(type))
-        .mapToDouble(it -> it.room().gpus())
+        .mapToDouble(it -> it.capacity().gpus())
         .findFirst()
         .orElse(0);
   }
 
   /** The GPUs of a team's tasks, or of everybody's, in this state. */
-  private double inState(String team, TaskStatus.State state) {
+  private double gpusInState(String team, TaskStatus.State state) {
     double gpus = 0;
     for (FakeWorker worker : world.workers()) {
       for (FakeWorker.Task task : worker.tasks()) {
-        var job = world.job(task.attempt.task().job());
+        var job = world.job(task.attempt.task().jobUid());
         if (task.state == state && (team == null || job.team().equals(team))) {
-          gpus += job.need().gpus();
+          gpus += job.taskResources().gpus();
         }
       }
     }
--- a/src/test/java/eiderfork/controller/HugeArrayRecordTest.java
+++ b/src/test/java/eiderfork/controller/HugeArrayRecordTest.java
@@ -39,24 +39,26 @@
     }
     int most = 0;
     int waves = 0;
-    while (!entry.allFinished()) {
+    while (!entry.hasAllTasksFinished()) {
       waves++;
       reserve(entry, machines, valueKb);
       assertFits(entry, valueKb);
-      most = Math.max(most, entry.placed.size());
-      List<Reservation> ending = new ArrayList<>(entry.placed.values());
+      most = Math.max(most, entry.reservations.size());
+      List<Reservation> ending = new ArrayList<>(entry.reservations.values());
       assertTrue(!ending.isEmpty(), "something always goes on");
       Collections.shuffle(ending, random);
       int ends = Math.max(1, ending.size() / 4);
-      if (entry.waiting.isEmpty()) {
+      if (entry.pendingTasks.isEmpty()) {
         ends = ending.size();
       }
-      for (Reservation p : ending.subList(0, ends)) {
-        boolean straggles = p.index % 1000 < STRAGGLERS && !entry.waiting.isEmpty();
+      for (Reservation reservation : ending.subList(0, ends)) {
+        boolean straggles =
+            reservation.taskIndex % 1000 < STRAGGLERS && !entry.pendingTasks.isEmpty();
         if (!straggles) {
-          entry.placed.remove(p.index);
-          entry.finished.set(p.index, random.nextInt(50) > 0);
-          entry.waiting.set(p.index, !entry.finished.get(p.index));
+          entry.reservations.remove(reservation.taskIndex);
+          entry.finishedTasks.set(reservation.taskIndex, random.nextInt(50) > 0);
+          entry.pendingTasks.set(
+              reservation.taskIndex, !entry.finishedTasks.get(reservation.taskIndex));
         }
       }
       assertFits(entry, valueKb);
@@ -65,35 +67,41 @@
     assertTrue(waves < 400, waves + " waves");
   }
 
-  private static void reserve(JobState entry, List<MachineState> machines, double valueKb) {
-    long attempt = entry.nextAttempt();
-    AllocationSizeLimit room = room(entry, valueKb, true);
+  private static void reserve(JobState job, List<MachineState> machines, double valueKb) {
+    long attempt = job.nextAttemptNumber();
+    AllocationSizeLimit room = room(job, valueKb, true);
     for (MachineState machine : machines) {
-      int free = SLOTS - machine.placed.size();
-      free -= (int) entry.placed.values().stream().filter(p -> p.machine == machine).count();
-      for (int i = 0; i < free && !entry.waiting.isEmpty(); i++) {
-        int index = entry.waiting.nextSetBit(0);
+      int free = SLOTS - machine.reservations.size();
+      free -=
+          (int)
+              job.reservations.values().stream()
+                  .filter(reservation -> reservation.machine == machine)
+                  .count();
+      for (int i = 0; i < free && !job.pendingTasks.isEmpty(); i++) {
+        int index = job.pendingTasks.nextSetBit(0);
         if (!room.fits(index, attempt, machine.name)) {
           return;
         }
         room.add(index, attempt, machine.name);
-        entry.placed.put(index, new Reservation(entry, index, attempt, machine));
-        entry.waiting.clear(index);
-        entry.lastAttempt = attempt;
+        job.reservations.put(index, new Reservation(job, index, attempt, machine));
+        job.pendingTasks.clear(index);
+        job.lastAttempt = attempt;
       }
     }
   }
 
-  private static void assertFits(JobState entry, double valueKb) {
-    StoredRecord.Alloc record = entry.toRecord();
-    StoreRequest.Change change = StoreRequest.Change.put("k", new StoredRecord.BitmapAlloc(record));
+  private static void assertFits(JobState job, double valueKb) {
+    StoredRecord.Allocation record = job.toAllocation();
+    StoreRequest.Change change =
+        StoreRequest.Change.put("k", new StoredRecord.BitmapAllocation(record));
     int bytes = bytes(change) - bytes(StoreRequest.Change.remove("k"));
     assertTrue(bytes <= valueKb * 1024, () -> bytes + " bytes");
   }
 
   private static int bytes(StoreRequest.Change change) {
-    StoreRequest op = new StoreRequest.Transact(ImmutableList.of(), ImmutableList.of(change));
-    return StoreCodec.request(op).body().length;
+    StoreRequest request =
+        new StoreRequest.Transaction(ImmutableList.of(), ImmutableList.of(change));
+    return StoreCodec.encodeRequest(request).body().length;
   }
 
   /**
@@ -114,23 +122,23 @@
       if (room(entry, valueKb, withBitmaps).fits(index, newest, name(index))) {
         reserve(entry, index, newest);
         assertFits(entry, valueKb);
-        entry.waiting.set(index);
-        entry.placed.remove(index);
+        entry.pendingTasks.set(index);
+        entry.reservations.remove(index);
         entry.lastAttempt = 1;
       }
     }
-    assertTrue(entry.placed.size() > 50, entry.placed.size() + " at once");
+    assertTrue(entry.reservations.size() > 50, entry.reservations.size() + " at once");
   }
 
-  private static AllocationSizeLimit room(JobState entry, double valueKb, boolean withBitmaps) {
-    return new AllocationSizeLimit(entry, Double.POSITIVE_INFINITY, valueKb, withBitmaps);
+  private static AllocationSizeLimit room(JobState job, double valueKb, boolean withBitmaps) {
+    return new AllocationSizeLimit(job, Double.POSITIVE_INFINITY, valueKb, withBitmaps);
   }
 
-  private static void reserve(JobState entry, int index, long attempt) {
+  private static void reserve(JobState job, int index, long attempt) {
     MachineState machine = new MachineState(name(index), index, new MachineIndexes(), 0);
-    entry.placed.put(index, new Reservation(entry, index, attempt, machine));
-    entry.waiting.clear(index);
-    entry.lastAttempt = attempt;
+    job.reservations.put(index, new Reservation(job, index, attempt, machine));
+    job.pendingTasks.clear(index);
+    job.lastAttempt = attempt;
   }
 
   private static String name(int index) {
--- a/src/test/java/eiderfork/controller/IncarnationLeaseExpiryTest.java
+++ b/src/test/java/eiderfork/controller/IncarnationLeaseExpiryTest.java
@@ -10,8 +10,8 @@
 import eiderfork.controller.context.ControllerContext;
 import eiderfork.controller.message.Effect;
 import eiderfork.controller.message.Reply;
-import eiderfork.model.Command;
 import eiderfork.model.TaskStatus;
+import eiderfork.model.WorkerCommand;
 import java.util.List;
 import java.util.Set;
 import java.util.function.Consumer;
@@ -31,7 +31,7 @@
  * at 65, while a session that began at 66 or later still had its lease.
  */
 class IncarnationLeaseExpiryTest extends LeaderAndWorkerFixture {
-  private static final long NEXT_SESSION = SESSION + 1;
+  private static final long NEXT_INCARNATION = INCARNATION + 1;
   private static final long TICK_MS = 50;
 
   /** How long reads of the lease proxies' records take. */
@@ -43,7 +43,7 @@
   /** The longest time between two direct commands that the leader hears the machine by. */
   private static final long COMMAND_MS = 2000;
 
-  private long seq = 100;
+  private long sequenceNumber = 100;
 
   IncarnationLeaseExpiryTest() {
     super(5);
@@ -54,45 +54,47 @@
     long endMs = context.nowMs + ms;
     long readMs = Long.MAX_VALUE;
     while (context.nowMs < endMs) {
-      pass(Math.min(TICK_MS, endMs - context.nowMs));
-      workers.tick();
-      if (reads.isEmpty()) {
+      advance(Math.min(TICK_MS, endMs - context.nowMs));
+      commander.tick();
+      if (proxyReads.isEmpty()) {
         readMs = Long.MAX_VALUE;
       } else if (readMs == Long.MAX_VALUE) {
         readMs = context.nowMs + READ_MS;
       } else if (context.nowMs >= readMs) {
-        reads.remove().accept(Set.of());
+        proxyReads.remove().accept(Set.of());
       }
     }
   }
 
   /** The leader finds that the lease has lapsed and reads the lease proxies' records. */
-  private Consumer<Set<String>> beginToSettle() {
-    elapse(context.leaseMs());
-    while (!lapses.lapsed(machine) || reads.isEmpty()) {
-      reads.clear();
-      lapses.elected();
-      pass(TICK_MS);
-      workers.tick();
+  private Consumer<Set<String>> beginToExpire() {
+    elapse(context.workerLeaseMs());
+    while (!leaseExpiry.hasExpired(machine) || proxyReads.isEmpty()) {
+      proxyReads.clear();
+      leaseExpiry.onElected();
+      advance(TICK_MS);
+      commander.tick();
     }
-    return reads.remove();
+    return proxyReads.remove();
   }
 
   /** Answers the one direct command that is under way with what the worker then reports. */
-  private Effect.AskCommands answerDirectly(boolean executed, long session, TaskStatus... tasks) {
-    List<Effect.AskCommands> sent = effects(Effect.AskCommands.class);
+  private Effect.SendCommands answerDirectly(boolean executed, long session, TaskStatus... tasks) {
+    List<Effect.SendCommands> sent = effects(Effect.SendCommands.class);
     assertEquals(1, sent.size());
-    Effect.AskCommands it = sent.get(0);
-    context.answered(
-        it.call(), new Reply.WorkerAnswer(executed, reportOf(session, ++seq, it.token(), tasks)));
+    Effect.SendCommands it = sent.get(0);
+    context.completeCall(
+        it.callId(),
+        new Reply.WorkerReply(
+            executed, heartbeat(session, ++sequenceNumber, it.fencingToken(), tasks)));
     return it;
   }
 
   /** A direct command that only raises the token, and its answer. */
   private void commandDirectly(boolean executed, long session, TaskStatus... tasks) {
-    machine.token++;
-    machine.setUrgent();
-    workers.tick();
+    machine.fencingToken++;
+    machine.requestCommand();
+    commander.tick();
     answerDirectly(executed, session, tasks);
   }
 
@@ -101,20 +103,20 @@
     long endMs = context.nowMs + ms;
     while (context.nowMs + COMMAND_MS < endMs) {
       elapse(COMMAND_MS);
-      commandDirectly(true, SESSION, running(task));
+      commandDirectly(true, INCARNATION, runningStatus(task));
     }
     elapse(endMs - context.nowMs);
   }
 
   /** Reserves the task anew and starts it by a direct command in the next session. */
-  private Reservation startInNextSession() {
-    Reservation task = reserved();
-    machine.setUrgent();
-    workers.tick();
-    Effect.AskCommands sent = answerDirectly(true, NEXT_SESSION, running(task));
-    assertEquals(ImmutableList.of(new Command.Run(task.id())), sent.commands());
-    assertEquals(NEXT_SESSION, sent.session());
-    assertEquals(TaskStatus.State.RUNNING, task.seen);
+  private Reservation startInNextIncarnation() {
+    Reservation task = reserveTask();
+    machine.requestCommand();
+    commander.tick();
+    Effect.SendCommands sent = answerDirectly(true, NEXT_INCARNATION, runningStatus(task));
+    assertEquals(ImmutableList.of(new WorkerCommand.Run(task.toAttempt())), sent.commands());
+    assertEquals(NEXT_INCARNATION, sent.incarnation());
+    assertEquals(TaskStatus.State.RUNNING, task.reportedState);
     return task;
   }
 
@@ -125,91 +127,93 @@
   @ParameterizedTest
   @ValueSource(ints = {10_000, 9900, 9500, 9000, 6000, 3000, 1000, 500, 100})
   void aTaskOfANewSessionOutlivesTheLeaseOfTheOneBefore(int answeredBeforeMs) {
-    Reservation first = started();
-    elapseUnderCommands(context.leaseMs() - answeredBeforeMs, first);
-    report(SESSION, ++seq, machine.token, running(first));
+    Reservation first = startTask();
+    elapseUnderCommands(context.workerLeaseMs() - answeredBeforeMs, first);
+    sendHeartbeat(INCARNATION, ++sequenceNumber, machine.fencingToken, runningStatus(first));
     elapseUnderCommands(answeredBeforeMs + TICK_MS, first);
-    commandDirectly(false, NEXT_SESSION);
-    assertNull(job.placed.get(0), "the session before is over");
-    assertEquals(1, log.begunByCommand());
+    commandDirectly(false, NEXT_INCARNATION);
+    assertNull(job.reservations.get(0), "the session before is over");
+    assertEquals(1, leaseLog.startedByCommand());
     long seenMs = context.nowMs;
-    Reservation task = startInNextSession();
+    Reservation task = startInNextIncarnation();
 
-    elapse(seenMs + context.leaseMs() - context.nowMs);
-    assertSame(task, job.placed.get(0), "the new session's lease is not over");
+    elapse(seenMs + context.workerLeaseMs() - context.nowMs);
+    assertSame(task, job.reservations.get(0), "the new session's lease is not over");
     elapse(JUDGED_MS);
-    assertNull(job.placed.get(0), "the new session's lease is surely over");
+    assertNull(job.reservations.get(0), "the new session's lease is surely over");
   }
 
   /** What was read before a lease was over says nothing of who has renewed it since. */
   @Test
   void aReadFromBeforeANewSessionSettlesNothingOfIt() {
-    started();
-    Consumer<Set<String>> read = beginToSettle();
-    report(SESSION, ++seq, machine.token);
-    pass(TICK_MS);
-    commandDirectly(false, NEXT_SESSION);
-    Reservation task = startInNextSession();
-    context.nowMs += context.leaseMs() + JUDGED_MS;
+    startTask();
+    Consumer<Set<String>> read = beginToExpire();
+    sendHeartbeat(INCARNATION, ++sequenceNumber, machine.fencingToken);
+    advance(TICK_MS);
+    commandDirectly(false, NEXT_INCARNATION);
+    Reservation task = startInNextIncarnation();
+    context.nowMs += context.workerLeaseMs() + JUDGED_MS;
     read.accept(Set.of());
-    assertSame(task, job.placed.get(0));
-    assertEquals(1, log.outdatedReads());
+    assertSame(task, job.reservations.get(0));
+    assertEquals(1, leaseLog.staleReads());
   }
 
   /** The same where a report of the session that was taken for lapsed is answered. */
   @Test
   void aReadFromBeforeTheLastAnswerSettlesNothing() {
-    Reservation task = started();
-    Consumer<Set<String>> read = beginToSettle();
-    report(SESSION, ++seq, machine.token, running(task));
-    context.nowMs += context.leaseMs() + JUDGED_MS;
+    Reservation task = startTask();
+    Consumer<Set<String>> read = beginToExpire();
+    sendHeartbeat(INCARNATION, ++sequenceNumber, machine.fencingToken, runningStatus(task));
+    context.nowMs += context.workerLeaseMs() + JUDGED_MS;
     read.accept(Set.of());
-    assertSame(task, job.placed.get(0));
-    assertEquals(1, log.outdatedReads());
+    assertSame(task, job.reservations.get(0));
+    assertEquals(1, leaseLog.staleReads());
   }
 
   /** What would start there is settled with the rest before it is seen to run. */
   @Test
   void nothingIsStartedWhereALeaseHasLapsed() {
-    Reservation task = started();
-    elapseUnderCommands(context.leaseMs() + context.stepMs(), task);
-    assertTrue(liveness.heard(machine));
-    assertTrue(lapses.lapsed(machine));
-    assertFalse(liveness.usable(machine));
-    report(SESSION, ++seq, machine.token, running(task));
-    assertTrue(liveness.usable(machine), "its lease is renewed");
+    Reservation task = startTask();
+    elapseUnderCommands(context.workerLeaseMs() + context.stepMs(), task);
+    assertTrue(liveness.hasRecentHeartbeat(machine));
+    assertTrue(leaseExpiry.hasExpired(machine));
+    assertFalse(liveness.isSchedulable(machine));
+    sendHeartbeat(INCARNATION, ++sequenceNumber, machine.fencingToken, runningStatus(task));
+    assertTrue(liveness.isSchedulable(machine), "its lease is renewed");
   }
 
   @Test
   void aLeaseIsSettledOnceItIsSurelyOver() {
-    Reservation task = started();
-    elapse(context.leaseMs());
-    assertSame(task, job.placed.get(0));
+    Reservation task = startTask();
+    elapse(context.workerLeaseMs());
+    assertSame(task, job.reservations.get(0));
     elapse(JUDGED_MS);
-    assertNull(job.placed.get(0));
+    assertNull(job.reservations.get(0));
   }
 
   /** The clocks may drift, and half a step is kept to spare. */
   @Test
   void aLeaseLapsesWithDriftAndMargin() {
     long lapseMs =
-        context.nowMs + ControllerContext.surely(context.leaseMs()) + context.stepMs() / 2;
+        context.nowMs
+            + ControllerContext.withClockDrift(context.workerLeaseMs())
+            + context.stepMs() / 2;
     context.nowMs = lapseMs;
-    assertFalse(lapses.lapsed(machine));
+    assertFalse(leaseExpiry.hasExpired(machine));
     context.nowMs = lapseMs + 1;
-    assertTrue(lapses.lapsed(machine));
+    assertTrue(leaseExpiry.hasExpired(machine));
   }
 
   /** A cut that ends thousands of sessions at once does not flood the log. */
   @Test
   void someLinesAStepAreWrittenAndTheRestIsCounted() {
     for (int i = 0; i < 100; i++) {
-      log.begun(machine, SESSION, context.nowMs, true);
+      leaseLog.incarnationStarted(machine, INCARNATION, context.nowMs, true);
     }
-    assertEquals(100, log.begunByCommand());
-    assertEquals(80, log.leftOut());
+    assertEquals(100, leaseLog.startedByCommand());
+    assertEquals(80, leaseLog.suppressedLines());
     context.nowMs += context.stepMs();
-    log.begun(machine, SESSION, context.nowMs, true);
-    assertEquals(80, log.leftOut());
+    leaseLog.incarnationStarted(machine, INCARNATION, context.nowMs, true);
+    assertEquals(80, leaseLog.suppressedLines());
   }
 }
--- a/src/test/java/eiderfork/controller/JobArchiverTest.java
+++ b/src/test/java/eiderfork/controller/JobArchiverTest.java
@@ -32,7 +32,7 @@
 class JobArchiverTest {
   private static final double STAY_S = 0.5;
 
-  private static SimulatedCluster world(long seed) {
+  static SimulatedCluster world(long seed) {
     return new SimulatedCluster(seed, TestFixtures.archivingAfter(STAY_S));
   }
 
@@ -40,7 +40,7 @@
     return LongStream.rangeClosed(1, 20);
   }
 
-  private static void rulesHold(SimulatedCluster world) {
+  private static void assertNoBreaches(SimulatedCluster world) {
     assertEquals(List.of(), world.checker.breaches);
   }
 
@@ -49,16 +49,16 @@
   }
 
   /** Nothing of the job is left but the record of its final state. */
-  private static void hasLeft(SimulatedCluster world, Job job) {
+  private static void assertArchivedCompletely(SimulatedCluster world, Job job) {
     assertInstanceOf(
-        StoredRecord.EndedJob.class, world.state.get(StoreKeys.ended(job.uid())), job::uid);
+        StoredRecord.ArchivedJob.class, world.state.get(StoreKeys.ended(job.uid())), job::uid);
     assertNull(world.state.get(StoreKeys.job(job.uid())), job::uid);
     assertNull(world.state.get(StoreKeys.alloc(job.uid())), job::uid);
-    assertNull(world.state.get(StoreKeys.abort(job.uid())), job::uid);
+    assertNull(world.state.get(StoreKeys.cancellation(job.uid())), job::uid);
   }
 
   /** An array that is done, and a service that is cancelled. */
-  private static List<Job> ended(SimulatedCluster world) {
+  private static List<Job> runJobsToTheirEnd(SimulatedCluster world) {
     Job array = TestFixtures.job(1, JobKind.ARRAY, 3, 1);
     Job service = TestFixtures.job(2, JobKind.SERVICE, 2, 1);
     world.submit(array);
@@ -71,7 +71,7 @@
   private static void write(
       SimulatedCluster world, StoreRequest.Condition condition, String key, StoredRecord record) {
     world.state.execute(
-        new StoreRequest.Transact(
+        new StoreRequest.Transaction(
             ImmutableList.of(condition), ImmutableList.of(StoreRequest.Change.put(key, record))),
         world.nowMs,
         reply -> assertInstanceOf(Reply.Committed.class, reply));
@@ -84,14 +84,18 @@
 
   private static void abortLateAsOlderVersion(SimulatedCluster world, Job job) {
     StoreRequest.Condition neverStarted = new StoreRequest.Condition(StoreKeys.alloc(job.uid()), 0);
-    write(world, neverStarted, StoreKeys.abort(job.uid()), new StoredRecord.Aborted(job.uid()));
+    write(
+        world,
+        neverStarted,
+        StoreKeys.cancellation(job.uid()),
+        new StoredRecord.Cancellation(job.uid()));
   }
 
   @Test
   void endedJobsLeaveKeysAndMemoryAndAreAnsweredForEverywhere() {
     SimulatedCluster world = world(1);
-    List<Job> jobs = ended(world);
-    jobs.forEach(job -> hasLeft(world, job));
+    List<Job> jobs = runJobsToTheirEnd(world);
+    jobs.forEach(job -> assertArchivedCompletely(world, job));
     assertEquals(0, world.nodes.get(world.leader()).jobsInMemory());
     for (Job job : jobs) {
       world.lookClosely(job.uid());
@@ -102,33 +106,33 @@
     int answers = world.checker.answers;
     world.run(5);
     assertEquals(answers + 2 * 9, world.checker.answers);
-    rulesHold(world);
-    assertEquals(JobStatus.Stance.DONE, world.checker.finalStance(jobs.get(0).uid()));
-    assertEquals(JobStatus.Stance.ABORTED, world.checker.finalStance(jobs.get(1).uid()));
-    jobs.forEach(job -> hasLeft(world, job));
+    assertNoBreaches(world);
+    assertEquals(JobStatus.Phase.DONE, world.checker.finalStance(jobs.get(0).uid()));
+    assertEquals(JobStatus.Phase.ABORTED, world.checker.finalStance(jobs.get(1).uid()));
+    jobs.forEach(job -> assertArchivedCompletely(world, job));
   }
 
   /** Processes that remember nothing answer from the archived record alone. */
   @Test
   void processesStartedLaterKnowArchivedJobs() {
     SimulatedCluster world = world(2);
-    List<Job> jobs = ended(world);
+    List<Job> jobs = runJobsToTheirEnd(world);
     world.all().forEach(node -> world.crash(node, 500));
     world.run(10);
     jobs.forEach(job -> world.lookClosely(job.uid()));
     int answers = world.checker.answers;
     world.run(5);
     assertEquals(answers + 2 * 6, world.checker.answers);
-    rulesHold(world);
+    assertNoBreaches(world);
   }
 
   @Test
   void jobsStayAsLongAsTheOperatorsSay() {
     SimulatedCluster world = new SimulatedCluster(3, TestFixtures.archivingAfter(60));
-    List<Job> jobs = ended(world);
+    List<Job> jobs = runJobsToTheirEnd(world);
     jobs.forEach(job -> assertFalse(isArchived(world, job)));
     world.run(60);
-    jobs.forEach(job -> hasLeft(world, job));
+    jobs.forEach(job -> assertArchivedCompletely(world, job));
   }
 
   /**
@@ -140,7 +144,7 @@
   @MethodSource("seeds")
   void anOlderVersionsLateSubmissionBringsNothingBack(long seed) {
     SimulatedCluster world = world(seed);
-    List<Job> jobs = ended(world);
+    List<Job> jobs = runJobsToTheirEnd(world);
     int starts = world.checker.starts;
     jobs.forEach(job -> submitLateAsOlderVersion(world, job));
     for (int ms = 0; ms < 2000; ms += 70) {
@@ -150,18 +154,18 @@
       world.at(seed * 40, () -> world.crash(world.leader(), 1000));
     }
     world.run(20);
-    rulesHold(world);
+    assertNoBreaches(world);
     assertEquals(starts, world.checker.starts);
     // The copy itself goes, too, so that later leaders are not bothered by it.
-    jobs.forEach(job -> hasLeft(world, job));
+    jobs.forEach(job -> assertArchivedCompletely(world, job));
   }
 
   /** The same where there is no room, so that no alloc write looks for the archived record. */
   @Test
   void aJobThatCameBackIsAnsweredForFromTheArchiveWhileItWaits() {
     SimulatedCluster world = world(4);
-    Job job = ended(world).get(0);
-    world.cloud.down = true;
+    Job job = runJobsToTheirEnd(world).get(0);
+    world.cloud.isDown = true;
     world.workers().forEach(worker -> world.die(worker.machine.name()));
     world.run(60);
     submitLateAsOlderVersion(world, job);
@@ -172,7 +176,7 @@
       world.at(ms, () -> world.queryAll(job.uid()));
     }
     world.run(10);
-    rulesHold(world);
+    assertNoBreaches(world);
   }
 
   /** A late cancellation of a job that never started when it was asked for, and is done now. */
@@ -180,7 +184,7 @@
   @MethodSource("seeds")
   void anOlderVersionsLateCancellationChangesNothing(long seed) {
     SimulatedCluster world = world(seed);
-    Job done = ended(world).get(0);
+    Job done = runJobsToTheirEnd(world).get(0);
     world.checker.userAborts(done.uid());
     abortLateAsOlderVersion(world, done);
     if (seed % 2 == 0) {
@@ -194,10 +198,10 @@
     }
     world.at(9000, () -> world.abortAt("roost-0", done.uid()));
     world.run(15);
-    rulesHold(world);
-    assertEquals(JobStatus.Stance.DONE, world.checker.finalStance(done.uid()));
+    assertNoBreaches(world);
+    assertEquals(JobStatus.Phase.DONE, world.checker.finalStance(done.uid()));
     assertEquals(
-        new StoredRecord.EndedJob(JobStatus.Stance.DONE, 3),
+        new StoredRecord.ArchivedJob(JobStatus.Phase.DONE, 3),
         world.state.get(StoreKeys.ended(done.uid())));
   }
 
@@ -205,9 +209,9 @@
   @Test
   void aCancelledCopyOfADoneJobIsNotTheLastWord() {
     SimulatedCluster world = new SimulatedCluster(10, TestFixtures.archivingAfter(20));
-    Job done = ended(world).get(0);
+    Job done = runJobsToTheirEnd(world).get(0);
     world.run(30);
-    hasLeft(world, done);
+    assertArchivedCompletely(world, done);
     world.checker.userAborts(done.uid());
     submitLateAsOlderVersion(world, done);
     abortLateAsOlderVersion(world, done);
@@ -221,8 +225,8 @@
     world.run(40);
     world.queryAll(done.uid());
     world.run(3);
-    rulesHold(world);
-    assertEquals(JobStatus.Stance.DONE, world.checker.finalStance(done.uid()));
+    assertNoBreaches(world);
+    assertEquals(JobStatus.Phase.DONE, world.checker.finalStance(done.uid()));
     assertNull(world.state.get(StoreKeys.job(done.uid())));
   }
 
@@ -235,6 +239,20 @@
   @MethodSource("seeds")
   void nothingIsTakenBackWhateverIsLateOrLost(long seed) {
     SimulatedCluster world = world(seed);
+    List<Job> jobs = play(world, seed);
+    assertNoBreaches(world);
+    jobs.forEach(job -> world.queryAll(job.uid()));
+    world.run(3);
+    assertNoBreaches(world);
+    for (Job job : jobs) {
+      assertNotNull(world.checker.finalStance(job.uid()), job::uid);
+      assertArchivedCompletely(world, job);
+    }
+    assertEquals(0, world.nodes.get(world.leader()).jobsInMemory());
+  }
+
+  /** Plays the history of moves to the archive of this seed to its quiet end; tells the jobs. */
+  static List<Job> play(SimulatedCluster world, long seed) {
     Random script = new Random(seed);
     world.lookCloselyAtNews(true);
     List<Job> jobs = new ArrayList<>();
@@ -265,15 +283,7 @@
     world.run(62);
     world.quiet();
     world.run(40);
-    rulesHold(world);
-    jobs.forEach(job -> world.queryAll(job.uid()));
-    world.run(3);
-    rulesHold(world);
-    for (Job job : jobs) {
-      assertNotNull(world.checker.finalStance(job.uid()), job::uid);
-      hasLeft(world, job);
-    }
-    assertEquals(0, world.nodes.get(world.leader()).jobsInMemory());
+    return jobs;
   }
 
   /** An older version's node would deny what it does not find, so nothing leaves before. */
@@ -284,7 +294,7 @@
       world.older.add(node);
       world.boot(node);
     }
-    List<Job> jobs = ended(world);
+    List<Job> jobs = runJobsToTheirEnd(world);
     for (String node : world.all()) {
       jobs.forEach(job -> assertFalse(isArchived(world, job), node));
       world.older.remove(node);
@@ -292,8 +302,8 @@
       world.run(8);
     }
     world.run(20);
-    jobs.forEach(job -> hasLeft(world, job));
-    rulesHold(world);
+    jobs.forEach(job -> assertArchivedCompletely(world, job));
+    assertNoBreaches(world);
   }
 
   /**
@@ -302,10 +312,10 @@
   @Test
   void nothingIsArchivedBeforeTheVersionIsStored() {
     SimulatedCluster world = world(6);
-    world.state.spoil(StoreKeys.VERSION);
-    List<Job> jobs = ended(world);
+    world.state.spoil(StoreKeys.CLUSTER_VERSION);
+    List<Job> jobs = runJobsToTheirEnd(world);
     jobs.forEach(job -> assertFalse(isArchived(world, job)));
-    rulesHold(world);
+    assertNoBreaches(world);
   }
 
   /**
@@ -336,7 +346,7 @@
     world.older.clear();
     world.all().forEach(node -> world.crash(node, 500));
     world.run(4);
-    while (world.leader() == null || world.state.get(StoreKeys.VERSION) == null) {
+    while (world.leader() == null || world.state.get(StoreKeys.CLUSTER_VERSION) == null) {
       world.run(0.1);
     }
     // Besides those: a page of the sweep, services whose tasks are not settled yet, and one alive.
@@ -348,10 +358,10 @@
       world.crash(world.leader(), 1000);
     }
     world.run(60);
-    rulesHold(world);
+    assertNoBreaches(world);
     jobs.forEach(job -> world.lookClosely(job.uid()));
     world.run(5);
-    rulesHold(world);
+    assertNoBreaches(world);
     long left = jobs.stream().filter(job -> !isArchived(world, job)).count();
     assertTrue(left <= most, left + " are not archived");
     assertEquals(2, world.checker.running(alive.uid()));
@@ -371,7 +381,7 @@
     world.run(60);
     assertFalse(isArchived(world, service));
     assertNotNull(world.state.get(StoreKeys.job(service.uid())));
-    rulesHold(world);
+    assertNoBreaches(world);
   }
 
   /** A task of a cancelled job on a machine that is not heard counts until it surely is gone. */
@@ -382,15 +392,18 @@
     world.submit(service);
     world.run(15);
     FakeWorker worker =
-        world.workers().stream().filter(it -> !it.report().tasks().isEmpty()).findFirst().get();
+        world.workers().stream()
+            .filter(it -> !it.nextHeartbeat().tasks().isEmpty())
+            .findFirst()
+            .get();
     worker.hanging = true;
     world.abort(service.uid());
     world.run(4);
-    assertEquals(JobStatus.Stance.ABORTED, world.checker.finalStance(service.uid()));
+    assertEquals(JobStatus.Phase.ABORTED, world.checker.finalStance(service.uid()));
     assertFalse(isArchived(world, service), "its task may still run");
     world.run(60);
-    hasLeft(world, service);
-    rulesHold(world);
+    assertArchivedCompletely(world, service);
+    assertNoBreaches(world);
   }
 
   /** After the limits have fallen there is less to be had beside starts, but not nothing. */
@@ -398,10 +411,10 @@
   void jobsAreArchivedUnderLowerLimits() {
     SimulatedCluster world = world(9);
     world.state.lowerLimits(2, 12, world.nowMs);
-    List<Job> jobs = ended(world);
+    List<Job> jobs = runJobsToTheirEnd(world);
     world.run(20);
-    jobs.forEach(job -> hasLeft(world, job));
-    rulesHold(world);
+    jobs.forEach(job -> assertArchivedCompletely(world, job));
+    assertNoBreaches(world);
   }
 
   /** Work has the writes first: while they are short nothing is archived. */
@@ -409,21 +422,21 @@
   void archivingTakesOnlyWhatTheRatesLeaveOver() {
     ControllerContext context =
         new ControllerContext(TestFixtures.settings("roost-0"), new Random(1), 0);
-    StoreClient gate = new StoreClient(context);
-    gate.leading(true);
+    StoreClient store = new StoreClient(context);
+    store.leading(true);
     context.nowMs += 1000;
-    assertTrue(gate.hasSpareWrites(8));
+    assertTrue(store.hasSpareWriteCapacity(8));
     // 0.85 of 40 writes a second may be written at once.
     ImmutableList.Builder<StoreRequest.Change> changes = ImmutableList.builder();
     for (int i = 0; i < 14; i++) {
       changes.add(StoreRequest.Change.remove("key" + i));
     }
-    gate.send(
-        new StoreRequest.Transact(ImmutableList.of(), changes.build()),
+    store.send(
+        new StoreRequest.Transaction(ImmutableList.of(), changes.build()),
         RequestPriority.START,
         reply -> {});
-    assertFalse(gate.hasSpareWrites(8));
+    assertFalse(store.hasSpareWriteCapacity(8));
     context.nowMs += 1000;
-    assertTrue(gate.hasSpareWrites(8));
+    assertTrue(store.hasSpareWriteCapacity(8));
   }
 }
--- a/src/test/java/eiderfork/controller/JobArchiverTransactionTest.java
+++ b/src/test/java/eiderfork/controller/JobArchiverTransactionTest.java
@@ -28,48 +28,48 @@
 
   private final ControllerContext context =
       new ControllerContext(TestFixtures.archivingAfter(1), new Random(1), 1_000_000);
-  private final StoreClient gate = new StoreClient(context);
-  private final LeaderElection term = new LeaderElection(context, gate, null);
-  private final ClusterVersion version = new ClusterVersion(context, gate, term);
-  private final JobRegistry jobs = new JobRegistry(context, gate, term, version);
+  private final StoreClient store = new StoreClient(context);
+  private final LeaderElection election = new LeaderElection(context, store, null);
+  private final ClusterVersion version = new ClusterVersion(context, store, election);
+  private final JobRegistry jobs = new JobRegistry(context, store, election, version);
   private final CancellationTracker cancellations =
-      new CancellationTracker(context, jobs::markAborted);
-  private final FinishedJobSweeper sweep =
-      new FinishedJobSweeper(context, term, jobs, null, cancellations, null);
-  private final JobArchiver archive =
-      new JobArchiver(context, gate, term, version, jobs, cancellations, sweep);
+      new CancellationTracker(context, jobs::markCancelled);
+  private final FinishedJobSweeper sweeper =
+      new FinishedJobSweeper(context, election, jobs, null, cancellations, null);
+  private final JobArchiver archiver =
+      new JobArchiver(context, store, election, version, jobs, cancellations, sweeper);
   private final JobState done = jobs.add(DONE, 3);
   private final JobState cancelled = jobs.add(CANCELLED, 4);
 
   JobArchiverTransactionTest() {
-    gate.leading(true);
-    version.read(new StoredRecord.StoredVersion(ClusterVersion.CURRENT), 2);
-    StoredRecord.Alloc ended =
-        new StoredRecord.Alloc(
-            1, true, ImmutableList.of(), ImmutableList.of(new StoredRecord.Range(0, 1)));
-    jobs.restore(done, ended, 9, new MachineRegistry(context, jobs));
+    store.leading(true);
+    version.recordStored(new StoredRecord.StoredVersion(ClusterVersion.CURRENT), 2);
+    StoredRecord.Allocation ended =
+        new StoredRecord.Allocation(
+            1, true, ImmutableList.of(), ImmutableList.of(new StoredRecord.TaskRange(0, 1)));
+    jobs.restoreAllocation(done, ended, 9, new MachineRegistry(context, jobs));
     cancellations.read(CANCELLED.uid());
   }
 
   /** The calls that the next tick after some time makes. */
-  private List<Effect.AskState> tick() {
+  private List<Effect.CallStore> tick() {
     context.nowMs += 2000;
-    archive.tick();
-    return context.takeEffects().stream().map(Effect.AskState.class::cast).toList();
+    archiver.tick();
+    return context.drainEffects().stream().map(Effect.CallStore.class::cast).toList();
   }
 
-  private static StoreRequest.Transact write(List<Effect.AskState> calls) {
+  private static StoreRequest.Transaction write(List<Effect.CallStore> calls) {
     assertEquals(1, calls.size());
-    return (StoreRequest.Transact) calls.get(0).op();
+    return (StoreRequest.Transaction) calls.get(0).request();
   }
 
   /** Each condition stands against a write or a leader that is late; see the class itself. */
   @Test
   void jobsMoveTogetherUnderTheConditionsThatNothingOfThemHasChanged() {
-    StoreRequest.Transact write = write(tick());
+    StoreRequest.Transaction write = write(tick());
     assertEquals(
         ImmutableList.of(
-            term.condition(),
+            election.leaderCondition(),
             new StoreRequest.Condition(StoreKeys.alloc(CANCELLED.uid()), 0),
             new StoreRequest.Condition(StoreKeys.ended(CANCELLED.uid()), 0),
             new StoreRequest.Condition(StoreKeys.alloc(DONE.uid()), 9),
@@ -83,14 +83,14 @@
                 List.of(
                     StoreRequest.Change.put(
                         StoreKeys.ended(DONE.uid()),
-                        new StoredRecord.EndedJob(JobStatus.Stance.DONE, 2)),
+                        new StoredRecord.ArchivedJob(JobStatus.Phase.DONE, 2)),
                     StoreRequest.Change.remove(StoreKeys.job(DONE.uid())),
                     StoreRequest.Change.remove(StoreKeys.alloc(DONE.uid())),
                     StoreRequest.Change.put(
                         StoreKeys.ended(CANCELLED.uid()),
-                        new StoredRecord.EndedJob(JobStatus.Stance.ABORTED, 0)),
+                        new StoredRecord.ArchivedJob(JobStatus.Phase.ABORTED, 0)),
                     StoreRequest.Change.remove(StoreKeys.job(CANCELLED.uid())),
-                    StoreRequest.Change.remove(StoreKeys.abort(CANCELLED.uid())))));
+                    StoreRequest.Change.remove(StoreKeys.cancellation(CANCELLED.uid())))));
     assertTrue(tick().isEmpty(), "one move is under way at a time");
   }
 
@@ -109,39 +109,39 @@
 
   @Test
   void memoryAnswersUntilTheMoveIsKnownToBeCarriedOut() {
-    List<Effect.AskState> first = tick();
-    context.answered(first.get(0).call(), new Reply.Unanswered());
+    List<Effect.CallStore> first = tick();
+    context.completeCall(first.get(0).callId(), new Reply.Unanswered());
     assertNotNull(jobs.get(DONE.uid()));
-    List<Effect.AskState> second = tick();
+    List<Effect.CallStore> second = tick();
     Reply there =
         new Reply.Conflict(
             ImmutableList.of(
                 StoreKeys.alloc(DONE.uid()),
                 StoreKeys.ended(DONE.uid()),
                 StoreKeys.ended(CANCELLED.uid())));
-    context.answered(second.get(0).call(), there);
+    context.completeCall(second.get(0).callId(), there);
     assertNull(jobs.get(DONE.uid()));
     assertNull(jobs.get(CANCELLED.uid()));
     assertTrue(!cancellations.contains(CANCELLED.uid()));
-    assertEquals(0, jobs.ended().size());
+    assertEquals(0, jobs.finishedJobs().size());
   }
 
   /** Its record is not what this leader thinks, so nothing is concluded from what it thinks. */
   @Test
   void aJobWithAnotherAllocRecordStays() {
-    List<Effect.AskState> calls = tick();
+    List<Effect.CallStore> calls = tick();
     Reply changed = new Reply.Conflict(ImmutableList.of(StoreKeys.alloc(DONE.uid())));
-    context.answered(calls.get(0).call(), changed);
+    context.completeCall(calls.get(0).callId(), changed);
     assertNotNull(jobs.get(DONE.uid()));
-    StoreRequest.Transact again = write(tick());
+    StoreRequest.Transaction again = write(tick());
     assertTrue(again.changes().stream().noneMatch(it -> it.key().endsWith(DONE.uid())));
   }
 
   @Test
   void theAnswerOfAnEarlierTermChangesNothing() {
-    List<Effect.AskState> calls = tick();
-    archive.clear();
-    context.answered(calls.get(0).call(), new Reply.Committed(20));
+    List<Effect.CallStore> calls = tick();
+    archiver.reset();
+    context.completeCall(calls.get(0).callId(), new Reply.Committed(20));
     assertNotNull(jobs.get(DONE.uid()));
   }
 
@@ -149,17 +149,17 @@
   @Test
   void aJobWithSomethingOpenStays() {
     assertTrue(done.isArchivable());
-    done.writing = true;
+    done.writeInFlight = true;
     assertTrue(!done.isArchivable());
-    done.writing = false;
+    done.writeInFlight = false;
     MachineState machine = new MachineState("n-1", 0, new MachineIndexes(), context.nowMs);
     Reservation open = new Reservation(done, 0, 1, machine);
-    done.uncommitted.add(open);
+    done.uncommittedSettlements.add(open);
     assertTrue(!done.isArchivable());
-    done.uncommitted.clear();
-    done.placed.put(0, open);
+    done.uncommittedSettlements.clear();
+    done.reservations.put(0, open);
     assertTrue(!done.isArchivable());
-    done.placed.clear();
+    done.reservations.clear();
     done.freeze();
     assertTrue(!done.isArchivable());
   }
@@ -167,11 +167,11 @@
   /** A watch that was held up brings a job and its move at once, after memory has let it go. */
   @Test
   void whatAWatchShowsAsRemovedLeavesMemory() {
-    LeaderRecovery committed =
+    LeaderRecovery recovery =
         new LeaderRecovery(
             context,
-            gate,
-            term,
+            store,
+            election,
             null,
             null,
             null,
@@ -185,9 +185,9 @@
             null,
             null,
             null);
-    committed.changed(new Reply.Item(StoreKeys.job(DONE.uid()), null, 20));
+    recovery.applyChange(new Reply.Item(StoreKeys.job(DONE.uid()), null, 20));
     assertNull(jobs.get(DONE.uid()));
-    committed.changed(new Reply.Item(StoreKeys.abort(CANCELLED.uid()), null, 20));
+    recovery.applyChange(new Reply.Item(StoreKeys.cancellation(CANCELLED.uid()), null, 20));
     assertTrue(!cancellations.contains(CANCELLED.uid()));
   }
 
@@ -196,12 +196,13 @@
   void memoryHoldsNoMoreEndedJobsThanTheOperatorsSay() {
     ControllerContext few =
         new ControllerContext(TestFixtures.archiving(3600, 1), new Random(1), 0);
-    assertEquals(1, few.settings.operator().mostEndedJobs());
+    assertEquals(1, few.settings.operator().maxEndedJobs());
     context.nowMs += 2000;
-    JobArchiver limited = new JobArchiver(few, gate, term, version, jobs, cancellations, sweep);
+    JobArchiver limited =
+        new JobArchiver(few, store, election, version, jobs, cancellations, sweeper);
     limited.tick();
-    StoreRequest.Transact write =
-        write(context.takeEffects().stream().map(Effect.AskState.class::cast).toList());
+    StoreRequest.Transaction write =
+        write(context.drainEffects().stream().map(Effect.CallStore.class::cast).toList());
     assertEquals(1, write.changes().stream().filter(it -> it.record() != null).count());
   }
 }
--- a/src/test/java/eiderfork/controller/LargeCellTest.java
+++ b/src/test/java/eiderfork/controller/LargeCellTest.java
@@ -32,18 +32,19 @@
       new MachineType("c8", new Resources(8, 0, 64), 50, 2, 1, 0.4, 3, ZONES);
 
   private final ControllerContext context =
-      new ControllerContext(TestFixtures.slow(), new Random(1), 1_000_000);
-  private final StoreClient gate = new StoreClient(context);
-  private final LeaderElection term = new LeaderElection(context, gate, ElectedLeader.NO_LISTENER);
-  private final JobRegistry jobs = new JobRegistry(context, gate, term, null);
+      new ControllerContext(TestFixtures.longLeaseSettings(), new Random(1), 1_000_000);
+  private final StoreClient store = new StoreClient(context);
+  private final LeaderElection election =
+      new LeaderElection(context, store, ElectedLeader.NO_LISTENER);
+  private final JobRegistry jobs = new JobRegistry(context, store, election, null);
   private final MachineRegistry fleet = new MachineRegistry(context, jobs);
-  private final CloudProvisioner cloud = new CloudProvisioner(context, term, gate, fleet);
+  private final CloudProvisioner cloud = new CloudProvisioner(context, election, store, fleet);
 
   @BeforeEach
   void lead() {
-    ElectedLeader.win(context, term);
-    context.takeEffects();
-    assertTrue(term.sure());
+    ElectedLeader.win(context, election);
+    context.drainEffects();
+    assertTrue(election.isLeaseValid());
     fleet.types(ImmutableList.of(TYPE));
   }
 
@@ -52,8 +53,8 @@
   }
 
   private void answerState(Reply reply) {
-    for (Effect.AskState asked : effects(Effect.AskState.class)) {
-      context.answered(asked.call(), reply);
+    for (Effect.CallStore storeCall : effects(Effect.CallStore.class)) {
+      context.completeCall(storeCall.callId(), reply);
     }
   }
 
@@ -75,23 +76,23 @@
   /** Twelve pages at once were past the cloud's rate, and a list that failed began anew. */
   @Test
   void aWholeListIsReadWithinTheRateOfCalls() {
-    double rps = context.settings.cloudLimits().rps();
+    double rps = context.settings.cloudLimits().requestsPerS();
     long beganMs = context.nowMs;
     int calls = 0;
     boolean refusedOne = false;
-    while (!cloud.listed()) {
+    while (!cloud.hasCompleteListing()) {
       context.nowMs += 50;
       cloud.tick();
-      for (Effect effect : context.takeEffects()) {
-        if (effect instanceof Effect.AskHosts it) {
+      for (Effect effect : context.drainEffects()) {
+        if (effect instanceof Effect.ListHosts it) {
           calls++;
           // The cloud may count others' calls, too.
           boolean refuses = calls == 7 && !refusedOne;
           refusedOne |= refuses;
-          context.answered(it.call(), refuses ? new Reply.Refused(429) : page(it.after()));
-        } else if (effect instanceof Effect.AskTypes it) {
+          context.completeCall(it.callId(), refuses ? new Reply.Refused(429) : page(it.after()));
+        } else if (effect instanceof Effect.ListMachineTypes it) {
           calls++;
-          context.answered(it.call(), new Reply.Types(ImmutableList.of(TYPE)));
+          context.completeCall(it.callId(), new Reply.Types(ImmutableList.of(TYPE)));
         }
       }
       double seconds = (context.nowMs - beganMs) / 1000.0;
@@ -106,45 +107,48 @@
   @Test
   void machinesThatAreLongGoneAreForgotten() {
     for (int i = 0; i < MACHINES; i++) {
-      fleet.remove(fleet.known(name(i)), "it died");
+      fleet.remove(fleet.getOrRegister(name(i)), "it died");
     }
-    fleet.listing(java.util.Map.of(), context.nowMs);
-    assertTrue(fleet.isGone(name(1)));
-    context.nowMs += 60 * context.leaseMs() + 1;
-    fleet.listing(java.util.Map.of(), context.nowMs);
-    assertFalse(fleet.isGone(name(1)));
+    fleet.applyMachineList(java.util.Map.of(), context.nowMs);
+    assertTrue(fleet.isRemoved(name(1)));
+    context.nowMs += 60 * context.workerLeaseMs() + 1;
+    fleet.applyMachineList(java.util.Map.of(), context.nowMs);
+    assertFalse(fleet.isRemoved(name(1)));
   }
 
   /** One rent of fifty for a kind and plan took two minutes for six thousand machines. */
   @Test
   void rentsOfAKindThatIsFilledAreAskedForTogether() {
-    ScaleOutRequests rents = cloud.rents();
-    CloudProvisioner.Kind kind = new CloudProvisioner.Kind("c8", "a", false);
-    assertEquals(1, rents.mostAtOnce(kind), "what the cloud has is not known");
+    ScaleOutRequests scaleOut = cloud.rents();
+    CloudProvisioner.MachineKind kind = new CloudProvisioner.MachineKind("c8", "a", false);
+    assertEquals(1, scaleOut.maxConcurrentRents(kind), "what the cloud has is not known");
     int last = 0;
     for (int i = 0; i < 4; i++) {
-      rents.rent(kind, 50);
+      scaleOut.rent(kind, 50);
       context.nowMs += 1000;
-      gate.pump();
+      store.sendQueued();
       answerState(new Reply.Committed(10 + i));
-      rents.tick();
-      List<Effect.AskRent> asked = effects(Effect.AskRent.class);
+      scaleOut.tick();
+      List<Effect.RentMachines> asked = effects(Effect.RentMachines.class);
       assertEquals(1, asked.size());
       ImmutableList.Builder<String> names = ImmutableList.builder();
       for (int j = 0; j < 50; j++) {
         names.add(name(++last));
       }
-      context.answered(asked.get(0).call(), new Reply.Rented(names.build()));
+      context.completeCall(asked.get(0).callId(), new Reply.Rented(names.build()));
     }
     assertEquals(
-        (int) context.settings.cloudLimits().rps(), rents.mostAtOnce(kind), "the rate bounds it");
-    rents.rent(kind, 50);
+        (int) context.settings.cloudLimits().requestsPerS(),
+        scaleOut.maxConcurrentRents(kind),
+        "the rate bounds it");
+    scaleOut.rent(kind, 50);
     context.nowMs += 1000;
-    gate.pump();
+    store.sendQueued();
     answerState(new Reply.Committed(20));
-    rents.tick();
-    context.answered(effects(Effect.AskRent.class).get(0).call(), new Reply.NoCapacity());
-    assertEquals(1, rents.mostAtOnce(kind), "it has no more");
+    scaleOut.tick();
+    context.completeCall(
+        effects(Effect.RentMachines.class).get(0).callId(), new Reply.NoCapacity());
+    assertEquals(1, scaleOut.maxConcurrentRents(kind), "it has no more");
   }
 
   /**
@@ -156,9 +160,10 @@
     SimulatedCluster world = worldOfManyMachines();
     int tasks = 0;
     for (int i = 0; tasks < MACHINES * 9 / 10; i++) {
-      Job like = TestFixtures.job(i, JobKind.SERVICE, 50, 0, "blue", Priority.HIGH, false, false);
-      world.submit(TestFixtures.sized(like, TYPE.room(), 0, TYPE.name()));
-      tasks += like.tasks();
+      Job template =
+          TestFixtures.job(i, JobKind.SERVICE, 50, 0, "blue", Priority.HIGH, false, false);
+      world.submit(TestFixtures.sized(template, TYPE.capacity(), 0, TYPE.name()));
+      tasks += template.tasks();
     }
     world.run(18);
     assertEquals(tasks, world.checker.runningTasks());
@@ -168,7 +173,7 @@
     int most = 0;
     for (int i = 0; i < 160; i++) {
       world.run(0.05);
-      most = Math.max(most, leader.placementExamined());
+      most = Math.max(most, leader.machinesExaminedInRound());
     }
     assertEquals(4, world.checker.running(late.uid()));
     assertTrue(most < MACHINES / 4, most + " looks at machines for four tasks");
@@ -176,8 +181,9 @@
   }
 
   private static SimulatedCluster worldOfManyMachines() {
-    Settings.StateLimits limits = new Settings.StateLimits(4000, 400, 8, 16);
-    Settings settings = TestFixtures.settings("roost-0", TestFixtures.SLOW, limits, 1, 8000, 3);
+    Settings.StoreLimits limits = new Settings.StoreLimits(4000, 400, 8, 16);
+    Settings settings =
+        TestFixtures.settings("roost-0", TestFixtures.LONG_LEASES, limits, 1, 8000, 3);
     SimulatedCluster world = new SimulatedCluster(3, TestFixtures.withCloudRate(settings, 40));
     world.cloud.types = ImmutableList.of(TYPE);
     world.cloud.capacity = MACHINES / 3;
--- a/src/test/java/eiderfork/controller/LateBootTest.java
+++ b/src/test/java/eiderfork/controller/LateBootTest.java
@@ -25,9 +25,9 @@
     assertEquals(List.of(), world.checker.breaches);
   }
 
-  private void zoneBoots(String zone, long bootMs) {
+  private void setBootTime(String zone, long bootMs) {
     for (boolean spot : new boolean[] {false, true}) {
-      world.cloud.bootMsOf.put(new CloudProvisioner.Kind("g4", zone, spot), bootMs);
+      world.cloud.bootMsByKind.put(new CloudProvisioner.MachineKind("g4", zone, spot), bootMs);
     }
   }
 
@@ -35,8 +35,8 @@
   @ParameterizedTest
   @ValueSource(longs = {20 * 4000, NEVER_MS})
   void replicasDoNotWaitForABootThatIsOverdue(long bootMs) {
-    zoneBoots("a", bootMs);
-    zoneBoots("b", 3000);
+    setBootTime("a", bootMs);
+    setBootTime("b", 3000);
     Job job = TestFixtures.job(1, JobKind.SERVICE, 4, 4);
     world.submit(job);
     // Overdue after two boots, then a plan, a rent, a boot and an image.
@@ -44,14 +44,14 @@
     assertEquals(4, world.checker.running(job.uid()));
     world.run(120);
     assertEquals(4, world.checker.running(job.uid()));
-    assertTrue(world.cloud.liveHosts() <= 6, "what came up late is used or returned");
+    assertTrue(world.cloud.liveHostCount() <= 6, "what came up late is used or returned");
   }
 
   /** While the first rent of a need is not known to be late, no second one follows. */
   @Test
   void noMachineIsRentedTwiceBeforeItIsOverdue() {
-    zoneBoots("a", (long) (BOOT_S * 1.9 * 1000));
-    zoneBoots("b", (long) (BOOT_S * 1.9 * 1000));
+    setBootTime("a", (long) (BOOT_S * 1.9 * 1000));
+    setBootTime("b", (long) (BOOT_S * 1.9 * 1000));
     world.submit(TestFixtures.job(1, JobKind.SERVICE, 4, 4));
     world.run(4);
     int rented = world.cloud.hosts().size();
@@ -62,25 +62,25 @@
   /** All kinds are late for a while: the fleet stays bounded, and work starts when that is over. */
   @Test
   void whereAllAreLateTheFleetStaysBounded() {
-    zoneBoots("a", (long) (BOOT_S * 20 * 1000));
-    zoneBoots("b", (long) (BOOT_S * 20 * 1000));
+    setBootTime("a", (long) (BOOT_S * 20 * 1000));
+    setBootTime("b", (long) (BOOT_S * 20 * 1000));
     Job job = TestFixtures.job(1, JobKind.SERVICE, 4, 4);
     world.submit(job);
     world.run(60);
-    assertTrue(world.cloud.liveHosts() <= 40, world.cloud.liveHosts() + " machines live");
-    zoneBoots("a", 3000);
-    zoneBoots("b", 3000);
+    assertTrue(world.cloud.liveHostCount() <= 40, world.cloud.liveHostCount() + " machines live");
+    setBootTime("a", 3000);
+    setBootTime("b", 3000);
     world.run(BOOT_S * 4);
     assertEquals(4, world.checker.running(job.uid()));
     world.run(120);
-    assertTrue(world.cloud.liveHosts() <= 6, world.cloud.liveHosts() + " machines live");
+    assertTrue(world.cloud.liveHostCount() <= 6, world.cloud.liveHostCount() + " machines live");
   }
 
   /** Machines are up at once, long before any list has them; the leader ends meanwhile. */
   @Test
   void bootsThatComeEarlyMeetTheEndOfTheLeader() {
-    zoneBoots("a", 100);
-    zoneBoots("b", 100);
+    setBootTime("a", 100);
+    setBootTime("b", 100);
     world.run(2);
     Job job = TestFixtures.job(1, JobKind.SERVICE, 4, 4);
     world.submit(job);
@@ -88,6 +88,6 @@
     world.run(20);
     assertEquals(4, world.checker.running(job.uid()));
     world.run(100);
-    assertTrue(world.cloud.liveHosts() <= 6, world.cloud.liveHosts() + " machines live");
+    assertTrue(world.cloud.liveHostCount() <= 6, world.cloud.liveHostCount() + " machines live");
   }
 }
--- a/src/test/java/eiderfork/controller/LeaderAndWorkerFixture.java
+++ b/src/test/java/eiderfork/controller/LeaderAndWorkerFixture.java
@@ -11,13 +11,13 @@
 import eiderfork.controller.message.StoreRequest;
 import eiderfork.controller.store.RequestPriority;
 import eiderfork.controller.store.StoreClient;
-import eiderfork.model.Command;
 import eiderfork.model.Heartbeat;
 import eiderfork.model.JobKind;
 import eiderfork.model.Machine;
 import eiderfork.model.MachineType;
 import eiderfork.model.Resources;
 import eiderfork.model.TaskStatus;
+import eiderfork.model.WorkerCommand;
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.List;
@@ -29,23 +29,23 @@
 /** A leader of term 1 that knows one worker and a job of two tasks; time is the test's. */
 abstract class LeaderAndWorkerFixture {
   static final Machine MACHINE = new Machine("n-1", "n-1:1", "g4", "a", false);
-  static final long SESSION = 1;
+  static final long INCARNATION = 1;
 
   /** Three nodes stand in one zone, five in two. */
   private final int nodes;
 
   final ControllerContext context;
-  final StoreClient gate;
-  final LeaderElection term;
+  final StoreClient store;
+  final LeaderElection election;
   final JobRegistry jobs;
   final MachineRegistry fleet;
   final MachineLiveness liveness;
-  final LeaseExpiry lapses;
-  final WorkerLeaseLog log;
-  final WorkerCommander workers;
+  final LeaseExpiry leaseExpiry;
+  final WorkerLeaseLog leaseLog;
+  final WorkerCommander commander;
 
   /** Reads of the lease proxies' records that are under way. */
-  final Deque<Consumer<Set<String>>> reads = new ArrayDeque<>();
+  final Deque<Consumer<Set<String>>> proxyReads = new ArrayDeque<>();
 
   JobState job;
   MachineState machine;
@@ -55,37 +55,46 @@
     this.nodes = nodes;
     context =
         new ControllerContext(TestFixtures.settings("roost-0", nodes), new Random(1), 1_000_000);
-    gate = new StoreClient(context);
-    term = new LeaderElection(context, gate, ElectedLeader.NO_LISTENER);
-    ClusterVersion version = new ClusterVersion(context, gate, term);
-    jobs = new JobRegistry(context, gate, term, version);
+    store = new StoreClient(context);
+    election = new LeaderElection(context, store, ElectedLeader.NO_LISTENER);
+    ClusterVersion version = new ClusterVersion(context, store, election);
+    jobs = new JobRegistry(context, store, election, version);
     fleet = new MachineRegistry(context, jobs);
     CancellationTracker cancellations = new CancellationTracker(context, uid -> {});
-    liveness = new MachineLiveness(context, term);
-    PeerMonitor peers = new PeerMonitor(context, term, cancellations, version);
-    log = new WorkerLeaseLog(context);
-    lapses = new LeaseExpiry(context, fleet, peers, liveness, log, reads::add, () -> {});
-    workers =
+    liveness = new MachineLiveness(context, election);
+    PeerMonitor peers = new PeerMonitor(context, election, cancellations, version);
+    leaseLog = new WorkerLeaseLog(context);
+    leaseExpiry =
+        new LeaseExpiry(context, fleet, peers, liveness, leaseLog, proxyReads::add, () -> {});
+    commander =
         new WorkerCommander(
-            context, term, jobs, fleet, cancellations, liveness, lapses, log, () -> {});
+            context,
+            election,
+            jobs,
+            fleet,
+            cancellations,
+            liveness,
+            leaseExpiry,
+            leaseLog,
+            () -> {});
   }
 
   /** This node leads term 1 and knows a job of two tasks and an empty machine. */
   @BeforeEach
   void lead() {
-    ElectedLeader.win(context, term);
+    ElectedLeader.win(context, election);
     // The leader's share of the rates fills up.
     context.nowMs += 500;
-    assertTrue(term.sure());
-    context.takeEffects();
-    workers.elected();
-    workers.rebuilt();
+    assertTrue(election.isLeaseValid());
+    context.drainEffects();
+    commander.onElected();
+    commander.recovered();
     fleet.types(
         ImmutableList.of(
             new MachineType("g4", new Resources(4, 4, 64), 50, 2, 8, 3, 4, ImmutableList.of("a"))));
     job = jobs.add(TestFixtures.job(1, JobKind.ARRAY, 2, 1), 1);
-    firstToken = term.firstToken() + 1;
-    report(SESSION, 1, firstToken);
+    firstToken = election.firstFencingToken() + 1;
+    sendHeartbeat(INCARNATION, 1, firstToken);
     machine = fleet.get("n-1");
   }
 
@@ -94,56 +103,59 @@
   }
 
   /** Time passes, a tick's worth or less, and the leader's own lease is renewed. */
-  void pass(long ms) {
+  void advance(long ms) {
     context.nowMs += ms;
-    term.tick();
-    gate.pump();
-    for (Effect.AskState asked : effects(Effect.AskState.class)) {
-      if (asked.op() instanceof StoreRequest.Renew renew) {
-        context.answered(asked.call(), new Reply.Leased(renew.lease()));
+    election.tick();
+    store.sendQueued();
+    for (Effect.CallStore storeCall : effects(Effect.CallStore.class)) {
+      if (storeCall.request() instanceof StoreRequest.Renew renew) {
+        context.completeCall(storeCall.callId(), new Reply.Leased(renew.leaseId()));
       }
     }
-    context.takeEffects();
+    context.drainEffects();
   }
 
   /** Answers the one call to the state service that is open. */
-  void answer(Reply reply) {
+  void answerStore(Reply reply) {
     ElectedLeader.answer(context, reply);
   }
 
-  List<Command> report(long session, long seq, long token, TaskStatus... tasks) {
-    context.takeEffects();
-    workers.report(1, reportOf(session, seq, token, tasks));
-    List<Effect.AnswerWorker> answers = effects(Effect.AnswerWorker.class);
+  List<WorkerCommand> sendHeartbeat(
+      long incarnation, long sequenceNumber, long fencingToken, TaskStatus... tasks) {
+    context.drainEffects();
+    commander.handleHeartbeat(1, heartbeat(incarnation, sequenceNumber, fencingToken, tasks));
+    List<Effect.RespondToWorker> answers = effects(Effect.RespondToWorker.class);
     return answers.isEmpty() ? List.of() : answers.get(0).commands();
   }
 
-  static Heartbeat reportOf(long session, long seq, long token, TaskStatus... tasks) {
-    return new Heartbeat(MACHINE, session, seq, token, null, ImmutableList.copyOf(tasks));
+  static Heartbeat heartbeat(
+      long incarnation, long sequenceNumber, long fencingToken, TaskStatus... tasks) {
+    return new Heartbeat(
+        MACHINE, incarnation, sequenceNumber, fencingToken, null, ImmutableList.copyOf(tasks));
   }
 
-  static TaskStatus running(Reservation task) {
-    return new TaskStatus(task.id(), TaskStatus.State.RUNNING, null, false);
+  static TaskStatus runningStatus(Reservation task) {
+    return new TaskStatus(task.toAttempt(), TaskStatus.State.RUNNING, null, false);
   }
 
-  static TaskStatus done(Reservation task) {
-    return new TaskStatus(task.id(), TaskStatus.State.ENDED, TaskStatus.Cause.DONE, false);
+  static TaskStatus doneStatus(Reservation task) {
+    return new TaskStatus(task.toAttempt(), TaskStatus.State.ENDED, TaskStatus.Cause.DONE, false);
   }
 
-  Reservation reserved() {
-    Reservation task = jobs.propose(job, 0, job.nextAttempt(), machine);
+  Reservation reserveTask() {
+    Reservation task = jobs.propose(job, 0, job.nextAttemptNumber(), machine);
     jobs.write(job, RequestPriority.START);
-    answer(new Reply.Committed(5));
+    answerStore(new Reply.Committed(5));
     assertTrue(task.committed);
     return task;
   }
 
   /** A reserved task that was started and is seen to run, by report 2. */
-  Reservation started() {
-    Reservation task = reserved();
-    report(SESSION, 2, firstToken);
-    report(SESSION, 3, firstToken, running(task));
-    assertEquals(TaskStatus.State.RUNNING, task.seen);
+  Reservation startTask() {
+    Reservation task = reserveTask();
+    sendHeartbeat(INCARNATION, 2, firstToken);
+    sendHeartbeat(INCARNATION, 3, firstToken, runningStatus(task));
+    assertEquals(TaskStatus.State.RUNNING, task.reportedState);
     return task;
   }
 }
--- a/src/test/java/eiderfork/controller/LeaderLeaseTest.java
+++ b/src/test/java/eiderfork/controller/LeaderLeaseTest.java
@@ -24,43 +24,43 @@
 
   private final ControllerContext context =
       new ControllerContext(TestFixtures.settings("roost-0"), new Random(1), 0);
-  private final StoreClient gate = new StoreClient(context);
-  private final LeaderElection term =
+  private final StoreClient store = new StoreClient(context);
+  private final LeaderElection election =
       new LeaderElection(
           context,
-          gate,
+          store,
           new LeaderElection.Listener() {
             @Override
-            public void elected() {}
+            public void onElected() {}
 
             @Override
-            public void deposed() {}
+            public void onLeadershipLost() {}
           });
 
   /** The one call to the state service that is open now. */
-  private Effect.AskState asked() {
-    List<Effect> effects = new ArrayList<>(context.takeEffects());
+  private Effect.CallStore asked() {
+    List<Effect> effects = new ArrayList<>(context.drainEffects());
     assertEquals(1, effects.size(), effects.toString());
-    return assertInstanceOf(Effect.AskState.class, effects.get(0));
+    return assertInstanceOf(Effect.CallStore.class, effects.get(0));
   }
 
-  private void answer(Effect.AskState asked, Reply reply) {
-    context.answered(asked.call(), reply);
-    gate.pump();
+  private void answer(Effect.CallStore storeCall, Reply reply) {
+    context.completeCall(storeCall.callId(), reply);
+    store.sendQueued();
   }
 
   private void pass(long ms) {
     context.nowMs += ms;
-    gate.pump();
+    store.sendQueued();
   }
 
   /** Follows the steps of an election up to the lease that was granted. */
-  private Effect.AskState standUpToGrant() {
-    term.tick();
+  private Effect.CallStore standUpToGrant() {
+    election.tick();
     answer(asked(), new Reply.Value(null, 0));
     answer(asked(), new Reply.Value(null, 0));
-    Effect.AskState grant = asked();
-    assertEquals(new StoreRequest.Grant(LEASE_MS), grant.op());
+    Effect.CallStore grant = asked();
+    assertEquals(new StoreRequest.Grant(LEASE_MS), grant.request());
     return grant;
   }
 
@@ -71,17 +71,17 @@
   @ParameterizedTest
   @ValueSource(longs = {0, 500, 1000, 2000, 2900, 3200})
   void theLeaseCountsFromWhenItWasAskedFor(long stillMs) {
-    Effect.AskState grant = standUpToGrant();
+    Effect.CallStore grant = standUpToGrant();
     long grantedMs = context.nowMs;
     pass(stillMs);
     answer(grant, new Reply.Leased(7));
-    Effect.AskState take = asked();
-    assertInstanceOf(StoreRequest.Transact.class, take.op());
+    Effect.CallStore take = asked();
+    assertInstanceOf(StoreRequest.Transaction.class, take.request());
     answer(take, new Reply.Committed(11));
-    assertTrue(term.leading());
+    assertTrue(election.isLeading());
     for (long ms = stillMs; ms <= 2 * LEASE_MS; ms += 50) {
       context.nowMs = grantedMs + ms;
-      assertFalse(term.sure() && ms >= LEASE_MS, "sure " + ms + " ms after the grant");
+      assertFalse(election.isLeaseValid() && ms >= LEASE_MS, "sure " + ms + " ms after the grant");
     }
   }
 
@@ -93,14 +93,14 @@
     answer(asked(), new Reply.Committed(11));
     pass(50);
     long renewedMs = context.nowMs;
-    term.tick();
-    Effect.AskState renewal = asked();
-    assertEquals(new StoreRequest.Renew(7), renewal.op());
+    election.tick();
+    Effect.CallStore renewal = asked();
+    assertEquals(new StoreRequest.Renew(7), renewal.request());
     pass(stillMs);
     answer(renewal, new Reply.Leased(7));
-    assertEquals(stillMs < LEASE_MS * 9 / 10, term.sure());
+    assertEquals(stillMs < LEASE_MS * 9 / 10, election.isLeaseValid());
     context.nowMs = Math.max(context.nowMs, renewedMs + LEASE_MS);
-    assertFalse(term.sure());
+    assertFalse(election.isLeaseValid());
   }
 
   /**
@@ -110,12 +110,12 @@
   void afterAStillStandNothingIsSureBeforeARenewalIsAnswered() {
     answer(standUpToGrant(), new Reply.Leased(7));
     answer(asked(), new Reply.Committed(11));
-    assertTrue(term.sure());
+    assertTrue(election.isLeaseValid());
     pass(20_000);
-    assertFalse(term.sure());
-    term.tick();
-    assertFalse(term.sure());
+    assertFalse(election.isLeaseValid());
+    election.tick();
+    assertFalse(election.isLeaseValid());
     answer(asked(), new Reply.Refused(404));
-    assertFalse(term.leading());
+    assertFalse(election.isLeading());
   }
 }
--- a/src/test/java/eiderfork/controller/LeaseProxyTest.java
+++ b/src/test/java/eiderfork/controller/LeaseProxyTest.java
@@ -7,7 +7,7 @@
 import eiderfork.controller.message.StoreKeys;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
-import eiderfork.model.JobStatus.Stance;
+import eiderfork.model.JobStatus.Phase;
 import eiderfork.model.Priority;
 import java.util.ArrayList;
 import java.util.List;
@@ -26,12 +26,12 @@
     return LongStream.rangeClosed(1, 12);
   }
 
-  private static SimulatedCluster world(long seed) {
+  static SimulatedCluster world(long seed) {
     return new SimulatedCluster(seed, TestFixtures.settings("roost-0"), 7);
   }
 
   /** Services spread over both zones, which all run. */
-  private static List<Job> spread(SimulatedCluster world, int count) {
+  private static List<Job> runSpreadServices(SimulatedCluster world, int count) {
     List<Job> jobs = new ArrayList<>();
     for (int i = 1; i <= count; i++) {
       jobs.add(TestFixtures.job(i, JobKind.SERVICE, 4, 1, "blue", Priority.HIGH, true, false));
@@ -48,7 +48,7 @@
 
   private static FakeWorker busyIn(SimulatedCluster world, String zone) {
     return world.workers().stream()
-        .filter(w -> w.machine.zone().equals(zone) && !w.present().isEmpty())
+        .filter(worker -> worker.machine.zone().equals(zone) && !worker.presentTasks().isEmpty())
         .findFirst()
         .orElseThrow();
   }
@@ -58,7 +58,7 @@
   @MethodSource("seeds")
   void tasksOfTheOtherZoneOutliveASplit(long seed) {
     SimulatedCluster world = world(seed);
-    List<Job> jobs = spread(world, 4);
+    List<Job> jobs = runSpreadServices(world, 4);
     int starts = world.checker.starts;
     world.splitZones(30_000);
     world.run(30);
@@ -66,13 +66,13 @@
     world.run(10);
     assertEquals(starts, world.checker.starts, "nothing was lost and started again");
     ExpectedOutcome.allServed(world, jobs);
-    assertTrue(world.state.keys(StoreKeys.LEASE_PROXY).isEmpty(), "the records are gone");
+    assertTrue(world.state.keys(StoreKeys.LEASE_PROXY_PREFIX).isEmpty(), "the records are gone");
   }
 
   /** The zones lose each other once more, so long after they found each other. */
   private static void tasksOutliveASecondSplit(long seed, long gapMs) {
     SimulatedCluster world = world(seed);
-    List<Job> jobs = spread(world, 4);
+    List<Job> jobs = runSpreadServices(world, 4);
     int starts = world.checker.starts;
     world.splitZones(20_000);
     world.run(20 + gapMs / 1000.0);
@@ -103,11 +103,11 @@
   }
 
   /** A node that has just been elected may leave the lead to one that more machines report to. */
-  private static final int LEAD_TRIES = 6;
+  private static final int MAX_ELECTIONS = 6;
 
   /** Ends all other nodes until this one leads, and waits until all is as it was. */
-  private static void leadBy(SimulatedCluster world, String node) {
-    for (int i = 0; i < LEAD_TRIES && !node.equals(world.leader()); i++) {
+  private static void makeLeader(SimulatedCluster world, String node) {
+    for (int i = 0; i < MAX_ELECTIONS && !node.equals(world.leader()); i++) {
       for (String other : world.all()) {
         if (!other.equals(node)) {
           world.crash(other, 6000);
@@ -133,7 +133,7 @@
       world.crash(world.leader(), 4000);
       world.run(12);
     }
-    leadBy(world, "roost-6");
+    makeLeader(world, "roost-6");
   }
 
   /** Whichever of the nodes leads that are preferred, no zone loses its tasks in a split. */
@@ -141,8 +141,8 @@
   @ValueSource(ints = {0, 1, 2, 3, 4, 5})
   void tasksOutliveASplitUnderEachLeader(int node) {
     SimulatedCluster world = world(7);
-    List<Job> jobs = spread(world, 4);
-    leadBy(world, "roost-" + node);
+    List<Job> jobs = runSpreadServices(world, 4);
+    makeLeader(world, "roost-" + node);
     jobs.forEach(job -> assertEquals(4, world.checker.running(job.uid()), job::uid));
     int starts = world.checker.starts;
     world.splitZones(25_000);
@@ -156,11 +156,11 @@
   @ValueSource(ints = {0, 1000, 3000, 5000, 6000, 7000, 9000, 15_000, 25_000})
   void aCancellationDuringASplitIsCarriedOutByTheLeaseProxy(int afterMs) {
     SimulatedCluster world = world(3);
-    List<Job> jobs = spread(world, 4);
+    List<Job> jobs = runSpreadServices(world, 4);
     world.splitZones(80_000);
     world.at(afterMs, () -> world.abort(jobs.get(0).uid()));
     world.run(afterMs / 1000.0 + 25);
-    assertEquals(Stance.ABORTED, world.checker.finalStance(jobs.get(0).uid()));
+    assertEquals(Phase.ABORTED, world.checker.finalStance(jobs.get(0).uid()));
     assertEquals(0, world.checker.running(jobs.get(0).uid()));
     world.run(60);
     ExpectedOutcome.allServed(world, jobs);
@@ -171,7 +171,7 @@
   @ValueSource(ints = {0, 2000, 8000, 20_000, 29_000})
   void aMachineThatDiesDuringASplitIsReplaced(int afterMs) {
     SimulatedCluster world = world(4);
-    List<Job> jobs = spread(world, 4);
+    List<Job> jobs = runSpreadServices(world, 4);
     FakeWorker worker = busyIn(world, otherZone(world));
     world.splitZones(30_000);
     world.at(afterMs, () -> world.die(worker.machine.name()));
@@ -184,7 +184,12 @@
   @MethodSource("seeds")
   void rulesHoldWhateverEndsDuringASplit(long seed) {
     SimulatedCluster world = world(seed);
-    List<Job> jobs = spread(world, 4);
+    ExpectedOutcome.allServed(world, playSplit(world, seed));
+  }
+
+  /** Plays a split of the zones while nodes end, and tells the jobs. */
+  static List<Job> playSplit(SimulatedCluster world, long seed) {
+    List<Job> jobs = runSpreadServices(world, 4);
     world.loss = 0.01;
     world.late = 0.02;
     world.doubled = 0.02;
@@ -226,7 +231,7 @@
           });
     }
     world.run(100);
-    ExpectedOutcome.allServed(world, jobs);
+    return jobs;
   }
 
   private static List<String> nodesIn(SimulatedCluster world, String zone) {
@@ -240,7 +245,7 @@
   @ValueSource(ints = {0, 2000, 4000, 5000, 5500, 6000, 7000, 9000, 14_000, 20_000})
   void rulesHoldWhereDeputiesStandStill(int afterMs) {
     SimulatedCluster world = world(6);
-    List<Job> jobs = spread(world, 4);
+    List<Job> jobs = runSpreadServices(world, 4);
     List<String> others = nodesIn(world, otherZone(world));
     world.splitZones(70_000);
     world.at(afterMs, () -> others.forEach(node -> world.freeze(node, 12_000 + afterMs)));
@@ -254,7 +259,7 @@
   @ValueSource(ints = {0, 2000, 4000, 5000, 5500, 6000, 7000, 9000, 14_000, 20_000})
   void rulesHoldWhereTheStateServiceRefusesDeputies(int afterMs) {
     SimulatedCluster world = world(8);
-    List<Job> jobs = spread(world, 4);
+    List<Job> jobs = runSpreadServices(world, 4);
     List<String> others = nodesIn(world, otherZone(world));
     world.splitZones(70_000);
     world.at(afterMs, () -> others.forEach(node -> world.refuse(node, 25_000)));
@@ -268,7 +273,7 @@
   @ValueSource(ints = {500, 3000, 5000, 6000, 8000, 10_000, 15_000})
   void rulesHoldWhereTheLeadCrossesASplitAndComesBack(int afterMs) {
     SimulatedCluster world = world(9);
-    List<Job> jobs = spread(world, 4);
+    List<Job> jobs = runSpreadServices(world, 4);
     String there = otherZone(world);
     List<String> here = nodesIn(world, there.equals("a") ? "b" : "a");
     world.splitZones(60_000);
@@ -284,7 +289,7 @@
   @MethodSource("seeds")
   void rulesHoldWhereRecordsOfDeputiesAreWrittenLateOrUnanswered(long seed) {
     SimulatedCluster world = world(seed);
-    List<Job> jobs = spread(world, 4);
+    List<Job> jobs = runSpreadServices(world, 4);
     world.lateWrites = seed % 2 == 0 ? 0.4 : 0;
     world.lostAnswers = seed % 2 == 0 ? 0 : 0.4;
     world.stateDelayMs = seed % 3 == 0 ? 60 : 0;
@@ -302,7 +307,7 @@
   @MethodSource("seeds")
   void rulesHoldWhereASplitComesAndGoes(long seed) {
     SimulatedCluster world = world(seed);
-    List<Job> jobs = spread(world, 4);
+    List<Job> jobs = runSpreadServices(world, 4);
     java.util.Random script = new java.util.Random(seed);
     long atMs = 0;
     for (int i = 0; i < 8; i++) {
@@ -319,7 +324,7 @@
   @Test
   void noNodeStandsInForALeaderThatWorkersReach() {
     SimulatedCluster world = world(5);
-    List<Job> jobs = spread(world, 3);
+    List<Job> jobs = runSpreadServices(world, 3);
     for (String from : world.all()) {
       for (String to : world.all()) {
         world.cut(from + ">" + to, 40_000);
--- a/src/test/java/eiderfork/controller/MachineConsolidationTest.java
+++ b/src/test/java/eiderfork/controller/MachineConsolidationTest.java
@@ -18,22 +18,22 @@
   /** One ordinary machine with GPUs in each zone, and no others. */
   private void oneMachineInEachZone() {
     world.cloud.capacity = 0;
-    world.cloud.stock.put(new CloudProvisioner.Kind("g4", "a", false), 1);
-    world.cloud.stock.put(new CloudProvisioner.Kind("g4", "b", false), 1);
+    world.cloud.stock.put(new CloudProvisioner.MachineKind("g4", "a", false), 1);
+    world.cloud.stock.put(new CloudProvisioner.MachineKind("g4", "b", false), 1);
   }
 
-  private Job submit(int number, int tasks, Resources need) {
+  private Job submit(int number, int tasks, Resources demand) {
     Job job =
-        TestFixtures.sized(TestFixtures.job(number, JobKind.SERVICE, tasks, 0), need, 0, "g4");
+        TestFixtures.sized(TestFixtures.job(number, JobKind.SERVICE, tasks, 0), demand, 0, "g4");
     world.submit(job);
     world.run(12);
     return job;
   }
 
   private void oneMachineHolds(long replicas) {
-    assertEquals(2, world.cloud.liveHosts());
+    assertEquals(2, world.cloud.liveHostCount());
     world.run(LATER_S);
-    assertEquals(1, world.cloud.liveHosts());
+    assertEquals(1, world.cloud.liveHostCount());
     assertEquals(replicas, world.checker.runningTasks());
     assertEquals(List.of(), world.checker.breaches);
   }
--- a/src/test/java/eiderfork/controller/MonotonicReadTest.java
+++ b/src/test/java/eiderfork/controller/MonotonicReadTest.java
@@ -7,7 +7,7 @@
 import eiderfork.controller.store.ReadBarrier;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
-import eiderfork.model.JobStatus.Stance;
+import eiderfork.model.JobStatus.Phase;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.stream.LongStream;
@@ -23,14 +23,14 @@
   }
 
   /** Users poll once more: every job is over, and every node says so. */
-  private static void allOver(SimulatedCluster world, List<Job> jobs) {
+  private static void assertAllTerminal(SimulatedCluster world, List<Job> jobs) {
     jobs.forEach(job -> world.queryAll(job.uid()));
     world.run(3);
-    rulesHold(world);
+    assertNoBreaches(world);
     jobs.forEach(job -> assertNotNull(world.checker.finalStance(job.uid()), job::uid));
   }
 
-  private static void rulesHold(SimulatedCluster world) {
+  private static void assertNoBreaches(SimulatedCluster world) {
     assertEquals(List.of(), world.checker.breaches);
   }
 
@@ -61,8 +61,8 @@
     world.lookCloselyAtNews(true);
     List<Job> jobs = load(world, 18);
     world.run(60);
-    rulesHold(world);
-    allOver(world, jobs);
+    assertNoBreaches(world);
+    assertAllTerminal(world, jobs);
   }
 
   /**
@@ -87,8 +87,8 @@
     }
     world.at(50_000, () -> world.lostAnswers = 0);
     world.run(90);
-    rulesHold(world);
-    allOver(world, jobs);
+    assertNoBreaches(world);
+    assertAllTerminal(world, jobs);
   }
 
   /** The same with transactions that are carried out late, after newer ones. */
@@ -102,8 +102,8 @@
     world.at(20_000, () -> world.crash(world.leader() == null ? "roost-0" : world.leader(), 3000));
     world.at(50_000, () -> world.lateWrites = 0);
     world.run(100);
-    rulesHold(world);
-    allOver(world, jobs);
+    assertNoBreaches(world);
+    assertAllTerminal(world, jobs);
   }
 
   /**
@@ -130,10 +130,10 @@
         world.at(ms, () -> world.queryAll(job.uid()));
       }
       world.run(20);
-      rulesHold(world);
+      assertNoBreaches(world);
       world.query(job.uid());
       world.run(2);
-      rulesHold(world);
+      assertNoBreaches(world);
       assertNotNull(world.checker.finalStance(job.uid()));
     }
   }
@@ -152,10 +152,10 @@
       world.run(1);
     }
     world.run(30);
-    rulesHold(world);
+    assertNoBreaches(world);
     for (int i = 1; i <= 10; i++) {
       String uid = "run-%06d".formatted(i);
-      assertEquals(Stance.ABORTED, world.checker.finalStance(uid));
+      assertEquals(Phase.ABORTED, world.checker.finalStance(uid));
       assertEquals(0, world.checker.running(uid));
     }
   }
@@ -178,8 +178,8 @@
       world.at(i * 40L, () -> world.query("run-009999"));
     }
     world.run(40);
-    rulesHold(world);
-    assertEquals(Stance.DONE, world.checker.finalStance(done.uid()));
+    assertNoBreaches(world);
+    assertEquals(Phase.DONE, world.checker.finalStance(done.uid()));
     assertEquals(1, world.checker.running(running.uid()));
     for (int i = 0; i < 200; i++) {
       String uid = "run-%06d".formatted(100 + i);
--- a/src/test/java/eiderfork/controller/PreemptionTest.java
+++ b/src/test/java/eiderfork/controller/PreemptionTest.java
@@ -45,49 +45,49 @@
   /** A machine that is full of an array's tasks, which have run for this long. */
   private MachineState fullMachine(String name, long ranMs) {
     Machine machine = new Machine(name, name + ":1", "g4", "a", false);
-    MachineState m = fleet.known(machine);
-    fleet.reported(m, new Heartbeat(machine, 1, 1, 0, null, ImmutableList.of()));
+    MachineState m = fleet.getOrRegister(machine);
+    fleet.recordHeartbeat(m, new Heartbeat(machine, 1, 1, 0, null, ImmutableList.of()));
     JobState array = add(JobKind.ARRAY, 4, Priority.LOW, "batch-img");
     for (int index = 0; index < 4; index++) {
       Reservation task = jobs.propose(array, index, 1, m);
       task.committed = true;
-      task.seen = TaskStatus.State.RUNNING;
+      task.reportedState = TaskStatus.State.RUNNING;
       task.runningSinceMs = context.nowMs - ranMs;
     }
     return m;
   }
 
-  private int makeRoom(JobState service) {
-    FreeCapacity room =
+  private int preemptFor(JobState service) {
+    FreeCapacity capacity =
         new FreeCapacity(
             fleet, machine -> true, machine -> true, new BorrowedCapacity(context, jobs, fleet));
-    room.begin(context.nowMs);
-    CpusPerGpu balance = new CpusPerGpu(1);
+    capacity.beginRound(context.nowMs);
+    CpusPerGpu cpusPerGpu = new CpusPerGpu(1);
     PreemptionPlanner preemption =
         new PreemptionPlanner(
             context,
             jobs,
-            room,
+            capacity,
             new ImageFetchEstimator(context, fleet),
-            balance,
+            cpusPerGpu,
             new PriorityPreemptionPolicy(
-                context, jobs, balance, new DeadlineEstimator(context, fleet)),
+                context, jobs, cpusPerGpu, new DeadlineEstimator(context, fleet)),
             1000);
-    int wanted = service.waiting.cardinality();
-    return preemption.makeRoom(service, wanted, new HashMap<>(), Double.MAX_VALUE);
+    int wanted = service.pendingTasks.cardinality();
+    return preemption.preempt(service, wanted, new HashMap<>(), Double.MAX_VALUE);
   }
 
-  private static long stopping(MachineState m) {
-    return m.placed.stream().filter(Reservation::isStopping).count();
+  private static long countStopping(MachineState machine) {
+    return machine.reservations.stream().filter(Reservation::isStopping).count();
   }
 
   @Test
   void ofAlikeMachinesTheOneIsTakenWhoseTasksHaveRunForLess() {
     MachineState longer = fullMachine("n-1", 30_000);
     MachineState shorter = fullMachine("n-2", 10_000);
-    assertEquals(1, makeRoom(add(JobKind.SERVICE, 1, Priority.HIGH, "web-img")));
-    assertEquals(0, stopping(longer));
-    assertEquals(1, stopping(shorter));
+    assertEquals(1, preemptFor(add(JobKind.SERVICE, 1, Priority.HIGH, "web-img")));
+    assertEquals(0, countStopping(longer));
+    assertEquals(1, countStopping(shorter));
   }
 
   /** A replica that took room where its image had to be fetched once waited 62 s for it. */
@@ -95,20 +95,20 @@
   void theWaitForAnImageCountsLikeWorkThatIsThrownAway() {
     MachineState cached = fullMachine("n-1", 25_000);
     MachineState uncached = fullMachine("n-2", 10_000);
-    cached.touchImage("web-img", 40, 100);
+    cached.recordImageUse("web-img", 40, 100);
     // 40 GB take 20 s, more than the 15 s that the other tasks have run for less.
-    assertEquals(1, makeRoom(add(JobKind.SERVICE, 1, Priority.HIGH, "web-img")));
-    assertEquals(1, stopping(cached));
-    assertEquals(0, stopping(uncached));
+    assertEquals(1, preemptFor(add(JobKind.SERVICE, 1, Priority.HIGH, "web-img")));
+    assertEquals(1, countStopping(cached));
+    assertEquals(0, countStopping(uncached));
   }
 
   @Test
   void arraysOfTheSamePriorityAreLeftAlone() {
-    MachineState m = fullMachine("n-1", 10_000);
+    MachineState machine = fullMachine("n-1", 10_000);
     JobState service = add(JobKind.SERVICE, 1, Priority.LOW, "web-img");
-    assertEquals(0, makeRoom(service));
-    assertEquals(0, stopping(m));
-    assertFalse(service.waiting.isEmpty());
-    assertTrue(m.placed.stream().allMatch(Reservation::wanted));
+    assertEquals(0, preemptFor(service));
+    assertEquals(0, countStopping(machine));
+    assertFalse(service.pendingTasks.isEmpty());
+    assertTrue(machine.reservations.stream().allMatch(Reservation::isDesired));
   }
 }
--- a/src/test/java/eiderfork/controller/ProtocolChecker.java
+++ b/src/test/java/eiderfork/controller/ProtocolChecker.java
@@ -3,7 +3,7 @@
 import eiderfork.controller.message.UserResponse;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
-import eiderfork.model.JobStatus.Stance;
+import eiderfork.model.JobStatus.Phase;
 import eiderfork.model.Machine;
 import eiderfork.model.Resources;
 import eiderfork.model.TaskId;
@@ -25,7 +25,7 @@
   private final Map<String, Job> submitted = new HashMap<>();
   private final Set<String> refused = new HashSet<>();
   private final Set<String> accepted = new HashSet<>();
-  private final Map<String, Stance> finals = new HashMap<>();
+  private final Map<String, Phase> finals = new HashMap<>();
   private final Set<String> abortAsked = new HashSet<>();
   private final Map<String, Long> abortToldMs = new HashMap<>();
   private final Map<TaskId, Map<String, Machine>> on = new HashMap<>();
@@ -61,15 +61,15 @@
   }
 
   /** What users had been told of a job when one of them asked; no later answer may be older. */
-  record Known(boolean accepted, Stance last) {}
+  record Known(boolean accepted, Phase last) {}
 
   Known known(String uid) {
     return new Known(accepted.contains(uid), finals.get(uid));
   }
 
   /** An answer arrives at a user; whether it says what no user was told before. */
-  boolean told(long nowMs, String uid, UserResponse answer, boolean submission, Known known) {
-    int status = answer.status();
+  boolean told(long nowMs, String uid, UserResponse response, boolean submission, Known known) {
+    int status = response.status();
     answers += status == 200 || status == 404 ? 1 : 0;
     if (status == 404 && known.accepted) {
       breach("forgotten", uid);
@@ -88,22 +88,22 @@
       return false;
     }
     boolean news = accepted.add(uid);
-    Stance stance = answer.job().stance();
-    news |= (stance == Stance.DONE || stance == Stance.ABORTED) && !finals.containsKey(uid);
+    Phase stance = response.job().phase();
+    news |= (stance == Phase.DONE || stance == Phase.ABORTED) && !finals.containsKey(uid);
     if (known.last != null && known.last != stance) {
       breach("went_back", uid + " from " + known.last + " to " + stance);
     }
-    if (stance == Stance.ABORTED) {
+    if (stance == Phase.ABORTED) {
       if (!abortAsked.contains(uid)) {
         breach("went_back", uid + " cancelled unasked");
       }
       abortToldMs.putIfAbsent(uid, nowMs);
     }
-    if (stance == Stance.DONE
+    if (stance == Phase.DONE
         && completed.getOrDefault(uid, Set.of()).size() < submitted.get(uid).tasks()) {
       breach("not_done", uid);
     }
-    if (stance == Stance.DONE || stance == Stance.ABORTED) {
+    if (stance == Phase.DONE || stance == Phase.ABORTED) {
       finals.put(uid, stance);
     }
     return news;
@@ -112,7 +112,7 @@
   /** A task has its image on a machine and starts. */
   void starts(long nowMs, TaskId task, Machine machine) {
     starts++;
-    Job job = submitted.get(task.job());
+    Job job = submitted.get(task.jobUid());
     if (job == null) {
       breach("wrong_place", task + " of no job");
       return;
@@ -123,30 +123,30 @@
     }
     if (!job.allowsType(machine.type())
         || !job.allowsZone(machine.zone())
-        || (machine.spot() && !job.spot())) {
+        || (machine.spot() && !job.spotAllowed())) {
       breach("wrong_place", task + " on " + machine);
     }
     places.put(machine.name(), machine);
     zones(task, job, machine);
     quota(job);
     late(nowMs, task);
-    if (abortToldMs.containsKey(task.job())) {
+    if (abortToldMs.containsKey(task.jobUid())) {
       startsAfterCancellation++;
     }
   }
 
   private void zones(TaskId task, Job job, Machine machine) {
-    Map<String, Integer> perZone = new HashMap<>();
+    Map<String, Integer> tasksByZone = new HashMap<>();
     on.forEach(
         (other, places) -> {
-          if (other.job().equals(job.uid())) {
-            places.values().forEach(m -> perZone.merge(m.zone(), 1, Integer::sum));
+          if (other.jobUid().equals(job.uid())) {
+            places.values().forEach(m -> tasksByZone.merge(m.zone(), 1, Integer::sum));
           }
         });
-    if (job.oneZone() && perZone.size() > 1) {
+    if (job.singleZone() && tasksByZone.size() > 1) {
       breach("wrong_place", task + " apart from its job");
     }
-    if (job.spread() && perZone.get(machine.zone()) > (job.tasks() + 1) / 2) {
+    if (job.spreadZones() && tasksByZone.get(machine.zone()) > (job.tasks() + 1) / 2) {
       breach("wrong_place", task + " makes too many in one zone");
     }
   }
@@ -154,14 +154,14 @@
   private void quota(Job job) {
     Resources used = Resources.NONE;
     for (Map.Entry<TaskId, Map<String, Machine>> e : on.entrySet()) {
-      Job its = submitted.get(e.getKey().job());
-      if (its.team().equals(job.team())) {
-        used = used.plus(its.need().times(e.getValue().size()));
+      Job spec = submitted.get(e.getKey().jobUid());
+      if (spec.team().equals(job.team())) {
+        used = used.plus(spec.taskResources().times(e.getValue().size()));
       }
     }
     Team team = teams.get(job.team());
-    if ((team.cpusMax() > 0 && used.cpus() > team.cpusMax() + 1e-6)
-        || (team.gpusMax() > 0 && used.gpus() > team.gpusMax() + 1e-6)) {
+    if ((team.maxCpus() > 0 && used.cpus() > team.maxCpus() + 1e-6)
+        || (team.maxGpus() > 0 && used.gpus() > team.maxGpus() + 1e-6)) {
       breach("quota", job.team() + " uses " + used);
     }
   }
@@ -178,7 +178,7 @@
   }
 
   void completes(TaskId task) {
-    completed.computeIfAbsent(task.job(), j -> new HashSet<>()).add(task.index());
+    completed.computeIfAbsent(task.jobUid(), j -> new HashSet<>()).add(task.index());
   }
 
   /** To be called now and then: tasks of cancelled jobs have to be gone in time. */
@@ -187,7 +187,7 @@
   }
 
   private void late(long nowMs, TaskId task) {
-    Long told = abortToldMs.get(task.job());
+    Long told = abortToldMs.get(task.jobUid());
     if (told != null && nowMs - told > cancelMs && late.add(task)) {
       breach("ran_cancelled", task + " " + (nowMs - told) + " ms after");
     }
@@ -197,9 +197,9 @@
   Resources held(String team) {
     Resources held = Resources.NONE;
     for (Map.Entry<TaskId, Map<String, Machine>> e : on.entrySet()) {
-      Job its = submitted.get(e.getKey().job());
-      if (its != null && its.team().equals(team)) {
-        held = held.plus(its.need().times(e.getValue().size()));
+      Job spec = submitted.get(e.getKey().jobUid());
+      if (spec != null && spec.team().equals(team)) {
+        held = held.plus(spec.taskResources().times(e.getValue().size()));
       }
     }
     return held;
@@ -208,8 +208,9 @@
   /** Whether a team has arrays or gangs on machines. */
   boolean holdsBatch(String team) {
     return on.keySet().stream()
-        .map(task -> submitted.get(task.job()))
-        .anyMatch(its -> its != null && its.team().equals(team) && its.kind() != JobKind.SERVICE);
+        .map(task -> submitted.get(task.jobUid()))
+        .anyMatch(
+            spec -> spec != null && spec.team().equals(team) && spec.kind() != JobKind.SERVICE);
   }
 
   /**
@@ -218,17 +219,19 @@
    * can't run.
    */
   Resources asked(String team) {
-    double left = teams.get(team).gpus() - held(team).gpus();
+    double left = teams.get(team).guaranteedGpus() - held(team).gpus();
     Resources asked = Resources.NONE;
     for (String uid : accepted) {
-      Job its = submitted.get(uid);
+      Job spec = submitted.get(uid);
       boolean tooLarge =
-          its.kind() == JobKind.GANG && running(uid) == 0 && its.need().gpus() * its.tasks() > left;
-      if (its.team().equals(team)
+          spec.kind() == JobKind.GANG
+              && running(uid) == 0
+              && spec.taskResources().gpus() * spec.tasks() > left;
+      if (spec.team().equals(team)
           && !tooLarge
           && !abortAsked.contains(uid)
           && !finals.containsKey(uid)) {
-        asked = asked.plus(its.need().times(its.tasks() - completed(uid)));
+        asked = asked.plus(spec.taskResources().times(spec.tasks() - completed(uid)));
       }
     }
     return asked;
@@ -240,12 +243,12 @@
   double smallestWaiting(String team) {
     double smallest = Double.MAX_VALUE;
     for (String uid : accepted) {
-      Job its = submitted.get(uid);
+      Job spec = submitted.get(uid);
       boolean over = abortAsked.contains(uid) || finals.containsKey(uid);
-      long left = its.tasks() - completed(uid) - running(uid);
-      if (its.team().equals(team) && !over && left > 0) {
-        int together = its.kind() == JobKind.GANG ? its.tasks() : 1;
-        smallest = Math.min(smallest, its.need().gpus() * together);
+      long left = spec.tasks() - completed(uid) - running(uid);
+      if (spec.team().equals(team) && !over && left > 0) {
+        int together = spec.kind() == JobKind.GANG ? spec.tasks() : 1;
+        smallest = Math.min(smallest, spec.taskResources().gpus() * together);
       }
     }
     return smallest;
@@ -268,7 +271,7 @@
   }
 
   long running(String uid) {
-    return on.keySet().stream().filter(task -> task.job().equals(uid)).count();
+    return on.keySet().stream().filter(task -> task.jobUid().equals(uid)).count();
   }
 
   /** How many tasks run, of whatever job. */
@@ -285,7 +288,7 @@
     return accepted.contains(uid);
   }
 
-  Stance finalStance(String uid) {
+  Phase finalStance(String uid) {
     return finals.get(uid);
   }
 }
--- a/src/test/java/eiderfork/controller/ProtocolCheckerTest.java
+++ b/src/test/java/eiderfork/controller/ProtocolCheckerTest.java
@@ -7,7 +7,7 @@
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
 import eiderfork.model.JobStatus;
-import eiderfork.model.JobStatus.Stance;
+import eiderfork.model.JobStatus.Phase;
 import eiderfork.model.Machine;
 import eiderfork.model.Priority;
 import eiderfork.model.TaskId;
@@ -20,17 +20,17 @@
   private final Machine one = new Machine("n-1", "n-1:1", "g4", "a", false);
   private final Machine two = new Machine("n-2", "n-2:1", "g4", "a", false);
 
-  private static UserResponse says(String uid, Stance stance) {
+  private static UserResponse says(String uid, Phase stance) {
     return UserResponse.ok(new JobStatus(uid, stance, 0, 0));
   }
 
-  private void told(long nowMs, String uid, UserResponse answer, boolean submission) {
-    checker.told(nowMs, uid, answer, submission, checker.known(uid));
+  private void told(long nowMs, String uid, UserResponse response, boolean submission) {
+    checker.told(nowMs, uid, response, submission, checker.known(uid));
   }
 
   private Job submit(Job job) {
     checker.userSubmits(job);
-    told(0, job.uid(), says(job.uid(), Stance.PENDING), true);
+    told(0, job.uid(), says(job.uid(), Phase.PENDING), true);
     return job;
   }
 
@@ -48,7 +48,7 @@
     checker.starts(2, task, two);
     checker.completes(task);
     checker.leaves(task, two);
-    told(3, job.uid(), says(job.uid(), Stance.DONE), false);
+    told(3, job.uid(), says(job.uid(), Phase.DONE), false);
     assertTrue(checker.breaches.isEmpty());
   }
 
@@ -90,7 +90,7 @@
     Job job = submit(TestFixtures.job(1, JobKind.SERVICE, 1, 1));
     checker.starts(1, new TaskId(job.uid(), 0), one);
     checker.userAborts(job.uid());
-    told(1000, job.uid(), says(job.uid(), Stance.ABORTED), false);
+    told(1000, job.uid(), says(job.uid(), Phase.ABORTED), false);
     checker.look(31_000);
     assertTrue(checker.breaches.isEmpty());
     checker.look(31_001);
@@ -101,9 +101,9 @@
   void catchesWhatUsersMustNotBeTold() {
     Job job = submit(TestFixtures.job(1, JobKind.ARRAY, 1, 1));
     told(1, job.uid(), UserResponse.refused(404, ""), false);
-    told(1, "run-9", says("run-9", Stance.PENDING), false);
-    told(1, job.uid(), says(job.uid(), Stance.DONE), false);
-    told(1, job.uid(), says(job.uid(), Stance.RUNNING), false);
+    told(1, "run-9", says("run-9", Phase.PENDING), false);
+    told(1, job.uid(), says(job.uid(), Phase.DONE), false);
+    told(1, job.uid(), says(job.uid(), Phase.RUNNING), false);
     told(1, job.uid(), UserResponse.refused(422, ""), true);
     assertEquals(
         java.util.List.of("forgotten", "invented", "not_done", "went_back", "forgotten"),
--- a/src/test/java/eiderfork/controller/QueueOrderTest.java
+++ b/src/test/java/eiderfork/controller/QueueOrderTest.java
@@ -24,8 +24,8 @@
 
   private final ControllerContext context =
       new ControllerContext(settings(), new Random(1), START_MS);
-  private final StoreClient gate = new StoreClient(context);
-  private final JobRegistry jobs = new JobRegistry(context, gate, null, null);
+  private final StoreClient store = new StoreClient(context);
+  private final JobRegistry jobs = new JobRegistry(context, store, null, null);
   private final MachineRegistry fleet = new MachineRegistry(context, jobs);
   private final DeadlineEstimator deadlines = new DeadlineEstimator(context, fleet);
   private final FairShareOrder ranking = new FairShareOrder(context, deadlines);
@@ -48,25 +48,25 @@
 
   /** An array whose image of 20 GB takes 10 s to fetch. */
   private JobState array(int number, int tasks, double estimateS, Double deadlineS) {
-    Job like =
+    Job template =
         TestFixtures.job(
             number, JobKind.ARRAY, tasks, 1, "blue", Priority.HIGH, false, false, "img", 20);
     Job job =
         new Job(
-            like.uid(),
-            like.jobClass(),
-            like.team(),
-            like.kind(),
-            like.priority(),
+            template.uid(),
+            template.jobClass(),
+            template.team(),
+            template.kind(),
+            template.priority(),
             tasks,
-            like.need(),
+            template.taskResources(),
             null,
             null,
             false,
             false,
             false,
-            like.image(),
-            like.imageGb(),
+            template.image(),
+            template.imageGb(),
             estimateS,
             0,
             0,
@@ -75,7 +75,7 @@
   }
 
   private List<JobState> ranked() {
-    return ranking.rank(jobs);
+    return ranking.sort(jobs);
   }
 
   @Test
@@ -129,23 +129,24 @@
     JobState patient = array(1, 4, 50, 200.0);
     JobState tight = array(2, 4, 50, 100.0);
     JobState free = array(3, 4, 50, null);
-    assertFalse(deadlines.leavesNoSecondRun(patient));
-    assertTrue(deadlines.leavesNoSecondRun(tight));
-    assertFalse(deadlines.leavesNoSecondRun(free));
+    assertFalse(deadlines.hasNoTimeForRerun(patient));
+    assertTrue(deadlines.hasNoTimeForRerun(tight));
+    assertFalse(deadlines.hasNoTimeForRerun(free));
     context.nowMs = START_MS + 120_000;
-    assertTrue(deadlines.leavesNoSecondRun(patient));
+    assertTrue(deadlines.hasNoTimeForRerun(patient));
   }
 
   @Test
   void aTaskIsLateIfRunAgainOnlyWhereItIsInTimeNow() {
-    JobState entry = array(1, 1, 50, 100.0);
-    Reservation p = new Reservation(entry, 0, 1, fleet.known("n-1"));
-    p.runningSinceMs = START_MS + 20_000;
+    JobState job = array(1, 1, 50, 100.0);
+    Reservation reservation = new Reservation(job, 0, 1, fleet.getOrRegister("n-1"));
+    reservation.runningSinceMs = START_MS + 20_000;
     context.nowMs = START_MS + 40_000;
-    assertFalse(deadlines.lateIfRunAgain(p), "a run from now ends at 90 s");
+    assertFalse(deadlines.isLateIfRerun(reservation), "a run from now ends at 90 s");
     context.nowMs = START_MS + 60_000;
-    assertTrue(deadlines.lateIfRunAgain(p), "a run from now ends at 110 s");
-    p.runningSinceMs = START_MS + 55_000;
-    assertFalse(deadlines.lateIfRunAgain(p), "it misses 100 s anyhow, and meets 150 s either way");
+    assertTrue(deadlines.isLateIfRerun(reservation), "a run from now ends at 110 s");
+    reservation.runningSinceMs = START_MS + 55_000;
+    assertFalse(
+        deadlines.isLateIfRerun(reservation), "it misses 100 s anyhow, and meets 150 s either way");
   }
 }
--- a/src/test/java/eiderfork/controller/QuotaCluster.java
+++ b/src/test/java/eiderfork/controller/QuotaCluster.java
@@ -37,33 +37,33 @@
     this.world = world;
     world.cloud.types = world.cloud.types.subList(0, 1);
     world.cloud.capacity = 0;
-    world.cloud.stock.put(new CloudProvisioner.Kind("g4", "a", false), MACHINES);
+    world.cloud.stock.put(new CloudProvisioner.MachineKind("g4", "a", false), MACHINES);
     guarantees = new GuaranteeChecker(world);
   }
 
-  static QuotaCluster on(long seed) {
+  static QuotaCluster enabled(long seed) {
     return new QuotaCluster(new SimulatedCluster(seed, settings(true)));
   }
 
   /** The same, where a machine boots for this long by its type, which is the first cooldown. */
-  static QuotaCluster on(long seed, double bootS) {
-    QuotaCluster w = on(seed);
-    MachineType g4 = w.world.cloud.types.get(0);
-    w.world.cloud.types =
+  static QuotaCluster enabled(long seed, double bootS) {
+    QuotaCluster scenario = enabled(seed);
+    MachineType g4 = scenario.world.cloud.types.get(0);
+    scenario.world.cloud.types =
         ImmutableList.of(
             new MachineType(
                 g4.name(),
-                g4.room(),
-                g4.cacheGb(),
-                g4.fetchGbPerS(),
-                g4.price(),
-                g4.spotPrice(),
+                g4.capacity(),
+                g4.imageCacheGb(),
+                g4.imageFetchGbPerS(),
+                g4.hourlyPrice(),
+                g4.spotHourlyPrice(),
                 bootS,
                 g4.zones()));
-    return w;
+    return scenario;
   }
 
-  static QuotaCluster off(long seed) {
+  static QuotaCluster disabled(long seed) {
     return new QuotaCluster(new SimulatedCluster(seed, settings(false)));
   }
 
@@ -100,14 +100,14 @@
       String team,
       Priority priority) {
     double saveS = checkpointS > 0 ? 2 : 0;
-    Resources need = new Resources(1, 1, 4);
-    return job(number, kind, need, tasks, runS, checkpointS, saveS, team, priority);
+    Resources demand = new Resources(1, 1, 4);
+    return job(number, kind, demand, tasks, runS, checkpointS, saveS, team, priority);
   }
 
   static Job job(
       int number,
       JobKind kind,
-      Resources need,
+      Resources demand,
       int tasks,
       double runS,
       double checkpointS,
@@ -121,7 +121,7 @@
         kind,
         priority,
         tasks,
-        need,
+        demand,
         null,
         null,
         false,
@@ -142,7 +142,7 @@
   }
 
   /** The night team's array fills all machines, of which three quarters are borrowed. */
-  Job filledByNight(double runS, double checkpointS) {
+  Job fillWithNightArray(double runS, double checkpointS) {
     Job night = submit(array(1, 16, runS, checkpointS, NIGHT));
     world.run(25);
     if (world.checker.running(night.uid()) != 16) {
@@ -151,7 +151,7 @@
     return night;
   }
 
-  long running(Job job) {
+  long runningTasks(Job job) {
     return world.checker.running(job.uid());
   }
 
@@ -162,7 +162,8 @@
             worker ->
                 worker.tasks().stream()
                     .anyMatch(
-                        task -> task.state == state && task.attempt.task().job().equals(job.uid())))
+                        task ->
+                            task.state == state && task.attempt.task().jobUid().equals(job.uid())))
         .toList();
   }
 
--- a/src/test/java/eiderfork/controller/QuotaDay.java
+++ b/src/test/java/eiderfork/controller/QuotaDay.java
@@ -78,22 +78,22 @@
     world.cloud.bootMs = (long) (BOOT_S * 1000);
     world.cloud.capacity = 0;
     for (String zone : List.of("a", "b")) {
-      world.cloud.stock.put(new CloudProvisioner.Kind("g4", zone, false), MACHINES_PER_ZONE);
+      world.cloud.stock.put(new CloudProvisioner.MachineKind("g4", zone, false), MACHINES_PER_ZONE);
     }
     beganMs = world.nowMs;
     fromMs = (long) fromHour * HOUR_MS;
     untilMs = fromMs + (long) hours * HOUR_MS;
     guarantees = new GuaranteeChecker(world);
-    guarantees.trouble(MINUTE_MS);
+    guarantees.expectDisruption(MINUTE_MS);
     world.progress.onStop = (worker, attempt) -> endLeaderMidReclaim();
-    standing();
-    opticians();
-    publishers();
-    flappingRush();
-    scans();
-    tuning();
-    troubles();
-    everySecond();
+    permanentReplicas();
+    deskTraffic();
+    pressRushes();
+    pressFlapping();
+    scanArrays();
+    tuningGangs();
+    scheduleFaults();
+    measureEverySecond();
   }
 
   static Settings settings(boolean lending) {
@@ -108,25 +108,26 @@
   }
 
   /** Plays the day, in steps of an hour so that what is over is not kept. */
-  void play() {
+  void run() {
     world.run((untilMs - fromMs) / 1000.0);
   }
 
-  private void atTime(long ofDayMs, Runnable what) {
+  private void atTimeOfDay(long ofDayMs, Runnable action) {
     if (ofDayMs >= fromMs && ofDayMs < untilMs) {
-      world.at(ofDayMs - fromMs, what);
+      world.at(ofDayMs - fromMs, action);
     }
   }
 
   private Job job(
       JobKind kind, String team, Priority priority, int tasks, double runS, double checkpointS) {
     double saveS = checkpointS > 0 ? Math.max(2, checkpointS / 30) : 0;
-    Resources need = new Resources(2, 1, 8);
-    return QuotaCluster.job(++lastJob, kind, need, tasks, runS, checkpointS, saveS, team, priority);
+    Resources demand = new Resources(2, 1, 8);
+    return QuotaCluster.job(
+        ++lastJob, kind, demand, tasks, runS, checkpointS, saveS, team, priority);
   }
 
   private void replicas(String team, int tasks, long fromOfDayMs, long forMs) {
-    atTime(
+    atTimeOfDay(
         fromOfDayMs,
         () -> {
           Job job = job(JobKind.SERVICE, team, Priority.STANDARD, tasks, 0, 0);
@@ -148,12 +149,12 @@
   }
 
   /** Two models that stand all day. */
-  private void standing() {
+  private void permanentReplicas() {
     replicas(DESK, 3, fromMs + 5000, 25L * HOUR_MS);
     replicas(PRESS, 2, fromMs + 9000, 25L * HOUR_MS);
   }
 
-  private void opticians() {
+  private void deskTraffic() {
     for (long ms = 8L * HOUR_MS;
         ms < 19L * HOUR_MS;
         ms += 4 * MINUTE_MS + script.nextInt(6) * 60_000) {
@@ -161,7 +162,7 @@
     }
   }
 
-  private void publishers() {
+  private void pressRushes() {
     for (int hour : new int[] {3, 7, 9, 11, 13, 16, 18, 21, 23}) {
       long ms = (long) hour * HOUR_MS + script.nextInt(40) * (long) MINUTE_MS;
       replicas(PRESS, 4 + script.nextInt(3), ms, (4 + script.nextInt(20)) * (long) MINUTE_MS);
@@ -169,48 +170,48 @@
   }
 
   /** For an hour in the afternoon a rush stops and starts within a minute. */
-  private void flappingRush() {
+  private void pressFlapping() {
     for (long ms = 14L * HOUR_MS; ms < 15L * HOUR_MS; ms += 75_000) {
       replicas(PRESS, 5, ms, 40_000);
     }
   }
 
   /** Scans come all day, and most of them at night. */
-  private void scans() {
+  private void scanArrays() {
     for (int minute = 0; minute < 24 * 60; minute += 3) {
       boolean night = minute < 6 * 60 || minute >= 20 * 60;
       if (script.nextInt(night ? 2 : 4) == 0) {
         int tasks = 4 + script.nextInt(10);
         double runS = 120 + script.nextInt(240);
-        atTime(
+        atTimeOfDay(
             (long) minute * MINUTE_MS,
             () -> batch(JobKind.ARRAY, SCANS, tasks, runS, script.nextInt(3) == 0 ? 0 : 60));
       }
     }
   }
 
-  private void tuning() {
+  private void tuningGangs() {
     for (int hour = 0; hour < 24; hour++) {
       int tasks = hour % 3 == 0 ? 8 : 4;
       double runS = 1200 + script.nextInt(1200);
-      atTime(
+      atTimeOfDay(
           (long) hour * HOUR_MS + 10 * MINUTE_MS,
           () -> batch(JobKind.GANG, TUNING, tasks, runS, 300));
     }
   }
 
-  private void troubles() {
+  private void scheduleFaults() {
     for (int minute = 50; minute < 24 * 60; minute += 97) {
-      atTime((long) minute * MINUTE_MS, () -> leadersToEnd++);
+      atTimeOfDay((long) minute * MINUTE_MS, () -> leadersToEnd++);
     }
     for (int minute : new int[] {130, 410, 655, 850, 1110}) {
-      atTime((long) minute * MINUTE_MS, this::loseMachine);
+      atTimeOfDay((long) minute * MINUTE_MS, this::loseMachine);
     }
     for (int minute : new int[] {215, 820, 1270}) {
-      atTime((long) minute * MINUTE_MS, this::stateOutage);
+      atTimeOfDay((long) minute * MINUTE_MS, this::stateOutage);
     }
     for (int minute : new int[] {590, 875}) {
-      atTime((long) minute * MINUTE_MS, this::cutZone);
+      atTimeOfDay((long) minute * MINUTE_MS, this::partitionZone);
     }
   }
 
@@ -218,7 +219,7 @@
   private void endLeaderMidReclaim() {
     if (leadersToEnd > 0 && world.leader() != null) {
       leadersToEnd--;
-      guarantees.trouble(6000);
+      guarantees.expectDisruption(6000);
       world.at(script.nextInt(3500), () -> crash(world.leader()));
     }
   }
@@ -231,27 +232,27 @@
 
   private void loseMachine() {
     world.workers().stream()
-        .filter(worker -> !worker.present().isEmpty())
+        .filter(worker -> !worker.presentTasks().isEmpty())
         .findFirst()
         .ifPresent(
             worker -> {
-              guarantees.trouble((long) (2 * BOOT_S * 1000));
+              guarantees.expectDisruption((long) (2 * BOOT_S * 1000));
               world.die(worker.machine.name());
             });
   }
 
   private void stateOutage() {
-    guarantees.trouble(45_000);
+    guarantees.expectDisruption(45_000);
     world.state.outage(world.nowMs);
     world.at(45_000, () -> world.state.recover(world.nowMs));
   }
 
-  private void cutZone() {
-    guarantees.trouble(60_000 + (long) (2 * BOOT_S * 1000));
+  private void partitionZone() {
+    guarantees.expectDisruption(60_000 + (long) (2 * BOOT_S * 1000));
     world.cutZone("b", "roost-2", 60_000);
   }
 
-  private void everySecond() {
+  private void measureEverySecond() {
     double held = 0;
     for (String team : world.settings.teams().keySet()) {
       held += world.checker.held(team).gpus();
@@ -259,12 +260,12 @@
     int gpus = world.workers().size() * GPUS_EACH;
     gpuS += gpus;
     idleGpuS += Math.max(0, gpus - held);
-    lookAtReplicas();
+    measureReplicaStarts();
     batch.removeIf(this::isOver);
-    world.at(1000, this::everySecond);
+    world.at(1000, this::measureEverySecond);
   }
 
-  private void lookAtReplicas() {
+  private void measureReplicaStarts() {
     for (Started each : replicas.values()) {
       long running = world.checker.running(each.job.uid());
       for (int index = 0; index < each.job.tasks(); index++) {
@@ -281,7 +282,7 @@
   private boolean isOver(Started each) {
     double ranS = (world.nowMs - each.submittedMs) / 1000.0;
     boolean done = world.checker.isDone(each.job.uid());
-    boolean late = ranS > BATCH_TIMES * each.job.estimateS();
+    boolean late = ranS > BATCH_TIMES * each.job.estimatedRunS();
     if (done || late) {
       batchEnded++;
       batchInTime += late ? 0 : 1;
@@ -302,7 +303,7 @@
             world.progress.mostStopsOfATask(),
             guarantees.minutes.stream().mapToLong(m -> m.secondsBelow > 0 ? 1 : 0).sum(),
             guarantees.unexplained.size(),
-            guarantees.longestS.values().stream().mapToInt(s -> s).max().orElse(0),
+            guarantees.longestShortfallS.values().stream().mapToInt(s -> s).max().orElse(0),
             world.checker.breaches.size());
   }
 
--- a/src/test/java/eiderfork/controller/QuotaDayTest.java
+++ b/src/test/java/eiderfork/controller/QuotaDayTest.java
@@ -22,10 +22,10 @@
 
   private static final int HOURS = Integer.getInteger("day.hours", 2);
 
-  private static QuotaDay play(long seed, boolean lending, int hours) {
+  private static QuotaDay runDay(long seed, boolean lending, int hours) {
     int fromHour = hours < WHOLE_DAY ? FIRST_HOUR_OF_PART : 0;
     QuotaDay day = new QuotaDay(seed, lending, fromHour, hours);
-    day.play();
+    day.run();
     return day;
   }
 
@@ -35,11 +35,11 @@
     summary.add("seed,lending," + QuotaDay.SUMMARY_HEADER);
     for (String text : System.getProperty("day.seeds", "1").split(",")) {
       long seed = Long.parseLong(text);
-      QuotaDay day = play(seed, true, HOURS);
+      QuotaDay day = runDay(seed, true, HOURS);
       summary.add(seed + ",on," + day.summary());
       write("record-seed-%d.csv".formatted(seed), rows(day));
       if (System.getProperty("day.out") != null) {
-        summary.add(seed + ",off," + play(seed, false, HOURS).summary());
+        summary.add(seed + ",off," + runDay(seed, false, HOURS).summary());
         write("summary.csv", summary);
       }
       assertEquals(List.of(), day.world.checker.breaches, "seed " + seed);
@@ -51,7 +51,7 @@
   /** The record shows it where nobody gives guarantees back. */
   @Test
   void theRecordShowsGuaranteesThatAreNotHeld() {
-    QuotaDay day = play(1, false, 1);
+    QuotaDay day = runDay(1, false, 1);
     assertEquals(List.of(), day.world.checker.breaches);
     assertFalse(day.guarantees.unexplained.isEmpty());
   }
--- a/src/test/java/eiderfork/controller/QuotaLimitTest.java
+++ b/src/test/java/eiderfork/controller/QuotaLimitTest.java
@@ -19,7 +19,7 @@
   }
 
   /** Fills the team's limit and has more of it wait. */
-  private static List<Job> fullTeam(SimulatedCluster world) {
+  private static List<Job> fillTeamLimit(SimulatedCluster world) {
     List<Job> jobs = new ArrayList<>();
     for (int i = 1; i <= 5; i++) {
       jobs.add(red(i, JobKind.SERVICE, 1, 2));
@@ -36,8 +36,8 @@
     return jobs;
   }
 
-  private static List<FakeWorker> busy(SimulatedCluster world) {
-    return world.workers().stream().filter(w -> !w.present().isEmpty()).toList();
+  private static List<FakeWorker> busyWorkers(SimulatedCluster world) {
+    return world.workers().stream().filter(worker -> !worker.presentTasks().isEmpty()).toList();
   }
 
   /**
@@ -50,8 +50,8 @@
   void cancelledTasksOnMachinesThatCannotBeAskedCountAcrossATakeover(int crashAfterMs) {
     for (boolean hang : new boolean[] {true, false}) {
       SimulatedCluster world = new SimulatedCluster(5);
-      List<Job> jobs = fullTeam(world);
-      List<FakeWorker> unheard = busy(world);
+      List<Job> jobs = fillTeamLimit(world);
+      List<FakeWorker> unheard = busyWorkers(world);
       world.at(
           2000,
           () -> {
@@ -78,8 +78,8 @@
   @ValueSource(ints = {0, 300, 1500, 6000, 12_000})
   void theLimitIsFreeAgainOnceTheLeasesHaveLapsed(int crashAfterMs) {
     SimulatedCluster world = new SimulatedCluster(6);
-    List<Job> jobs = fullTeam(world);
-    List<FakeWorker> unheard = busy(world);
+    List<Job> jobs = fillTeamLimit(world);
+    List<FakeWorker> unheard = busyWorkers(world);
     for (int i = 0; i < unheard.size(); i++) {
       FakeWorker worker = unheard.get(i);
       if (i % 2 == 0) {
@@ -101,8 +101,8 @@
   @ValueSource(ints = {0, 500, 1000, 1500, 2000, 2500, 3000, 3300, 3400, 3500, 3700, 4000, 5000})
   void aCancellationWhileNobodyLeadsFreesTheLimitOnce(int abortAfterMs) {
     SimulatedCluster world = new SimulatedCluster(8);
-    List<Job> jobs = fullTeam(world);
-    FakeWorker deaf = busy(world).get(0);
+    List<Job> jobs = fillTeamLimit(world);
+    FakeWorker deaf = busyWorkers(world).get(0);
     world.deafen(deaf.machine.name(), 9000);
     world.mute(deaf.machine.name(), 9000);
     world.crash(world.leader(), 6000);
--- a/src/test/java/eiderfork/controller/QuotaReclaimFlappingTest.java
+++ b/src/test/java/eiderfork/controller/QuotaReclaimFlappingTest.java
@@ -20,22 +20,22 @@
   /** A gang that alone borrows is not stopped by each of the rushes that come every minute. */
   @Test
   void aGangIsNotStoppedAgainAndAgain() {
-    QuotaCluster w = QuotaCluster.on(19, BOOT_S);
-    w.submit(QuotaCluster.array(1, 4, 4 * FLAPS_S, 15, QuotaCluster.NIGHT));
-    Job gang = w.submit(QuotaCluster.gang(2, 8, 4 * FLAPS_S, 15, QuotaCluster.LAB));
-    w.world.run(25);
-    assertEquals(8, w.running(gang));
+    QuotaCluster scenario = QuotaCluster.enabled(19, BOOT_S);
+    scenario.submit(QuotaCluster.array(1, 4, 4 * FLAPS_S, 15, QuotaCluster.NIGHT));
+    Job gang = scenario.submit(QuotaCluster.gang(2, 8, 4 * FLAPS_S, 15, QuotaCluster.LAB));
+    scenario.world.run(25);
+    assertEquals(8, scenario.runningTasks(gang));
     for (int i = 0; i < FLAPS_S / 60; i++) {
       Job rush = QuotaCluster.replicas(100 + i, 8, QuotaCluster.DESK);
-      w.world.at(i * 60_000L, () -> w.submit(rush));
-      w.world.at(i * 60_000L + 25_000, () -> w.world.abort(rush.uid()));
+      scenario.world.at(i * 60_000L, () -> scenario.submit(rush));
+      scenario.world.at(i * 60_000L + 25_000, () -> scenario.world.abort(rush.uid()));
     }
-    w.world.run(FLAPS_S);
-    double most = ReclaimCooldowns.mostReversals(FLAPS_S, BOOT_S);
-    assertTrue(w.world.progress.mostStopsOfATask() <= most, "stops of one task");
-    w.world.run(400);
-    assertEquals(8, w.running(gang));
-    ExpectedOutcome.rulesHold(w.world);
+    scenario.world.run(FLAPS_S);
+    double most = ReclaimCooldowns.maxReversals(FLAPS_S, BOOT_S);
+    assertTrue(scenario.world.progress.mostStopsOfATask() <= most, "stops of one task");
+    scenario.world.run(400);
+    assertEquals(8, scenario.runningTasks(gang));
+    ExpectedOutcome.rulesHold(scenario.world);
   }
 
   /** Columns: the rush's period in seconds, its share of it, and how often leaders end. */
@@ -58,12 +58,12 @@
     "180, 0.5, 2"
   })
   void movesStayWithinTheStatedBound(double periodS, double share, int leaderEnds) {
-    QuotaCluster w = QuotaCluster.on(17 + (long) periodS, BOOT_S);
-    Job night = w.filledByNight(4 * FLAPS_S, 15);
+    QuotaCluster scenario = QuotaCluster.enabled(17 + (long) periodS, BOOT_S);
+    Job night = scenario.fillWithNightArray(4 * FLAPS_S, 15);
     Map<String, Integer> stops = new HashMap<>();
-    w.world.progress.onStop =
+    scenario.world.progress.onStop =
         (worker, attempt) -> {
-          if (attempt.task().job().equals(night.uid())) {
+          if (attempt.task().jobUid().equals(night.uid())) {
             stops.merge(worker.machine.name(), 1, Integer::sum);
           }
         };
@@ -71,23 +71,24 @@
     for (int i = 0; i < rushes; i++) {
       Job rush = QuotaCluster.replicas(100 + i, 8, QuotaCluster.DESK);
       long beginsMs = (long) (i * periodS * 1000);
-      w.world.at(beginsMs, () -> w.submit(rush));
-      w.world.at(beginsMs + (long) (periodS * share * 1000), () -> w.world.abort(rush.uid()));
+      scenario.world.at(beginsMs, () -> scenario.submit(rush));
+      scenario.world.at(
+          beginsMs + (long) (periodS * share * 1000), () -> scenario.world.abort(rush.uid()));
     }
     for (int i = 1; i <= leaderEnds; i++) {
       long endsMs = (long) (FLAPS_S * 1000 * i / (leaderEnds + 1));
-      w.world.at(endsMs, () -> w.world.crash(w.leader(), 2000));
+      scenario.world.at(endsMs, () -> scenario.world.crash(scenario.leader(), 2000));
     }
-    w.world.run(FLAPS_S);
+    scenario.world.run(FLAPS_S);
     double firstS = BOOT_S;
-    double reversals = ReclaimCooldowns.mostReversals(FLAPS_S, firstS) + leaderEnds;
+    double reversals = ReclaimCooldowns.maxReversals(FLAPS_S, firstS) + leaderEnds;
     for (Map.Entry<String, Integer> each : stops.entrySet()) {
       assertTrue(
           each.getValue() <= GPUS * reversals, () -> each + " stops, at most " + GPUS * reversals);
     }
-    ExpectedOutcome.rulesHold(w.world);
-    w.world.run(400);
-    assertEquals(16, w.running(night), "it has all of its room back");
-    ExpectedOutcome.rulesHold(w.world);
+    ExpectedOutcome.rulesHold(scenario.world);
+    scenario.world.run(400);
+    assertEquals(16, scenario.runningTasks(night), "it has all of its room back");
+    ExpectedOutcome.rulesHold(scenario.world);
   }
 }
--- a/src/test/java/eiderfork/controller/QuotaReclaimHistoryTest.java
+++ b/src/test/java/eiderfork/controller/QuotaReclaimHistoryTest.java
@@ -22,8 +22,8 @@
   private static final List<String> TEAMS =
       List.of(QuotaCluster.DESK, QuotaCluster.NIGHT, QuotaCluster.LAB);
 
-  private static final int TROUBLED_S = 150;
-  private static final int QUIET_S = 100;
+  private static final int FAULTY_PHASE_S = 150;
+  private static final int QUIET_PHASE_S = 100;
 
   static LongStream seeds() {
     return LongStream.rangeClosed(
@@ -48,41 +48,48 @@
   @ParameterizedTest
   @MethodSource("seeds")
   void rulesAndGuaranteesHold(long seed) {
+    QuotaCluster scenario = QuotaCluster.enabled(seed);
+    List<Job> jobs = play(scenario, seed);
+    assertEquals(List.of(), scenario.world.checker.breaches);
+    assertEquals(List.of(), scenario.guarantees.unexplained);
+    int before = scenario.world.checker.answers;
+    jobs.forEach(job -> scenario.world.queryAll(job.uid()));
+    scenario.world.run(5);
+    assertEquals(
+        before + scenario.world.all().size() * jobs.size(), scenario.world.checker.answers);
+    assertEquals(List.of(), scenario.world.checker.breaches);
+    assertTrue(scenario.world.checker.starts > 10);
+  }
+
+  /** Plays the random history of this seed to its quiet end, and tells the jobs. */
+  static List<Job> play(QuotaCluster scenario, long seed) {
     Random script = new Random(seed * 53);
-    QuotaCluster w = QuotaCluster.on(seed);
     List<Job> jobs = new ArrayList<>();
     for (int i = 1; i <= 18; i++) {
       Job job = job(script, i);
       jobs.add(job);
-      w.world.at(2000 + script.nextInt(100_000), () -> w.submit(job));
+      scenario.world.at(2000 + script.nextInt(100_000), () -> scenario.submit(job));
       if (script.nextInt(3) == 0) {
-        w.world.at(30_000 + script.nextInt(100_000), () -> w.world.abort(job.uid()));
+        scenario.world.at(30_000 + script.nextInt(100_000), () -> scenario.world.abort(job.uid()));
       }
     }
-    w.world.loss = 0.01;
-    w.world.doubled = 0.02;
-    QuotaReclaimFailureTest.Trouble[] troubles = QuotaReclaimFailureTest.Trouble.values();
+    scenario.world.loss = 0.01;
+    scenario.world.doubled = 0.02;
+    QuotaReclaimFailureTest.Fault[] troubles = QuotaReclaimFailureTest.Fault.values();
     for (int i = 0; i < 8; i++) {
-      QuotaReclaimFailureTest.Trouble trouble = troubles[script.nextInt(troubles.length)];
-      w.world.at(
+      QuotaReclaimFailureTest.Fault fault = troubles[script.nextInt(troubles.length)];
+      scenario.world.at(
           20_000 + script.nextInt(100_000),
           () -> {
-            w.guarantees.trouble(12_000);
-            trouble.begin.accept(w);
+            scenario.guarantees.expectDisruption(12_000);
+            fault.inject.accept(scenario);
           });
     }
-    w.guarantees.trouble(TROUBLED_S * 1000L);
-    w.world.run(TROUBLED_S);
-    w.world.progress.savesHangOn.clear();
-    w.world.quiet();
-    w.world.run(QUIET_S);
-    assertEquals(List.of(), w.world.checker.breaches);
-    assertEquals(List.of(), w.guarantees.unexplained);
-    int before = w.world.checker.answers;
-    jobs.forEach(job -> w.world.queryAll(job.uid()));
-    w.world.run(5);
-    assertEquals(before + w.world.all().size() * jobs.size(), w.world.checker.answers);
-    assertEquals(List.of(), w.world.checker.breaches);
-    assertTrue(w.world.checker.starts > 10);
+    scenario.guarantees.expectDisruption(FAULTY_PHASE_S * 1000L);
+    scenario.world.run(FAULTY_PHASE_S);
+    scenario.world.progress.savesHangOn.clear();
+    scenario.world.quiet();
+    scenario.world.run(QUIET_PHASE_S);
+    return jobs;
   }
 }
--- a/src/test/java/eiderfork/controller/RandomHistoryTest.java
+++ b/src/test/java/eiderfork/controller/RandomHistoryTest.java
@@ -5,7 +5,7 @@
 
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
-import eiderfork.model.JobStatus.Stance;
+import eiderfork.model.JobStatus.Phase;
 import eiderfork.model.Priority;
 import java.util.ArrayList;
 import java.util.List;
@@ -25,7 +25,7 @@
   @ParameterizedTest
   @ValueSource(longs = {21, 22, 23, 24, 25, 26})
   void rulesHoldWhereReportsComeSeldom(long seed) {
-    rulesHold(new SimulatedCluster(seed, TestFixtures.slow()), seed);
+    rulesHold(new SimulatedCluster(seed, TestFixtures.longLeaseSettings()), seed);
   }
 
   /** Troubles that meet: late and lost transactions, old reports, refusals before an outage. */
@@ -33,6 +33,12 @@
   @ValueSource(longs = {31, 32, 33, 34, 35, 36, 37, 38, 39, 40, 41, 42, 43, 44, 45, 46})
   void rulesHoldWhereTroublesMeet(long seed) {
     SimulatedCluster world = new SimulatedCluster(seed);
+    troublesMeet(world, seed);
+    rulesHold(world, seed);
+  }
+
+  /** Has several kinds of trouble meet in a history that is not played yet. */
+  static void troublesMeet(SimulatedCluster world, long seed) {
     Random script = new Random(seed * 37);
     world.lateWrites = 0.08;
     world.lostAnswers = 0.08;
@@ -46,7 +52,6 @@
       int kind = (i + (int) seed) % 7;
       world.at(12_000 + i * 11_000L + script.nextInt(8000), () -> meeting(world, script, kind));
     }
-    rulesHold(world, seed);
   }
 
   private static void meeting(SimulatedCluster world, Random script, int kind) {
@@ -67,11 +72,11 @@
         }
       }
       case 4 -> {
-        workers.stream().limit(3).forEach(w -> world.deafen(w.machine.name(), 14_000));
+        workers.stream().limit(3).forEach(worker -> world.deafen(worker.machine.name(), 14_000));
         world.at(800, () -> world.crash(leaderOr(world, node), 3000));
       }
       case 5 -> {
-        workers.stream().limit(3).forEach(w -> world.mute(w.machine.name(), 14_000));
+        workers.stream().limit(3).forEach(worker -> world.mute(worker.machine.name(), 14_000));
         world.at(800, () -> world.crash(leaderOr(world, node), 3000));
       }
       default -> {
@@ -87,7 +92,8 @@
     return world.leader() == null ? node : world.leader();
   }
 
-  private static void rulesHold(SimulatedCluster world, long seed) {
+  /** Plays the random history of this seed to its quiet end, and tells the jobs. */
+  static List<Job> play(SimulatedCluster world, long seed) {
     Random script = new Random(seed * 31);
     world.loss = 0.01;
     world.late = 0.01;
@@ -122,6 +128,11 @@
     world.run(110);
     world.quiet();
     world.run(110);
+    return jobs;
+  }
+
+  private static void rulesHold(SimulatedCluster world, long seed) {
+    List<Job> jobs = play(world, seed);
     assertEquals(List.of(), world.checker.breaches);
     assertTrue(world.checker.starts > 10);
     for (Job job : jobs) {
@@ -140,7 +151,7 @@
       assertEquals(JobKind.SERVICE, job.kind(), job::uid);
       assertEquals(job.tasks(), world.checker.running(job.uid()), job::uid);
     }
-    assertTrue(jobs.stream().anyMatch(job -> world.checker.finalStance(job.uid()) == Stance.DONE));
+    assertTrue(jobs.stream().anyMatch(job -> world.checker.finalStance(job.uid()) == Phase.DONE));
   }
 
   private static void trouble(SimulatedCluster world, Random script, int kind) {
@@ -173,9 +184,9 @@
       }
       case 6 -> {
         if (!workers.isEmpty()) {
-          FakeWorker w = workers.get(script.nextInt(workers.size()));
-          w.hanging = true;
-          world.at(3000 + script.nextInt(20_000), () -> w.hanging = false);
+          FakeWorker worker = workers.get(script.nextInt(workers.size()));
+          worker.hanging = true;
+          world.at(3000 + script.nextInt(20_000), () -> worker.hanging = false);
         }
       }
       case 7 -> {
@@ -184,8 +195,8 @@
         }
       }
       case 8 -> {
-        world.cloud.down = true;
-        world.at(15_000, () -> world.cloud.down = false);
+        world.cloud.isDown = true;
+        world.at(15_000, () -> world.cloud.isDown = false);
       }
       default -> {
         // Reports arrive, answers and commands do not.
--- a/src/test/java/eiderfork/controller/RateLimitTest.java
+++ b/src/test/java/eiderfork/controller/RateLimitTest.java
@@ -34,11 +34,11 @@
   @Test
   void aBucketHoldsItsBurstAndFillsAtItsRate() {
     TokenBucket bucket = new TokenBucket(10, 2, 0);
-    assertTrue(bucket.take(1, 0));
-    assertTrue(bucket.take(1, 0));
-    assertFalse(bucket.take(1, 50));
-    assertTrue(bucket.take(1, 100));
-    assertFalse(bucket.take(1, 100));
+    assertTrue(bucket.tryTake(1, 0));
+    assertTrue(bucket.tryTake(1, 0));
+    assertFalse(bucket.tryTake(1, 50));
+    assertTrue(bucket.tryTake(1, 100));
+    assertFalse(bucket.tryTake(1, 100));
   }
 
   @Test
@@ -47,7 +47,7 @@
     Random random = new Random(3);
     for (int i = 0; i < 20; i++) {
       long base = Math.min(1000, 100L << Math.min(i, 16));
-      long pause = backoff.next(random);
+      long pause = backoff.nextPauseMs(random);
       assertTrue(pause >= base / 2 && pause <= base, i + ": " + pause);
     }
   }
@@ -56,20 +56,21 @@
   void theMostUrgentWriteGoesFirstWhenTheRateIsFull() {
     ControllerContext context =
         new ControllerContext(TestFixtures.settings("roost-0"), new Random(1), 0);
-    StoreClient gate = new StoreClient(context);
-    gate.leading(true);
+    StoreClient store = new StoreClient(context);
+    store.leading(true);
     for (int i = 0; i < 200; i++) {
-      write(gate, "batch/" + i, RequestPriority.BATCH);
+      sendWrite(store, "batch/" + i, RequestPriority.BATCH);
     }
-    int burst = context.takeEffects().size();
+    int burst = context.drainEffects().size();
     assertTrue(burst < 200, "the rate holds some back");
-    write(gate, "abort/1", RequestPriority.ABORT);
-    assertTrue(context.takeEffects().isEmpty());
+    sendWrite(store, "abort/1", RequestPriority.ABORT);
+    assertTrue(context.drainEffects().isEmpty());
     context.nowMs += 100;
-    gate.pump();
+    store.sendQueued();
     List<String> keys = new ArrayList<>();
-    for (Effect effect : context.takeEffects()) {
-      StoreRequest.Transact it = (StoreRequest.Transact) ((Effect.AskState) effect).op();
+    for (Effect effect : context.drainEffects()) {
+      StoreRequest.Transaction it =
+          (StoreRequest.Transaction) ((Effect.CallStore) effect).request();
       keys.add(it.changes().get(0).key());
     }
     assertEquals("abort/1", keys.get(0));
@@ -81,16 +82,16 @@
   void aNodeOnItsOwnRefusesPollsItCannotServeAndTakesSubmissionsFirst() {
     ControllerContext context =
         new ControllerContext(TestFixtures.settings("roost-0"), new Random(1), 0);
-    StoreClient gate = new StoreClient(context);
-    LeaderElection term = new LeaderElection(context, gate, null);
-    ClusterVersion version = new ClusterVersion(context, gate, term);
-    JobRegistry jobs = new JobRegistry(context, gate, term, version);
+    StoreClient store = new StoreClient(context);
+    LeaderElection election = new LeaderElection(context, store, null);
+    ClusterVersion version = new ClusterVersion(context, store, election);
+    JobRegistry jobs = new JobRegistry(context, store, election, version);
     MachineRegistry fleet = new MachineRegistry(context, jobs);
     UserRequestHandler users =
         new UserRequestHandler(
             context,
-            term,
-            gate,
+            election,
+            store,
             jobs,
             fleet,
             null,
@@ -100,27 +101,27 @@
             () -> {});
     List<UserResponse> refused = new ArrayList<>();
     for (int i = 0; i < 500; i++) {
-      users.take(new Input.Query(i, "run-%06d".formatted(i)), true, refused::add);
+      users.handle(new Input.Query(i, "run-%06d".formatted(i)), true, refused::add);
     }
     assertTrue(refused.size() > 300, "most are answered at once: " + refused.size());
     assertTrue(refused.stream().allMatch(a -> a.status() == 503 && a.retryAfterS() > 0));
-    context.takeEffects();
-    users.take(
+    context.drainEffects();
+    users.handle(
         new Input.Submit(
             1, TestFixtures.job(999, eiderfork.model.JobKind.SERVICE, 1, 1), new byte[0]),
         true,
         refused::add);
     context.nowMs += 100;
-    gate.pump();
-    Effect.AskState first = (Effect.AskState) context.takeEffects().get(0);
-    assertEquals(new StoreRequest.Get("job/run-000999"), first.op());
+    store.sendQueued();
+    Effect.CallStore first = (Effect.CallStore) context.drainEffects().get(0);
+    assertEquals(new StoreRequest.Get("job/run-000999"), first.request());
   }
 
-  private static void write(StoreClient gate, String key, RequestPriority urgency) {
-    gate.send(
-        new StoreRequest.Transact(
+  private static void sendWrite(StoreClient store, String key, RequestPriority urgency) {
+    store.send(
+        new StoreRequest.Transaction(
             ImmutableList.of(),
-            ImmutableList.of(StoreRequest.Change.put(key, new StoredRecord.Term(1)))),
+            ImmutableList.of(StoreRequest.Change.put(key, new StoredRecord.TermCounter(1)))),
         urgency,
         reply -> {});
   }
@@ -131,7 +132,12 @@
   void sevenNodesThatRestartAtOnceKeepWithinTheRequestRate(long seed) {
     Settings settings =
         TestFixtures.settings(
-            "roost-0", TestFixtures.QUICK, new Settings.StateLimits(60, 20, 32, 16), 0.34, 800, 7);
+            "roost-0",
+            TestFixtures.SHORT_LEASES,
+            new Settings.StoreLimits(60, 20, 32, 16),
+            0.34,
+            800,
+            7);
     SimulatedCluster world = new SimulatedCluster(seed, settings, 7);
     List<Job> jobs = new ArrayList<>();
     for (int i = 1; i <= 40; i++) {
@@ -153,7 +159,12 @@
   void theEndOfAJobIsWrittenAtOnceHoweverManyArraysWantToStart() {
     Settings settings =
         TestFixtures.settings(
-            "roost-0", TestFixtures.QUICK, new Settings.StateLimits(200, 4, 8, 16), 0.2, 160, 3);
+            "roost-0",
+            TestFixtures.SHORT_LEASES,
+            new Settings.StoreLimits(200, 4, 8, 16),
+            0.2,
+            160,
+            3);
     SimulatedCluster world = new SimulatedCluster(5, settings);
     world.cloud.capacity = 4;
     List<Job> jobs = new ArrayList<>();
--- a/src/test/java/eiderfork/controller/ReadBarrierTest.java
+++ b/src/test/java/eiderfork/controller/ReadBarrierTest.java
@@ -21,58 +21,59 @@
 class ReadBarrierTest {
   private final ControllerContext context =
       new ControllerContext(TestFixtures.settings("roost-0"), new Random(1), 1000);
-  private final StoreClient gate = new StoreClient(context);
+  private final StoreClient store = new StoreClient(context);
   private final List<String> aborted = new ArrayList<>();
   private final List<Long> caughtUp = new ArrayList<>();
   private final ReadBarrier readBarrier =
       new ReadBarrier(
           context,
-          gate,
-          item -> aborted.add(((StoredRecord.Aborted) item.record()).uid()),
+          store,
+          item -> aborted.add(((StoredRecord.Cancellation) item.record()).uid()),
           caughtUp::add);
 
-  private Effect.AskState asked() {
+  private Effect.CallStore asked() {
     context.nowMs += 1000;
     readBarrier.tick();
-    gate.pump();
-    List<Effect> effects = context.takeEffects();
+    store.sendQueued();
+    List<Effect> effects = context.drainEffects();
     assertEquals(1, effects.size());
-    return (Effect.AskState) effects.get(0);
+    return (Effect.CallStore) effects.get(0);
   }
 
   @Test
   void servesQuestionsTogetherAndNeverFromAnEarlierLook() {
     List<String> told = new ArrayList<>();
-    readBarrier.start(5);
-    readBarrier.pass(ok -> told.add("first " + ok + aborted));
-    Effect.AskState look = asked();
-    assertEquals(new StoreRequest.Watch(StoreKeys.ABORT, 5, 0), look.op());
-    readBarrier.pass(ok -> told.add("second " + ok + aborted));
-    readBarrier.pass(ok -> told.add("third " + ok + aborted));
+    readBarrier.advanceTo(5);
+    readBarrier.awaitCaughtUp(ok -> told.add("first " + ok + aborted));
+    Effect.CallStore look = asked();
+    assertEquals(new StoreRequest.Watch(StoreKeys.CANCELLATION_PREFIX, 5, 0), look.request());
+    readBarrier.awaitCaughtUp(ok -> told.add("second " + ok + aborted));
+    readBarrier.awaitCaughtUp(ok -> told.add("third " + ok + aborted));
     readBarrier.tick();
-    assertTrue(context.takeEffects().isEmpty(), "a look is under way");
-    long askedMs = context.nowMs;
+    assertTrue(context.drainEffects().isEmpty(), "a look is under way");
+    long requestedMs = context.nowMs;
     context.nowMs += 400;
-    context.answered(look.call(), new Reply.Changes(ImmutableList.of(), 6));
+    context.completeCall(look.callId(), new Reply.Changes(ImmutableList.of(), 6));
     assertEquals(List.of("first true[]"), told);
-    assertEquals(List.of(askedMs), caughtUp, "it speaks of when it was asked, not of its arrival");
-    Effect.AskState next = asked();
-    assertEquals(new StoreRequest.Watch(StoreKeys.ABORT, 6, 0), next.op());
-    Reply.Item item = new Reply.Item("abort/run-1", new StoredRecord.Aborted("run-1"), 7);
-    context.answered(next.call(), new Reply.Changes(ImmutableList.of(item), 7));
+    assertEquals(
+        List.of(requestedMs), caughtUp, "it speaks of when it was asked, not of its arrival");
+    Effect.CallStore next = asked();
+    assertEquals(new StoreRequest.Watch(StoreKeys.CANCELLATION_PREFIX, 6, 0), next.request());
+    Reply.Item item = new Reply.Item("abort/run-1", new StoredRecord.Cancellation("run-1"), 7);
+    context.completeCall(next.callId(), new Reply.Changes(ImmutableList.of(item), 7));
     assertEquals(List.of("first true[]", "second true[run-1]", "third true[run-1]"), told);
   }
 
   @Test
   void saysNoWhenTheLookFailsOrTheLeadIsLost() {
     List<Boolean> told = new ArrayList<>();
-    readBarrier.pass(told::add);
-    context.answered(asked().call(), new Reply.Refused(503));
-    readBarrier.pass(told::add);
-    readBarrier.pass(told::add);
-    Effect.AskState look = asked();
-    readBarrier.stop();
-    context.answered(look.call(), new Reply.Changes(ImmutableList.of(), 9));
+    readBarrier.awaitCaughtUp(told::add);
+    context.completeCall(asked().callId(), new Reply.Refused(503));
+    readBarrier.awaitCaughtUp(told::add);
+    readBarrier.awaitCaughtUp(told::add);
+    Effect.CallStore look = asked();
+    readBarrier.failWaiters();
+    context.completeCall(look.callId(), new Reply.Changes(ImmutableList.of(), 9));
     assertEquals(List.of(false, false, false), told);
   }
 }
--- a/src/test/java/eiderfork/controller/RequestForwarderTest.java
+++ b/src/test/java/eiderfork/controller/RequestForwarderTest.java
@@ -22,16 +22,16 @@
   private final List<String> told = new ArrayList<>();
 
   private void ask(String uid) {
-    forwards.add(
-        uid, answer -> told.add(uid + " " + answer.status()), () -> told.add(uid + " here"));
+    forwards.enqueueQuery(
+        uid, response -> told.add(uid + " " + response.status()), () -> told.add(uid + " here"));
   }
 
   private static UserResponse running(String uid) {
-    return UserResponse.ok(new JobStatus(uid, JobStatus.Stance.RUNNING, 0, 1));
+    return UserResponse.ok(new JobStatus(uid, JobStatus.Phase.RUNNING, 0, 1));
   }
 
-  private List<Effect.AskPeerQueries> sent() {
-    return context.takeEffects().stream().map(Effect.AskPeerQueries.class::cast).toList();
+  private List<Effect.ForwardQueries> sent() {
+    return context.drainEffects().stream().map(Effect.ForwardQueries.class::cast).toList();
   }
 
   /** Passed on one by one, the questions of a thousand jobs' users took most of the processor. */
@@ -40,32 +40,32 @@
     ask("run-1");
     ask("run-2");
     ask("run-3");
-    forwards.tick("roost-1");
-    List<Effect.AskPeerQueries> sent = sent();
+    forwards.sendQueued("roost-1");
+    List<Effect.ForwardQueries> sent = sent();
     assertEquals(1, sent.size());
     assertEquals(List.of("run-1", "run-2", "run-3"), sent.get(0).uids());
     ImmutableList<UserResponse> answers =
         ImmutableList.of(
             running("run-1"),
             UserResponse.refused(404, "no such job"),
-            UserResponse.later(1, "busy"));
-    context.answered(sent.get(0).call(), new Reply.PeerAnswers(answers));
+            UserResponse.retryAfter(1, "busy"));
+    context.completeCall(sent.get(0).callId(), new Reply.ForwardedResponses(answers));
     assertEquals(List.of("run-1 200", "run-2 404", "run-3 here"), told);
   }
 
   @Test
   void withoutAnAnswerFromTheLeaderEachIsAnsweredHere() {
     ask("run-1");
-    forwards.tick(null);
+    forwards.sendQueued(null);
     assertEquals(List.of("run-1 here"), told);
     ask("run-2");
-    forwards.tick("roost-1");
-    context.answered(sent().get(0).call(), new Reply.Unanswered());
+    forwards.sendQueued("roost-1");
+    context.completeCall(sent().get(0).callId(), new Reply.Unanswered());
     ask("run-3");
     ask("run-4");
-    forwards.tick("roost-1");
+    forwards.sendQueued("roost-1");
     ImmutableList<UserResponse> tooFew = ImmutableList.of(running("run-3"));
-    context.answered(sent().get(0).call(), new Reply.PeerAnswers(tooFew));
+    context.completeCall(sent().get(0).callId(), new Reply.ForwardedResponses(tooFew));
     assertEquals(List.of("run-1 here", "run-2 here", "run-3 here", "run-4 here"), told);
   }
 
@@ -74,8 +74,8 @@
     for (int i = 0; i < 1000; i++) {
       ask("run-%060d".formatted(i));
     }
-    forwards.tick("roost-1");
-    List<Effect.AskPeerQueries> sent = sent();
+    forwards.sendQueued("roost-1");
+    List<Effect.ForwardQueries> sent = sent();
     assertTrue(sent.size() > 1);
     assertEquals(1000, sent.stream().mapToInt(each -> each.uids().size()).sum());
   }
--- a/src/test/java/eiderfork/controller/RollingUpgradeTest.java
+++ b/src/test/java/eiderfork/controller/RollingUpgradeTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import eiderfork.config.Settings.StateLimits;
+import eiderfork.config.Settings.StoreLimits;
 import eiderfork.controller.message.StoreKeys;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
@@ -22,15 +22,17 @@
 
 /** Nodes of two versions side by side, and limits of the state service that fall. */
 class RollingUpgradeTest {
-  private static final StateLimits NOW = new StateLimits(200, 40, 4, 16);
-  private static final StateLimits NEXT = new StateLimits(200, 18, 2, 16);
+  private static final StoreLimits NOW = new StoreLimits(200, 40, 4, 16);
+  private static final StoreLimits NEXT = new StoreLimits(200, 18, 2, 16);
 
-  private static SimulatedCluster older(long seed) {
+  /** Three nodes of the version before. */
+  static SimulatedCluster older(long seed) {
     SimulatedCluster world =
         new SimulatedCluster(
             seed,
             TestFixtures.withNextLimits(
-                TestFixtures.settings("roost-0", TestFixtures.QUICK, NOW, 0.2, 160, 3), NEXT));
+                TestFixtures.settings("roost-0", TestFixtures.SHORT_LEASES, NOW, 0.2, 160, 3),
+                NEXT));
     for (String node : world.all()) {
       world.older.add(node);
       world.boot(node);
@@ -45,8 +47,8 @@
   }
 
   private static boolean anyPacked(SimulatedCluster world) {
-    return world.state.keys(StoreKeys.ALLOC).stream()
-        .anyMatch(key -> !(world.state.stored(key) instanceof StoredRecord.Alloc));
+    return world.state.keys(StoreKeys.ALLOC_PREFIX).stream()
+        .anyMatch(key -> !(world.state.stored(key) instanceof StoredRecord.Allocation));
   }
 
   static List<List<Integer>> orders() {
@@ -93,7 +95,7 @@
     assertTrue(world.checker.isDone(early.uid()));
     assertEquals(
         new StoredRecord.StoredVersion(ClusterVersion.CURRENT),
-        world.state.stored(StoreKeys.VERSION));
+        world.state.stored(StoreKeys.CLUSTER_VERSION));
     assertTrue(anyPacked(world));
     ExpectedOutcome.allServed(world, jobs);
   }
@@ -122,8 +124,8 @@
   }
 
   private static boolean anyBitmap(SimulatedCluster world) {
-    return world.state.keys(StoreKeys.ALLOC).stream()
-        .anyMatch(key -> world.state.stored(key) instanceof StoredRecord.BitmapAlloc);
+    return world.state.keys(StoreKeys.ALLOC_PREFIX).stream()
+        .anyMatch(key -> world.state.stored(key) instanceof StoredRecord.BitmapAllocation);
   }
 
   /** The gate's proof is stored: nobody has to be asked again when all nodes end. */
@@ -135,20 +137,20 @@
     world.run(12);
     assertEquals(
         new StoredRecord.StoredVersion(ClusterVersion.CURRENT),
-        world.state.stored(StoreKeys.VERSION));
+        world.state.stored(StoreKeys.CLUSTER_VERSION));
     world.all().forEach(node -> world.crash(node, node.equals("roost-1") ? 500 : 60_000));
     world.run(8);
     Job array = TestFixtures.job(2, JobKind.ARRAY, 2, 0);
     world.submitAt("roost-1", array);
     world.run(12);
     assertInstanceOf(
-        StoredRecord.BitmapAlloc.class, world.state.stored(StoreKeys.alloc(array.uid())));
+        StoredRecord.BitmapAllocation.class, world.state.stored(StoreKeys.alloc(array.uid())));
     Job gang = TestFixtures.gang(1, 3, 1, 4, true);
     world.submitAt("roost-1", gang);
     world.run(30);
     assertTrue(world.checker.isDone(gang.uid()));
     assertInstanceOf(
-        StoredRecord.BitmapAlloc.class, world.state.stored(StoreKeys.alloc(gang.uid())));
+        StoredRecord.BitmapAllocation.class, world.state.stored(StoreKeys.alloc(gang.uid())));
     ExpectedOutcome.allServed(world, List.of(gang));
   }
 
@@ -181,6 +183,11 @@
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
   void rulesHoldWhileBothVersionsServeUnderTroubles(long seed) {
     SimulatedCluster world = older(seed);
+    ExpectedOutcome.allServed(world, play(world, seed));
+  }
+
+  /** Plays a random history in which all nodes are upgraded, and tells the jobs. */
+  static List<Job> play(SimulatedCluster world, long seed) {
     Random script = new Random(seed * 41);
     world.loss = 0.01;
     world.lateWrites = 0.06;
@@ -211,9 +218,9 @@
     }
     world.at(
         56_000 + script.nextInt(6000),
-        () -> world.state.lowerLimits(NEXT.valueKb(), NEXT.writeRps(), world.nowMs));
+        () -> world.state.lowerLimits(NEXT.valueKb(), NEXT.writesPerS(), world.nowMs));
     world.run(95);
-    ExpectedOutcome.allServed(world, jobs);
+    return jobs;
   }
 
   private static void trouble(SimulatedCluster world, int kind) {
@@ -245,14 +252,16 @@
     Job array = manyMachines(1, 120, 45);
     world.submit(array);
     world.run(22);
-    assertInstanceOf(StoredRecord.Alloc.class, world.state.stored(StoreKeys.alloc(array.uid())));
+    assertInstanceOf(
+        StoredRecord.Allocation.class, world.state.stored(StoreKeys.alloc(array.uid())));
     assertTrue(world.checker.running(array.uid()) >= 100, "on machines of their own");
     for (String node : world.all()) {
       upgrade(world, node);
       world.run(6);
     }
     world.at(
-        lowerAfterMs, () -> world.state.lowerLimits(NEXT.valueKb(), NEXT.writeRps(), world.nowMs));
+        lowerAfterMs,
+        () -> world.state.lowerLimits(NEXT.valueKb(), NEXT.writesPerS(), world.nowMs));
     if (crashAfterMs >= 0) {
       world.at(lowerAfterMs + crashAfterMs, () -> world.crash(world.leader(), 3000));
     }
@@ -274,9 +283,9 @@
     upgrade(world, "roost-1");
     world.crash("roost-2", 300_000);
     world.run(10);
-    world.state.lowerLimits(NEXT.valueKb(), NEXT.writeRps(), world.nowMs);
+    world.state.lowerLimits(NEXT.valueKb(), NEXT.writesPerS(), world.nowMs);
     // The reservations of the others alone are too large, whatever the order of their ends.
-    world.workers().stream().limit(30).forEach(w -> world.die(w.machine.name()));
+    world.workers().stream().limit(30).forEach(worker -> world.die(worker.machine.name()));
     world.run(110);
     assertTrue(world.state.tooLarge > 0);
     assertTrue(world.state.tooLarge < 60, world.state.tooLarge + " writes for nothing");
@@ -286,8 +295,8 @@
 
   /** Tasks that fill a machine each. */
   private static Job manyMachines(int number, int tasks, double runS) {
-    Job like = TestFixtures.job(number, JobKind.ARRAY, tasks, 0);
-    return TestFixtures.sized(like, new Resources(8, 0, 20), runS, "c8");
+    Job template = TestFixtures.job(number, JobKind.ARRAY, tasks, 0);
+    return TestFixtures.sized(template, new Resources(8, 0, 20), runS, "c8");
   }
 
   /**
@@ -302,7 +311,7 @@
     world.submit(before);
     world.run(3);
     assertTrue(world.checker.wasAccepted(before.uid()));
-    world.state.lowerLimits(NEXT.valueKb(), NEXT.writeRps(), world.nowMs);
+    world.state.lowerLimits(NEXT.valueKb(), NEXT.writesPerS(), world.nowMs);
     Job after = withImage(TestFixtures.job(2, JobKind.ARRAY, 1, 1), "x".repeat(2500));
     world.submit(after);
     world.run(1);
@@ -315,12 +324,12 @@
     ExpectedOutcome.allServed(world, List.of(before));
   }
 
-  private static Job withImage(Job like, String image) {
+  private static Job withImage(Job template, String image) {
     return TestFixtures.job(
-        Integer.parseInt(like.uid().substring(4)),
-        like.kind(),
-        like.tasks(),
-        like.need().gpus(),
+        Integer.parseInt(template.uid().substring(4)),
+        template.kind(),
+        template.tasks(),
+        template.taskResources().gpus(),
         image);
   }
 
@@ -331,7 +340,7 @@
     world.all().forEach(node -> upgrade(world, node));
     world.run(15);
     String leader = world.leader();
-    world.state.lowerLimits(NEXT.valueKb(), NEXT.writeRps(), world.nowMs);
+    world.state.lowerLimits(NEXT.valueKb(), NEXT.writesPerS(), world.nowMs);
     List<Job> jobs = new ArrayList<>();
     for (int i = 1; i <= 150; i++) {
       Job job = TestFixtures.job(i, JobKind.ARRAY, 1, 0);
--- a/src/test/java/eiderfork/controller/SchedulingWorkTest.java
+++ b/src/test/java/eiderfork/controller/SchedulingWorkTest.java
@@ -30,10 +30,10 @@
     for (int i = 0; i < 800; i++) {
       world.run(0.05);
       for (Controller node : world.nodes.values()) {
-        most = Math.max(most, node.examined());
+        most = Math.max(most, node.machinesExamined());
       }
     }
-    long machines = world.cloud.liveHosts();
+    long machines = world.cloud.liveHostCount();
     long running = jobs.stream().mapToLong(job -> world.checker.running(job.uid())).sum();
     assertTrue(machines >= 150, machines + " machines");
     // Four kinds of the larger type, 40 machines each, with four tasks on a machine.
@@ -66,14 +66,14 @@
           TestFixtures.job(i, JobKind.SERVICE, 8, 2, "blue", Priority.PRODUCTION, false, false));
     }
     world.run(40);
-    long machines = world.cloud.liveHosts();
+    long machines = world.cloud.liveHostCount();
     long waiting = 300 * 8 - world.checker.runningTasks();
     assertTrue(machines >= 100 && waiting > 1000, machines + " machines, " + waiting + " wait");
     int most = 0;
     for (int i = 0; i < 200; i++) {
       world.run(0.05);
       for (Controller node : world.nodes.values()) {
-        most = Math.max(most, node.placementExamined());
+        most = Math.max(most, node.machinesExaminedInRound());
       }
     }
     assertTrue(most <= 20 * machines, most + " looks with " + machines + " machines");
--- a/src/test/java/eiderfork/controller/SilentControllersTest.java
+++ b/src/test/java/eiderfork/controller/SilentControllersTest.java
@@ -7,7 +7,7 @@
 import eiderfork.controller.message.StoreKeys;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
-import eiderfork.model.JobStatus.Stance;
+import eiderfork.model.JobStatus.Phase;
 import eiderfork.model.StoredRecord;
 import java.util.ArrayList;
 import java.util.List;
@@ -57,7 +57,7 @@
   }
 
   private long term() {
-    return world.state.get(StoreKeys.TERM) instanceof StoredRecord.Term it ? it.term() : 0;
+    return world.state.get(StoreKeys.TERM) instanceof StoredRecord.TermCounter it ? it.term() : 0;
   }
 
   /** Services and arrays that come all the while, some of which are cancelled. */
@@ -106,13 +106,13 @@
       hung.submit(TestFixtures.job(i, JobKind.SERVICE, 2, 2));
     }
     hung.run(30);
-    List<Long> sessions = hung.workers().stream().map(FakeWorker::session).toList();
+    List<Long> sessions = hung.workers().stream().map(FakeWorker::incarnation).toList();
     String leader = hung.leader();
     hung.cut("*>" + leader, SILENT_MS);
     hung.cut(leader + ">*", SILENT_MS);
     hung.run(25);
     assertNotEquals(leader, hung.leader());
-    List<Long> after = hung.workers().stream().map(FakeWorker::session).toList();
+    List<Long> after = hung.workers().stream().map(FakeWorker::incarnation).toList();
     assertEquals(sessions, after.subList(0, sessions.size()), "leases lapsed");
     assertEquals(List.of(), hung.checker.breaches);
   }
@@ -189,7 +189,7 @@
           });
       still.run(70);
       assertEquals(List.of(), still.checker.breaches, "stopped after " + offsetMs + " ms");
-      assertEquals(Stance.ABORTED, still.checker.finalStance(cancelled.uid()));
+      assertEquals(Phase.ABORTED, still.checker.finalStance(cancelled.uid()));
       assertEquals(2, still.checker.running(started.uid()));
     }
   }
@@ -212,10 +212,10 @@
     int second = three.leader().charAt(three.leader().length() - 1) - '0';
     assertNotEquals(silent, (second + 1) % three.count, "workers would try the silent node next");
     List<FakeWorker> workers = three.workers();
-    List<Long> sessions = workers.stream().map(FakeWorker::session).toList();
+    List<Long> sessions = workers.stream().map(FakeWorker::incarnation).toList();
     three.freeze(three.leader(), 20_000);
     three.run(25);
-    assertEquals(sessions, workers.stream().map(FakeWorker::session).toList(), "leases lapsed");
+    assertEquals(sessions, workers.stream().map(FakeWorker::incarnation).toList(), "leases lapsed");
     assertEquals(List.of(), three.checker.breaches);
   }
 
--- a/src/test/java/eiderfork/controller/SilentWorkerHistoryTest.java
+++ b/src/test/java/eiderfork/controller/SilentWorkerHistoryTest.java
@@ -38,7 +38,7 @@
         Long.getLong("silences.from", 1), Long.getLong("silences.to", 40));
   }
 
-  private static SimulatedCluster world(long seed) {
+  static SimulatedCluster world(long seed) {
     return world(seed, TestFixtures.settings("roost-0"));
   }
 
@@ -50,7 +50,8 @@
 
   /** Short and long leases, with and without lending and a standby. */
   private static Settings settings(long seed) {
-    Settings figures = seed % 3 == 0 ? TestFixtures.slow() : TestFixtures.settings("roost-0");
+    Settings figures =
+        seed % 3 == 0 ? TestFixtures.longLeaseSettings() : TestFixtures.settings("roost-0");
     Settings lending = TestFixtures.withLending(figures, seed % 2 == 0);
     return TestFixtures.withStandbys(lending, seed % 5 == 0 ? 1 : 0);
   }
@@ -69,59 +70,77 @@
   void tasksThatStartedAnewAfterALapseAreInOnePlace(int heldMs) {
     SimulatedCluster world = world(5);
     world.cloud.capacity = 0;
-    world.cloud.stock.put(new CloudProvisioner.Kind("g4", "a", false), 1);
-    world.cloud.stock.put(new CloudProvisioner.Kind("g4", "b", false), 1);
+    world.cloud.stock.put(new CloudProvisioner.MachineKind("g4", "a", false), 1);
+    world.cloud.stock.put(new CloudProvisioner.MachineKind("g4", "b", false), 1);
     for (int i = 1; i <= 6; i++) {
       world.submit(replica(i));
     }
     world.run(30);
     List<FakeWorker> byTasks = new ArrayList<>(world.workers());
-    byTasks.sort(Comparator.comparing(worker -> worker.present().size()));
+    byTasks.sort(Comparator.comparing(worker -> worker.presentTasks().size()));
     FakeWorker silent = byTasks.get(0);
     FakeWorker full = byTasks.get(1);
-    assertEquals(2, silent.present().size());
-    assertEquals(4, full.present().size());
+    assertEquals(2, silent.presentTasks().size());
+    assertEquals(4, full.presentTasks().size());
 
-    long heardMs = silent.reportedMs;
-    while (silent.reportedMs == heardMs || silent.waiting) {
+    long heardMs = silent.lastHeartbeatMs;
+    while (silent.lastHeartbeatMs == heardMs || silent.awaitingResponse) {
       world.run(0.01);
     }
     String name = silent.machine.name();
-    long sinceMs = world.nowMs - silent.reportedMs;
+    long sinceMs = world.nowMs - silent.lastHeartbeatMs;
     world.holdBack(name, heldMs - sinceMs);
     world.at(heldMs + 100 - sinceMs, () -> world.cutReports(name, world.leader(), 20_000));
     world.at(heldMs + 400 - sinceMs, () -> world.submit(replica(7)));
     world.at(10_300 - sinceMs, () -> world.submit(replica(8)));
-    List<TaskId> others = List.copyOf(full.present());
-    world.at(16_900 - sinceMs, () -> others.forEach(task -> world.abort(task.job())));
+    List<TaskId> others = List.copyOf(full.presentTasks());
+    world.at(16_900 - sinceMs, () -> others.forEach(task -> world.abort(task.jobUid())));
     world.run(16);
-    assertEquals(2, silent.session());
-    assertEquals(4, silent.present().size(), "all started anew");
+    assertEquals(2, silent.incarnation());
+    assertEquals(4, silent.presentTasks().size(), "all started anew");
     world.run(14);
     ExpectedOutcome.rulesHold(world);
-    assertEquals(4, full.present().size(), "all moved on");
+    assertEquals(4, full.presentTasks().size(), "all moved on");
   }
 
   @ParameterizedTest
   @MethodSource("seeds")
   void noTaskIsInTwoPlaces(long seed) {
     SimulatedCluster world = world(seed);
-    rulesHold(world, seed, new Random(seed * 41));
+    play(world, seed);
+    rulesHold(world);
+  }
+
+  /** Plays the history of this seed under one leader, and tells the jobs. */
+  static List<Job> play(SimulatedCluster world, long seed) {
+    return play(world, seed, new Random(seed * 41));
   }
 
   /** The same while leaders end, are cut off or stand still, zones split and machines hang. */
   @ParameterizedTest
   @MethodSource("seeds")
   void noTaskIsInTwoPlacesWhereLeadersChange(long seed) {
-    SimulatedCluster world = world(seed, settings(seed));
+    SimulatedCluster world = changingWorld(seed);
+    playWithChanges(world, seed);
+    rulesHold(world);
+  }
+
+  /** Where the histories with changing leaders are played. */
+  static SimulatedCluster changingWorld(long seed) {
+    return world(seed, settings(seed));
+  }
+
+  /** Plays the history of this seed with changing leaders, and tells the jobs. */
+  static List<Job> playWithChanges(SimulatedCluster world, long seed) {
     Random script = new Random(seed * 43);
     for (int i = 0; i < TROUBLES; i++) {
-      world.at(8000 + script.nextInt(TROUBLED_MS), () -> trouble(world, script));
+      world.at(8000 + script.nextInt(TROUBLED_MS), () -> injectFault(world, script));
     }
-    rulesHold(world, seed, script);
+    return play(world, seed, script);
   }
 
-  private static void rulesHold(SimulatedCluster world, long seed, Random script) {
+  private static List<Job> play(SimulatedCluster world, long seed, Random script) {
+    List<Job> jobs = new ArrayList<>();
     world.cloud.capacity = 1;
     world.stateDelayMs = seed % 4 * 70L;
     world.commandsLateMs = seed % 3 * 150L;
@@ -130,6 +149,7 @@
     world.lateReports = seed % 7 * 0.05;
     for (int i = 1; i <= JOBS; i++) {
       Job job = job(script, i);
+      jobs.add(job);
       long atMs = script.nextInt(TROUBLED_MS);
       world.at(atMs, () -> world.submit(job));
       if (job.kind() == JobKind.SERVICE) {
@@ -137,9 +157,13 @@
       }
     }
     for (int i = 0; i < SILENCES; i++) {
-      world.at(8000 + script.nextInt(TROUBLED_MS), () -> silence(world, script));
+      world.at(8000 + script.nextInt(TROUBLED_MS), () -> isolateWorker(world, script));
     }
     world.run(TROUBLED_MS / 1000.0 + AFTERWARDS_S);
+    return jobs;
+  }
+
+  private static void rulesHold(SimulatedCluster world) {
     ExpectedOutcome.rulesHold(world);
     assertTrue(world.checker.starts > JOBS);
   }
@@ -148,7 +172,7 @@
     return world.leader() == null ? "roost-0" : world.leader();
   }
 
-  private static void trouble(SimulatedCluster world, Random script) {
+  private static void injectFault(SimulatedCluster world, Random script) {
     String leader = leader(world);
     long forMs = 2000 + script.nextInt(12_000);
     switch (script.nextInt(6)) {
@@ -178,12 +202,12 @@
         : job;
   }
 
-  private static void silence(SimulatedCluster world, Random script) {
+  private static void isolateWorker(SimulatedCluster world, Random script) {
     List<FakeWorker> workers = world.workers();
     if (workers.isEmpty()) {
       return;
     }
-    long leaseMs = (long) (world.settings.workers().leaseS() * 1000);
+    long leaseMs = (long) (world.settings.workerTimings().leaseS() * 1000);
     long forMs = leaseMs / 2 + script.nextLong(leaseMs * 3 / 2);
     String name = workers.get(script.nextInt(workers.size())).machine.name();
     String leader = leader(world);
