--- a/src/test/java/eiderfork/controller/SimulatedCluster.java
+++ b/src/test/java/eiderfork/controller/SimulatedCluster.java
@@ -17,6 +17,7 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.TreeMap;
+import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 
 /**
@@ -83,6 +84,9 @@
   /** Machines keep the images that they have fetched, so that tasks start there at once. */
   boolean imagesStay;
 
+  /** Is told each effect of a controller, with its node, before it is carried out. */
+  BiConsumer<String, Effect> effectObserver = (node, effect) -> {};
+
   private final FakeHeartbeats reports = new FakeHeartbeats(this);
   private final FakeUsers users = new FakeUsers(this);
   private final FakeNetwork network = new FakeNetwork(this);
@@ -129,7 +133,9 @@
     this.count = count;
     random = new Random(seed);
     cloud = new FakeCloud(random, settings.cloudLimits().listLagS());
-    checker = new ProtocolChecker(settings.teams(), (long) (settings.workers().cancelS() * 1000));
+    checker =
+        new ProtocolChecker(
+            settings.teams(), (long) (settings.workerTimings().cancelDeadlineS() * 1000));
     for (String node : all()) {
       boot(node);
     }
@@ -152,8 +158,8 @@
 
   /** Whether the state service holds that the job is done. */
   boolean committedDone(Job job) {
-    return state.get(StoreKeys.alloc(job.uid())) instanceof StoredRecord.Alloc alloc
-        && alloc.done();
+    return state.get(StoreKeys.alloc(job.uid())) instanceof StoredRecord.Allocation allocation
+        && allocation.done();
   }
 
   /** Whether a task has ended well, whoever knows of it. */
@@ -168,23 +174,23 @@
   }
 
   boolean failing(TaskId task, Machine machine) {
-    return badJobs.contains(task.job())
+    return badJobs.contains(task.jobUid())
         || badTasks.contains(task)
         || badMachines.contains(machine.name());
   }
 
   // Time.
 
-  void at(long delayMs, Runnable what) {
-    queue.add(new Event(nowMs + delayMs, order++, what));
+  void at(long delayMs, Runnable action) {
+    queue.add(new Event(nowMs + delayMs, order++, action));
   }
 
-  private void every(long ms, Runnable what) {
+  private void every(long ms, Runnable action) {
     at(
         ms,
         () -> {
-          what.run();
-          every(ms, what);
+          action.run();
+          every(ms, action);
         });
   }
 
@@ -224,19 +230,19 @@
     Settings own =
         TestFixtures.settings(
             node,
-            settings.workers(),
-            settings.stateLimits(),
-            settings.controller().cpuShare(),
-            settings.controller().sockets(),
+            settings.workerTimings(),
+            settings.storeLimits(),
+            settings.controllerResources().cpuShare(),
+            settings.controllerResources().sockets(),
             count);
-    own = TestFixtures.withNextLimits(own, settings.nextStateLimits());
+    own = TestFixtures.withNextLimits(own, settings.nextStoreLimits());
     own = TestFixtures.withObjectives(own, settings.objectives());
     own = TestFixtures.withOperator(own, settings.operator());
     own = TestFixtures.withTeams(own, settings.teams());
     if (older.contains(node)) {
       own = TestFixtures.withLending(own, false);
     }
-    own = TestFixtures.withCloudRate(own, settings.cloudLimits().rps());
+    own = TestFixtures.withCloudRate(own, settings.cloudLimits().requestsPerS());
     nodes.put(node, new Controller(own, new Random(random.nextLong()), nowMs, version(node)));
   }
 
@@ -295,7 +301,8 @@
     }
     Controller controller = nodes.get(node);
     if (controller != null) {
-      for (Effect effect : controller.take(nowMs, input)) {
+      for (Effect effect : controller.handle(nowMs, input)) {
+        effectObserver.accept(node, effect);
         network.carryOut(node, effect);
       }
     }
@@ -372,10 +379,11 @@
     }
   }
 
-  void ask(String node, java.util.function.LongFunction<Input> request, Consumer<Effect> then) {
+  void ask(
+      String node, java.util.function.LongFunction<Input> request, Consumer<Effect> onComplete) {
     if (nodes.containsKey(node)) {
       long ticket = ++tickets;
-      answers.put(ticket, then);
+      answers.put(ticket, onComplete);
       input(node, request.apply(ticket));
     }
   }
@@ -388,7 +396,7 @@
 
   /** A machine stops with all that is on it. */
   void die(String name) {
-    cloud.die(name, nowMs);
+    cloud.fail(name, nowMs);
   }
 
   // Users.
@@ -424,12 +432,12 @@
 
   /** Asks all nodes at once, and submits the job once more at each. */
   void lookClosely(String uid) {
-    users.lookClosely(uid);
+    users.queryAndResubmitEverywhere(uid);
   }
 
   /** After each answer that says something new of a job, all nodes are asked within moments. */
   void lookCloselyAtNews(boolean value) {
-    users.closeLooks = value;
+    users.probeAfterNews = value;
   }
 
   String leader() {
--- a/src/test/java/eiderfork/controller/SingleFailureTest.java
+++ b/src/test/java/eiderfork/controller/SingleFailureTest.java
@@ -9,7 +9,7 @@
 import eiderfork.controller.message.StoreKeys;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
-import eiderfork.model.JobStatus.Stance;
+import eiderfork.model.JobStatus.Phase;
 import eiderfork.model.Priority;
 import java.util.List;
 import org.junit.jupiter.api.AfterEach;
@@ -28,7 +28,10 @@
 
   /** A worker that has tasks. */
   private FakeWorker busyWorker() {
-    return world.workers().stream().filter(w -> !w.present().isEmpty()).findFirst().orElseThrow();
+    return world.workers().stream()
+        .filter(worker -> !worker.presentTasks().isEmpty())
+        .findFirst()
+        .orElseThrow();
   }
 
   private Job submit(Job job) {
@@ -49,7 +52,7 @@
     world.run(3);
     assertEquals(0, world.checker.running(service.uid()));
     world.run(120);
-    assertTrue(world.cloud.liveHosts() <= 1, "no more than the headroom is kept");
+    assertTrue(world.cloud.liveHostCount() <= 1, "no more than the headroom is kept");
   }
 
   @ParameterizedTest
@@ -71,7 +74,7 @@
     world.abort(job.uid());
     world.at(afterMs, () -> world.crash(world.leader(), 3000));
     world.run(20);
-    assertEquals(Stance.ABORTED, world.checker.finalStance(job.uid()));
+    assertEquals(Phase.ABORTED, world.checker.finalStance(job.uid()));
     assertEquals(0, world.checker.running(job.uid()));
   }
 
@@ -85,7 +88,7 @@
     assertEquals(4, world.checker.running(job.uid()));
     world.abort(job.uid());
     world.run(150);
-    assertTrue(world.cloud.liveHosts() <= 1, "no machine is left running unused");
+    assertTrue(world.cloud.liveHostCount() <= 1, "no machine is left running unused");
   }
 
   @ParameterizedTest
@@ -99,7 +102,7 @@
     world.run(30);
     world.query(job.uid());
     world.run(2);
-    assertEquals(Stance.DONE, world.checker.finalStance(job.uid()));
+    assertEquals(Phase.DONE, world.checker.finalStance(job.uid()));
   }
 
   @ParameterizedTest
@@ -118,7 +121,7 @@
     world.abort(low.uid());
     world.at(60_000 + afterMs, () -> world.crash(world.leader(), 2000));
     world.run(200);
-    assertTrue(world.cloud.liveHosts() <= 1);
+    assertTrue(world.cloud.liveHostCount() <= 1);
   }
 
   @Test
@@ -126,11 +129,11 @@
     Job job = submit(TestFixtures.job(1, JobKind.SERVICE, 4, 2));
     world.run(30);
     int starts = world.checker.starts;
-    int returned = world.cloud.returnedHosts;
+    int returned = world.cloud.returnedHostCount;
     world.crash(world.leader(), 8000);
     world.run(8);
     // A new leader once took machines that it had not heard yet for ones that never came up.
-    assertEquals(returned, world.cloud.returnedHosts);
+    assertEquals(returned, world.cloud.returnedHostCount);
     assertEquals(4, world.checker.running(job.uid()));
     assertEquals(starts, world.checker.starts);
   }
@@ -198,7 +201,8 @@
       submit(TestFixtures.job(i, JobKind.SERVICE, 1, 1));
       world.run(0.005);
     }
-    assertTrue(world.cloud.liveHosts() > 2, "machines are on their way while submissions queue");
+    assertTrue(
+        world.cloud.liveHostCount() > 2, "machines are on their way while submissions queue");
   }
 
   @Test
@@ -207,9 +211,9 @@
     world.run(20);
     world.abort(job.uid());
     world.run(5);
-    assertTrue(world.cloud.liveHosts() > 0, "as many may come again");
+    assertTrue(world.cloud.liveHostCount() > 0, "as many may come again");
     world.run(120);
-    assertEquals(0, world.cloud.liveHosts());
+    assertEquals(0, world.cloud.liveHostCount());
   }
 
   @Test
@@ -281,10 +285,10 @@
   void roomForTheTasksOfASilentMachineIsRentedBeforeItsLeaseLapses() {
     submit(TestFixtures.job(1, JobKind.SERVICE, 4, 4));
     world.run(150);
-    long before = world.cloud.liveHosts();
+    long before = world.cloud.liveHostCount();
     world.die(busyWorker().machine.name());
     world.run(8);
-    assertEquals(before, world.cloud.liveHosts(), "one died and another is on its way");
+    assertEquals(before, world.cloud.liveHostCount(), "one died and another is on its way");
   }
 
   @Test
@@ -295,13 +299,13 @@
     }
     world.run(20);
     for (FakeWorker worker : world.workers()) {
-      worker.present().stream().skip(1).forEach(task -> world.abort(task.job()));
+      worker.presentTasks().stream().skip(1).forEach(task -> world.abort(task.jobUid()));
     }
     world.run(2);
-    long before = world.cloud.liveHosts();
+    long before = world.cloud.liveHostCount();
     long running = world.checker.runningTasks();
     world.run(120);
-    assertTrue(world.cloud.liveHosts() < before, before + " machines stay");
+    assertTrue(world.cloud.liveHostCount() < before, before + " machines stay");
     assertEquals(running, world.checker.runningTasks());
   }
 
@@ -321,12 +325,14 @@
     world.run(1.2);
     FakeWorker cached =
         world.workers().stream()
-            .filter(w -> w.present().stream().anyMatch(t -> t.job().equals(small.uid())))
+            .filter(
+                worker ->
+                    worker.presentTasks().stream().anyMatch(t -> t.jobUid().equals(small.uid())))
             .findFirst()
             .orElseThrow();
     Job next = submit(large(4, 4));
     world.run(5);
-    assertTrue(cached.present().stream().anyMatch(t -> t.job().equals(next.uid())));
+    assertTrue(cached.presentTasks().stream().anyMatch(t -> t.jobUid().equals(next.uid())));
     assertEquals(1, world.checker.running(next.uid()), "the image comes too late elsewhere");
     assertEquals(1, world.checker.running(small.uid()));
   }
@@ -344,11 +350,11 @@
     world.run(30);
     FakeWorker worker = busyWorker();
     worker.hanging = true;
-    world.cloud.down = true;
+    world.cloud.isDown = true;
     world.at(30_000, () -> worker.hanging = false);
     world.run(40);
     assertEquals(2, world.checker.running(job.uid()), "it runs there again");
-    world.cloud.down = false;
+    world.cloud.isDown = false;
     world.run(20);
     assertFalse(worker.dead, "its return was called off");
     assertEquals(2, world.checker.running(job.uid()));
@@ -358,10 +364,10 @@
   void anUnexpectedMachineIsGivenBack() {
     submit(TestFixtures.job(1, JobKind.SERVICE, 1, 1));
     world.run(30);
-    long before = world.cloud.liveHosts();
+    long before = world.cloud.liveHostCount();
     world.cloud.addHost("g4", "a", false, 1000, world.nowMs);
     world.run(100);
-    assertTrue(world.cloud.liveHosts() <= before);
+    assertTrue(world.cloud.liveHostCount() <= before);
   }
 
   @Test
@@ -370,18 +376,19 @@
     world.run(30);
     List<String> hosts =
         world.workers().stream()
-            .filter(w -> !w.present().isEmpty())
-            .map(w -> w.machine.name())
+            .filter(worker -> !worker.presentTasks().isEmpty())
+            .map(worker -> worker.machine.name())
             .toList();
     Job bad = TestFixtures.job(2, JobKind.ARRAY, 4, 0);
     world.badJobs.add(bad.uid());
     submit(bad);
     world.run(60);
     assertEquals(8, world.checker.running(good.uid()));
-    assertTrue(world.workers().stream().map(w -> w.machine.name()).toList().containsAll(hosts));
+    assertTrue(
+        world.workers().stream().map(worker -> worker.machine.name()).toList().containsAll(hosts));
     world.abort(bad.uid());
     world.run(5);
-    assertEquals(Stance.ABORTED, world.checker.finalStance(bad.uid()));
+    assertEquals(Phase.ABORTED, world.checker.finalStance(bad.uid()));
   }
 
   @Test
@@ -395,7 +402,7 @@
       world.run(6);
     }
     world.run(90);
-    assertFalse(world.workers().stream().anyMatch(w -> w.machine.name().equals(name)));
+    assertFalse(world.workers().stream().anyMatch(worker -> worker.machine.name().equals(name)));
     for (int i = 2; i < 8; i++) {
       assertTrue(world.checker.isDone("run-%06d".formatted(i)));
     }
--- a/src/test/java/eiderfork/controller/StaleMessageTest.java
+++ b/src/test/java/eiderfork/controller/StaleMessageTest.java
@@ -20,7 +20,7 @@
   }
 
   /** Work of every kind that starts, ends and is cancelled for a minute. */
-  private static List<Job> churn(SimulatedCluster world, long seed) {
+  private static List<Job> submitChurn(SimulatedCluster world, long seed) {
     List<Job> jobs = new ArrayList<>();
     for (int i = 1; i <= 24; i++) {
       JobKind kind = i % 3 == 0 ? JobKind.SERVICE : i % 8 == 1 ? JobKind.GANG : JobKind.ARRAY;
@@ -44,7 +44,7 @@
   void oldReportsAfterNewerOnes(long seed) {
     SimulatedCluster world = new SimulatedCluster(seed);
     world.lateReports = 0.3;
-    List<Job> jobs = churn(world, seed);
+    List<Job> jobs = submitChurn(world, seed);
     for (int i = 0; i < 4; i++) {
       world.at(15_000 + 9000L * i, () -> hang(world, 11_000 + 500 * seed));
     }
@@ -61,7 +61,7 @@
   void oldReportsAtANewLeader(long seed) {
     SimulatedCluster world = new SimulatedCluster(seed);
     world.reportsForNext = 0.4;
-    List<Job> jobs = churn(world, seed);
+    List<Job> jobs = submitChurn(world, seed);
     for (int i = 0; i < 5; i++) {
       world.at(
           12_000 + 9000L * i + 37 * seed,
@@ -99,7 +99,7 @@
     SimulatedCluster world = new SimulatedCluster(seed);
     world.late = 0.1;
     world.lateMs = 9000;
-    List<Job> jobs = churn(world, seed);
+    List<Job> jobs = submitChurn(world, seed);
     for (int i = 0; i < 8; i++) {
       world.at(8000 + 5000L * i, () -> hang(world, 2000 + 700 * seed));
     }
@@ -123,7 +123,7 @@
   void transactionsAfterNewerOnes(long seed) {
     SimulatedCluster world = new SimulatedCluster(seed);
     world.at(4000, () -> world.lateWrites = 0.25);
-    List<Job> jobs = churn(world, seed);
+    List<Job> jobs = submitChurn(world, seed);
     world.at(20_000 + 100 * seed, () -> crashLeader(world, 2500));
     world.at(36_000 + 300 * seed, () -> crashLeader(world, 300));
     world.run(70);
@@ -165,7 +165,7 @@
     world.late = 0.05;
     world.lateReports = 0.1;
     world.lostAnswers = 0.05;
-    List<Job> jobs = churn(world, seed);
+    List<Job> jobs = submitChurn(world, seed);
     world.run(80);
     ExpectedOutcome.allServed(world, jobs);
     assertEquals(0, world.checker.startsAfterCancellation, "of a cancelled job nothing starts");
--- a/src/test/java/eiderfork/controller/StandbyFailoverTest.java
+++ b/src/test/java/eiderfork/controller/StandbyFailoverTest.java
@@ -58,7 +58,7 @@
 
   private static String standby(SimulatedCluster world) {
     return world.nodes.entrySet().stream()
-        .filter(node -> node.getValue().standsBy())
+        .filter(node -> node.getValue().isStandby())
         .map(java.util.Map.Entry::getKey)
         .findFirst()
         .orElse(null);
@@ -77,7 +77,7 @@
     world.crash(world.leader(), 60_000);
     world.run(6);
     assertEquals(next, world.leader());
-    assertTrue(leading(world).ledFromCopy());
+    assertTrue(leading(world).recoveredFromReplica());
     world.run(10);
     assertTrue(standby(world) != null, "the node that is left stands by now");
     ExpectedOutcome.allServed(world, jobs);
@@ -91,7 +91,7 @@
     assertEquals(null, standby(world));
     world.crash(world.leader(), 60_000);
     world.run(6);
-    assertFalse(leading(world).ledFromCopy());
+    assertFalse(leading(world).recoveredFromReplica());
     ExpectedOutcome.allServed(world, jobs);
   }
 
@@ -125,10 +125,10 @@
     world.run(afterMs / 1000.0);
     crashLeader(world, 20_000);
     world.run(8);
-    assertTrue(leading(world).ledFromCopy());
+    assertTrue(leading(world).recoveredFromReplica());
     jobs.subList(0, 4).forEach(job -> world.abort(job.uid()));
     ExpectedOutcome.allServed(world, jobs);
-    assertEquals(List.of(), world.state.keys(StoreKeys.RENT), "rents that nobody settles");
+    assertEquals(List.of(), world.state.keys(StoreKeys.RENT_PREFIX), "rents that nobody settles");
   }
 
   /** Watches bring nothing for a while; what was written meanwhile comes with the proof. */
@@ -146,7 +146,7 @@
     crashLeader(world, 20_000);
     world.run(6);
     assertEquals(standby, world.leader());
-    assertTrue(leading(world).ledFromCopy());
+    assertTrue(leading(world).recoveredFromReplica());
     var term = world.state.get(StoreKeys.TERM);
     world.stateAccess.blind.clear();
     ExpectedOutcome.allServed(world, jobs);
@@ -225,11 +225,11 @@
       SimulatedCluster world = world(seed, 5, 2);
       List<Job> jobs = rollout(world);
       world.run(25);
-      long standbys = world.nodes.values().stream().filter(Controller::standsBy).count();
+      long standbys = world.nodes.values().stream().filter(Controller::isStandby).count();
       assertEquals(2, standbys);
       crashLeader(world, 20_000);
       world.run(8);
-      assertTrue(leading(world).ledFromCopy());
+      assertTrue(leading(world).recoveredFromReplica());
       ExpectedOutcome.allServed(world, jobs);
     }
   }
@@ -256,7 +256,7 @@
     world.crash(standby(world), 20_000);
     crashLeader(world, 20_000);
     world.run(8);
-    assertFalse(leading(world).ledFromCopy(), "the third node reads everything");
+    assertFalse(leading(world).recoveredFromReplica(), "the third node reads everything");
     ExpectedOutcome.allServed(world, jobs);
   }
 
@@ -377,8 +377,18 @@
 
   /** One random history on three or five nodes with one or two standbys. */
   static void randomHistory(long seed) {
+    SimulatedCluster world = randomWorld(seed);
+    ExpectedOutcome.allServed(world, play(world, seed));
+  }
+
+  /** Where a random history is played. */
+  static SimulatedCluster randomWorld(long seed) {
+    return world(seed, seed % 3 == 0 ? 5 : 3, 1 + (int) (seed % 2));
+  }
+
+  /** Plays the random history of this seed, and tells the jobs. */
+  static List<Job> play(SimulatedCluster world, long seed) {
     Random script = new Random(seed * 101);
-    SimulatedCluster world = world(seed, seed % 3 == 0 ? 5 : 3, 1 + (int) (seed % 2));
     world.loss = 0.01;
     world.late = 0.02;
     world.doubled = 0.02;
@@ -403,7 +413,7 @@
     }
     world.run(80);
     world.lookCloselyAtNews(false);
-    ExpectedOutcome.allServed(world, jobs);
+    return jobs;
   }
 
   private static void trouble(SimulatedCluster world, Random script) {
--- a/src/test/java/eiderfork/controller/StandbyFixtures.java
+++ b/src/test/java/eiderfork/controller/StandbyFixtures.java
@@ -18,27 +18,28 @@
   public static Settings settings(String node, int nodes, int standbys) {
     Settings like = TestFixtures.settings("roost-0");
     return TestFixtures.withStandbys(
-        TestFixtures.settings(node, like.workers(), like.stateLimits(), 0.2, 160, nodes), standbys);
+        TestFixtures.settings(node, like.workerTimings(), like.storeLimits(), 0.2, 160, nodes),
+        standbys);
   }
 
   /** A service with this id. */
   public static Job job(String uid) {
-    Job like = TestFixtures.job(1, JobKind.SERVICE, 2, 1, "blue", Priority.HIGH, false, false);
+    Job template = TestFixtures.job(1, JobKind.SERVICE, 2, 1, "blue", Priority.HIGH, false, false);
     return new Job(
         uid,
-        like.jobClass(),
-        like.team(),
-        like.kind(),
-        like.priority(),
-        like.tasks(),
-        like.need(),
+        template.jobClass(),
+        template.team(),
+        template.kind(),
+        template.priority(),
+        template.tasks(),
+        template.taskResources(),
         null,
         null,
         false,
         false,
         false,
-        like.image(),
-        like.imageGb(),
+        template.image(),
+        template.imageGb(),
         0,
         0,
         0,
--- a/src/test/java/eiderfork/controller/TestFixtures.java
+++ b/src/test/java/eiderfork/controller/TestFixtures.java
@@ -15,9 +15,9 @@
 /** Settings and jobs that tests have in common. */
 final class TestFixtures {
   /** The figures of the earlier deployments, and of those of many machines. */
-  static final Settings.Workers QUICK = new Settings.Workers(1, 10, 30);
+  static final Settings.WorkerTimings SHORT_LEASES = new Settings.WorkerTimings(1, 10, 30);
 
-  static final Settings.Workers SLOW = new Settings.Workers(4, 22, 42);
+  static final Settings.WorkerTimings LONG_LEASES = new Settings.WorkerTimings(4, 22, 42);
 
   private TestFixtures() {}
 
@@ -27,8 +27,8 @@
   }
 
   /** Settings with the figures of a fleet of many machines. */
-  static Settings slow() {
-    return settings("roost-0", SLOW, new Settings.StateLimits(200, 40, 4, 16), 0.2, 160, 3);
+  static Settings longLeaseSettings() {
+    return settings("roost-0", LONG_LEASES, new Settings.StoreLimits(200, 40, 4, 16), 0.2, 160, 3);
   }
 
   static Settings settings(String node) {
@@ -37,13 +37,13 @@
 
   /** The same with so many nodes. */
   static Settings settings(String node, int count) {
-    return settings(node, QUICK, new Settings.StateLimits(200, 40, 8, 16), 0.2, 160, count);
+    return settings(node, SHORT_LEASES, new Settings.StoreLimits(200, 40, 8, 16), 0.2, 160, count);
   }
 
   static Settings settings(
       String node,
-      Settings.Workers workers,
-      Settings.StateLimits stateLimits,
+      Settings.WorkerTimings workers,
+      Settings.StoreLimits stateLimits,
       double cpuShare,
       int sockets,
       int count) {
@@ -72,61 +72,63 @@
         stateLimits,
         stateLimits,
         new Settings.CloudLimits(2, 4),
-        new Settings.Controller(cpuShare, sockets, 148),
+        new Settings.ControllerResources(cpuShare, sockets, 148),
         OperatorSettings.DEFAULTS);
   }
 
   /** The same settings, with limits of the state service that are to come. */
-  static Settings withNextLimits(Settings base, Settings.StateLimits next) {
+  static Settings withNextLimits(Settings base, Settings.StoreLimits next) {
     return with(base, base.objectives(), next, base.operator());
   }
 
   /** The same settings, with these of the operators. */
   static Settings withOperator(Settings base, OperatorSettings operator) {
-    return with(base, base.objectives(), base.nextStateLimits(), operator);
+    return with(base, base.objectives(), base.nextStoreLimits(), operator);
   }
 
   /** Settings by which jobs are archived that long after their end. */
   static Settings archivingAfter(double seconds) {
-    return archiving(seconds, OperatorSettings.DEFAULTS.mostEndedJobs());
+    return archiving(seconds, OperatorSettings.DEFAULTS.maxEndedJobs());
   }
 
   /** Settings by which jobs are archived that long after their end, or past so many of them. */
   static Settings archiving(double seconds, int mostEndedJobs) {
-    OperatorSettings d = OperatorSettings.DEFAULTS;
+    OperatorSettings defaults = OperatorSettings.DEFAULTS;
     return withOperator(
-        settings("roost-0"), operator(seconds, mostEndedJobs, d.standbys(), d.lending()));
+        settings("roost-0"),
+        operator(seconds, mostEndedJobs, defaults.standbyCount(), defaults.isLendingEnabled()));
   }
 
   /** The same settings, with so many nodes that stand by. */
   static Settings withStandbys(Settings base, int standbys) {
     OperatorSettings own = base.operator();
     return withOperator(
-        base, operator(own.endedJobsStayS(), own.mostEndedJobs(), standbys, own.lending()));
+        base,
+        operator(own.endedJobRetentionS(), own.maxEndedJobs(), standbys, own.isLendingEnabled()));
   }
 
   /** The same settings, with batch work that borrows and is reclaimed. */
   static Settings withLending(Settings base, boolean lending) {
     OperatorSettings own = base.operator();
     return withOperator(
-        base, operator(own.endedJobsStayS(), own.mostEndedJobs(), own.standbys(), lending));
+        base, operator(own.endedJobRetentionS(), own.maxEndedJobs(), own.standbyCount(), lending));
   }
 
   private static OperatorSettings operator(
       double endedJobsStayS, int mostEndedJobs, int standbys, boolean lending) {
-    OperatorSettings d = OperatorSettings.DEFAULTS;
+    OperatorSettings defaults = OperatorSettings.DEFAULTS;
     return new OperatorSettings(
-        d.roundShare(),
-        d.stateLeaseShare(),
-        d.headroom(),
-        d.idleShare(),
-        d.spot(),
+        defaults.updateWindowShare(),
+        defaults.leaderLeaseShare(),
+        defaults.headroomDeviations(),
+        defaults.idleBootShare(),
+        defaults.isSpotAllowed(),
         endedJobsStayS,
         mostEndedJobs,
         standbys,
         lending,
-        d.loanCooldown(),
-        d.traceFile());
+        defaults.loanCooldownBoots(),
+        defaults.traceFile());
   }
 
   /** The same settings, with other teams. */
@@ -142,93 +144,105 @@
   private static Settings with(
       Settings base, ImmutableMap<String, Team> teams, Settings.CloudLimits cloud) {
     return new Settings(
-        base.node(),
+        base.nodeName(),
         base.zone(),
-        base.listen(),
-        base.peerListen(),
-        base.peers(),
+        base.publicEndpoint(),
+        base.peerListenEndpoint(),
+        base.peerEndpoints(),
         base.peerZones(),
-        base.cloud(),
-        base.state(),
+        base.cloudEndpoint(),
+        base.storeEndpoint(),
         teams,
         base.objectives(),
-        base.workers(),
-        base.stateLimits(),
-        base.nextStateLimits(),
+        base.workerTimings(),
+        base.storeLimits(),
+        base.nextStoreLimits(),
         cloud,
-        base.controller(),
+        base.controllerResources(),
         base.operator());
   }
 
   /** The same settings, with other aims of the users. */
   static Settings withObjectives(Settings base, ImmutableList<Settings.Objective> objectives) {
-    return with(base, objectives, base.nextStateLimits(), base.operator());
+    return with(base, objectives, base.nextStoreLimits(), base.operator());
   }
 
   private static Settings with(
       Settings base,
       ImmutableList<Settings.Objective> objectives,
-      Settings.StateLimits next,
+      Settings.StoreLimits next,
       OperatorSettings operator) {
     return new Settings(
-        base.node(),
+        base.nodeName(),
         base.zone(),
-        base.listen(),
-        base.peerListen(),
-        base.peers(),
+        base.publicEndpoint(),
+        base.peerListenEndpoint(),
+        base.peerEndpoints(),
         base.peerZones(),
-        base.cloud(),
-        base.state(),
+        base.cloudEndpoint(),
+        base.storeEndpoint(),
         base.teams(),
         objectives,
-        base.workers(),
-        base.stateLimits(),
+        base.workerTimings(),
+        base.storeLimits(),
         next,
         base.cloudLimits(),
-        base.controller(),
+        base.controllerResources(),
         operator);
   }
 
   /** The same job with tasks of this size and run time, on machines of this type, spot or not. */
-  static Job sized(Job like, Resources need, double runS, String type) {
-    return with(like, like.priority(), need, ImmutableSet.of(type), true, runS);
+  static Job sized(Job template, Resources demand, double runS, String type) {
+    return with(template, template.priority(), demand, ImmutableSet.of(type), true, runS);
   }
 
   /** The same job, of which each task runs for so long. */
-  static Job withRunTime(Job like, double runS) {
-    return with(like, like.priority(), like.need(), like.types(), like.spot(), runS);
+  static Job withRunTime(Job template, double runS) {
+    return with(
+        template,
+        template.priority(),
+        template.taskResources(),
+        template.allowedTypes(),
+        template.spotAllowed(),
+        runS);
   }
 
-  static Job withPriority(Job like, Priority priority) {
-    return with(like, priority, like.need(), like.types(), like.spot(), like.estimateS());
+  static Job withPriority(Job template, Priority priority) {
+    return with(
+        template,
+        priority,
+        template.taskResources(),
+        template.allowedTypes(),
+        template.spotAllowed(),
+        template.estimatedRunS());
   }
 
   private static Job with(
-      Job like,
+      Job template,
       Priority priority,
-      Resources need,
+      Resources demand,
       ImmutableSet<String> types,
       boolean spot,
       double runS) {
     return new Job(
-        like.uid(),
-        like.jobClass(),
-        like.team(),
-        like.kind(),
+        template.uid(),
+        template.jobClass(),
+        template.team(),
+        template.kind(),
         priority,
-        like.tasks(),
-        need,
+        template.tasks(),
+        demand,
         types,
-        like.zone(),
-        like.oneZone(),
-        like.spread(),
+        template.requiredZone(),
+        template.singleZone(),
+        template.spreadZones(),
         spot,
-        like.image(),
-        like.imageGb(),
+        template.image(),
+        template.imageGb(),
         runS,
-        like.checkpointS(),
-        like.saveS(),
-        like.deadlineS());
+        template.checkpointIntervalS(),
+        template.saveDurationS(),
+        template.deadlineS());
   }
 
   /** A gang that saves every 2 s of its work, and takes 1 s to save when it is stopped. */
--- a/src/test/java/eiderfork/controller/UserRequestHandlerTest.java
+++ b/src/test/java/eiderfork/controller/UserRequestHandlerTest.java
@@ -30,15 +30,15 @@
 
   private final ControllerContext context =
       new ControllerContext(TestFixtures.settings("roost-0"), new Random(1), 1_000_000);
-  private final StoreClient gate = new StoreClient(context);
-  private final LeaderElection term = new LeaderElection(context, gate, null);
-  private final ClusterVersion version = new ClusterVersion(context, gate, term);
-  private final JobRegistry jobs = new JobRegistry(context, gate, term, version);
+  private final StoreClient store = new StoreClient(context);
+  private final LeaderElection election = new LeaderElection(context, store, null);
+  private final ClusterVersion version = new ClusterVersion(context, store, election);
+  private final JobRegistry jobs = new JobRegistry(context, store, election, version);
   private final UserRequestHandler requests =
       new UserRequestHandler(
           context,
-          term,
-          gate,
+          election,
+          store,
           jobs,
           new MachineRegistry(context, jobs),
           null,
@@ -50,38 +50,38 @@
 
   private StoreRequest next(Reply replyToLast, long call) {
     if (replyToLast != null) {
-      context.answered(call, replyToLast);
+      context.completeCall(call, replyToLast);
     }
     context.nowMs += 1000;
-    gate.pump();
-    List<Effect> effects = context.takeEffects();
+    store.sendQueued();
+    List<Effect> effects = context.drainEffects();
     assertEquals(1, effects.size());
-    lastCall = ((Effect.AskState) effects.get(0)).call();
-    return ((Effect.AskState) effects.get(0)).op();
+    lastCall = ((Effect.CallStore) effects.get(0)).callId();
+    return ((Effect.CallStore) effects.get(0)).request();
   }
 
   private long lastCall;
 
   /** Asks to cancel, and goes on until the cancellation is to be written. */
-  private StoreRequest.Transact abort(StoredRecord.Alloc alloc, long allocVersion) {
-    requests.take(new Input.Abort(1, JOB.uid()), true, answers::add);
+  private StoreRequest.Transaction abort(StoredRecord.Allocation allocation, long allocVersion) {
+    requests.handle(new Input.Abort(1, JOB.uid()), true, answers::add);
     assertEquals(new StoreRequest.Get(StoreKeys.job(JOB.uid())), next(null, 0));
     Reply job = new Reply.Value(new StoredRecord.JobSpec(JOB), 3);
     assertEquals(new StoreRequest.Get(StoreKeys.alloc(JOB.uid())), next(job, lastCall));
-    return (StoreRequest.Transact) next(new Reply.Value(alloc, allocVersion), lastCall);
+    return (StoreRequest.Transaction) next(new Reply.Value(allocation, allocVersion), lastCall);
   }
 
-  private static StoredRecord.Alloc alloc(boolean done) {
-    return new StoredRecord.Alloc(1, done, ImmutableList.of(), ImmutableList.of());
+  private static StoredRecord.Allocation alloc(boolean done) {
+    return new StoredRecord.Allocation(1, done, ImmutableList.of(), ImmutableList.of());
   }
 
   /** Without the condition on alloc a job that was told to be done could be cancelled after it. */
   @Test
   void aCancellationIsWrittenOnlyWhereTheJobIsAsItWasRead() {
-    StoreRequest.Transact write = abort(alloc(false), 9);
+    StoreRequest.Transaction write = abort(alloc(false), 9);
     assertEquals(
         ImmutableList.of(
-            new StoreRequest.Condition(StoreKeys.abort(JOB.uid()), 0),
+            new StoreRequest.Condition(StoreKeys.cancellation(JOB.uid()), 0),
             new StoreRequest.Condition(StoreKeys.alloc(JOB.uid()), 9),
             new StoreRequest.Condition(StoreKeys.ended(JOB.uid()), 0)),
         write.conditions());
@@ -92,45 +92,45 @@
     abort(alloc(false), 9);
     Reply conflict = new Reply.Conflict(ImmutableList.of(StoreKeys.alloc(JOB.uid())));
     assertEquals(new StoreRequest.Get(StoreKeys.alloc(JOB.uid())), next(conflict, lastCall));
-    context.answered(lastCall, new Reply.Value(alloc(true), 10));
-    assertEquals(JobStatus.Stance.DONE, answers.get(0).job().stance());
+    context.completeCall(lastCall, new Reply.Value(alloc(true), 10));
+    assertEquals(JobStatus.Phase.DONE, answers.get(0).job().phase());
   }
 
   /** An older version's late writes may have brought job and cancellation of a done job back. */
   @Test
   void aCancellationThatFindsTheJobArchivedIsAnsweredWithItsEnd() {
-    abort(StoredRecord.Alloc.EMPTY, 0);
+    abort(StoredRecord.Allocation.EMPTY, 0);
     Reply conflict =
         new Reply.Conflict(
-            ImmutableList.of(StoreKeys.abort(JOB.uid()), StoreKeys.ended(JOB.uid())));
+            ImmutableList.of(StoreKeys.cancellation(JOB.uid()), StoreKeys.ended(JOB.uid())));
     assertEquals(new StoreRequest.Get(StoreKeys.ended(JOB.uid())), next(conflict, lastCall));
-    StoredRecord ended = new StoredRecord.EndedJob(JobStatus.Stance.DONE, 2);
-    context.answered(lastCall, new Reply.Value(ended, 12));
-    assertEquals(JobStatus.Stance.DONE, answers.get(0).job().stance());
+    StoredRecord ended = new StoredRecord.ArchivedJob(JobStatus.Phase.DONE, 2);
+    context.completeCall(lastCall, new Reply.Value(ended, 12));
+    assertEquals(JobStatus.Phase.DONE, answers.get(0).job().phase());
   }
 
   private static final Job GANG = TestFixtures.gang(2, 3, 1, 4, true);
 
   /** A gang comes to this node, which can't reach a leader; goes on until the version is read. */
   private void submitGang() {
-    requests.take(new Input.Submit(1, GANG, new byte[0]), true, answers::add);
+    requests.handle(new Input.Submit(1, GANG, new byte[0]), true, answers::add);
     assertEquals(new StoreRequest.Get(StoreKeys.job(GANG.uid())), next(null, 0));
     Reply none = new Reply.Value(null, 0);
     assertEquals(new StoreRequest.Get(StoreKeys.ended(GANG.uid())), next(none, lastCall));
-    assertEquals(new StoreRequest.Get(StoreKeys.TYPES), next(none, lastCall));
+    assertEquals(new StoreRequest.Get(StoreKeys.MACHINE_TYPES), next(none, lastCall));
     MachineType type =
         new MachineType("g4", new Resources(16, 4, 64), 9, 2, 8, 3, 4, ImmutableList.of("a"));
-    Reply types = new Reply.Value(new StoredRecord.Types(ImmutableList.of(type)), 2);
-    assertEquals(new StoreRequest.Get(StoreKeys.VERSION), next(types, lastCall));
+    Reply types = new Reply.Value(new StoredRecord.MachineTypes(ImmutableList.of(type)), 2);
+    assertEquals(new StoreRequest.Get(StoreKeys.CLUSTER_VERSION), next(types, lastCall));
   }
 
   /** An old leader would take it, and carry it out by older rules. */
   @Test
   void aGangIsNotPassedOnWhileTheLeaderMayBeOld() {
-    term.heardLeader("roost-1", 4);
-    assertEquals("roost-1", term.leader());
+    election.observeLeader("roost-1", 4);
+    assertEquals("roost-1", election.leader());
     submitGang();
-    context.answered(lastCall, new Reply.Value(null, 0));
+    context.completeCall(lastCall, new Reply.Value(null, 0));
     assertEquals(503, answers.get(0).status());
     assertTrue(answers.get(0).retryAfterS() > 0);
   }
@@ -139,7 +139,7 @@
   void aNodeWithoutProofReadsWhichVersionIsStored() {
     submitGang();
     Reply current = new Reply.Value(new StoredRecord.StoredVersion(ClusterVersion.CURRENT), 8);
-    StoreRequest.Transact write = (StoreRequest.Transact) next(current, lastCall);
+    StoreRequest.Transaction write = (StoreRequest.Transaction) next(current, lastCall);
     assertEquals(
         StoreRequest.Change.put(StoreKeys.job(GANG.uid()), new StoredRecord.JobSpec(GANG)),
         write.changes().get(0));
@@ -153,21 +153,21 @@
     assertEquals(
         new StoreRequest.Get(StoreKeys.job(GANG.uid())), next(new Reply.Refused(400), lastCall));
     Reply there = new Reply.Value(new StoredRecord.JobSpec(GANG), 7);
-    assertEquals(new StoreRequest.Get(StoreKeys.abort(GANG.uid())), next(there, lastCall));
+    assertEquals(new StoreRequest.Get(StoreKeys.cancellation(GANG.uid())), next(there, lastCall));
     next(new Reply.Value(null, 0), lastCall);
     // Without an alloc record the job may have been archived between the reads.
     assertEquals(
         new StoreRequest.Get(StoreKeys.ended(GANG.uid())),
         next(new Reply.Value(null, 0), lastCall));
-    context.answered(lastCall, new Reply.Value(null, 0));
+    context.completeCall(lastCall, new Reply.Value(null, 0));
     assertEquals(200, answers.get(0).status());
   }
 
   @Test
   void anUnansweredCancellationIsNotConfirmed() {
     abort(alloc(false), 9);
-    context.answered(lastCall, new Reply.Unanswered());
+    context.completeCall(lastCall, new Reply.Unanswered());
     assertEquals(503, answers.get(0).status());
-    assertTrue(context.takeEffects().isEmpty());
+    assertTrue(context.drainEffects().isEmpty());
   }
 }
--- a/src/test/java/eiderfork/controller/WorkerCommanderTest.java
+++ b/src/test/java/eiderfork/controller/WorkerCommanderTest.java
@@ -13,12 +13,12 @@
 import eiderfork.controller.message.StoreRequest;
 import eiderfork.controller.store.RequestPriority;
 import eiderfork.model.Attempt;
-import eiderfork.model.Command;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
 import eiderfork.model.Machine;
 import eiderfork.model.StoredRecord;
 import eiderfork.model.TaskStatus;
+import eiderfork.model.WorkerCommand;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -35,110 +35,117 @@
   void aStartIsSentOnlyAfterItsReservationIsCommitted() {
     Reservation task = jobs.propose(job, 0, 1, machine);
     jobs.write(job, RequestPriority.START);
-    long call = effects(Effect.AskState.class).get(0).call();
-    assertEquals(List.of(), report(SESSION, 2, firstToken));
-    context.answered(call, new Reply.Committed(5));
-    assertEquals(List.of(new Command.Run(task.id())), report(SESSION, 3, firstToken));
+    long call = effects(Effect.CallStore.class).get(0).callId();
+    assertEquals(List.of(), sendHeartbeat(INCARNATION, 2, firstToken));
+    context.completeCall(call, new Reply.Committed(5));
+    assertEquals(
+        List.of(new WorkerCommand.Run(task.toAttempt())),
+        sendHeartbeat(INCARNATION, 3, firstToken));
   }
 
   /** Most reports say what the one before said; memory holds their tasks once. */
   @Test
   void theSameTasksOnceMoreAreOnlyASignOfLife() {
-    Reservation task = started();
-    ImmutableList<TaskStatus> tasks = machine.report().tasks();
+    Reservation task = startTask();
+    ImmutableList<TaskStatus> tasks = machine.lastHeartbeat().tasks();
     context.nowMs += 3000;
-    assertEquals(List.of(), report(SESSION, 4, firstToken, running(task)));
-    assertSame(tasks, machine.report().tasks());
-    assertEquals(4, machine.report().seq());
-    assertEquals(context.nowMs, machine.session.heardMs());
-    assertEquals(context.nowMs, machine.session.leaseFromMs());
+    assertEquals(List.of(), sendHeartbeat(INCARNATION, 4, firstToken, runningStatus(task)));
+    assertSame(tasks, machine.lastHeartbeat().tasks());
+    assertEquals(4, machine.lastHeartbeat().sequenceNumber());
+    assertEquals(context.nowMs, machine.incarnation.lastHeartbeatMs());
+    assertEquals(context.nowMs, machine.incarnation.leaseStartMs());
   }
 
   @Test
   void theSameTasksAreLookedAtAgainOnceSomethingElseIsWanted() {
-    Reservation task = started();
-    report(SESSION, 4, firstToken, running(task));
-    assertTrue(machine.agrees);
+    Reservation task = startTask();
+    sendHeartbeat(INCARNATION, 4, firstToken, runningStatus(task));
+    assertTrue(machine.reconciled);
     Reservation second = jobs.propose(job, 1, 2, machine);
     jobs.write(job, RequestPriority.START);
-    answer(new Reply.Committed(6));
+    answerStore(new Reply.Committed(6));
     assertEquals(
-        List.of(new Command.Run(second.id())), report(SESSION, 5, firstToken, running(task)));
-    report(SESSION, 6, firstToken, running(task), running(second));
-    assertTrue(machine.agrees);
-    jobs.markAborted(job.job.uid());
+        List.of(new WorkerCommand.Run(second.toAttempt())),
+        sendHeartbeat(INCARNATION, 5, firstToken, runningStatus(task)));
+    sendHeartbeat(INCARNATION, 6, firstToken, runningStatus(task), runningStatus(second));
+    assertTrue(machine.reconciled);
+    jobs.markCancelled(job.spec.uid());
     assertEquals(
-        List.of(new Command.Kill(task.id(), 0), new Command.Kill(second.id(), 0)),
-        report(SESSION, 7, firstToken, running(task), running(second)));
+        List.of(
+            new WorkerCommand.Kill(task.toAttempt(), 0),
+            new WorkerCommand.Kill(second.toAttempt(), 0)),
+        sendHeartbeat(INCARNATION, 7, firstToken, runningStatus(task), runningStatus(second)));
   }
 
   @Test
   void theSameTasksAreStoppedOnceTheyAreSettledOrToBeMoved() {
-    Reservation task = started();
-    report(SESSION, 4, firstToken, running(task));
-    task.stop();
-    machine.setUrgent();
+    Reservation task = startTask();
+    sendHeartbeat(INCARNATION, 4, firstToken, runningStatus(task));
+    task.requestStop();
+    machine.requestCommand();
     assertEquals(
-        List.of(new Command.Kill(task.id(), 0)), report(SESSION, 5, firstToken, running(task)));
-    task.goOn();
-    report(SESSION, 6, firstToken, running(task));
-    assertTrue(machine.agrees);
-    fleet.settleAll(machine);
+        List.of(new WorkerCommand.Kill(task.toAttempt(), 0)),
+        sendHeartbeat(INCARNATION, 5, firstToken, runningStatus(task)));
+    task.revokeStop();
+    sendHeartbeat(INCARNATION, 6, firstToken, runningStatus(task));
+    assertTrue(machine.reconciled);
+    fleet.settleReservations(machine);
     assertEquals(
-        List.of(new Command.Kill(task.id(), 0)), report(SESSION, 7, firstToken, running(task)));
+        List.of(new WorkerCommand.Kill(task.toAttempt(), 0)),
+        sendHeartbeat(INCARNATION, 7, firstToken, runningStatus(task)));
   }
 
   /** A start that was lost is sent again, though the machine says the same as before. */
   @Test
   void theSameTasksAreLookedAtWhileOneThatIsReservedIsMissing() {
-    Reservation task = started();
+    Reservation task = startTask();
     Reservation second = jobs.propose(job, 1, 2, machine);
     jobs.write(job, RequestPriority.START);
-    answer(new Reply.Committed(6));
-    List<Command> start = List.of(new Command.Run(second.id()));
-    assertEquals(start, report(SESSION, 5, firstToken, running(task)));
-    assertEquals(start, report(SESSION, 6, firstToken, running(task)));
+    answerStore(new Reply.Committed(6));
+    List<WorkerCommand> start = List.of(new WorkerCommand.Run(second.toAttempt()));
+    assertEquals(start, sendHeartbeat(INCARNATION, 5, firstToken, runningStatus(task)));
+    assertEquals(start, sendHeartbeat(INCARNATION, 6, firstToken, runningStatus(task)));
   }
 
   /** Before memory holds the jobs, only what machines show tells where a cancelled one runs. */
   @Test
   void aCancellationBeforeMemoryIsRebuiltReachesTheMachinesThatShowTheJob() {
-    Reservation task = started();
-    workers.elected();
-    report(SESSION, 4, firstToken, running(task));
-    machine.clearUrgent();
-    workers.cancelled("run-of-another-job");
-    assertFalse(machine.isUrgent());
-    workers.cancelled(job.job.uid());
-    assertTrue(machine.isUrgent());
+    Reservation task = startTask();
+    commander.onElected();
+    sendHeartbeat(INCARNATION, 4, firstToken, runningStatus(task));
+    machine.clearCommandDue();
+    commander.onJobCancelled("run-of-another-job");
+    assertFalse(machine.isCommandDue());
+    commander.onJobCancelled(job.spec.uid());
+    assertTrue(machine.isCommandDue());
   }
 
   /** Searches knew nothing of a machine that was silent, though it had room. */
   @Test
   void aMachineThatASearchPassedOverContradictsItOnceItIsUsable() {
     Job waits = TestFixtures.job(2, JobKind.SERVICE, 1, 1);
-    FailedSearchCache proved = fleet.sets().roomIndex().failedSearches();
-    proved.note(waits, "a");
-    report(SESSION, 2, firstToken);
-    assertTrue(proved.knows(waits, "a"), "nothing has changed");
-    machine.passedOver = true;
-    report(SESSION, 3, firstToken);
-    assertFalse(proved.knows(waits, "a"));
-    assertFalse(machine.passedOver);
+    FailedSearchCache proved = fleet.indexes().capacityIndex().failedSearches();
+    proved.recordFailure(waits, "a");
+    sendHeartbeat(INCARNATION, 2, firstToken);
+    assertTrue(proved.isRuledOut(waits, "a"), "nothing has changed");
+    machine.skippedBySearch = true;
+    sendHeartbeat(INCARNATION, 3, firstToken);
+    assertFalse(proved.isRuledOut(waits, "a"));
+    assertFalse(machine.skippedBySearch);
   }
 
   /** Whose lease may have lapsed is looked for from the front of this order. */
   @Test
   void machinesStandInTheOrderOfTheirLeases() {
-    MachineState other = fleet.known(new Machine("n-2", "n-2:1", "g4", "a", false));
-    fleet.answered(machine);
+    MachineState other = fleet.getOrRegister(new Machine("n-2", "n-2:1", "g4", "a", false));
+    fleet.renewLease(machine);
     context.nowMs += 1000;
-    fleet.answered(other);
+    fleet.renewLease(other);
     context.nowMs += 20_000;
-    fleet.answered(machine);
+    fleet.renewLease(machine);
     context.nowMs += 5000;
-    assertEquals(List.of(other), fleet.notRenewedFor(10_000));
-    assertEquals(List.of(machine, other), fleet.notRenewedFor(1000));
+    assertEquals(List.of(other), fleet.withLeaseNotRenewedFor(10_000));
+    assertEquals(List.of(machine, other), fleet.withLeaseNotRenewedFor(1000));
   }
 
   /**
@@ -147,86 +154,88 @@
    */
   @Test
   void aMachineThatBeginsASessionStandsLast() {
-    MachineState other = fleet.known(new Machine("n-2", "n-2:1", "g4", "a", false));
-    fleet.answered(machine);
+    MachineState other = fleet.getOrRegister(new Machine("n-2", "n-2:1", "g4", "a", false));
+    fleet.renewLease(machine);
     context.nowMs += 1000;
-    fleet.answered(other);
+    fleet.renewLease(other);
     context.nowMs += 20_000;
-    fleet.reported(machine, reportOf(SESSION + 1, 1, firstToken));
-    assertEquals(List.of(other), fleet.notRenewedFor(10_000));
+    fleet.recordHeartbeat(machine, heartbeat(INCARNATION + 1, 1, firstToken));
+    assertEquals(List.of(other), fleet.withLeaseNotRenewedFor(10_000));
   }
 
   /** It was passed over since its lease might have been over, and is usable with this answer. */
   @Test
   void aSearchThatPassedOverALapsedMachineIsContradictedWithTheAnswerThatRenewsIt() {
-    context.nowMs += context.leaseMs() + context.stepMs();
-    assertFalse(liveness.usable(machine));
-    machine.passedOver = true;
-    report(SESSION, 2, firstToken);
-    assertTrue(liveness.usable(machine));
-    assertFalse(machine.passedOver);
+    context.nowMs += context.workerLeaseMs() + context.stepMs();
+    assertFalse(liveness.isSchedulable(machine));
+    machine.skippedBySearch = true;
+    sendHeartbeat(INCARNATION, 2, firstToken);
+    assertTrue(liveness.isSchedulable(machine));
+    assertFalse(machine.skippedBySearch);
   }
 
   /** Tasks of another session are other runs, though they look alike. */
   @Test
   void theSameTasksInALaterSessionAreLookedAt() {
-    Reservation task = started();
-    report(SESSION, 4, firstToken, running(task));
-    report(SESSION + 1, 1, firstToken);
-    assertNull(job.placed.get(0));
+    Reservation task = startTask();
+    sendHeartbeat(INCARNATION, 4, firstToken, runningStatus(task));
+    sendHeartbeat(INCARNATION + 1, 1, firstToken);
+    assertNull(job.reservations.get(0));
   }
 
   @Test
   void anOlderReportThatComesLaterChangesNothing() {
-    Reservation task = started();
-    report(SESSION, 2, firstToken + 100);
-    assertEquals(task, job.placed.get(0), "an older sequence number");
-    report(SESSION + 1, 1, firstToken, running(task));
-    report(SESSION, 9, firstToken + 100);
-    assertEquals(task, job.placed.get(0), "an older session");
+    Reservation task = startTask();
+    sendHeartbeat(INCARNATION, 2, firstToken + 100);
+    assertEquals(task, job.reservations.get(0), "an older sequence number");
+    sendHeartbeat(INCARNATION + 1, 1, firstToken, runningStatus(task));
+    sendHeartbeat(INCARNATION, 9, firstToken + 100);
+    assertEquals(task, job.reservations.get(0), "an older session");
   }
 
   @Test
   void aTaskThatIsMissingIsBelievedGoneOnlyWhereItsStartCanNotFollow() {
-    Reservation task = started();
-    report(SESSION, 4, firstToken);
-    assertEquals(task, job.placed.get(0), "the start may still be under way");
-    assertTrue(machine.token > task.sentToken, "a higher token outdates the start");
-    report(SESSION, 5, machine.token);
-    assertNull(job.placed.get(0));
+    Reservation task = startTask();
+    sendHeartbeat(INCARNATION, 4, firstToken);
+    assertEquals(task, job.reservations.get(0), "the start may still be under way");
+    assertTrue(machine.fencingToken > task.startToken, "a higher token outdates the start");
+    sendHeartbeat(INCARNATION, 5, machine.fencingToken);
+    assertNull(job.reservations.get(0));
   }
 
   @Test
   void aTaskThatIsMissingInALaterSessionIsGone() {
-    started();
-    report(SESSION + 1, 1, firstToken);
-    assertNull(job.placed.get(0));
+    startTask();
+    sendHeartbeat(INCARNATION + 1, 1, firstToken);
+    assertNull(job.reservations.get(0));
   }
 
   /** A leader that takes over before the write would start the task again. */
   @Test
   void anEndCountsForTheQuotaUntilItIsWritten() {
-    Reservation task = started();
-    report(SESSION, 4, firstToken, done(task));
-    assertNull(job.placed.get(0));
-    assertEquals(1, job.counted());
+    Reservation task = startTask();
+    sendHeartbeat(INCARNATION, 4, firstToken, doneStatus(task));
+    assertNull(job.reservations.get(0));
+    assertEquals(1, job.quotaTaskCount());
     jobs.write(job, RequestPriority.BATCH);
-    assertEquals(1, job.counted());
-    answer(new Reply.Committed(6));
-    assertEquals(0, job.counted());
+    assertEquals(1, job.quotaTaskCount());
+    answerStore(new Reply.Committed(6));
+    assertEquals(0, job.quotaTaskCount());
   }
 
   /** Once cleared, a late copy of its start would run the task again. */
   @Test
   void anEndIsClearedOnlyAfterItIsWritten() {
-    Reservation task = started();
-    Attempt attempt = task.id();
-    assertEquals(List.of(), report(SESSION, 4, firstToken, done(task)));
+    Reservation task = startTask();
+    Attempt attempt = task.toAttempt();
+    assertEquals(List.of(), sendHeartbeat(INCARNATION, 4, firstToken, doneStatus(task)));
     jobs.write(job, RequestPriority.BATCH);
-    long call = effects(Effect.AskState.class).get(0).call();
-    assertEquals(List.of(), report(SESSION, 5, firstToken, done(task)));
-    context.answered(call, new Reply.Committed(6));
-    assertEquals(List.of(new Command.Clear(attempt)), report(SESSION, 6, firstToken, done(task)));
+    long call = effects(Effect.CallStore.class).get(0).callId();
+    assertEquals(List.of(), sendHeartbeat(INCARNATION, 5, firstToken, doneStatus(task)));
+    context.completeCall(call, new Reply.Committed(6));
+    assertEquals(
+        List.of(new WorkerCommand.Clear(attempt)),
+        sendHeartbeat(INCARNATION, 6, firstToken, doneStatus(task)));
   }
 
   /**
@@ -239,29 +248,32 @@
     Reservation told = jobs.propose(job, 0, 1, machine);
     Reservation other = jobs.propose(job, 1, 1, machine);
     jobs.write(job, RequestPriority.START);
-    answer(new Reply.Committed(5));
-    report(SESSION, 2, firstToken);
-    TaskStatus saving = new TaskStatus(told.id(), TaskStatus.State.SAVING, null, false);
-    double graceS = job.job.saveS();
+    answerStore(new Reply.Committed(5));
+    sendHeartbeat(INCARNATION, 2, firstToken);
+    TaskStatus saving =
+        new TaskStatus(told.toAttempt(), TaskStatus.State.CHECKPOINTING, null, false);
+    double graceS = job.spec.saveDurationS();
     assertEquals(
-        List.of(new Command.Kill(told.id(), graceS), new Command.Kill(other.id(), graceS)),
-        report(SESSION, 3, firstToken, saving, running(other)));
+        List.of(
+            new WorkerCommand.Kill(told.toAttempt(), graceS),
+            new WorkerCommand.Kill(other.toAttempt(), graceS)),
+        sendHeartbeat(INCARNATION, 3, firstToken, saving, runningStatus(other)));
   }
 
   /** The write went out twice; the first copy was applied before the limits fell. */
   @Test
   void aWriteThatIsTooLargeMayHaveBeenAppliedBefore() {
     Reservation task = jobs.propose(job, 0, 1, machine);
-    StoredRecord.Alloc record = job.toRecord();
+    StoredRecord.Allocation record = job.toAllocation();
     jobs.write(job, RequestPriority.START);
-    answer(new Reply.Unanswered());
+    answerStore(new Reply.Unanswered());
     context.nowMs += 1000;
     jobs.tick();
-    gate.pump();
-    answer(new Reply.Refused(400));
-    answer(new Reply.Value(record, 5));
+    store.sendQueued();
+    answerStore(new Reply.Refused(400));
+    answerStore(new Reply.Value(record, 5));
     assertTrue(task.committed);
-    assertEquals(5, job.allocVersion);
+    assertEquals(5, job.allocationVersion);
   }
 
   /** 400 is final: what was to be reserved waits for its turn again. */
@@ -269,48 +281,48 @@
   void aWriteThatIsTooLargeIsNotRepeated() {
     jobs.propose(job, 0, 1, machine);
     jobs.write(job, RequestPriority.START);
-    answer(new Reply.Refused(400));
-    answer(new Reply.Value(null, 0));
-    assertTrue(job.placed.isEmpty());
-    assertTrue(job.waiting.get(0));
-    assertFalse(job.writing);
-    assertFalse(job.mayWrite(context.nowMs), "not at once");
+    answerStore(new Reply.Refused(400));
+    answerStore(new Reply.Value(null, 0));
+    assertTrue(job.reservations.isEmpty());
+    assertTrue(job.pendingTasks.get(0));
+    assertFalse(job.writeInFlight);
+    assertFalse(job.canWrite(context.nowMs), "not at once");
     jobs.tick();
-    assertTrue(effects(Effect.AskState.class).isEmpty());
+    assertTrue(effects(Effect.CallStore.class).isEmpty());
   }
 
   @Test
   void aTokenOfALaterTermEndsThisOne() {
-    report(SESSION, 2, term.endOfTokens());
-    assertFalse(term.leading());
+    sendHeartbeat(INCARNATION, 2, election.endOfFencingTokens());
+    assertFalse(election.isLeading());
   }
 
   @Test
   void anUnansweredCommandIsOutdatedByAHigherToken() {
-    Reservation task = reserved();
-    machine.setUrgent();
-    workers.tick();
-    Effect.AskCommands sent = effects(Effect.AskCommands.class).get(0);
-    assertEquals(ImmutableList.of(new Command.Run(task.id())), sent.commands());
-    context.answered(sent.call(), new Reply.Unanswered());
-    assertTrue(machine.token > sent.token());
+    Reservation task = reserveTask();
+    machine.requestCommand();
+    commander.tick();
+    Effect.SendCommands sent = effects(Effect.SendCommands.class).get(0);
+    assertEquals(ImmutableList.of(new WorkerCommand.Run(task.toAttempt())), sent.commands());
+    context.completeCall(sent.callId(), new Reply.Unanswered());
+    assertTrue(machine.fencingToken > sent.fencingToken());
   }
 
   /** Without any one of them a leader that is deposed, late or cancelled against would write. */
   @Test
   void aReservationIsWrittenUnderTheLeadItsOwnVersionAndNoCancellation() {
-    reserved();
+    reserveTask();
     jobs.propose(job, 1, 2, machine);
     jobs.write(job, RequestPriority.START);
-    StoreRequest.Transact write =
-        (StoreRequest.Transact) effects(Effect.AskState.class).get(0).op();
-    String uid = job.job.uid();
+    StoreRequest.Transaction write =
+        (StoreRequest.Transaction) effects(Effect.CallStore.class).get(0).request();
+    String uid = job.spec.uid();
     assertEquals(
         ImmutableList.of(
-            term.condition(),
+            election.leaderCondition(),
             new StoreRequest.Condition(StoreKeys.alloc(uid), 5),
-            new StoreRequest.Condition(StoreKeys.abort(uid), 0)),
+            new StoreRequest.Condition(StoreKeys.cancellation(uid), 0)),
         write.conditions());
-    assertEquals(new StoreRequest.Condition(StoreKeys.LEADER, 1), term.condition());
+    assertEquals(new StoreRequest.Condition(StoreKeys.LEADER, 1), election.leaderCondition());
   }
 }
--- a/src/test/java/eiderfork/controller/WorkerReachabilityTest.java
+++ b/src/test/java/eiderfork/controller/WorkerReachabilityTest.java
@@ -21,45 +21,47 @@
 
   private static final long LONG_AGO_MS = 1;
 
-  private long seq = 1;
+  private long sequenceNumber = 1;
 
   private final ControllerContext context =
       new ControllerContext(TestFixtures.settings("roost-0"), new Random(1), 1_000_000);
-  private final StoreClient gate = new StoreClient(context);
-  private final LeaderElection term = new LeaderElection(context, gate, ElectedLeader.NO_LISTENER);
-  private final ClusterVersion version = new ClusterVersion(context, gate, term);
-  private final JobRegistry jobs = new JobRegistry(context, gate, term, version);
+  private final StoreClient store = new StoreClient(context);
+  private final LeaderElection election =
+      new LeaderElection(context, store, ElectedLeader.NO_LISTENER);
+  private final ClusterVersion version = new ClusterVersion(context, store, election);
+  private final JobRegistry jobs = new JobRegistry(context, store, election, version);
   private final MachineRegistry fleet = new MachineRegistry(context, jobs);
   private final CancellationTracker cancellations = new CancellationTracker(context, uid -> {});
-  private final PeerMonitor peers = new PeerMonitor(context, term, cancellations, version);
-  private final LeaseProxy proxy = new LeaseProxy(context, gate, term, peers, cancellations);
-  private final WorkerReachability hearing =
+  private final PeerMonitor peers = new PeerMonitor(context, election, cancellations, version);
+  private final LeaseProxy proxy = new LeaseProxy(context, store, election, peers, cancellations);
+  private final WorkerReachability reachability =
       new WorkerReachability(
-          context, term, fleet, new MachineLiveness(context, term), peers, proxy);
+          context, election, fleet, new MachineLiveness(context, election), peers, proxy);
 
   /** This node has just been elected; of its machines it hears one. */
   @BeforeEach
-  void elected() {
-    ElectedLeader.win(context, term);
-    hearing.elected();
+  void elect() {
+    ElectedLeader.win(context, election);
+    reachability.onElected();
     for (int i = 0; i < MACHINES; i++) {
-      Heartbeat report = report("n-" + i, 1);
-      fleet.known(report.machine()).reported(report, LONG_AGO_MS);
+      Heartbeat heartbeat = heartbeat("n-" + i, 1);
+      fleet.getOrRegister(heartbeat.machine()).recordHeartbeat(heartbeat, LONG_AGO_MS);
     }
   }
 
-  private static Heartbeat report(String name, long seq) {
+  private static Heartbeat heartbeat(String name, long sequenceNumber) {
     Machine machine = new Machine(name, name + ":1", "g4", "a", false);
-    return new Heartbeat(machine, 1, seq, 0, null, ImmutableList.of());
+    return new Heartbeat(machine, 1, sequenceNumber, 0, null, ImmutableList.of());
   }
 
   /** Half a step later; one machine and a peer that hears all machines are heard. */
-  private void goOn() {
+  private void advanceHalfStep() {
     context.nowMs += context.stepMs() / 2;
-    fleet.reported(fleet.get("n-0"), report("n-0", ++seq));
-    CancellationGossip none = cancellations.newsFor("roost-1");
-    peers.heard(new PeerStatus("roost-1", term.number(), false, 0, MACHINES, 4, none));
-    hearing.resignIfUnheard();
+    fleet.recordHeartbeat(fleet.get("n-0"), heartbeat("n-0", ++sequenceNumber));
+    CancellationGossip none = cancellations.gossipFor("roost-1");
+    peers.receiveStatus(
+        new PeerStatus("roost-1", election.currentTerm(), false, 0, MACHINES, 4, none));
+    reachability.resignIfUnreachable();
   }
 
   /** Workers that waited four seconds for the leader before need time to come. */
@@ -67,8 +69,8 @@
   void aNewLeaderIsNotJudgedBeforeWorkersCouldCome() {
     long electedMs = context.nowMs;
     while (context.nowMs - electedMs < 6 * context.stepMs()) {
-      goOn();
-      assertTrue(term.leading(), () -> "after " + (context.nowMs - electedMs) + " ms");
+      advanceHalfStep();
+      assertTrue(election.isLeading(), () -> "after " + (context.nowMs - electedMs) + " ms");
     }
   }
 
@@ -76,8 +78,8 @@
   void oneThatGoesOnHearingFewerThanAPeerResigns() {
     long electedMs = context.nowMs;
     while (context.nowMs - electedMs < 8 * context.stepMs()) {
-      goOn();
+      advanceHalfStep();
     }
-    assertFalse(term.leading());
+    assertFalse(election.isLeading());
   }
 }
--- a/src/test/java/eiderfork/controller/ZoneBalanceTest.java
+++ b/src/test/java/eiderfork/controller/ZoneBalanceTest.java
@@ -46,7 +46,7 @@
     world.run(30);
     Map<String, Long> byZone =
         world.workers().stream()
-            .collect(Collectors.groupingBy(w -> w.machine.zone(), Collectors.counting()));
+            .collect(Collectors.groupingBy(worker -> worker.machine.zone(), Collectors.counting()));
     assertEquals(3, byZone.size(), byZone::toString);
     long most = byZone.values().stream().mapToLong(Long::longValue).max().orElseThrow();
     long least = byZone.values().stream().mapToLong(Long::longValue).min().orElseThrow();
--- a/src/test/java/eiderfork/controller/quota/PreemptionPlanTest.java
+++ b/src/test/java/eiderfork/controller/quota/PreemptionPlanTest.java
@@ -41,7 +41,7 @@
         PreemptionPlan.cheapest(new CheckpointPolicy(60, saveS), ranS, true, mayWaitS, SEEN_LATE_S);
     assertEquals(mode, plan.mode());
     assertEquals(delayS, plan.delayS(), 0.01);
-    assertEquals(lostS, plan.lostS(), 0.01);
+    assertEquals(lostS, plan.lostWorkS(), 0.01);
   }
 
   /** A new leader doesn't know when the task began, so it does not guess at a checkpoint. */
--- a/src/test/java/eiderfork/controller/quota/ReclaimCooldownsTest.java
+++ b/src/test/java/eiderfork/controller/quota/ReclaimCooldownsTest.java
@@ -19,7 +19,7 @@
   private final ReclaimCooldowns cooldowns = new ReclaimCooldowns();
 
   private void reclaim(long nowMs) {
-    cooldowns.reclaimed("n-1", "taker", ROOM, nowMs, FIRST_MS, false);
+    cooldowns.recordReclaim("n-1", "taker", ROOM, nowMs, FIRST_MS, false);
   }
 
   @Test
@@ -37,7 +37,7 @@
   @Test
   void reversalsFade() {
     reclaim(0);
-    cooldowns.fade(ReclaimCooldowns.FADE_COOLDOWNS * FIRST_MS);
+    cooldowns.decay(ReclaimCooldowns.DECAY_COOLDOWNS * FIRST_MS);
     long laterMs = HOUR_MS;
     reclaim(laterMs);
     assertFalse(cooldowns.isCoolingDown("n-1", laterMs + FIRST_MS), "as the first time");
@@ -46,7 +46,7 @@
   /** A loan that was shorter than its start and save take counts twice. */
   @Test
   void aShortLoanDoublesTheTimeAtOnce() {
-    cooldowns.reclaimed("n-1", "taker", ROOM, 0, FIRST_MS, true);
+    cooldowns.recordReclaim("n-1", "taker", ROOM, 0, FIRST_MS, true);
     assertTrue(cooldowns.isCoolingDown("n-1", 2 * FIRST_MS - 1));
     assertFalse(cooldowns.isCoolingDown("n-2", 0));
   }
@@ -55,11 +55,11 @@
   @Test
   void onlyRoomThatTakersHaveLeftIsKept() {
     reclaim(0);
-    cooldowns.reclaimed("n-1", "other", ROOM, 0, FIRST_MS, false);
-    assertEquals(Resources.NONE, cooldowns.kept("n-1", 1, uid -> true));
-    assertEquals(ROOM, cooldowns.kept("n-1", 1, uid -> uid.equals("other")));
-    assertEquals(ROOM.times(2), cooldowns.kept("n-1", 1, uid -> false));
-    assertEquals(Resources.NONE, cooldowns.kept("n-1", FIRST_MS, uid -> false));
+    cooldowns.recordReclaim("n-1", "other", ROOM, 0, FIRST_MS, false);
+    assertEquals(Resources.NONE, cooldowns.withheld("n-1", 1, uid -> true));
+    assertEquals(ROOM, cooldowns.withheld("n-1", 1, uid -> uid.equals("other")));
+    assertEquals(ROOM.times(2), cooldowns.withheld("n-1", 1, uid -> false));
+    assertEquals(Resources.NONE, cooldowns.withheld("n-1", FIRST_MS, uid -> false));
   }
 
   /** The stated bound: a rush that comes back as soon, or as late, as does most harm. */
@@ -67,17 +67,17 @@
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
   void reversalsInAnHourStayWithinTheBound(long seed) {
     Random random = new Random(seed);
-    double bound = ReclaimCooldowns.mostReversals(HOUR_MS / 1000.0, FIRST_MS / 1000.0);
+    double bound = ReclaimCooldowns.maxReversals(HOUR_MS / 1000.0, FIRST_MS / 1000.0);
     for (int history = 0; history < 200; history++) {
       ReclaimCooldowns it = new ReclaimCooldowns();
       long mostGapMs = 1000 + random.nextLong(900_000);
       int reversals = 0;
       long rushMs = 0;
       for (long nowMs = 0; nowMs < HOUR_MS; nowMs += 1000) {
-        it.fade(nowMs);
+        it.decay(nowMs);
         // The room is lent again as soon as it may be, and the rush takes it when it comes.
         if (nowMs >= rushMs && !it.isCoolingDown("n-1", nowMs)) {
-          it.reclaimed("n-1", "taker", ROOM, nowMs, FIRST_MS, false);
+          it.recordReclaim("n-1", "taker", ROOM, nowMs, FIRST_MS, false);
           reversals++;
           rushMs = nowMs + 1000 + random.nextLong(mostGapMs);
         }
--- a/src/test/java/eiderfork/controller/quota/ReclaimPolicyTest.java
+++ b/src/test/java/eiderfork/controller/quota/ReclaimPolicyTest.java
@@ -39,7 +39,7 @@
 
   private static String verdict(PreemptionDecision verdict) {
     return verdict instanceof PreemptionDecision.Allowed allowed
-        ? allowed.ground() + " " + allowed.preference()
+        ? allowed.reason() + " " + allowed.preference()
         : ((PreemptionDecision.Refused) verdict).reason().toString();
   }
 
@@ -72,16 +72,17 @@
       double lenderUsed,
       String expected) {
     PreemptionVictim victim = new PreemptionVictim(NIGHT, victimKind, victimPriority, ONE_GPU);
-    Preemptor taker = taker(kind, priority, within, true);
+    Preemptor preemptor = taker(kind, priority, within, true);
     QuotaLedger ledger = ledger(lenderGuaranteed, lenderUsed);
-    assertEquals(expected, verdict(ReclaimPolicy.judge(taker, victim, ledger)));
+    assertEquals(expected, verdict(ReclaimPolicy.evaluate(preemptor, victim, ledger)));
   }
 
   @Test
   void aReplicaIsNotReclaimedWhileAMachineMayStillCome() {
     PreemptionVictim replica = new PreemptionVictim(NIGHT, JobKind.SERVICE, Priority.LOW, ONE_GPU);
-    Preemptor taker = taker(JobKind.SERVICE, Priority.HIGH, true, false);
-    assertEquals("REPLICA_NOT_YET", verdict(ReclaimPolicy.judge(taker, replica, ledger(0, 8))));
+    Preemptor preemptor = taker(JobKind.SERVICE, Priority.HIGH, true, false);
+    assertEquals(
+        "REPLICA_NOT_YET", verdict(ReclaimPolicy.evaluate(preemptor, replica, ledger(0, 8))));
   }
 
   @Test
@@ -89,57 +90,60 @@
     PreemptionVictim own = new PreemptionVictim(DESK, JobKind.ARRAY, Priority.LOW, ONE_GPU);
     Preemptor urgent = taker(JobKind.SERVICE, Priority.HIGH, true, true);
     assertEquals(
-        "PRIORITY BORROWED_BATCH", verdict(ReclaimPolicy.judge(urgent, own, ledger(4, 4))));
+        "PRIORITY BORROWED_BATCH", verdict(ReclaimPolicy.evaluate(urgent, own, ledger(4, 4))));
     Preemptor same = taker(JobKind.SERVICE, Priority.LOW, true, true);
-    assertEquals("SAME_TEAM", verdict(ReclaimPolicy.judge(same, own, ledger(4, 4))));
+    assertEquals("SAME_TEAM", verdict(ReclaimPolicy.evaluate(same, own, ledger(4, 4))));
   }
 
   /** Six used, four guaranteed: two may go, the third may not. */
   @Test
   void theSecondVictimIsJudgedAfterTheFirst() {
     QuotaLedger ledger = ledger(4, 6);
-    Preemptor taker = taker(JobKind.SERVICE, Priority.LOW, true, true);
+    Preemptor preemptor = taker(JobKind.SERVICE, Priority.LOW, true, true);
     PreemptionVictim victim = new PreemptionVictim(NIGHT, JobKind.ARRAY, Priority.HIGH, ONE_GPU);
     for (int i = 0; i < 2; i++) {
-      assertEquals("GUARANTEE BORROWED_BATCH", verdict(ReclaimPolicy.judge(taker, victim, ledger)));
-      QuotaLedger trial = ledger.trial();
-      trial.stop(NIGHT, ONE_GPU);
-      assertTrue(ledger.othersBorrow(DESK), "a trial leaves the ledger as it is");
-      ledger = trial;
+      assertEquals(
+          "GUARANTEE BORROWED_BATCH", verdict(ReclaimPolicy.evaluate(preemptor, victim, ledger)));
+      QuotaLedger trialLedger = ledger.copy();
+      trialLedger.addStopping(NIGHT, ONE_GPU);
+      assertTrue(ledger.hasOtherBorrower(DESK), "a trial leaves the ledger as it is");
+      ledger = trialLedger;
     }
-    assertEquals("NOT_MORE_URGENT", verdict(ReclaimPolicy.judge(taker, victim, ledger)));
-    assertFalse(ledger.othersBorrow(DESK));
+    assertEquals("NOT_MORE_URGENT", verdict(ReclaimPolicy.evaluate(preemptor, victim, ledger)));
+    assertFalse(ledger.hasOtherBorrower(DESK));
   }
 
   /** A gang counts whole: where a part of it is guaranteed it comes after what is borrowed. */
   @Test
   void aGangThatIsPartlyGuaranteedComesLater() {
-    Preemptor taker = taker(JobKind.SERVICE, Priority.LOW, true, true);
+    Preemptor preemptor = taker(JobKind.SERVICE, Priority.LOW, true, true);
     PreemptionVictim gang =
         new PreemptionVictim(NIGHT, JobKind.GANG, Priority.HIGH, ONE_GPU.times(4));
     assertEquals(
-        "GUARANTEE BORROWED_BATCH", verdict(ReclaimPolicy.judge(taker, gang, ledger(4, 8))));
+        "GUARANTEE BORROWED_BATCH", verdict(ReclaimPolicy.evaluate(preemptor, gang, ledger(4, 8))));
     assertEquals(
-        "GUARANTEE PARTLY_BORROWED_BATCH", verdict(ReclaimPolicy.judge(taker, gang, ledger(4, 7))));
-    assertEquals("NOT_MORE_URGENT", verdict(ReclaimPolicy.judge(taker, gang, ledger(4, 4))));
+        "GUARANTEE PARTLY_BORROWED_BATCH",
+        verdict(ReclaimPolicy.evaluate(preemptor, gang, ledger(4, 7))));
+    assertEquals("NOT_MORE_URGENT", verdict(ReclaimPolicy.evaluate(preemptor, gang, ledger(4, 4))));
     Preemptor beyond = taker(JobKind.SERVICE, Priority.PRODUCTION, false, true);
-    assertEquals("LENDER_AT_GUARANTEE", verdict(ReclaimPolicy.judge(beyond, gang, ledger(4, 7))));
+    assertEquals(
+        "LENDER_AT_GUARANTEE", verdict(ReclaimPolicy.evaluate(beyond, gang, ledger(4, 7))));
   }
 
   /** Six are used and one is promised of eight: one more is covered, two are not. */
   @Test
   void roomThatIsBeingMadeCountsForTheGuarantee() {
     TeamUsage desk = ledger(4, 8).account(DESK);
-    assertTrue(desk.coversAlso(ONE_GPU));
-    assertFalse(desk.coversAlso(ONE_GPU.times(2)));
-    assertFalse(desk.coversAlso(new QuotaAmount(0, 4)), "processors are not guaranteed to it");
-    assertEquals(new QuotaAmount(2, 0), desk.lackedWithinGuarantee());
+    assertTrue(desk.canCover(ONE_GPU));
+    assertFalse(desk.canCover(ONE_GPU.times(2)));
+    assertFalse(desk.canCover(new QuotaAmount(0, 4)), "processors are not guaranteed to it");
+    assertEquals(new QuotaAmount(2, 0), desk.shortfallWithinGuarantee());
   }
 
   @Test
   void aTeamWithoutAGuaranteeBorrowsAll() {
     GuaranteedQuota none = new GuaranteedQuota(0, 0);
-    assertEquals(new QuotaAmount(2, 8), none.beyond(new QuotaAmount(2, 8)));
+    assertEquals(new QuotaAmount(2, 8), none.excess(new QuotaAmount(2, 8)));
     assertFalse(none.covers(QuotaAmount.NONE));
     assertTrue(none.isBorrowed(ONE_GPU, ONE_GPU));
   }
@@ -148,9 +152,9 @@
   @Test
   void onlyWhatIsGuaranteedIsBorrowed() {
     GuaranteedQuota gpus = new GuaranteedQuota(4, 0);
-    assertEquals(new QuotaAmount(2, 0), gpus.beyond(new QuotaAmount(6, 100)));
+    assertEquals(new QuotaAmount(2, 0), gpus.excess(new QuotaAmount(6, 100)));
     assertFalse(gpus.isBorrowed(new QuotaAmount(0, 8), new QuotaAmount(6, 100)));
-    assertTrue(gpus.isKeptWithout(new QuotaAmount(0, 8), new QuotaAmount(4, 100)));
+    assertTrue(gpus.isMetWithout(new QuotaAmount(0, 8), new QuotaAmount(4, 100)));
     GuaranteedQuota cpus = new GuaranteedQuota(0, 16);
     assertTrue(cpus.covers(new QuotaAmount(0, 16)));
     assertFalse(cpus.covers(new QuotaAmount(1, 4)), "every GPU is borrowed");
--- a/src/test/java/eiderfork/controller/standby/StandbyReplicaTest.java
+++ b/src/test/java/eiderfork/controller/standby/StandbyReplicaTest.java
@@ -26,30 +26,30 @@
 class StandbyReplicaTest {
   private final ControllerContext context =
       new ControllerContext(StandbyFixtures.settings(1), new Random(1), 1_000_000);
-  private final StoreClient gate = new StoreClient(context);
-  private final StandbyReplica copy = new StandbyReplica(context, gate);
+  private final StoreClient store = new StoreClient(context);
+  private final StandbyReplica replica = new StandbyReplica(context, store);
 
   /** The open watches by their prefix. */
-  private final Map<String, Effect.AskState> watches = new TreeMap<>();
+  private final Map<String, Effect.CallStore> watches = new TreeMap<>();
 
-  private final List<Effect.AskState> scans = new ArrayList<>();
+  private final List<Effect.CallStore> scans = new ArrayList<>();
 
   private void pass(long ms) {
     for (long i = 0; i < ms; i += 50) {
       context.nowMs += 50;
-      copy.tick();
-      gate.pump();
+      replica.tick();
+      store.sendQueued();
       collect();
     }
   }
 
   private void collect() {
-    for (Effect effect : context.takeEffects()) {
-      Effect.AskState asked = (Effect.AskState) effect;
-      if (asked.op() instanceof StoreRequest.Watch watch) {
-        watches.put(watch.prefix(), asked);
+    for (Effect effect : context.drainEffects()) {
+      Effect.CallStore storeCall = (Effect.CallStore) effect;
+      if (storeCall.request() instanceof StoreRequest.Watch watch) {
+        watches.put(watch.prefix(), storeCall);
       } else {
-        scans.add(asked);
+        scans.add(storeCall);
       }
     }
   }
@@ -62,7 +62,9 @@
 
   private static Reply.Item aborted(int number, long version) {
     return new Reply.Item(
-        StoreKeys.abort("run-" + number), new StoredRecord.Aborted("run-" + number), version);
+        StoreKeys.cancellation("run-" + number),
+        new StoredRecord.Cancellation("run-" + number),
+        version);
   }
 
   private static Reply.Item removed(String key, long version) {
@@ -70,20 +72,21 @@
   }
 
   private void answerScan(boolean more, long revision, Reply.Item... items) {
-    Effect.AskState scan = scans.remove(0);
-    context.answered(scan.call(), new Reply.Page(ImmutableList.copyOf(items), more, revision));
+    Effect.CallStore scan = scans.remove(0);
+    context.completeCall(
+        scan.callId(), new Reply.Page(ImmutableList.copyOf(items), more, revision));
     pass(50);
   }
 
   private void answerWatch(String prefix, long revision, Reply.Item... items) {
-    Effect.AskState watch = watches.remove(prefix);
-    context.answered(watch.call(), new Reply.Changes(ImmutableList.copyOf(items), revision));
+    Effect.CallStore watch = watches.remove(prefix);
+    context.completeCall(watch.callId(), new Reply.Changes(ImmutableList.copyOf(items), revision));
   }
 
   /** Everything is read at revision 10, with one job and one cancellation. */
   @BeforeEach
   void read() {
-    copy.beginIfDue();
+    replica.startIfDue();
     pass(1000);
     answerScan(false, 10, aborted(1, 4));
     answerScan(false, 10);
@@ -92,96 +95,99 @@
     answerScan(false, 10);
     answerScan(false, 10);
     answerScan(false, 10);
-    assertTrue(copy.isFollowing());
+    assertTrue(replica.isFollowing());
     assertEquals(7, watches.size());
   }
 
   private List<String> keys(String prefix) {
-    return copy.items(prefix).stream().map(Reply.Item::key).toList();
+    return replica.items(prefix).stream().map(Reply.Item::key).toList();
   }
 
   @Test
   void changesAreTakenInOrderWithTheirRevisions() {
-    answerWatch(StoreKeys.JOB, 14, job(2, 12), job(3, 14));
+    answerWatch(StoreKeys.JOB_PREFIX, 14, job(2, 12), job(3, 14));
     pass(1000);
-    answerWatch(StoreKeys.JOB, 20, removed(StoreKeys.job("run-2"), 18));
-    assertEquals(List.of("job/run-1", "job/run-3"), keys(StoreKeys.JOB));
-    assertEquals(10, copy.revision(), "the other ranges are no further");
+    answerWatch(StoreKeys.JOB_PREFIX, 20, removed(StoreKeys.job("run-2"), 18));
+    assertEquals(List.of("job/run-1", "job/run-3"), keys(StoreKeys.JOB_PREFIX));
+    assertEquals(10, replica.revision(), "the other ranges are no further");
     pass(1000);
-    assertEquals(20, ((StoreRequest.Watch) watches.get(StoreKeys.JOB).op()).after());
+    assertEquals(
+        20, ((StoreRequest.Watch) watches.get(StoreKeys.JOB_PREFIX).request()).afterRevision());
   }
 
   @Test
   void watchesPauseForTheirShareOfTheRate() {
-    answerWatch(StoreKeys.JOB, 14, job(2, 12));
+    answerWatch(StoreKeys.JOB_PREFIX, 14, job(2, 12));
     pass(200);
-    assertNull(watches.get(StoreKeys.JOB), "not at once");
+    assertNull(watches.get(StoreKeys.JOB_PREFIX), "not at once");
     pass(1000);
-    assertEquals(14, ((StoreRequest.Watch) watches.get(StoreKeys.JOB).op()).after());
+    assertEquals(
+        14, ((StoreRequest.Watch) watches.get(StoreKeys.JOB_PREFIX).request()).afterRevision());
   }
 
   @Test
   void aLostAnswerIsAskedForAgainFromTheSameRevision() {
-    context.answered(watches.remove(StoreKeys.JOB).call(), new Reply.Unanswered());
+    context.completeCall(watches.remove(StoreKeys.JOB_PREFIX).callId(), new Reply.Unanswered());
     pass(1500);
-    assertEquals(10, ((StoreRequest.Watch) watches.get(StoreKeys.JOB).op()).after());
-    assertTrue(copy.isFollowing());
+    assertEquals(
+        10, ((StoreRequest.Watch) watches.get(StoreKeys.JOB_PREFIX).request()).afterRevision());
+    assertTrue(replica.isFollowing());
   }
 
   private void assertDropped() {
-    assertFalse(copy.isFollowing());
-    assertEquals(0, copy.memoryMb());
-    copy.beginIfDue();
+    assertFalse(replica.isFollowing());
+    assertEquals(0, replica.memoryMb());
+    replica.startIfDue();
     pass(1000);
     assertTrue(scans.isEmpty(), "not read anew at once");
-    pass(context.leaseMs());
-    copy.beginIfDue();
+    pass(context.workerLeaseMs());
+    replica.startIfDue();
     pass(1000);
     assertFalse(scans.isEmpty(), "but after a while");
   }
 
   @Test
   void changesThatAreOutOfOrderDropTheCopy() {
-    answerWatch(StoreKeys.JOB, 14, job(3, 14), job(2, 12));
+    answerWatch(StoreKeys.JOB_PREFIX, 14, job(3, 14), job(2, 12));
     assertDropped();
   }
 
   @Test
   void changesThatWereTakenBeforeDropTheCopy() {
-    answerWatch(StoreKeys.JOB, 14, job(2, 12));
+    answerWatch(StoreKeys.JOB_PREFIX, 14, job(2, 12));
     pass(1000);
-    answerWatch(StoreKeys.JOB, 14, job(2, 12));
+    answerWatch(StoreKeys.JOB_PREFIX, 14, job(2, 12));
     assertDropped();
   }
 
   @Test
   void anAnswerOfAnEarlierRevisionDropsTheCopy() {
-    answerWatch(StoreKeys.JOB, 9);
+    answerWatch(StoreKeys.JOB_PREFIX, 9);
     assertDropped();
   }
 
   @Test
   void aChangeBeyondTheAnswersRevisionDropsTheCopy() {
-    answerWatch(StoreKeys.JOB, 12, job(2, 13));
+    answerWatch(StoreKeys.JOB_PREFIX, 12, job(2, 13));
     assertDropped();
   }
 
   @Test
   void changesThatTheServiceHasForgottenDropTheCopy() {
-    context.answered(watches.remove(StoreKeys.ALLOC).call(), new Reply.Refused(410));
+    context.completeCall(watches.remove(StoreKeys.ALLOC_PREFIX).callId(), new Reply.Refused(410));
     assertDropped();
   }
 
   @Test
   void anAnswerThatIsTooLargeDropsTheCopy() {
-    context.answered(watches.remove(StoreKeys.ALLOC).call(), new Reply.Oversized());
+    context.completeCall(watches.remove(StoreKeys.ALLOC_PREFIX).callId(), new Reply.Oversized());
     assertDropped();
   }
 
   @Test
   void aRecordThatCanNotBeReadDropsTheCopy() {
     answerWatch(
-        StoreKeys.ALLOC,
+        StoreKeys.ALLOC_PREFIX,
         12,
         new Reply.Item(StoreKeys.alloc("run-1"), new StoredRecord.Unreadable("spoiled"), 12));
     assertDropped();
@@ -190,9 +196,9 @@
   @Test
   void aVersionThatMovesDropsTheCopy() {
     answerWatch(
-        StoreKeys.VERSION,
+        StoreKeys.CLUSTER_VERSION,
         12,
-        new Reply.Item(StoreKeys.VERSION, new StoredRecord.StoredVersion(3), 12));
+        new Reply.Item(StoreKeys.CLUSTER_VERSION, new StoredRecord.StoredVersion(3), 12));
     assertDropped();
   }
 
@@ -202,15 +208,15 @@
     for (int i = 0; i < 80_000; i++) {
       many.add(job(1000 + i, 11 + i));
     }
-    answerWatch(StoreKeys.JOB, 100_000, many.toArray(new Reply.Item[0]));
+    answerWatch(StoreKeys.JOB_PREFIX, 100_000, many.toArray(new Reply.Item[0]));
     assertDropped();
   }
 
   @Test
   void anAnswerFromBeforeAPageWasReadDropsTheCopy() {
-    copy.clear("read anew");
+    replica.clear("read anew");
     watches.clear();
-    copy.beginIfDue();
+    replica.startIfDue();
     pass(1000);
     for (int i = 0; i < 3; i++) {
       answerScan(false, 10);
@@ -220,16 +226,16 @@
     for (int i = 0; i < 3; i++) {
       answerScan(false, 15);
     }
-    answerWatch(StoreKeys.JOB, 13, removed(StoreKeys.job("run-2"), 12));
+    answerWatch(StoreKeys.JOB_PREFIX, 13, removed(StoreKeys.job("run-2"), 12));
     assertDropped();
   }
 
   /** What changes while pages are read is in a later page and comes again with the watch. */
   @Test
   void aPageThatIsNewerThanTheFirstIsNotSetBack() {
-    copy.clear("read anew");
+    replica.clear("read anew");
     watches.clear();
-    copy.beginIfDue();
+    replica.startIfDue();
     pass(1000);
     answerScan(false, 10);
     answerScan(false, 10);
@@ -241,22 +247,24 @@
     answerScan(false, 15);
     answerScan(false, 15);
     answerWatch(
-        StoreKeys.JOB,
+        StoreKeys.JOB_PREFIX,
         15,
         removed(StoreKeys.job("run-2"), 12),
         removed(StoreKeys.job("run-4"), 13),
         job(2, 15));
-    assertEquals(List.of("job/run-1", "job/run-2"), keys(StoreKeys.JOB));
+    assertEquals(List.of("job/run-1", "job/run-2"), keys(StoreKeys.JOB_PREFIX));
   }
 
   /** A cancellation that was confirmed while the answer was under way is not in it. */
   @Test
   void theCopyIsProvedUpToTheMomentOfTheQuestion() {
-    long askedMs = context.nowMs;
+    long requestedMs = context.nowMs;
     catchUp(30);
     pass(700);
-    answerWatch(StoreKeys.ABORT, 31);
-    assertTrue(copy.caughtUpMs(StoreKeys.ABORT) <= askedMs + 50, "not that of the answer");
+    answerWatch(StoreKeys.CANCELLATION_PREFIX, 31);
+    assertTrue(
+        replica.caughtUpMs(StoreKeys.CANCELLATION_PREFIX) <= requestedMs + 50,
+        "not that of the answer");
   }
 
   // Taking the lead.
@@ -265,7 +273,7 @@
 
   private void catchUp(long atLeast) {
     watches.clear();
-    copy.catchUp(atLeast, caughtUp::add);
+    replica.catchUp(atLeast, caughtUp::add);
     pass(500);
   }
 
@@ -275,45 +283,45 @@
     assertEquals(7, watches.size());
     for (String prefix : List.copyOf(watches.keySet())) {
       assertEquals(List.of(), caughtUp);
-      if (prefix.equals(StoreKeys.ABORT)) {
+      if (prefix.equals(StoreKeys.CANCELLATION_PREFIX)) {
         answerWatch(prefix, 31, aborted(2, 22));
       } else {
         answerWatch(prefix, 30);
       }
     }
     assertEquals(List.of(true), caughtUp);
-    assertEquals(30, copy.revision());
-    assertEquals(List.of("abort/run-1", "abort/run-2"), keys(StoreKeys.ABORT));
+    assertEquals(30, replica.revision());
+    assertEquals(List.of("abort/run-1", "abort/run-2"), keys(StoreKeys.CANCELLATION_PREFIX));
   }
 
   @Test
   void anAnswerFromBeforeTheLeadIsNotEnough() {
     catchUp(30);
     for (String prefix : List.copyOf(watches.keySet())) {
-      answerWatch(prefix, prefix.equals(StoreKeys.ALLOC) ? 29 : 30);
+      answerWatch(prefix, prefix.equals(StoreKeys.ALLOC_PREFIX) ? 29 : 30);
     }
     assertEquals(List.of(), caughtUp);
     pass(1500);
-    answerWatch(StoreKeys.ALLOC, 30);
+    answerWatch(StoreKeys.ALLOC_PREFIX, 30);
     assertEquals(List.of(true), caughtUp);
   }
 
   @Test
   void aWatchOpenedBeforeTheLeadSaysNothingAnyMore() {
-    Effect.AskState before = watches.get(StoreKeys.JOB);
+    Effect.CallStore before = watches.get(StoreKeys.JOB_PREFIX);
     catchUp(30);
-    context.answered(before.call(), new Reply.Changes(ImmutableList.of(job(2, 12)), 30));
-    assertEquals(List.of("job/run-1"), keys(StoreKeys.JOB));
+    context.completeCall(before.callId(), new Reply.Changes(ImmutableList.of(job(2, 12)), 30));
+    assertEquals(List.of("job/run-1"), keys(StoreKeys.JOB_PREFIX));
   }
 
   @Test
   void anOutageIsWaitedForAndAGapHasEverythingRead() {
     catchUp(30);
-    context.answered(watches.remove(StoreKeys.JOB).call(), new Reply.Refused(503));
+    context.completeCall(watches.remove(StoreKeys.JOB_PREFIX).callId(), new Reply.Refused(503));
     pass(1500);
     assertEquals(List.of(), caughtUp);
-    context.answered(watches.remove(StoreKeys.JOB).call(), new Reply.Refused(410));
+    context.completeCall(watches.remove(StoreKeys.JOB_PREFIX).callId(), new Reply.Refused(410));
     assertEquals(List.of(false), caughtUp);
-    assertFalse(copy.isFollowing());
+    assertFalse(replica.isFollowing());
   }
 }
--- a/src/test/java/eiderfork/loadtest/InvariantCheckerTest.java
+++ b/src/test/java/eiderfork/loadtest/InvariantCheckerTest.java
@@ -52,8 +52,8 @@
     checker.accepted(uid);
   }
 
-  private void tell(String uid, JobStatus.Stance stance, long askedMs, long nowMs) {
-    checker.told(new JobStatus(uid, stance, 0, 0), askedMs, nowMs);
+  private void tell(String uid, JobStatus.Phase stance, long requestedMs, long nowMs) {
+    checker.told(new JobStatus(uid, stance, 0, 0), requestedMs, nowMs);
   }
 
   private List<InvariantChecker.Rule> broken() {
@@ -66,12 +66,12 @@
     checker.started("a", attempt("run-1", 0, 1), 0);
     checker.gone("a", attempt("run-1", 0, 1), false);
     checker.started("b", attempt("run-1", 0, 2), 10);
-    tell("run-1", JobStatus.Stance.RUNNING, 11, 12);
+    tell("run-1", JobStatus.Phase.RUNNING, 11, 12);
     checker.gone("b", attempt("run-1", 0, 2), true);
-    tell("run-1", JobStatus.Stance.DONE, 20, 21);
-    tell("run-1", JobStatus.Stance.DONE, 30, 31);
+    tell("run-1", JobStatus.Phase.DONE, 20, 21);
+    tell("run-1", JobStatus.Phase.DONE, 30, 31);
     // Asked before the end was told, answered after it.
-    tell("run-1", JobStatus.Stance.RUNNING, 15, 32);
+    tell("run-1", JobStatus.Phase.RUNNING, 15, 32);
     checker.tick(10_000);
     assertEquals(List.of(), broken());
   }
@@ -108,15 +108,15 @@
   void aJobThatGoesBack() {
     accept("run-1", 1);
     checker.cancelling("run-1");
-    tell("run-1", JobStatus.Stance.ABORTED, 0, 5);
-    tell("run-1", JobStatus.Stance.RUNNING, 6, 7);
+    tell("run-1", JobStatus.Phase.ABORTED, 0, 5);
+    tell("run-1", JobStatus.Phase.RUNNING, 6, 7);
     assertEquals(List.of(InvariantChecker.Rule.WENT_BACK), broken());
   }
 
   @Test
   void aJobCancelledByNobody() {
     accept("run-1", 1);
-    tell("run-1", JobStatus.Stance.ABORTED, 0, 5);
+    tell("run-1", JobStatus.Phase.ABORTED, 0, 5);
     assertEquals(List.of(InvariantChecker.Rule.WENT_BACK), broken());
   }
 
@@ -125,7 +125,7 @@
     accept("run-1", 2);
     checker.started("a", attempt("run-1", 0, 1), 0);
     checker.gone("a", attempt("run-1", 0, 1), true);
-    tell("run-1", JobStatus.Stance.DONE, 5, 6);
+    tell("run-1", JobStatus.Phase.DONE, 5, 6);
     assertEquals(List.of(InvariantChecker.Rule.NOT_DONE), broken());
   }
 
@@ -134,7 +134,7 @@
     accept("run-1", 1);
     checker.started("a", attempt("run-1", 0, 1), 0);
     checker.cancelling("run-1");
-    tell("run-1", JobStatus.Stance.ABORTED, 0, 5);
+    tell("run-1", JobStatus.Phase.ABORTED, 0, 5);
     checker.tick(5 + CANCEL_MS);
     assertEquals(List.of(), broken());
     checker.tick(6 + CANCEL_MS);
@@ -145,7 +145,7 @@
   void aCancelledTaskThatStartsLate() {
     accept("run-1", 1);
     checker.cancelling("run-1");
-    tell("run-1", JobStatus.Stance.ABORTED, 0, 5);
+    tell("run-1", JobStatus.Phase.ABORTED, 0, 5);
     checker.tick(6 + CANCEL_MS);
     checker.started("a", attempt("run-1", 0, 1), 7 + CANCEL_MS);
     assertEquals(List.of(InvariantChecker.Rule.RAN_CANCELLED), broken());
@@ -153,7 +153,7 @@
 
   @Test
   void aJobThatNobodySubmitted() {
-    tell("run-9", JobStatus.Stance.PENDING, 0, 1);
+    tell("run-9", JobStatus.Phase.PENDING, 0, 1);
     assertEquals(List.of(InvariantChecker.Rule.INVENTED), broken());
   }
 }
--- a/src/test/java/eiderfork/net/FailoverTracerTest.java
+++ b/src/test/java/eiderfork/net/FailoverTracerTest.java
@@ -17,8 +17,8 @@
 
 /** Takeovers as lines of JSON. */
 class FailoverTracerTest {
-  private static final Effect.TookOver TAKEOVER =
-      new Effect.TookOver(
+  private static final Effect.FailoverCompleted TAKEOVER =
+      new Effect.FailoverCompleted(
           5,
           ImmutableList.of(
               new Effect.Phase("election", 1000, 1030), new Effect.Phase("copy", 1030, 1050)));
--- a/src/test/java/eiderfork/net/HeapMonitorTest.java
+++ b/src/test/java/eiderfork/net/HeapMonitorTest.java
@@ -29,7 +29,7 @@
 
   private void grow(HeapMonitor watch, double toMb) {
     heap.committedMb = toMb;
-    watch.check();
+    watch.collectIfNeeded();
   }
 
   /** With one limit for all deployments garbage would fill what a small machine does not have. */
--- a/src/test/java/eiderfork/net/HttpClientTest.java
+++ b/src/test/java/eiderfork/net/HttpClientTest.java
@@ -31,15 +31,18 @@
     group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
   }
 
-  private Endpoint serve(java.util.function.Consumer<HttpServer.Exchange> taker) throws Exception {
-    Channel channel = new HttpServer(taker, 16).listen(group, new Endpoint("127.0.0.1", 0));
+  private Endpoint serve(java.util.function.Consumer<HttpServer.Exchange> consumer)
+      throws Exception {
+    Channel channel = new HttpServer(consumer, 16).listen(group, new Endpoint("127.0.0.1", 0));
     return new Endpoint("127.0.0.1", ((InetSocketAddress) channel.localAddress()).getPort());
   }
 
-  private CompletableFuture<Integer> send(HttpClient client, Endpoint to) {
+  private CompletableFuture<Integer> send(HttpClient client, Endpoint endpoint) {
     CompletableFuture<Integer> status = new CompletableFuture<>();
     loop.execute(
-        () -> client.send(to, "GET", "/", null, TIMEOUT_MS, (code, body) -> status.complete(code)));
+        () ->
+            client.send(
+                endpoint, "GET", "/", null, TIMEOUT_MS, (code, body) -> status.complete(code)));
     return status;
   }
 
@@ -48,10 +51,10 @@
    */
   @Test
   void aResponseThatIsTooLargeIsToldFromNone() throws Exception {
-    Endpoint server = serve(it -> it.answer(200, new byte[HttpClient.MOST_BODY + 1], 0));
+    Endpoint server = serve(it -> it.respond(200, new byte[HttpClient.MAX_BODY_BYTES + 1], 0));
     HttpClient client = new HttpClient(loop, 16);
-    assertEquals(HttpClient.OVERSIZED, send(client, server).get(10, TimeUnit.SECONDS));
-    Endpoint whole = serve(it -> it.answer(200, new byte[HttpClient.MOST_BODY], 0));
+    assertEquals(HttpClient.STATUS_OVERSIZED, send(client, server).get(10, TimeUnit.SECONDS));
+    Endpoint whole = serve(it -> it.respond(200, new byte[HttpClient.MAX_BODY_BYTES], 0));
     assertEquals(200, send(client, whole).get(10, TimeUnit.SECONDS));
   }
 
@@ -72,7 +75,7 @@
       }
       loop.submit(
               () -> {
-                held.forEach(it -> it.answer(200, new byte[0], 0));
+                held.forEach(it -> it.respond(200, new byte[0], 0));
                 held.clear();
               })
           .get();
--- a/src/test/java/eiderfork/wire/AllocationCodecTest.java
+++ b/src/test/java/eiderfork/wire/AllocationCodecTest.java
@@ -21,8 +21,8 @@
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
   void itComesBackAsItWas(long seed) throws MalformedMessageException {
     Random random = new Random(seed);
-    ImmutableList.Builder<StoredRecord.Span> spans = ImmutableList.builder();
-    ImmutableList.Builder<StoredRecord.Range> finished = ImmutableList.builder();
+    ImmutableList.Builder<StoredRecord.ReservedRange> spans = ImmutableList.builder();
+    ImmutableList.Builder<StoredRecord.TaskRange> finished = ImmutableList.builder();
     long last = 1 + random.nextInt(400);
     int next = 0;
     while (next < 300) {
@@ -30,50 +30,57 @@
       int to = from + random.nextInt(3);
       if (random.nextBoolean()) {
         String machine = NAMES[random.nextInt(NAMES.length)].formatted(random.nextInt(999));
-        spans.add(new StoredRecord.Span(from, to, 1 + random.nextLong(last), machine));
+        spans.add(new StoredRecord.ReservedRange(from, to, 1 + random.nextLong(last), machine));
       } else {
-        finished.add(new StoredRecord.Range(from, to));
+        finished.add(new StoredRecord.TaskRange(from, to));
       }
       next = to + 2;
     }
-    StoredRecord.Alloc alloc =
-        new StoredRecord.Alloc(last, seed % 2 == 0, spans.build(), finished.build());
-    assertEquals(alloc, StoredRecordCodec.record("alloc/run-1", PackedAllocationCodec.node(alloc)));
-    assertEquals(alloc, StoredRecordCodec.record("alloc/run-1", BitmapAllocationCodec.node(alloc)));
+    StoredRecord.Allocation allocation =
+        new StoredRecord.Allocation(last, seed % 2 == 0, spans.build(), finished.build());
+    assertEquals(
+        allocation,
+        StoredRecordCodec.fromJson("alloc/run-1", PackedAllocationCodec.toJson(allocation)));
+    assertEquals(
+        allocation,
+        StoredRecordCodec.fromJson("alloc/run-1", BitmapAllocationCodec.toJson(allocation)));
   }
 
   /** What production may have left in 4 KiB fits 2 KiB with room to spare. */
   @Test
   void aHundredAndEightyTasksOnMachinesOfTheirOwnTakeLittle() {
-    ImmutableList.Builder<StoredRecord.Span> spans = ImmutableList.builder();
+    ImmutableList.Builder<StoredRecord.ReservedRange> spans = ImmutableList.builder();
     Random random = new Random(1);
     for (int i = 0; i < 180; i++) {
-      spans.add(new StoredRecord.Span(i, i, 3, "n-%06d".formatted(random.nextInt(400))));
+      spans.add(new StoredRecord.ReservedRange(i, i, 3, "n-%06d".formatted(random.nextInt(400))));
     }
-    StoredRecord.Alloc alloc = new StoredRecord.Alloc(3, false, spans.build(), ImmutableList.of());
-    int bytes = JsonReader.bytes(PackedAllocationCodec.node(alloc)).length;
-    assertTrue(JsonReader.bytes(StoredRecordCodec.node(alloc)).length > 2048);
+    StoredRecord.Allocation allocation =
+        new StoredRecord.Allocation(3, false, spans.build(), ImmutableList.of());
+    int bytes = JsonReader.toBytes(PackedAllocationCodec.toJson(allocation)).length;
+    assertTrue(JsonReader.toBytes(StoredRecordCodec.toJson(allocation)).length > 2048);
     assertTrue(bytes < 1700, bytes + " bytes");
   }
 
   /** Whatever one byte of it becomes, it is read as some record or said to be unreadable. */
   @Test
   void aSpoiledBitmapIsNoReasonToFail() throws MalformedMessageException {
-    StoredRecord.Alloc alloc =
-        new StoredRecord.Alloc(
+    StoredRecord.Allocation allocation =
+        new StoredRecord.Allocation(
             9,
             false,
-            ImmutableList.of(new StoredRecord.Span(100, 260, 9, "n-000001")),
-            ImmutableList.of(new StoredRecord.Range(0, 99), new StoredRecord.Range(300, 900)));
-    String text = BitmapAllocationCodec.node(alloc).path(BitmapAllocationCodec.FIELD).asText();
+            ImmutableList.of(new StoredRecord.ReservedRange(100, 260, 9, "n-000001")),
+            ImmutableList.of(
+                new StoredRecord.TaskRange(0, 99), new StoredRecord.TaskRange(300, 900)));
+    String text =
+        BitmapAllocationCodec.toJson(allocation).path(BitmapAllocationCodec.JSON_FIELD).asText();
     byte[] bytes = Base64.getDecoder().decode(text);
     for (int i = 0; i < bytes.length; i++) {
       for (int bit = 0; bit < Byte.SIZE; bit++) {
         byte[] spoiled = bytes.clone();
         spoiled[i] ^= (byte) (1 << bit);
         String encoded = Base64.getEncoder().withoutPadding().encodeToString(spoiled);
-        var node = JsonReader.object().put(BitmapAllocationCodec.FIELD, encoded);
-        assertNotNull(StoredRecordCodec.record("alloc/run-1", node));
+        var node = JsonReader.newObject().put(BitmapAllocationCodec.JSON_FIELD, encoded);
+        assertNotNull(StoredRecordCodec.fromJson("alloc/run-1", node));
       }
     }
   }
@@ -95,7 +102,7 @@
       })
   void whatCannotBeReadIsSaidToBe(String value) throws MalformedMessageException {
     StoredRecord record =
-        StoredRecordCodec.record("alloc/run-1", JsonReader.parse(value.getBytes()));
+        StoredRecordCodec.fromJson("alloc/run-1", JsonReader.parse(value.getBytes()));
     assertInstanceOf(StoredRecord.Unreadable.class, record);
   }
 }
--- a/src/test/java/eiderfork/wire/ArchivedJobCodecTest.java
+++ b/src/test/java/eiderfork/wire/ArchivedJobCodecTest.java
@@ -12,19 +12,20 @@
 class ArchivedJobCodecTest {
   @Test
   void aRecordComesBackAsItWas() throws MalformedMessageException {
-    StoredRecord.EndedJob done = new StoredRecord.EndedJob(JobStatus.Stance.DONE, 12);
-    StoredRecord.EndedJob cancelled = new StoredRecord.EndedJob(JobStatus.Stance.ABORTED, 0);
-    assertEquals(done, StoredRecordCodec.record("ended/run-1", StoredRecordCodec.node(done)));
+    StoredRecord.ArchivedJob done = new StoredRecord.ArchivedJob(JobStatus.Phase.DONE, 12);
+    StoredRecord.ArchivedJob cancelled = new StoredRecord.ArchivedJob(JobStatus.Phase.ABORTED, 0);
+    assertEquals(done, StoredRecordCodec.fromJson("ended/run-1", StoredRecordCodec.toJson(done)));
     assertEquals(
-        cancelled, StoredRecordCodec.record("ended/run-2", StoredRecordCodec.node(cancelled)));
+        cancelled, StoredRecordCodec.fromJson("ended/run-2", StoredRecordCodec.toJson(cancelled)));
     assertTrue(
-        StoredRecordCodec.node(cancelled).toString().length() < 40, "there are millions of them");
+        StoredRecordCodec.toJson(cancelled).toString().length() < 40, "there are millions of them");
   }
 
   /** An answer by it would be taken back later. */
   @Test
   void aStateThatIsNotFinalIsNotRead() throws MalformedMessageException {
     var node = JsonReader.parse("{\"state\":\"running\",\"done\":3}".getBytes());
-    assertInstanceOf(StoredRecord.Unreadable.class, StoredRecordCodec.record("ended/run-1", node));
+    assertInstanceOf(
+        StoredRecord.Unreadable.class, StoredRecordCodec.fromJson("ended/run-1", node));
   }
 }
--- a/src/test/java/eiderfork/wire/ProductionCompatibilityTest.java
+++ b/src/test/java/eiderfork/wire/ProductionCompatibilityTest.java
@@ -56,7 +56,8 @@
   }
 
   private static StoredRecord stored(String key, String value) throws MalformedMessageException {
-    return StoredRecordCodec.record(key, JsonReader.parse(value.getBytes(StandardCharsets.UTF_8)));
+    return StoredRecordCodec.fromJson(
+        key, JsonReader.parse(value.getBytes(StandardCharsets.UTF_8)));
   }
 
   @Test
@@ -67,7 +68,7 @@
       StoredRecord record = stored(entry.getKey(), entry.getValue());
       assertFalse(record instanceof StoredRecord.Unreadable, entry.getKey());
       String written =
-          new String(JsonReader.bytes(StoredRecordCodec.node(record)), StandardCharsets.UTF_8);
+          new String(JsonReader.toBytes(StoredRecordCodec.toJson(record)), StandardCharsets.UTF_8);
       assertEquals(entry.getValue(), written, entry.getKey());
     }
   }
@@ -78,16 +79,16 @@
     StoredRecord.JobSpec gang =
         (StoredRecord.JobSpec) stored("job/run-000413", records.get("job/run-000413"));
     assertEquals(JobKind.GANG, gang.job().kind());
-    assertTrue(gang.job().oneZone());
+    assertTrue(gang.job().singleZone());
     assertEquals(
-        new StoredRecord.Alloc(
+        new StoredRecord.Allocation(
             7,
             false,
             ImmutableList.of(
-                new StoredRecord.Span(0, 3, 1, "n-000231"),
-                new StoredRecord.Span(4, 4, 7, "n-000232"),
-                new StoredRecord.Span(9, 12, 2, "n-000231")),
-            ImmutableList.of(new StoredRecord.Range(5, 8))),
+                new StoredRecord.ReservedRange(0, 3, 1, "n-000231"),
+                new StoredRecord.ReservedRange(4, 4, 7, "n-000232"),
+                new StoredRecord.ReservedRange(9, 12, 2, "n-000231")),
+            ImmutableList.of(new StoredRecord.TaskRange(5, 8))),
         stored("alloc/run-000412", records.get("alloc/run-000412")));
     assertEquals(
         new StoredRecord.Leadership("roost-1", 4), stored("leader", records.get("leader")));
@@ -103,12 +104,13 @@
     assertEquals(new Input.Query(0, "run-000412"), PeerCodec.request(message("query")));
     assertEquals(new Input.Abort(0, "run-000412"), PeerCodec.request(message("abort")));
     UserResponse ok =
-        new UserResponse(200, new JobStatus("run-000412", JobStatus.Stance.RUNNING, 4, 3), 0, null);
+        new UserResponse(200, new JobStatus("run-000412", JobStatus.Phase.RUNNING, 4, 3), 0, null);
     UserResponse later = new UserResponse(503, null, 2, "the machine types are not known yet");
-    assertEquals(new Reply.PeerAnswer(ok), PeerCodec.answer(message("answer")));
+    assertEquals(new Reply.ForwardedResponse(ok), PeerCodec.answer(message("answer")));
     assertEquals(List.of("run-000412", "run-000413"), PeerCodec.queries(message("queries")));
     assertEquals(
-        new Reply.PeerAnswers(ImmutableList.of(ok, later)), PeerCodec.answers(message("answers")));
+        new Reply.ForwardedResponses(ImmutableList.of(ok, later)),
+        PeerCodec.answers(message("answers")));
   }
 
   @Test
@@ -117,9 +119,10 @@
     assertEquals(hex(message("submit")), hex(PeerCodec.request(submit)));
     assertEquals(hex(message("query")), hex(PeerCodec.request(new Input.Query(0, "run-000412"))));
     assertEquals(hex(message("abort")), hex(PeerCodec.request(new Input.Abort(0, "run-000412"))));
-    Reply.PeerAnswers answers = (Reply.PeerAnswers) PeerCodec.answers(message("answers"));
-    assertEquals(hex(message("answers")), hex(PeerCodec.answers(answers.answers())));
-    assertEquals(hex(message("answer")), hex(PeerCodec.answer(answers.answers().get(0))));
+    Reply.ForwardedResponses answers =
+        (Reply.ForwardedResponses) PeerCodec.answers(message("answers"));
+    assertEquals(hex(message("answers")), hex(PeerCodec.answers(answers.responses())));
+    assertEquals(hex(message("answer")), hex(PeerCodec.answer(answers.responses().get(0))));
     assertEquals(
         hex(message("queries")), hex(PeerCodec.queries(List.of("run-000412", "run-000413"))));
   }
@@ -155,14 +158,17 @@
   @Test
   void thePackedFormHasNoFieldThatProductionReads() throws Exception {
     Job job = ((Input.Submit) PeerCodec.request(message("submit"))).job();
-    StoredRecord.Alloc alloc =
-        new StoredRecord.Alloc(
-            1, false, ImmutableList.of(new StoredRecord.Span(0, 3, 1, "n-1")), ImmutableList.of());
-    var node = StoredRecordCodec.node(new StoredRecord.PackedAlloc(alloc));
+    StoredRecord.Allocation allocation =
+        new StoredRecord.Allocation(
+            1,
+            false,
+            ImmutableList.of(new StoredRecord.ReservedRange(0, 3, 1, "n-1")),
+            ImmutableList.of());
+    var node = StoredRecordCodec.toJson(new StoredRecord.PackedAllocation(allocation));
     assertEquals(1, node.size());
     for (String field : List.of("on", "by", "ended", "endedBits", "last")) {
       assertFalse(node.has(field), field);
     }
-    assertEquals(alloc, StoredRecordCodec.record("alloc/" + job.uid(), node));
+    assertEquals(allocation, StoredRecordCodec.fromJson("alloc/" + job.uid(), node));
   }
 }
--- a/src/test/java/eiderfork/wire/ProtocolCodecTest.java
+++ b/src/test/java/eiderfork/wire/ProtocolCodecTest.java
@@ -15,7 +15,6 @@
 import eiderfork.controller.message.StoreRequest;
 import eiderfork.controller.message.UserResponse;
 import eiderfork.model.Attempt;
-import eiderfork.model.Command;
 import eiderfork.model.Heartbeat;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
@@ -23,6 +22,7 @@
 import eiderfork.model.StoredRecord;
 import eiderfork.model.TaskId;
 import eiderfork.model.TaskStatus;
+import eiderfork.model.WorkerCommand;
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 import java.util.List;
@@ -49,21 +49,21 @@
 
   @Test
   void readsAJobAndIgnoresFieldsItDoesNotKnow() throws MalformedMessageException {
-    Job job = UserCodec.job(bytes(JOB));
+    Job job = UserCodec.decodeJob(bytes(JOB));
     assertEquals("run-000412", job.uid());
     assertEquals(JobKind.ARRAY, job.kind());
     assertEquals(16, job.tasks());
-    assertTrue(job.oneZone() && job.spot() && !job.spread());
-    assertNull(job.zone());
+    assertTrue(job.singleZone() && job.spotAllowed() && !job.spreadZones());
+    assertNull(job.requiredZone());
     assertEquals(900.0, job.deadlineS());
   }
 
   @Test
   void storesAJobAsItWasSubmitted() throws MalformedMessageException {
-    Job job = UserCodec.job(bytes(JOB));
+    Job job = UserCodec.decodeJob(bytes(JOB));
     StoredRecord read =
-        StoredRecordCodec.record(
-            "job/run-000412", StoredRecordCodec.node(new StoredRecord.JobSpec(job)));
+        StoredRecordCodec.fromJson(
+            "job/run-000412", StoredRecordCodec.toJson(new StoredRecord.JobSpec(job)));
     assertEquals(new StoredRecord.JobSpec(job), read);
   }
 
@@ -88,46 +88,46 @@
   void refusesAJobWithAFieldThatIsMissingOrInvalid(String change) {
     String[] parts = change.split("\\|", 2);
     String broken = JOB.replace(parts[0], parts[1]);
-    assertThrows(MalformedMessageException.class, () -> UserCodec.job(bytes(broken)));
+    assertThrows(MalformedMessageException.class, () -> UserCodec.decodeJob(bytes(broken)));
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"\"DueS\":null,", ""})
   void aJobWithoutADeadlineHasNone(String instead) throws MalformedMessageException {
-    Job job = UserCodec.job(bytes(JOB.replace("\"DueS\":900.0,", instead)));
+    Job job = UserCodec.decodeJob(bytes(JOB.replace("\"DueS\":900.0,", instead)));
     assertNull(job.deadlineS());
   }
 
   @Test
   void readsAReport() throws MalformedMessageException {
-    Heartbeat report =
-        WorkerCodec.report(
+    Heartbeat heartbeat =
+        WorkerCodec.decodeReport(
             bytes(
                 """
                 {"Roost":"n-000231","Addr":"10.1.0.232:9000","Breed":"g8","Shore":"a",
                 "Driftwood":true,"Tenure":1,"Tally":88,"Warrant":41,"WarningS":null,
                 "Hatchlings":[{"Hatchling":"run-000412/3","Try":2,"Stance":"running"},
                 {"Hatchling":"run-000398/0","Try":1,"Stance":"ended","Cause":"done"}]}"""));
-    assertEquals(88, report.seq());
-    assertEquals(41, report.token());
-    assertNull(report.noticeS());
-    assertEquals(new Attempt(new TaskId("run-000412", 3), 2), report.tasks().get(0).attempt());
-    assertEquals(TaskStatus.Cause.DONE, report.tasks().get(1).cause());
+    assertEquals(88, heartbeat.sequenceNumber());
+    assertEquals(41, heartbeat.fencingToken());
+    assertNull(heartbeat.terminationNoticeS());
+    assertEquals(new Attempt(new TaskId("run-000412", 3), 2), heartbeat.tasks().get(0).attempt());
+    assertEquals(TaskStatus.Cause.DONE, heartbeat.tasks().get(1).cause());
   }
 
   /** Taken for absent, a task in a state of a later version would be started a second time. */
   @Test
   void aTaskInAStateThatIsNotKnownIsOnItsMachineAllTheSame() throws MalformedMessageException {
-    Heartbeat report =
-        WorkerCodec.report(
+    Heartbeat heartbeat =
+        WorkerCodec.decodeReport(
             bytes(
                 """
                 {"Roost":"n-000231","Addr":"10.1.0.232:9000","Breed":"g8","Shore":"a",
                 "Driftwood":true,"Tenure":1,"Tally":88,"Warrant":41,
                 "Hatchlings":[{"Hatchling":"run-000412/3","Try":2,"Stance":"dreaming"},
                 {"Hatchling":"run-000398/0","Try":1,"Stance":"ended","Cause":"bored"}]}"""));
-    assertEquals(TaskStatus.State.OTHER, report.tasks().get(0).state());
-    assertEquals(TaskStatus.Cause.STOPPED, report.tasks().get(1).cause());
+    assertEquals(TaskStatus.State.OTHER, heartbeat.tasks().get(0).state());
+    assertEquals(TaskStatus.Cause.STOPPED, heartbeat.tasks().get(1).cause());
   }
 
   @Test
@@ -135,7 +135,7 @@
     assertThrows(
         MalformedMessageException.class,
         () ->
-            WorkerCodec.report(
+            WorkerCodec.decodeReport(
                 bytes(
                     """
                     {"Roost":"n-1","Addr":"a:1","Breed":"g8","Shore":"a","Driftwood":true,
@@ -145,12 +145,12 @@
   @Test
   void writesCommandsAsTheProtocolPrintsThem() {
     byte[] body =
-        WorkerCodec.answer(
+        WorkerCodec.encodeReportResponse(
             41,
             ImmutableList.of(
-                new Command.Run(new Attempt(new TaskId("run-000412", 4), 2)),
-                new Command.Kill(new Attempt(new TaskId("run-000377", 1), 1), 10),
-                new Command.Clear(new Attempt(new TaskId("run-000398", 0), 1))));
+                new WorkerCommand.Run(new Attempt(new TaskId("run-000412", 4), 2)),
+                new WorkerCommand.Kill(new Attempt(new TaskId("run-000377", 1), 1), 10),
+                new WorkerCommand.Clear(new Attempt(new TaskId("run-000398", 0), 1))));
     assertEquals(
         "{\"Warrant\":41,\"Calls\":["
             + "{\"Call\":\"run\",\"Hatchling\":\"run-000412/4\",\"Try\":2},"
@@ -161,28 +161,29 @@
 
   @Test
   void tellsUsersTheStateOfAJob() {
-    JobStatus job = new JobStatus("run-000412", JobStatus.Stance.RUNNING, 3, 13);
+    JobStatus job = new JobStatus("run-000412", JobStatus.Phase.RUNNING, 3, 13);
     assertEquals(
         "{\"Uid\":\"run-000412\",\"Stance\":\"running\",\"done\":3,\"running\":13}",
-        text(UserCodec.body(new UserResponse(200, job, 0, null))));
+        text(UserCodec.encodeAnswer(new UserResponse(200, job, 0, null))));
   }
 
   @Test
   void readsWhatTheStateServiceSays() throws MalformedMessageException {
     assertEquals(
         new Reply.Conflict(ImmutableList.of("a/b")),
-        StoreCodec.reply(
-            new StoreRequest.Transact(ImmutableList.of(), ImmutableList.of()),
+        StoreCodec.decodeReply(
+            new StoreRequest.Transaction(ImmutableList.of(), ImmutableList.of()),
             409,
             bytes("{\"failed\":[\"a/b\"],\"Ledger\":431}")));
     assertEquals(
         new Reply.Value(null, 0),
-        StoreCodec.reply(new StoreRequest.Get("term"), 404, bytes("{\"Ledger\":431}")));
+        StoreCodec.decodeReply(new StoreRequest.Get("term"), 404, bytes("{\"Ledger\":431}")));
     assertEquals(
-        new Reply.Refused(503), StoreCodec.reply(new StoreRequest.Get("term"), 503, bytes("{}")));
+        new Reply.Refused(503),
+        StoreCodec.decodeReply(new StoreRequest.Get("term"), 503, bytes("{}")));
     Reply.Changes changes =
         (Reply.Changes)
-            StoreCodec.reply(
+            StoreCodec.decodeReply(
                 new StoreRequest.Watch("leader", 431, 0),
                 200,
                 bytes(
@@ -197,68 +198,78 @@
   void a404ThatIsNotTheStateServicesOwnSaysNothing() {
     assertThrows(
         MalformedMessageException.class,
-        () -> StoreCodec.reply(new StoreRequest.Get("job/run-1"), 404, bytes("{\"error\":\"?\"}")));
+        () ->
+            StoreCodec.decodeReply(
+                new StoreRequest.Get("job/run-1"), 404, bytes("{\"error\":\"?\"}")));
   }
 
   @Test
   void allocsComeBackAsTheyWere() throws MalformedMessageException {
-    StoredRecord.Alloc alloc =
-        new StoredRecord.Alloc(
+    StoredRecord.Allocation allocation =
+        new StoredRecord.Allocation(
             7,
             false,
             ImmutableList.of(
-                new StoredRecord.Span(0, 3, 1, "n-1"),
-                new StoredRecord.Span(4, 4, 7, "n-2"),
-                new StoredRecord.Span(9, 12, 2, "n-1")),
-            ImmutableList.of(new StoredRecord.Range(5, 8)));
-    assertEquals(alloc, StoredRecordCodec.record("alloc/run-1", StoredRecordCodec.node(alloc)));
+                new StoredRecord.ReservedRange(0, 3, 1, "n-1"),
+                new StoredRecord.ReservedRange(4, 4, 7, "n-2"),
+                new StoredRecord.ReservedRange(9, 12, 2, "n-1")),
+            ImmutableList.of(new StoredRecord.TaskRange(5, 8)));
+    assertEquals(
+        allocation,
+        StoredRecordCodec.fromJson("alloc/run-1", StoredRecordCodec.toJson(allocation)));
   }
 
   @Test
   void allocsOfTheFirstFormAreStillRead() throws MalformedMessageException {
-    StoredRecord.Alloc alloc =
-        new StoredRecord.Alloc(
+    StoredRecord.Allocation allocation =
+        new StoredRecord.Allocation(
             7,
             false,
             ImmutableList.of(
-                new StoredRecord.Span(0, 3, 1, "n-1"), new StoredRecord.Span(4, 4, 7, "n-2")),
-            ImmutableList.of(new StoredRecord.Range(5, 8)));
+                new StoredRecord.ReservedRange(0, 3, 1, "n-1"),
+                new StoredRecord.ReservedRange(4, 4, 7, "n-2")),
+            ImmutableList.of(new StoredRecord.TaskRange(5, 8)));
     String stored = "{\"last\":7,\"on\":{\"n-1\":[0,3,1],\"n-2\":[4,4,7]},\"finished\":[5,8]}";
-    assertEquals(alloc, StoredRecordCodec.record("alloc/run-1", JsonReader.parse(bytes(stored))));
+    assertEquals(
+        allocation, StoredRecordCodec.fromJson("alloc/run-1", JsonReader.parse(bytes(stored))));
   }
 
   @Test
   void tellsNoCapacityFromTrouble() throws MalformedMessageException {
     assertEquals(
-        new Reply.NoCapacity(), CloudCodec.rented(503, bytes("{\"error\":\"no capacity\"}")));
-    assertEquals(new Reply.Refused(503), CloudCodec.rented(503, bytes("{\"error\":\"trouble\"}")));
+        new Reply.NoCapacity(),
+        CloudCodec.decodeRentReply(503, bytes("{\"error\":\"no capacity\"}")));
+    assertEquals(
+        new Reply.Refused(503), CloudCodec.decodeRentReply(503, bytes("{\"error\":\"trouble\"}")));
   }
 
   @Test
   void aPeerOfTheFirstVersionSaysNothingOfCancellations() throws MalformedMessageException {
-    PeerStatus view = new PeerStatus("roost-1", 4, true, 12, 56, 1, CancellationGossip.NONE);
+    PeerStatus status = new PeerStatus("roost-1", 4, true, 12, 56, 1, CancellationGossip.NONE);
     byte[] first = {14, 'r', 'o', 'o', 's', 't', '-', '1', 8, 1, 24, 112};
-    assertEquals(view, PeerCodec.view(first));
+    assertEquals(status, PeerCodec.view(first));
     assertThrows(MalformedMessageException.class, () -> PeerCodec.view(Arrays.copyOf(first, 11)));
   }
 
   @Test
   void peersUnderstandEachOther() throws MalformedMessageException {
-    CancellationGossip news =
+    CancellationGossip gossip =
         new CancellationGossip(77, 9000, 3, ImmutableList.of("run-1", "run-2"), true, 78, 12);
-    PeerStatus view = new PeerStatus("roost-1", 4, true, 12, 56, 2, news);
-    assertEquals(view, PeerCodec.view(PeerCodec.view(view)));
+    PeerStatus status = new PeerStatus("roost-1", 4, true, 12, 56, 2, gossip);
+    assertEquals(status, PeerCodec.view(PeerCodec.view(status)));
     Input.Submit submit =
         (Input.Submit)
             PeerCodec.request(
-                PeerCodec.request(new Input.Submit(9, UserCodec.job(bytes(JOB)), bytes(JOB))));
-    assertEquals(UserCodec.job(bytes(JOB)), submit.job());
-    JobStatus job = new JobStatus("run-1", JobStatus.Stance.DONE, 4, 0);
-    UserResponse answer = new UserResponse(200, job, 0, null);
-    assertEquals(new Reply.PeerAnswer(answer), PeerCodec.answer(PeerCodec.answer(answer)));
+                PeerCodec.request(
+                    new Input.Submit(9, UserCodec.decodeJob(bytes(JOB)), bytes(JOB))));
+    assertEquals(UserCodec.decodeJob(bytes(JOB)), submit.job());
+    JobStatus job = new JobStatus("run-1", JobStatus.Phase.DONE, 4, 0);
+    UserResponse response = new UserResponse(200, job, 0, null);
+    assertEquals(
+        new Reply.ForwardedResponse(response), PeerCodec.answer(PeerCodec.answer(response)));
     assertEquals(
-        new Reply.PeerAnswers(ImmutableList.of(answer, answer)),
-        PeerCodec.answers(PeerCodec.answers(List.of(answer, answer))));
+        new Reply.ForwardedResponses(ImmutableList.of(response, response)),
+        PeerCodec.answers(PeerCodec.answers(List.of(response, response))));
     assertEquals(
         List.of("run-1", "run-2"), PeerCodec.queries(PeerCodec.queries(List.of("run-1", "run-2"))));
     assertThrows(MalformedMessageException.class, () -> PeerCodec.queries(new byte[] {9, 2, 3}));
@@ -267,7 +278,7 @@
 
   @Test
   void hintsComeAsTheyWent() throws MalformedMessageException {
-    MachineHintBatch message =
+    MachineHintBatch batch =
         new MachineHintBatch(
             7,
             12,
@@ -275,7 +286,7 @@
                 new MachineHint(
                     "n-1", ImmutableList.of(new MachineHint.ImageHint("img", 72.5, 900))),
                 new MachineHint("n-2", ImmutableList.of())));
-    assertEquals(message, PeerCodec.hints(PeerCodec.hints(message)));
+    assertEquals(batch, PeerCodec.hints(PeerCodec.hints(batch)));
     assertThrows(
         MalformedMessageException.class, () -> PeerCodec.hints(new byte[] {1, 2, 3, 4, 5}));
   }
