--- a/src/test/java/eiderfork/core/GangTest.java
+++ b/src/test/java/eiderfork/core/GangTest.java
@@ -328,6 +328,11 @@
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16})
   void rulesHoldWhereTroublesMeet(long seed) {
     World troubled = new World(seed);
+    Outcome.allServed(troubled, play(troubled, seed));
+  }
+
+  /** Plays the history of gangs under troubles of this seed, and tells the gangs. */
+  static List<Job> play(World troubled, long seed) {
     List<Job> gangs = new ArrayList<>();
     troubled.loss = 0.01;
     troubled.doubled = 0.02;
@@ -358,7 +363,7 @@
       troubled.at(12_000 + i * 6500L, () -> trouble(troubled, kind));
     }
     troubled.run(85);
-    Outcome.allServed(troubled, gangs);
+    return gangs;
   }
 
   private static void trouble(World world, int kind) {
--- a/src/test/java/eiderfork/core/HistoryTest.java
+++ b/src/test/java/eiderfork/core/HistoryTest.java
@@ -33,6 +33,12 @@
   @ValueSource(longs = {31, 32, 33, 34, 35, 36, 37, 38, 39, 40, 41, 42, 43, 44, 45, 46})
   void rulesHoldWhereTroublesMeet(long seed) {
     World world = new World(seed);
+    troublesMeet(world, seed);
+    rulesHold(world, seed);
+  }
+
+  /** Has several kinds of trouble meet in a history that is not played yet. */
+  static void troublesMeet(World world, long seed) {
     Random script = new Random(seed * 37);
     world.lateWrites = 0.08;
     world.lostAnswers = 0.08;
@@ -46,7 +52,6 @@
       int kind = (i + (int) seed) % 7;
       world.at(12_000 + i * 11_000L + script.nextInt(8000), () -> meeting(world, script, kind));
     }
-    rulesHold(world, seed);
   }
 
   private static void meeting(World world, Random script, int kind) {
@@ -87,7 +92,8 @@
     return world.leader() == null ? node : world.leader();
   }
 
-  private static void rulesHold(World world, long seed) {
+  /** Plays the random history of this seed to its quiet end, and tells the jobs. */
+  static List<Job> play(World world, long seed) {
     Random script = new Random(seed * 31);
     world.loss = 0.01;
     world.late = 0.01;
@@ -122,6 +128,11 @@
     world.run(110);
     world.quiet();
     world.run(110);
+    return jobs;
+  }
+
+  private static void rulesHold(World world, long seed) {
+    List<Job> jobs = play(world, seed);
     assertEquals(List.of(), world.checker.breaches);
     assertTrue(world.checker.starts > 10);
     for (Job job : jobs) {
--- a/src/test/java/eiderfork/core/JobArchiveTest.java
+++ b/src/test/java/eiderfork/core/JobArchiveTest.java
@@ -32,7 +32,7 @@
 class JobArchiveTest {
   private static final double STAY_S = 0.5;
 
-  private static World world(long seed) {
+  static World world(long seed) {
     return new World(seed, Samples.archivingAfter(STAY_S));
   }
 
@@ -232,6 +232,20 @@
   @MethodSource("seeds")
   void nothingIsTakenBackWhateverIsLateOrLost(long seed) {
     World world = world(seed);
+    List<Job> jobs = play(world, seed);
+    rulesHold(world);
+    jobs.forEach(job -> world.queryAll(job.uid()));
+    world.run(3);
+    rulesHold(world);
+    for (Job job : jobs) {
+      assertNotNull(world.checker.finalStance(job.uid()), job::uid);
+      hasLeft(world, job);
+    }
+    assertEquals(0, world.nodes.get(world.leader()).jobsInMemory());
+  }
+
+  /** Plays the history of moves to the archive of this seed to its quiet end; tells the jobs. */
+  static List<Job> play(World world, long seed) {
     Random script = new Random(seed);
     world.lookCloselyAtNews(true);
     List<Job> jobs = new ArrayList<>();
@@ -262,15 +276,7 @@
     world.run(62);
     world.quiet();
     world.run(40);
-    rulesHold(world);
-    jobs.forEach(job -> world.queryAll(job.uid()));
-    world.run(3);
-    rulesHold(world);
-    for (Job job : jobs) {
-      assertNotNull(world.checker.finalStance(job.uid()), job::uid);
-      hasLeft(world, job);
-    }
-    assertEquals(0, world.nodes.get(world.leader()).jobsInMemory());
+    return jobs;
   }
 
   /** An older version's node would deny what it does not find, so nothing leaves before. */
--- a/src/test/java/eiderfork/core/LeaseProxyTest.java
+++ b/src/test/java/eiderfork/core/LeaseProxyTest.java
@@ -26,7 +26,7 @@
     return LongStream.rangeClosed(1, 12);
   }
 
-  private static World world(long seed) {
+  static World world(long seed) {
     return new World(seed, Samples.settings("roost-0"), 7);
   }
 
@@ -184,6 +184,11 @@
   @MethodSource("seeds")
   void rulesHoldWhateverEndsDuringASplit(long seed) {
     World world = world(seed);
+    Outcome.allServed(world, playSplit(world, seed));
+  }
+
+  /** Plays a split of the zones while nodes end, and tells the jobs. */
+  static List<Job> playSplit(World world, long seed) {
     List<Job> jobs = spread(world, 4);
     world.loss = 0.01;
     world.late = 0.02;
@@ -226,7 +231,7 @@
           });
     }
     world.run(100);
-    Outcome.allServed(world, jobs);
+    return jobs;
   }
 
   private static List<String> nodesIn(World world, String zone) {
--- a/src/test/java/eiderfork/core/LendingHistoryTest.java
+++ b/src/test/java/eiderfork/core/LendingHistoryTest.java
@@ -47,8 +47,21 @@
   @ParameterizedTest
   @MethodSource("seeds")
   void rulesAndGuaranteesHold(long seed) {
-    Random script = new Random(seed * 53);
     LendingWorld w = LendingWorld.on(seed);
+    List<Job> jobs = play(w, seed);
+    assertEquals(List.of(), w.world.checker.breaches);
+    assertEquals(List.of(), w.guarantees.unexplained);
+    int before = w.world.checker.answers;
+    jobs.forEach(job -> w.world.queryAll(job.uid()));
+    w.world.run(5);
+    assertEquals(before + w.world.all().size() * jobs.size(), w.world.checker.answers);
+    assertEquals(List.of(), w.world.checker.breaches);
+    assertTrue(w.world.checker.starts > 10);
+  }
+
+  /** Plays the random history of this seed to its quiet end, and tells the jobs. */
+  static List<Job> play(LendingWorld w, long seed) {
+    Random script = new Random(seed * 53);
     List<Job> jobs = new ArrayList<>();
     for (int i = 1; i <= 18; i++) {
       Job job = job(script, i);
@@ -75,13 +88,6 @@
     w.world.progress.savesHangOn.clear();
     w.world.quiet();
     w.world.run(QUIET_S);
-    assertEquals(List.of(), w.world.checker.breaches);
-    assertEquals(List.of(), w.guarantees.unexplained);
-    int before = w.world.checker.answers;
-    jobs.forEach(job -> w.world.queryAll(job.uid()));
-    w.world.run(5);
-    assertEquals(before + w.world.all().size() * jobs.size(), w.world.checker.answers);
-    assertEquals(List.of(), w.world.checker.breaches);
-    assertTrue(w.world.checker.starts > 10);
+    return jobs;
   }
 }
--- a/src/test/java/eiderfork/core/SilentWorkerHistoryTest.java
+++ b/src/test/java/eiderfork/core/SilentWorkerHistoryTest.java
@@ -37,7 +37,7 @@
         Long.getLong("silences.from", 1), Long.getLong("silences.to", 40));
   }
 
-  private static World world(long seed) {
+  static World world(long seed) {
     return world(seed, Samples.settings("roost-0"));
   }
 
@@ -105,22 +105,40 @@
   @MethodSource("seeds")
   void noTaskIsInTwoPlaces(long seed) {
     World world = world(seed);
-    rulesHold(world, seed, new Random(seed * 41));
+    play(world, seed);
+    rulesHold(world);
+  }
+
+  /** Plays the history of this seed under one leader, and tells the jobs. */
+  static List<Job> play(World world, long seed) {
+    return play(world, seed, new Random(seed * 41));
   }
 
   /** The same while leaders end, are cut off or stand still, zones split and machines hang. */
   @ParameterizedTest
   @MethodSource("seeds")
   void noTaskIsInTwoPlacesWhereLeadersChange(long seed) {
-    World world = world(seed, settings(seed));
+    World world = changingWorld(seed);
+    playWithChanges(world, seed);
+    rulesHold(world);
+  }
+
+  /** Where the histories with changing leaders are played. */
+  static World changingWorld(long seed) {
+    return world(seed, settings(seed));
+  }
+
+  /** Plays the history of this seed with changing leaders, and tells the jobs. */
+  static List<Job> playWithChanges(World world, long seed) {
     Random script = new Random(seed * 43);
     for (int i = 0; i < TROUBLES; i++) {
       world.at(8000 + script.nextInt(TROUBLED_MS), () -> trouble(world, script));
     }
-    rulesHold(world, seed, script);
+    return play(world, seed, script);
   }
 
-  private static void rulesHold(World world, long seed, Random script) {
+  private static List<Job> play(World world, long seed, Random script) {
+    List<Job> jobs = new ArrayList<>();
     world.cloud.capacity = 1;
     world.stateDelayMs = seed % 4 * 70L;
     world.commandsLateMs = seed % 3 * 150L;
@@ -129,6 +147,7 @@
     world.lateReports = seed % 7 * 0.05;
     for (int i = 1; i <= JOBS; i++) {
       Job job = job(script, i);
+      jobs.add(job);
       long atMs = script.nextInt(TROUBLED_MS);
       world.at(atMs, () -> world.submit(job));
       if (job.kind() == JobKind.SERVICE) {
@@ -139,6 +158,10 @@
       world.at(8000 + script.nextInt(TROUBLED_MS), () -> silence(world, script));
     }
     world.run(TROUBLED_MS / 1000.0 + AFTERWARDS_S);
+    return jobs;
+  }
+
+  private static void rulesHold(World world) {
     Outcome.rulesHold(world);
     assertTrue(world.checker.starts > JOBS);
   }
--- a/src/test/java/eiderfork/core/StandbyTakeoverTest.java
+++ b/src/test/java/eiderfork/core/StandbyTakeoverTest.java
@@ -377,8 +377,18 @@
 
   /** One random history on three or five nodes with one or two standbys. */
   static void randomHistory(long seed) {
+    World world = randomWorld(seed);
+    Outcome.allServed(world, play(world, seed));
+  }
+
+  /** Where a random history is played. */
+  static World randomWorld(long seed) {
+    return world(seed, seed % 3 == 0 ? 5 : 3, 1 + (int) (seed % 2));
+  }
+
+  /** Plays the random history of this seed, and tells the jobs. */
+  static List<Job> play(World world, long seed) {
     Random script = new Random(seed * 101);
-    World world = world(seed, seed % 3 == 0 ? 5 : 3, 1 + (int) (seed % 2));
     world.loss = 0.01;
     world.late = 0.02;
     world.doubled = 0.02;
@@ -403,7 +413,7 @@
     }
     world.run(80);
     world.lookCloselyAtNews(false);
-    Outcome.allServed(world, jobs);
+    return jobs;
   }
 
   private static void trouble(World world, Random script) {
--- a/src/test/java/eiderfork/core/UpgradeTest.java
+++ b/src/test/java/eiderfork/core/UpgradeTest.java
@@ -25,7 +25,8 @@
   private static final StateLimits NOW = new StateLimits(200, 40, 4, 16);
   private static final StateLimits NEXT = new StateLimits(200, 18, 2, 16);
 
-  private static World older(long seed) {
+  /** Three nodes of the version before. */
+  static World older(long seed) {
     World world =
         new World(
             seed,
@@ -177,6 +178,11 @@
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
   void rulesHoldWhileBothVersionsServeUnderTroubles(long seed) {
     World world = older(seed);
+    Outcome.allServed(world, play(world, seed));
+  }
+
+  /** Plays a random history in which all nodes are upgraded, and tells the jobs. */
+  static List<Job> play(World world, long seed) {
     Random script = new Random(seed * 41);
     world.loss = 0.01;
     world.lateWrites = 0.06;
@@ -209,7 +215,7 @@
         56_000 + script.nextInt(6000),
         () -> world.state.lowerLimits(NEXT.valueKb(), NEXT.writeRps(), world.nowMs));
     world.run(95);
-    Outcome.allServed(world, jobs);
+    return jobs;
   }
 
   private static void trouble(World world, int kind) {
--- a/src/test/java/eiderfork/core/World.java
+++ b/src/test/java/eiderfork/core/World.java
@@ -17,6 +17,7 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.TreeMap;
+import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 
 /**
@@ -83,6 +84,9 @@
   /** Machines keep the images that they have fetched, so that tasks start there at once. */
   boolean imagesStay;
 
+  /** Is told each effect of a controller, with its node, before it is carried out. */
+  BiConsumer<String, Effect> effectObserver = (node, effect) -> {};
+
   private final FakeReports reports = new FakeReports(this);
   private final FakeUsers users = new FakeUsers(this);
   private final FakeNetwork network = new FakeNetwork(this);
@@ -295,6 +299,7 @@
     Controller controller = nodes.get(node);
     if (controller != null) {
       for (Effect effect : controller.take(nowMs, input)) {
+        effectObserver.accept(node, effect);
         network.carryOut(node, effect);
       }
     }
