--- a/src/main/java/eiderfork/loadtest/CellCounters.java
+++ b/src/main/java/eiderfork/loadtest/CellCounters.java
@@ -1,6 +1,9 @@
 package eiderfork.loadtest;
 
-/** What happened in a cell since the run began; written by the cell's own thread alone. */
+/**
+ * Event counts of a cell since the start; written on the cell's event loop only. The names are
+ * those of the report's JSON.
+ */
 final class CellCounters implements Cloneable {
   long stateRequests;
   long stateWrites;
--- a/src/main/java/eiderfork/loadtest/CellLayout.java
+++ b/src/main/java/eiderfork/loadtest/CellLayout.java
@@ -13,11 +13,11 @@
 
   private static final double GUARANTEE_SHARES = 0.5;
 
-  private final LoadTestSettings run;
+  private final LoadTestSettings settings;
   private final int number;
 
-  CellLayout(LoadTestSettings run, int number) {
-    this.run = run;
+  CellLayout(LoadTestSettings settings, int number) {
+    this.settings = settings;
     this.number = number;
   }
 
@@ -29,11 +29,11 @@
   /** The machine types, each of them in every zone. */
   ImmutableList<MachineType> types() {
     ImmutableList.Builder<String> zones = ImmutableList.builder();
-    for (int i = 0; i < run.cells().zones(); i++) {
+    for (int i = 0; i < settings.cells().zones(); i++) {
       zones.add(zone(i));
     }
     ImmutableList.Builder<MachineType> types = ImmutableList.builder();
-    for (LoadTestSettings.MachineKind it : run.machineTypes()) {
+    for (LoadTestSettings.MachineKind it : settings.machineTypes()) {
       types.add(
           new MachineType(
               it.name(),
@@ -52,14 +52,14 @@
   ImmutableMap<String, Team> teams() {
     double cpus = 0;
     double gpus = 0;
-    for (LoadTestSettings.MachineKind it : run.machineTypes()) {
-      cpus += it.cpus() * it.share() * run.cells().workers();
-      gpus += it.gpus() * it.share() * run.cells().workers();
+    for (LoadTestSettings.MachineKind it : settings.machineTypes()) {
+      cpus += it.cpus() * it.share() * settings.cells().workers();
+      gpus += it.gpus() * it.share() * settings.cells().workers();
     }
-    double cpuShare = Math.ceil(cpus / run.cells().teams());
-    double gpuShare = Math.ceil(gpus / run.cells().teams());
+    double cpuShare = Math.ceil(cpus / settings.cells().teams());
+    double gpuShare = Math.ceil(gpus / settings.cells().teams());
     ImmutableMap.Builder<String, Team> teams = ImmutableMap.builder();
-    for (int i = 0; i < run.cells().teams(); i++) {
+    for (int i = 0; i < settings.cells().teams(); i++) {
       String name = "team-" + i;
       teams.put(
           name,
--- a/src/main/java/eiderfork/loadtest/ControllerProcess.java
+++ b/src/main/java/eiderfork/loadtest/ControllerProcess.java
@@ -8,7 +8,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A real controller as a process of its own, which can be killed and started again. */
+/** A real controller in a process of its own, which can be killed and restarted. */
 final class ControllerProcess {
   /** The kernel counts processor time in hundredths of a second. */
   private static final double TICKS_PER_S = 100;
@@ -24,8 +24,8 @@
   private final List<String> command;
   private Process process;
 
-  /** The run is being ended; nothing is started any more. */
-  private boolean over;
+  /** The load test is ending; nothing is started any more. */
+  private boolean closed;
 
   private double pastCpuS;
   private double lastCpuS;
@@ -61,7 +61,7 @@
   }
 
   synchronized void start() throws IOException {
-    if (over || process != null && process.isAlive()) {
+    if (closed || process != null && process.isAlive()) {
       return;
     }
     pastCpuS += lastCpuS;
@@ -73,13 +73,10 @@
             .start();
   }
 
-  /**
-   * Ends the process for good. While an interrupted run's processes were ended, the run itself took
-   * them for ended by themselves and started them again.
-   */
-  void end() throws InterruptedException {
+  /** Ends the process for good: it counts neither as an unexpected exit nor is it restarted. */
+  void close() throws InterruptedException {
     synchronized (this) {
-      over = true;
+      closed = true;
     }
     killAndWait();
   }
--- a/src/main/java/eiderfork/loadtest/EmulatedCell.java
+++ b/src/main/java/eiderfork/loadtest/EmulatedCell.java
@@ -27,6 +27,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import java.util.concurrent.Callable;
+import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Predicate;
 import org.HdrHistogram.Histogram;
@@ -34,37 +36,37 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * A region: its controllers' processes, and on one thread its emulated state service, cloud,
- * workers and users. Fields without a word on it belong to that thread.
+ * A region: its controller processes, and on one event loop its emulated store, cloud, workers and
+ * users. All mutable state belongs to that event loop unless a method says otherwise.
  */
-final class EmulatedCell implements EmulatedCloud.Machines {
+final class EmulatedCell implements EmulatedCloud.MachineListener {
   private static final int BACKLOG = 4096;
   private static final long TICK_MS = 50;
   private static final long SECOND_MS = 1000;
 
   /** Addresses beyond the workers' number, for machines that replace others. */
-  private static final double SPARE_ADDRESSES = 0.3;
+  private static final double SPARE_ADDRESS_SHARE = 0.3;
 
-  /** Services younger than this are not counted as missing. */
-  private static final long YOUNG_MS = 15_000;
+  /** Replicas of services that were accepted more recently than this do not count as missing. */
+  private static final long REPLICA_START_GRACE_MS = 15_000;
 
-  /** Start times up to this many milliseconds are told apart. */
-  private static final long MOST_MS = 3_600_000;
+  /** Upper bound of the recorded latencies; longer ones count as this. */
+  private static final long MAX_RECORDED_MS = 3_600_000;
 
-  private static final int SEQUENCE_BITS = 24;
+  private static final int TOKEN_SEQUENCE_BITS = 24;
 
   private static final String LOOPBACK = "127.0.0.1";
 
-  /** A service that should stand, and how many of its replicas do. */
-  private static final class Standing {
+  /** A service that should run, and how many of its replicas do. */
+  private static final class ServiceReplicas {
     final Job job;
 
-    /** When its user was told that it is accepted; its tasks may start before that. */
+    /** When its user got the acceptance; its tasks may start before that. */
     long acceptedMs = Long.MAX_VALUE;
 
     int running;
 
-    Standing(Job job) {
+    ServiceReplicas(Job job) {
       this.job = job;
     }
   }
@@ -73,16 +75,16 @@
   final EventLoop loop;
   final UniformRandomProvider random;
   final CellCounters counters = new CellCounters();
-  final JobCatalog catalogue = new JobCatalog();
+  final JobCatalog catalog = new JobCatalog();
   final InvariantChecker checker;
   final ByteCounter workerBytes = new ByteCounter(counters);
-  final Histogram startMs = new Histogram(MOST_MS, 3);
-  final Histogram urgentStartMs = new Histogram(MOST_MS, 3);
-  final Histogram rampStartMs = new Histogram(MOST_MS, 3);
-  final Histogram acceptMs = new Histogram(MOST_MS, 3);
+  final Histogram startMs = new Histogram(MAX_RECORDED_MS, 3);
+  final Histogram urgentStartMs = new Histogram(MAX_RECORDED_MS, 3);
+  final Histogram rampStartMs = new Histogram(MAX_RECORDED_MS, 3);
+  final Histogram acceptMs = new Histogram(MAX_RECORDED_MS, 3);
 
   /** By how much the cell's own ticks come late. */
-  final Histogram lagMs = new Histogram(MOST_MS, 3);
+  final Histogram lagMs = new Histogram(MAX_RECORDED_MS, 3);
 
   final List<RecoveryTimer> recoveries = new ArrayList<>();
 
@@ -91,21 +93,21 @@
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private final List<ControllerProcess> controllers = new ArrayList<>();
   private final Map<String, Integer> controllerIndex = new HashMap<>();
-  private final EmulatedStore state;
+  private final EmulatedStore store;
   private final EmulatedCloud cloud;
   private final EmulatedUsers users;
-  private final CellLayout plan;
+  private final CellLayout layout;
   private final ImmutableMap<String, Team> teams;
   private final Map<String, EmulatedWorker> workers = new LinkedHashMap<>();
   private final Map<String, EmulatedWorker> byAddress = new HashMap<>();
   private final Deque<String> freeAddresses = new ArrayDeque<>();
-  private final Map<String, Standing> standing = new HashMap<>();
+  private final Map<String, ServiceReplicas> services = new HashMap<>();
   private final Map<String, BitSet> everStarted = new HashMap<>();
   private final Set<String> liveJobs = new HashSet<>();
   private int runningTasks;
-  private int lastRack;
-  private long newestToken;
-  private long loadBeganMs = Long.MAX_VALUE;
+  private int nextRack;
+  private long highestFencingToken;
+  private long loadStartMs = Long.MAX_VALUE;
   private long lastTickMs;
 
   EmulatedCell(LoadTestSettings settings, int number) {
@@ -113,29 +115,29 @@
     this.number = number;
     loop = group.next();
     random = RandomSource.XO_RO_SHI_RO_128_PP.create(settings.seed() * 1000 + number);
-    plan = new CellLayout(settings, number);
-    teams = plan.teams();
+    layout = new CellLayout(settings, number);
+    teams = layout.teams();
     checker = new InvariantChecker((long) (1000 * settings.workers().cancelS()), teams);
-    state = new EmulatedStore(settings.state(), loop, random, counters);
-    cloud = new EmulatedCloud(settings, plan.types(), loop, random, counters, this);
+    store = new EmulatedStore(settings.state(), loop, random, counters);
+    cloud = new EmulatedCloud(settings, layout.types(), loop, random, counters, this);
     users = new EmulatedUsers(this, settings);
   }
 
-  // From the run's own thread.
+  // Called from the load test's own thread.
 
-  /** Opens the services' addresses and makes the controllers, without starting them. */
+  /** Opens the listening sockets and prepares the controller processes, without starting them. */
   void prepare(Path directory, List<String> command, FreePorts ports)
       throws IOException, InterruptedException {
     Endpoint any = new Endpoint(LOOPBACK, 0);
-    Endpoint stateAddress = address(new HttpServer(state::handle, BACKLOG).listen(group, any));
+    Endpoint stateAddress = address(new HttpServer(store::handle, BACKLOG).listen(group, any));
     Endpoint cloudAddress = address(new HttpServer(cloud::handle, BACKLOG).listen(group, any));
-    int addresses = (int) Math.ceil(settings.cells().workers() * (1 + SPARE_ADDRESSES)) + 1;
+    int addresses = (int) Math.ceil(settings.cells().workers() * (1 + SPARE_ADDRESS_SHARE)) + 1;
     for (int i = 0; i < addresses; i++) {
       listenForWorker(any);
     }
     List<ControllerSettingsWriter.Member> members = new ArrayList<>();
     for (int i = 0; i < settings.cells().controllers(); i++) {
-      String zone = plan.zone(i % settings.cells().zones());
+      String zone = layout.zone(i % settings.cells().zones());
       members.add(
           new ControllerSettingsWriter.Member(
               "region-" + number + "-controller-" + i, zone, ports.next(), ports.next()));
@@ -150,8 +152,8 @@
               member.name(), member.zone(), member.publicAddress(), directory, command, text));
       controllerIndex.put(member.name(), i);
     }
-    PreloadedJobs.storeEnded(state, settings.preloadedEndedJobs(), random);
-    PreloadedJobs.storeArchived(state, settings.preloadedArchivedJobs(), random);
+    PreloadedJobs.storeEnded(store, settings.preloadedEndedJobs(), random);
+    PreloadedJobs.storeArchived(store, settings.preloadedArchivedJobs(), random);
   }
 
   private void listenForWorker(Endpoint any) throws InterruptedException {
@@ -173,15 +175,28 @@
     return new Endpoint(LOOPBACK, ((InetSocketAddress) channel.localAddress()).getPort());
   }
 
-  /** Begins to offer load. */
-  void begin() {
+  /**
+   * Calls something on the cell's event loop and waits for the result.
+   *
+   * @throws IllegalStateException if the call failed; its cause is the failure
+   */
+  <T> T call(Callable<T> task) throws InterruptedException {
+    try {
+      return loop.submit(task).get();
+    } catch (ExecutionException e) {
+      throw new IllegalStateException("a call on cell " + number + " failed", e.getCause());
+    }
+  }
+
+  /** Starts to offer load. */
+  void startLoad() {
     loop.execute(
         () -> {
-          loadBeganMs = SteadyClock.nowMs();
-          users.begin();
+          loadStartMs = SteadyClock.nowMs();
+          users.start();
         });
     loop.scheduleWithFixedDelay(this::tick, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
-    loop.scheduleWithFixedDelay(this::second, SECOND_MS, SECOND_MS, TimeUnit.MILLISECONDS);
+    loop.scheduleWithFixedDelay(this::tickSecond, SECOND_MS, SECOND_MS, TimeUnit.MILLISECONDS);
   }
 
   void close() {
@@ -192,11 +207,11 @@
     return controllers;
   }
 
-  // On the cell's thread.
+  // Called on the cell's event loop.
 
   private void tick() {
-    users.tick((SteadyClock.nowMs() - loadBeganMs) / 1000.0);
-    state.tick();
+    users.tick((SteadyClock.nowMs() - loadStartMs) / 1000.0);
+    store.tick();
     long nowMs = SteadyClock.nowMs();
     if (lastTickMs > 0) {
       lagMs.recordValue(Math.max(0, nowMs - lastTickMs - TICK_MS));
@@ -206,8 +221,8 @@
     recoveries.forEach(timer -> timer.tick(nowMs, missingReplicas()));
   }
 
-  private void second() {
-    users.probeAll();
+  private void tickSecond() {
+    users.checkHealth();
     checker.tick(SteadyClock.nowMs());
   }
 
@@ -216,8 +231,8 @@
     int[] votes = new int[controllers.size()];
     int most = 0;
     for (EmulatedWorker worker : workers.values()) {
-      votes[worker.node()]++;
-      most = votes[worker.node()] > votes[most] ? worker.node() : most;
+      votes[worker.controllerNumber()]++;
+      most = votes[worker.controllerNumber()] > votes[most] ? worker.controllerNumber() : most;
     }
     return most;
   }
@@ -226,11 +241,11 @@
     return name == null ? -1 : controllerIndex.getOrDefault(name, -1);
   }
 
-  long leaseMs() {
+  long workerLeaseMs() {
     return (long) (1000 * settings.workers().leaseS());
   }
 
-  long reportMs() {
+  long heartbeatIntervalMs() {
     return (long) (1000 * settings.workers().reportS());
   }
 
@@ -246,37 +261,37 @@
     return liveJobs.size();
   }
 
-  int stateKeyCount() {
-    return state.keyCount();
+  int storeKeyCount() {
+    return store.keyCount();
   }
 
-  /** Replicas of services that should stand for a while already and don't. */
+  /** Replicas of services that should have been running for a while and are not. */
   int missingReplicas() {
     long nowMs = SteadyClock.nowMs();
     int missing = 0;
-    for (Standing it : standing.values()) {
-      if (it.acceptedMs < nowMs - YOUNG_MS) {
+    for (ServiceReplicas it : services.values()) {
+      if (it.acceptedMs < nowMs - REPLICA_START_GRACE_MS) {
         missing += it.job.tasks() - it.running;
       }
     }
     return missing;
   }
 
-  /** Begins to measure how long a trouble is felt. */
-  void troubleBegins(LoadTestSettings.Trouble fault) {
+  /** Starts to measure how long the effects of a fault last. */
+  void startRecoveryTimer(LoadTestSettings.Fault fault) {
     recoveries.forEach(RecoveryTimer::stop);
     recoveries.add(new RecoveryTimer(fault, term(), missingReplicas(), SteadyClock.nowMs()));
   }
 
   private long term() {
-    return newestToken >> SEQUENCE_BITS;
+    return highestFencingToken >> TOKEN_SEQUENCE_BITS;
   }
 
-  /** Cuts workers off from everything, or ends that. */
-  void cutOff(Predicate<EmulatedWorker> which, boolean cut) {
+  /** Partitions workers from everything else, or heals the partition. */
+  void setPartitioned(Predicate<EmulatedWorker> which, boolean cut) {
     for (EmulatedWorker worker : workers.values()) {
       if (which.test(worker)) {
-        worker.cutOff(cut);
+        worker.setPartitioned(cut);
       }
     }
   }
@@ -290,36 +305,36 @@
     return worker.rack % 3 == 0;
   }
 
-  /** The first zone's machines are gone. */
+  /** Stops all machines of the first zone. */
   void closeZone() {
-    cloud.closeZone(plan.zone(0));
+    cloud.closeZone(layout.zone(0));
   }
 
   void openZone() {
-    cloud.openZone(plan.zone(0));
+    cloud.openZone(layout.zone(0));
   }
 
   boolean isInClosedZone(ControllerProcess controller) {
-    return controller.zone().equals(plan.zone(0));
+    return controller.zone().equals(layout.zone(0));
   }
 
-  // What the parts of the cell tell it.
+  // Events from the components of the cell.
 
   @Override
-  public String takeAddress() {
+  public String allocateAddress() {
     return freeAddresses.poll();
   }
 
   @Override
-  public void up(Machine machine, MachineType type) {
+  public void machineUp(Machine machine, MachineType type) {
     int racks = settings.cells().racksPerZone() * settings.cells().zones();
-    EmulatedWorker worker = new EmulatedWorker(machine, type, lastRack++ % racks, this);
+    EmulatedWorker worker = new EmulatedWorker(machine, type, nextRack++ % racks, this);
     workers.put(machine.name(), worker);
     byAddress.put(machine.address(), worker);
   }
 
   @Override
-  public void gone(Machine machine) {
+  public void machineGone(Machine machine) {
     EmulatedWorker worker = workers.remove(machine.name());
     if (worker != null) {
       worker.stop();
@@ -328,9 +343,9 @@
     }
   }
 
-  void tokenSeen(long token) {
-    newestToken = Math.max(newestToken, token);
-    recoveries.forEach(timer -> timer.termSeen(term(), SteadyClock.nowMs()));
+  void fencingTokenObserved(long token) {
+    highestFencingToken = Math.max(highestFencingToken, token);
+    recoveries.forEach(timer -> timer.termObserved(term(), SteadyClock.nowMs()));
   }
 
   void taskStarted(EmulatedWorker worker, Attempt attempt, JobCatalog.Entry entry) {
@@ -338,29 +353,29 @@
     counters.starts++;
     runningTasks++;
     checker.started(worker.machine.name(), attempt, nowMs);
-    Standing service = standing.get(attempt.task().jobUid());
+    ServiceReplicas service = services.get(attempt.task().jobUid());
     if (service != null) {
       service.running++;
     }
     BitSet started = everStarted.computeIfAbsent(attempt.task().jobUid(), uid -> new BitSet());
     if (!started.get(attempt.task().index())) {
       started.set(attempt.task().index());
-      histogram(entry).recordValue(Math.min(MOST_MS, nowMs - entry.submittedMs()));
+      histogram(entry).recordValue(Math.min(MAX_RECORDED_MS, nowMs - entry.submittedMs()));
     }
   }
 
   private Histogram histogram(JobCatalog.Entry entry) {
-    if (entry.submittedMs() - loadBeganMs < 1000 * settings.phases().rampS()) {
+    if (entry.submittedMs() - loadStartMs < 1000 * settings.phases().rampS()) {
       return rampStartMs;
     }
     return entry.jobClass().urgent() ? urgentStartMs : startMs;
   }
 
-  void taskGone(EmulatedWorker worker, Attempt attempt, boolean done) {
+  void taskStopped(EmulatedWorker worker, Attempt attempt, boolean done) {
     runningTasks--;
     counters.ends += done ? 1 : 0;
-    checker.gone(worker.machine.name(), attempt, done);
-    Standing service = standing.get(attempt.task().jobUid());
+    checker.stopped(worker.machine.name(), attempt, done);
+    ServiceReplicas service = services.get(attempt.task().jobUid());
     if (service != null) {
       service.running--;
     }
@@ -372,11 +387,11 @@
 
   /** A user is about to submit a job for the first time. */
   void submitting(JobCatalog.Entry entry) {
-    catalogue.add(entry);
-    checker.submitting(entry.job());
+    catalog.add(entry);
+    checker.submitted(entry.job());
     counters.submissions++;
     if (entry.job().kind() == JobKind.SERVICE) {
-      standing.put(entry.job().uid(), new Standing(entry.job()));
+      services.put(entry.job().uid(), new ServiceReplicas(entry.job()));
     }
   }
 
@@ -384,19 +399,19 @@
     long nowMs = SteadyClock.nowMs();
     counters.accepted++;
     liveJobs.add(entry.job().uid());
-    acceptMs.recordValue(Math.min(MOST_MS, nowMs - entry.submittedMs()));
+    acceptMs.recordValue(Math.min(MAX_RECORDED_MS, nowMs - entry.submittedMs()));
     recoveries.forEach(timer -> timer.accepted(requestedMs, nowMs));
-    Standing service = standing.get(entry.job().uid());
+    ServiceReplicas service = services.get(entry.job().uid());
     if (service != null) {
       service.acceptedMs = Math.min(service.acceptedMs, nowMs);
     }
   }
 
-  void cancelAsked(String uid) {
-    standing.remove(uid);
+  void cancelRequested(String uid) {
+    services.remove(uid);
   }
 
-  void jobOver(String uid) {
+  void jobFinished(String uid) {
     liveJobs.remove(uid);
     everStarted.remove(uid);
   }
--- a/src/main/java/eiderfork/loadtest/EmulatedCloud.java
+++ b/src/main/java/eiderfork/loadtest/EmulatedCloud.java
@@ -23,62 +23,66 @@
 import java.util.concurrent.TimeUnit;
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** A cloud: rents machines within its capacity, boots them, lists them late, takes them back. */
+/**
+ * A cloud API: creates machines within its capacity, boots them, lists them with a lag, deletes
+ * them.
+ */
 final class EmulatedCloud {
-  private static final byte[] TROUBLE = "{\"error\":\"trouble\"}".getBytes(StandardCharsets.UTF_8);
-  private static final byte[] NO_CAPACITY =
+  private static final byte[] ERROR_BODY =
+      "{\"error\":\"trouble\"}".getBytes(StandardCharsets.UTF_8);
+  private static final byte[] NO_CAPACITY_BODY =
       "{\"error\":\"no capacity\"}".getBytes(StandardCharsets.UTF_8);
 
-  /** How long a machine that died is still listed as running. */
-  private static final long FAILURE_SEEN_MS = 30_000;
+  /** How long a machine that failed is still listed as running. */
+  private static final long FAILURE_DETECTION_MS = 30_000;
 
-  private static final int MOST_RENTED = 50;
+  private static final int MAX_MACHINES_PER_REQUEST = 50;
 
-  /** What the cloud needs of the machines' other side. */
-  interface Machines {
+  /** Supplies addresses to the cloud and is notified of its machines. */
+  interface MachineListener {
     /** An address for a new machine; null where none is left. */
-    String takeAddress();
+    String allocateAddress();
 
     /** A machine is up. */
-    void up(Machine machine, MachineType type);
+    void machineUp(Machine machine, MachineType type);
 
-    /** A machine is gone, and its address free. */
-    void gone(Machine machine);
+    /** A machine is gone; its address may be used again. */
+    void machineGone(Machine machine);
   }
 
-  private static final class Rented {
+  private static final class CloudMachine {
     final Machine machine;
-    final long rentedMs = SteadyClock.nowMs();
+    final long requestedMs = SteadyClock.nowMs();
     long upMs = Long.MAX_VALUE;
     long failedMs = Long.MAX_VALUE;
-    long goneMs = Long.MAX_VALUE;
+    long deletedMs = Long.MAX_VALUE;
 
-    Rented(Machine machine) {
+    CloudMachine(Machine machine) {
       this.machine = machine;
     }
 
     ListedMachine.State state(long atMs) {
-      if (failedMs != Long.MAX_VALUE && atMs >= failedMs + FAILURE_SEEN_MS) {
+      if (failedMs != Long.MAX_VALUE && atMs >= failedMs + FAILURE_DETECTION_MS) {
         return ListedMachine.State.FAILED;
       }
       return atMs >= upMs ? ListedMachine.State.RUNNING : ListedMachine.State.BOOTING;
     }
   }
 
-  private final LoadTestSettings.Cloud settings;
+  private final LoadTestSettings.CloudLimits settings;
   private final EventLoop loop;
   private final UniformRandomProvider random;
   private final CellCounters counters;
-  private final Machines machines;
+  private final MachineListener machineListener;
   private final Map<String, MachineType> types = new HashMap<>();
 
-  /** How many machines of a type a zone still has, by type and zone. */
-  private final Map<String, Integer> free = new HashMap<>();
+  /** Machines that can still be created, by type and zone. */
+  private final Map<String, Integer> remainingCapacity = new HashMap<>();
 
   private final Set<String> closedZones = new HashSet<>();
-  private final TreeMap<String, Rented> rented = new TreeMap<>();
-  private final Map<String, ImmutableList<String>> answered = new HashMap<>();
-  private final TokenBucket requests;
+  private final TreeMap<String, CloudMachine> cloudMachines = new TreeMap<>();
+  private final Map<String, ImmutableList<String>> machinesByRequest = new HashMap<>();
+  private final TokenBucket requestBudget;
   private int lastNumber;
 
   EmulatedCloud(
@@ -87,75 +91,75 @@
       EventLoop loop,
       UniformRandomProvider random,
       CellCounters counters,
-      Machines machines) {
+      MachineListener machineListener) {
     this.settings = settings.cloud();
     this.loop = loop;
     this.random = random;
     this.counters = counters;
-    this.machines = machines;
-    requests =
+    this.machineListener = machineListener;
+    requestBudget =
         new TokenBucket(settings.cloud().rps(), 2 * settings.cloud().rps(), SteadyClock.nowMs());
     for (int i = 0; i < offered.size(); i++) {
       MachineType type = offered.get(i);
       types.put(type.name(), type);
       double all = settings.machineTypes().get(i).share() * settings.cells().workers();
       for (String zone : type.zones()) {
-        free.put(type.name() + " " + zone, (int) Math.ceil(all / type.zones().size()));
+        remainingCapacity.put(type.name() + " " + zone, (int) Math.ceil(all / type.zones().size()));
       }
     }
   }
 
   void handle(HttpServer.Exchange exchange) {
     counters.cloudRequests++;
-    if (!requests.tryTake(1, SteadyClock.nowMs())) {
+    if (!requestBudget.tryTake(1, SteadyClock.nowMs())) {
       counters.cloudRefused++;
-      exchange.respond(429, TROUBLE, 0);
+      exchange.respond(429, ERROR_BODY, 0);
       return;
     }
     try {
       if (exchange.path.equals("/flavors")) {
         exchange.respond(200, CloudServerCodec.encodeTypes(List.copyOf(types.values())), 0);
       } else if (exchange.path.equals("/hosts")) {
-        rent(exchange, CloudServerCodec.decodeRent(exchange.body));
+        handleScaleOut(exchange, CloudServerCodec.decodeRent(exchange.body));
       } else if (exchange.path.equals("/hosts/return")) {
-        CloudServerCodec.machines(exchange.body).forEach(this::giveBack);
+        CloudServerCodec.machines(exchange.body).forEach(this::deleteMachine);
         exchange.respond(200, CloudServerCodec.machines(List.of()), 0);
       } else {
-        list(exchange, new QueryStringDecoder(exchange.path));
+        handleList(exchange, new QueryStringDecoder(exchange.path));
       }
     } catch (MalformedMessageException e) {
-      exchange.respond(400, TROUBLE, 0);
+      exchange.respond(400, ERROR_BODY, 0);
     }
   }
 
-  private void rent(HttpServer.Exchange exchange, StoredRecord.ScaleOutIntent request) {
-    ImmutableList<String> before = answered.get(request.requestName());
+  private void handleScaleOut(HttpServer.Exchange exchange, StoredRecord.ScaleOutIntent request) {
+    ImmutableList<String> before = machinesByRequest.get(request.requestName());
     if (before == null) {
-      before = rentNew(request);
+      before = createMachines(request);
     }
     if (before.isEmpty()) {
-      exchange.respond(503, NO_CAPACITY, 0);
+      exchange.respond(503, NO_CAPACITY_BODY, 0);
     } else {
-      answered.put(request.requestName(), before);
+      machinesByRequest.put(request.requestName(), before);
       exchange.respond(200, CloudServerCodec.machines(before), 0);
     }
   }
 
-  private ImmutableList<String> rentNew(StoredRecord.ScaleOutIntent request) {
+  private ImmutableList<String> createMachines(StoredRecord.ScaleOutIntent request) {
     String kind = request.type() + " " + request.zone();
-    // Spot machines come from the same stock and are not taken back here.
-    int left = closedZones.contains(request.zone()) ? 0 : free.getOrDefault(kind, 0);
+    // Spot machines share the capacity of ordinary ones and are never reclaimed here.
+    int left = closedZones.contains(request.zone()) ? 0 : remainingCapacity.getOrDefault(kind, 0);
     ImmutableList.Builder<String> names = ImmutableList.builder();
-    int count = Math.min(Math.min(left, request.count()), MOST_RENTED);
+    int count = Math.min(Math.min(left, request.count()), MAX_MACHINES_PER_REQUEST);
     for (int i = 0; i < count; i++) {
-      String address = machines.takeAddress();
+      String address = machineListener.allocateAddress();
       if (address == null) {
         break;
       }
       String name = String.format("n-%06d", ++lastNumber);
       Machine machine = new Machine(name, address, request.type(), request.zone(), request.spot());
-      rented.put(name, new Rented(machine));
-      free.merge(kind, -1, Integer::sum);
+      cloudMachines.put(name, new CloudMachine(machine));
+      remainingCapacity.merge(kind, -1, Integer::sum);
       names.add(name);
       MachineType type = types.get(request.type());
       long bootMs = (long) (1000 * type.bootS() * (0.6 + 0.9 * random.nextDouble()));
@@ -165,31 +169,34 @@
   }
 
   private void boot(String name) {
-    Rented it = rented.get(name);
-    if (it != null && it.goneMs == Long.MAX_VALUE && it.failedMs == Long.MAX_VALUE) {
-      it.upMs = SteadyClock.nowMs();
-      machines.up(it.machine, types.get(it.machine.type()));
+    CloudMachine cloudMachine = cloudMachines.get(name);
+    if (cloudMachine != null
+        && cloudMachine.deletedMs == Long.MAX_VALUE
+        && cloudMachine.failedMs == Long.MAX_VALUE) {
+      cloudMachine.upMs = SteadyClock.nowMs();
+      machineListener.machineUp(cloudMachine.machine, types.get(cloudMachine.machine.type()));
     }
   }
 
-  private void giveBack(String name) {
-    Rented it = rented.get(name);
-    if (it == null || it.goneMs != Long.MAX_VALUE) {
+  private void deleteMachine(String name) {
+    CloudMachine cloudMachine = cloudMachines.get(name);
+    if (cloudMachine == null || cloudMachine.deletedMs != Long.MAX_VALUE) {
       return;
     }
-    it.goneMs = SteadyClock.nowMs();
-    free.merge(it.machine.type() + " " + it.machine.zone(), 1, Integer::sum);
-    machines.gone(it.machine);
+    cloudMachine.deletedMs = SteadyClock.nowMs();
+    remainingCapacity.merge(
+        cloudMachine.machine.type() + " " + cloudMachine.machine.zone(), 1, Integer::sum);
+    machineListener.machineGone(cloudMachine.machine);
   }
 
-  /** A zone's machines stop, and it has none until it is opened again. */
+  /** Stops all machines of a zone and refuses new ones until it is opened again. */
   void closeZone(String zone) {
     closedZones.add(zone);
-    Collection<Rented> all = List.copyOf(rented.values());
-    for (Rented it : all) {
-      if (it.machine.zone().equals(zone) && it.goneMs == Long.MAX_VALUE) {
-        it.failedMs = Math.min(it.failedMs, SteadyClock.nowMs());
-        machines.gone(it.machine);
+    Collection<CloudMachine> all = List.copyOf(cloudMachines.values());
+    for (CloudMachine cloudMachine : all) {
+      if (cloudMachine.machine.zone().equals(zone) && cloudMachine.deletedMs == Long.MAX_VALUE) {
+        cloudMachine.failedMs = Math.min(cloudMachine.failedMs, SteadyClock.nowMs());
+        machineListener.machineGone(cloudMachine.machine);
       }
     }
   }
@@ -198,22 +205,26 @@
     closedZones.remove(zone);
   }
 
-  private void list(HttpServer.Exchange exchange, QueryStringDecoder query) {
+  private void handleList(HttpServer.Exchange exchange, QueryStringDecoder query) {
     List<String> after = query.parameters().get("After");
     int page = Integer.parseInt(query.parameters().get("Page").get(0));
     long atMs = SteadyClock.nowMs() - (long) (1000 * settings.listLagS());
     List<ListedMachine> entries = new ArrayList<>();
     boolean more = false;
-    var range = after == null ? rented : rented.tailMap(after.get(0), false);
-    for (Rented it : range.values()) {
-      if (atMs < it.rentedMs || atMs >= it.goneMs) {
+    var range = after == null ? cloudMachines : cloudMachines.tailMap(after.get(0), false);
+    for (CloudMachine cloudMachine : range.values()) {
+      if (atMs < cloudMachine.requestedMs || atMs >= cloudMachine.deletedMs) {
         continue;
       }
       if (entries.size() == page) {
         more = true;
         break;
       }
-      entries.add(new ListedMachine(it.machine, it.state(atMs), (atMs - it.rentedMs) / 1000.0));
+      entries.add(
+          new ListedMachine(
+              cloudMachine.machine,
+              cloudMachine.state(atMs),
+              (atMs - cloudMachine.requestedMs) / 1000.0));
     }
     exchange.respond(200, CloudServerCodec.encodeHosts(entries, more), 0);
   }
--- a/src/main/java/eiderfork/loadtest/EmulatedStore.java
+++ b/src/main/java/eiderfork/loadtest/EmulatedStore.java
@@ -24,44 +24,47 @@
 import java.util.concurrent.TimeUnit;
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** A state service: conditional writes, leases, watches, and limits on rate and size. */
+/**
+ * A key-value store with compare-and-swap transactions, leases, watches, and rate and size limits.
+ */
 final class EmulatedStore {
-  /** How many changes a watch may lie behind. */
-  private static final int MOST_LOGGED = 10_000;
+  /** How many changes a watch may lag behind. */
+  private static final int MAX_LOGGED_CHANGES = 10_000;
 
-  private static final int MOST_ITEMS = 1000;
-  private static final int MOST_PAGE_BYTES = 512 * 1024;
-  private static final byte[] EMPTY = "{}".getBytes(StandardCharsets.UTF_8);
+  private static final int MAX_PAGE_ITEMS = 1000;
+  private static final int MAX_PAGE_BYTES = 512 * 1024;
+  private static final byte[] EMPTY_JSON = "{}".getBytes(StandardCharsets.UTF_8);
 
   private record Stored(String value, long version, long lease) {}
 
   private static final class Lease {
-    final long lifeMs;
+    final long ttlMs;
     final Set<String> keys = new HashSet<>();
-    long endsMs;
+    long expiresMs;
 
-    Lease(long lifeMs) {
-      this.lifeMs = lifeMs;
+    Lease(long ttlMs) {
+      this.ttlMs = ttlMs;
     }
   }
 
-  private record Watch(HttpServer.Exchange exchange, String prefix, long after, long endsMs) {}
+  private record Watch(
+      HttpServer.Exchange exchange, String prefix, long afterRevision, long deadlineMs) {}
 
-  private final LoadTestSettings.State limits;
+  private final LoadTestSettings.StoreLimits limits;
   private final EventLoop loop;
   private final UniformRandomProvider random;
   private final CellCounters counters;
-  private final TokenBucket requests;
-  private final TokenBucket writes;
-  private final TreeMap<String, Stored> keys = new TreeMap<>();
+  private final TokenBucket requestBudget;
+  private final TokenBucket writeBudget;
+  private final TreeMap<String, Stored> values = new TreeMap<>();
   private final Map<Long, Lease> leases = new HashMap<>();
-  private final Deque<RawItem> log = new ArrayDeque<>();
+  private final Deque<RawItem> changeLog = new ArrayDeque<>();
   private final List<Watch> watches = new ArrayList<>();
   private long revision = 1;
-  private long lastLease;
+  private long lastLeaseId;
 
   EmulatedStore(
-      LoadTestSettings.State limits,
+      LoadTestSettings.StoreLimits limits,
       EventLoop loop,
       UniformRandomProvider random,
       CellCounters counters) {
@@ -69,60 +72,60 @@
     this.loop = loop;
     this.random = random;
     this.counters = counters;
-    requests = new TokenBucket(limits.rps(), limits.rps(), SteadyClock.nowMs());
-    writes = new TokenBucket(limits.writeRps(), limits.writeRps(), SteadyClock.nowMs());
+    requestBudget = new TokenBucket(limits.rps(), limits.rps(), SteadyClock.nowMs());
+    writeBudget = new TokenBucket(limits.writeRps(), limits.writeRps(), SteadyClock.nowMs());
   }
 
   /** Stores a value as if it had been written before the run. */
   void preload(String key, String value) {
-    keys.put(key, new Stored(value, ++revision, 0));
+    values.put(key, new Stored(value, ++revision, 0));
   }
 
   int keyCount() {
-    return keys.size();
+    return values.size();
   }
 
   void handle(HttpServer.Exchange exchange) {
     counters.stateRequests++;
     counters.stateBytesIn += exchange.body.length;
-    if (!requests.tryTake(1, SteadyClock.nowMs())) {
+    if (!requestBudget.tryTake(1, SteadyClock.nowMs())) {
       counters.stateRefused++;
-      answer(exchange, 429, EMPTY);
+      respond(exchange, 429, EMPTY_JSON);
       return;
     }
     try {
       dispatch(exchange);
     } catch (MalformedMessageException | NumberFormatException e) {
-      answer(exchange, 400, EMPTY);
+      respond(exchange, 400, EMPTY_JSON);
     }
   }
 
   private void dispatch(HttpServer.Exchange exchange) throws MalformedMessageException {
     String path = exchange.path;
     if (path.startsWith("/keys/")) {
-      get(exchange, path.substring("/keys/".length()));
+      handleGet(exchange, path.substring("/keys/".length()));
     } else if (path.startsWith("/keys?")) {
-      page(exchange, new QueryStringDecoder(path));
+      handleRange(exchange, new QueryStringDecoder(path));
     } else if (path.equals("/multi")) {
-      transact(exchange, StoreServerCodec.decodeTransaction(exchange.body));
+      handleTransaction(exchange, StoreServerCodec.decodeTransaction(exchange.body));
     } else if (path.startsWith("/follow?")) {
-      follow(exchange, new QueryStringDecoder(path));
+      handleWatch(exchange, new QueryStringDecoder(path));
     } else if (path.equals("/leases")) {
-      grant(exchange, StoreServerCodec.decodeLeaseMs(exchange.body));
+      handleGrant(exchange, StoreServerCodec.decodeLeaseMs(exchange.body));
     } else if (path.startsWith("/leases/")) {
-      lease(exchange, path.substring("/leases/".length()));
+      handleLease(exchange, path.substring("/leases/".length()));
     } else {
-      answer(exchange, 400, EMPTY);
+      respond(exchange, 400, EMPTY_JSON);
     }
   }
 
-  private void get(HttpServer.Exchange exchange, String key) {
-    Stored stored = keys.get(key);
+  private void handleGet(HttpServer.Exchange exchange, String key) {
+    Stored stored = values.get(key);
     if (stored == null) {
-      answer(exchange, 404, StoreServerCodec.encodeRevision(revision));
+      respond(exchange, 404, StoreServerCodec.encodeRevision(revision));
     } else {
       RawItem item = new RawItem(key, stored.value, stored.version);
-      answer(exchange, 200, StoreServerCodec.encodeItem(item));
+      respond(exchange, 200, StoreServerCodec.encodeItem(item));
     }
   }
 
@@ -131,11 +134,11 @@
     return values == null ? fallback : values.get(0);
   }
 
-  private void page(HttpServer.Exchange exchange, QueryStringDecoder query) {
+  private void handleRange(HttpServer.Exchange exchange, QueryStringDecoder query) {
     String prefix = parameter(query, "Starts", "");
     String after = parameter(query, "After", "");
-    int most = Math.min(MOST_ITEMS, Integer.parseInt(parameter(query, "Page", "1000")));
-    var range = after.isEmpty() ? keys.tailMap(prefix, true) : keys.tailMap(after, false);
+    int most = Math.min(MAX_PAGE_ITEMS, Integer.parseInt(parameter(query, "Page", "1000")));
+    var range = after.isEmpty() ? values.tailMap(prefix, true) : values.tailMap(after, false);
     List<RawItem> items = new ArrayList<>();
     int bytes = 0;
     boolean more = false;
@@ -144,46 +147,46 @@
         break;
       }
       bytes += entry.getKey().length() + entry.getValue().value.length();
-      if (items.size() == most || bytes > MOST_PAGE_BYTES && !items.isEmpty()) {
+      if (items.size() == most || bytes > MAX_PAGE_BYTES && !items.isEmpty()) {
         more = true;
         break;
       }
       Stored stored = entry.getValue();
       items.add(new RawItem(entry.getKey(), stored.value, stored.version));
     }
-    answer(exchange, 200, StoreServerCodec.encodePage(items, more, revision));
+    respond(exchange, 200, StoreServerCodec.encodePage(items, more, revision));
   }
 
-  private void transact(HttpServer.Exchange exchange, RawTransaction transaction) {
+  private void handleTransaction(HttpServer.Exchange exchange, RawTransaction transaction) {
     int changes = transaction.changes().size();
     counters.stateWrites += changes;
-    if (!writes.tryTake(changes, SteadyClock.nowMs())) {
+    if (!writeBudget.tryTake(changes, SteadyClock.nowMs())) {
       counters.stateRefused++;
-      answer(exchange, 429, EMPTY);
+      respond(exchange, 429, EMPTY_JSON);
       return;
     }
     if (!isWithinLimits(transaction)) {
-      answer(exchange, 400, EMPTY);
+      respond(exchange, 400, EMPTY_JSON);
       return;
     }
     List<String> failed = new ArrayList<>();
     for (StoreRequest.Condition condition : transaction.conditions()) {
-      Stored stored = keys.get(condition.key());
+      Stored stored = values.get(condition.key());
       if ((stored == null ? 0 : stored.version) != condition.version()) {
         failed.add(condition.key());
       }
     }
     if (!failed.isEmpty()) {
       counters.stateConflicts++;
-      answer(exchange, 409, StoreServerCodec.encodeConflict(failed, revision));
+      respond(exchange, 409, StoreServerCodec.encodeConflict(failed, revision));
       return;
     }
     if (changes > 0) {
       revision++;
       transaction.changes().forEach(this::apply);
-      serveWatches(transaction.changes().stream().map(RawChange::key).toList());
+      notifyWatches(transaction.changes().stream().map(RawChange::key).toList());
     }
-    answer(exchange, 200, StoreServerCodec.encodeRevision(revision));
+    respond(exchange, 200, StoreServerCodec.encodeRevision(revision));
   }
 
   private boolean isWithinLimits(RawTransaction transaction) {
@@ -203,111 +206,112 @@
   }
 
   private void apply(RawChange change) {
-    Stored before = keys.get(change.key());
+    Stored before = values.get(change.key());
     if (before != null && before.lease != 0 && leases.containsKey(before.lease)) {
       leases.get(before.lease).keys.remove(change.key());
     }
     if (change.value() == null) {
-      keys.remove(change.key());
+      values.remove(change.key());
     } else {
-      keys.put(change.key(), new Stored(change.value(), revision, change.lease()));
+      values.put(change.key(), new Stored(change.value(), revision, change.lease()));
       if (change.lease() != 0) {
         leases.get(change.lease()).keys.add(change.key());
       }
     }
-    log.addLast(new RawItem(change.key(), change.value(), revision));
-    if (log.size() > MOST_LOGGED) {
-      log.removeFirst();
+    changeLog.addLast(new RawItem(change.key(), change.value(), revision));
+    if (changeLog.size() > MAX_LOGGED_CHANGES) {
+      changeLog.removeFirst();
     }
   }
 
-  private void follow(HttpServer.Exchange exchange, QueryStringDecoder query) {
+  private void handleWatch(HttpServer.Exchange exchange, QueryStringDecoder query) {
     long after = Long.parseLong(parameter(query, "After", "0"));
     long blockMs = Long.parseLong(parameter(query, "BlockMs", "0"));
     String prefix = parameter(query, "Starts", "");
-    if (log.size() == MOST_LOGGED && log.peekFirst().version() > after + 1) {
-      answer(exchange, 410, EMPTY);
+    if (changeLog.size() == MAX_LOGGED_CHANGES && changeLog.peekFirst().version() > after + 1) {
+      respond(exchange, 410, EMPTY_JSON);
       return;
     }
     Watch watch = new Watch(exchange, prefix, after, SteadyClock.nowMs() + blockMs);
-    if (!serve(watch, SteadyClock.nowMs())) {
+    if (!respondIfDue(watch, SteadyClock.nowMs())) {
       watches.add(watch);
     }
   }
 
-  /** Answers a watch that has something to tell or whose time is over; whether it did. */
-  private boolean serve(Watch watch, long nowMs) {
+  /** Responds to a watch that has changes or whose deadline has passed; returns whether it did. */
+  private boolean respondIfDue(Watch watch, long nowMs) {
     List<RawItem> changes = new ArrayList<>();
-    for (Iterator<RawItem> it = log.descendingIterator(); it.hasNext(); ) {
+    for (Iterator<RawItem> it = changeLog.descendingIterator(); it.hasNext(); ) {
       RawItem item = it.next();
-      if (item.version() <= watch.after) {
+      if (item.version() <= watch.afterRevision) {
         break;
       }
       if (item.key().startsWith(watch.prefix)) {
         changes.add(0, item);
       }
     }
-    if (changes.isEmpty() && nowMs < watch.endsMs) {
+    if (changes.isEmpty() && nowMs < watch.deadlineMs) {
       return false;
     }
-    answer(watch.exchange, 200, StoreServerCodec.encodeWatchLog(changes, revision));
+    respond(watch.exchange, 200, StoreServerCodec.encodeWatchLog(changes, revision));
     return true;
   }
 
-  private void serveWatches(List<String> changed) {
+  private void notifyWatches(List<String> changed) {
     long nowMs = SteadyClock.nowMs();
     watches.removeIf(
         watch ->
-            changed.stream().anyMatch(key -> key.startsWith(watch.prefix)) && serve(watch, nowMs));
+            changed.stream().anyMatch(key -> key.startsWith(watch.prefix))
+                && respondIfDue(watch, nowMs));
   }
 
-  private void grant(HttpServer.Exchange exchange, long lifeMs) {
+  private void handleGrant(HttpServer.Exchange exchange, long lifeMs) {
     Lease lease = new Lease(lifeMs);
-    lease.endsMs = SteadyClock.nowMs() + lifeMs;
-    leases.put(++lastLease, lease);
-    answer(exchange, 200, StoreServerCodec.encodeLease(lastLease));
+    lease.expiresMs = SteadyClock.nowMs() + lifeMs;
+    leases.put(++lastLeaseId, lease);
+    respond(exchange, 200, StoreServerCodec.encodeLease(lastLeaseId));
   }
 
-  private void lease(HttpServer.Exchange exchange, String rest) {
+  private void handleLease(HttpServer.Exchange exchange, String rest) {
     boolean renews = rest.endsWith("/renew");
     long id = Long.parseLong(renews ? rest.substring(0, rest.indexOf('/')) : rest);
     Lease lease = leases.get(id);
     if (lease == null) {
-      answer(exchange, 404, EMPTY);
+      respond(exchange, 404, EMPTY_JSON);
     } else if (renews) {
-      lease.endsMs = SteadyClock.nowMs() + lease.lifeMs;
-      answer(exchange, 200, StoreServerCodec.encodeLease(id));
+      lease.expiresMs = SteadyClock.nowMs() + lease.ttlMs;
+      respond(exchange, 200, StoreServerCodec.encodeLease(id));
     } else {
-      end(id);
-      answer(exchange, 200, EMPTY);
+      expireLease(id);
+      respond(exchange, 200, EMPTY_JSON);
     }
   }
 
-  private void end(long id) {
+  private void expireLease(long id) {
     Lease lease = leases.remove(id);
     if (!lease.keys.isEmpty()) {
       revision++;
       List<String> removed = List.copyOf(lease.keys);
       removed.forEach(key -> apply(new RawChange(key, null, 0)));
-      serveWatches(removed);
+      notifyWatches(removed);
     }
   }
 
-  /** Ends leases and watches whose time is over. */
+  /** Expires leases and responds to watches whose deadline has passed. */
   void tick() {
     long nowMs = SteadyClock.nowMs();
     List<Long> over = new ArrayList<>();
     leases.forEach(
         (id, lease) -> {
-          if (nowMs > lease.endsMs) {
+          if (nowMs > lease.expiresMs) {
             over.add(id);
           }
         });
-    over.forEach(this::end);
-    watches.removeIf(watch -> nowMs >= watch.endsMs && serve(watch, nowMs));
+    over.forEach(this::expireLease);
+    watches.removeIf(watch -> nowMs >= watch.deadlineMs && respondIfDue(watch, nowMs));
   }
 
-  private void answer(HttpServer.Exchange exchange, int status, byte[] body) {
+  private void respond(HttpServer.Exchange exchange, int status, byte[] body) {
     counters.stateBytesOut += body.length;
     long delayUs = (long) (1000 * limits.answerMs() * (0.5 + random.nextDouble()));
     loop.schedule(() -> exchange.respond(status, body, 0), delayUs, TimeUnit.MICROSECONDS);
--- a/src/main/java/eiderfork/loadtest/EmulatedUsers.java
+++ b/src/main/java/eiderfork/loadtest/EmulatedUsers.java
@@ -19,59 +19,60 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** A cell's users and the load balancer before its controllers. */
+/** The users of a cell and the load balancer in front of its controllers. */
 final class EmulatedUsers {
-  private static final long SUBMIT_MS = 5000;
-  private static final long POLL_MS = 2000;
-  private static final long RETRY_MS = 1000;
-  private static final long PROBE_MS = 1000;
-  private static final int CONNECTIONS = 64;
-  private static final int FAILED_PROBES = 2;
+  private static final long SUBMIT_TIMEOUT_MS = 5000;
+  private static final long QUERY_TIMEOUT_MS = 2000;
+  private static final long RETRY_DELAY_MS = 1000;
+  private static final long HEALTH_CHECK_TIMEOUT_MS = 1000;
+  private static final int MAX_CONNECTIONS = 64;
+  private static final int UNHEALTHY_AFTER_FAILURES = 2;
 
-  /** Ids are drawn from so many that two are hardly ever alike. */
-  private static final long IDS = 1_000_000_000_000_000L;
+  /** Large enough that random job ids hardly ever collide. */
+  private static final long JOB_ID_BOUND = 1_000_000_000_000_000L;
 
   private final EmulatedCell cell;
   private final LoadTestSettings settings;
   private final HttpClient client;
-  private final int[] failedProbes;
+  private final int[] failedHealthChecks;
 
-  /** Jobs still to be submitted for each class: whole ones, and a part of the next one. */
-  private final Map<String, Double> due = new HashMap<>();
+  /** Jobs due by class; the fraction belongs to the next one. */
+  private final Map<String, Double> dueSubmissions = new HashMap<>();
 
-  private final List<String> over = new ArrayList<>();
-  private double lateDue;
+  private final List<String> finishedJobs = new ArrayList<>();
+  private double dueLateQueries;
   private long lastTickMs;
 
   EmulatedUsers(EmulatedCell cell, LoadTestSettings settings) {
     this.cell = cell;
     this.settings = settings;
-    client = new HttpClient(cell.loop, CONNECTIONS);
-    failedProbes = new int[settings.cells().controllers()];
+    client = new HttpClient(cell.loop, MAX_CONNECTIONS);
+    failedHealthChecks = new int[settings.cells().controllers()];
   }
 
   // The load balancer.
 
-  void probeAll() {
-    for (int i = 0; i < failedProbes.length; i++) {
+  void checkHealth() {
+    for (int i = 0; i < failedHealthChecks.length; i++) {
       int node = i;
       client.send(
           cell.controllers().get(node).publicAddress(),
           "GET",
           UserCodec.HEALTH_PATH,
           null,
-          PROBE_MS,
-          (status, body) -> failedProbes[node] = status == 200 ? 0 : failedProbes[node] + 1);
+          HEALTH_CHECK_TIMEOUT_MS,
+          (status, body) ->
+              failedHealthChecks[node] = status == 200 ? 0 : failedHealthChecks[node] + 1);
     }
     client.closeExpired();
   }
 
-  /** A healthy node, any node where none is. */
-  private int anyNode() {
-    int first = cell.random.nextInt(failedProbes.length);
-    for (int i = 0; i < failedProbes.length; i++) {
-      int node = (first + i) % failedProbes.length;
-      if (failedProbes[node] < FAILED_PROBES) {
+  /** A random healthy controller, or any controller if none is healthy. */
+  private int pickController() {
+    int first = cell.random.nextInt(failedHealthChecks.length);
+    for (int i = 0; i < failedHealthChecks.length; i++) {
+      int node = (first + i) % failedHealthChecks.length;
+      if (failedHealthChecks[node] < UNHEALTHY_AFTER_FAILURES) {
         return node;
       }
     }
@@ -79,42 +80,45 @@
   }
 
   private void send(
-      String method, String path, byte[] body, long timeoutMs, HttpClient.ResponseListener taker) {
-    var endpoint = cell.controllers().get(anyNode()).publicAddress();
-    client.send(endpoint, method, path, body, timeoutMs, taker);
+      String method,
+      String path,
+      byte[] body,
+      long timeoutMs,
+      HttpClient.ResponseListener listener) {
+    var endpoint = cell.controllers().get(pickController()).publicAddress();
+    client.send(endpoint, method, path, body, timeoutMs, listener);
   }
 
   // The load.
 
-  /**
-   * The load begins now. Counted from when the cell was made, the first tick once submitted what
-   * would have been due while the controllers started.
-   */
-  void begin() {
+  /** Starts the load; what would have been due before is not submitted. */
+  void start() {
     lastTickMs = SteadyClock.nowMs();
   }
 
-  /** Submits what is due, {@code elapsedS} after the beginning of the load. */
+  /** Submits what is due {@code elapsedS} seconds after the start of the load. */
   void tick(double elapsedS) {
     long nowMs = SteadyClock.nowMs();
     double seconds = (nowMs - lastTickMs) / 1000.0;
     lastTickMs = nowMs;
     for (LoadTestSettings.JobClass jobClass : settings.classes()) {
-      double jobs = due.merge(jobClass.name(), rate(jobClass, elapsedS) * seconds, Double::sum);
+      double jobs =
+          dueSubmissions.merge(
+              jobClass.name(), arrivalsPerS(jobClass, elapsedS) * seconds, Double::sum);
       for (; jobs >= 1; jobs--) {
         submit(jobClass);
       }
-      due.put(jobClass.name(), jobs);
+      dueSubmissions.put(jobClass.name(), jobs);
     }
-    lateDue += settings.users().lateQuestionsPerS() * seconds;
-    for (; lateDue >= 1; lateDue--) {
-      if (!over.isEmpty()) {
-        ask(over.get(cell.random.nextInt(over.size())));
+    dueLateQueries += settings.users().lateQuestionsPerS() * seconds;
+    for (; dueLateQueries >= 1; dueLateQueries--) {
+      if (!finishedJobs.isEmpty()) {
+        query(finishedJobs.get(cell.random.nextInt(finishedJobs.size())));
       }
     }
   }
 
-  private double rate(LoadTestSettings.JobClass jobClass, double elapsedS) {
+  private double arrivalsPerS(LoadTestSettings.JobClass jobClass, double elapsedS) {
     LoadTestSettings.Phases phases = settings.phases();
     if (elapsedS < phases.rampS()) {
       return jobClass.first() / phases.rampS();
@@ -124,11 +128,11 @@
     return jobClass.perS() + (peak ? jobClass.peakPerS() : 0);
   }
 
-  private Job job(LoadTestSettings.JobClass jobClass) {
+  private Job newJob(LoadTestSettings.JobClass jobClass) {
     boolean service = jobClass.kind().equals("service");
     String image = jobClass.name() + "-" + cell.random.nextInt(jobClass.images());
     return new Job(
-        "run-" + cell.random.nextLong(IDS),
+        "run-" + cell.random.nextLong(JOB_ID_BOUND),
         jobClass.name(),
         "team-" + cell.random.nextInt(settings.cells().teams()),
         service ? JobKind.SERVICE : JobKind.ARRAY,
@@ -149,7 +153,7 @@
   }
 
   private void submit(LoadTestSettings.JobClass jobClass) {
-    Job job = job(jobClass);
+    Job job = newJob(jobClass);
     boolean service = job.kind() == JobKind.SERVICE;
     long taskMs = service ? 0 : (long) (1000 * jobClass.runS());
     JobCatalog.Entry entry = new JobCatalog.Entry(job, jobClass, SteadyClock.nowMs(), taskMs);
@@ -163,57 +167,57 @@
         "POST",
         UserCodec.JOBS_PATH,
         body,
-        SUBMIT_MS,
+        SUBMIT_TIMEOUT_MS,
         (status, responseBody) -> {
           String uid = entry.job().uid();
           if (status == 201 || status == 200) {
             cell.checker.accepted(uid);
-            told(responseBody, requestedMs);
+            checkStatus(responseBody, requestedMs);
             cell.accepted(entry, requestedMs);
-            live(entry);
+            onAccepted(entry);
           } else if (status == 400 || status == 422) {
             cell.counters.userRefusals++;
-            cell.checker.denied(uid, cell.checker.isAccepted(uid));
+            cell.checker.refusedForGood(uid, cell.checker.isAccepted(uid));
           } else {
             cell.counters.userRefusals++;
-            cell.loop.schedule(() -> trySubmit(entry, body), RETRY_MS, TimeUnit.MILLISECONDS);
+            cell.loop.schedule(() -> trySubmit(entry, body), RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
           }
         });
   }
 
-  private void live(JobCatalog.Entry entry) {
+  private void onAccepted(JobCatalog.Entry entry) {
     String uid = entry.job().uid();
     double standS = entry.jobClass().runS();
     if (entry.job().kind() == JobKind.SERVICE && standS > 0) {
       cell.loop.schedule(() -> cancel(entry), (long) (1000 * standS), TimeUnit.MILLISECONDS);
     }
-    pollLater(uid);
+    schedulePoll(uid);
   }
 
-  private void pollLater(String uid) {
+  private void schedulePoll(String uid) {
     double afterS = settings.users().pollS() * (0.75 + 0.5 * cell.random.nextDouble());
     cell.loop.schedule(() -> poll(uid), (long) (1000 * afterS), TimeUnit.MILLISECONDS);
   }
 
   private void poll(String uid) {
-    ask(
+    query(
         uid,
         status -> {
           if (status != null && status.phase().isFinal()) {
-            cell.jobOver(uid);
-            over.add(uid);
+            cell.jobFinished(uid);
+            finishedJobs.add(uid);
           } else {
-            pollLater(uid);
+            schedulePoll(uid);
           }
         });
   }
 
-  /** A question after a job that is over; the checker sees the answer. */
-  private void ask(String uid) {
-    ask(uid, status -> {});
+  /** Queries a finished job; only the checker looks at the response. */
+  private void query(String uid) {
+    query(uid, status -> {});
   }
 
-  private void ask(String uid, Consumer<JobStatus> onComplete) {
+  private void query(String uid, Consumer<JobStatus> onComplete) {
     long requestedMs = SteadyClock.nowMs();
     boolean acceptedBefore = cell.checker.isAccepted(uid);
     cell.counters.polls++;
@@ -221,14 +225,14 @@
         "GET",
         UserCodec.JOBS_PATH + "/" + uid,
         null,
-        POLL_MS,
+        QUERY_TIMEOUT_MS,
         (status, body) -> {
           if (status == 200) {
-            onComplete.accept(told(body, requestedMs));
+            onComplete.accept(checkStatus(body, requestedMs));
             return;
           }
           if (status == 404) {
-            cell.checker.denied(uid, acceptedBefore);
+            cell.checker.refusedForGood(uid, acceptedBefore);
           }
           cell.counters.pollFailures++;
           onComplete.accept(null);
@@ -237,8 +241,8 @@
 
   private void cancel(JobCatalog.Entry entry) {
     String uid = entry.job().uid();
-    cell.checker.cancelling(uid);
-    cell.cancelAsked(uid);
+    cell.checker.cancelRequested(uid);
+    cell.cancelRequested(uid);
     cell.counters.cancellations++;
     tryCancel(uid);
   }
@@ -249,21 +253,21 @@
         "POST",
         UserCodec.JOBS_PATH + "/" + uid + UserCodec.CANCEL_SUFFIX,
         "{}".getBytes(StandardCharsets.UTF_8),
-        SUBMIT_MS,
+        SUBMIT_TIMEOUT_MS,
         (status, body) -> {
           if (status == 200) {
-            told(body, requestedMs);
+            checkStatus(body, requestedMs);
           } else {
             cell.counters.userRefusals++;
-            cell.loop.schedule(() -> tryCancel(uid), RETRY_MS, TimeUnit.MILLISECONDS);
+            cell.loop.schedule(() -> tryCancel(uid), RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
           }
         });
   }
 
-  private JobStatus told(byte[] body, long requestedMs) {
+  private JobStatus checkStatus(byte[] body, long requestedMs) {
     try {
       JobStatus status = UserClientCodec.decodeStatus(body);
-      cell.checker.told(status, requestedMs, SteadyClock.nowMs());
+      cell.checker.statusReceived(status, requestedMs, SteadyClock.nowMs());
       return status;
     } catch (MalformedMessageException e) {
       return null;
--- a/src/main/java/eiderfork/loadtest/EmulatedWorker.java
+++ b/src/main/java/eiderfork/loadtest/EmulatedWorker.java
@@ -21,12 +21,15 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** A worker without work: keeps the protocol's sessions, leases and tokens; tasks are delays. */
+/**
+ * A worker that runs no work: it keeps the protocol's incarnations, leases and fencing tokens, and
+ * its tasks are timers.
+ */
 final class EmulatedWorker {
-  private static final long LEAST_BETWEEN_REPORTS_MS = 500;
-  private static final long ANSWER_MS = 4000;
-  private static final long NEXT_NODE_MS = 1000;
-  private static final byte[] EMPTY = "{}".getBytes(StandardCharsets.UTF_8);
+  private static final long MIN_HEARTBEAT_INTERVAL_MS = 500;
+  private static final long RESPONSE_TIMEOUT_MS = 4000;
+  private static final long RETRY_NEXT_CONTROLLER_MS = 1000;
+  private static final byte[] EMPTY_JSON = "{}".getBytes(StandardCharsets.UTF_8);
 
   private static final class Task {
     TaskStatus.State state = TaskStatus.State.FETCHING;
@@ -41,50 +44,50 @@
   private final HttpClient client;
   private final Map<Attempt, Task> tasks = new LinkedHashMap<>();
   private final Map<String, Long> imageReadyMs = new HashMap<>();
-  private Resources used = Resources.NONE;
-  private int node;
-  private long session = 1;
+  private Resources allocated = Resources.NONE;
+  private int controllerNumber;
+  private long incarnation = 1;
   private long sequence;
-  private long token;
-  private long leaseFromMs = SteadyClock.nowMs();
-  private long lastReportMs;
-  private long tokenReportedMs;
-  private boolean reporting;
+  private long fencingToken;
+  private long leaseStartMs = SteadyClock.nowMs();
+  private long lastHeartbeatMs;
+  private long fencingTokenReportedMs;
+  private boolean heartbeatInFlight;
   private boolean changed;
-  private ScheduledFuture<?> next;
-  private boolean cutOff;
-  private boolean gone;
+  private ScheduledFuture<?> nextHeartbeat;
+  private boolean setPartitioned;
+  private boolean stopped;
 
   EmulatedWorker(Machine machine, MachineType type, int rack, EmulatedCell cell) {
     this.machine = machine;
     this.type = type;
     this.rack = rack;
     this.cell = cell;
-    node = cell.random.nextInt(cell.controllers().size());
+    controllerNumber = cell.random.nextInt(cell.controllers().size());
     client = new HttpClient(cell.loop, 1, channel -> channel.pipeline().addFirst(cell.workerBytes));
-    reportIn(0);
+    scheduleHeartbeat(0);
   }
 
-  /** The node that this worker reports to. */
-  int node() {
-    return node;
+  /** The number of the controller that this worker sends its heartbeats to. */
+  int controllerNumber() {
+    return controllerNumber;
   }
 
-  long token() {
-    return token;
+  long fencingToken() {
+    return fencingToken;
   }
 
-  /** Whether nothing reaches this worker and nothing from it gets through. */
-  void cutOff(boolean value) {
-    cutOff = value;
+  /** Drops all messages from and to this worker while {@code true}. */
+  void setPartitioned(boolean value) {
+    setPartitioned = value;
   }
 
-  /** The machine is gone with all that is on it. */
+  /** The machine stops, and all its tasks with it. */
   void stop() {
-    gone = true;
+    stopped = true;
     dropTasks();
-    if (next != null) {
-      next.cancel(false);
+    if (nextHeartbeat != null) {
+      nextHeartbeat.cancel(false);
     }
   }
 
@@ -92,131 +95,138 @@
     tasks.forEach(
         (attempt, task) -> {
           if (task.state == TaskStatus.State.RUNNING) {
-            cell.taskGone(this, attempt, false);
+            cell.taskStopped(this, attempt, false);
           }
         });
     tasks.clear();
-    used = Resources.NONE;
+    allocated = Resources.NONE;
   }
 
-  /** Ends the session where the lease has run out. */
+  /** Starts the next incarnation if the lease has expired. */
   void checkLease(long nowMs) {
-    if (!gone && nowMs - leaseFromMs > cell.leaseMs()) {
+    if (!stopped && nowMs - leaseStartMs > cell.workerLeaseMs()) {
       dropTasks();
-      session++;
-      leaseFromMs = nowMs;
+      incarnation++;
+      leaseStartMs = nowMs;
       changed();
     }
   }
 
-  // Reports.
+  // Heartbeats.
 
-  private void reportIn(long delayMs) {
-    if (next != null) {
-      next.cancel(false);
+  private void scheduleHeartbeat(long delayMs) {
+    if (nextHeartbeat != null) {
+      nextHeartbeat.cancel(false);
     }
-    if (!gone) {
-      next = cell.loop.schedule(this::sendReport, delayMs, TimeUnit.MILLISECONDS);
+    if (!stopped) {
+      nextHeartbeat = cell.loop.schedule(this::sendHeartbeat, delayMs, TimeUnit.MILLISECONDS);
     }
   }
 
-  private void reportRegularly() {
-    reportIn((long) (cell.reportMs() * (0.75 + 0.5 * cell.random.nextDouble())));
+  private void scheduleNextHeartbeat() {
+    scheduleHeartbeat(
+        (long) (cell.heartbeatIntervalMs() * (0.75 + 0.5 * cell.random.nextDouble())));
   }
 
   private void changed() {
     changed = true;
-    if (!reporting) {
-      reportIn(Math.max(0, lastReportMs + LEAST_BETWEEN_REPORTS_MS - SteadyClock.nowMs()));
+    if (!heartbeatInFlight) {
+      scheduleHeartbeat(
+          Math.max(0, lastHeartbeatMs + MIN_HEARTBEAT_INTERVAL_MS - SteadyClock.nowMs()));
     }
   }
 
-  private Heartbeat report() {
+  private Heartbeat heartbeat() {
     ImmutableList.Builder<TaskStatus> list = ImmutableList.builder();
     tasks.forEach(
         (attempt, task) -> list.add(new TaskStatus(attempt, task.state, task.cause, false)));
-    return new Heartbeat(machine, session, ++sequence, token, null, list.build());
+    return new Heartbeat(machine, incarnation, ++sequence, fencingToken, null, list.build());
   }
 
-  private void sendReport() {
-    if (gone || reporting) {
+  private void sendHeartbeat() {
+    if (stopped || heartbeatInFlight) {
       return;
     }
     long sentMs = SteadyClock.nowMs();
-    lastReportMs = sentMs;
+    lastHeartbeatMs = sentMs;
     changed = false;
-    reporting = true;
-    if (cutOff) {
+    heartbeatInFlight = true;
+    if (setPartitioned) {
       cell.loop.schedule(
-          () -> answered(sentMs, session, 0, EMPTY), ANSWER_MS, TimeUnit.MILLISECONDS);
+          () -> onHeartbeatResponse(sentMs, incarnation, 0, EMPTY_JSON),
+          RESPONSE_TIMEOUT_MS,
+          TimeUnit.MILLISECONDS);
       return;
     }
-    byte[] body = WorkerClientCodec.encodeReport(report());
+    byte[] body = WorkerClientCodec.encodeReport(heartbeat());
     cell.counters.reports++;
     cell.counters.reportedTasks += tasks.size();
-    long ofSession = session;
+    long ofSession = incarnation;
     client.send(
-        cell.controllers().get(node).publicAddress(),
+        cell.controllers().get(controllerNumber).publicAddress(),
         "POST",
         WorkerCodec.REPORT_PATH,
         body,
-        ANSWER_MS,
-        (status, responseBody) -> answered(sentMs, ofSession, cutOff ? 0 : status, responseBody));
+        RESPONSE_TIMEOUT_MS,
+        (status, responseBody) ->
+            onHeartbeatResponse(sentMs, ofSession, setPartitioned ? 0 : status, responseBody));
   }
 
-  private void answered(long sentMs, long ofSession, int status, byte[] body) {
-    reporting = false;
-    if (gone) {
+  private void onHeartbeatResponse(
+      long sentMs, long heartbeatIncarnation, int status, byte[] body) {
+    heartbeatInFlight = false;
+    if (stopped) {
       return;
     }
     try {
       if (status == 200) {
-        taken(sentMs, ofSession, WorkerClientCodec.decodeCommands(body));
+        renewLeaseAndExecute(sentMs, heartbeatIncarnation, WorkerClientCodec.decodeCommands(body));
         if (changed) {
           changed();
         } else {
-          reportRegularly();
+          scheduleNextHeartbeat();
         }
       } else if (status == 421) {
-        redirected(WorkerClientCodec.decodeLeader(body));
+        onRedirect(WorkerClientCodec.decodeLeader(body));
       } else {
-        tryNextNode();
+        tryNextController();
       }
     } catch (MalformedMessageException e) {
-      tryNextNode();
+      tryNextController();
     }
   }
 
-  private void redirected(String leader) {
+  private void onRedirect(String leader) {
     int named = cell.controllerIndex(leader);
-    if (named >= 0 && named != node) {
-      node = named;
-      reportIn(cell.random.nextInt((int) LEAST_BETWEEN_REPORTS_MS));
+    if (named >= 0 && named != controllerNumber) {
+      controllerNumber = named;
+      scheduleHeartbeat(cell.random.nextInt((int) MIN_HEARTBEAT_INTERVAL_MS));
     } else {
-      tryNextNode();
+      tryNextController();
     }
   }
 
-  private void tryNextNode() {
-    node = (node + 1) % cell.controllers().size();
-    reportIn(NEXT_NODE_MS);
+  private void tryNextController() {
+    controllerNumber = (controllerNumber + 1) % cell.controllers().size();
+    scheduleHeartbeat(RETRY_NEXT_CONTROLLER_MS);
   }
 
-  private void taken(long sentMs, long ofSession, WorkerClientCodec.FencedCommands commands) {
-    if (ofSession != session || commands.fencingToken() < token) {
+  private void renewLeaseAndExecute(
+      long sentMs, long heartbeatIncarnation, WorkerClientCodec.FencedCommands commands) {
+    if (heartbeatIncarnation != incarnation || commands.fencingToken() < fencingToken) {
       return;
     }
-    leaseFromMs = Math.max(leaseFromMs, sentMs);
-    seen(commands.fencingToken());
+    leaseStartMs = Math.max(leaseStartMs, sentMs);
+    observeFencingToken(commands.fencingToken());
     commands.commands().forEach(this::execute);
   }
 
-  private void seen(long newer) {
-    if (newer > token) {
-      token = newer;
-      cell.tokenSeen(token);
-      if (SteadyClock.nowMs() - tokenReportedMs > cell.leaseMs() / 2) {
-        tokenReportedMs = SteadyClock.nowMs();
+  private void observeFencingToken(long newer) {
+    if (newer > fencingToken) {
+      fencingToken = newer;
+      cell.fencingTokenObserved(fencingToken);
+      if (SteadyClock.nowMs() - fencingTokenReportedMs > cell.workerLeaseMs() / 2) {
+        fencingTokenReportedMs = SteadyClock.nowMs();
         changed = true;
       }
     }
@@ -225,27 +235,28 @@
   // Direct requests.
 
   void handle(HttpServer.Exchange exchange) {
-    if (gone || cutOff) {
+    if (stopped || setPartitioned) {
       return;
     }
     if (exchange.path.equals(WorkerCodec.INSPECT_PATH)) {
-      exchange.respond(200, WorkerClientCodec.encodeReport(report()), 0);
+      exchange.respond(200, WorkerClientCodec.encodeReport(heartbeat()), 0);
       return;
     }
     try {
       var commands = WorkerClientCodec.decodeCommands(exchange.body);
-      boolean valid = commands.fencingToken() >= token && commands.incarnation() == session;
+      boolean valid =
+          commands.fencingToken() >= fencingToken && commands.incarnation() == incarnation;
       if (valid) {
         cell.counters.directCommands += commands.commands().size();
-        seen(commands.fencingToken());
+        observeFencingToken(commands.fencingToken());
         commands.commands().forEach(this::execute);
       }
-      exchange.respond(valid ? 200 : 409, WorkerClientCodec.encodeReport(report()), 0);
+      exchange.respond(valid ? 200 : 409, WorkerClientCodec.encodeReport(heartbeat()), 0);
       if (changed) {
         changed();
       }
     } catch (MalformedMessageException e) {
-      exchange.respond(400, EMPTY, 0);
+      exchange.respond(400, EMPTY_JSON, 0);
     }
   }
 
@@ -270,22 +281,22 @@
     Task task = new Task();
     tasks.put(attempt, task);
     changed = true;
-    JobCatalog.Entry entry = cell.catalogue.get(attempt.task().jobUid());
+    JobCatalog.Entry entry = cell.catalog.get(attempt.task().jobUid());
     if (entry == null) {
       end(attempt, task, TaskStatus.Cause.UNKNOWN);
-    } else if (isHereAlready(attempt)) {
+    } else if (hasOtherAttempt(attempt)) {
       end(attempt, task, TaskStatus.Cause.BUSY);
-    } else if (!used.plus(entry.job().taskResources()).fitsIn(type.capacity())) {
+    } else if (!allocated.plus(entry.job().taskResources()).fitsIn(type.capacity())) {
       end(attempt, task, TaskStatus.Cause.NO_ROOM);
     } else {
       task.need = entry.job().taskResources();
-      used = used.plus(task.need);
+      allocated = allocated.plus(task.need);
       long waitMs = Math.max(1, imageReadyMs(entry) - SteadyClock.nowMs());
       cell.loop.schedule(() -> start(attempt, task, entry), waitMs, TimeUnit.MILLISECONDS);
     }
   }
 
-  private boolean isHereAlready(Attempt attempt) {
+  private boolean hasOtherAttempt(Attempt attempt) {
     for (Map.Entry<Attempt, Task> other : tasks.entrySet()) {
       if (!other.getKey().equals(attempt)
           && other.getKey().task().equals(attempt.task())
@@ -303,7 +314,7 @@
   }
 
   private void start(Attempt attempt, Task task, JobCatalog.Entry entry) {
-    if (gone || tasks.get(attempt) != task || task.state != TaskStatus.State.FETCHING) {
+    if (stopped || tasks.get(attempt) != task || task.state != TaskStatus.State.FETCHING) {
       return;
     }
     task.state = TaskStatus.State.RUNNING;
@@ -317,7 +328,7 @@
   }
 
   private void finish(Attempt attempt, Task task) {
-    if (!gone && tasks.get(attempt) == task && task.state == TaskStatus.State.RUNNING) {
+    if (!stopped && tasks.get(attempt) == task && task.state == TaskStatus.State.RUNNING) {
       end(attempt, task, TaskStatus.Cause.DONE);
       changed();
     }
@@ -327,16 +338,16 @@
     boolean wasRunning = task.state == TaskStatus.State.RUNNING;
     task.state = TaskStatus.State.ENDED;
     task.cause = cause;
-    used = used.minus(task.need);
+    allocated = allocated.minus(task.need);
     task.need = Resources.NONE;
     changed = true;
     if (wasRunning) {
-      cell.taskGone(this, attempt, cause == TaskStatus.Cause.DONE);
+      cell.taskStopped(this, attempt, cause == TaskStatus.Cause.DONE);
     }
   }
 
   /** What runs on this machine now. */
-  List<Attempt> running() {
+  List<Attempt> runningAttempts() {
     return tasks.entrySet().stream()
         .filter(it -> it.getValue().state == TaskStatus.State.RUNNING)
         .map(Map.Entry::getKey)
--- a/src/main/java/eiderfork/loadtest/FaultInjector.java
+++ b/src/main/java/eiderfork/loadtest/FaultInjector.java
@@ -6,97 +6,100 @@
 import java.util.List;
 import java.util.function.Predicate;
 
-/** Makes a run's failures at their times, and mends them. */
+/** Injects the faults of a load test at their times and repairs them afterwards. */
 final class FaultInjector {
-  private record Restart(ControllerProcess controller, long atMs) {}
+  private record PendingRestart(ControllerProcess controller, long atMs) {}
 
-  /** What mends a trouble, carried out on its cell's thread. */
-  private record Mending(EmulatedCell cell, Runnable what, long atMs) {}
+  /** The repair of a fault; runs on its cell's event loop. */
+  private record Repair(EmulatedCell cell, Runnable action, long atMs) {}
 
-  /** Those that are still to come, the next one first. */
-  private final List<LoadTestSettings.Trouble> troubles;
+  /** Ordered by time, the next one first. */
+  private final List<LoadTestSettings.Fault> pendingFaults;
 
   private final List<EmulatedCell> cells;
-  private final List<Restart> restarts = new ArrayList<>();
-  private final List<Mending> mendings = new ArrayList<>();
+  private final List<PendingRestart> restarts = new ArrayList<>();
+  private final List<Repair> repairs = new ArrayList<>();
 
-  FaultInjector(List<LoadTestSettings.Trouble> troubles, List<EmulatedCell> cells) {
-    this.troubles = new ArrayList<>(troubles);
-    this.troubles.sort(Comparator.comparingDouble(LoadTestSettings.Trouble::atS));
+  FaultInjector(List<LoadTestSettings.Fault> troubles, List<EmulatedCell> cells) {
+    this.pendingFaults = new ArrayList<>(troubles);
+    this.pendingFaults.sort(Comparator.comparingDouble(LoadTestSettings.Fault::atS));
     this.cells = cells;
   }
 
-  /** Makes and mends what is due {@code elapsedS} after the beginning of the load. */
+  /** Injects and repairs what is due {@code elapsedS} seconds after the start of the load. */
   void tick(double elapsedS) throws IOException, InterruptedException {
-    makeDue(elapsedS);
-    undoDue();
+    injectDue(elapsedS);
+    repairDue();
   }
 
-  /** Whether a controller was killed and is to come back later. */
+  /** Whether a controller was killed by a fault and has not been restarted yet. */
   boolean isDown(ControllerProcess controller) {
-    return restarts.stream().anyMatch(it -> it.controller == controller);
+    return restarts.stream().anyMatch(restart -> restart.controller == controller);
   }
 
-  private void makeDue(double elapsedS) throws InterruptedException {
-    while (!troubles.isEmpty() && troubles.get(0).atS() <= elapsedS) {
-      LoadTestSettings.Trouble fault = troubles.remove(0);
+  private void injectDue(double elapsedS) throws InterruptedException {
+    while (!pendingFaults.isEmpty() && pendingFaults.get(0).atS() <= elapsedS) {
+      LoadTestSettings.Fault fault = pendingFaults.remove(0);
       EmulatedCell cell = cells.get(fault.cell());
-      LoadTest.on(
-          cell,
+      cell.call(
           () -> {
-            cell.troubleBegins(fault);
+            cell.startRecoveryTimer(fault);
             return null;
           });
-      make(fault, cell);
+      inject(fault, cell);
     }
   }
 
-  private void make(LoadTestSettings.Trouble fault, EmulatedCell cell) throws InterruptedException {
+  private void inject(LoadTestSettings.Fault fault, EmulatedCell cell) throws InterruptedException {
     switch (fault.kind()) {
-      case "leader" -> kill(cell.controllers().get(LoadTest.on(cell, cell::leader)), fault);
+      case "leader" -> kill(cell.controllers().get(cell.call(cell::leader)), fault);
       case "controllers" -> cell.controllers().forEach(each -> kill(each, fault));
-      case "rack" -> cutOff(fault, cell, EmulatedCell::isInFirstRack);
-      case "third" -> cutOff(fault, cell, EmulatedCell::isInFirstThird);
-      case "workers" -> cutOff(fault, cell, worker -> true);
+      case "rack" -> partition(fault, cell, EmulatedCell::isInFirstRack);
+      case "third" -> partition(fault, cell, EmulatedCell::isInFirstThird);
+      case "workers" -> partition(fault, cell, worker -> true);
       case "zone" -> {
-        makeAndMend(fault, cell, cell::closeZone, cell::openZone);
+        injectAndRepair(fault, cell, cell::closeZone, cell::openZone);
         cell.controllers().stream().filter(cell::isInClosedZone).forEach(each -> kill(each, fault));
       }
-      default -> throw new IllegalStateException(fault.kind());
+      default -> throw new IllegalStateException("unknown kind of fault: " + fault.kind());
     }
   }
 
-  private void cutOff(
-      LoadTestSettings.Trouble fault, EmulatedCell cell, Predicate<EmulatedWorker> which) {
-    makeAndMend(fault, cell, () -> cell.cutOff(which, true), () -> cell.cutOff(which, false));
+  private void partition(
+      LoadTestSettings.Fault fault, EmulatedCell cell, Predicate<EmulatedWorker> which) {
+    injectAndRepair(
+        fault,
+        cell,
+        () -> cell.setPartitioned(which, true),
+        () -> cell.setPartitioned(which, false));
   }
 
-  private void makeAndMend(
-      LoadTestSettings.Trouble fault, EmulatedCell cell, Runnable make, Runnable mend) {
-    cell.loop.execute(make);
-    mendings.add(new Mending(cell, mend, untilMs(fault)));
+  private void injectAndRepair(
+      LoadTestSettings.Fault fault, EmulatedCell cell, Runnable inject, Runnable repair) {
+    cell.loop.execute(inject);
+    repairs.add(new Repair(cell, repair, repairAtMs(fault)));
   }
 
-  private static long untilMs(LoadTestSettings.Trouble fault) {
+  private static long repairAtMs(LoadTestSettings.Fault fault) {
     return SteadyClock.nowMs() + (long) (1000 * fault.forS());
   }
 
-  private void kill(ControllerProcess controller, LoadTestSettings.Trouble fault) {
-    restarts.add(new Restart(controller, untilMs(fault)));
+  private void kill(ControllerProcess controller, LoadTestSettings.Fault fault) {
+    restarts.add(new PendingRestart(controller, repairAtMs(fault)));
     controller.kill();
   }
 
-  private void undoDue() throws IOException {
-    for (Restart it : List.copyOf(restarts)) {
-      if (SteadyClock.nowMs() >= it.atMs && !it.controller.isAlive()) {
-        it.controller.start();
-        restarts.remove(it);
+  private void repairDue() throws IOException {
+    for (PendingRestart restart : List.copyOf(restarts)) {
+      if (SteadyClock.nowMs() >= restart.atMs && !restart.controller.isAlive()) {
+        restart.controller.start();
+        restarts.remove(restart);
       }
     }
-    for (Mending it : List.copyOf(mendings)) {
-      if (SteadyClock.nowMs() >= it.atMs) {
-        it.cell.loop.execute(it.what);
-        mendings.remove(it);
+    for (Repair repair : List.copyOf(repairs)) {
+      if (SteadyClock.nowMs() >= repair.atMs) {
+        repair.cell.loop.execute(repair.action);
+        repairs.remove(repair);
       }
     }
   }
--- a/src/main/java/eiderfork/loadtest/HostResourceLimits.java
+++ b/src/main/java/eiderfork/loadtest/HostResourceLimits.java
@@ -4,15 +4,15 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** Refuses runs that would take more of this machine than they may. */
+/** Rejects load tests that need more of this host than they may use. */
 final class HostResourceLimits {
-  /** What a controller's process may come to in a small cell, and for each worker, in megabytes. */
-  private static final double SMALL_CONTROLLER_MB = 176;
+  /** Memory of a controller process: a base, and an amount per worker, in megabytes. */
+  private static final double CONTROLLER_BASE_MB = 176;
 
-  private static final double WORKER_MB = 0.06;
+  private static final double CONTROLLER_MB_PER_WORKER = 0.06;
 
-  private static final int MOST_PROCESSES = 300;
-  private static final double MOST_MEMORY_SHARE = 0.5;
+  private static final int MAX_PROCESSES = 300;
+  private static final double MAX_MEMORY_SHARE = 0.5;
 
   private HostResourceLimits() {}
 
@@ -21,12 +21,12 @@
    *
    * @param workers of each cell
    */
-  static String objection(int controllers, int workers, double ownMb, double machineMb) {
-    if (controllers + 1 > MOST_PROCESSES) {
-      return controllers + " controllers are more processes than " + MOST_PROCESSES;
+  static String rejectionReason(int controllers, int workers, double ownMb, double machineMb) {
+    if (controllers + 1 > MAX_PROCESSES) {
+      return controllers + " controllers are more processes than " + MAX_PROCESSES;
     }
     double needMb = ownMb + controllers * controllerMb(workers);
-    if (needMb > machineMb * MOST_MEMORY_SHARE) {
+    if (needMb > machineMb * MAX_MEMORY_SHARE) {
       return String.format(
           "%d controllers and the emulation may take %.0f MB, more than half of this machine's %.0f",
           controllers, needMb, machineMb);
@@ -36,7 +36,7 @@
 
   /** What a controller of a cell with so many workers is given, in megabytes. */
   static double controllerMb(int workers) {
-    return SMALL_CONTROLLER_MB + WORKER_MB * workers;
+    return CONTROLLER_BASE_MB + CONTROLLER_MB_PER_WORKER * workers;
   }
 
   /** The machine's memory in megabytes. */
--- a/src/main/java/eiderfork/loadtest/InvariantChecker.java
+++ b/src/main/java/eiderfork/loadtest/InvariantChecker.java
@@ -15,11 +15,12 @@
 import java.util.Set;
 
 /**
- * Holds a cell's workers and users against the protocol's rules. It sees what workers did and what
- * users were told, and nothing of the controllers. Times are in milliseconds of one steady clock.
+ * Checks the protocol's invariants from outside: it sees what a cell's workers did and which
+ * responses its users got, and nothing of the controllers. Times are milliseconds of one steady
+ * clock.
  */
 final class InvariantChecker {
-  /** A rule that can be broken. */
+  /** An invariant of the protocol. */
   enum Rule {
     /** A task started on one machine while it was on another. */
     RAN_TWICE,
@@ -37,31 +38,31 @@
     INVENTED
   }
 
-  /** A rule that was broken, and by what. */
+  /** A violated invariant, with what violated it. */
   record Breach(Rule rule, String what) {}
 
-  private static final class Known {
+  private static final class TrackedJob {
     final Job job;
     final BitSet finished = new BitSet();
     final Set<TaskId> running = new HashSet<>();
     boolean accepted;
-    boolean cancelAsked;
-    JobStatus.Phase over;
-    long overMs;
+    boolean cancelRequested;
+    JobStatus.Phase finalPhase;
+    long finalPhaseMs;
 
-    Known(Job job) {
+    TrackedJob(Job job) {
       this.job = job;
     }
   }
 
-  private static final int MOST_KEPT = 100;
+  private static final int MAX_KEPT_BREACHES = 100;
 
   private final long cancelMs;
   private final Map<String, Team> teams;
-  private final Map<String, Known> jobs = new HashMap<>();
-  private final Map<TaskId, String> machineOf = new HashMap<>();
-  private final Map<String, Resources> usedBy = new HashMap<>();
-  private final Map<String, Known> cancelled = new HashMap<>();
+  private final Map<String, TrackedJob> jobs = new HashMap<>();
+  private final Map<TaskId, String> machineByTask = new HashMap<>();
+  private final Map<String, Resources> usageByTeam = new HashMap<>();
+  private final Map<String, TrackedJob> cancelled = new HashMap<>();
   private final List<Breach> breaches = new ArrayList<>();
   private long breachCount;
 
@@ -79,63 +80,66 @@
     return breachCount;
   }
 
-  private void note(Rule rule, String what) {
+  private void recordBreach(Rule rule, String what) {
     breachCount++;
-    if (breaches.size() < MOST_KEPT) {
+    if (breaches.size() < MAX_KEPT_BREACHES) {
       breaches.add(new Breach(rule, what));
     }
   }
 
-  // What users do and are told.
+  // What users send and receive.
 
-  void submitting(Job job) {
-    jobs.putIfAbsent(job.uid(), new Known(job));
+  void submitted(Job job) {
+    jobs.putIfAbsent(job.uid(), new TrackedJob(job));
   }
 
-  /** A user was told that the job is accepted. */
+  /** A user got the response that the job is accepted. */
   void accepted(String uid) {
     jobs.get(uid).accepted = true;
   }
 
-  /** A repeated submission or a question that was asked at {@code askedMs} was refused for good. */
-  void denied(String uid, boolean acceptedBefore) {
+  /** A repeated submission or a query got a final refusal. */
+  void refusedForGood(String uid, boolean acceptedBefore) {
     if (acceptedBefore) {
-      note(Rule.FORGOTTEN, uid + " was denied after it had been accepted");
+      recordBreach(Rule.FORGOTTEN, uid + " was denied after it had been accepted");
     }
   }
 
   boolean isAccepted(String uid) {
-    Known known = jobs.get(uid);
-    return known != null && known.accepted;
+    TrackedJob job = jobs.get(uid);
+    return job != null && job.accepted;
   }
 
-  void cancelling(String uid) {
-    jobs.get(uid).cancelAsked = true;
+  void cancelRequested(String uid) {
+    jobs.get(uid).cancelRequested = true;
   }
 
-  /** A user who asked at {@code requestedMs} was told this. */
-  void told(JobStatus status, long requestedMs, long nowMs) {
-    Known known = jobs.get(status.uid());
-    if (known == null) {
-      note(Rule.INVENTED, status.uid() + " is " + status.phase());
+  /** A user who asked at {@code requestedMs} got this status. */
+  void statusReceived(JobStatus status, long requestedMs, long nowMs) {
+    TrackedJob job = jobs.get(status.uid());
+    if (job == null) {
+      recordBreach(Rule.INVENTED, status.uid() + " is " + status.phase());
       return;
     }
-    known.accepted = true;
-    if (known.over != null && requestedMs >= known.overMs && status.phase() != known.over) {
-      note(Rule.WENT_BACK, status.uid() + " was " + known.over + ", is " + status.phase());
+    job.accepted = true;
+    if (job.finalPhase != null
+        && requestedMs >= job.finalPhaseMs
+        && status.phase() != job.finalPhase) {
+      recordBreach(
+          Rule.WENT_BACK, status.uid() + " was " + job.finalPhase + ", is " + status.phase());
     }
-    if (status.phase() == JobStatus.Phase.DONE
-        && known.finished.cardinality() < known.job.tasks()) {
-      note(Rule.NOT_DONE, status.uid() + " has " + known.finished.cardinality() + " tasks done");
+    if (status.phase() == JobStatus.Phase.DONE && job.finished.cardinality() < job.job.tasks()) {
+      recordBreach(
+          Rule.NOT_DONE, status.uid() + " has " + job.finished.cardinality() + " tasks done");
     }
-    if (status.phase() == JobStatus.Phase.ABORTED && !known.cancelAsked) {
-      note(Rule.WENT_BACK, status.uid() + " was cancelled by nobody");
+    if (status.phase() == JobStatus.Phase.ABORTED && !job.cancelRequested) {
+      recordBreach(Rule.WENT_BACK, status.uid() + " was cancelled by nobody");
     }
-    if (status.phase().isFinal() && known.over == null) {
-      known.over = status.phase();
-      known.overMs = nowMs;
+    if (status.phase().isFinal() && job.finalPhase == null) {
+      job.finalPhase = status.phase();
+      job.finalPhaseMs = nowMs;
       if (status.phase() == JobStatus.Phase.ABORTED) {
-        cancelled.put(status.uid(), known);
+        cancelled.put(status.uid(), job);
       }
     }
   }
@@ -144,39 +148,39 @@
 
   void started(String machine, Attempt attempt, long nowMs) {
     TaskId task = attempt.task();
-    Known known = jobs.get(task.jobUid());
-    String other = machineOf.put(task, machine);
+    TrackedJob job = jobs.get(task.jobUid());
+    String other = machineByTask.put(task, machine);
     if (other != null) {
-      note(Rule.RAN_TWICE, task + " started on " + machine + " while on " + other);
+      recordBreach(Rule.RAN_TWICE, task + " started on " + machine + " while on " + other);
       return;
     }
-    known.running.add(task);
-    if (known.over == JobStatus.Phase.ABORTED && nowMs - known.overMs > cancelMs) {
-      note(Rule.RAN_CANCELLED, task + " started on " + machine);
+    job.running.add(task);
+    if (job.finalPhase == JobStatus.Phase.ABORTED && nowMs - job.finalPhaseMs > cancelMs) {
+      recordBreach(Rule.RAN_CANCELLED, task + " started on " + machine);
     }
-    Resources used = usedBy.merge(known.job.team(), known.job.taskResources(), Resources::plus);
-    if (!teams.get(known.job.team()).isWithinLimit(used)) {
-      note(Rule.QUOTA, "team " + known.job.team() + " uses " + used);
+    Resources used = usageByTeam.merge(job.job.team(), job.job.taskResources(), Resources::plus);
+    if (!teams.get(job.job.team()).isWithinLimit(used)) {
+      recordBreach(Rule.QUOTA, "team " + job.job.team() + " uses " + used);
     }
   }
 
   /** An attempt is not on its machine any more; {@code done} where it completed. */
-  void gone(String machine, Attempt attempt, boolean done) {
+  void stopped(String machine, Attempt attempt, boolean done) {
     TaskId task = attempt.task();
-    Known known = jobs.get(task.jobUid());
+    TrackedJob job = jobs.get(task.jobUid());
     if (done) {
-      known.finished.set(task.index());
+      job.finished.set(task.index());
     }
-    if (machine.equals(machineOf.get(task))) {
-      machineOf.remove(task);
-      known.running.remove(task);
-      usedBy.merge(known.job.team(), known.job.taskResources(), Resources::minus);
+    if (machine.equals(machineByTask.get(task))) {
+      machineByTask.remove(task);
+      job.running.remove(task);
+      usageByTeam.merge(job.job.team(), job.job.taskResources(), Resources::minus);
     }
   }
 
   boolean isFinished(TaskId task) {
-    Known known = jobs.get(task.jobUid());
-    return known != null && known.finished.get(task.index());
+    TrackedJob job = jobs.get(task.jobUid());
+    return job != null && job.finished.get(task.index());
   }
 
   /** Looks for tasks that should have ended by now. */
@@ -184,12 +188,12 @@
     cancelled
         .values()
         .removeIf(
-            known -> {
-              if (nowMs - known.overMs <= cancelMs) {
+            job -> {
+              if (nowMs - job.finalPhaseMs <= cancelMs) {
                 return false;
               }
-              if (!known.running.isEmpty()) {
-                note(Rule.RAN_CANCELLED, known.running + " still run");
+              if (!job.running.isEmpty()) {
+                recordBreach(Rule.RAN_CANCELLED, job.running + " still run");
               }
               return true;
             });
--- a/src/main/java/eiderfork/loadtest/JobCatalog.java
+++ b/src/main/java/eiderfork/loadtest/JobCatalog.java
@@ -4,7 +4,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The jobs that users of a cell uploaded, as workers fetch them, with how long their tasks run. */
+/** The jobs that users of a cell have uploaded, from which workers read how long tasks run. */
 final class JobCatalog {
   /** A job, when its user first tried to submit it, and how long a task runs; 0 without end. */
   record Entry(Job job, LoadTestSettings.JobClass jobClass, long submittedMs, long taskMs) {}
--- a/src/main/java/eiderfork/loadtest/LoadTestFile.java
+++ b/src/main/java/eiderfork/loadtest/LoadTestFile.java
@@ -147,10 +147,10 @@
   }
 
   private void checkTroubles(LoadTestSettings settings) throws InvalidSettingsException {
-    List<LoadTestSettings.Trouble> troubles = settings.troubles();
+    List<LoadTestSettings.Fault> troubles = settings.troubles();
     for (int i = 0; i < troubles.size(); i++) {
       String at = "troubles[" + i + "].";
-      LoadTestSettings.Trouble it = troubles.get(i);
+      LoadTestSettings.Fault it = troubles.get(i);
       oneOf(it.kind(), TROUBLES, at + "kind");
       atLeast(it.forS(), 0, at + "for_s");
       atLeast(it.cell(), 0, at + "cell");
--- a/src/main/java/eiderfork/loadtest/LoadTestReport.java
+++ b/src/main/java/eiderfork/loadtest/LoadTestReport.java
@@ -84,7 +84,7 @@
     try {
       return mapper.writeValueAsString(this);
     } catch (JsonProcessingException e) {
-      throw new IllegalStateException(e);
+      throw new IllegalStateException("a report that can't be written as JSON", e);
     }
   }
 
--- a/src/main/java/eiderfork/loadtest/LoadTestSettings.java
+++ b/src/main/java/eiderfork/loadtest/LoadTestSettings.java
@@ -18,13 +18,13 @@
     int preloadedEndedJobs,
     int preloadedArchivedJobs,
     Workers workers,
-    State state,
-    Cloud cloud,
+    StoreLimits state,
+    CloudLimits cloud,
     Phases phases,
     Users users,
     List<MachineKind> machineTypes,
     List<JobClass> classes,
-    List<Trouble> troubles) {
+    List<Fault> troubles) {
 
   /** How many cells there are, and what each of them is made of; teams are in all of them. */
   public record Cells(
@@ -34,10 +34,11 @@
   public record Workers(double reportS, double leaseS, double cancelS) {}
 
   /** A cell's state service: its limits, and the mean of its answers' delay in milliseconds. */
-  public record State(double rps, double writeRps, double valueKb, int txnOps, double answerMs) {}
+  public record StoreLimits(
+      double rps, double writeRps, double valueKb, int txnOps, double answerMs) {}
 
   /** A cell's cloud. */
-  public record Cloud(double rps, double listLagS) {}
+  public record CloudLimits(double rps, double listLagS) {}
 
   /**
    * When the load changes.
@@ -109,7 +110,7 @@
    * @param cell the cell's number from 0
    * @param forS how long workers are cut off, or a zone down; killed controllers come back after it
    */
-  public record Trouble(String kind, double atS, int cell, double forS) {}
+  public record Fault(String kind, double atS, int cell, double forS) {}
 
   /** How many controller processes the run starts. */
   public int controllerCount() {
--- a/src/main/java/eiderfork/loadtest/RecoveryTimer.java
+++ b/src/main/java/eiderfork/loadtest/RecoveryTimer.java
@@ -1,11 +1,15 @@
 package eiderfork.loadtest;
 
 /**
- * Measures how long a trouble is felt: until a leader of a later term commands workers, until a
- * submission sent after it is accepted, and until no more replicas are missing than before.
+ * Measures how long the effects of a fault last: until a leader of a later term sends commands,
+ * until a submission sent after the fault is accepted, and until no more replicas are missing than
+ * before.
  */
 final class RecoveryTimer {
-  /** What came of a trouble, in seconds from its beginning; negative where it did not happen. */
+  /**
+   * The effects of a fault, in seconds from its injection; negative for what did not happen. The
+   * names are those of the report's JSON.
+   */
   record Result(
       String kind,
       int cell,
@@ -15,38 +19,38 @@
       int missingBefore,
       double asBeforeS) {}
 
-  private final LoadTestSettings.Trouble trouble;
+  private final LoadTestSettings.Fault fault;
   private final long termBefore;
   private final int missingBefore;
-  private final long beganMs;
-  private long takeoverMs = -1;
+  private final long faultMs;
+  private long failoverMs = -1;
   private long acceptedMs = -1;
   private long lastMissingMs;
   private long lastTickMs;
-  private int mostMissing;
+  private int maxMissing;
   private boolean stopped;
 
-  RecoveryTimer(LoadTestSettings.Trouble fault, long termBefore, int missingBefore, long nowMs) {
-    this.trouble = fault;
+  RecoveryTimer(LoadTestSettings.Fault fault, long termBefore, int missingBefore, long nowMs) {
+    this.fault = fault;
     this.termBefore = termBefore;
     this.missingBefore = missingBefore;
-    beganMs = nowMs;
+    faultMs = nowMs;
     lastMissingMs = nowMs;
   }
 
-  /** The next trouble of the cell begins. */
+  /** Ends the measurement, because the next fault of the cell begins. */
   void stop() {
     stopped = true;
   }
 
-  void termSeen(long term, long nowMs) {
-    if (!stopped && takeoverMs < 0 && term > termBefore) {
-      takeoverMs = nowMs;
+  void termObserved(long term, long nowMs) {
+    if (!stopped && failoverMs < 0 && term > termBefore) {
+      failoverMs = nowMs;
     }
   }
 
   void accepted(long requestedMs, long nowMs) {
-    if (!stopped && acceptedMs < 0 && requestedMs > beganMs) {
+    if (!stopped && acceptedMs < 0 && requestedMs > faultMs) {
       acceptedMs = nowMs;
     }
   }
@@ -56,7 +60,7 @@
       return;
     }
     lastTickMs = nowMs;
-    mostMissing = Math.max(mostMissing, missing);
+    maxMissing = Math.max(maxMissing, missing);
     if (missing > missingBefore) {
       lastMissingMs = nowMs;
     }
@@ -65,12 +69,12 @@
   Result result() {
     boolean stillMissing = lastMissingMs == lastTickMs;
     return new Result(
-        trouble.kind(),
-        trouble.cell(),
-        takeoverMs < 0 ? -1 : (takeoverMs - beganMs) / 1000.0,
-        acceptedMs < 0 ? -1 : (acceptedMs - beganMs) / 1000.0,
-        mostMissing,
+        fault.kind(),
+        fault.cell(),
+        failoverMs < 0 ? -1 : (failoverMs - faultMs) / 1000.0,
+        acceptedMs < 0 ? -1 : (acceptedMs - faultMs) / 1000.0,
+        maxMissing,
         missingBefore,
-        stillMissing ? -1 : (lastMissingMs - beganMs) / 1000.0);
+        stillMissing ? -1 : (lastMissingMs - faultMs) / 1000.0);
   }
 }
--- a/src/test/java/eiderfork/controller/FakeUsers.java
+++ b/src/test/java/eiderfork/controller/FakeUsers.java
@@ -86,7 +86,7 @@
       boolean submission,
       int tries) {
     boolean[] answered = {false};
-    ProtocolChecker.Known known = world.checker.known(uid);
+    ProtocolChecker.Known job = world.checker.known(uid);
     Consumer<UserResponse> end =
         response -> {
           if (answered[0]) {
@@ -94,7 +94,7 @@
           }
           answered[0] = true;
           if (response != null) {
-            boolean news = world.checker.told(world.nowMs, uid, response, submission, known);
+            boolean news = world.checker.told(world.nowMs, uid, response, submission, job);
             if (probeAfterNews && news) {
               for (int ms : new int[] {0, 1, 3, 10, 40, 120}) {
                 world.at(ms, () -> queryAndResubmitEverywhere(uid));
--- a/src/test/java/eiderfork/controller/ProtocolChecker.java
+++ b/src/test/java/eiderfork/controller/ProtocolChecker.java
@@ -68,13 +68,13 @@
   }
 
   /** An answer arrives at a user; whether it says what no user was told before. */
-  boolean told(long nowMs, String uid, UserResponse response, boolean submission, Known known) {
+  boolean told(long nowMs, String uid, UserResponse response, boolean submission, Known job) {
     int status = response.status();
     answers += status == 200 || status == 404 ? 1 : 0;
-    if (status == 404 && known.accepted) {
+    if (status == 404 && job.accepted) {
       breach("forgotten", uid);
     }
-    if (submission && (status == 400 || status == 422) && known.accepted) {
+    if (submission && (status == 400 || status == 422) && job.accepted) {
       breach("forgotten", uid + " repeated got " + status);
     }
     if (submission && status == 422) {
@@ -90,8 +90,8 @@
     boolean news = accepted.add(uid);
     Phase stance = response.job().phase();
     news |= (stance == Phase.DONE || stance == Phase.ABORTED) && !finals.containsKey(uid);
-    if (known.last != null && known.last != stance) {
-      breach("went_back", uid + " from " + known.last + " to " + stance);
+    if (job.last != null && job.last != stance) {
+      breach("went_back", uid + " from " + job.last + " to " + stance);
     }
     if (stance == Phase.ABORTED) {
       if (!abortAsked.contains(uid)) {
--- a/src/test/java/eiderfork/loadtest/ControllerProcessTest.java
+++ b/src/test/java/eiderfork/loadtest/ControllerProcessTest.java
@@ -29,7 +29,7 @@
     assertTrue(controller.isAlive());
     controller.kill();
     controller.start();
-    controller.end();
+    controller.close();
     assertFalse(controller.isAlive());
     controller.start();
     assertFalse(controller.isAlive());
--- a/src/test/java/eiderfork/loadtest/InvariantCheckerTest.java
+++ b/src/test/java/eiderfork/loadtest/InvariantCheckerTest.java
@@ -48,12 +48,12 @@
   }
 
   private void accept(String uid, int tasks) {
-    checker.submitting(job(uid, tasks));
+    checker.submitted(job(uid, tasks));
     checker.accepted(uid);
   }
 
   private void tell(String uid, JobStatus.Phase stance, long requestedMs, long nowMs) {
-    checker.told(new JobStatus(uid, stance, 0, 0), requestedMs, nowMs);
+    checker.statusReceived(new JobStatus(uid, stance, 0, 0), requestedMs, nowMs);
   }
 
   private List<InvariantChecker.Rule> broken() {
@@ -64,10 +64,10 @@
   void anOrdinaryLifeBreaksNothing() {
     accept("run-1", 1);
     checker.started("a", attempt("run-1", 0, 1), 0);
-    checker.gone("a", attempt("run-1", 0, 1), false);
+    checker.stopped("a", attempt("run-1", 0, 1), false);
     checker.started("b", attempt("run-1", 0, 2), 10);
     tell("run-1", JobStatus.Phase.RUNNING, 11, 12);
-    checker.gone("b", attempt("run-1", 0, 2), true);
+    checker.stopped("b", attempt("run-1", 0, 2), true);
     tell("run-1", JobStatus.Phase.DONE, 20, 21);
     tell("run-1", JobStatus.Phase.DONE, 30, 31);
     // Asked before the end was told, answered after it.
@@ -96,18 +96,18 @@
 
   @Test
   void aJobLost() {
-    checker.submitting(job("run-1", 1));
-    checker.denied("run-1", checker.isAccepted("run-1"));
+    checker.submitted(job("run-1", 1));
+    checker.refusedForGood("run-1", checker.isAccepted("run-1"));
     assertEquals(List.of(), broken());
     checker.accepted("run-1");
-    checker.denied("run-1", checker.isAccepted("run-1"));
+    checker.refusedForGood("run-1", checker.isAccepted("run-1"));
     assertEquals(List.of(InvariantChecker.Rule.FORGOTTEN), broken());
   }
 
   @Test
   void aJobThatGoesBack() {
     accept("run-1", 1);
-    checker.cancelling("run-1");
+    checker.cancelRequested("run-1");
     tell("run-1", JobStatus.Phase.ABORTED, 0, 5);
     tell("run-1", JobStatus.Phase.RUNNING, 6, 7);
     assertEquals(List.of(InvariantChecker.Rule.WENT_BACK), broken());
@@ -124,7 +124,7 @@
   void aJobDoneTooSoon() {
     accept("run-1", 2);
     checker.started("a", attempt("run-1", 0, 1), 0);
-    checker.gone("a", attempt("run-1", 0, 1), true);
+    checker.stopped("a", attempt("run-1", 0, 1), true);
     tell("run-1", JobStatus.Phase.DONE, 5, 6);
     assertEquals(List.of(InvariantChecker.Rule.NOT_DONE), broken());
   }
@@ -133,7 +133,7 @@
   void aCancelledTaskThatRunsOn() {
     accept("run-1", 1);
     checker.started("a", attempt("run-1", 0, 1), 0);
-    checker.cancelling("run-1");
+    checker.cancelRequested("run-1");
     tell("run-1", JobStatus.Phase.ABORTED, 0, 5);
     checker.tick(5 + CANCEL_MS);
     assertEquals(List.of(), broken());
@@ -144,7 +144,7 @@
   @Test
   void aCancelledTaskThatStartsLate() {
     accept("run-1", 1);
-    checker.cancelling("run-1");
+    checker.cancelRequested("run-1");
     tell("run-1", JobStatus.Phase.ABORTED, 0, 5);
     checker.tick(6 + CANCEL_MS);
     checker.started("a", attempt("run-1", 0, 1), 7 + CANCEL_MS);
--- a/src/test/java/eiderfork/loadtest/LoadTestFileTest.java
+++ b/src/test/java/eiderfork/loadtest/LoadTestFileTest.java
@@ -53,8 +53,8 @@
 
   @Test
   void runsThatTakeTooMuchOfTheMachineAreRefused() {
-    assertNull(HostResourceLimits.objection(20, 1100, 6000, 24_000));
-    assertNotNull(HostResourceLimits.objection(32, 1100, 6000, 24_000));
-    assertNotNull(HostResourceLimits.objection(300, 1, 100, 1_000_000));
+    assertNull(HostResourceLimits.rejectionReason(20, 1100, 6000, 24_000));
+    assertNotNull(HostResourceLimits.rejectionReason(32, 1100, 6000, 24_000));
+    assertNotNull(HostResourceLimits.rejectionReason(300, 1, 100, 1_000_000));
   }
 }
