--- a/src/main/java/eiderfork/controller/Autoscaler.java
+++ b/src/main/java/eiderfork/controller/Autoscaler.java
@@ -133,7 +133,10 @@
   private List<Bin> availableBins() {
     List<Bin> bins = new ArrayList<>();
     for (MachineState machine : fleet.machines()) {
-      if (machine.spec == null || machine.capacity == null || machine.scalingIn || machine.faulty) {
+      if (machine.spec() == null
+          || machine.capacity() == null
+          || machine.lifecycle().isScalingIn()
+          || machine.failures().isFaulty()) {
         continue;
       }
       MachineType type = fleet.typeOf(machine);
@@ -142,8 +145,8 @@
       if (coming || liveness.isSchedulable(machine)) {
         CloudProvisioner.MachineKind kind =
             new CloudProvisioner.MachineKind(
-                machine.spec.type(), machine.spec.zone(), machine.spec.spot());
-        bins.add(new Bin(machine, kind, machine.capacity, machine.freeCapacity()));
+                machine.spec().type(), machine.spec().zone(), machine.spec().spot());
+        bins.add(new Bin(machine, kind, machine.capacity(), machine.freeCapacity()));
       }
     }
     for (StoredRecord.ScaleOutIntent open : cloud.rents().openRents()) {
@@ -205,7 +208,7 @@
     List<MachineState> suspected = new ArrayList<>();
     int live = 0;
     for (MachineState machine : fleet.machines()) {
-      if (machine.lastHeartbeat() != null && !machine.scalingIn) {
+      if (machine.lastHeartbeat() != null && !machine.lifecycle().isScalingIn()) {
         live++;
         if (leaseExpiry.isSuspected(machine)) {
           suspected.add(machine);
@@ -217,7 +220,7 @@
       return;
     }
     for (MachineState machine : suspected) {
-      for (Reservation reservation : machine.reservations) {
+      for (Reservation reservation : machine.reservations()) {
         if (reservation.isDesired()) {
           Map<String, Integer> tasksByZone = PlacementConstraints.countTasksByZone(reservation.job);
           tasksByZone.merge(machine.zone(), -1, Integer::sum);
--- a/src/main/java/eiderfork/controller/BootTimeEstimator.java
+++ b/src/main/java/eiderfork/controller/BootTimeEstimator.java
@@ -48,10 +48,10 @@
    */
   private boolean isOverdue(
       MachineState machine, MachineType type, double bootFactor, double graceMs) {
-    return machine.firstRunningMs > 0
-        ? context.nowMs - machine.firstRunningMs
+    return machine.lifecycle().firstRunningMs() > 0
+        ? context.nowMs - machine.lifecycle().firstRunningMs()
             > UNREACHABLE_GRACE_LEASES * context.workerLeaseMs() + graceMs
-        : context.nowMs - machine.knownSinceMs > type.bootS() * 1000 * bootFactor;
+        : context.nowMs - machine.lifecycle().knownSinceMs() > type.bootS() * 1000 * bootFactor;
   }
 
   /** The kinds of machine of which half of those rented lately should be up by now and are not. */
@@ -60,12 +60,12 @@
     Multiset<CloudProvisioner.MachineKind> late = HashMultiset.create();
     for (MachineState machine : fleet.machines()) {
       MachineType type = fleet.typeOf(machine);
-      if (machine.scalingIn || type == null || isPastBootWindow(machine, type)) {
+      if (machine.lifecycle().isScalingIn() || type == null || isPastBootWindow(machine, type)) {
         continue;
       }
       CloudProvisioner.MachineKind kind =
           new CloudProvisioner.MachineKind(
-              machine.spec.type(), machine.spec.zone(), machine.spec.spot());
+              machine.spec().type(), machine.spec().zone(), machine.spec().spot());
       recent.add(kind);
       if (machine.lastHeartbeat() == null && isLate(machine, type)) {
         late.add(kind);
@@ -77,6 +77,7 @@
   }
 
   private boolean isPastBootWindow(MachineState machine, MachineType type) {
-    return context.nowMs - machine.knownSinceMs > FAILED_BOOT_FACTOR * type.bootS() * 1000;
+    return context.nowMs - machine.lifecycle().knownSinceMs()
+        > FAILED_BOOT_FACTOR * type.bootS() * 1000;
   }
 }
--- a/src/main/java/eiderfork/controller/BorrowedCapacity.java
+++ b/src/main/java/eiderfork/controller/BorrowedCapacity.java
@@ -54,11 +54,11 @@
   Resources withheldFrom(JobState borrower, MachineState machine) {
     String own = borrower.spec.uid();
     return cooldowns.withheld(
-        machine.name, context.nowMs, uid -> uid.equals(own) || hasReservation(uid, machine));
+        machine.name(), context.nowMs, uid -> uid.equals(own) || hasReservation(uid, machine));
   }
 
   private static boolean hasReservation(String uid, MachineState machine) {
-    return machine.reservations.stream()
+    return machine.reservations().stream()
         .anyMatch(reservation -> reservation.job.spec.uid().equals(uid));
   }
 
@@ -74,7 +74,7 @@
         victim.isStartObserved() && context.nowMs - victim.runningSinceMs < startAndSaveMs;
     long firstMs = Math.max(startAndSaveMs, cooldownMs(type.bootS()));
     cooldowns.recordReclaim(
-        machine.name,
+        machine.name(),
         preemptor.uid(),
         preemptor.taskResources(),
         context.nowMs,
@@ -115,6 +115,6 @@
 
   /** Whether tasks on this machine can be told to stop: it has answered what it was last told. */
   boolean isResponsive(MachineState machine) {
-    return !isEnabled || machine.unansweredCommands == 0;
+    return !isEnabled || machine.commandChannel().unansweredCommands() == 0;
   }
 }
--- a/src/main/java/eiderfork/controller/CapacityIndex.java
+++ b/src/main/java/eiderfork/controller/CapacityIndex.java
@@ -66,7 +66,7 @@
 
   /** A machine has more room than before, or may be used again. */
   void capacityIncreased(MachineState machine) {
-    if (machine.indexPosition != null) {
+    if (machine.indexPosition() != null) {
       failedSearches.capacityIncreased(machine);
     }
   }
@@ -92,29 +92,29 @@
     Resources free = machine.freeCapacity();
     int cpuLevel = levelOf(free.cpus());
     int gpuLevel = levelOf(free.gpus());
-    Place place = machine.indexPosition;
+    Place place = machine.indexPosition();
     if (place == null) {
       place = new Place(groupOf(machine));
       place.group.machineCount++;
       size++;
-      machine.indexPosition = place;
+      machine.onIndexed(place);
     } else if (place.cpuLevel == cpuLevel && place.gpuLevel == gpuLevel) {
       return;
     } else {
-      removeFromLevels(place, machine.number);
+      removeFromLevels(place, machine.number());
     }
     place.cpuLevel = cpuLevel;
     place.gpuLevel = gpuLevel;
-    Group.add(place.group.byFreeCpus, cpuLevel, machine.number);
-    Group.add(place.group.byFreeGpus, gpuLevel, machine.number);
+    Group.add(place.group.byFreeCpus, cpuLevel, machine.number());
+    Group.add(place.group.byFreeGpus, gpuLevel, machine.number());
   }
 
   void remove(MachineState machine) {
-    if (machine.indexPosition != null) {
-      removeFromLevels(machine.indexPosition, machine.number);
-      machine.indexPosition.group.machineCount--;
+    if (machine.indexPosition() != null) {
+      removeFromLevels(machine.indexPosition(), machine.number());
+      machine.indexPosition().group.machineCount--;
       size--;
-      machine.indexPosition = null;
+      machine.onUnindexed();
     }
   }
 
@@ -126,7 +126,7 @@
   private Group groupOf(MachineState machine) {
     CloudProvisioner.MachineKind kind =
         new CloudProvisioner.MachineKind(
-            machine.spec.type(), machine.spec.zone(), machine.spec.spot());
+            machine.spec().type(), machine.spec().zone(), machine.spec().spot());
     return groups.computeIfAbsent(kind, Group::new);
   }
 
--- a/src/main/java/eiderfork/controller/FailedSearchCache.java
+++ b/src/main/java/eiderfork/controller/FailedSearchCache.java
@@ -19,8 +19,8 @@
   private record SearchScope(ImmutableSet<String> types, boolean spot, String zone) {
     boolean contains(MachineState machine) {
       return zone.equals(machine.zone())
-          && (types == null || types.contains(machine.spec.type()))
-          && (spot || !machine.spec.spot());
+          && (types == null || types.contains(machine.spec().type()))
+          && (spot || !machine.spec().spot());
     }
   }
 
--- a/src/main/java/eiderfork/controller/FailureHistory.java
+++ b/src/main/java/eiderfork/controller/FailureHistory.java
@@ -66,7 +66,7 @@
    * @param lastAttempt the newest attempt of the job: what was reserved by now is of the same try
    */
   void recordFailure(Reservation reservation, long lastAttempt, long nowMs) {
-    failedMachines.add(reservation.machine.name);
+    failedMachines.add(reservation.machine.name());
     lastFailureMs = nowMs;
     int failures = failuresByTask.addTo(reservation.taskIndex, 1) + 1;
     retryAtMs.put(reservation.taskIndex, nowMs + delayMs(failures));
--- a/src/main/java/eiderfork/controller/FleetLog.java
+++ b/src/main/java/eiderfork/controller/FleetLog.java
@@ -39,12 +39,12 @@
     nextLogMs = context.nowMs + context.workerLeaseMs();
     Map<String, int[]> kinds = new TreeMap<>();
     for (MachineState machine : fleet.machines()) {
-      if (machine.spec == null || machine.capacity == null) {
+      if (machine.spec() == null || machine.capacity() == null) {
         continue;
       }
       int[] n =
           kinds.computeIfAbsent(
-              machine.spec.type() + (machine.spec.spot() ? " spot" : ""), k -> new int[4]);
+              machine.spec().type() + (machine.spec().spot() ? " spot" : ""), k -> new int[4]);
       n[0]++;
       n[1] += liveness.isSchedulable(machine) ? 1 : 0;
       n[2] += (int) (machine.freeCapacity().gpus() > 0 ? machine.freeCapacity().gpus() : 0);
--- a/src/main/java/eiderfork/controller/FreeCapacity.java
+++ b/src/main/java/eiderfork/controller/FreeCapacity.java
@@ -79,7 +79,7 @@
           (claim.untilMs > nowMs || borrowedCapacity.isWritePending(claim.entry))
               && !claim.entry.isTerminal()
               && !claim.entry.pendingTasks.isEmpty()
-              && fleet.get(claim.machine.name) == claim.machine
+              && fleet.get(claim.machine.name()) == claim.machine
               && claimableFilter.test(claim.machine);
       if (lives) {
         addClaim(claim);
@@ -241,7 +241,7 @@
     if (!PlacementConstraints.isMachineAllowed(job, machine)) {
       return false;
     }
-    if (entry.failureHistory.isAvoided(machine.name, nowMs)
+    if (entry.failureHistory.isAvoided(machine.name(), nowMs)
         && entry.failureHistory.failedMachines().size() < index().size()) {
       return false;
     }
--- a/src/main/java/eiderfork/controller/GangScheduler.java
+++ b/src/main/java/eiderfork/controller/GangScheduler.java
@@ -122,12 +122,12 @@
             restrictions);
     for (int index = 0; index < job.spec.tasks(); index++) {
       MachineState machine = search.bestMachine();
-      if (machine == null || !stored.fits(index, attempt, machine.name)) {
+      if (machine == null || !stored.fits(index, attempt, machine.name())) {
         proposed.forEach(jobs::withdrawProposal);
         return false;
       }
       proposed.add(jobs.propose(job, index, attempt, machine));
-      stored.add(index, attempt, machine.name);
+      stored.add(index, attempt, machine.name());
       tasksByZone.merge(machine.zone(), 1, Integer::sum);
       search.taskPlaced();
     }
--- a/src/main/java/eiderfork/controller/ImageFetchEstimator.java
+++ b/src/main/java/eiderfork/controller/ImageFetchEstimator.java
@@ -20,11 +20,11 @@
     if (job.image() == null || type == null) {
       return 0;
     }
-    if (machine.cachedImagesGb.containsKey(job.image())) {
+    if (machine.images().contains(job.image())) {
       return remainingS(machine, job.image());
     }
     double others = 0;
-    for (String image : machine.cachedImagesGb.keySet()) {
+    for (String image : machine.images().images()) {
       others += remainingS(machine, image);
     }
     return others + job.imageGb() / type.imageFetchGbPerS();
@@ -32,6 +32,6 @@
 
   /** How long the fetch of an image that the machine was given still takes. */
   private double remainingS(MachineState machine, String image) {
-    return Math.max(0, (machine.imageReadyMs.getLong(image) - context.nowMs) / 1000.0);
+    return machine.images().remainingFetchMs(image, context.nowMs) / 1000.0;
   }
 }
--- a/src/main/java/eiderfork/controller/JobRegistry.java
+++ b/src/main/java/eiderfork/controller/JobRegistry.java
@@ -225,7 +225,7 @@
         if (machine != null && job.spec.image() != null) {
           MachineType type = fleet.typeOf(machine);
           double cacheGb = type == null ? Double.MAX_VALUE : type.imageCacheGb();
-          machine.recordImageUse(job.spec.image(), job.spec.imageGb(), cacheGb);
+          machine.images().recordUse(job.spec.image(), job.spec.imageGb(), cacheGb);
         }
       }
     }
--- a/src/main/java/eiderfork/controller/JobState.java
+++ b/src/main/java/eiderfork/controller/JobState.java
@@ -309,14 +309,14 @@
   BitmapAllocationSize bitmapSize() {
     BitmapAllocationSize size = new BitmapAllocationSize(spec.tasks(), finishedTasks);
     for (Reservation reservation : reservations.values()) {
-      size.addExisting(reservation.taskIndex, reservation.attempt, reservation.machine.name);
+      size.addExisting(reservation.taskIndex, reservation.attempt, reservation.machine.name());
     }
     return size;
   }
 
   private void addReservations(AllocationSize size) {
     for (Reservation reservation : reservations.values()) {
-      size.add(reservation.taskIndex, reservation.attempt, reservation.machine.name);
+      size.add(reservation.taskIndex, reservation.attempt, reservation.machine.name());
     }
   }
 
@@ -335,7 +335,7 @@
     ImmutableList.Builder<StoredRecord.ReservedRange> spans = ImmutableList.builder();
     StoredRecord.ReservedRange open = null;
     for (Reservation reservation : reservations.values()) {
-      String machine = reservation.machine.name;
+      String machine = reservation.machine.name();
       if (open != null
           && open.to() == reservation.taskIndex - 1
           && open.attempt() == reservation.attempt
--- a/src/main/java/eiderfork/controller/LeaseExpiry.java
+++ b/src/main/java/eiderfork/controller/LeaseExpiry.java
@@ -24,7 +24,7 @@
      * an older read of the records says nothing.
      */
     boolean isCurrent() {
-      return machine.incarnation.leaseStartMs() == leaseStartMs;
+      return machine.incarnation().leaseStartMs() == leaseStartMs;
     }
   }
 
@@ -66,8 +66,8 @@
 
   /** Whether another node answered the machine's worker in this one's place not long ago. */
   boolean isProxied(MachineState machine) {
-    return machine.leaseProxySeenMs > 0
-        && context.nowMs - machine.leaseProxySeenMs <= 2 * context.stepMs();
+    return machine.leaseProxySeenMs() > 0
+        && context.nowMs - machine.leaseProxySeenMs() <= 2 * context.stepMs();
   }
 
   /**
@@ -90,9 +90,9 @@
     boolean silent = false;
     long suspectMs = (long) (context.workerLeaseMs() * SUSPECT_SHARE);
     for (MachineState machine : fleet.withLeaseNotRenewedFor(suspectMs)) {
-      if (!machine.reservations.isEmpty()) {
+      if (!machine.reservations().isEmpty()) {
         if (hasExpired(machine)) {
-          expiredLeases.add(new ExpiredLease(machine, machine.incarnation.leaseStartMs()));
+          expiredLeases.add(new ExpiredLease(machine, machine.incarnation().leaseStartMs()));
         }
         silent |=
             machine.lastHeartbeat() != null && liveness.sinceLastContactMs(machine) > suspectMs;
@@ -126,15 +126,15 @@
     for (String name : machineNames) {
       MachineState machine = fleet.get(name);
       if (machine != null) {
-        machine.leaseProxySeenMs = context.nowMs;
+        machine.onLeaseProxySeen(context.nowMs);
       }
     }
     for (ExpiredLease expired : expiredLeases) {
       MachineState machine = expired.machine;
-      if (fleet.get(machine.name) != machine) {
+      if (fleet.get(machine.name()) != machine) {
         continue;
       }
-      if (machineNames.contains(machine.name)) {
+      if (machineNames.contains(machine.name())) {
         leaseLog.keptByProxy();
       } else if (!expired.isCurrent()) {
         leaseLog.staleRead();
@@ -157,14 +157,16 @@
    * unplaced until the cut was over.
    */
   boolean hasExpired(MachineState machine) {
-    if (!machine.incarnation.mayLeaseHaveExpired(context.nowMs, context.workerLeaseMs())) {
+    if (!machine.incarnation().mayLeaseHaveExpired(context.nowMs, context.workerLeaseMs())) {
       return false;
     }
     long olderTermsMs = liveness.hasTokenOfTerm(machine) ? 0 : peers.earlierTermsEndedMs();
     if (olderTermsMs == Long.MAX_VALUE) {
       return false;
     }
-    return machine.incarnation.hasLeaseSurelyExpired(
-        context.nowMs, context.workerLeaseMs(), olderTermsMs, context.stepMs() / 2);
+    return machine
+        .incarnation()
+        .hasLeaseSurelyExpired(
+            context.nowMs, context.workerLeaseMs(), olderTermsMs, context.stepMs() / 2);
   }
 }
--- a/src/main/java/eiderfork/controller/MachineConsolidation.java
+++ b/src/main/java/eiderfork/controller/MachineConsolidation.java
@@ -67,15 +67,16 @@
   void plan(BinPacking packing, boolean isScalingOut) {
     int emptying = 0;
     for (MachineState machine : fleet.machines()) {
-      if (machine.draining
-          && context.nowMs - machine.drainingSinceMs > MAX_DRAIN_STEPS * context.stepMs()) {
+      if (machine.lifecycle().isDraining()
+          && context.nowMs - machine.lifecycle().drainingSinceMs()
+              > MAX_DRAIN_STEPS * context.stepMs()) {
         // Something holds on to it; it is used again.
-        machine.draining = machine.scalingIn;
+        machine.lifecycle().abandonDraining();
       }
-      emptying += machine.draining && !machine.scalingIn ? 1 : 0;
+      emptying += machine.lifecycle().isDraining() && !machine.lifecycle().isScalingIn() ? 1 : 0;
     }
     if (isScalingOut) {
-      fleet.machines().forEach(machine -> machine.drainableSinceMs = 0);
+      fleet.machines().forEach(machine -> machine.lifecycle().clearDrainable());
     }
     int mayEmpty = maxConcurrentDrains() - emptying;
     if (mayEmpty <= 0 || isScalingOut) {
@@ -85,9 +86,9 @@
     Set<MachineState> spare = findRemovable(candidates, packing);
     for (MachineState machine : fleet.machines()) {
       if (!spare.contains(machine)) {
-        machine.drainableSinceMs = 0;
-      } else if (machine.drainableSinceMs == 0) {
-        machine.drainableSinceMs = context.nowMs;
+        machine.lifecycle().clearDrainable();
+      } else {
+        machine.lifecycle().markDrainable(context.nowMs);
       }
     }
     for (Bin bin : candidates) {
@@ -137,7 +138,8 @@
   private boolean isRemovableForLong(MachineState machine) {
     double keepMs =
         fleet.typeOf(machine).bootS() * 1000 * context.settings.operator().idleBootShare();
-    return machine.drainableSinceMs > 0 && context.nowMs - machine.drainableSinceMs >= keepMs;
+    return machine.lifecycle().drainableSinceMs() > 0
+        && context.nowMs - machine.lifecycle().drainableSinceMs() >= keepMs;
   }
 
   /**
@@ -150,7 +152,7 @@
     for (Bin bin : candidates) {
       boolean surely =
           tries.size() < EXAMINED_CANDIDATES * maxConcurrentDrains()
-              || bin.machine.drainableSinceMs > 0;
+              || bin.machine.lifecycle().drainableSinceMs() > 0;
       (surely ? tries : others).add(bin);
     }
     for (int i = 0; i < EXAMINED_CANDIDATES * maxConcurrentDrains() && i < others.size(); i++) {
@@ -163,21 +165,21 @@
   /** What is saved for each task that has to move. */
   private double savingPerTask(Bin bin) {
     MachineType type = fleet.typeOf(bin.machine);
-    return type.hourlyPrice(bin.kind.spot()) / bin.machine.reservations.size();
+    return type.hourlyPrice(bin.kind.spot()) / bin.machine.reservations().size();
   }
 
   private boolean canDrain(Bin bin) {
     MachineState machine = bin.machine;
     if (machine == null
-        || machine.reservations.isEmpty()
+        || machine.reservations().isEmpty()
         || fleet.typeOf(machine) == null
         || !liveness.isSchedulable(machine)
-        || context.nowMs - machine.knownSinceMs < ScaleInPolicy.MIN_CHARGE_MS
+        || context.nowMs - machine.lifecycle().knownSinceMs() < ScaleInPolicy.MIN_CHARGE_MS
         || !bin.free.equals(machine.freeCapacity())
         || bin.free.shareOf(bin.capacity) < 1 - MAX_USED_SHARE) {
       return false;
     }
-    for (Reservation reservation : machine.reservations) {
+    for (Reservation reservation : machine.reservations()) {
       boolean settled =
           reservation.job.spec.kind() == JobKind.SERVICE
               && reservation.committed
@@ -199,7 +201,7 @@
    */
   private boolean fitsElsewhere(
       Bin from, BinPacking packing, Map<Bin, Resources> left, Set<MachineState> emptied) {
-    for (Reservation reservation : from.machine.reservations) {
+    for (Reservation reservation : from.machine.reservations()) {
       Bin best = fullestTarget(reservation.job.spec, from, packing, left, emptied);
       if (best == null) {
         return false;
@@ -240,7 +242,7 @@
   /** On a machine that is the fuller one, in a zone that the job's other tasks leave open. */
   private boolean canMove(Job job, Bin from, Bin to) {
     return to.machine != null
-        && !to.machine.reservations.isEmpty()
+        && !to.machine.reservations().isEmpty()
         && liveness.isSchedulable(to.machine)
         && (to.kind.zone().equals(from.kind.zone()) || canChangeZone(job, to.kind.zone()))
         && job.allowsType(to.kind.type())
@@ -259,11 +261,11 @@
   }
 
   private void drain(MachineState machine) {
-    LOG.info("emptying {}, its {} tasks fit elsewhere", machine.name, machine.reservations.size());
-    machine.draining = true;
-    machine.drainingSinceMs = context.nowMs;
+    LOG.info(
+        "emptying {}, its {} tasks fit elsewhere", machine.name(), machine.reservations().size());
+    machine.lifecycle().beginDraining(context.nowMs);
     machine.requestCommand();
-    for (Reservation reservation : machine.reservations) {
+    for (Reservation reservation : machine.reservations()) {
       reservation.requestStop();
       jobs.refreshIndexes(reservation.job);
     }
--- /dev/null
+++ b/src/main/java/eiderfork/controller/MachineFailures.java
@@ -0,0 +1,62 @@
+package eiderfork.controller;
+
+import java.util.HashSet;
+import java.util.Set;
+
+/** The jobs that failed on a machine, and whether the machine is considered faulty. */
+final class MachineFailures {
+  /** Jobs whose task ended here with an error since a task last succeeded here. */
+  private final Set<String> failedJobs = new HashSet<>();
+
+  /** Those of them that have since succeeded on another machine. */
+  private final Set<String> jobsFailedOnlyHere = new HashSet<>();
+
+  private boolean faulty;
+
+  /** Whether the machine gets no further tasks and is to be returned. */
+  boolean isFaulty() {
+    return faulty;
+  }
+
+  /** The machine is considered faulty for good. */
+  void markFaulty() {
+    faulty = true;
+  }
+
+  /** A task of this job ended here with an error. */
+  void recordFailure(String jobUid) {
+    failedJobs.add(jobUid);
+  }
+
+  /** Whether a task of this job failed here since a task last succeeded here. */
+  boolean hasFailed(String jobUid) {
+    return failedJobs.contains(jobUid);
+  }
+
+  /** A job that failed here succeeded on another machine. */
+  void recordSuccessElsewhere(String jobUid) {
+    jobsFailedOnlyHere.add(jobUid);
+  }
+
+  /** A task succeeded here, so that earlier failures say nothing of the machine. */
+  void recordSuccess() {
+    failedJobs.clear();
+    jobsFailedOnlyHere.clear();
+  }
+
+  /** The job itself is at fault, so that its failure says nothing of the machine. */
+  void discardFailure(String jobUid) {
+    failedJobs.remove(jobUid);
+    jobsFailedOnlyHere.remove(jobUid);
+  }
+
+  /** How many jobs failed here. */
+  int failedJobCount() {
+    return failedJobs.size();
+  }
+
+  /** How many of the jobs that failed here succeeded elsewhere. */
+  int failedOnlyHereCount() {
+    return jobsFailedOnlyHere.size();
+  }
+}
--- a/src/main/java/eiderfork/controller/MachineHintPublisher.java
+++ b/src/main/java/eiderfork/controller/MachineHintPublisher.java
@@ -103,10 +103,10 @@
     int bytes = 0;
     for (int i = 0; i < machineCount && bytes < MAX_BATCH_BYTES; i++) {
       MachineState machine = fleet.nextAfter(lastMachine);
-      lastMachine = machine.number;
+      lastMachine = machine.number();
       MachineHint hint = hint(machine);
       hints.add(hint);
-      bytes += machine.name.length();
+      bytes += machine.name().length();
       for (MachineHint.ImageHint image : hint.images()) {
         bytes += image.image().length() + IMAGE_BYTES;
       }
@@ -116,13 +116,13 @@
 
   private MachineHint hint(MachineState machine) {
     List<MachineHint.ImageHint> images = new ArrayList<>();
-    for (Map.Entry<String, Double> image : machine.cachedImagesGb.entrySet()) {
-      long readyInMs = machine.imageReadyMs.getLong(image.getKey()) - context.nowMs;
-      images.add(
-          new MachineHint.ImageHint(image.getKey(), image.getValue(), Math.max(0, readyInMs)));
+    for (Map.Entry<String, Double> image : machine.images().sizesGb().entrySet()) {
+      long readyInMs = machine.images().remainingFetchMs(image.getKey(), context.nowMs);
+      images.add(new MachineHint.ImageHint(image.getKey(), image.getValue(), readyInMs));
     }
     int from = Math.max(0, images.size() - MAX_IMAGES_PER_MACHINE);
-    return new MachineHint(machine.name, ImmutableList.copyOf(images.subList(from, images.size())));
+    return new MachineHint(
+        machine.name(), ImmutableList.copyOf(images.subList(from, images.size())));
   }
 
   /** Takes what an earlier leader has told of machines that this one knows. */
@@ -141,13 +141,12 @@
 
   private static void apply(
       MachineState machine, MachineType type, MachineHint.ImageHint image, long toldMs) {
-    boolean known = machine.cachedImagesGb.containsKey(image.image());
+    boolean known = machine.images().contains(image.image());
     if (!known) {
-      machine.recordImageUse(image.image(), image.sizeGb(), type.imageCacheGb());
+      machine.images().recordUse(image.image(), image.sizeGb(), type.imageCacheGb());
     }
-    if (machine.cachedImagesGb.containsKey(image.image())
-        && !machine.imageReadyMs.containsKey(image.image())) {
-      machine.imageReadyMs.put(image.image(), toldMs + image.readyInMs());
+    if (machine.images().contains(image.image()) && !machine.images().hasReadyTime(image.image())) {
+      machine.images().recordReadyTime(image.image(), toldMs + image.readyInMs());
     }
   }
 }
--- a/src/main/java/eiderfork/controller/MachineIndexes.java
+++ b/src/main/java/eiderfork/controller/MachineIndexes.java
@@ -4,21 +4,22 @@
 import org.roaringbitmap.RoaringBitmap;
 
 /**
- * Sets of a leader's machines, by their numbers, that are kept up to date as machines change.
- * Nothing has to pass over all machines to find the few that need something.
+ * Sets of a leader's machines, by their numbers, that are updated as machines change, so that
+ * nothing has to iterate over all machines to find the few that need something.
  */
 final class MachineIndexes {
-  /** Machines to which a command should go out now. */
+  /** Machines to which a command should be sent now. */
   private final RoaringBitmap commandDue = new RoaringBitmap();
 
-  /** Machines that have not shown a token of this term. */
+  /** Machines that have not shown a fencing token of this term. */
   private final RoaringBitmap awaitingToken = new RoaringBitmap();
 
-  /** Machines with direct commands under way. */
+  /** Machines whose direct command awaits its reply. */
   private final RoaringBitmap commandInFlight = new RoaringBitmap();
 
   private final CapacityIndex capacityIndex = new CapacityIndex();
 
+  /** Forgets all machines. */
   void clear() {
     commandDue.clear();
     awaitingToken.clear();
@@ -26,40 +27,45 @@
     capacityIndex.clear();
   }
 
-  /** A machine is new; nothing is known of what it has seen. */
+  /** A machine was registered, of which nothing is known but its name. */
   void add(MachineState machine) {
-    awaitingToken.add(machine.number);
+    awaitingToken.add(machine.number());
   }
 
-  /** A machine is gone. */
+  /** A machine no longer exists. */
   void remove(MachineState machine) {
-    commandDue.remove(machine.number);
-    awaitingToken.remove(machine.number);
-    commandInFlight.remove(machine.number);
+    commandDue.remove(machine.number());
+    awaitingToken.remove(machine.number());
+    commandInFlight.remove(machine.number());
     capacityIndex.remove(machine);
   }
 
-  /** The machine takes this term's commands. */
+  /** The machine's worker has shown a fencing token of this term. */
   void recordTokenOfTerm(MachineState machine) {
-    awaitingToken.remove(machine.number);
+    awaitingToken.remove(machine.number());
   }
 
-  void commandDue(MachineState machine, boolean value) {
-    update(commandDue, machine, value);
+  /** A command should be sent to the machine now. */
+  void addCommandDue(MachineState machine) {
+    commandDue.add(machine.number());
   }
 
-  void commandInFlight(MachineState machine, boolean value) {
-    update(commandInFlight, machine, value);
+  /** No command needs to be sent to the machine now. */
+  void removeCommandDue(MachineState machine) {
+    commandDue.remove(machine.number());
   }
 
-  private static void update(RoaringBitmap set, MachineState machine, boolean value) {
-    if (value) {
-      set.add(machine.number);
-    } else {
-      set.remove(machine.number);
-    }
+  /** A direct command to the machine awaits its reply. */
+  void addCommandInFlight(MachineState machine) {
+    commandInFlight.add(machine.number());
+  }
+
+  /** No direct command to the machine awaits its reply. */
+  void removeCommandInFlight(MachineState machine) {
+    commandInFlight.remove(machine.number());
   }
 
+  /** How many direct commands await their reply. */
   int commandsInFlight() {
     return commandInFlight.getCardinality();
   }
@@ -72,7 +78,7 @@
     return RoaringBitmap.or(commandDue, awaitingToken).toArray();
   }
 
-  /** Whether a machine that holds reservations has not shown yet what it runs. */
+  /** Whether a machine that holds reservations has not shown a fencing token of this term. */
   boolean anyAwaitingToken(IntPredicate holdsReservations) {
     for (int number : awaitingToken.toArray()) {
       if (holdsReservations.test(number)) {
@@ -82,7 +88,7 @@
     return false;
   }
 
-  /** Where there is room. */
+  /** The machines by their free capacity. */
   CapacityIndex capacityIndex() {
     return capacityIndex;
   }
--- a/src/main/java/eiderfork/controller/MachineLiveness.java
+++ b/src/main/java/eiderfork/controller/MachineLiveness.java
@@ -35,20 +35,20 @@
   }
 
   boolean hasRecentHeartbeat(MachineState machine) {
-    return machine.incarnation.lastHeartbeatMs() > 0
-        && context.nowMs - machine.incarnation.lastHeartbeatMs() <= heartbeatTimeoutMs();
+    return machine.incarnation().lastHeartbeatMs() > 0
+        && context.nowMs - machine.incarnation().lastHeartbeatMs() <= heartbeatTimeoutMs();
   }
 
   /** How long ago the machine last reported or was answered in this term. */
   long sinceLastContactMs(MachineState machine) {
     return context.nowMs
-        - Math.max(machine.incarnation.lastHeartbeatMs(), machine.incarnation.leaseStartMs());
+        - Math.max(machine.incarnation().lastHeartbeatMs(), machine.incarnation().leaseStartMs());
   }
 
   /** Reports come but commands do not arrive. */
   boolean isUnresponsive(MachineState machine) {
-    return machine.unresponsiveSinceMs > 0
-        && context.nowMs - machine.unresponsiveSinceMs > heartbeatTimeoutMs();
+    return machine.commandChannel().unresponsiveSinceMs() > 0
+        && context.nowMs - machine.commandChannel().unresponsiveSinceMs() > heartbeatTimeoutMs();
   }
 
   /**
@@ -59,12 +59,12 @@
     return isInService(machine)
         && hasRecentHeartbeat(machine)
         && !isUnresponsive(machine)
-        && machine.unansweredCommands < 2
+        && machine.commandChannel().unansweredCommands() < 2
         && !mayLeaseHaveExpired(machine);
   }
 
   private boolean mayLeaseHaveExpired(MachineState machine) {
-    return machine.incarnation.mayLeaseHaveExpired(context.nowMs, context.workerLeaseMs());
+    return machine.incarnation().mayLeaseHaveExpired(context.nowMs, context.workerLeaseMs());
   }
 
   /**
@@ -73,15 +73,15 @@
    * seconds while they look for the leader.
    */
   boolean canHoldClaims(MachineState machine) {
-    return isInService(machine) && machine.unansweredCommands == 0;
+    return isInService(machine) && machine.commandChannel().unansweredCommands() == 0;
   }
 
   private boolean isInService(MachineState machine) {
-    return machine.capacity != null
+    return machine.capacity() != null
         && hasTokenOfTerm(machine)
-        && !machine.scalingIn
-        && !machine.draining
-        && !machine.faulty
+        && !machine.lifecycle().isScalingIn()
+        && !machine.lifecycle().isDraining()
+        && !machine.failures().isFaulty()
         && machine.lastHeartbeat().terminationNoticeS() == null;
   }
 }
--- a/src/main/java/eiderfork/controller/MachineRegistry.java
+++ b/src/main/java/eiderfork/controller/MachineRegistry.java
@@ -100,7 +100,7 @@
 
   /** A report of the machine is answered now, which may renew its worker's lease. */
   void renewLease(MachineState machine) {
-    machine.incarnation.renewLease(context.nowMs);
+    machine.incarnation().renewLease(context.nowMs);
     moveToEndOfLeaseOrder(machine);
   }
 
@@ -126,12 +126,12 @@
   List<MachineState> withLeaseNotRenewedFor(long minAgeMs) {
     List<MachineState> found = new ArrayList<>(unseenInTerm);
     for (MachineState machine : byLeaseStart) {
-      if (context.nowMs - machine.incarnation.leaseStartMs() <= minAgeMs) {
+      if (context.nowMs - machine.incarnation().leaseStartMs() <= minAgeMs) {
         break;
       }
       found.add(machine);
     }
-    found.sort(Comparator.comparingInt(machine -> machine.number));
+    found.sort(Comparator.comparingInt(machine -> machine.number()));
     return found;
   }
 
@@ -164,7 +164,7 @@
   }
 
   MachineType typeOf(MachineState machine) {
-    return machine.spec == null ? null : types.get(machine.spec.type());
+    return machine.spec() == null ? null : types.get(machine.spec().type());
   }
 
   /** The entry of a machine, made where there is none. */
@@ -174,38 +174,38 @@
 
   private MachineState register(String name) {
     MachineState machine = new MachineState(name, ++lastNumber, indexes, context.nowMs);
-    byNumber.put(machine.number, machine);
+    byNumber.put(machine.number(), machine);
     indexes.add(machine);
     unseenInTerm.add(machine);
     return machine;
   }
 
   MachineState getOrRegister(Machine machine) {
-    MachineState m = getOrRegister(machine.name());
-    if (m.spec == null || m.spec.address() == null) {
-      m.spec = machine;
-      updateCapacity(m);
+    MachineState state = getOrRegister(machine.name());
+    if (state.spec() == null || state.spec().address() == null) {
+      state.onIdentified(machine);
+      updateCapacity(state);
     }
-    return m;
+    return state;
   }
 
   private void updateCapacity(MachineState machine) {
     MachineType type = typeOf(machine);
     if (type != null) {
-      machine.capacity(type.capacity());
+      machine.updateCapacity(type.capacity());
     }
   }
 
   /** The machine and everything on it is gone. */
   void remove(MachineState machine, String reason) {
-    LOG.info("machine {} is gone: {}", machine.name, reason);
+    LOG.info("machine {} is gone: {}", machine.name(), reason);
     settleReservations(machine);
-    machines.remove(machine.name);
-    byNumber.remove(machine.number);
+    machines.remove(machine.name());
+    byNumber.remove(machine.number());
     indexes.remove(machine);
     unseenInTerm.remove(machine);
     byLeaseStart.remove(machine);
-    removedAtMs.put(machine.name, context.nowMs);
+    removedAtMs.put(machine.name(), context.nowMs);
   }
 
   /** Names would gather for as long as a leader leads. */
@@ -216,7 +216,7 @@
 
   /** None of the tasks reserved on this machine is there any more, nor can they start. */
   void settleReservations(MachineState machine) {
-    for (Reservation reservation : List.copyOf(machine.reservations)) {
+    for (Reservation reservation : List.copyOf(machine.reservations())) {
       jobs.settle(reservation, false);
       machine.removeReservation(reservation);
     }
@@ -235,24 +235,17 @@
         continue;
       }
       MachineState machine = getOrRegister(entry.machine());
-      machine.listedByCloud = true;
-      machine.lastAliveMs = Math.max(machine.lastAliveMs, describesMs);
-      machine.knownSinceMs =
-          Math.min(machine.knownSinceMs, context.nowMs - (long) (entry.ageS() * 1000));
-      machine.booting =
-          machine.lastHeartbeat() == null && entry.state() == ListedMachine.State.BOOTING;
-      if (entry.state() == ListedMachine.State.RUNNING && machine.firstRunningMs == 0) {
-        machine.firstRunningMs = context.nowMs;
-      }
+      boolean hasHeartbeat = machine.lastHeartbeat() != null;
+      machine.lifecycle().onListed(entry, hasHeartbeat, describesMs, context.nowMs);
       if (entry.state() == ListedMachine.State.FAILED) {
-        if (!machine.reservations.isEmpty()) {
+        if (!machine.reservations().isEmpty()) {
           settleReservations(machine);
         }
-        machine.faulty = true;
+        machine.failures().markFaulty();
       }
     }
     for (MachineState machine : List.copyOf(machines.values())) {
-      if (!entries.containsKey(machine.name) && machine.lastAliveMs < describesMs) {
+      if (!entries.containsKey(machine.name()) && machine.lifecycle().lastAliveMs() < describesMs) {
         remove(machine, "the cloud lists it no more");
       }
     }
--- a/src/main/java/eiderfork/controller/MachineScorer.java
+++ b/src/main/java/eiderfork/controller/MachineScorer.java
@@ -57,8 +57,8 @@
   double score(MachineState machine, Resources free) {
     double stranded = cpusPerGpu.strandedGpusBy(job.taskResources(), free);
     double steps = Math.floor(imageFetch.waitS(job, machine) / imageStepS);
-    double fullness = free.minus(job.taskResources()).shareOf(machine.capacity);
-    boolean wrongKind = job.spotAllowed() && machine.spec.spot() == avoidsSpot;
+    double fullness = free.minus(job.taskResources()).shareOf(machine.capacity());
+    boolean wrongKind = job.spotAllowed() && machine.spec().spot() == avoidsSpot;
     return steps
         + fullness
         + Math.max(0, stranded) * STRANDED_GPU_PENALTY_STEPS
--- a/src/main/java/eiderfork/controller/MachineSearch.java
+++ b/src/main/java/eiderfork/controller/MachineSearch.java
@@ -17,7 +17,7 @@
 final class MachineSearch {
   private record Candidate(MachineState machine, double score) {
     int machineNumber() {
-      return machine.number;
+      return machine.number();
     }
   }
 
@@ -104,7 +104,7 @@
       return;
     }
     if (!capacity.isUsable(machine)) {
-      machine.skippedBySearch = true;
+      machine.onSkippedBySearch();
       return;
     }
     zonesWithCapacity.add(machine.zone());
--- a/src/main/java/eiderfork/controller/MachineState.java
+++ b/src/main/java/eiderfork/controller/MachineState.java
@@ -3,206 +3,215 @@
 import com.google.common.collect.ImmutableList;
 import eiderfork.model.Heartbeat;
 import eiderfork.model.Machine;
+import eiderfork.model.MachineType;
 import eiderfork.model.Resources;
-import it.unimi.dsi.fastutil.objects.Object2LongOpenHashMap;
-import java.util.HashSet;
-import java.util.LinkedHashMap;
+import eiderfork.model.TaskStatus;
+import java.util.Collections;
 import java.util.LinkedHashSet;
-import java.util.Map;
 import java.util.Set;
 
-/** A machine as the leader holds it. */
+/** The leader's state of one machine: its reservations, its worker and its lifecycle. */
 final class MachineState {
-  final String name;
-
-  /** Ascends with the order in which the leader learned of its machines. */
-  final int number;
-
+  private final String name;
+  private final int number;
   private final MachineIndexes indexes;
-
-  /** Where the machine stands in the index of free room; null while it is not in it. */
-  CapacityIndex.Place indexPosition;
-
-  /** Null while only the name is known, from a rent or a reservation. */
-  Machine spec;
-
-  /** What the type offers; null while the type is not known. Changed by {@link #capacity} alone. */
-  Resources capacity;
-
-  /**
-   * What is reserved here; changed by {@link #enqueueQuery} and {@link #removeReservation} alone.
-   */
-  final Set<Reservation> reservations = new LinkedHashSet<>();
-
-  /** What the reservations take; kept, since rounds and plans ask for it at every machine. */
+  private final MachineLifecycle lifecycle;
+  private final CommandChannel commandChannel;
+  private final WorkerIncarnation incarnation = new WorkerIncarnation();
+  private final ImageCache images = new ImageCache();
+  private final MachineFailures failures = new MachineFailures();
+  private final Set<Reservation> reservations = new LinkedHashSet<>();
+  private final Set<Reservation> reservationsView = Collections.unmodifiableSet(reservations);
+
+  private CapacityIndex.Place indexPosition;
+  private Machine spec;
+  private Resources capacity;
+
+  /** Kept as a sum, since every scheduling round and plan asks for it at every machine. */
   private Resources reservedCapacity = Resources.NONE;
 
-  /** What no reservation takes; null while the room is not known. */
   private Resources freeCapacity;
+  private boolean skippedBySearch;
+  private boolean reconciled;
+  private long leaseProxySeenMs;
 
-  /**
-   * The worker's session and its lease; changed by {@link #recordHeartbeat} and {@link
-   * MachineRegistry} alone.
-   */
-  final WorkerIncarnation incarnation = new WorkerIncarnation();
-
-  /** The token that commands go out with now. */
-  long fencingToken;
-
-  /** The largest token that a start was sent with in direct commands; 0 for none. */
-  long directStartToken;
-
-  /** When a record was last seen by which another node answers its worker; 0 for never. */
-  long leaseProxySeenMs;
-
-  /** When anything last proved that the machine exists. */
-  long lastAliveMs;
+  MachineState(String name, int number, MachineIndexes indexes, long nowMs) {
+    this.name = name;
+    this.number = number;
+    this.indexes = indexes;
+    lifecycle = new MachineLifecycle(nowMs);
+    commandChannel = new CommandChannel(this, indexes);
+  }
 
-  /** When it was rented or first known, and whether the cloud says that it is booting. */
-  long knownSinceMs;
+  /** The machine's name, unique for all time. */
+  String name() {
+    return name;
+  }
 
-  boolean booting;
+  /** A number that ascends in the order in which the leader learned of its machines. */
+  int number() {
+    return number;
+  }
 
-  /** When the cloud's list first called it running in this term; 0 for not yet. */
-  long firstRunningMs;
+  /** The machine's address, type and zone; null while only its name is known. */
+  Machine spec() {
+    return spec;
+  }
 
-  /** It was listed by the cloud at least once in this term. */
-  boolean listedByCloud;
+  /** The machine's zone, empty while it is not known. */
+  String zone() {
+    return spec == null ? "" : spec.zone();
+  }
 
-  /** Direct commands are under way. */
-  private boolean commandInFlight;
+  /** The worker's address, null while it is not known. */
+  String address() {
+    return spec == null ? null : spec.address();
+  }
 
-  /** Something waits that should not wait for the next report. */
-  private boolean commandDue;
+  /** The machine's place between its provisioning and its return. */
+  MachineLifecycle lifecycle() {
+    return lifecycle;
+  }
 
-  /** A search found room here and passed it over, since no task could be placed here then. */
-  boolean skippedBySearch;
+  /** The commands to the machine's worker. */
+  CommandChannel commandChannel() {
+    return commandChannel;
+  }
 
-  /**
-   * The newest report agrees with what is reserved in every task, so that the same tasks in the
-   * next one say nothing new.
-   */
-  boolean reconciled;
+  /** The worker's newest incarnation and its lease. */
+  WorkerIncarnation incarnation() {
+    return incarnation;
+  }
 
-  int unansweredCommands;
-  long nextCommandMs;
+  /** The images that the machine holds. */
+  ImageCache images() {
+    return images;
+  }
 
-  /** Since when reports fail to show the token that was sent; 0 where they show it. */
-  long unresponsiveSinceMs;
+  /** The jobs that failed on the machine. */
+  MachineFailures failures() {
+    return failures;
+  }
 
-  /** A return is decided: nothing starts here any more. */
-  boolean scalingIn;
+  /** What the machine's type offers; null while the type is not known. */
+  Resources capacity() {
+    return capacity;
+  }
 
-  /** When its return was decided because nothing was heard of it; 0 for other reasons. */
-  long scaledInUnreachableMs;
+  /** What no reservation takes, whether its task has started or not; null without a capacity. */
+  Resources freeCapacity() {
+    return freeCapacity;
+  }
 
-  /** Its replicas are being moved away, and nothing starts here. */
-  boolean draining;
+  /** The reservations on the machine, oldest first. */
+  Set<Reservation> reservations() {
+    return reservationsView;
+  }
 
-  long drainingSinceMs;
+  /** The newest heartbeat of this term, null before the first. */
+  Heartbeat lastHeartbeat() {
+    return incarnation.lastHeartbeat();
+  }
 
-  /** Since when all that it holds would fit elsewhere; 0 while it would not. */
-  long drainableSinceMs;
+  /** The tasks of the newest heartbeat. */
+  ImmutableList<TaskStatus> reportedTasks() {
+    return lastHeartbeat() == null ? ImmutableList.of() : lastHeartbeat().tasks();
+  }
 
-  /** Since when the machine holds nothing; 0 while it holds something. */
-  long idleSinceMs;
+  /**
+   * Whether the newest heartbeat agrees with the reservations in every task, so that an equal list
+   * of tasks in the next one needs no reconciliation.
+   */
+  boolean isReconciled() {
+    return reconciled;
+  }
 
-  /** Jobs whose task ended here with an error since the last good end. */
-  final Set<String> failedJobs = new HashSet<>();
+  /** Records whether the newest heartbeat agrees with the reservations. */
+  void recordReconciliation(boolean agrees) {
+    reconciled = agrees;
+  }
 
-  /** Those of them that have since ended well on another machine. */
-  final Set<String> jobsFailedOnlyHere = new HashSet<>();
+  /** Whether a search skipped the machine's free capacity since no task could start here then. */
+  boolean isSkippedBySearch() {
+    return skippedBySearch;
+  }
 
-  boolean faulty;
+  /** A search skipped the machine's free capacity since no task can start here now. */
+  void onSkippedBySearch() {
+    skippedBySearch = true;
+  }
 
-  /** Images last used, oldest first, with their size. */
-  final Map<String, Double> cachedImagesGb = new LinkedHashMap<>();
+  /** The machine takes tasks again, which contradicts searches that skipped it. */
+  void onSchedulableAgain() {
+    skippedBySearch = false;
+    indexes.capacityIndex().capacityIncreased(this);
+  }
 
-  /** When the fetch of an image should be over. */
-  final Object2LongOpenHashMap<String> imageReadyMs = new Object2LongOpenHashMap<>();
+  /** When a lease proxy's record was last seen that names the machine; 0 for never. */
+  long leaseProxySeenMs() {
+    return leaseProxySeenMs;
+  }
 
-  MachineState(String name, int number, MachineIndexes indexes, long nowMs) {
-    this.name = name;
-    this.number = number;
-    this.indexes = indexes;
-    this.knownSinceMs = nowMs;
-    this.lastAliveMs = nowMs;
+  /** A lease proxy's record names the machine. */
+  void onLeaseProxySeen(long nowMs) {
+    leaseProxySeenMs = nowMs;
   }
 
-  String zone() {
-    return spec == null ? "" : spec.zone();
+  /** The machine's position in the index of free capacity; null while it is not indexed. */
+  CapacityIndex.Place indexPosition() {
+    return indexPosition;
   }
 
-  String address() {
-    return spec == null ? null : spec.address();
+  /** The index of free capacity has added the machine. */
+  void onIndexed(CapacityIndex.Place position) {
+    indexPosition = position;
   }
 
-  /** The newest report of this term, null before the first. */
-  Heartbeat lastHeartbeat() {
-    return incarnation.lastHeartbeat();
+  /** The index of free capacity has removed the machine. */
+  void onUnindexed() {
+    indexPosition = null;
   }
 
-  /** Takes what is known from the rent alone; the address comes with the first report or list. */
-  void provisionedAs(CloudProvisioner.MachineKind kind, eiderfork.model.MachineType type) {
+  /** Records what the provisioning request says; the address follows with a heartbeat or list. */
+  void onProvisioned(CloudProvisioner.MachineKind kind, MachineType type) {
     spec = new Machine(name, null, kind.type(), kind.zone(), kind.spot());
-    capacity(type == null ? null : type.capacity());
+    updateCapacity(type == null ? null : type.capacity());
+  }
+
+  /** The machine's properties are known from a heartbeat or the cloud's list. */
+  void onIdentified(Machine machine) {
+    spec = machine;
   }
 
-  /** Takes what the machine's type offers. */
-  void capacity(Resources offered) {
+  /** The machine's type offers this capacity; null while the type is not known. */
+  void updateCapacity(Resources offered) {
     capacity = offered;
     updateFreeCapacity();
     indexes.capacityIndex().capacityIncreased(this);
   }
 
   /**
-   * Takes the newest report.
+   * Records the newest heartbeat.
    *
-   * @return whether it is the first that is seen of its session
+   * @return whether it is the first that arrived of its incarnation
    */
   boolean recordHeartbeat(Heartbeat heartbeat, long nowMs) {
-    boolean firstOfAll = lastHeartbeat() == null;
-    boolean firstOfSession = incarnation.recordHeartbeat(heartbeat, nowMs);
-    if (firstOfAll) {
+    boolean firstOfTerm = lastHeartbeat() == null;
+    boolean firstOfIncarnation = incarnation.recordHeartbeat(heartbeat, nowMs);
+    if (firstOfTerm) {
       updateFreeCapacity();
       indexes.capacityIndex().capacityIncreased(this);
     }
-    return firstOfSession;
+    return firstOfIncarnation;
   }
 
-  private void updateFreeCapacity() {
-    reconciled = false;
-    freeCapacity = capacity == null ? null : capacity.minus(reservedCapacity);
-    if (lastHeartbeat() != null && capacity != null && spec != null) {
-      indexes.capacityIndex().update(this);
-    }
-  }
-
-  boolean isCommandDue() {
-    return commandDue;
-  }
-
-  /** Has the machine commanded soon. */
+  /** The worker should get commands without waiting for its next heartbeat. */
   void requestCommand() {
     reconciled = false;
-    commandDue = true;
-    indexes.commandDue(this, true);
-  }
-
-  void clearCommandDue() {
-    commandDue = false;
-    indexes.commandDue(this, false);
-  }
-
-  boolean hasCommandInFlight() {
-    return commandInFlight;
-  }
-
-  void setCommandInFlight(boolean value) {
-    commandInFlight = value;
-    indexes.commandInFlight(this, value);
+    commandChannel.markCommandDue();
   }
 
+  /** Reserves capacity for a task. */
   void addReservation(Reservation reservation) {
     if (reservations.add(reservation)) {
       reservedCapacity = reservedCapacity.plus(reservation.job.spec.taskResources());
@@ -210,9 +219,10 @@
     }
   }
 
+  /** Releases the capacity of a settled reservation. */
   void removeReservation(Reservation reservation) {
     if (reservations.remove(reservation)) {
-      // Nothing is left of sums of decimal amounts where nothing is left of what was added.
+      // An empty machine is exactly free: sums of decimal amounts would leave a remainder.
       reservedCapacity =
           reservations.isEmpty()
               ? Resources.NONE
@@ -222,26 +232,11 @@
     }
   }
 
-  /** What no reservation takes, whether its task has started or not. */
-  Resources freeCapacity() {
-    return freeCapacity;
-  }
-
-  ImmutableList<eiderfork.model.TaskStatus> reportedTasks() {
-    return lastHeartbeat() == null ? ImmutableList.of() : lastHeartbeat().tasks();
-  }
-
-  /** Notes that a task with this image was put here; the least recently used ones fall out. */
-  void recordImageUse(String image, double sizeGb, double cacheGb) {
-    cachedImagesGb.remove(image);
-    cachedImagesGb.put(image, sizeGb);
-    double sum = cachedImagesGb.values().stream().mapToDouble(Double::doubleValue).sum();
-    var oldest = cachedImagesGb.entrySet().iterator();
-    while (sum > cacheGb && cachedImagesGb.size() > 1) {
-      Map.Entry<String, Double> evicted = oldest.next();
-      sum -= evicted.getValue();
-      imageReadyMs.removeLong(evicted.getKey());
-      oldest.remove();
+  private void updateFreeCapacity() {
+    reconciled = false;
+    freeCapacity = capacity == null ? null : capacity.minus(reservedCapacity);
+    if (lastHeartbeat() != null && capacity != null && spec != null) {
+      indexes.capacityIndex().update(this);
     }
   }
 }
--- a/src/main/java/eiderfork/controller/PlacementConstraints.java
+++ b/src/main/java/eiderfork/controller/PlacementConstraints.java
@@ -37,8 +37,8 @@
 
   /** Whether the job's tasks may run on this kind of machine, in its zone. */
   static boolean isMachineAllowed(Job job, MachineState machine) {
-    return job.allowsType(machine.spec.type())
+    return job.allowsType(machine.spec().type())
         && job.allowsZone(machine.zone())
-        && (job.spotAllowed() || !machine.spec.spot());
+        && (job.spotAllowed() || !machine.spec().spot());
   }
 }
--- a/src/main/java/eiderfork/controller/PreemptionPlanner.java
+++ b/src/main/java/eiderfork/controller/PreemptionPlanner.java
@@ -42,7 +42,7 @@
   /** What stopping or moving some tasks of a machine would cost. */
   private record Option(MachineState machine, List<VictimTask> victims, double cost) {
     int machineNumber() {
-      return machine.number;
+      return machine.number();
     }
 
     List<PreemptionPolicy.Choice> stoppedTasks() {
@@ -200,7 +200,10 @@
       if (victim.choice == null) {
         Reservation reservation = victim.reservation;
         LOG.info(
-            "moving {} off {} for {}", reservation.toAttempt(), best.machine.name, job.spec.uid());
+            "moving {} off {} for {}",
+            reservation.toAttempt(),
+            best.machine.name(),
+            job.spec.uid());
         jobs.requestStop(reservation);
         best.machine.requestCommand();
         migratingReplicas.add(reservation);
@@ -267,7 +270,7 @@
     // A gang that borrows once claimed the room that is kept from it, and kept it from all others.
     Resources left = capacity.freeOn(machine, entry, policy.isBorrowing(entry));
     List<VictimTask> able = new ArrayList<>();
-    for (Reservation reservation : machine.reservations) {
+    for (Reservation reservation : machine.reservations()) {
       if (policy.isFreeingCapacity(reservation)) {
         left = left.plus(reservation.job.spec.taskResources());
       } else if (reservation.committed && policy.canPreemptOn(machine)) {
--- a/src/main/java/eiderfork/controller/PriorityPreemptionPolicy.java
+++ b/src/main/java/eiderfork/controller/PriorityPreemptionPolicy.java
@@ -127,7 +127,7 @@
   /** How many of a gang's tasks end for each of them on a machine. */
   static double gangTasksPerLocalTask(Reservation reservation) {
     long here =
-        reservation.machine.reservations.stream()
+        reservation.machine.reservations().stream()
             .filter(other -> other.job == reservation.job)
             .count();
     return reservation.job.spec.tasks() / (double) here;
@@ -144,7 +144,7 @@
       LOG.info(
           "stopping {} on {} for {}",
           choice.task().toAttempt(),
-          machine.name,
+          machine.name(),
           preemptor.spec.uid());
       jobs.requestStop(choice.task());
       machine.requestCommand();
--- a/src/main/java/eiderfork/controller/QuotaBorrowing.java
+++ b/src/main/java/eiderfork/controller/QuotaBorrowing.java
@@ -82,7 +82,7 @@
     }
     firstTickMs = firstTickMs == 0 ? context.nowMs : firstTickMs;
     boolean anyUnshown =
-        fleet.indexes().anyAwaitingToken(number -> !fleet.get(number).reservations.isEmpty());
+        fleet.indexes().anyAwaitingToken(number -> !fleet.get(number).reservations().isEmpty());
     canReclaim = !anyUnshown || context.nowMs - firstTickMs > liveness.heartbeatTimeoutMs();
   }
 
--- a/src/main/java/eiderfork/controller/QuotaReclaimLog.java
+++ b/src/main/java/eiderfork/controller/QuotaReclaimLog.java
@@ -43,7 +43,7 @@
         preemptor.team(),
         choice.task().toAttempt(),
         spec.team(),
-        choice.task().machine.name,
+        choice.task().machine.name(),
         choice.reason(),
         choice.plan().mode(),
         "%.1f".formatted(choice.plan().delayS()),
--- a/src/main/java/eiderfork/controller/ReplicaMigration.java
+++ b/src/main/java/eiderfork/controller/ReplicaMigration.java
@@ -92,8 +92,8 @@
         spec.kind() == JobKind.SERVICE
             && (spec.taskResources().gpus() <= 0 || gpusMove)
             && reservation.reportedState == TaskStatus.State.RUNNING
-            && spec.taskResources().shareOf(reservation.machine.capacity)
-                < job.taskResources().shareOf(reservation.machine.capacity)
+            && spec.taskResources().shareOf(reservation.machine.capacity())
+                < job.taskResources().shareOf(reservation.machine.capacity())
             && context.nowMs - reservation.runningSinceMs > MIN_RUN_STEPS * context.stepMs();
     double weight = cpusPerGpu.gpuWeight(spec.taskResources());
     return movable ? MIGRATION_STEPS * context.stepS() * weight : Double.MAX_VALUE;
--- a/src/main/java/eiderfork/controller/ReservationReconciler.java
+++ b/src/main/java/eiderfork/controller/ReservationReconciler.java
@@ -49,7 +49,7 @@
     for (TaskStatus task : machine.reportedTasks()) {
       shown.put(task.attempt(), task);
     }
-    for (Reservation reservation : List.copyOf(machine.reservations)) {
+    for (Reservation reservation : List.copyOf(machine.reservations())) {
       TaskStatus task = shown.get(reservation.toAttempt());
       if (task == null) {
         reconcileMissingTask(machine, reservation);
@@ -60,11 +60,11 @@
           reservation.runningSinceMs = context.nowMs;
           // A new leader learns from what runs which images a machine has.
           recordImageUse(machine, reservation);
-          machine.imageReadyMs.put(reservation.job.spec.image(), context.nowMs);
+          machine.images().recordReadyTime(reservation.job.spec.image(), context.nowMs);
         }
         if (task.state() == TaskStatus.State.FETCHING
-            && !machine.imageReadyMs.containsKey(reservation.job.spec.image())) {
-          machine.cachedImagesGb.remove(reservation.job.spec.image());
+            && !machine.images().hasReadyTime(reservation.job.spec.image())) {
+          machine.images().remove(reservation.job.spec.image());
           recordImageUse(machine, reservation);
         }
         reservation.reportedState = task.state();
@@ -114,7 +114,7 @@
                 > Math.max(reservation.startToken, election.firstFencingToken() - 1);
     if (!surely) {
       if ((!reservation.isDesired() || reservation.reportedState != null)
-          && reservation.startToken >= machine.fencingToken) {
+          && reservation.startToken >= machine.commandChannel().fencingToken()) {
         // Outdates the unanswered start, so that its absence can be believed.
         raiseFencingToken(machine);
       }
@@ -130,19 +130,18 @@
     JobState job = reservation.job;
     switch (task.cause()) {
       case DONE -> {
-        machine.failedJobs.clear();
-        machine.jobsFailedOnlyHere.clear();
+        machine.failures().recordSuccess();
         confirmFailuresElsewhere(machine, job);
         jobs.settle(reservation, true);
       }
       case ERROR -> {
-        LOG.info("{} failed on {}", reservation.toAttempt(), machine.name);
+        LOG.info("{} failed on {}", reservation.toAttempt(), machine.name());
         job.failureHistory.recordFailure(reservation, job.nextAttemptNumber() - 1, context.nowMs);
         recordFailure(machine, job);
         jobs.settle(reservation, false);
       }
       case NO_ROOM, BUSY, UNKNOWN -> {
-        LOG.info("{} refused on {}: {}", reservation.toAttempt(), machine.name, task.cause());
+        LOG.info("{} refused on {}: {}", reservation.toAttempt(), machine.name(), task.cause());
         job.failureHistory.recordRefusal(context.nowMs);
         jobs.settle(reservation, false);
       }
@@ -158,7 +157,7 @@
       clearFailures(job);
       return;
     }
-    machine.failedJobs.add(job.spec.uid());
+    machine.failures().recordFailure(job.spec.uid());
     markIfFaulty(machine);
   }
 
@@ -169,8 +168,8 @@
     }
     for (String name : job.failureHistory.failedMachines()) {
       MachineState failed = fleet.get(name);
-      if (failed != null && failed != machine && failed.failedJobs.contains(job.spec.uid())) {
-        failed.jobsFailedOnlyHere.add(job.spec.uid());
+      if (failed != null && failed != machine && failed.failures().hasFailed(job.spec.uid())) {
+        failed.failures().recordSuccessElsewhere(job.spec.uid());
         markIfFaulty(failed);
       }
     }
@@ -183,18 +182,18 @@
   private static void markIfFaulty(MachineState machine) {
     int needed = hasOtherRunningTasks(machine) ? FAULTY_AFTER_JOBS_BESIDE_WORK : FAULTY_AFTER_JOBS;
     boolean faulty =
-        machine.failedJobs.size() >= needed
-            || machine.jobsFailedOnlyHere.size() >= FAULTY_AFTER_JOBS;
-    if (faulty && !machine.faulty) {
-      LOG.info("machine {} is faulty", machine.name);
-      machine.faulty = true;
+        machine.failures().failedJobCount() >= needed
+            || machine.failures().failedOnlyHereCount() >= FAULTY_AFTER_JOBS;
+    if (faulty && !machine.failures().isFaulty()) {
+      LOG.info("machine {} is faulty", machine.name());
+      machine.failures().markFaulty();
     }
   }
 
   private static boolean hasOtherRunningTasks(MachineState machine) {
-    for (Reservation reservation : machine.reservations) {
+    for (Reservation reservation : machine.reservations()) {
       if (reservation.reportedState == TaskStatus.State.RUNNING
-          && !machine.failedJobs.contains(reservation.job.spec.uid())) {
+          && !machine.failures().hasFailed(reservation.job.spec.uid())) {
         return true;
       }
     }
@@ -205,15 +204,14 @@
     for (String name : job.failureHistory.failedMachines()) {
       MachineState other = fleet.get(name);
       if (other != null) {
-        other.failedJobs.remove(job.spec.uid());
-        other.jobsFailedOnlyHere.remove(job.spec.uid());
+        other.failures().discardFailure(job.spec.uid());
       }
     }
   }
 
   /** Raises the token, so that no unanswered command is executed any more. */
   void raiseFencingToken(MachineState machine) {
-    machine.fencingToken = Math.max(machine.fencingToken, election.firstFencingToken()) + 1;
+    machine.commandChannel().raiseTokenAbove(election.firstFencingToken());
     machine.requestCommand();
   }
 
@@ -224,10 +222,10 @@
     if (type == null || image == null) {
       return;
     }
-    if (!machine.cachedImagesGb.containsKey(image)) {
+    if (!machine.images().contains(image)) {
       long fetchMs = (long) (1000 * reservation.job.spec.imageGb() / type.imageFetchGbPerS());
-      machine.imageReadyMs.put(image, context.nowMs + fetchMs);
+      machine.images().recordReadyTime(image, context.nowMs + fetchMs);
     }
-    machine.recordImageUse(image, reservation.job.spec.imageGb(), type.imageCacheGb());
+    machine.images().recordUse(image, reservation.job.spec.imageGb(), type.imageCacheGb());
   }
 }
--- a/src/main/java/eiderfork/controller/ScaleInPolicy.java
+++ b/src/main/java/eiderfork/controller/ScaleInPolicy.java
@@ -38,7 +38,7 @@
   void returnUnneeded(List<Bin> bins) {
     Map<MachineState, Bin> packed = new Reference2ObjectOpenHashMap<>();
     for (Bin bin : bins) {
-      if (bin.machine != null && bin.machine.reservations.isEmpty()) {
+      if (bin.machine != null && bin.machine.reservations().isEmpty()) {
         packed.put(bin.machine, bin);
       }
     }
@@ -53,13 +53,13 @@
     // When most are silent at once it is this node that is cut off, not they that are lost.
     boolean believe = silent * 2 <= live;
     for (MachineState machine : ImmutableList.copyOf(fleet.machines())) {
-      if (machine.scalingIn || machine.spec == null) {
+      if (machine.lifecycle().isScalingIn() || machine.spec() == null) {
         continue;
       }
       MachineType type = fleet.typeOf(machine);
       double bootMs = type == null ? 0 : type.bootS() * 1000;
-      long ageMs = context.nowMs - machine.knownSinceMs;
-      if (machine.faulty) {
+      long ageMs = context.nowMs - machine.lifecycle().knownSinceMs();
+      if (machine.failures().isFaulty()) {
         cloud.returns().returnMachine(machine, "faulty");
       } else if (machine.lastHeartbeat() == null) {
         if (type != null && bootTimes.hasFailed(machine, type)) {
@@ -75,27 +75,27 @@
           && liveness.isUnresponsive(machine)
           && isUnreachableForLong(machine)) {
         cloud.returns().returnMachine(machine, "commands do not reach it");
-      } else if (machine.reservations.isEmpty() && machine.reportedTasks().isEmpty()) {
+      } else if (machine.reservations().isEmpty() && machine.reportedTasks().isEmpty()) {
         Bin bin = packed.get(machine);
-        boolean needed = bin != null && !bin.free.equals(machine.capacity);
-        if (machine.draining) {
+        boolean needed = bin != null && !bin.free.equals(machine.capacity());
+        if (machine.lifecycle().isDraining()) {
           cloud.returns().returnMachine(machine, "drained");
         } else if (needed) {
-          machine.idleSinceMs = 0;
-        } else if (machine.idleSinceMs == 0) {
-          machine.idleSinceMs = context.nowMs;
-        } else if (context.nowMs - machine.idleSinceMs
+          machine.lifecycle().clearIdle();
+        } else if (machine.lifecycle().idleSinceMs() == 0) {
+          machine.lifecycle().beginIdle(context.nowMs);
+        } else if (context.nowMs - machine.lifecycle().idleSinceMs()
                 > bootMs * context.settings.operator().idleBootShare()
             && ageMs > MIN_CHARGE_MS) {
           cloud.returns().returnMachine(machine, "idle");
         }
       } else {
-        machine.idleSinceMs = 0;
+        machine.lifecycle().clearIdle();
       }
     }
   }
 
   private boolean isUnreachableForLong(MachineState machine) {
-    return context.nowMs - machine.unresponsiveSinceMs > context.workerLeaseMs();
+    return context.nowMs - machine.commandChannel().unresponsiveSinceMs() > context.workerLeaseMs();
   }
 }
--- a/src/main/java/eiderfork/controller/ScaleInRequests.java
+++ b/src/main/java/eiderfork/controller/ScaleInRequests.java
@@ -93,7 +93,7 @@
     machineReturn.isCommitted = true;
     machineReturn.possiblyApplied = true;
     returns.put(key, machineReturn);
-    record.machines().forEach(name -> fleet.getOrRegister(name).scalingIn = true);
+    record.machines().forEach(name -> fleet.getOrRegister(name).lifecycle().beginScaleIn());
   }
 
   /** Reserves returns that were decided, and asks for those whose reservation stands. */
@@ -128,7 +128,7 @@
 
   /** Gives a machine back because nothing is heard of it; it is kept if that ends in time. */
   void returnSilent(MachineState machine, String reason) {
-    machine.scaledInUnreachableMs = context.nowMs;
+    machine.lifecycle().recordUnreachableScaleIn(context.nowMs);
     returnMachine(machine, reason);
   }
 
@@ -154,21 +154,20 @@
   private boolean keepIfRecovered(String name) {
     MachineState machine = fleet.get(name);
     if (machine == null
-        || machine.scaledInUnreachableMs == 0
-        || machine.incarnation.lastHeartbeatMs() <= machine.scaledInUnreachableMs) {
+        || machine.lifecycle().scaledInUnreachableMs() == 0
+        || machine.incarnation().lastHeartbeatMs() <= machine.lifecycle().scaledInUnreachableMs()) {
       return false;
     }
     LOG.info("keeping {}: it is heard again", name);
-    machine.scalingIn = false;
-    machine.scaledInUnreachableMs = 0;
+    machine.lifecycle().cancelScaleIn();
     return true;
   }
 
   void returnMachine(MachineState machine, String reason) {
-    if (!machine.scalingIn) {
-      LOG.info("returning {}: {}", machine.name, reason);
-      machine.scalingIn = true;
-      pendingNames.add(machine.name);
+    if (!machine.lifecycle().isScalingIn()) {
+      LOG.info("returning {}: {}", machine.name(), reason);
+      machine.lifecycle().beginScaleIn();
+      pendingNames.add(machine.name());
     }
   }
 
--- a/src/main/java/eiderfork/controller/ScaleOutRequests.java
+++ b/src/main/java/eiderfork/controller/ScaleOutRequests.java
@@ -167,10 +167,9 @@
             for (String name : rented.machines()) {
               if (!fleet.isRemoved(name)) {
                 MachineState machine = fleet.getOrRegister(name);
-                machine.booting = machine.lastHeartbeat() == null;
-                machine.lastAliveMs = context.nowMs;
-                if (machine.spec == null) {
-                  machine.provisionedAs(kind, fleet.types().get(kind.type()));
+                machine.lifecycle().onProvisioned(machine.lastHeartbeat() != null, context.nowMs);
+                if (machine.spec() == null) {
+                  machine.onProvisioned(kind, fleet.types().get(kind.type()));
                 }
               }
             }
@@ -223,7 +222,7 @@
       boolean found = true;
       for (String name : rent.machines) {
         MachineState machine = fleet.get(name);
-        found &= machine == null || machine.listedByCloud;
+        found &= machine == null || machine.lifecycle().isListedByCloud();
       }
       if (found) {
         rents.remove(rent.record.requestName());
--- a/src/main/java/eiderfork/controller/Scheduler.java
+++ b/src/main/java/eiderfork/controller/Scheduler.java
@@ -213,7 +213,7 @@
         break;
       }
       MachineState machine = search.bestMachine();
-      if (machine != null && !stored.fits(index, attempt, machine.name)) {
+      if (machine != null && !stored.fits(index, attempt, machine.name())) {
         break;
       }
       if (machine == null
@@ -228,11 +228,11 @@
             job.uid(),
             index,
             job.jobClass(),
-            machine.name,
+            machine.name(),
             imageFetch.waitS(job, machine));
       }
       jobs.propose(entry, index, attempt, machine);
-      stored.add(index, attempt, machine.name);
+      stored.add(index, attempt, machine.name());
       own.removeIf(claim -> claim.machine() == machine);
       tasksByZone.merge(machine.zone(), 1, Integer::sum);
       search.taskPlaced();
--- a/src/main/java/eiderfork/controller/WorkerCommander.java
+++ b/src/main/java/eiderfork/controller/WorkerCommander.java
@@ -90,18 +90,17 @@
     }
     MachineState machine = fleet.getOrRegister(heartbeat.machine());
     boolean news = applyHeartbeat(machine, heartbeat, false);
-    if (machine.fencingToken == 0) {
-      machine.fencingToken = election.firstFencingToken() + 1;
-    }
+    machine.commandChannel().issueFirstToken(election.firstFencingToken() + 1);
     fleet.renewLease(machine);
     reindexIfSchedulable(machine);
     // While direct commands are under way, the two ways could overtake each other.
     ImmutableList<WorkerCommand> commands = ImmutableList.of();
-    if (news && !machine.reconciled && !machine.hasCommandInFlight()) {
+    if (news && !machine.isReconciled() && !machine.commandChannel().isCommandInFlight()) {
       commands = canCommand() ? buildCommands(machine) : stopCommands(machine);
       leaseLog.commandsSent(machine, commands, false);
     }
-    context.emit(new Effect.RespondToWorker(ticket, machine.fencingToken, commands));
+    context.emit(
+        new Effect.RespondToWorker(ticket, machine.commandChannel().fencingToken(), commands));
   }
 
   /** Whether memory and lease allow any command; stopping what is cancelled asks for neither. */
@@ -143,26 +142,20 @@
 
   /** Takes a report, or the one in a direct answer, if it is the newest; whether it was. */
   private boolean applyHeartbeat(MachineState machine, Heartbeat heartbeat, boolean byCommand) {
-    if (!machine.incarnation.isNewer(heartbeat)) {
+    if (!machine.incarnation().isNewer(heartbeat)) {
       return false;
     }
     Heartbeat previous = machine.lastHeartbeat();
     boolean sameTasks = isUnchanged(machine, heartbeat);
-    long leaseBeforeMs = machine.incarnation.leaseStartMs();
+    long leaseBeforeMs = machine.incarnation().leaseStartMs();
     boolean begun =
         fleet.recordHeartbeat(
             machine, sameTasks ? heartbeat.withTasks(previous.tasks()) : heartbeat);
     if (begun && previous != null) {
       leaseLog.incarnationStarted(machine, previous.incarnation(), leaseBeforeMs, byCommand);
     }
-    machine.lastAliveMs = context.nowMs;
-    machine.booting = false;
-    if (heartbeat.fencingToken() >= machine.fencingToken) {
-      machine.unresponsiveSinceMs = 0;
-      machine.unansweredCommands = 0;
-    } else if (machine.unresponsiveSinceMs == 0) {
-      machine.unresponsiveSinceMs = context.nowMs;
-    }
+    machine.lifecycle().onHeartbeat(context.nowMs);
+    machine.commandChannel().onHeartbeat(heartbeat.fencingToken(), context.nowMs);
     if (liveness.hasTokenOfTerm(machine)
         && (previous == null || previous.fencingToken() < election.firstFencingToken())) {
       // From here on only this term's answers renew the lease.
@@ -172,7 +165,7 @@
       fleet.indexes().recordTokenOfTerm(machine);
     }
     if (recovered && !sameTasks) {
-      machine.reconciled = false;
+      machine.recordReconciliation(false);
       reconciler.reconcile(machine);
     }
     reindexIfSchedulable(machine);
@@ -185,7 +178,7 @@
    */
   private static boolean isUnchanged(MachineState machine, Heartbeat heartbeat) {
     Heartbeat previous = machine.lastHeartbeat();
-    return machine.reconciled
+    return machine.isReconciled()
         && heartbeat.incarnation() == previous.incarnation()
         && heartbeat.fencingToken() == previous.fencingToken()
         && heartbeat.terminationNoticeS() == null
@@ -194,9 +187,8 @@
 
   /** What searches have proved does not hold for a machine that they passed over. */
   private void reindexIfSchedulable(MachineState machine) {
-    if (machine.skippedBySearch && liveness.isSchedulable(machine)) {
-      machine.skippedBySearch = false;
-      fleet.indexes().capacityIndex().capacityIncreased(machine);
+    if (machine.isSkippedBySearch() && liveness.isSchedulable(machine)) {
+      machine.onSchedulableAgain();
     }
   }
 
@@ -204,12 +196,12 @@
   private ImmutableList<WorkerCommand> buildCommands(MachineState machine) {
     ImmutableList.Builder<WorkerCommand> list = ImmutableList.builder();
     Set<Attempt> held = new HashSet<>();
-    for (Reservation reservation : machine.reservations) {
+    for (Reservation reservation : machine.reservations()) {
       if (reservation.committed) {
         held.add(reservation.toAttempt());
       }
     }
-    boolean agrees = machine.reportedTasks().size() == machine.reservations.size();
+    boolean agrees = machine.reportedTasks().size() == machine.reservations().size();
     for (TaskStatus task : machine.reportedTasks()) {
       Attempt attempt = task.attempt();
       if (jobs.isFrozen(attempt.task().jobUid())) {
@@ -235,22 +227,22 @@
       }
     }
     boolean clears = list.build().stream().anyMatch(WorkerCommand.Clear.class::isInstance);
-    if (clears && machine.fencingToken <= machine.directStartToken) {
+    if (clears) {
       // A late copy of direct commands would start what is cleared anew.
-      machine.fencingToken = machine.directStartToken + 1;
+      machine.commandChannel().outdateDirectStarts();
     }
     if (liveness.isSchedulable(machine)) {
-      for (Reservation reservation : machine.reservations) {
+      for (Reservation reservation : machine.reservations()) {
         if (reservation.canStart() && !reservation.job.cancelling) {
           list.add(new WorkerCommand.Run(reservation.toAttempt()));
-          reservation.startToken = machine.fencingToken;
-          reservation.startIncarnation = machine.incarnation.number();
+          reservation.startToken = machine.commandChannel().fencingToken();
+          reservation.startIncarnation = machine.incarnation().number();
           reconciler.recordImageUse(machine, reservation);
         }
       }
     }
-    machine.clearCommandDue();
-    machine.reconciled = agrees;
+    machine.commandChannel().clearCommandDue();
+    machine.recordReconciliation(agrees);
     return list.build();
   }
 
@@ -282,36 +274,35 @@
       }
       MachineState machine = fleet.get(number);
       if (machine.address() == null
-          || machine.hasCommandInFlight()
-          || context.nowMs < machine.nextCommandMs) {
+          || !machine.commandChannel().canSendDirectCommand(context.nowMs)) {
         continue;
       }
       if (machine.lastHeartbeat() == null || !liveness.hasTokenOfTerm(machine)) {
         // Reached directly, so that an older leader's token ends there soon.
-        if (!machine.booting
+        if (!machine.lifecycle().isBooting()
             && context.nowMs - electedMs > context.stepMs()
             && free > forCommands) {
           contact(machine);
         }
-      } else if (machine.isCommandDue() && liveness.hasRecentHeartbeat(machine)) {
+      } else if (machine.commandChannel().isCommandDue() && liveness.hasRecentHeartbeat(machine)) {
         if (canCommand()) {
           sendCommands(machine);
         } else {
           sendStops(machine);
         }
       }
-      free -= machine.hasCommandInFlight() ? 1 : 0;
+      free -= machine.commandChannel().isCommandInFlight() ? 1 : 0;
     }
   }
 
   private void contact(MachineState machine) {
-    machine.setCommandInFlight(true);
+    machine.commandChannel().onDirectCommandSent();
     if (machine.lastHeartbeat() == null) {
       context.call(
           call -> new Effect.InspectWorker(call, machine.address(), context.stepMs() * 2),
           reply -> handleDirectReply(machine, reply, 0));
     } else {
-      machine.fencingToken = Math.max(machine.fencingToken, election.firstFencingToken() + 1);
+      machine.commandChannel().raiseTokenTo(election.firstFencingToken() + 1);
       sendDirectly(machine, ImmutableList.of());
     }
   }
@@ -319,13 +310,14 @@
   private void sendStops(MachineState machine) {
     ImmutableList<WorkerCommand> stops = stopCommands(machine);
     if (!stops.isEmpty()) {
-      machine.setCommandInFlight(true);
+      machine.commandChannel().onDirectCommandSent();
       sendDirectly(machine, stops);
     }
   }
 
   private void sendCommands(MachineState machine) {
-    boolean raiseOnly = machine.fencingToken > machine.lastHeartbeat().fencingToken();
+    boolean raiseOnly =
+        machine.commandChannel().fencingToken() > machine.lastHeartbeat().fencingToken();
     ImmutableList<WorkerCommand> commands = buildCommands(machine);
     List<WorkerCommand> prompt = new ArrayList<>();
     for (WorkerCommand command : commands) {
@@ -336,17 +328,17 @@
     if (prompt.isEmpty() && !raiseOnly) {
       return;
     }
-    machine.setCommandInFlight(true);
+    machine.commandChannel().onDirectCommandSent();
     if (prompt.stream().anyMatch(WorkerCommand.Run.class::isInstance)) {
-      machine.directStartToken = machine.fencingToken;
+      machine.commandChannel().recordDirectStart();
     }
     sendDirectly(machine, ImmutableList.copyOf(prompt));
   }
 
   private void sendDirectly(MachineState machine, ImmutableList<WorkerCommand> commands) {
     leaseLog.commandsSent(machine, commands, true);
-    long token = machine.fencingToken;
-    long session = machine.incarnation.number();
+    long token = machine.commandChannel().fencingToken();
+    long session = machine.incarnation().number();
     context.call(
         call ->
             new Effect.SendCommands(
@@ -355,32 +347,30 @@
   }
 
   private void handleDirectReply(MachineState machine, Reply reply, long token) {
-    if (fleet.get(machine.name) != machine || !election.isLeading()) {
+    if (fleet.get(machine.name()) != machine || !election.isLeading()) {
       return;
     }
-    machine.setCommandInFlight(false);
+    machine.commandChannel().onDirectCommandEnded();
     if (reply instanceof Reply.WorkerReply says) {
-      machine.unansweredCommands = 0;
+      machine.commandChannel().onReply();
       if (says.report().fencingToken() >= election.endOfFencingTokens()) {
         election.observeTerm(says.report().fencingToken() >> LeaderElection.TOKEN_SEQUENCE_BITS);
         return;
       }
       applyHeartbeat(machine, says.report(), true);
-      if (machine.fencingToken == 0) {
-        machine.fencingToken = election.firstFencingToken() + 1;
-      }
+      machine.commandChannel().issueFirstToken(election.firstFencingToken() + 1);
       if (!says.executed()) {
         machine.requestCommand();
       }
     } else {
       // Unanswered commands may be executed yet; a higher token ends that.
-      machine.unansweredCommands++;
       if (token > 0) {
         reconciler.raiseFencingToken(machine);
-        machine.clearCommandDue();
+        machine.commandChannel().clearCommandDue();
       }
-      machine.nextCommandMs =
-          context.nowMs + context.stepMs() + context.random.nextLong(context.stepMs());
+      machine
+          .commandChannel()
+          .onNoReply(context.nowMs + context.stepMs() + context.random.nextLong(context.stepMs()));
     }
   }
 }
--- a/src/main/java/eiderfork/controller/WorkerLeaseLog.java
+++ b/src/main/java/eiderfork/controller/WorkerLeaseLog.java
@@ -85,13 +85,13 @@
     if (canWriteLine()) {
       LOG.info(
           "session machine={} session={} before={} by={} token={} lease_before_ms={} reserved={}",
-          machine.name,
-          machine.incarnation.number(),
+          machine.name(),
+          machine.incarnation().number(),
           previousIncarnation,
           byCommand ? "command" : "report",
           machine.lastHeartbeat().fencingToken(),
           context.nowMs - previousLeaseStartMs,
-          machine.reservations.size());
+          machine.reservations().size());
     }
   }
 
@@ -102,21 +102,21 @@
    */
   void leaseExpired(MachineState machine, long readMs) {
     int running = 0;
-    for (Reservation task : machine.reservations) {
+    for (Reservation task : machine.reservations()) {
       running += task.reportedState == TaskStatus.State.RUNNING ? 1 : 0;
     }
     expiredLeases++;
-    settledTasks += machine.reservations.size();
+    settledTasks += machine.reservations().size();
     settledRunningTasks += running;
     if (canWriteLine()) {
       LOG.info(
           "lapse machine={} session={} lease_ms={} heard_ms={} read_ms={} settled={} running={}",
-          machine.name,
-          machine.incarnation.number(),
-          context.nowMs - machine.incarnation.leaseStartMs(),
-          context.nowMs - machine.incarnation.lastHeartbeatMs(),
+          machine.name(),
+          machine.incarnation().number(),
+          context.nowMs - machine.incarnation().leaseStartMs(),
+          context.nowMs - machine.incarnation().lastHeartbeatMs(),
           readMs,
-          machine.reservations.size(),
+          machine.reservations().size(),
           running);
     }
   }
@@ -136,12 +136,12 @@
     if (LOG.isDebugEnabled() && !commands.isEmpty()) {
       LOG.debug(
           "command machine={} session={} token={} by={} heard_ms={} lease_ms={} commands={}",
-          machine.name,
-          machine.incarnation.number(),
-          machine.fencingToken,
+          machine.name(),
+          machine.incarnation().number(),
+          machine.commandChannel().fencingToken(),
           sentDirectly ? "command" : "report",
-          context.nowMs - machine.incarnation.lastHeartbeatMs(),
-          context.nowMs - machine.incarnation.leaseStartMs(),
+          context.nowMs - machine.incarnation().lastHeartbeatMs(),
+          context.nowMs - machine.incarnation().leaseStartMs(),
           commands);
     }
   }
--- a/src/main/java/eiderfork/controller/WorkerReachability.java
+++ b/src/main/java/eiderfork/controller/WorkerReachability.java
@@ -88,11 +88,11 @@
     int heard = 0;
     int tasked = 0;
     for (MachineState machine : fleet.machines()) {
-      if (machine.lastHeartbeat() != null && !machine.scalingIn) {
+      if (machine.lastHeartbeat() != null && !machine.lifecycle().isScalingIn()) {
         known++;
         heard += liveness.hasRecentHeartbeat(machine) ? 1 : 0;
       }
-      tasked += machine.reservations.isEmpty() ? 0 : 1;
+      tasked += machine.reservations().isEmpty() ? 0 : 1;
     }
     if (known >= MIN_MACHINES_FOR_SILENCE
         && heard == 0
--- a/src/test/java/eiderfork/controller/AllocationSizeTest.java
+++ b/src/test/java/eiderfork/controller/AllocationSizeTest.java
@@ -82,10 +82,10 @@
           index = entry.pendingTasks.nextSetBit(index + 1)) {
         MachineState machine =
             new MachineState("n-%06d".formatted(random.nextInt(250)), 0, new MachineIndexes(), 0);
-        if (!size.fits(index, attempt, machine.name, valueKb)) {
+        if (!size.fits(index, attempt, machine.name(), valueKb)) {
           break;
         }
-        size.add(index, attempt, machine.name);
+        size.add(index, attempt, machine.name());
         entry.reservations.put(index, new Reservation(entry, index, attempt, machine));
         entry.pendingTasks.clear(index);
         entry.lastAttempt = attempt;
--- a/src/test/java/eiderfork/controller/CapacityIndexTest.java
+++ b/src/test/java/eiderfork/controller/CapacityIndexTest.java
@@ -98,7 +98,7 @@
       index.forEachCandidate(wanted, Set.of("a"), number -> named.add(fleet.get(number)));
       for (MachineState each : machines) {
         boolean fits = wanted.taskResources().fitsIn(each.freeCapacity());
-        boolean allowed = each.zone().equals("a") && (wanted.spotAllowed() || !each.spec.spot());
+        boolean allowed = each.zone().equals("a") && (wanted.spotAllowed() || !each.spec().spot());
         assertTrue(
             !fits || !allowed || named.contains(each),
             wanted.taskResources() + " on " + each.freeCapacity());
@@ -173,7 +173,7 @@
         new MachineSearch(
             capacity, scorer, random, 1000, entry, new HashMap<>(), true, SearchConstraints.NONE);
     assertEquals(null, search.bestMachine());
-    assertTrue(m.skippedBySearch);
+    assertTrue(m.isSkippedBySearch());
     assertTrue(index.failedSearches().isRuledOut(entry.spec, "a"));
   }
 }
--- a/src/test/java/eiderfork/controller/HugeArrayRecordTest.java
+++ b/src/test/java/eiderfork/controller/HugeArrayRecordTest.java
@@ -71,7 +71,7 @@
     long attempt = job.nextAttemptNumber();
     AllocationSizeLimit room = room(job, valueKb, true);
     for (MachineState machine : machines) {
-      int free = SLOTS - machine.reservations.size();
+      int free = SLOTS - machine.reservations().size();
       free -=
           (int)
               job.reservations.values().stream()
@@ -79,10 +79,10 @@
                   .count();
       for (int i = 0; i < free && !job.pendingTasks.isEmpty(); i++) {
         int index = job.pendingTasks.nextSetBit(0);
-        if (!room.fits(index, attempt, machine.name)) {
+        if (!room.fits(index, attempt, machine.name())) {
           return;
         }
-        room.add(index, attempt, machine.name);
+        room.add(index, attempt, machine.name());
         job.reservations.put(index, new Reservation(job, index, attempt, machine));
         job.pendingTasks.clear(index);
         job.lastAttempt = attempt;
--- a/src/test/java/eiderfork/controller/IncarnationLeaseExpiryTest.java
+++ b/src/test/java/eiderfork/controller/IncarnationLeaseExpiryTest.java
@@ -92,7 +92,7 @@
 
   /** A direct command that only raises the token, and its answer. */
   private void commandDirectly(boolean executed, long session, TaskStatus... tasks) {
-    machine.fencingToken++;
+    machine.commandChannel().raiseTokenAbove(0);
     machine.requestCommand();
     commander.tick();
     answerDirectly(executed, session, tasks);
@@ -129,7 +129,11 @@
   void aTaskOfANewSessionOutlivesTheLeaseOfTheOneBefore(int answeredBeforeMs) {
     Reservation first = startTask();
     elapseUnderCommands(context.workerLeaseMs() - answeredBeforeMs, first);
-    sendHeartbeat(INCARNATION, ++sequenceNumber, machine.fencingToken, runningStatus(first));
+    sendHeartbeat(
+        INCARNATION,
+        ++sequenceNumber,
+        machine.commandChannel().fencingToken(),
+        runningStatus(first));
     elapseUnderCommands(answeredBeforeMs + TICK_MS, first);
     commandDirectly(false, NEXT_INCARNATION);
     assertNull(job.reservations.get(0), "the session before is over");
@@ -148,7 +152,7 @@
   void aReadFromBeforeANewSessionSettlesNothingOfIt() {
     startTask();
     Consumer<Set<String>> read = beginToExpire();
-    sendHeartbeat(INCARNATION, ++sequenceNumber, machine.fencingToken);
+    sendHeartbeat(INCARNATION, ++sequenceNumber, machine.commandChannel().fencingToken());
     advance(TICK_MS);
     commandDirectly(false, NEXT_INCARNATION);
     Reservation task = startInNextIncarnation();
@@ -163,7 +167,11 @@
   void aReadFromBeforeTheLastAnswerSettlesNothing() {
     Reservation task = startTask();
     Consumer<Set<String>> read = beginToExpire();
-    sendHeartbeat(INCARNATION, ++sequenceNumber, machine.fencingToken, runningStatus(task));
+    sendHeartbeat(
+        INCARNATION,
+        ++sequenceNumber,
+        machine.commandChannel().fencingToken(),
+        runningStatus(task));
     context.nowMs += context.workerLeaseMs() + JUDGED_MS;
     read.accept(Set.of());
     assertSame(task, job.reservations.get(0));
@@ -178,7 +186,11 @@
     assertTrue(liveness.hasRecentHeartbeat(machine));
     assertTrue(leaseExpiry.hasExpired(machine));
     assertFalse(liveness.isSchedulable(machine));
-    sendHeartbeat(INCARNATION, ++sequenceNumber, machine.fencingToken, runningStatus(task));
+    sendHeartbeat(
+        INCARNATION,
+        ++sequenceNumber,
+        machine.commandChannel().fencingToken(),
+        runningStatus(task));
     assertTrue(liveness.isSchedulable(machine), "its lease is renewed");
   }
 
--- a/src/test/java/eiderfork/controller/JobRegistryTest.java
+++ b/src/test/java/eiderfork/controller/JobRegistryTest.java
@@ -96,7 +96,7 @@
     }
     jobs.restoreCachedImages(fleet);
     // The cache of this type holds two, and the record of the third job is the oldest.
-    assertEquals(List.of("img-2", "img-1"), List.copyOf(machine.cachedImagesGb.keySet()));
+    assertEquals(List.of("img-2", "img-1"), List.copyOf(machine.images().images()));
   }
 
   /** What is counted as jobs change is what a look at every job would count. */
--- a/src/test/java/eiderfork/controller/PreemptionTest.java
+++ b/src/test/java/eiderfork/controller/PreemptionTest.java
@@ -78,7 +78,7 @@
   }
 
   private static long countStopping(MachineState machine) {
-    return machine.reservations.stream().filter(Reservation::isStopping).count();
+    return machine.reservations().stream().filter(Reservation::isStopping).count();
   }
 
   @Test
@@ -95,7 +95,7 @@
   void theWaitForAnImageCountsLikeWorkThatIsThrownAway() {
     MachineState cached = fullMachine("n-1", 25_000);
     MachineState uncached = fullMachine("n-2", 10_000);
-    cached.recordImageUse("web-img", 40, 100);
+    cached.images().recordUse("web-img", 40, 100);
     // 40 GB take 20 s, more than the 15 s that the other tasks have run for less.
     assertEquals(1, preemptFor(add(JobKind.SERVICE, 1, Priority.HIGH, "web-img")));
     assertEquals(1, countStopping(cached));
@@ -109,6 +109,6 @@
     assertEquals(0, preemptFor(service));
     assertEquals(0, countStopping(machine));
     assertFalse(service.pendingTasks.isEmpty());
-    assertTrue(machine.reservations.stream().allMatch(Reservation::isDesired));
+    assertTrue(machine.reservations().stream().allMatch(Reservation::isDesired));
   }
 }
--- a/src/test/java/eiderfork/controller/WorkerCommanderTest.java
+++ b/src/test/java/eiderfork/controller/WorkerCommanderTest.java
@@ -52,15 +52,15 @@
     assertEquals(List.of(), sendHeartbeat(INCARNATION, 4, firstToken, runningStatus(task)));
     assertSame(tasks, machine.lastHeartbeat().tasks());
     assertEquals(4, machine.lastHeartbeat().sequenceNumber());
-    assertEquals(context.nowMs, machine.incarnation.lastHeartbeatMs());
-    assertEquals(context.nowMs, machine.incarnation.leaseStartMs());
+    assertEquals(context.nowMs, machine.incarnation().lastHeartbeatMs());
+    assertEquals(context.nowMs, machine.incarnation().leaseStartMs());
   }
 
   @Test
   void theSameTasksAreLookedAtAgainOnceSomethingElseIsWanted() {
     Reservation task = startTask();
     sendHeartbeat(INCARNATION, 4, firstToken, runningStatus(task));
-    assertTrue(machine.reconciled);
+    assertTrue(machine.isReconciled());
     Reservation second = jobs.propose(job, 1, 2, machine);
     jobs.write(job, RequestPriority.START);
     answerStore(new Reply.Committed(6));
@@ -68,7 +68,7 @@
         List.of(new WorkerCommand.Run(second.toAttempt())),
         sendHeartbeat(INCARNATION, 5, firstToken, runningStatus(task)));
     sendHeartbeat(INCARNATION, 6, firstToken, runningStatus(task), runningStatus(second));
-    assertTrue(machine.reconciled);
+    assertTrue(machine.isReconciled());
     jobs.markCancelled(job.spec.uid());
     assertEquals(
         List.of(
@@ -88,7 +88,7 @@
         sendHeartbeat(INCARNATION, 5, firstToken, runningStatus(task)));
     task.revokeStop();
     sendHeartbeat(INCARNATION, 6, firstToken, runningStatus(task));
-    assertTrue(machine.reconciled);
+    assertTrue(machine.isReconciled());
     fleet.settleReservations(machine);
     assertEquals(
         List.of(new WorkerCommand.Kill(task.toAttempt(), 0)),
@@ -113,11 +113,11 @@
     Reservation task = startTask();
     commander.onElected();
     sendHeartbeat(INCARNATION, 4, firstToken, runningStatus(task));
-    machine.clearCommandDue();
+    machine.commandChannel().clearCommandDue();
     commander.onJobCancelled("run-of-another-job");
-    assertFalse(machine.isCommandDue());
+    assertFalse(machine.commandChannel().isCommandDue());
     commander.onJobCancelled(job.spec.uid());
-    assertTrue(machine.isCommandDue());
+    assertTrue(machine.commandChannel().isCommandDue());
   }
 
   /** Searches knew nothing of a machine that was silent, though it had room. */
@@ -128,10 +128,10 @@
     proved.recordFailure(waits, "a");
     sendHeartbeat(INCARNATION, 2, firstToken);
     assertTrue(proved.isRuledOut(waits, "a"), "nothing has changed");
-    machine.skippedBySearch = true;
+    machine.onSkippedBySearch();
     sendHeartbeat(INCARNATION, 3, firstToken);
     assertFalse(proved.isRuledOut(waits, "a"));
-    assertFalse(machine.skippedBySearch);
+    assertFalse(machine.isSkippedBySearch());
   }
 
   /** Whose lease may have lapsed is looked for from the front of this order. */
@@ -168,10 +168,10 @@
   void aSearchThatPassedOverALapsedMachineIsContradictedWithTheAnswerThatRenewsIt() {
     context.nowMs += context.workerLeaseMs() + context.stepMs();
     assertFalse(liveness.isSchedulable(machine));
-    machine.skippedBySearch = true;
+    machine.onSkippedBySearch();
     sendHeartbeat(INCARNATION, 2, firstToken);
     assertTrue(liveness.isSchedulable(machine));
-    assertFalse(machine.skippedBySearch);
+    assertFalse(machine.isSkippedBySearch());
   }
 
   /** Tasks of another session are other runs, though they look alike. */
@@ -198,8 +198,10 @@
     Reservation task = startTask();
     sendHeartbeat(INCARNATION, 4, firstToken);
     assertEquals(task, job.reservations.get(0), "the start may still be under way");
-    assertTrue(machine.fencingToken > task.startToken, "a higher token outdates the start");
-    sendHeartbeat(INCARNATION, 5, machine.fencingToken);
+    assertTrue(
+        machine.commandChannel().fencingToken() > task.startToken,
+        "a higher token outdates the start");
+    sendHeartbeat(INCARNATION, 5, machine.commandChannel().fencingToken());
     assertNull(job.reservations.get(0));
   }
 
@@ -305,7 +307,7 @@
     Effect.SendCommands sent = effects(Effect.SendCommands.class).get(0);
     assertEquals(ImmutableList.of(new WorkerCommand.Run(task.toAttempt())), sent.commands());
     context.completeCall(sent.callId(), new Reply.Unanswered());
-    assertTrue(machine.fencingToken > sent.fencingToken());
+    assertTrue(machine.commandChannel().fencingToken() > sent.fencingToken());
   }
 
   /** Without any one of them a leader that is deposed, late or cancelled against would write. */
