--- a/src/main/java/eiderfork/controller/Controller.java
+++ b/src/main/java/eiderfork/controller/Controller.java
@@ -362,7 +362,7 @@
     standby.hints().clear();
     failoverTimer.stateRecovered(copied);
     users.ready(true);
-    commander.recovered();
+    commander.onRecovered();
     fleet.machines().forEach(commander::reconcile);
   }
 
--- /dev/null
+++ b/src/main/java/eiderfork/controller/HeartbeatRecorder.java
@@ -0,0 +1,100 @@
+package eiderfork.controller;
+
+import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.election.LeaderElection;
+import eiderfork.model.Heartbeat;
+
+/** Applies heartbeats to the leader's state, whether a worker sent them or replied with them. */
+final class HeartbeatRecorder {
+  private final ControllerContext context;
+  private final LeaderElection election;
+  private final MachineRegistry fleet;
+  private final MachineLiveness liveness;
+  private final WorkerLeaseLog leaseLog;
+  private final CommandPermission permission;
+  private final ReservationReconciler reconciler;
+
+  HeartbeatRecorder(
+      ControllerContext context,
+      LeaderElection election,
+      MachineRegistry fleet,
+      MachineLiveness liveness,
+      WorkerLeaseLog leaseLog,
+      CommandPermission permission,
+      ReservationReconciler reconciler) {
+    this.context = context;
+    this.election = election;
+    this.fleet = fleet;
+    this.liveness = liveness;
+    this.leaseLog = leaseLog;
+    this.permission = permission;
+    this.reconciler = reconciler;
+  }
+
+  /**
+   * Applies a heartbeat if it is the newest of its machine.
+   *
+   * @param isCommandReply the heartbeat came as the reply to a direct command
+   * @return whether it was the newest
+   */
+  boolean record(MachineState machine, Heartbeat heartbeat, boolean isCommandReply) {
+    if (!machine.incarnation().isNewer(heartbeat)) {
+      return false;
+    }
+    Heartbeat previous = machine.lastHeartbeat();
+    boolean unchanged = isUnchanged(machine, heartbeat);
+    recordIncarnation(
+        machine, unchanged ? heartbeat.withTasks(previous.tasks()) : heartbeat, isCommandReply);
+    machine.lifecycle().onHeartbeat(context.nowMs);
+    machine.commandChannel().onHeartbeat(heartbeat.fencingToken(), context.nowMs);
+    recordTokenOfTerm(machine, previous);
+    if (permission.isRecovered() && !unchanged) {
+      machine.recordReconciliation(false);
+      reconciler.reconcile(machine);
+    }
+    contradictSkippedSearch(machine);
+    return true;
+  }
+
+  /** Searches that skipped the machine must not rely on that once it takes tasks again. */
+  void contradictSkippedSearch(MachineState machine) {
+    if (machine.isSkippedBySearch() && liveness.isSchedulable(machine)) {
+      machine.onSchedulableAgain();
+    }
+  }
+
+  private void recordIncarnation(
+      MachineState machine, Heartbeat heartbeat, boolean isCommandReply) {
+    Heartbeat previous = machine.lastHeartbeat();
+    long previousLeaseStartMs = machine.incarnation().leaseStartMs();
+    boolean isFirst = fleet.recordHeartbeat(machine, heartbeat);
+    if (isFirst && previous != null) {
+      leaseLog.incarnationStarted(
+          machine, previous.incarnation(), previousLeaseStartMs, isCommandReply);
+    }
+  }
+
+  /** Once a worker has shown a token of this term, only this leader's answers renew its lease. */
+  private void recordTokenOfTerm(MachineState machine, Heartbeat previous) {
+    if (!liveness.hasTokenOfTerm(machine)) {
+      return;
+    }
+    if (previous == null || previous.fencingToken() < election.firstFencingToken()) {
+      fleet.renewLease(machine);
+    }
+    fleet.indexes().recordTokenOfTerm(machine);
+  }
+
+  /**
+   * Whether a heartbeat has the tasks of the previous one, which agreed with the reservations. Most
+   * do, and nothing follows from them but that the machine is alive.
+   */
+  private static boolean isUnchanged(MachineState machine, Heartbeat heartbeat) {
+    Heartbeat previous = machine.lastHeartbeat();
+    return machine.isReconciled()
+        && heartbeat.incarnation() == previous.incarnation()
+        && heartbeat.fencingToken() == previous.fencingToken()
+        && heartbeat.terminationNoticeS() == null
+        && heartbeat.tasks().equals(previous.tasks());
+  }
+}
--- a/src/main/java/eiderfork/controller/QuotaPreemptionPolicy.java
+++ b/src/main/java/eiderfork/controller/QuotaPreemptionPolicy.java
@@ -150,7 +150,7 @@
     if (deferredPreemptions.isPending(reservation)) {
       return true;
     }
-    long marginMs = WorkerCommander.CHECKPOINT_MARGIN_STEPS * context.stepMs();
+    long marginMs = CommandBuilder.CHECKPOINT_MARGIN_STEPS * context.stepMs();
     return !reservation.isDesired()
         && borrowedCapacity.isResponsive(reservation.machine)
         && !reservation.isSaveOverdue(context.nowMs, marginMs);
--- a/src/main/java/eiderfork/controller/WorkerCommander.java
+++ b/src/main/java/eiderfork/controller/WorkerCommander.java
@@ -4,40 +4,32 @@
 import eiderfork.controller.context.ControllerContext;
 import eiderfork.controller.election.LeaderElection;
 import eiderfork.controller.message.Effect;
-import eiderfork.controller.message.Reply;
-import eiderfork.model.Attempt;
 import eiderfork.model.Heartbeat;
 import eiderfork.model.TaskStatus;
 import eiderfork.model.WorkerCommand;
-import java.util.ArrayList;
-import java.util.HashSet;
-import java.util.List;
-import java.util.Set;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
 
 /**
- * The leader's dealings with workers: compares what is reserved with what is reported, and sends
- * the commands that bring the two together.
+ * The leader's side of the worker protocol: answers heartbeats, and brings what workers run and
+ * what is reserved on their machines together.
  */
 final class WorkerCommander {
-  private static final Logger LOG = LoggerFactory.getLogger(WorkerCommander.class);
-
-  /** How much longer than it should a save may take before it is given up, in steps. */
-  static final int CHECKPOINT_MARGIN_STEPS = 3;
-
   private final ControllerContext context;
   private final LeaderElection election;
   private final JobRegistry jobs;
   private final MachineRegistry fleet;
-  private final CancellationTracker cancellations;
-  private final MachineLiveness liveness;
   private final LeaseExpiry leaseExpiry;
   private final WorkerLeaseLog leaseLog;
+  private final CommandPermission permission;
   private final ReservationReconciler reconciler;
-  private boolean recovered;
-  private long electedMs;
+  private final CommandBuilder commandBuilder;
+  private final HeartbeatRecorder heartbeatRecorder;
+  private final DirectCommandSender directCommands;
 
+  /**
+   * Makes a commander that commands nothing before its node is elected and recovered.
+   *
+   * @param requestRound is called where a scheduling round has something new to place
+   */
   WorkerCommander(
       ControllerContext context,
       LeaderElection election,
@@ -52,69 +44,83 @@
     this.election = election;
     this.jobs = jobs;
     this.fleet = fleet;
-    this.cancellations = cancellations;
-    this.liveness = liveness;
     this.leaseExpiry = leaseExpiry;
     this.leaseLog = leaseLog;
+    permission = new CommandPermission(election);
     reconciler = new ReservationReconciler(context, election, jobs, fleet, requestRound);
-  }
-
+    commandBuilder = new CommandBuilder(context, jobs, cancellations, liveness, reconciler);
+    heartbeatRecorder =
+        new HeartbeatRecorder(context, election, fleet, liveness, leaseLog, permission, reconciler);
+    directCommands =
+        new DirectCommandSender(
+            context,
+            election,
+            fleet,
+            liveness,
+            leaseLog,
+            permission,
+            reconciler,
+            commandBuilder,
+            heartbeatRecorder);
+  }
+
+  /** This node is elected leader; its state is not recovered yet. */
   void onElected() {
-    recovered = false;
+    permission.onElected();
     leaseExpiry.onElected();
     leaseLog.reset();
-    electedMs = context.nowMs;
+    directCommands.onElected();
   }
 
-  /** Brings the reservations on a machine up to what its newest report shows. */
-  void reconcile(MachineState machine) {
-    reconciler.reconcile(machine);
+  /** The leader's state is recovered from the store. */
+  void onRecovered() {
+    permission.onRecovered();
   }
 
-  void recovered() {
-    recovered = true;
+  /** Updates the reservations on a machine from its newest heartbeat. */
+  void reconcile(MachineState machine) {
+    reconciler.reconcile(machine);
   }
 
-  /** A worker reports to this node, which leads. */
+  /** Handles a heartbeat that a worker sent to this node, which leads. */
   void handleHeartbeat(long ticket, Heartbeat heartbeat) {
-    String name = heartbeat.machine().name();
     if (heartbeat.fencingToken() >= election.endOfFencingTokens()) {
-      // Another leader rules this worker, so this one's term is over.
+      // A later leader commands this worker, so this one's term is over.
       election.observeTerm(heartbeat.fencingToken() >> LeaderElection.TOKEN_SEQUENCE_BITS);
       context.emit(new Effect.RedirectWorker(ticket, null));
-      return;
-    }
-    if (fleet.isRemoved(name)) {
+    } else if (fleet.isRemoved(heartbeat.machine().name())) {
       context.emit(new Effect.RedirectWorker(ticket, null));
-      return;
+    } else {
+      respond(ticket, heartbeat);
     }
+  }
+
+  private void respond(long ticket, Heartbeat heartbeat) {
     MachineState machine = fleet.getOrRegister(heartbeat.machine());
-    boolean news = applyHeartbeat(machine, heartbeat, false);
-    machine.commandChannel().issueFirstToken(election.firstFencingToken() + 1);
+    CommandChannel channel = machine.commandChannel();
+    boolean isNewest = heartbeatRecorder.record(machine, heartbeat, false);
+    channel.issueFirstToken(election.firstFencingToken() + 1);
     fleet.renewLease(machine);
-    reindexIfSchedulable(machine);
-    // While direct commands are under way, the two ways could overtake each other.
+    heartbeatRecorder.contradictSkippedSearch(machine);
     ImmutableList<WorkerCommand> commands = ImmutableList.of();
-    if (news && !machine.isReconciled() && !machine.commandChannel().isCommandInFlight()) {
-      commands = canCommand() ? buildCommands(machine) : stopCommands(machine);
+    // A response could overtake direct commands that are in flight.
+    if (isNewest && !machine.isReconciled() && !channel.isCommandInFlight()) {
+      commands =
+          permission.canCommand()
+              ? commandBuilder.build(machine)
+              : commandBuilder.stopsOfCancelledJobs(machine);
       leaseLog.commandsSent(machine, commands, false);
     }
-    context.emit(
-        new Effect.RespondToWorker(ticket, machine.commandChannel().fencingToken(), commands));
-  }
-
-  /** Whether memory and lease allow any command; stopping what is cancelled asks for neither. */
-  private boolean canCommand() {
-    return election.isLeaseValid() && recovered;
+    context.emit(new Effect.RespondToWorker(ticket, channel.fencingToken(), commands));
   }
 
   /**
-   * A job turned out to be cancelled: what machines show of it is to stop. Where memory holds the
-   * job, its reservations tell where it runs, and what runs without one is stopped at the next
-   * report anyhow.
+   * A job turned out to be cancelled: its reported tasks are to stop. A recovered leader that has
+   * the job in memory stops them by their reservations instead, and tasks without one at the next
+   * heartbeat.
    */
   void onJobCancelled(String uid) {
-    if (recovered && jobs.get(uid) != null) {
+    if (permission.isRecovered() && jobs.get(uid) != null) {
       return;
     }
     for (MachineState machine : fleet.machines()) {
@@ -126,251 +132,12 @@
     }
   }
 
-  /**
-   * The tasks of cancelled jobs, stopped at once. This is right without the state service and
-   * before anything is rebuilt: a confirmed cancellation is final.
-   */
-  private ImmutableList<WorkerCommand> stopCommands(MachineState machine) {
-    ImmutableList.Builder<WorkerCommand> list = ImmutableList.builder();
-    for (TaskStatus task : machine.reportedTasks()) {
-      if (!task.hasEnded() && cancellations.contains(task.attempt().task().jobUid())) {
-        list.add(new WorkerCommand.Kill(task.attempt(), 0));
-      }
-    }
-    return list.build();
-  }
-
-  /** Takes a report, or the one in a direct answer, if it is the newest; whether it was. */
-  private boolean applyHeartbeat(MachineState machine, Heartbeat heartbeat, boolean byCommand) {
-    if (!machine.incarnation().isNewer(heartbeat)) {
-      return false;
-    }
-    Heartbeat previous = machine.lastHeartbeat();
-    boolean sameTasks = isUnchanged(machine, heartbeat);
-    long leaseBeforeMs = machine.incarnation().leaseStartMs();
-    boolean begun =
-        fleet.recordHeartbeat(
-            machine, sameTasks ? heartbeat.withTasks(previous.tasks()) : heartbeat);
-    if (begun && previous != null) {
-      leaseLog.incarnationStarted(machine, previous.incarnation(), leaseBeforeMs, byCommand);
-    }
-    machine.lifecycle().onHeartbeat(context.nowMs);
-    machine.commandChannel().onHeartbeat(heartbeat.fencingToken(), context.nowMs);
-    if (liveness.hasTokenOfTerm(machine)
-        && (previous == null || previous.fencingToken() < election.firstFencingToken())) {
-      // From here on only this term's answers renew the lease.
-      fleet.renewLease(machine);
-    }
-    if (liveness.hasTokenOfTerm(machine)) {
-      fleet.indexes().recordTokenOfTerm(machine);
-    }
-    if (recovered && !sameTasks) {
-      machine.recordReconciliation(false);
-      reconciler.reconcile(machine);
-    }
-    reindexIfSchedulable(machine);
-    return true;
-  }
-
-  /**
-   * Whether a report has the tasks of the one before, which agreed with what is reserved. Most
-   * reports do, and nothing follows from them but that the machine is alive.
-   */
-  private static boolean isUnchanged(MachineState machine, Heartbeat heartbeat) {
-    Heartbeat previous = machine.lastHeartbeat();
-    return machine.isReconciled()
-        && heartbeat.incarnation() == previous.incarnation()
-        && heartbeat.fencingToken() == previous.fencingToken()
-        && heartbeat.terminationNoticeS() == null
-        && heartbeat.tasks().equals(previous.tasks());
-  }
-
-  /** What searches have proved does not hold for a machine that they passed over. */
-  private void reindexIfSchedulable(MachineState machine) {
-    if (machine.isSkippedBySearch() && liveness.isSchedulable(machine)) {
-      machine.onSchedulableAgain();
-    }
-  }
-
-  /** The commands that a worker needs now. */
-  private ImmutableList<WorkerCommand> buildCommands(MachineState machine) {
-    ImmutableList.Builder<WorkerCommand> list = ImmutableList.builder();
-    Set<Attempt> held = new HashSet<>();
-    for (Reservation reservation : machine.reservations()) {
-      if (reservation.committed) {
-        held.add(reservation.toAttempt());
-      }
-    }
-    boolean agrees = machine.reportedTasks().size() == machine.reservations().size();
-    for (TaskStatus task : machine.reportedTasks()) {
-      Attempt attempt = task.attempt();
-      if (jobs.isFrozen(attempt.task().jobUid())) {
-        agrees = false;
-        continue;
-      }
-      JobState job = jobs.get(attempt.task().jobUid());
-      Reservation reservation = job == null ? null : job.reservations.get(attempt.task().index());
-      boolean ours = reservation != null && held.contains(attempt);
-      agrees &= ours && reservation.isDesired() && reservation.job.gang == null && isActive(task);
-      if (task.hasEnded()) {
-        if (!ours
-            && (job == null
-                || !jobs.mustRetainAttempt(job, attempt.number(), attempt.task().index()))) {
-          list.add(new WorkerCommand.Clear(attempt));
-        }
-      } else if (!ours) {
-        list.add(new WorkerCommand.Kill(attempt, 0));
-      } else if (!reservation.isDesired()) {
-        list.add(
-            new WorkerCommand.Kill(
-                attempt, isCheckpointOverdue(reservation) ? 0 : reservation.stopGraceS()));
-      }
-    }
-    boolean clears = list.build().stream().anyMatch(WorkerCommand.Clear.class::isInstance);
-    if (clears) {
-      // A late copy of direct commands would start what is cleared anew.
-      machine.commandChannel().outdateDirectStarts();
-    }
-    if (liveness.isSchedulable(machine)) {
-      for (Reservation reservation : machine.reservations()) {
-        if (reservation.canStart() && !reservation.job.cancelling) {
-          list.add(new WorkerCommand.Run(reservation.toAttempt()));
-          reservation.startToken = machine.commandChannel().fencingToken();
-          reservation.startIncarnation = machine.incarnation().number();
-          reconciler.recordImageUse(machine, reservation);
-        }
-      }
-    }
-    machine.commandChannel().clearCommandDue();
-    machine.recordReconciliation(agrees);
-    return list.build();
-  }
-
-  /** A save that hangs is given up: its GPUs are wanted, and the task would never end. */
-  private boolean isCheckpointOverdue(Reservation reservation) {
-    return context.settings.operator().isLendingEnabled()
-        && reservation.job.gang == null
-        && reservation.isSaveOverdue(context.nowMs, CHECKPOINT_MARGIN_STEPS * context.stepMs());
-  }
-
-  private static boolean isActive(TaskStatus task) {
-    return task.state() == TaskStatus.State.RUNNING || task.state() == TaskStatus.State.FETCHING;
-  }
-
+  /** Settles expired leases and sends the direct commands that are due. */
   void tick() {
-    if (recovered) {
+    if (permission.isRecovered()) {
       leaseExpiry.settleExpired();
     }
     leaseLog.logSummaryIfDue();
-    // Every worker turns to a new leader at once, and commands go out beside that; without a bound
-    // on them the sockets ran out, and nobody could connect.
-    int forCommands = context.settings.controllerResources().maxOutboundConnections() / 2;
-    int free =
-        context.settings.controllerResources().maxOutboundConnections()
-            - fleet.indexes().commandsInFlight();
-    for (int number : fleet.indexes().machinesToContact()) {
-      if (free <= 0) {
-        return;
-      }
-      MachineState machine = fleet.get(number);
-      if (machine.address() == null
-          || !machine.commandChannel().canSendDirectCommand(context.nowMs)) {
-        continue;
-      }
-      if (machine.lastHeartbeat() == null || !liveness.hasTokenOfTerm(machine)) {
-        // Reached directly, so that an older leader's token ends there soon.
-        if (!machine.lifecycle().isBooting()
-            && context.nowMs - electedMs > context.stepMs()
-            && free > forCommands) {
-          contact(machine);
-        }
-      } else if (machine.commandChannel().isCommandDue() && liveness.hasRecentHeartbeat(machine)) {
-        if (canCommand()) {
-          sendCommands(machine);
-        } else {
-          sendStops(machine);
-        }
-      }
-      free -= machine.commandChannel().isCommandInFlight() ? 1 : 0;
-    }
-  }
-
-  private void contact(MachineState machine) {
-    machine.commandChannel().onDirectCommandSent();
-    if (machine.lastHeartbeat() == null) {
-      context.call(
-          call -> new Effect.InspectWorker(call, machine.address(), context.stepMs() * 2),
-          reply -> handleDirectReply(machine, reply, 0));
-    } else {
-      machine.commandChannel().raiseTokenTo(election.firstFencingToken() + 1);
-      sendDirectly(machine, ImmutableList.of());
-    }
-  }
-
-  private void sendStops(MachineState machine) {
-    ImmutableList<WorkerCommand> stops = stopCommands(machine);
-    if (!stops.isEmpty()) {
-      machine.commandChannel().onDirectCommandSent();
-      sendDirectly(machine, stops);
-    }
-  }
-
-  private void sendCommands(MachineState machine) {
-    boolean raiseOnly =
-        machine.commandChannel().fencingToken() > machine.lastHeartbeat().fencingToken();
-    ImmutableList<WorkerCommand> commands = buildCommands(machine);
-    List<WorkerCommand> prompt = new ArrayList<>();
-    for (WorkerCommand command : commands) {
-      if (!(command instanceof WorkerCommand.Clear)) {
-        prompt.add(command);
-      }
-    }
-    if (prompt.isEmpty() && !raiseOnly) {
-      return;
-    }
-    machine.commandChannel().onDirectCommandSent();
-    if (prompt.stream().anyMatch(WorkerCommand.Run.class::isInstance)) {
-      machine.commandChannel().recordDirectStart();
-    }
-    sendDirectly(machine, ImmutableList.copyOf(prompt));
-  }
-
-  private void sendDirectly(MachineState machine, ImmutableList<WorkerCommand> commands) {
-    leaseLog.commandsSent(machine, commands, true);
-    long token = machine.commandChannel().fencingToken();
-    long session = machine.incarnation().number();
-    context.call(
-        call ->
-            new Effect.SendCommands(
-                call, machine.address(), token, session, commands, context.stepMs() * 2),
-        reply -> handleDirectReply(machine, reply, token));
-  }
-
-  private void handleDirectReply(MachineState machine, Reply reply, long token) {
-    if (fleet.get(machine.name()) != machine || !election.isLeading()) {
-      return;
-    }
-    machine.commandChannel().onDirectCommandEnded();
-    if (reply instanceof Reply.WorkerReply says) {
-      machine.commandChannel().onReply();
-      if (says.report().fencingToken() >= election.endOfFencingTokens()) {
-        election.observeTerm(says.report().fencingToken() >> LeaderElection.TOKEN_SEQUENCE_BITS);
-        return;
-      }
-      applyHeartbeat(machine, says.report(), true);
-      machine.commandChannel().issueFirstToken(election.firstFencingToken() + 1);
-      if (!says.executed()) {
-        machine.requestCommand();
-      }
-    } else {
-      // Unanswered commands may be executed yet; a higher token ends that.
-      if (token > 0) {
-        reconciler.raiseFencingToken(machine);
-        machine.commandChannel().clearCommandDue();
-      }
-      machine
-          .commandChannel()
-          .onNoReply(context.nowMs + context.stepMs() + context.random.nextLong(context.stepMs()));
-    }
+    directCommands.sendDue();
   }
 }
--- a/src/test/java/eiderfork/controller/LeaderAndWorkerFixture.java
+++ b/src/test/java/eiderfork/controller/LeaderAndWorkerFixture.java
@@ -88,7 +88,7 @@
     assertTrue(election.isLeaseValid());
     context.drainEffects();
     commander.onElected();
-    commander.recovered();
+    commander.onRecovered();
     fleet.types(
         ImmutableList.of(
             new MachineType("g4", new Resources(4, 4, 64), 50, 2, 8, 3, 4, ImmutableList.of("a"))));
