--- a/src/main/java/eiderfork/controller/ReservationReconciler.java
+++ b/src/main/java/eiderfork/controller/ReservationReconciler.java
@@ -3,6 +3,7 @@
 import eiderfork.controller.context.ControllerContext;
 import eiderfork.controller.election.LeaderElection;
 import eiderfork.model.Attempt;
+import eiderfork.model.Heartbeat;
 import eiderfork.model.MachineType;
 import eiderfork.model.TaskStatus;
 import java.util.HashMap;
@@ -11,20 +12,15 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Brings reservations up to what workers report, and settles those that a report proves over. */
+/** Updates reservations from heartbeats, and settles those that a heartbeat proves ended. */
 final class ReservationReconciler {
   private static final Logger LOG = LoggerFactory.getLogger(ReservationReconciler.class);
 
-  /** Jobs that must fail on a machine, and on no other, to condemn it. */
-  private static final int FAULTY_AFTER_JOBS = 2;
-
-  /** The same where other work goes on beside them. */
-  private static final int FAULTY_AFTER_JOBS_BESIDE_WORK = 4;
-
   private final ControllerContext context;
   private final LeaderElection election;
   private final JobRegistry jobs;
   private final MachineRegistry fleet;
+  private final FaultDetector faultDetector;
   private final Runnable requestRound;
 
   ReservationReconciler(
@@ -38,49 +34,58 @@
     this.jobs = jobs;
     this.fleet = fleet;
     this.requestRound = requestRound;
+    faultDetector = new FaultDetector(fleet);
   }
 
-  /** Brings the reservations up to what the newest report shows. */
+  /** Updates the reservations on a machine from its newest heartbeat. */
   void reconcile(MachineState machine) {
     if (machine.lastHeartbeat() == null) {
       return;
     }
-    Map<Attempt, TaskStatus> shown = new HashMap<>();
+    Map<Attempt, TaskStatus> reported = new HashMap<>();
     for (TaskStatus task : machine.reportedTasks()) {
-      shown.put(task.attempt(), task);
+      reported.put(task.attempt(), task);
     }
     for (Reservation reservation : List.copyOf(machine.reservations())) {
-      TaskStatus task = shown.get(reservation.toAttempt());
+      TaskStatus task = reported.get(reservation.toAttempt());
       if (task == null) {
         reconcileMissingTask(machine, reservation);
       } else if (task.hasEnded()) {
         reconcileEndedTask(machine, reservation, task);
       } else {
-        if (task.state() == TaskStatus.State.RUNNING && reservation.runningSinceMs == 0) {
-          reservation.runningSinceMs = context.nowMs;
-          // A new leader learns from what runs which images a machine has.
-          recordImageUse(machine, reservation);
-          machine.images().recordReadyTime(reservation.job.spec.image(), context.nowMs);
-        }
-        if (task.state() == TaskStatus.State.FETCHING
-            && !machine.images().hasReadyTime(reservation.job.spec.image())) {
-          machine.images().remove(reservation.job.spec.image());
-          recordImageUse(machine, reservation);
-        }
-        reservation.reportedState = task.state();
-        if (reservation.job.gang != null) {
-          reconcileGang(machine, reservation);
-        } else if (reservation.reportedState == TaskStatus.State.CHECKPOINTING
-            && context.settings.operator().isLendingEnabled()) {
-          reconcileCheckpoint(reservation);
-        }
+        reconcileLiveTask(machine, reservation, task);
       }
     }
   }
 
+  private void reconcileLiveTask(MachineState machine, Reservation reservation, TaskStatus task) {
+    reconcileImage(machine, reservation, task);
+    reservation.reportedState = task.state();
+    if (reservation.job.gang != null) {
+      reconcileGang(machine, reservation);
+    } else if (reservation.reportedState == TaskStatus.State.CHECKPOINTING
+        && context.settings.operator().isLendingEnabled()) {
+      reconcileCheckpoint(reservation);
+    }
+  }
+
+  /** A new leader learns from the tasks which images a machine has. */
+  private void reconcileImage(MachineState machine, Reservation reservation, TaskStatus task) {
+    String image = reservation.job.spec.image();
+    if (task.state() == TaskStatus.State.RUNNING && reservation.runningSinceMs == 0) {
+      reservation.runningSinceMs = context.nowMs;
+      recordImageUse(machine, reservation);
+      machine.images().recordReadyTime(image, context.nowMs);
+    }
+    if (task.state() == TaskStatus.State.FETCHING && !machine.images().hasReadyTime(image)) {
+      machine.images().remove(image);
+      recordImageUse(machine, reservation);
+    }
+  }
+
   /**
-   * A task that saves was told to stop, if not by this leader then by an older one. Without this a
-   * new leader would take it for one that goes on, and stop another in its stead.
+   * A task that checkpoints was stopped, if not by this leader then by an earlier one. A new leader
+   * must not count it as one that goes on, or it would preempt another one in its place.
    */
   private void reconcileCheckpoint(Reservation reservation) {
     reservation.onSavingReported(context.nowMs);
@@ -91,14 +96,18 @@
   }
 
   private void reconcileGang(MachineState machine, Reservation reservation) {
-    if (reservation.reportedState == TaskStatus.State.CHECKPOINTING && reservation.isDesired()) {
-      // An older leader has begun to stop the gang; tasks that are not told in time lose the save.
+    if (!reservation.isDesired()) {
+      return;
+    }
+    Double terminationNoticeS = machine.lastHeartbeat().terminationNoticeS();
+    if (reservation.reportedState == TaskStatus.State.CHECKPOINTING) {
+      // An earlier leader has begun to stop the gang; a task that is not stopped in time fails the
+      // checkpoint of all.
       reservation.job.gang.requestSave();
       jobs.refreshIndexes(reservation.job);
-    } else if (machine.lastHeartbeat().terminationNoticeS() != null
-        && reservation.reportedState == TaskStatus.State.RUNNING
-        && reservation.isDesired()) {
-      reservation.job.gang.onTerminationNotice(machine.lastHeartbeat().terminationNoticeS());
+    } else if (terminationNoticeS != null
+        && reservation.reportedState == TaskStatus.State.RUNNING) {
+      reservation.job.gang.onTerminationNotice(terminationNoticeS);
       jobs.refreshIndexes(reservation.job);
     }
   }
@@ -107,37 +116,38 @@
     if (!reservation.committed) {
       return;
     }
-    boolean surely =
-        machine.lastHeartbeat().incarnation() > reservation.startIncarnation
-                && reservation.startIncarnation > 0
-            || machine.lastHeartbeat().fencingToken()
-                > Math.max(reservation.startToken, election.firstFencingToken() - 1);
-    if (!surely) {
-      if ((!reservation.isDesired() || reservation.reportedState != null)
-          && reservation.startToken >= machine.commandChannel().fencingToken()) {
-        // Outdates the unanswered start, so that its absence can be believed.
-        raiseFencingToken(machine);
-      }
+    boolean mayHaveEnded = !reservation.isDesired() || reservation.reportedState != null;
+    if (!mayHaveEnded) {
       return;
     }
-    if (!reservation.isDesired() || reservation.reportedState != null) {
+    if (isStartOutdated(machine.lastHeartbeat(), reservation)) {
       jobs.settle(reservation, false);
       requestRound.run();
+    } else if (reservation.startToken >= machine.commandChannel().fencingToken()) {
+      // Outdates the unanswered start, so that its absence can be believed.
+      raiseFencingToken(machine);
     }
   }
 
+  /** Whether a start that is still on its way would be dropped by the worker. */
+  private boolean isStartOutdated(Heartbeat heartbeat, Reservation reservation) {
+    boolean isLaterIncarnation =
+        reservation.startIncarnation > 0 && heartbeat.incarnation() > reservation.startIncarnation;
+    long newestStartToken = Math.max(reservation.startToken, election.firstFencingToken() - 1);
+    return isLaterIncarnation || heartbeat.fencingToken() > newestStartToken;
+  }
+
   private void reconcileEndedTask(MachineState machine, Reservation reservation, TaskStatus task) {
     JobState job = reservation.job;
     switch (task.cause()) {
       case DONE -> {
-        machine.failures().recordSuccess();
-        confirmFailuresElsewhere(machine, job);
+        faultDetector.recordSuccess(machine, job);
         jobs.settle(reservation, true);
       }
       case ERROR -> {
         LOG.info("{} failed on {}", reservation.toAttempt(), machine.name());
         job.failureHistory.recordFailure(reservation, job.nextAttemptNumber() - 1, context.nowMs);
-        recordFailure(machine, job);
+        faultDetector.recordFailure(machine, job);
         jobs.settle(reservation, false);
       }
       case NO_ROOM, BUSY, UNKNOWN -> {
@@ -150,66 +160,7 @@
     requestRound.run();
   }
 
-  /** Whether the machine is to blame for the failure, or the job. */
-  private void recordFailure(MachineState machine, JobState job) {
-    if (job.failureHistory.isJobAtFault()) {
-      // It fails everywhere: no machine is to blame for it.
-      clearFailures(job);
-      return;
-    }
-    machine.failures().recordFailure(job.spec.uid());
-    markIfFaulty(machine);
-  }
-
-  /** A job ends well here: where it failed before, the machine is to blame. */
-  private void confirmFailuresElsewhere(MachineState machine, JobState job) {
-    if (job.failureHistory.isJobAtFault() || job.failureHistory.isSuspected()) {
-      return;
-    }
-    for (String name : job.failureHistory.failedMachines()) {
-      MachineState failed = fleet.get(name);
-      if (failed != null && failed != machine && failed.failures().hasFailed(job.spec.uid())) {
-        failed.failures().recordSuccessElsewhere(job.spec.uid());
-        markIfFaulty(failed);
-      }
-    }
-  }
-
-  /**
-   * Two jobs with a mistake may come to a good machine first. Where other work goes on, all that
-   * runs there is given up only if they ended well elsewhere, or once more jobs have failed.
-   */
-  private static void markIfFaulty(MachineState machine) {
-    int needed = hasOtherRunningTasks(machine) ? FAULTY_AFTER_JOBS_BESIDE_WORK : FAULTY_AFTER_JOBS;
-    boolean faulty =
-        machine.failures().failedJobCount() >= needed
-            || machine.failures().failedOnlyHereCount() >= FAULTY_AFTER_JOBS;
-    if (faulty && !machine.failures().isFaulty()) {
-      LOG.info("machine {} is faulty", machine.name());
-      machine.failures().markFaulty();
-    }
-  }
-
-  private static boolean hasOtherRunningTasks(MachineState machine) {
-    for (Reservation reservation : machine.reservations()) {
-      if (reservation.reportedState == TaskStatus.State.RUNNING
-          && !machine.failures().hasFailed(reservation.job.spec.uid())) {
-        return true;
-      }
-    }
-    return false;
-  }
-
-  private void clearFailures(JobState job) {
-    for (String name : job.failureHistory.failedMachines()) {
-      MachineState other = fleet.get(name);
-      if (other != null) {
-        other.failures().discardFailure(job.spec.uid());
-      }
-    }
-  }
-
-  /** Raises the token, so that no unanswered command is executed any more. */
+  /** Raises the fencing token, so that no unanswered command is executed any more. */
   void raiseFencingToken(MachineState machine) {
     machine.commandChannel().raiseTokenAbove(election.firstFencingToken());
     machine.requestCommand();
@@ -222,10 +173,11 @@
     if (type == null || image == null) {
       return;
     }
+    double sizeGb = reservation.job.spec.imageGb();
     if (!machine.images().contains(image)) {
-      long fetchMs = (long) (1000 * reservation.job.spec.imageGb() / type.imageFetchGbPerS());
+      long fetchMs = (long) (1000 * sizeGb / type.imageFetchGbPerS());
       machine.images().recordReadyTime(image, context.nowMs + fetchMs);
     }
-    machine.images().recordUse(image, reservation.job.spec.imageGb(), type.imageCacheGb());
+    machine.images().recordUse(image, sizeGb, type.imageCacheGb());
   }
 }
