--- a/src/main/java/eiderfork/controller/Controller.java
+++ b/src/main/java/eiderfork/controller/Controller.java
@@ -344,7 +344,7 @@
   private void clearLeaderState() {
     rebuilt = false;
     reader.cancelPending();
-    users.ready(false);
+    users.setRecovered(false);
     readBarrier.failWaiters();
     cancellations.reset();
     archiver.reset();
@@ -361,7 +361,7 @@
     hintPublisher.apply(standby.hints());
     standby.hints().clear();
     failoverTimer.stateRecovered(copied);
-    users.ready(true);
+    users.setRecovered(true);
     commander.recovered();
     fleet.machines().forEach(commander::reconcile);
   }
--- a/src/main/java/eiderfork/controller/FailureHistory.java
+++ b/src/main/java/eiderfork/controller/FailureHistory.java
@@ -107,10 +107,7 @@
   void restore(StoredRecord.Allocation allocation, int tasks) {
     long lastAttempt = allocation.lastAttempt();
     lastCountedAttempt = lastAttempt;
-    int reserved = 0;
-    for (StoredRecord.ReservedRange span : allocation.reserved()) {
-      reserved += span.to() - span.from() + 1;
-    }
+    int reserved = allocation.reservedTaskCount();
     boolean seemsOnTrial = allocation.finished().isEmpty() && reserved <= 1 && reserved < tasks;
     if (seemsOnTrial && lastAttempt >= SUSPECT_ATTEMPTS) {
       suspected = true;
--- a/src/main/java/eiderfork/controller/JobAdmission.java
+++ b/src/main/java/eiderfork/controller/JobAdmission.java
@@ -23,11 +23,17 @@
 import java.util.function.Consumer;
 import java.util.function.ObjLongConsumer;
 
-/** Judges submissions and writes those that can run; each job is stored once, by whatever node. */
+/** Validates submissions and stores those that can run; any node stores a job, exactly once. */
 final class JobAdmission {
-  /** When to come back with a job that waits for the last node to be upgraded. */
+  /** When to retry a job that waits for the last node to be upgraded. */
   private static final int VERSION_RETRY_S = 2;
 
+  /** When to retry while the machine types are unknown. */
+  private static final int MACHINE_TYPES_RETRY_S = 2;
+
+  private static final int BAD_REQUEST_STATUS = 400;
+  private static final int UNPROCESSABLE_STATUS = 422;
+
   private final ControllerContext context;
   private final StoreClient store;
   private final MachineRegistry fleet;
@@ -36,13 +42,13 @@
   private final LoadShedder loadShedder;
   private final ObjLongConsumer<Job> onAccepted;
 
-  /** Submissions whose write is under way, with those that wait for its end. */
+  /** The users that wait for a write in flight, by the uid of the job that it stores. */
   private final Map<String, List<Consumer<UserResponse>>> pendingSubmissions = new HashMap<>();
 
   private ImmutableMap<String, MachineType> storedMachineTypes = ImmutableMap.of();
 
   /**
-   * @param onAccepted takes each job that was stored from here, with the revision of that
+   * @param onAccepted receives each job that this node stored, with the revision of the write
    */
   JobAdmission(
       ControllerContext context,
@@ -66,22 +72,20 @@
     return job.kind() == JobKind.GANG && !version.isSupportedByAll(ClusterVersion.PACKED_ALLOCS);
   }
 
-  /** Takes a submission where memory does not hold all that is committed. */
-  void admitAfterLookup(Job job, Consumer<UserResponse> answer) {
-    // A known job is never judged again, so it is looked up first; not behind the polls, which
-    // once held submissions up for seconds at nodes that could not reach the leader.
-    storedJobs.status(
+  /** Handles a submission while memory does not hold all that is committed. */
+  void admitAfterLookup(Job job, Consumer<UserResponse> onComplete) {
+    // A known job is never validated again, so it is looked up first. The lookup has the priority
+    // of a submission: behind the polls it would wait for seconds.
+    storedJobs.readStatus(
         job.uid(),
         RequestPriority.SUBMIT,
-        status -> {
-          if (status == null) {
-            answer.accept(UserResponse.unavailable());
-          } else if (status.isPresent()) {
-            answer.accept(UserResponse.ok(status.get()));
+        lookup -> {
+          if (!(lookup instanceof JobLookup.NotFound)) {
+            onComplete.accept(lookup.toResponse(UserResponse.unavailable()));
           } else if (machineTypes().isEmpty()) {
-            loadMachineTypes(() -> admitNew(job, answer));
+            loadMachineTypes(() -> admitNew(job, onComplete));
           } else {
-            admitNew(job, answer);
+            admitNew(job, onComplete);
           }
         });
   }
@@ -105,62 +109,51 @@
         });
   }
 
-  /** Takes a submission of a job that is not known here. */
-  void admitNew(Job job, Consumer<UserResponse> answer) {
+  /** Handles a submission of a job that is not in memory. */
+  void admitNew(Job job, Consumer<UserResponse> onComplete) {
     if (mustWaitForVersion(job)) {
-      version.loadStored(() -> admitIfVersionAllows(job, answer));
+      version.loadStored(() -> admitIfVersionAllows(job, onComplete));
     } else {
-      validateAndStore(job, answer);
+      validateAndStore(job, onComplete);
     }
   }
 
-  private void admitIfVersionAllows(Job job, Consumer<UserResponse> answer) {
+  private void admitIfVersionAllows(Job job, Consumer<UserResponse> onComplete) {
     if (mustWaitForVersion(job)) {
-      answer.accept(
+      onComplete.accept(
           UserResponse.retryAfter(VERSION_RETRY_S, "not every node runs the new version yet"));
     } else {
-      validateAndStore(job, answer);
+      validateAndStore(job, onComplete);
     }
   }
 
-  private void validateAndStore(Job job, Consumer<UserResponse> answer) {
+  private void validateAndStore(Job job, Consumer<UserResponse> onComplete) {
     if (machineTypes().isEmpty()) {
-      answer.accept(UserResponse.retryAfter(2, "the machine types are not known yet"));
+      onComplete.accept(
+          UserResponse.retryAfter(MACHINE_TYPES_RETRY_S, "the machine types are not known yet"));
       return;
     }
     String error = rejectionReason(job);
     if (error != null) {
-      // Memory may lag behind a peer that took this job; only an unknown job may be refused.
-      storedJobs.status(
-          job.uid(),
-          RequestPriority.SUBMIT,
-          status -> {
-            if (status == null) {
-              answer.accept(UserResponse.unavailable());
-            } else if (status.isPresent()) {
-              answer.accept(UserResponse.ok(status.get()));
-            } else {
-              answer.accept(UserResponse.refused(422, error));
-            }
-          });
-      return;
-    }
-    List<Consumer<UserResponse>> waiting = pendingSubmissions.get(job.uid());
-    if (waiting != null) {
-      waiting.add(answer);
-      return;
-    }
-    if (loadShedder.rejects(store.writeWaitMs(RequestPriority.SUBMIT), answer)) {
-      return;
+      // Memory may lag behind a peer that accepted this job; only an unknown job may be refused.
+      UserResponse refusal = UserResponse.refused(UNPROCESSABLE_STATUS, error);
+      respondWithStoredStatus(job.uid(), refusal, List.of(onComplete));
+    } else if (pendingSubmissions.containsKey(job.uid())) {
+      pendingSubmissions.get(job.uid()).add(onComplete);
+    } else if (!loadShedder.rejects(store.writeWaitMs(RequestPriority.SUBMIT), onComplete)) {
+      storeSpec(job, onComplete);
     }
-    waiting = new ArrayList<>();
-    waiting.add(answer);
+  }
+
+  private void storeSpec(Job job, Consumer<UserResponse> onComplete) {
+    List<Consumer<UserResponse>> waiting = new ArrayList<>();
+    waiting.add(onComplete);
     pendingSubmissions.put(job.uid(), waiting);
     store.send(
         new StoreRequest.Transaction(
             ImmutableList.of(
                 new StoreRequest.Condition(StoreKeys.job(job.uid()), 0),
-                // Carried out late, this write may come after the job was done and archived.
+                // Applied late, this write may follow the job's completion and archival.
                 new StoreRequest.Condition(StoreKeys.ended(job.uid()), 0)),
             ImmutableList.of(
                 StoreRequest.Change.put(StoreKeys.job(job.uid()), new StoredRecord.JobSpec(job)))),
@@ -172,32 +165,30 @@
     List<Consumer<UserResponse>> waiting = pendingSubmissions.remove(job.uid());
     if (reply instanceof Reply.Committed committed) {
       onAccepted.accept(job, committed.revision());
-      JobStatus status = JobState.status(job, StoredRecord.Allocation.EMPTY, 0);
+      JobStatus status = JobStatus.of(job, StoredRecord.Allocation.EMPTY, 0);
       waiting.get(0).accept(UserResponse.created(status));
       waiting.stream().skip(1).forEach(each -> each.accept(UserResponse.ok(status)));
     } else if (reply instanceof Reply.Conflict) {
       respondWithStoredStatus(job.uid(), UserResponse.unavailable(), waiting);
     } else if (reply instanceof Reply.Refused refused && refused.isMalformed()) {
       // A peer may have stored it before the service's limits fell.
-      UserResponse never = UserResponse.refused(400, "larger than what can be stored");
-      respondWithStoredStatus(job.uid(), never, waiting);
+      UserResponse refusal =
+          UserResponse.refused(BAD_REQUEST_STATUS, "larger than what can be stored");
+      respondWithStoredStatus(job.uid(), refusal, waiting);
     } else {
-      // It may be written yet; the user's own repeat finds out.
+      // The write may still be applied; the user's own retry finds out.
       waiting.forEach(each -> each.accept(UserResponse.unavailable()));
     }
   }
 
-  /** Answers with the job as it is stored, or with {@code otherwise} where it is not. */
+  /** Responds with the job as it is stored, or with {@code whenNotFound} where it is not. */
   private void respondWithStoredStatus(
-      String uid, UserResponse otherwise, List<Consumer<UserResponse>> waiting) {
-    storedJobs.status(
+      String uid, UserResponse whenNotFound, List<Consumer<UserResponse>> waiting) {
+    storedJobs.readStatus(
         uid,
         RequestPriority.SUBMIT,
-        status -> {
-          UserResponse response =
-              status == null
-                  ? UserResponse.unavailable()
-                  : status.map(UserResponse::ok).orElse(otherwise);
+        lookup -> {
+          UserResponse response = lookup.toResponse(whenNotFound);
           waiting.forEach(each -> each.accept(response));
         });
   }
@@ -208,16 +199,16 @@
     if (team == null) {
       return "unknown team " + job.team();
     }
-    boolean fits = false;
-    for (MachineType type : machineTypes().values()) {
-      boolean zone = job.requiredZone() == null || type.zones().contains(job.requiredZone());
-      fits |= job.allowsType(type.name()) && zone && job.taskResources().fitsIn(type.capacity());
-    }
-    if (!fits) {
+    if (machineTypes().values().stream().noneMatch(type -> canHoldTask(type, job))) {
       return "a task fits no allowed machine type";
     }
-    Resources least =
+    Resources minimum =
         job.kind() == JobKind.ARRAY ? job.taskResources() : job.taskResources().times(job.tasks());
-    return team.isWithinLimit(least) ? null : "more than the limit of team " + job.team();
+    return team.isWithinLimit(minimum) ? null : "more than the limit of team " + job.team();
+  }
+
+  private static boolean canHoldTask(MachineType type, Job job) {
+    boolean isInZone = job.requiredZone() == null || type.zones().contains(job.requiredZone());
+    return job.allowsType(type.name()) && isInZone && job.taskResources().fitsIn(type.capacity());
   }
 }
--- a/src/main/java/eiderfork/controller/JobCanceller.java
+++ b/src/main/java/eiderfork/controller/JobCanceller.java
@@ -8,14 +8,17 @@
 import eiderfork.controller.store.RequestPriority;
 import eiderfork.controller.store.StoreClient;
 import eiderfork.model.Job;
+import eiderfork.model.JobStatus;
 import eiderfork.model.StoredRecord;
 import java.util.function.Consumer;
 
-/** Writes the cancellations that users ask for, under the condition that the job is not done. */
+/** Writes the cancellations that users request, on the condition that the job is not done. */
 final class JobCanceller {
-  /** The alloc key may change in between; a few tries outlast that. */
+  /** The allocation may change between its read and the write; a few attempts outlast that. */
   private static final int MAX_ATTEMPTS = 5;
 
+  private static final UserResponse NO_SUCH_JOB = UserResponse.refused(404, "no such job");
+
   private final StoreClient store;
   private final JobRegistry jobs;
   private final StoredJobReader storedJobs;
@@ -31,10 +34,10 @@
    *
    * @param fromMemory whether memory holds all that is committed
    */
-  void cancel(String uid, boolean fromMemory, Consumer<UserResponse> answer) {
+  void cancel(String uid, boolean fromMemory, Consumer<UserResponse> onComplete) {
     JobState job = jobs.get(uid);
     if (fromMemory && job != null && job.isTerminal() && job.isKnownNotArchived()) {
-      answer.accept(UserResponse.ok(job.status()));
+      onComplete.accept(UserResponse.ok(job.status()));
       return;
     }
     if (job != null) {
@@ -43,84 +46,94 @@
     store.send(
         new StoreRequest.Get(StoreKeys.job(uid)),
         RequestPriority.ABORT,
-        reply -> {
-          if (!(reply instanceof Reply.Value spec)
-              || spec.record() instanceof StoredRecord.Unreadable) {
-            onFailed(uid, answer);
-          } else if (!(spec.record() instanceof StoredRecord.JobSpec jobSpec)) {
-            respondWithArchivedStatus(uid, UserResponse.refused(404, "no such job"), answer);
-          } else {
-            tryCancel(jobSpec.job(), 0, answer);
-          }
-        });
+        reply -> onSpecRead(uid, reply, onComplete));
   }
 
-  /** Answers with the final state of an archived job, or with {@code otherwise}. */
+  private void onSpecRead(String uid, Reply reply, Consumer<UserResponse> onComplete) {
+    if (!(reply instanceof Reply.Value value)
+        || value.record() instanceof StoredRecord.Unreadable) {
+      onFailed(uid, onComplete);
+    } else if (value.record() instanceof StoredRecord.JobSpec spec) {
+      tryCancel(spec.job(), 1, onComplete);
+    } else {
+      respondWithArchivedStatus(uid, NO_SUCH_JOB, onComplete);
+    }
+  }
+
+  /** Responds with the final state of an archived job, or with {@code whenNotFound}. */
   private void respondWithArchivedStatus(
-      String uid, UserResponse otherwise, Consumer<UserResponse> answer) {
+      String uid, UserResponse whenNotFound, Consumer<UserResponse> onComplete) {
     storedJobs.readArchivedStatus(
         uid,
         RequestPriority.ABORT,
-        status -> {
-          if (status == null) {
-            onFailed(uid, answer);
+        lookup -> {
+          if (lookup instanceof JobLookup.Unavailable) {
+            onFailed(uid, onComplete);
           } else {
-            answer.accept(status.map(UserResponse::ok).orElse(otherwise));
+            onComplete.accept(lookup.toResponse(whenNotFound));
           }
         });
   }
 
-  private void onFailed(String uid, Consumer<UserResponse> answer) {
+  private void onFailed(String uid, Consumer<UserResponse> onComplete) {
     JobState job = jobs.get(uid);
     if (job != null) {
       job.cancelling = false;
     }
-    answer.accept(UserResponse.unavailable());
+    onComplete.accept(UserResponse.unavailable());
   }
 
-  private void tryCancel(Job job, int tries, Consumer<UserResponse> answer) {
-    String uid = job.uid();
+  private void tryCancel(Job job, int attempt, Consumer<UserResponse> onComplete) {
     storedJobs.readAllocation(
-        job,
+        job.uid(),
         RequestPriority.ABORT,
-        (allocation, version) -> {
-          if (allocation == null || tries >= MAX_ATTEMPTS) {
-            onFailed(uid, answer);
-            return;
+        stored -> {
+          if (stored.isEmpty() || attempt > MAX_ATTEMPTS) {
+            onFailed(job.uid(), onComplete);
+          } else if (stored.get().allocation().done()) {
+            StoredRecord.Allocation allocation = stored.get().allocation();
+            onComplete.accept(UserResponse.ok(JobStatus.of(job, allocation, 0)));
+          } else {
+            writeCancellation(job, stored.get(), attempt, onComplete);
           }
-          if (allocation.done()) {
-            answer.accept(UserResponse.ok(JobState.status(job, allocation, 0)));
-            return;
+        });
+  }
+
+  private void writeCancellation(
+      Job job,
+      StoredJobReader.StoredAllocation stored,
+      int attempt,
+      Consumer<UserResponse> onComplete) {
+    String uid = job.uid();
+    store.send(
+        new StoreRequest.Transaction(
+            ImmutableList.of(
+                new StoreRequest.Condition(StoreKeys.cancellation(uid), 0),
+                new StoreRequest.Condition(StoreKeys.alloc(uid), stored.version()),
+                // An archived job has no allocation, as one that never started.
+                new StoreRequest.Condition(StoreKeys.ended(uid), 0)),
+            ImmutableList.of(
+                StoreRequest.Change.put(
+                    StoreKeys.cancellation(uid), new StoredRecord.Cancellation(uid)))),
+        RequestPriority.ABORT,
+        reply -> {
+          if (reply instanceof Reply.Committed) {
+            onCancelled(uid, stored.allocation(), onComplete);
+          } else if (!(reply instanceof Reply.Conflict conflict)) {
+            onFailed(uid, onComplete);
+          } else if (conflict.failedKeys().contains(StoreKeys.ended(uid))) {
+            respondWithArchivedStatus(uid, UserResponse.unavailable(), onComplete);
+          } else if (conflict.failedKeys().contains(StoreKeys.cancellation(uid))) {
+            onCancelled(uid, stored.allocation(), onComplete);
+          } else {
+            tryCancel(job, attempt + 1, onComplete);
           }
-          store.send(
-              new StoreRequest.Transaction(
-                  ImmutableList.of(
-                      new StoreRequest.Condition(StoreKeys.cancellation(uid), 0),
-                      new StoreRequest.Condition(StoreKeys.alloc(uid), version),
-                      // Archived, the job has no alloc record, as one that never started.
-                      new StoreRequest.Condition(StoreKeys.ended(uid), 0)),
-                  ImmutableList.of(
-                      StoreRequest.Change.put(
-                          StoreKeys.cancellation(uid), new StoredRecord.Cancellation(uid)))),
-              RequestPriority.ABORT,
-              reply -> {
-                if (reply instanceof Reply.Conflict conflict
-                    && conflict.failedKeys().contains(StoreKeys.ended(uid))) {
-                  respondWithArchivedStatus(uid, UserResponse.unavailable(), answer);
-                  return;
-                }
-                boolean there =
-                    reply instanceof Reply.Conflict conflict
-                        && conflict.failedKeys().contains(StoreKeys.cancellation(uid));
-                if (reply instanceof Reply.Committed || there) {
-                  jobs.markCancelled(uid);
-                  answer.accept(UserResponse.ok(StoredJobReader.status(job, allocation, true)));
-                } else if (reply instanceof Reply.Conflict) {
-                  tryCancel(job, tries + 1, answer);
-                } else {
-                  onFailed(uid, answer);
-                }
-              });
         });
   }
+
+  private void onCancelled(
+      String uid, StoredRecord.Allocation allocation, Consumer<UserResponse> onComplete) {
+    jobs.markCancelled(uid);
+    onComplete.accept(UserResponse.ok(JobStatus.cancelled(uid, allocation.finishedTaskCount())));
+  }
 }
--- a/src/main/java/eiderfork/controller/JobState.java
+++ b/src/main/java/eiderfork/controller/JobState.java
@@ -251,10 +251,9 @@
 
   JobStatus status() {
     if (cancelled) {
-      return new JobStatus(
-          spec.uid(), JobStatus.Phase.ABORTED, countFinishedTasks(committedAllocation), 0);
+      return JobStatus.cancelled(spec.uid(), committedAllocation.finishedTaskCount());
     }
-    return status(spec, committedAllocation, countRunningTasks());
+    return JobStatus.of(spec, committedAllocation, countRunningTasks());
   }
 
   private int countRunningTasks() {
@@ -274,23 +273,6 @@
         || seen != TaskStatus.State.FETCHING && seen != TaskStatus.State.WAITING_FOR_GANG;
   }
 
-  static JobStatus status(Job job, StoredRecord.Allocation allocation, int running) {
-    int done = countFinishedTasks(allocation);
-    if (allocation.done()) {
-      return new JobStatus(job.uid(), JobStatus.Phase.DONE, job.tasks(), 0);
-    }
-    return new JobStatus(
-        job.uid(), running > 0 ? JobStatus.Phase.RUNNING : JobStatus.Phase.PENDING, done, running);
-  }
-
-  static int countFinishedTasks(StoredRecord.Allocation allocation) {
-    int n = 0;
-    for (StoredRecord.TaskRange range : allocation.finished()) {
-      n += range.to() - range.from() + 1;
-    }
-    return n;
-  }
-
   /** What the plain form of the alloc record may take, with all that is reserved now. */
   PlainAllocationSize plainSize() {
     PlainAllocationSize size = new PlainAllocationSize(spec.tasks(), countFinishedRanges());
--- a/src/main/java/eiderfork/controller/StoredJobReader.java
+++ b/src/main/java/eiderfork/controller/StoredJobReader.java
@@ -11,8 +11,11 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** Reads jobs and what became of them from the state service. */
+/** Reads the records of single jobs from the store. */
 final class StoredJobReader {
+  /** An allocation record and the version of its key, which is 0 where there is no record. */
+  record StoredAllocation(StoredRecord.Allocation allocation, long version) {}
+
   private final StoreClient store;
 
   StoredJobReader(StoreClient store) {
@@ -20,115 +23,115 @@
   }
 
   /**
-   * Reads a job's state: null where the service did not say, empty for no such job.
+   * Reads a job's status.
    *
-   * <p>A job may be archived between two of the reads, which takes its records away. So the
-   * cancellation is read before the alloc record, and the archive last, wherever the alloc record
-   * was not there.
+   * <p>A job may be archived between two of the reads, which removes its records. So the
+   * cancellation is read before the allocation, and the archive last, wherever there was no
+   * allocation record.
    */
-  void status(String uid, RequestPriority urgency, Consumer<Optional<JobStatus>> onComplete) {
+  void readStatus(String uid, RequestPriority priority, Consumer<JobLookup> onComplete) {
     store.send(
         new StoreRequest.Get(StoreKeys.job(uid)),
-        urgency,
+        priority,
         reply -> {
-          if (!(reply instanceof Reply.Value spec)
-              || spec.record() instanceof StoredRecord.Unreadable) {
-            onComplete.accept(null);
-          } else if (!(spec.record() instanceof StoredRecord.JobSpec jobSpec)) {
-            readArchivedStatus(uid, urgency, onComplete);
+          if (!isReadable(reply)) {
+            onComplete.accept(new JobLookup.Unavailable());
+          } else if (recordOf(reply) instanceof StoredRecord.JobSpec spec) {
+            readCancellation(spec.job(), priority, onComplete);
           } else {
-            readCancelled(
-                uid, urgency, aborted -> status(jobSpec.job(), aborted, urgency, onComplete));
+            readArchivedStatus(uid, priority, onComplete);
           }
         });
   }
 
-  private void status(
-      Job job, Boolean aborted, RequestPriority urgency, Consumer<Optional<JobStatus>> onComplete) {
-    if (aborted == null) {
-      onComplete.accept(null);
-      return;
-    }
+  private void readCancellation(Job job, RequestPriority priority, Consumer<JobLookup> onComplete) {
+    store.send(
+        new StoreRequest.Get(StoreKeys.cancellation(job.uid())),
+        priority,
+        reply -> {
+          if (reply instanceof Reply.Value value) {
+            boolean isCancelled = value.record() != null;
+            readAllocationStatus(job, isCancelled, priority, onComplete);
+          } else {
+            onComplete.accept(new JobLookup.Unavailable());
+          }
+        });
+  }
+
+  private void readAllocationStatus(
+      Job job, boolean isCancelled, RequestPriority priority, Consumer<JobLookup> onComplete) {
     readAllocation(
-        job,
-        urgency,
-        (allocation, version) -> {
-          if (allocation == null) {
-            onComplete.accept(null);
-          } else if (version > 0) {
-            onComplete.accept(Optional.of(status(job, allocation, aborted)));
+        job.uid(),
+        priority,
+        stored -> {
+          if (stored.isEmpty()) {
+            onComplete.accept(new JobLookup.Unavailable());
+            return;
+          }
+          JobLookup found =
+              new JobLookup.Found(statusOf(job, stored.get().allocation(), isCancelled));
+          if (stored.get().version() > 0) {
+            onComplete.accept(found);
           } else {
             readArchivedStatus(
                 job.uid(),
-                urgency,
+                priority,
                 archived ->
-                    onComplete.accept(
-                        archived == null || archived.isPresent()
-                            ? archived
-                            : Optional.of(status(job, allocation, aborted))));
+                    onComplete.accept(archived instanceof JobLookup.NotFound ? found : archived));
           }
         });
   }
 
-  /** Reads the final state of an archived job: null where the service did not say. */
-  void readArchivedStatus(
-      String uid, RequestPriority urgency, Consumer<Optional<JobStatus>> onComplete) {
+  /** Every reserved task counts as running: the records do not show which of them do. */
+  private static JobStatus statusOf(
+      Job job, StoredRecord.Allocation allocation, boolean isCancelled) {
+    return isCancelled
+        ? JobStatus.cancelled(job.uid(), allocation.finishedTaskCount())
+        : JobStatus.of(job, allocation, allocation.reservedTaskCount());
+  }
+
+  /** Reads the final status of a job that may be archived. */
+  void readArchivedStatus(String uid, RequestPriority priority, Consumer<JobLookup> onComplete) {
     store.send(
         new StoreRequest.Get(StoreKeys.ended(uid)),
-        urgency,
+        priority,
         reply -> {
-          if (!(reply instanceof Reply.Value value)
-              || value.record() instanceof StoredRecord.Unreadable) {
-            onComplete.accept(null);
-          } else if (value.record() instanceof StoredRecord.ArchivedJob archived) {
-            onComplete.accept(
-                Optional.of(new JobStatus(uid, archived.phase(), archived.doneTasks(), 0)));
+          if (!isReadable(reply)) {
+            onComplete.accept(new JobLookup.Unavailable());
+          } else if (recordOf(reply) instanceof StoredRecord.ArchivedJob archived) {
+            onComplete.accept(new JobLookup.Found(JobStatus.archived(uid, archived)));
           } else {
-            onComplete.accept(Optional.empty());
+            onComplete.accept(new JobLookup.NotFound());
           }
         });
   }
 
-  /** A job's state by its records. */
-  static JobStatus status(Job job, StoredRecord.Allocation allocation, boolean aborted) {
-    int reserved = 0;
-    for (StoredRecord.ReservedRange span : allocation.reserved()) {
-      reserved += span.to() - span.from() + 1;
+  /** Reads a job's allocation; nothing where the store could not be read. */
+  void readAllocation(
+      String uid, RequestPriority priority, Consumer<Optional<StoredAllocation>> onComplete) {
+    store.send(
+        new StoreRequest.Get(StoreKeys.alloc(uid)),
+        priority,
+        reply -> onComplete.accept(toStoredAllocation(reply)));
+  }
+
+  private static Optional<StoredAllocation> toStoredAllocation(Reply reply) {
+    if (!isReadable(reply)) {
+      return Optional.empty();
     }
-    if (aborted) {
-      return new JobStatus(
-          job.uid(), JobStatus.Phase.ABORTED, JobState.countFinishedTasks(allocation), 0);
+    if (reply instanceof Reply.Value value
+        && value.record() instanceof StoredRecord.Allocation allocation) {
+      return Optional.of(new StoredAllocation(allocation, value.version()));
     }
-    return JobState.status(job, allocation, reserved);
+    return Optional.of(new StoredAllocation(StoredRecord.Allocation.EMPTY, 0));
   }
 
-  /** Takes a job's alloc record and its version; null where the service did not say. */
-  interface AllocationCallback {
-    void accept(StoredRecord.Allocation allocation, long version);
+  private static boolean isReadable(Reply reply) {
+    return reply instanceof Reply.Value value
+        && !(value.record() instanceof StoredRecord.Unreadable);
   }
 
-  /** Reads the alloc record of a job, the empty one where there is none. */
-  void readAllocation(Job job, RequestPriority urgency, AllocationCallback then) {
-    store.send(
-        new StoreRequest.Get(StoreKeys.alloc(job.uid())),
-        urgency,
-        reply -> {
-          if (!(reply instanceof Reply.Value value)
-              || value.record() instanceof StoredRecord.Unreadable) {
-            then.accept(null, 0);
-          } else if (value.record() instanceof StoredRecord.Allocation allocation) {
-            then.accept(allocation, value.version());
-          } else {
-            then.accept(StoredRecord.Allocation.EMPTY, 0);
-          }
-        });
-  }
-
-  private void readCancelled(String uid, RequestPriority urgency, Consumer<Boolean> onComplete) {
-    store.send(
-        new StoreRequest.Get(StoreKeys.cancellation(uid)),
-        urgency,
-        reply ->
-            onComplete.accept(reply instanceof Reply.Value value ? value.record() != null : null));
+  private static StoredRecord recordOf(Reply reply) {
+    return ((Reply.Value) reply).record();
   }
 }
--- a/src/main/java/eiderfork/model/StoredRecord.java
+++ b/src/main/java/eiderfork/model/StoredRecord.java
@@ -21,10 +21,20 @@
   record Cancellation(String uid) implements StoredRecord {}
 
   /** Tasks {@code from} to {@code to}, both included, reserved on a machine as one attempt. */
-  record ReservedRange(int from, int to, long attempt, String machine) {}
+  record ReservedRange(int from, int to, long attempt, String machine) {
+    /** How many tasks the range holds. */
+    public int taskCount() {
+      return to - from + 1;
+    }
+  }
 
   /** Tasks {@code from} to {@code to}, both included. */
-  record TaskRange(int from, int to) {}
+  record TaskRange(int from, int to) {
+    /** How many tasks the range holds. */
+    public int taskCount() {
+      return to - from + 1;
+    }
+  }
 
   /**
    * The leader's own record of a job.
@@ -40,6 +50,16 @@
     /** The record of a job that nothing was ever reserved for. */
     public static final Allocation EMPTY =
         new Allocation(0, false, ImmutableList.of(), ImmutableList.of());
+
+    /** How many tasks are reserved. */
+    public int reservedTaskCount() {
+      return reserved.stream().mapToInt(ReservedRange::taskCount).sum();
+    }
+
+    /** How many tasks have finished. */
+    public int finishedTaskCount() {
+      return finished.stream().mapToInt(TaskRange::taskCount).sum();
+    }
   }
 
   /**
