--- a/src/main/java/eiderfork/controller/AllocationSizeLimit.java
+++ b/src/main/java/eiderfork/controller/AllocationSizeLimit.java
@@ -30,9 +30,9 @@
    */
   AllocationSizeLimit(
       JobState job, double plainLimitKb, double compactLimitKb, boolean withBitmaps) {
-    plain = job.plainSize();
-    packed = job.packedSize();
-    bitmap = withBitmaps ? job.bitmapSize() : null;
+    plain = AllocationRecordBuilder.plainSize(job);
+    packed = AllocationRecordBuilder.packedSize(job);
+    bitmap = withBitmaps ? AllocationRecordBuilder.bitmapSize(job) : null;
     this.plainLimitKb = plainLimitKb;
     this.compactLimitKb = compactLimitKb;
   }
--- a/src/main/java/eiderfork/controller/AllocationWriter.java
+++ b/src/main/java/eiderfork/controller/AllocationWriter.java
@@ -11,32 +11,38 @@
 import eiderfork.model.StoredRecord;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes the alloc records of jobs: one conditional write at a time for a job, repeated under the
- * same conditions until it is known whether it was applied.
+ * Writes the allocations of jobs: one compare-and-swap transaction in flight per job, retried under
+ * the same conditions until it is known whether it was applied.
  */
 final class AllocationWriter {
   private static final Logger LOG = LoggerFactory.getLogger(AllocationWriter.class);
 
-  /** A write under way, and what memory holds as settled or reserved once it is applied. */
+  /** A write in flight, and the reservations that are committed or settled once it is applied. */
   private record PendingWrite(
       JobState job,
       StoredRecord.Allocation allocation,
       ImmutableList<Reservation> proposed,
       ImmutableList<Reservation> settled,
-      RequestPriority urgency) {}
+      RequestPriority priority) {
+    String uid() {
+      return job.spec.uid();
+    }
+  }
+
+  /** A request that is sent again once its job's backoff is over. */
+  private record Retry(JobState job, Runnable request) {}
 
   private final ControllerContext context;
   private final StoreClient store;
   private final LeaderElection election;
   private final ClusterVersion version;
   private final JobRegistry jobs;
-
-  /** What is tried again once its backoff is over. */
-  private final List<Runnable> retries = new ArrayList<>();
+  private final List<Retry> retries = new ArrayList<>();
 
   AllocationWriter(
       ControllerContext context,
@@ -51,85 +57,92 @@
     this.jobs = jobs;
   }
 
-  /** Writes what changed of a job, in one conditional write. */
-  void write(JobState job, RequestPriority urgency) {
-    StoredRecord.Allocation record = job.toAllocation();
-    ImmutableList.Builder<Reservation> proposed = ImmutableList.builder();
-    for (Reservation reservation : job.reservations.values()) {
-      if (!reservation.committed) {
-        proposed.add(reservation);
+  /** Sends the retries that are due. */
+  void tick() {
+    if (retries.isEmpty()) {
+      return;
+    }
+    List<Retry> waiting = List.copyOf(retries);
+    retries.clear();
+    for (Retry retry : waiting) {
+      if (retry.job.writes().isRetryDue(context.nowMs)) {
+        retry.request.run();
+      } else {
+        retries.add(retry);
       }
     }
-    ImmutableList<Reservation> settled = ImmutableList.copyOf(job.uncommittedSettlements);
-    job.dirty = false;
-    job.writeInFlight = true;
-    job.completionWriteInFlight = record.done();
-    job.lastWriteMs = context.nowMs;
-    send(new PendingWrite(job, record, proposed.build(), settled, urgency));
   }
 
-  void tick() {
-    if (!retries.isEmpty()) {
-      List<Runnable> due = new ArrayList<>(retries);
-      retries.clear();
-      due.forEach(Runnable::run);
-    }
+  /** Writes all that has changed of a job, in one transaction. */
+  void write(JobState job, RequestPriority priority) {
+    StoredRecord.Allocation allocation = AllocationRecordBuilder.build(job);
+    ImmutableList<Reservation> proposed =
+        job.reservations().values().stream()
+            .filter(reservation -> !reservation.isCommitted())
+            .collect(ImmutableList.toImmutableList());
+    ImmutableList<Reservation> settled = ImmutableList.copyOf(job.tasks().uncommittedSettlements());
+    job.writes().onWriteBegun(allocation, context.nowMs);
+    send(new PendingWrite(job, allocation, proposed, settled, priority));
   }
 
-  private boolean isStale(PendingWrite write) {
-    return jobs.get(write.job.spec.uid()) != write.job || !election.isLeading();
+  /** Removes the record that a late copy of an archived job's submission has left. */
+  void removeStaleSpec(JobState job) {
+    String key = StoreKeys.job(job.spec.uid());
+    store.send(
+        new StoreRequest.Transaction(
+            ImmutableList.of(
+                election.leaderCondition(), new StoreRequest.Condition(key, job.specVersion)),
+            ImmutableList.of(StoreRequest.Change.remove(key))),
+        RequestPriority.CLEANUP,
+        reply -> {});
   }
 
   private void send(PendingWrite write) {
     if (isStale(write)) {
       return;
     }
-    String uid = write.job.spec.uid();
     StoreRequest.Change change =
-        StoreRequest.Change.put(StoreKeys.alloc(uid), toNewestForm(write.allocation));
+        StoreRequest.Change.put(StoreKeys.alloc(write.uid()), toNewestForm(write.allocation));
     store.send(
         new StoreRequest.Transaction(conditions(write.job), ImmutableList.of(change)),
-        write.urgency,
+        write.priority,
         reply -> onReply(write, reply));
   }
 
+  private boolean isStale(PendingWrite write) {
+    return !isInMemory(write.job) || !election.isLeading();
+  }
+
+  private boolean isInMemory(JobState job) {
+    return jobs.get(job.spec.uid()) == job;
+  }
+
   /** The record in the shortest form that every member reads. */
-  private StoredRecord toNewestForm(StoredRecord.Allocation record) {
+  private StoredRecord toNewestForm(StoredRecord.Allocation allocation) {
     if (version.isSupportedByAll(ClusterVersion.BITMAP_ALLOCS)) {
-      return new StoredRecord.BitmapAllocation(record);
+      return new StoredRecord.BitmapAllocation(allocation);
     }
     return version.isSupportedByAll(ClusterVersion.PACKED_ALLOCS)
-        ? new StoredRecord.PackedAllocation(record)
-        : record;
+        ? new StoredRecord.PackedAllocation(allocation)
+        : allocation;
   }
 
   private ImmutableList<StoreRequest.Condition> conditions(JobState job) {
     String uid = job.spec.uid();
+    long committedVersion = job.writes().version();
     ImmutableList.Builder<StoreRequest.Condition> conditions = ImmutableList.builder();
     conditions.add(election.leaderCondition());
-    conditions.add(new StoreRequest.Condition(StoreKeys.alloc(uid), job.allocationVersion));
+    conditions.add(new StoreRequest.Condition(StoreKeys.alloc(uid), committedVersion));
     conditions.add(new StoreRequest.Condition(StoreKeys.cancellation(uid), 0));
-    if (job.allocationVersion == 0) {
-      // An archived job has no alloc record either; nothing of it may start again.
+    if (committedVersion == 0) {
+      // An archived job has no allocation either; nothing of it may start again.
       conditions.add(new StoreRequest.Condition(StoreKeys.ended(uid), 0));
     }
     return conditions.build();
   }
 
-  /** Removes the record that a late copy of an archived job's submission has left. */
-  void removeStaleSpec(JobState job) {
-    String key = StoreKeys.job(job.spec.uid());
-    store.send(
-        new StoreRequest.Transaction(
-            ImmutableList.of(
-                election.leaderCondition(), new StoreRequest.Condition(key, job.specVersion)),
-            ImmutableList.of(StoreRequest.Change.remove(key))),
-        RequestPriority.CLEANUP,
-        reply -> {});
-  }
-
   private void onReply(PendingWrite write, Reply reply) {
-    if (jobs.get(write.job.spec.uid()) != write.job) {
+    if (!isInMemory(write.job)) {
       return;
     }
     if (reply instanceof Reply.Committed committed) {
@@ -139,145 +152,133 @@
     } else if (reply instanceof Reply.Refused refused && refused.isMalformed()) {
       onTooLarge(write);
     } else {
-      // It may still apply: the same write under the same conditions is safe to repeat.
+      // It may still be applied: the same write under the same conditions is safe to retry.
       retryLater(write.job, () -> send(write));
     }
   }
 
-  private void retryLater(JobState job, Runnable retry) {
-    job.writeRetryAtMs = context.nowMs + job.writeBackoff.nextPauseMs(context.random);
-    retries.add(
-        new Runnable() {
-          @Override
-          public void run() {
-            if (context.nowMs < job.writeRetryAtMs) {
-              retries.add(this);
-            } else {
-              retry.run();
-            }
-          }
-        });
+  private void retryLater(JobState job, Runnable request) {
+    job.writes().scheduleRetry(context.nowMs, context.random);
+    retries.add(new Retry(job, request));
   }
 
-  private void onApplied(PendingWrite write, long version) {
+  private void onApplied(PendingWrite write, long committedVersion) {
     JobState job = write.job;
-    job.writeInFlight = false;
-    job.completionWriteInFlight = false;
-    job.writeBackoff.reset();
-    job.committedAllocation = write.allocation;
-    job.allocationVersion = version;
+    job.writes().onApplied(write.allocation, committedVersion);
     for (Reservation reservation : write.proposed) {
-      reservation.committed = true;
-      if (job.reservations.get(reservation.taskIndex) == reservation) {
+      reservation.onCommitted();
+      if (job.tasks().holds(reservation)) {
         reservation.machine.requestCommand();
       }
     }
-    write.settled.forEach(job.uncommittedSettlements::remove);
+    job.tasks().onSettlementsCommitted(write.settled);
     jobs.refreshIndexes(job);
     if (write.allocation.done()) {
-      LOG.debug("job {} is done", job.spec.uid());
+      LOG.debug("job-done job={}", write.uid());
     }
-    if (job.cancelled) {
+    if (job.isCancelled()) {
       jobs.dropUncommittedReservations(job);
     }
     jobs.retireIfTerminal(job);
   }
 
   private void onConflict(PendingWrite write, Reply.Conflict conflict) {
-    JobState job = write.job;
-    String uid = job.spec.uid();
+    String uid = write.uid();
     if (conflict.failedKeys().contains(StoreKeys.LEADER)) {
       election.leaderConditionFailed();
-      return;
-    }
-    if (conflict.failedKeys().contains(StoreKeys.ended(uid))) {
-      LOG.info("{} is archived; a late copy of its submission brought it back", uid);
-      jobs.evict(job);
-      removeStaleSpec(job);
-      return;
-    }
-    if (conflict.failedKeys().contains(StoreKeys.alloc(uid))) {
-      // Only the leader writes this key, so an earlier copy of this write has been applied.
-      boolean aborted = conflict.failedKeys().contains(StoreKeys.cancellation(uid));
-      readBack(
-          write,
-          value -> {
-            if (!applyIfStored(write, value)) {
-              LOG.error("alloc of {} is not what this leader wrote", uid);
-              election.resign(0);
-            } else if (aborted) {
-              jobs.markCancelled(uid);
-            }
-          });
-      return;
+    } else if (conflict.failedKeys().contains(StoreKeys.ended(uid))) {
+      LOG.info("archived-job-resubmitted job={}", uid);
+      jobs.evict(write.job);
+      removeStaleSpec(write.job);
+    } else if (conflict.failedKeys().contains(StoreKeys.alloc(uid))) {
+      onAllocationChanged(write, conflict.failedKeys().contains(StoreKeys.cancellation(uid)));
+    } else {
+      onCancelled(write.job);
     }
-    job.writeInFlight = false;
-    job.completionWriteInFlight = false;
-    jobs.markCancelled(uid);
+  }
+
+  /** Only the leader writes this key, so an earlier copy of this write has been applied. */
+  private void onAllocationChanged(PendingWrite write, boolean isCancelled) {
+    readBack(
+        write,
+        stored -> {
+          if (!applyIfStored(write, stored)) {
+            resignOnMismatch(write);
+          } else if (isCancelled) {
+            jobs.markCancelled(write.uid());
+          }
+        });
+  }
+
+  private void resignOnMismatch(PendingWrite write) {
+    LOG.error("allocation-mismatch job={} action=resign", write.uid());
+    election.resign(0);
+  }
+
+  private void onCancelled(JobState job) {
+    job.writes().onNotApplied();
+    jobs.markCancelled(job.spec.uid());
     jobs.dropUncommittedReservations(job);
     jobs.retireIfTerminal(job);
   }
 
   /**
-   * The record is larger than the service takes now. An earlier copy of the write may have been
-   * applied before the limit fell, but none can be after this answer.
+   * The record is larger than the store accepts now. An earlier copy of the write may have been
+   * applied before the limit fell, but none can be after this reply.
    */
   private void onTooLarge(PendingWrite write) {
     readBack(
         write,
-        value -> {
-          if (value.version() == write.job.allocationVersion) {
+        stored -> {
+          if (stored.version() == write.job.writes().version()) {
             onNotApplied(write);
-          } else if (!applyIfStored(write, value)) {
-            LOG.error("alloc of {} is not what this leader wrote", write.job.spec.uid());
-            election.resign(0);
+          } else if (!applyIfStored(write, stored)) {
+            resignOnMismatch(write);
           }
         });
   }
 
-  private void readBack(PendingWrite write, java.util.function.Consumer<Reply.Value> onComplete) {
+  private void readBack(PendingWrite write, Consumer<Reply.Value> onComplete) {
     store.send(
-        new StoreRequest.Get(StoreKeys.alloc(write.job.spec.uid())),
+        new StoreRequest.Get(StoreKeys.alloc(write.uid())),
         RequestPriority.START,
         reply -> {
           if (isStale(write)) {
             return;
           }
-          if (reply instanceof Reply.Value value) {
-            onComplete.accept(value);
+          if (reply instanceof Reply.Value stored) {
+            onComplete.accept(stored);
           } else {
             retryLater(write.job, () -> readBack(write, onComplete));
           }
         });
   }
 
-  private boolean applyIfStored(PendingWrite write, Reply.Value value) {
-    if (!write.allocation.equals(value.record())) {
+  private boolean applyIfStored(PendingWrite write, Reply.Value stored) {
+    if (!write.allocation.equals(stored.record())) {
       return false;
     }
-    onApplied(write, value.version());
+    onApplied(write, stored.version());
     return true;
   }
 
   /**
-   * What was to be reserved waits for its turn again. The job is written anew once more of its
-   * tasks have ended, or after a while.
+   * The tasks that were to be reserved are pending again. The job is written once more of its tasks
+   * have ended, or after a pause.
    */
   private void onNotApplied(PendingWrite write) {
     JobState job = write.job;
-    LOG.info("alloc of {} is too large to be written", job.spec.uid());
-    job.writeInFlight = false;
-    job.completionWriteInFlight = false;
-    job.blockWritesUntil(context.nowMs + job.oversizeBackoff.nextPauseMs(context.random));
+    LOG.info("allocation-too-large job={}", write.uid());
+    job.writes().onTooLarge(context.nowMs, context.random);
     for (Reservation reservation : write.proposed) {
-      if (job.reservations.get(reservation.taskIndex) == reservation && !job.cancelled) {
+      if (job.tasks().holds(reservation) && !job.isCancelled()) {
         jobs.withdrawProposal(reservation);
       }
     }
-    if (job.cancelled) {
+    if (job.isCancelled()) {
       jobs.dropUncommittedReservations(job);
     } else {
-      job.dirty = true;
+      job.writes().onChanged();
       jobs.refreshIndexes(job);
     }
     jobs.retireIfTerminal(job);
--- a/src/main/java/eiderfork/controller/ArrayParallelism.java
+++ b/src/main/java/eiderfork/controller/ArrayParallelism.java
@@ -43,7 +43,7 @@
   }
 
   private int maxTasks(JobState entry, double factor) {
-    int waiting = entry.pendingTasks.cardinality();
+    int waiting = entry.pendingTaskCount();
     Job job = entry.spec;
     double timeS = objectiveS(job) * OBJECTIVE_SHARE;
     double taskS = job.estimatedRunS() + TURNAROUND_STEPS * context.stepS();
@@ -52,7 +52,7 @@
     }
     // All of its tasks count, also those that are through: the last ones are not strung out.
     double atOnce = Math.ceil(factor * job.tasks() * taskS / timeS);
-    return (int) Math.min(waiting, Math.max(0, atOnce - entry.reservations.size()));
+    return (int) Math.min(waiting, Math.max(0, atOnce - entry.reservations().size()));
   }
 
   /** The time in which the users want the job done; 0 where they name none. */
--- a/src/main/java/eiderfork/controller/Autoscaler.java
+++ b/src/main/java/eiderfork/controller/Autoscaler.java
@@ -116,7 +116,9 @@
             bootTimes.lateKinds(fleet));
     Map<String, Resources> used = new HashMap<>();
     for (JobState job : ranked) {
-      if (job.cancelled || job.cancelling || context.nowMs < job.failureHistory.notBeforeMs()) {
+      if (job.isCancelled()
+          || job.isCancelling()
+          || context.nowMs < job.failureHistory.notBeforeMs()) {
         continue;
       }
       pack(job, packing, used);
@@ -189,7 +191,7 @@
   private int wantedTasks(JobState job) {
     if (job.failureHistory.isConfirmedSuspect()) {
       long sinceMs = context.nowMs - job.failureHistory.notBeforeMs();
-      return job.reservations.isEmpty()
+      return job.reservations().isEmpty()
               && sinceMs > SUSPECT_JOB_WAIT_LEASES * context.workerLeaseMs()
           ? 1
           : 0;
--- a/src/main/java/eiderfork/controller/BorrowedCapacity.java
+++ b/src/main/java/eiderfork/controller/BorrowedCapacity.java
@@ -71,7 +71,7 @@
     }
     long startAndSaveMs = startAndSaveMs(victim.job.spec, type);
     boolean shortLoan =
-        victim.isStartObserved() && context.nowMs - victim.runningSinceMs < startAndSaveMs;
+        victim.isStartObserved() && context.nowMs - victim.runningSinceMs() < startAndSaveMs;
     long firstMs = Math.max(startAndSaveMs, cooldownMs(type.bootS()));
     cooldowns.recordReclaim(
         machine.name,
@@ -96,13 +96,13 @@
    * save each time.
    */
   boolean isGangCoolingDown(JobState job) {
-    int times = job.reclaimCount(0);
+    int times = job.reclaims().count(0);
     if (times == 0 || !isBorrowing(job)) {
       return false;
     }
     long firstMs = cooldownMs(fleet.longestBootMs(job.spec) / 1000);
     long waitsMs = ReclaimCooldowns.cooldownMs(times, firstMs);
-    return context.nowMs - job.lastReclaimedMs() < waitsMs;
+    return context.nowMs - job.reclaims().lastReclaimedMs() < waitsMs;
   }
 
   /**
@@ -110,7 +110,7 @@
    * Without this a borrower took it, and others had to be stopped for the job.
    */
   boolean isWritePending(JobState job) {
-    return isEnabled && job.writeInFlight;
+    return isEnabled && job.writes().isInFlight();
   }
 
   /** Whether tasks on this machine can be told to stop: it has answered what it was last told. */
--- /dev/null
+++ b/src/main/java/eiderfork/controller/CachedImageRestorer.java
@@ -0,0 +1,44 @@
+package eiderfork.controller;
+
+import eiderfork.model.Job;
+import eiderfork.model.MachineType;
+import eiderfork.model.StoredRecord;
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.Comparator;
+import java.util.List;
+
+/**
+ * Restores which images the machines have cached, from the allocations that earlier leaders wrote.
+ * That of a cancelled service keeps its reservations, so they show more than what runs now.
+ */
+final class CachedImageRestorer {
+  private final MachineRegistry fleet;
+
+  CachedImageRestorer(MachineRegistry fleet) {
+    this.fleet = fleet;
+  }
+
+  /** Records the images of all reservations, in the order in which the jobs were last written. */
+  void restore(Collection<JobState> jobs) {
+    List<JobState> byVersion = new ArrayList<>(jobs);
+    byVersion.sort(Comparator.comparingLong(job -> job.writes().version()));
+    for (JobState job : byVersion) {
+      if (job.spec.image() == null) {
+        continue;
+      }
+      for (StoredRecord.ReservedRange range : job.writes().committed().reserved()) {
+        recordImageUse(fleet.get(range.machine()), job.spec);
+      }
+    }
+  }
+
+  private void recordImageUse(MachineState machine, Job job) {
+    if (machine == null) {
+      return;
+    }
+    MachineType type = fleet.typeOf(machine);
+    double cacheGb = type == null ? Double.MAX_VALUE : type.imageCacheGb();
+    machine.recordImageUse(job.image(), job.imageGb(), cacheGb);
+  }
+}
--- a/src/main/java/eiderfork/controller/DeadlineEstimator.java
+++ b/src/main/java/eiderfork/controller/DeadlineEstimator.java
@@ -62,7 +62,7 @@
     }
     for (double times : deadlineFactors(job)) {
       long leftMs = deadlineMs(reservation.job, times) - toMs(job.estimatedRunS());
-      if (reservation.runningSinceMs <= leftMs) {
+      if (reservation.runningSinceMs() <= leftMs) {
         return context.nowMs > leftMs;
       }
     }
--- a/src/main/java/eiderfork/controller/DeferredPreemptions.java
+++ b/src/main/java/eiderfork/controller/DeferredPreemptions.java
@@ -72,7 +72,7 @@
 
   /** What ends with a task: itself, or its whole gang. */
   static QuotaAmount amountFreedBy(Reservation victim) {
-    int tasks = victim.job.gang == null ? 1 : victim.job.reservations.size();
+    int tasks = victim.job.gang == null ? 1 : victim.job.reservations().size();
     return QuotaAmount.of(victim.job.spec.taskResources()).times(tasks);
   }
 
@@ -83,8 +83,7 @@
       Map.Entry<Reservation, Pending> each = all.next();
       Reservation victim = each.getKey();
       Pending plan = each.getValue();
-      boolean stands =
-          victim.job.reservations.get(victim.taskIndex) == victim && victim.isDesired();
+      boolean stands = victim.job.tasks().holds(victim) && victim.isDesired();
       if (!stands
           || plan.preemptor.isTerminal()
           || !capacity.hasClaim(plan.preemptor, victim.machine)) {
--- a/src/main/java/eiderfork/controller/DispatchEligibility.java
+++ b/src/main/java/eiderfork/controller/DispatchEligibility.java
@@ -30,7 +30,7 @@
   }
 
   boolean canPlace(JobState job) {
-    return !job.pendingTasks.isEmpty()
+    return job.hasPendingTasks()
         && context.nowMs >= job.failureHistory.notBeforeMs()
         && !isBatchingStarts(job)
         && !isAwaitingTrialTask(job)
@@ -44,8 +44,8 @@
    */
   boolean isBatchingStarts(JobState job) {
     return job.spec.kind() == JobKind.ARRAY
-        && job.lastAttempt > 0
-        && context.nowMs - job.lastWriteMs < batchingDelayMs();
+        && job.lastAttempt() > 0
+        && context.nowMs - job.writes().lastWriteMs() < batchingDelayMs();
   }
 
   /** Whether one task of a job that seems to fail everywhere is under way and may show better. */
@@ -53,13 +53,13 @@
     if (!job.failureHistory.isSuspected()) {
       return false;
     }
-    for (Reservation reservation : job.reservations.values()) {
+    for (Reservation reservation : job.reservations().values()) {
       if (job.failureHistory.hasOutlivedFailures(reservation, context.nowMs)) {
         job.failureHistory.recordSuccess();
         return false;
       }
     }
-    return !job.reservations.isEmpty();
+    return !job.reservations().isEmpty();
   }
 
   static RequestPriority startUrgency(JobState job) {
@@ -69,14 +69,14 @@
   /** Writes what only ended, once it was collected for long enough; whether some is left. */
   boolean writeCompletions(JobState job) {
     if (!canWrite(job)) {
-      return job.writeInFlight && job.dirty;
+      return job.writes().isInFlight() && job.writes().isDirty();
     }
-    if (job.dirty && job.hasAllTasksFinished()) {
+    if (job.writes().isDirty() && job.tasks().isAllFinished()) {
       jobs.write(job, RequestPriority.START);
-    } else if (job.dirty && canWritePartialCompletions(job)) {
+    } else if (job.writes().isDirty() && canWritePartialCompletions(job)) {
       jobs.write(job, RequestPriority.BATCH);
     }
-    return job.dirty;
+    return job.writes().isDirty();
   }
 
   /**
@@ -87,7 +87,7 @@
    * team's tasks count until their ends are written.
    */
   private boolean canWritePartialCompletions(JobState job) {
-    long sinceWrittenMs = context.nowMs - job.lastWriteMs;
+    long sinceWrittenMs = context.nowMs - job.writes().lastWriteMs();
     long waitMs = store.writeWaitMs(RequestPriority.BATCH);
     return sinceWrittenMs >= batchingDelayMs() && waitMs <= IDLE_WRITE_WAIT_SHARE * context.stepMs()
         || sinceWrittenMs >= MAX_PARTIAL_COMPLETION_DELAY_STEPS * context.stepMs()
--- a/src/main/java/eiderfork/controller/FailureHistory.java
+++ b/src/main/java/eiderfork/controller/FailureHistory.java
@@ -70,8 +70,8 @@
     lastFailureMs = nowMs;
     int failures = failuresByTask.addTo(reservation.taskIndex, 1) + 1;
     retryAtMs.put(reservation.taskIndex, nowMs + delayMs(failures));
-    if (reservation.runningSinceMs > 0) {
-      longestRunMs = Math.max(longestRunMs, nowMs - reservation.runningSinceMs);
+    if (reservation.runningSinceMs() > 0) {
+      longestRunMs = Math.max(longestRunMs, nowMs - reservation.runningSinceMs());
     }
     if (reservation.attempt > lastCountedAttempt) {
       consecutiveFailedTries++;
@@ -132,8 +132,8 @@
    */
   boolean hasOutlivedFailures(Reservation reservation, long nowMs) {
     long failedMs = longestRunMs > 0 ? longestRunMs : INHERITED_RUN_STEPS * stepMs;
-    return reservation.runningSinceMs > 0
-        && nowMs - reservation.runningSinceMs > SURVIVAL_FACTOR * Math.max(failedMs, stepMs);
+    return reservation.runningSinceMs() > 0
+        && nowMs - reservation.runningSinceMs() > SURVIVAL_FACTOR * Math.max(failedMs, stepMs);
   }
 
   /**
--- a/src/main/java/eiderfork/controller/FairShareOrder.java
+++ b/src/main/java/eiderfork/controller/FairShareOrder.java
@@ -72,7 +72,7 @@
     Map<String, Resources> wantedByTeam = new HashMap<>();
     for (JobState entry : byUrgency) {
       Job job = entry.spec;
-      Resources waiting = job.taskResources().times(entry.pendingTasks.cardinality());
+      Resources waiting = job.taskResources().times(entry.pendingTaskCount());
       Resources wanted = wantedByTeam.merge(job.team(), waiting, Resources::plus);
       Team team = context.settings.teams().get(job.team());
       if (team.isWithinGuarantee(usageOf(tally, job.team()).plus(wanted))) {
@@ -100,7 +100,7 @@
     int most = 1;
     for (JobState job : work) {
       if (job.spec.kind() == JobKind.ARRAY) {
-        most = Math.max(most, job.pendingTasks.cardinality());
+        most = Math.max(most, job.pendingTaskCount());
       }
     }
     return most;
--- a/src/main/java/eiderfork/controller/FleetLog.java
+++ b/src/main/java/eiderfork/controller/FleetLog.java
@@ -53,8 +53,8 @@
     Map<String, int[]> classes = new TreeMap<>();
     for (JobState job : jobs.activeJobs()) {
       int[] n = classes.computeIfAbsent(job.spec.jobClass(), k -> new int[2]);
-      n[0] += job.reservations.size();
-      n[1] += job.pendingTasks.cardinality();
+      n[0] += job.reservations().size();
+      n[1] += job.pendingTaskCount();
     }
     StringBuilder text = new StringBuilder();
     kinds.forEach(
--- a/src/main/java/eiderfork/controller/FreeCapacity.java
+++ b/src/main/java/eiderfork/controller/FreeCapacity.java
@@ -78,7 +78,7 @@
       boolean lives =
           (claim.untilMs > nowMs || borrowedCapacity.isWritePending(claim.entry))
               && !claim.entry.isTerminal()
-              && !claim.entry.pendingTasks.isEmpty()
+              && claim.entry.hasPendingTasks()
               && fleet.get(claim.machine.name) == claim.machine
               && claimableFilter.test(claim.machine);
       if (lives) {
--- a/src/main/java/eiderfork/controller/GpuHeadroom.java
+++ b/src/main/java/eiderfork/controller/GpuHeadroom.java
@@ -19,7 +19,7 @@
   }
 
   private static boolean isWaitingForGpus(JobState job) {
-    return !job.pendingTasks.isEmpty() && job.spec.taskResources().gpus() > 0;
+    return job.hasPendingTasks() && job.spec.taskResources().gpus() > 0;
   }
 
   /**
@@ -28,7 +28,7 @@
    * an array does not wait for ever, and less long where it has not begun.
    */
   boolean appliesTo(JobState job) {
-    long sparesMs = QueueOrder.OVERDUE_MS * (job.lastAttempt == 0 ? 1 : 2);
+    long sparesMs = QueueOrder.OVERDUE_MS * (job.lastAttempt() == 0 ? 1 : 2);
     boolean overdue = context.nowMs - job.firstSeenMs > sparesMs;
     boolean withoutGpus = job.spec.kind() == JobKind.ARRAY && job.spec.taskResources().gpus() <= 0;
     return isGpuWorkWaiting && withoutGpus && !overdue;
--- a/src/main/java/eiderfork/controller/JobArchiver.java
+++ b/src/main/java/eiderfork/controller/JobArchiver.java
@@ -124,14 +124,14 @@
     conditions.add(election.leaderCondition());
     for (JobState job : batch) {
       String uid = job.spec.uid();
-      conditions.add(new StoreRequest.Condition(StoreKeys.alloc(uid), job.allocationVersion));
+      conditions.add(new StoreRequest.Condition(StoreKeys.alloc(uid), job.writes().version()));
       conditions.add(new StoreRequest.Condition(StoreKeys.ended(uid), 0));
       changes.add(StoreRequest.Change.put(StoreKeys.ended(uid), toArchivedJob(job)));
       changes.add(StoreRequest.Change.remove(StoreKeys.job(uid)));
-      if (job.allocationVersion > 0) {
+      if (job.writes().version() > 0) {
         changes.add(StoreRequest.Change.remove(StoreKeys.alloc(uid)));
       }
-      if (job.cancelled) {
+      if (job.isCancelled()) {
         changes.add(StoreRequest.Change.remove(StoreKeys.cancellation(uid)));
       }
     }
--- a/src/main/java/eiderfork/controller/JobCanceller.java
+++ b/src/main/java/eiderfork/controller/JobCanceller.java
@@ -41,7 +41,7 @@
       return;
     }
     if (job != null) {
-      job.cancelling = true;
+      job.onCancellationBegun();
     }
     store.send(
         new StoreRequest.Get(StoreKeys.job(uid)),
@@ -78,7 +78,7 @@
   private void onFailed(String uid, Consumer<UserResponse> onComplete) {
     JobState job = jobs.get(uid);
     if (job != null) {
-      job.cancelling = false;
+      job.onCancellationFailed();
     }
     onComplete.accept(UserResponse.unavailable());
   }
--- a/src/main/java/eiderfork/controller/JobQueryHandler.java
+++ b/src/main/java/eiderfork/controller/JobQueryHandler.java
@@ -50,7 +50,7 @@
       queryArchived(job, onComplete);
     } else if (job.isTerminal()) {
       onComplete.accept(UserResponse.ok(job.status()));
-    } else if (job.completionWriteInFlight) {
+    } else if (job.writes().isCompletionInFlight()) {
       queryStored(uid, onComplete);
     } else {
       readBarrier.awaitCaughtUp(caughtUp -> onBarrierPassed(job, caughtUp, onComplete));
@@ -62,7 +62,7 @@
     if (caughtUp
         && canAnswerFromMemory.getAsBoolean()
         && jobs.get(uid) == job
-        && !job.completionWriteInFlight) {
+        && !job.writes().isCompletionInFlight()) {
       onComplete.accept(UserResponse.ok(job.status()));
     } else {
       queryStored(uid, onComplete);
--- a/src/main/java/eiderfork/controller/JobRegistry.java
+++ b/src/main/java/eiderfork/controller/JobRegistry.java
@@ -8,13 +8,11 @@
 import eiderfork.controller.store.RequestPriority;
 import eiderfork.controller.store.StoreClient;
 import eiderfork.model.Job;
-import eiderfork.model.JobKind;
-import eiderfork.model.MachineType;
 import eiderfork.model.StoredRecord;
 import it.unimi.dsi.fastutil.objects.ReferenceLinkedOpenHashSet;
 import java.util.ArrayList;
 import java.util.Collection;
-import java.util.Comparator;
+import java.util.Collections;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -77,7 +75,7 @@
   /** Whether a job is frozen; a cancellation that was read still ends it. */
   boolean isFrozen(String uid) {
     JobState job = jobs.get(uid);
-    return frozen.contains(uid) && !(job != null && job.cancelled);
+    return frozen.contains(uid) && !(job != null && job.isCancelled());
   }
 
   JobState get(String uid) {
@@ -102,19 +100,19 @@
   /** Takes up what has changed of a job's tasks, or of whether it has something to do. */
   void refreshIndexes(JobState job) {
     resourceUsage.update(job);
-    if (job.active && job.hasPendingWork()) {
+    if (job.isActive() && job.hasPendingWork()) {
       backlog.add(job);
     }
   }
 
   private void activate(JobState job) {
-    job.active = true;
+    job.activate();
     activeJobs.put(job.spec.uid(), job);
     refreshIndexes(job);
   }
 
   private void deactivate(JobState job) {
-    job.active = false;
+    job.deactivate();
     activeJobs.remove(job.spec.uid(), job);
     backlog.remove(job);
     resourceUsage.update(job);
@@ -131,7 +129,7 @@
     if (jobs.remove(uid, job)) {
       deactivate(job);
       finishedJobs.remove(uid);
-      List.copyOf(job.reservations.values()).forEach(JobRegistry::detach);
+      job.tasks().releaseAll();
     }
   }
 
@@ -140,6 +138,11 @@
     writer.removeStaleSpec(job);
   }
 
+  /** All jobs in memory. */
+  Collection<JobState> all() {
+    return Collections.unmodifiableCollection(jobs.values());
+  }
+
   int size() {
     return jobs.size();
   }
@@ -161,37 +164,14 @@
     return entry;
   }
 
-  /** Takes the reservations of a rebuilt job. */
+  /** Restores the allocation of a job that an earlier leader has committed. */
   void restoreAllocation(
       JobState job, StoredRecord.Allocation allocation, long version, MachineRegistry fleet) {
-    job.committedAllocation = allocation;
-    job.allocationVersion = version;
-    job.lastAttempt = allocation.lastAttempt();
-    for (StoredRecord.TaskRange range : allocation.finished()) {
-      job.finishedTasks.set(range.from(), range.to() + 1);
-      job.pendingTasks.clear(range.from(), range.to() + 1);
-    }
-    for (StoredRecord.ReservedRange span : allocation.reserved()) {
-      MachineState machine = fleet.getOrRegister(span.machine());
-      for (int index = span.from(); index <= span.to(); index++) {
-        Reservation reservation = new Reservation(job, index, span.attempt(), machine);
-        reservation.committed = true;
-        job.reservations.put(index, reservation);
-        job.pendingTasks.clear(index);
-        machine.addReservation(reservation);
-        if (job.cancelled) {
-          machine.requestCommand();
-        }
-      }
-    }
-    if (job.spec.kind() == JobKind.ARRAY) {
-      job.failureHistory.restore(allocation, job.spec.tasks());
-    }
-    restoreGang(job);
+    job.restore(allocation, version, fleet::getOrRegister);
     if (allocation.done()) {
       retire(job);
     } else {
-      // A cancellation taken while rebuilding may have retired the job before its reservations
+      // A cancellation read during the recovery may have retired the job before its reservations
       // were read; they count for the quota until they are settled.
       activate(job);
       finishedJobs.remove(job.spec.uid());
@@ -199,60 +179,20 @@
     }
   }
 
-  /** An older leader may have seen a part of a gang end, and ended before it did what follows. */
-  private static void restoreGang(JobState job) {
-    if (job.gang == null || job.cancelled || job.committedAllocation.done()) {
-      return;
-    }
-    if (!job.finishedTasks.isEmpty()) {
-      finishGang(job);
-    } else if (!job.pendingTasks.isEmpty()) {
-      job.gang.onTaskLost();
-    }
-  }
-
-  /**
-   * Notes which images the machines have been given, in the order in which the jobs were last
-   * written. The alloc record of a cancelled service keeps its reservations, so a new leader knows
-   * more than what runs now: without this, replicas went to machines that had to fetch first.
-   */
-  void restoreCachedImages(MachineRegistry fleet) {
-    List<JobState> byAge = new ArrayList<>(jobs.values());
-    byAge.sort(Comparator.comparingLong(job -> job.allocationVersion));
-    for (JobState job : byAge) {
-      for (StoredRecord.ReservedRange span : job.committedAllocation.reserved()) {
-        MachineState machine = fleet.get(span.machine());
-        if (machine != null && job.spec.image() != null) {
-          MachineType type = fleet.typeOf(machine);
-          double cacheGb = type == null ? Double.MAX_VALUE : type.imageCacheGb();
-          machine.recordImageUse(job.spec.image(), job.spec.imageGb(), cacheGb);
-        }
-      }
-    }
-  }
-
+  /** A cancellation of the job is committed. */
   void markCancelled(String uid) {
     JobState job = jobs.get(uid);
-    if (job == null || job.cancelled) {
+    if (job == null || job.isCancelled()) {
       return;
     }
-    job.cancelled = true;
-    job.pendingTasks.clear();
-    job.uncommittedSettlements.clear();
-    for (Reservation reservation : List.copyOf(job.reservations.values())) {
-      if (reservation.committed) {
-        reservation.machine.requestCommand();
-      } else if (!job.writeInFlight) {
-        detach(reservation);
-      }
-    }
+    job.onCancelled();
     refreshIndexes(job);
     retireIfTerminal(job);
   }
 
   /** Takes a job that is over, and of which nothing is left, out of what rounds look at. */
   void retireIfTerminal(JobState job) {
-    if (job.isTerminal() && job.reservations.isEmpty() && !job.writeInFlight) {
+    if (job.isTerminal() && job.reservations().isEmpty() && !job.writes().isInFlight()) {
       retire(job);
     }
   }
@@ -265,40 +205,14 @@
   /** A reservation is settled: the task has ended, or surely is not on its machine any more. */
   void settle(Reservation reservation, boolean completed) {
     JobState job = reservation.job;
-    if (job.reservations.get(reservation.taskIndex) != reservation) {
+    if (!job.tasks().holds(reservation)) {
       return;
     }
-    detach(reservation);
-    if (job.cancelled) {
-      refreshIndexes(job);
-      retireIfTerminal(job);
-      return;
-    }
-    if (completed) {
-      job.finishedTasks.set(reservation.taskIndex);
-      job.failureHistory.recordSuccess();
-    } else {
-      job.pendingTasks.set(reservation.taskIndex);
-    }
-    job.uncommittedSettlements.add(reservation);
-    job.dirty = true;
-    if (job.gang != null && completed) {
-      finishGang(job);
-    } else if (job.gang != null) {
-      job.gang.onTaskLost();
-    }
+    job.settle(reservation, completed);
     refreshIndexes(job);
-  }
-
-  /** The tasks of a gang complete together: where one is done, all are. */
-  private static void finishGang(JobState job) {
-    for (Reservation other : List.copyOf(job.reservations.values())) {
-      detach(other);
-      job.uncommittedSettlements.add(other);
+    if (job.isCancelled()) {
+      retireIfTerminal(job);
     }
-    job.finishedTasks.set(0, job.spec.tasks());
-    job.pendingTasks.clear();
-    job.dirty = true;
   }
 
   /** Has a task stopped; a gang is stopped as a whole and saves if it can. */
@@ -323,48 +237,28 @@
 
   /** Takes back a proposal of this round. */
   void withdrawProposal(Reservation reservation) {
-    detach(reservation);
-    reservation.job.pendingTasks.set(reservation.taskIndex);
+    reservation.job.tasks().withdraw(reservation);
     refreshIndexes(reservation.job);
   }
 
-  private static void detach(Reservation reservation) {
-    if (reservation.job.reservations.remove(reservation.taskIndex) == reservation) {
-      reservation.onRemoved();
-    }
-    reservation.machine.removeReservation(reservation);
-  }
-
   /**
-   * Whether a worker must keep this attempt in its reports, because what is committed does not say
-   * yet how it ended. A cleared attempt would start anew on a late repeat of its command.
+   * Whether a worker must keep this attempt in its heartbeats, because the store does not show yet
+   * how it ended. A cleared attempt would start anew on a late copy of its command.
    */
-  boolean mustRetainAttempt(JobState job, long attempt, int index) {
-    for (Reservation reservation : job.uncommittedSettlements) {
-      if (reservation.taskIndex == index && reservation.attempt == attempt) {
-        return true;
-      }
-    }
-    return false;
+  boolean mustRetainAttempt(JobState job, long attempt, int taskIndex) {
+    return job.tasks().isSettlementUncommitted(taskIndex, attempt);
   }
 
-  Reservation propose(JobState job, int index, long attempt, MachineState machine) {
-    Reservation reservation = new Reservation(job, index, attempt, machine);
-    if (job.gang != null && job.gang.canStartAttempt()) {
-      job.gang.onAttemptStarted();
-    }
-    job.lastAttempt = attempt;
-    job.reservations.put(index, reservation);
-    job.pendingTasks.clear(index);
-    machine.addReservation(reservation);
-    job.dirty = true;
+  /** Reserves a pending task on a machine. */
+  Reservation propose(JobState job, int taskIndex, long attempt, MachineState machine) {
+    Reservation reservation = job.propose(taskIndex, attempt, machine);
     refreshIndexes(job);
     return reservation;
   }
 
   /** Writes what changed of a job, in one conditional write. */
-  void write(JobState job, RequestPriority urgency) {
-    writer.write(job, urgency);
+  void write(JobState job, RequestPriority priority) {
+    writer.write(job, priority);
   }
 
   void tick() {
@@ -373,11 +267,7 @@
 
   /** Drops reservations that were never committed, of a job that was cancelled meanwhile. */
   void dropUncommittedReservations(JobState job) {
-    for (Reservation reservation : List.copyOf(job.reservations.values())) {
-      if (!reservation.committed) {
-        detach(reservation);
-      }
-    }
+    job.tasks().releaseUncommitted();
     refreshIndexes(job);
   }
 }
--- a/src/main/java/eiderfork/controller/JobState.java
+++ b/src/main/java/eiderfork/controller/JobState.java
@@ -1,107 +1,48 @@
 package eiderfork.controller;
 
-import com.google.common.collect.ImmutableList;
 import eiderfork.controller.ratelimit.Backoff;
-import eiderfork.model.AllocationSize;
-import eiderfork.model.BitmapAllocationSize;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
 import eiderfork.model.JobStatus;
-import eiderfork.model.PackedAllocationSize;
-import eiderfork.model.PlainAllocationSize;
 import eiderfork.model.StoredRecord;
 import eiderfork.model.TaskStatus;
-import it.unimi.dsi.fastutil.ints.Int2IntOpenHashMap;
-import it.unimi.dsi.fastutil.ints.Int2ObjectAVLTreeMap;
 import it.unimi.dsi.fastutil.ints.Int2ObjectSortedMap;
-import java.util.BitSet;
-import java.util.LinkedHashSet;
-import java.util.Set;
+import java.util.function.Function;
 
-/** A job as the leader holds it. */
+/**
+ * A job as the leader holds it. {@link JobRegistry} changes it and keeps its indexes up to date;
+ * what is committed is in {@link AllocationWriteState}, the tasks are in {@link JobTasks}.
+ */
 final class JobState {
   final Job spec;
 
   /** The same object for all jobs of this profile. */
   final PlacementProfile profile;
 
-  /** Jobs of one rank go in the order in which the state service took them. */
+  /** The version of the job's key; jobs of equal rank are served in this order. */
   final long specVersion;
 
   /** Since when this leader knows the job. */
   final long firstSeenMs;
 
-  /** What the state service holds, and the version it holds it under. */
-  StoredRecord.Allocation committedAllocation = StoredRecord.Allocation.EMPTY;
-
-  long allocationVersion;
-  boolean cancelled;
-
-  /** A cancellation is on its way; nothing new starts. */
-  boolean cancelling;
-
-  /** What is in memory differs from what is committed. */
-  boolean dirty;
-
-  /** The job still has something to do; changed by {@link JobRegistry} alone. */
-  boolean active;
-
-  /** How many of the tasks placed are being stopped; changed by {@link Reservation} alone. */
-  int stoppingTasks;
-
-  /** What {@link ResourceUsage} has counted of it: its tasks, and itself. */
-  TaskCounts accountedTasks = TaskCounts.NONE;
-
-  boolean accountedActive;
-
-  /** A stored record of the job can't be read. */
-  private boolean frozen;
-
-  private boolean confirmedNotArchived;
-
-  /** A write of the alloc key is under way. */
-  boolean writeInFlight;
-
-  /**
-   * The write under way says that the job is done. It may have been carried out and read by another
-   * node already, whatever came back, so until it settles nobody is told the job's state from here.
-   */
-  boolean completionWriteInFlight;
-
-  /** When the last write of the alloc key was handed over. */
-  long lastWriteMs;
-
-  long writeRetryAtMs;
-  final Backoff writeBackoff;
-
-  /** Between writes of a record that is larger than the service takes. */
-  final Backoff oversizeBackoff;
-
-  /** Until when the job is not written, since its record was too large. */
-  private long writesBlockedUntilMs;
-
-  long lastAttempt;
-  final Int2ObjectSortedMap<Reservation> reservations = new Int2ObjectAVLTreeMap<>();
-
-  /** Settled reservations whose settlement is not committed yet: not to be cleared. */
-  final Set<Reservation> uncommittedSettlements = new LinkedHashSet<>();
-
-  final BitSet finishedTasks = new BitSet();
-
-  /** Room was examined where the image comes in time; once is enough. */
-  boolean cachedImageSearched;
-
   /** What the tasks of a gang have in common; null for other jobs. */
   final Gang gang;
 
-  /** Tasks neither placed nor finished. */
-  final BitSet pendingTasks = new BitSet();
-
   final FailureHistory failureHistory;
 
-  private final Int2IntOpenHashMap reclaimCounts = new Int2IntOpenHashMap(0);
-
-  private long lastReclaimedMs;
+  private final JobTasks tasks;
+  private final AllocationWriteState writes;
+  private final SchedulableTasks schedulableTasks;
+  private final ReclaimHistory reclaims;
+  private long lastAttempt;
+  private boolean cancelled;
+  private boolean cancelling;
+  private boolean active;
+  private boolean frozen;
+  private boolean confirmedNotArchived;
+  private boolean cachedImageSearched;
+  private TaskCounts accountedTasks = TaskCounts.NONE;
+  private boolean accountedActive;
 
   JobState(
       Job spec,
@@ -112,238 +53,300 @@
       Backoff oversizeBackoff,
       FailureHistory failureHistory) {
     this.spec = spec;
-    this.failureHistory = failureHistory;
     this.profile = profile;
     this.specVersion = specVersion;
     this.firstSeenMs = firstSeenMs;
-    this.writeBackoff = writeBackoff;
-    this.oversizeBackoff = oversizeBackoff;
-    gang = spec.kind() == JobKind.GANG ? new Gang(this) : null;
-    pendingTasks.set(0, spec.tasks());
+    this.failureHistory = failureHistory;
+    boolean isGang = spec.kind() == JobKind.GANG;
+    gang = isGang ? new Gang(this) : null;
+    tasks = new JobTasks(spec.tasks());
+    writes = new AllocationWriteState(writeBackoff, oversizeBackoff);
+    schedulableTasks = new SchedulableTasks(tasks, failureHistory);
+    reclaims = new ReclaimHistory(isGang);
+  }
+
+  /** Which tasks are pending, reserved or finished. */
+  JobTasks tasks() {
+    return tasks;
+  }
+
+  /** What is committed of the job, and how the write of its newer state stands. */
+  AllocationWriteState writes() {
+    return writes;
+  }
+
+  /** How often its tasks were reclaimed for other teams. */
+  ReclaimHistory reclaims() {
+    return reclaims;
+  }
+
+  /** The reservations by task index, in ascending order; a read-only view. */
+  Int2ObjectSortedMap<Reservation> reservations() {
+    return tasks.reservations();
+  }
+
+  /** How many tasks are neither reserved nor finished. */
+  int pendingTaskCount() {
+    return tasks.pendingCount();
+  }
+
+  boolean hasPendingTasks() {
+    return tasks.hasPending();
   }
 
-  /** The first task that may be tried now, or -1; of a suspected job the one that failed least. */
+  /** The first task that may be tried now, or -1. */
   int firstSchedulableTask(long nowMs) {
-    int first = nextSchedulableTask(-1, nowMs, true);
-    if (!failureHistory.isSuspected()) {
-      return first;
-    }
-    int best = first;
-    for (int index = first; index >= 0; index = nextSchedulableTask(index, nowMs, true)) {
-      if (failureHistory.failureCount(index) < failureHistory.failureCount(best)) {
-        best = index;
-      }
-    }
-    return best;
+    return schedulableTasks.first(nowMs);
   }
 
-  /** The task that may be tried after this one, or -1; of a suspected job there is one only. */
+  /** The task that may be tried after this one, or -1. */
   int nextSchedulableTask(int after, long nowMs) {
-    return nextSchedulableTask(after, nowMs, !failureHistory.isSuspected());
+    return schedulableTasks.next(after, nowMs);
   }
 
-  private int nextSchedulableTask(int after, long nowMs, boolean moreAllowed) {
-    int index = moreAllowed ? pendingTasks.nextSetBit(after + 1) : -1;
-    while (index >= 0 && !failureHistory.canRetry(index, nowMs)) {
-      index = pendingTasks.nextSetBit(index + 1);
-    }
-    return index;
+  /** Whether something of the job is to be scheduled or written. */
+  boolean hasPendingWork() {
+    return tasks.hasPending() || writes.isDirty();
   }
 
-  /** Whether something of the job is to be placed or written. */
-  boolean hasPendingWork() {
-    return !pendingTasks.isEmpty() || dirty;
+  /** The largest attempt number that was ever reserved; 0 for none. */
+  long lastAttempt() {
+    return lastAttempt;
   }
 
+  /** The number that the next attempts get, larger than that of any before. */
+  long nextAttemptNumber() {
+    return Math.max(lastAttempt, writes.committed().lastAttempt()) + 1;
+  }
+
+  /** Whether the job is done or cancelled. */
   boolean isTerminal() {
-    return cancelled || committedAllocation.done();
+    return cancelled || writes.committed().done();
   }
 
-  /**
-   * How many tasks the job counts for in its team's quota. A settled reservation counts until its
-   * settlement is committed: a leader that takes over before starts it again.
-   */
-  int quotaTaskCount() {
-    // What of a frozen job runs is not known; all of it may.
-    return frozen ? spec.tasks() : reservations.size() + uncommittedSettlements.size();
+  boolean isCancelled() {
+    return cancelled;
   }
 
-  /** How many of its tasks count for the team, and which of them hold no room for long. */
-  TaskCounts taskCounts() {
-    if (frozen) {
-      // Nothing of it can be relied on.
-      return new TaskCounts(spec.tasks(), spec.tasks(), 0);
-    }
-    int stopping = cancelled ? reservations.size() : stoppingTasks;
-    return new TaskCounts(quotaTaskCount(), stopping, uncommittedSettlements.size());
+  /** Whether a cancellation is being written; nothing new starts meanwhile. */
+  boolean isCancelling() {
+    return cancelling;
   }
 
-  /** One of its tasks, or the whole gang, was reclaimed; how often is a hint that may be lost. */
-  void recordReclaim(int index, long nowMs) {
-    reclaimCounts.addTo(gang == null ? index : 0, 1);
-    lastReclaimedMs = nowMs;
+  void onCancellationBegun() {
+    cancelling = true;
   }
 
-  /** When one of its tasks, or the whole gang, was last reclaimed under this leader. */
-  long lastReclaimedMs() {
-    return lastReclaimedMs;
+  void onCancellationFailed() {
+    cancelling = false;
   }
 
-  /** How often this task, or the whole gang, was reclaimed under this leader. */
-  int reclaimCount(int index) {
-    return reclaimCounts.get(gang == null ? index : 0);
+  /** A cancellation is committed. */
+  void onCancelled() {
+    cancelled = true;
+    tasks.cancel(writes.isInFlight());
   }
 
-  /** Keeps the job from being written before that time. */
-  void blockWritesUntil(long untilMs) {
-    writesBlockedUntilMs = untilMs;
+  /** Whether the job still has something to do, or something reserved. */
+  boolean isActive() {
+    return active;
   }
 
-  /** Whether a write may begin now. */
-  boolean canWrite(long nowMs) {
-    return !writeInFlight && !cancelled && !cancelling && nowMs >= writesBlockedUntilMs;
+  void activate() {
+    active = true;
+  }
+
+  void deactivate() {
+    active = false;
   }
 
-  /** The state service was asked, or a write has shown, that the job is not archived. */
+  /** A stored record of the job can't be read: nothing of it starts. */
+  void freeze() {
+    frozen = true;
+    tasks.clearPending();
+  }
+
+  /** A read or a conditional write has shown that the job is not archived. */
   void confirmNotArchived() {
     confirmedNotArchived = true;
   }
 
   /**
-   * Whether the job surely is not archived. A submission of an older version that is carried out
-   * after the job was archived brings its record back; such a job has no alloc record.
+   * Whether the job surely is not archived. A submission of an older version that is applied after
+   * the job was archived brings its record back; such a job has no allocation.
    */
   boolean isKnownNotArchived() {
-    return confirmedNotArchived || allocationVersion > 0;
+    return confirmedNotArchived || writes.version() > 0;
   }
 
   /** Whether nothing that is still open could change what is known of the job. */
   boolean isArchivable() {
     return isTerminal()
-        && reservations.isEmpty()
-        && uncommittedSettlements.isEmpty()
-        && !writeInFlight
+        && tasks.reservations().isEmpty()
+        && tasks.uncommittedSettlements().isEmpty()
+        && !writes.isInFlight()
         && !frozen;
   }
 
-  void freeze() {
-    frozen = true;
-    pendingTasks.clear();
+  /** Whether a write of its allocation may begin now. */
+  boolean canWrite(long nowMs) {
+    return writes.canBegin(nowMs) && !cancelled && !cancelling;
   }
 
-  /** The number that the next attempts get, larger than that of any before. */
-  long nextAttemptNumber() {
-    return Math.max(lastAttempt, committedAllocation.lastAttempt()) + 1;
+  /** Whether machines that have the job's image were searched before others; once is enough. */
+  boolean isCachedImageSearched() {
+    return cachedImageSearched;
+  }
+
+  void onCachedImageSearched() {
+    cachedImageSearched = true;
+  }
+
+  /**
+   * How many tasks count for the team's quota. A settled reservation counts until its settlement is
+   * committed, since a new leader would start its task again.
+   */
+  int quotaTaskCount() {
+    // Any task of a frozen job may be running.
+    return frozen
+        ? spec.tasks()
+        : tasks.reservations().size() + tasks.uncommittedSettlements().size();
+  }
+
+  /** How many tasks count for the team's quota, and which of them release their resources soon. */
+  TaskCounts taskCounts() {
+    if (frozen) {
+      return new TaskCounts(spec.tasks(), spec.tasks(), 0);
+    }
+    int stopping = cancelled ? tasks.reservations().size() : tasks.stoppingCount();
+    return new TaskCounts(quotaTaskCount(), stopping, tasks.uncommittedSettlements().size());
+  }
+
+  /** What {@link ResourceUsage} has counted of the job's tasks. */
+  TaskCounts accountedTasks() {
+    return accountedTasks;
+  }
+
+  void onTasksAccounted(TaskCounts counts) {
+    accountedTasks = counts;
+  }
+
+  /** Whether {@link ResourceUsage} has counted the job as active. */
+  boolean isAccountedActive() {
+    return accountedActive;
+  }
+
+  void onActivityAccounted() {
+    accountedActive = active;
   }
 
-  /** How long a task that is told to stop may take to save. */
+  /** How long a task may take to save when it is stopped. */
   double stopGraceS() {
     if (cancelled) {
-      // Nobody wants what a cancelled task saves.
+      // The checkpoint of a cancelled task is of no use.
       return 0;
     }
     return gang == null ? spec.saveDurationS() : gang.stopGraceS();
   }
 
-  boolean hasAllTasksFinished() {
-    return finishedTasks.cardinality() == spec.tasks();
-  }
-
+  /** The status as users see it. */
   JobStatus status() {
-    if (cancelled) {
-      return JobStatus.cancelled(spec.uid(), committedAllocation.finishedTaskCount());
-    }
-    return JobStatus.of(spec, committedAllocation, countRunningTasks());
+    StoredRecord.Allocation committed = writes.committed();
+    return cancelled
+        ? JobStatus.cancelled(spec.uid(), committed.finishedTaskCount())
+        : JobStatus.of(spec, committed, countRunningTasks());
   }
 
   private int countRunningTasks() {
-    int n = 0;
-    for (Reservation reservation : reservations.values()) {
-      n += isReportedRunning(reservation.reportedState) ? 1 : 0;
+    int running = 0;
+    for (Reservation reservation : tasks.reservations().values()) {
+      running += isReportedRunning(reservation.reportedState()) ? 1 : 0;
     }
-    return n;
+    return running;
   }
 
-  /** A gang does not run before all of its tasks do; a replica that fetches is on its way. */
-  private boolean isReportedRunning(TaskStatus.State seen) {
-    if (seen == null || seen == TaskStatus.State.ENDED) {
+  /** A gang runs once all of its tasks do; a replica runs once it has been started. */
+  private boolean isReportedRunning(TaskStatus.State reported) {
+    if (reported == null || reported == TaskStatus.State.ENDED) {
       return false;
     }
     return gang == null
-        || seen != TaskStatus.State.FETCHING && seen != TaskStatus.State.WAITING_FOR_GANG;
+        || reported != TaskStatus.State.FETCHING && reported != TaskStatus.State.WAITING_FOR_GANG;
   }
 
-  /** What the plain form of the alloc record may take, with all that is reserved now. */
-  PlainAllocationSize plainSize() {
-    PlainAllocationSize size = new PlainAllocationSize(spec.tasks(), countFinishedRanges());
-    addReservations(size);
-    return size;
+  /** Reserves a pending task on a machine. */
+  Reservation propose(int taskIndex, long attempt, MachineState machine) {
+    Reservation reservation = new Reservation(this, taskIndex, attempt, machine);
+    if (gang != null && gang.canStartAttempt()) {
+      gang.onAttemptStarted();
+    }
+    lastAttempt = attempt;
+    tasks.reserve(reservation);
+    writes.onChanged();
+    return reservation;
   }
 
-  /** The same for the packed form. */
-  PackedAllocationSize packedSize() {
-    PackedAllocationSize size = new PackedAllocationSize(spec.tasks(), countFinishedRanges());
-    addReservations(size);
-    return size;
+  /** The task of a reservation has ended, or surely is not on its machine any more. */
+  void settle(Reservation reservation, boolean completed) {
+    if (cancelled) {
+      tasks.release(reservation);
+      return;
+    }
+    tasks.settle(reservation, completed);
+    if (completed) {
+      failureHistory.recordSuccess();
+    }
+    writes.onChanged();
+    if (gang != null && completed) {
+      finishGang();
+    } else if (gang != null) {
+      gang.onTaskLost();
+    }
   }
 
-  /** The same for the bitmap form. */
-  BitmapAllocationSize bitmapSize() {
-    BitmapAllocationSize size = new BitmapAllocationSize(spec.tasks(), finishedTasks);
-    for (Reservation reservation : reservations.values()) {
-      size.addExisting(reservation.taskIndex, reservation.attempt, reservation.machine.name);
-    }
-    return size;
+  /** The tasks of a gang complete together: where one is done, all are. */
+  private void finishGang() {
+    tasks.finishAll();
+    writes.onChanged();
   }
 
-  private void addReservations(AllocationSize size) {
-    for (Reservation reservation : reservations.values()) {
-      size.add(reservation.taskIndex, reservation.attempt, reservation.machine.name);
+  /** Restores what an earlier leader has committed. */
+  void restore(
+      StoredRecord.Allocation allocation,
+      long version,
+      Function<String, MachineState> machineByName) {
+    writes.onRestored(allocation, version);
+    lastAttempt = allocation.lastAttempt();
+    allocation.finished().forEach(tasks::restoreFinished);
+    for (StoredRecord.ReservedRange range : allocation.reserved()) {
+      MachineState machine = machineByName.apply(range.machine());
+      for (int index = range.from(); index <= range.to(); index++) {
+        restoreReservation(new Reservation(this, index, range.attempt(), machine));
+      }
     }
+    if (spec.kind() == JobKind.ARRAY) {
+      failureHistory.restore(allocation, spec.tasks());
+    }
+    restoreGang();
   }
 
-  private int countFinishedRanges() {
-    int ranges = 0;
-    for (int from = finishedTasks.nextSetBit(0);
-        from >= 0;
-        from = finishedTasks.nextSetBit(finishedTasks.nextClearBit(from))) {
-      ranges++;
-    }
-    return ranges;
-  }
-
-  /** The alloc record that says what is in memory now. */
-  StoredRecord.Allocation toAllocation() {
-    ImmutableList.Builder<StoredRecord.ReservedRange> spans = ImmutableList.builder();
-    StoredRecord.ReservedRange open = null;
-    for (Reservation reservation : reservations.values()) {
-      String machine = reservation.machine.name;
-      if (open != null
-          && open.to() == reservation.taskIndex - 1
-          && open.attempt() == reservation.attempt
-          && open.machine().equals(machine)) {
-        open =
-            new StoredRecord.ReservedRange(
-                open.from(), reservation.taskIndex, reservation.attempt, machine);
-      } else {
-        if (open != null) {
-          spans.add(open);
-        }
-        open =
-            new StoredRecord.ReservedRange(
-                reservation.taskIndex, reservation.taskIndex, reservation.attempt, machine);
-      }
+  private void restoreReservation(Reservation reservation) {
+    reservation.onCommitted();
+    tasks.reserve(reservation);
+    if (cancelled) {
+      reservation.machine.requestCommand();
     }
-    if (open != null) {
-      spans.add(open);
+  }
+
+  /** An older leader may have seen a part of a gang end, and ended before it acted on it. */
+  private void restoreGang() {
+    if (gang == null || isTerminal()) {
+      return;
     }
-    ImmutableList.Builder<StoredRecord.TaskRange> ranges = ImmutableList.builder();
-    for (int from = finishedTasks.nextSetBit(0); from >= 0; ) {
-      int end = finishedTasks.nextClearBit(from);
-      ranges.add(new StoredRecord.TaskRange(from, end - 1));
-      from = finishedTasks.nextSetBit(end);
+    if (tasks.hasFinished()) {
+      finishGang();
+    } else if (tasks.hasPending()) {
+      gang.onTaskLost();
     }
-    return new StoredRecord.Allocation(
-        lastAttempt, hasAllTasksFinished(), spans.build(), ranges.build());
   }
 }
--- a/src/main/java/eiderfork/controller/LeaderRecovery.java
+++ b/src/main/java/eiderfork/controller/LeaderRecovery.java
@@ -229,7 +229,7 @@
 
   private void finishRecovery(long leadingTerm, long revision, boolean copied) {
     readBarrier.advanceTo(revision);
-    jobs.restoreCachedImages(fleet);
+    new CachedImageRestorer(fleet).restore(jobs.all());
     LOG.info("rebuilt: {} jobs, {} machines", jobs.size(), fleet.machines().size());
     onRecovered.accept(copied);
     follow(StoreKeys.JOB_PREFIX, leadingTerm, revision);
--- a/src/main/java/eiderfork/controller/MachineConsolidation.java
+++ b/src/main/java/eiderfork/controller/MachineConsolidation.java
@@ -180,10 +180,10 @@
     for (Reservation reservation : machine.reservations) {
       boolean settled =
           reservation.job.spec.kind() == JobKind.SERVICE
-              && reservation.committed
+              && reservation.isCommitted()
               && reservation.isDesired()
-              && reservation.reportedState == TaskStatus.State.RUNNING
-              && context.nowMs - reservation.runningSinceMs > MIN_RUNNING_MS;
+              && reservation.reportedState() == TaskStatus.State.RUNNING
+              && context.nowMs - reservation.runningSinceMs() > MIN_RUNNING_MS;
       if (!settled) {
         return false;
       }
--- a/src/main/java/eiderfork/controller/MachineSearch.java
+++ b/src/main/java/eiderfork/controller/MachineSearch.java
@@ -74,7 +74,7 @@
       return;
     }
     List<MachineState> all = capacity.candidates(job.spec, open);
-    int sample = SAMPLE_PER_TASK * job.pendingTasks.cardinality();
+    int sample = SAMPLE_PER_TASK * job.pendingTaskCount();
     sampled = capacity.examinedMachines() > maxExaminations && all.size() > sample;
     if (sampled) {
       for (int i = 0; i < sample; i++) {
--- a/src/main/java/eiderfork/controller/PlacementConstraints.java
+++ b/src/main/java/eiderfork/controller/PlacementConstraints.java
@@ -14,7 +14,7 @@
   /** How many tasks of a job each zone holds. */
   static Map<String, Integer> countTasksByZone(JobState job) {
     Map<String, Integer> tasksByZone = new HashMap<>();
-    for (Reservation reservation : job.reservations.values()) {
+    for (Reservation reservation : job.reservations().values()) {
       String zone = reservation.machine.zone();
       tasksByZone.merge(zone, 1, Integer::sum);
     }
--- a/src/main/java/eiderfork/controller/PreemptionPlanner.java
+++ b/src/main/java/eiderfork/controller/PreemptionPlanner.java
@@ -270,7 +270,7 @@
     for (Reservation reservation : machine.reservations) {
       if (policy.isFreeingCapacity(reservation)) {
         left = left.plus(reservation.job.spec.taskResources());
-      } else if (reservation.committed && policy.canPreemptOn(machine)) {
+      } else if (reservation.isCommitted() && policy.canPreemptOn(machine)) {
         addVictim(able, entry, reservation);
       }
     }
--- a/src/main/java/eiderfork/controller/PriorityPreemptionPolicy.java
+++ b/src/main/java/eiderfork/controller/PriorityPreemptionPolicy.java
@@ -101,10 +101,11 @@
     if (reservation.job.gang != null) {
       return gangLostWorkS(reservation);
     }
-    if (reservation.reportedState != TaskStatus.State.RUNNING || reservation.runningSinceMs == 0) {
+    if (reservation.reportedState() != TaskStatus.State.RUNNING
+        || reservation.runningSinceMs() == 0) {
       return 0;
     }
-    double ranS = (context.nowMs - reservation.runningSinceMs) / 1000.0;
+    double ranS = (context.nowMs - reservation.runningSinceMs()) / 1000.0;
     double sinceCheckpointS =
         spec.checkpointIntervalS() > 0 ? Math.min(ranS, spec.checkpointIntervalS()) : ranS;
     double lateS =
@@ -119,7 +120,9 @@
   private double gangLostWorkS(Reservation reservation) {
     Job spec = reservation.job.spec;
     double ranS =
-        reservation.runningSinceMs == 0 ? 0 : (context.nowMs - reservation.runningSinceMs) / 1000.0;
+        reservation.runningSinceMs() == 0
+            ? 0
+            : (context.nowMs - reservation.runningSinceMs()) / 1000.0;
     double lostS = spec.checkpointIntervalS() > 0 ? spec.saveDurationS() : ranS;
     return (lostS + GANG_RESTART_STEPS * context.stepS()) * gangTasksPerLocalTask(reservation);
   }
--- a/src/main/java/eiderfork/controller/QueueOrder.java
+++ b/src/main/java/eiderfork/controller/QueueOrder.java
@@ -46,7 +46,7 @@
       return entry.firstSeenMs;
     }
     // Small arrays are sooner done, and a larger one loses less by waiting for them.
-    double size = entry.pendingTasks.cardinality() / (double) maxWaitingTasks;
+    double size = entry.pendingTaskCount() / (double) maxWaitingTasks;
     if (job.deadlineS() == null) {
       double aimS = context.settings.shortestObjectiveS(Objective.Kind.FINISHED, job.jobClass());
       double yieldS = aimS == Double.MAX_VALUE ? 0 : aimS * SMALLER_ARRAYS_FIRST_SHARE;
@@ -57,7 +57,7 @@
       return latestStartMs.getAsLong();
     }
     // Late work that never began has a right to begin; what has begun may wait for longer.
-    boolean begun = entry.lastAttempt > 0;
+    boolean begun = entry.lastAttempt() > 0;
     double waitMostMs = MAX_START_DELAY_MS * (begun ? 1 : OVERDUE_SHARE);
     boolean waitedLongEnough = context.nowMs - entry.firstSeenMs >= waitMostMs;
     return entry.firstSeenMs + (waitedLongEnough ? 0 : LAST_IN_RANK_OFFSET_MS);
--- a/src/main/java/eiderfork/controller/QuotaPreemptionPolicy.java
+++ b/src/main/java/eiderfork/controller/QuotaPreemptionPolicy.java
@@ -204,12 +204,13 @@
       // It is away until a machine comes for it, whether it serves already or not.
       return new PreemptionPlan(PreemptionMode.AT_ONCE, 0, fleet.longestBootMs(spec) / 1000);
     }
-    if (reservation.reportedState != TaskStatus.State.RUNNING || reservation.runningSinceMs == 0) {
+    if (reservation.reportedState() != TaskStatus.State.RUNNING
+        || reservation.runningSinceMs() == 0) {
       return PreemptionPlan.NO_WORK_LOST;
     }
     return PreemptionPlan.cheapest(
         new CheckpointPolicy(spec.checkpointIntervalS(), spec.saveDurationS()),
-        (context.nowMs - reservation.runningSinceMs) / 1000.0,
+        (context.nowMs - reservation.runningSinceMs()) / 1000.0,
         reservation.isStartObserved(),
         preemptor.maxCheckpointWaitS(),
         START_OBSERVATION_DELAY_REPORTS * context.heartbeatIntervalMs() / 1000.0);
@@ -230,7 +231,7 @@
     }
     return costS
         * cpusPerGpu.gpuWeight(spec.taskResources())
-        * (1 + reservation.job.reclaimCount(reservation.taskIndex));
+        * (1 + reservation.job.reclaims().count(reservation.taskIndex));
   }
 
   @Override
@@ -278,7 +279,7 @@
   public void confirm(JobState job) {
     for (Choice choice : unconfirmed) {
       Reservation reservation = choice.task();
-      reservation.job.recordReclaim(reservation.taskIndex, context.nowMs);
+      reservation.job.reclaims().record(reservation.taskIndex, context.nowMs);
       borrowedCapacity.recordReclaim(reservation, job.spec);
       reclaimLog.recordReclaim(job.spec, choice);
     }
--- a/src/main/java/eiderfork/controller/ReplicaMigration.java
+++ b/src/main/java/eiderfork/controller/ReplicaMigration.java
@@ -87,14 +87,14 @@
     boolean gpusMove =
         forImage
             && spec.priority().compareTo(job.priority()) > 0
-            && context.nowMs - reservation.runningSinceMs > MachineConsolidation.MIN_RUNNING_MS;
+            && context.nowMs - reservation.runningSinceMs() > MachineConsolidation.MIN_RUNNING_MS;
     boolean movable =
         spec.kind() == JobKind.SERVICE
             && (spec.taskResources().gpus() <= 0 || gpusMove)
-            && reservation.reportedState == TaskStatus.State.RUNNING
+            && reservation.reportedState() == TaskStatus.State.RUNNING
             && spec.taskResources().shareOf(reservation.machine.capacity)
                 < job.taskResources().shareOf(reservation.machine.capacity)
-            && context.nowMs - reservation.runningSinceMs > MIN_RUN_STEPS * context.stepMs();
+            && context.nowMs - reservation.runningSinceMs() > MIN_RUN_STEPS * context.stepMs();
     double weight = cpusPerGpu.gpuWeight(spec.taskResources());
     return movable ? MIGRATION_STEPS * context.stepS() * weight : Double.MAX_VALUE;
   }
--- a/src/main/java/eiderfork/controller/Reservation.java
+++ b/src/main/java/eiderfork/controller/Reservation.java
@@ -11,27 +11,13 @@
   final long attempt;
   final MachineState machine;
 
-  /** The reservation stands in the state service; nothing is sent before. */
-  boolean committed;
-
-  /** The task is to be stopped; it is not started again under this reservation. */
+  private boolean committed;
   private boolean stopping;
-
-  /** The task gets no time to save when it is stopped. */
   private boolean withoutSave;
-
-  /** The last state seen of it on the machine, null for none. */
-  TaskStatus.State reportedState;
-
-  /** The largest token and session that its start was sent with; 0 for never in this term. */
-  long startToken;
-
-  long startIncarnation;
-
-  /** When the task was first seen running, 0 for not yet. */
-  long runningSinceMs;
-
-  /** When the task was first seen saving, 0 for not yet. */
+  private TaskStatus.State reportedState;
+  private long startToken;
+  private long startIncarnation;
+  private long runningSinceMs;
   private long savingSinceMs;
 
   Reservation(JobState job, int taskIndex, long attempt, MachineState machine) {
@@ -41,15 +27,82 @@
     this.machine = machine;
   }
 
+  /** The attempt as workers know it. */
   Attempt toAttempt() {
     return new Attempt(new TaskId(job.spec.uid(), taskIndex), attempt);
   }
 
-  /** Has the task stopped; its job's owner of the tallies is to be told of it. */
+  /** Whether the reservation is in the store; no command is sent before. */
+  boolean isCommitted() {
+    return committed;
+  }
+
+  /** The reservation was written to the store, or read from it. */
+  void onCommitted() {
+    committed = true;
+  }
+
+  /** The last state that the machine reported of the task, null for none. */
+  TaskStatus.State reportedState() {
+    return reportedState;
+  }
+
+  void onStateReported(TaskStatus.State state) {
+    reportedState = state;
+  }
+
+  /** When the task was first reported as running, 0 for not yet. */
+  long runningSinceMs() {
+    return runningSinceMs;
+  }
+
+  /** The machine reports that the task is running; the first such report counts. */
+  void onRunningReported(long nowMs) {
+    if (runningSinceMs == 0) {
+      runningSinceMs = nowMs;
+    }
+  }
+
+  /** The largest fencing token that the task's start was sent with; 0 for never in this term. */
+  long startToken() {
+    return startToken;
+  }
+
+  /** The worker incarnation that the task's start was sent to; 0 for never in this term. */
+  long startIncarnation() {
+    return startIncarnation;
+  }
+
+  void onStartSent(long fencingToken, long incarnation) {
+    startToken = fencingToken;
+    startIncarnation = incarnation;
+  }
+
+  /** Whether this leader has seen the task start, so that it knows for how long it has run. */
+  boolean isStartObserved() {
+    return startToken > 0 && runningSinceMs > 0;
+  }
+
+  /** Whether the task may be started. */
+  boolean canStart() {
+    return committed && isDesired() && reportedState == null;
+  }
+
+  /** Whether the task should run where it is. */
+  boolean isDesired() {
+    return !stopping && !job.isCancelled();
+  }
+
+  /** Whether the task is to be stopped; it is not started again under this reservation. */
+  boolean isStopping() {
+    return stopping;
+  }
+
+  /** Has the task stopped. The caller refreshes the job's indexes. */
   void requestStop() {
     if (!stopping) {
       stopping = true;
-      job.stoppingTasks++;
+      job.tasks().onStopRequested();
     }
   }
 
@@ -57,31 +110,22 @@
   void revokeStop() {
     if (stopping) {
       stopping = false;
-      job.stoppingTasks--;
+      job.tasks().onStopRevoked();
     }
     withoutSave = false;
   }
 
-  /** The reservation is over, so that its task does not count as stopping any more. */
-  void onRemoved() {
-    job.stoppingTasks -= stopping ? 1 : 0;
-  }
-
   /** The task ends at once when it is stopped, or while it saves. */
   void skipSave() {
     withoutSave = true;
   }
 
-  boolean isStopping() {
-    return stopping;
-  }
-
-  /** The time that the task gets to save when it is told to stop. */
+  /** The time that the task gets to save when it is stopped. */
   double stopGraceS() {
     return withoutSave ? 0 : job.stopGraceS();
   }
 
-  /** The machine reports that the task is saving, because it was told to stop. */
+  /** The machine reports that the task is saving; the first such report counts. */
   void onSavingReported(long nowMs) {
     if (savingSinceMs == 0) {
       savingSinceMs = nowMs;
@@ -93,18 +137,4 @@
     long saveMs = (long) (job.spec.saveDurationS() * 1000);
     return savingSinceMs > 0 && nowMs - savingSinceMs > saveMs + marginMs;
   }
-
-  /** Whether this leader has seen the task start, so that it knows for how long it has run. */
-  boolean isStartObserved() {
-    return startToken > 0 && runningSinceMs > 0;
-  }
-
-  boolean canStart() {
-    return committed && !stopping && !job.cancelled && reportedState == null;
-  }
-
-  /** Whether the task is wanted where it is. */
-  boolean isDesired() {
-    return !stopping && !job.cancelled;
-  }
 }
--- a/src/main/java/eiderfork/controller/ReservationReconciler.java
+++ b/src/main/java/eiderfork/controller/ReservationReconciler.java
@@ -56,8 +56,8 @@
       } else if (task.hasEnded()) {
         reconcileEndedTask(machine, reservation, task);
       } else {
-        if (task.state() == TaskStatus.State.RUNNING && reservation.runningSinceMs == 0) {
-          reservation.runningSinceMs = context.nowMs;
+        if (task.state() == TaskStatus.State.RUNNING && reservation.runningSinceMs() == 0) {
+          reservation.onRunningReported(context.nowMs);
           // A new leader learns from what runs which images a machine has.
           recordImageUse(machine, reservation);
           machine.imageReadyMs.put(reservation.job.spec.image(), context.nowMs);
@@ -67,10 +67,10 @@
           machine.cachedImagesGb.remove(reservation.job.spec.image());
           recordImageUse(machine, reservation);
         }
-        reservation.reportedState = task.state();
+        reservation.onStateReported(task.state());
         if (reservation.job.gang != null) {
           reconcileGang(machine, reservation);
-        } else if (reservation.reportedState == TaskStatus.State.CHECKPOINTING
+        } else if (reservation.reportedState() == TaskStatus.State.CHECKPOINTING
             && context.settings.operator().isLendingEnabled()) {
           reconcileCheckpoint(reservation);
         }
@@ -91,12 +91,12 @@
   }
 
   private void reconcileGang(MachineState machine, Reservation reservation) {
-    if (reservation.reportedState == TaskStatus.State.CHECKPOINTING && reservation.isDesired()) {
+    if (reservation.reportedState() == TaskStatus.State.CHECKPOINTING && reservation.isDesired()) {
       // An older leader has begun to stop the gang; tasks that are not told in time lose the save.
       reservation.job.gang.requestSave();
       jobs.refreshIndexes(reservation.job);
     } else if (machine.lastHeartbeat().terminationNoticeS() != null
-        && reservation.reportedState == TaskStatus.State.RUNNING
+        && reservation.reportedState() == TaskStatus.State.RUNNING
         && reservation.isDesired()) {
       reservation.job.gang.onTerminationNotice(machine.lastHeartbeat().terminationNoticeS());
       jobs.refreshIndexes(reservation.job);
@@ -104,23 +104,23 @@
   }
 
   private void reconcileMissingTask(MachineState machine, Reservation reservation) {
-    if (!reservation.committed) {
+    if (!reservation.isCommitted()) {
       return;
     }
     boolean surely =
-        machine.lastHeartbeat().incarnation() > reservation.startIncarnation
-                && reservation.startIncarnation > 0
+        machine.lastHeartbeat().incarnation() > reservation.startIncarnation()
+                && reservation.startIncarnation() > 0
             || machine.lastHeartbeat().fencingToken()
-                > Math.max(reservation.startToken, election.firstFencingToken() - 1);
+                > Math.max(reservation.startToken(), election.firstFencingToken() - 1);
     if (!surely) {
-      if ((!reservation.isDesired() || reservation.reportedState != null)
-          && reservation.startToken >= machine.fencingToken) {
+      if ((!reservation.isDesired() || reservation.reportedState() != null)
+          && reservation.startToken() >= machine.fencingToken) {
         // Outdates the unanswered start, so that its absence can be believed.
         raiseFencingToken(machine);
       }
       return;
     }
-    if (!reservation.isDesired() || reservation.reportedState != null) {
+    if (!reservation.isDesired() || reservation.reportedState() != null) {
       jobs.settle(reservation, false);
       requestRound.run();
     }
@@ -193,7 +193,7 @@
 
   private static boolean hasOtherRunningTasks(MachineState machine) {
     for (Reservation reservation : machine.reservations) {
-      if (reservation.reportedState == TaskStatus.State.RUNNING
+      if (reservation.reportedState() == TaskStatus.State.RUNNING
           && !machine.failedJobs.contains(reservation.job.spec.uid())) {
         return true;
       }
--- a/src/main/java/eiderfork/controller/ResourceUsage.java
+++ b/src/main/java/eiderfork/controller/ResourceUsage.java
@@ -31,24 +31,30 @@
   }
 
   /** Takes up what has changed of a job. */
-  void update(JobState entry) {
-    Job job = entry.spec;
-    TaskCounts counts = entry.active ? entry.taskCounts() : TaskCounts.NONE;
-    TaskCounts before = entry.accountedTasks;
-    if (!counts.equals(before)) {
-      entry.accountedTasks = counts;
-      changeCount++;
-      used.add(job.team(), job.taskResources(), counts.used() - before.used());
-      stopping.add(job.team(), job.taskResources(), counts.stopping() - before.stopping());
-      settled.add(job.team(), job.taskResources(), counts.settled() - before.settled());
+  void update(JobState job) {
+    TaskCounts before = job.accountedTasks();
+    TaskCounts now = job.isActive() ? job.taskCounts() : TaskCounts.NONE;
+    if (!now.equals(before)) {
+      job.onTasksAccounted(now);
+      addTasks(job.spec, before, now);
     }
-    if (entry.active != entry.accountedActive) {
-      entry.accountedActive = entry.active;
-      if (job.taskResources().gpus() > 0) {
-        TaskSizeCounter.add(
-            gpuTasks, job.taskResources(), entry.active ? job.tasks() : -job.tasks());
-        cpusPerGpu = null;
-      }
+    if (job.isActive() != job.isAccountedActive()) {
+      job.onActivityAccounted();
+      addGpuTasks(job.spec, job.isActive() ? job.spec.tasks() : -job.spec.tasks());
+    }
+  }
+
+  private void addTasks(Job job, TaskCounts before, TaskCounts now) {
+    changeCount++;
+    used.add(job.team(), job.taskResources(), now.used() - before.used());
+    stopping.add(job.team(), job.taskResources(), now.stopping() - before.stopping());
+    settled.add(job.team(), job.taskResources(), now.settled() - before.settled());
+  }
+
+  private void addGpuTasks(Job job, int change) {
+    if (job.taskResources().gpus() > 0) {
+      TaskSizeCounter.add(gpuTasks, job.taskResources(), change);
+      cpusPerGpu = null;
     }
   }
 
--- a/src/main/java/eiderfork/controller/Scheduler.java
+++ b/src/main/java/eiderfork/controller/Scheduler.java
@@ -129,7 +129,7 @@
         new PreemptionPlanner(
             context, jobs, capacity, imageFetch, gpuBalance(), stops, maxFullSearchExaminations);
     for (JobState job : ranked) {
-      int before = job.reservations.size();
+      int before = job.reservations().size();
       if (eligibility.canWrite(job) && eligibility.canPlace(job)) {
         if (job.gang == null) {
           SearchConstraints restrictions =
@@ -139,7 +139,7 @@
           placeGang(job, preemption, new SearchConstraints(false, borrowing.isBorrowing(job)));
         }
       }
-      if (job.reservations.size() > before) {
+      if (job.reservations().size() > before) {
         jobs.write(job, DispatchEligibility.startUrgency(job));
       } else {
         left |= eligibility.writeCompletions(job);
@@ -239,12 +239,12 @@
       used = used.plus(job.taskResources());
     }
     usedByTeam.put(job.team(), used);
-    int kept = Math.min(own.size(), entry.pendingTasks.cardinality());
+    int kept = Math.min(own.size(), entry.pendingTaskCount());
     own.subList(0, kept).forEach(capacity::addClaim);
     if (noRoom && !entry.failureHistory.isConfirmedSuspect()) {
       // A new leader may suspect an array that was only reclaimed again and again.
       int most = entry.failureHistory.isSuspected() ? 1 : startable + 1;
-      int wanted = Math.min(entry.pendingTasks.cardinality(), most) - kept;
+      int wanted = Math.min(entry.pendingTaskCount(), most) - kept;
       preempt(preemption, entry, wanted, tasksByZone, Double.MAX_VALUE);
     }
   }
@@ -312,11 +312,11 @@
     if (!own.isEmpty()) {
       return true;
     }
-    if (job.cachedImageSearched) {
+    if (job.isCachedImageSearched()) {
       return false;
     }
-    job.cachedImageSearched = true;
-    int waiting = job.pendingTasks.cardinality();
+    job.onCachedImageSearched();
+    int waiting = job.pendingTaskCount();
     return preempt(preemption, job, waiting, tasksByZone, startObjectiveS(job.spec)) > 0;
   }
 
--- a/src/main/java/eiderfork/controller/TeamUsageTracker.java
+++ b/src/main/java/eiderfork/controller/TeamUsageTracker.java
@@ -69,8 +69,7 @@
   List<TeamUsage> accountsWithDemand() {
     Map<String, QuotaAmount> asked = new HashMap<>();
     for (JobState job : jobs.jobsWithWork()) {
-      QuotaAmount waiting =
-          QuotaAmount.of(job.spec.taskResources()).times(job.pendingTasks.cardinality());
+      QuotaAmount waiting = QuotaAmount.of(job.spec.taskResources()).times(job.pendingTaskCount());
       asked.merge(job.spec.team(), waiting, QuotaAmount::plus);
     }
     return accounts(asked);
--- a/src/main/java/eiderfork/controller/UserRequestHandler.java
+++ b/src/main/java/eiderfork/controller/UserRequestHandler.java
@@ -110,7 +110,7 @@
     JobStatus known = finalStatuses.get(uid);
     JobState job = jobs.get(uid);
     if (known == null && cancellations.contains(uid) && isCancellationFinal(uid, job)) {
-      int doneTasks = job == null ? 0 : job.committedAllocation.finishedTaskCount();
+      int doneTasks = job == null ? 0 : job.writes().committed().finishedTaskCount();
       return JobStatus.cancelled(uid, doneTasks);
     }
     return known;
--- a/src/main/java/eiderfork/controller/WorkerCommander.java
+++ b/src/main/java/eiderfork/controller/WorkerCommander.java
@@ -205,7 +205,7 @@
     ImmutableList.Builder<WorkerCommand> list = ImmutableList.builder();
     Set<Attempt> held = new HashSet<>();
     for (Reservation reservation : machine.reservations) {
-      if (reservation.committed) {
+      if (reservation.isCommitted()) {
         held.add(reservation.toAttempt());
       }
     }
@@ -217,7 +217,7 @@
         continue;
       }
       JobState job = jobs.get(attempt.task().jobUid());
-      Reservation reservation = job == null ? null : job.reservations.get(attempt.task().index());
+      Reservation reservation = job == null ? null : job.reservations().get(attempt.task().index());
       boolean ours = reservation != null && held.contains(attempt);
       agrees &= ours && reservation.isDesired() && reservation.job.gang == null && isActive(task);
       if (task.hasEnded()) {
@@ -241,10 +241,9 @@
     }
     if (liveness.isSchedulable(machine)) {
       for (Reservation reservation : machine.reservations) {
-        if (reservation.canStart() && !reservation.job.cancelling) {
+        if (reservation.canStart() && !reservation.job.isCancelling()) {
           list.add(new WorkerCommand.Run(reservation.toAttempt()));
-          reservation.startToken = machine.fencingToken;
-          reservation.startIncarnation = machine.incarnation.number();
+          reservation.onStartSent(machine.fencingToken, machine.incarnation.number());
           reconciler.recordImageUse(machine, reservation);
         }
       }
--- a/src/main/java/eiderfork/controller/WorkerLeaseLog.java
+++ b/src/main/java/eiderfork/controller/WorkerLeaseLog.java
@@ -103,7 +103,7 @@
   void leaseExpired(MachineState machine, long readMs) {
     int running = 0;
     for (Reservation task : machine.reservations) {
-      running += task.reportedState == TaskStatus.State.RUNNING ? 1 : 0;
+      running += task.reportedState() == TaskStatus.State.RUNNING ? 1 : 0;
     }
     expiredLeases++;
     settledTasks += machine.reservations.size();
--- a/src/test/java/eiderfork/controller/AllocationSizeLimitTest.java
+++ b/src/test/java/eiderfork/controller/AllocationSizeLimitTest.java
@@ -13,7 +13,7 @@
   /** How many tasks on machines of their own may be reserved at once. */
   private static int reservable(double plainKb, double packedKb) {
     var job = TestFixtures.job(1, JobKind.ARRAY, TASKS, 1);
-    JobState entry = TestFixtures.entry(job);
+    JobState entry = TestFixtures.jobState(job);
     AllocationSizeLimit room = new AllocationSizeLimit(entry, plainKb, packedKb, false);
     int count = 0;
     while (count < TASKS && room.fits(count, 1, "n-%06d".formatted(count))) {
--- a/src/test/java/eiderfork/controller/AllocationSizeTest.java
+++ b/src/test/java/eiderfork/controller/AllocationSizeTest.java
@@ -10,6 +10,7 @@
 import eiderfork.model.StoredRecord;
 import eiderfork.wire.StoreCodec;
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.List;
 import java.util.Random;
 import java.util.function.Function;
@@ -25,7 +26,12 @@
   @CsvSource({"1,180,180", "2,180,180", "3,180,180", "4,25,25", "5,2000,150", "6,40000,100"})
   void everyRecordFitsIntoAValue(long seed, int tasks, int atLeastAtOnce) {
     everyRecordFits(
-        seed, tasks, atLeastAtOnce, VALUE_KB, JobState::plainSize, allocation -> allocation);
+        seed,
+        tasks,
+        atLeastAtOnce,
+        VALUE_KB,
+        AllocationRecordBuilder::plainSize,
+        allocation -> allocation);
   }
 
   /** With half of the space, the packed form lets most of them run at once. */
@@ -45,7 +51,7 @@
         tasks,
         atLeastAtOnce,
         SMALL_VALUE_KB,
-        JobState::packedSize,
+        AllocationRecordBuilder::packedSize,
         StoredRecord.PackedAllocation::new);
   }
 
@@ -58,7 +64,7 @@
         tasks,
         atLeastAtOnce,
         SMALL_VALUE_KB,
-        JobState::bitmapSize,
+        AllocationRecordBuilder::bitmapSize,
         StoredRecord.BitmapAllocation::new);
   }
 
@@ -71,40 +77,33 @@
       Function<StoredRecord.Allocation, StoredRecord> form) {
     Random random = new Random(seed);
     Job job = TestFixtures.job(1, JobKind.ARRAY, tasks, 1);
-    JobState entry = TestFixtures.entry(job);
+    JobState state = TestFixtures.jobState(job);
     int most = 0;
     long attempt = 0;
-    while (!entry.hasAllTasksFinished()) {
+    while (!state.tasks().isAllFinished()) {
       attempt++;
-      AllocationSize size = sizeOf.apply(entry);
-      for (int index = entry.pendingTasks.nextSetBit(0);
+      AllocationSize size = sizeOf.apply(state);
+      for (int index = state.tasks().nextPending(0);
           index >= 0;
-          index = entry.pendingTasks.nextSetBit(index + 1)) {
+          index = state.tasks().nextPending(index + 1)) {
         MachineState machine =
             new MachineState("n-%06d".formatted(random.nextInt(250)), 0, new MachineIndexes(), 0);
         if (!size.fits(index, attempt, machine.name, valueKb)) {
           break;
         }
         size.add(index, attempt, machine.name);
-        entry.reservations.put(index, new Reservation(entry, index, attempt, machine));
-        entry.pendingTasks.clear(index);
-        entry.lastAttempt = attempt;
+        state.propose(index, attempt, machine);
       }
-      assertFits(entry, valueKb, form);
-      most = Math.max(most, entry.reservations.size());
-      List<Reservation> ending = new ArrayList<>(entry.reservations.values());
+      assertFits(state, valueKb, form);
+      most = Math.max(most, state.reservations().size());
+      List<Reservation> ending = new ArrayList<>(state.reservations().values());
       assertTrue(!ending.isEmpty(), "something always goes on");
-      java.util.Collections.shuffle(ending, random);
+      Collections.shuffle(ending, random);
       int ends = 1 + random.nextInt(ending.size());
       for (Reservation reservation : ending.subList(0, ends)) {
-        entry.reservations.remove(reservation.taskIndex);
-        if (random.nextInt(8) == 0) {
-          entry.pendingTasks.set(reservation.taskIndex);
-        } else {
-          entry.finishedTasks.set(reservation.taskIndex);
-        }
+        state.settle(reservation, random.nextInt(8) != 0);
         if (random.nextInt(1 + ends / 4) == 0) {
-          assertFits(entry, valueKb, form);
+          assertFits(state, valueKb, form);
         }
       }
     }
@@ -114,7 +113,8 @@
 
   private static void assertFits(
       JobState job, double valueKb, Function<StoredRecord.Allocation, StoredRecord> form) {
-    int bytes = transaction(StoreRequest.Change.put("k", form.apply(job.toAllocation())));
+    int bytes =
+        transaction(StoreRequest.Change.put("k", form.apply(AllocationRecordBuilder.build(job))));
     int around = transaction(StoreRequest.Change.remove("k"));
     assertTrue(bytes - around <= valueKb * 1024, () -> bytes - around + " bytes");
   }
--- a/src/test/java/eiderfork/controller/FailureHistoryTest.java
+++ b/src/test/java/eiderfork/controller/FailureHistoryTest.java
@@ -20,7 +20,7 @@
   private final Job spec =
       TestFixtures.sized(
           TestFixtures.job(1, JobKind.ARRAY, TASKS, 1), new Resources(1, 1, 4), 300, "g4");
-  private final JobState job = TestFixtures.entry(spec);
+  private final JobState job = TestFixtures.jobState(spec);
 
   private Reservation reservation(int index, long attempt, String machine) {
     MachineState on = new MachineState(machine, 1, new MachineIndexes(), 0);
@@ -70,7 +70,7 @@
     assertTrue(history.isSuspected());
     assertFalse(history.isConfirmedSuspect(), "machines are rented for it");
     Reservation trial = reservation(0, 31, "n-1");
-    trial.runningSinceMs = 1000;
+    trial.onRunningReported(1000);
     assertFalse(history.hasOutlivedFailures(trial, 1000 + 5 * STEP_MS));
     assertTrue(
         history.hasOutlivedFailures(trial, 1000 + 10 * STEP_MS), "not after a whole run only");
--- a/src/test/java/eiderfork/controller/HugeArrayRecordTest.java
+++ b/src/test/java/eiderfork/controller/HugeArrayRecordTest.java
@@ -32,36 +32,32 @@
   void fitsInWhateverOrderItsTasksEnd(long seed, double valueKb, int atLeastAtOnce) {
     Random random = new Random(seed);
     Job job = TestFixtures.job(1, JobKind.ARRAY, 20_000, 1);
-    JobState entry = TestFixtures.entry(job);
+    JobState state = TestFixtures.jobState(job);
     List<MachineState> machines = new ArrayList<>();
     for (int i = 0; i < MACHINES; i++) {
       machines.add(new MachineState("n-%06d".formatted(700 + i), i, new MachineIndexes(), 0));
     }
     int most = 0;
     int waves = 0;
-    while (!entry.hasAllTasksFinished()) {
+    while (!state.tasks().isAllFinished()) {
       waves++;
-      reserve(entry, machines, valueKb);
-      assertFits(entry, valueKb);
-      most = Math.max(most, entry.reservations.size());
-      List<Reservation> ending = new ArrayList<>(entry.reservations.values());
+      reserve(state, machines, valueKb);
+      assertFits(state, valueKb);
+      most = Math.max(most, state.reservations().size());
+      List<Reservation> ending = new ArrayList<>(state.reservations().values());
       assertTrue(!ending.isEmpty(), "something always goes on");
       Collections.shuffle(ending, random);
       int ends = Math.max(1, ending.size() / 4);
-      if (entry.pendingTasks.isEmpty()) {
+      if (!state.hasPendingTasks()) {
         ends = ending.size();
       }
       for (Reservation reservation : ending.subList(0, ends)) {
-        boolean straggles =
-            reservation.taskIndex % 1000 < STRAGGLERS && !entry.pendingTasks.isEmpty();
+        boolean straggles = reservation.taskIndex % 1000 < STRAGGLERS && state.hasPendingTasks();
         if (!straggles) {
-          entry.reservations.remove(reservation.taskIndex);
-          entry.finishedTasks.set(reservation.taskIndex, random.nextInt(50) > 0);
-          entry.pendingTasks.set(
-              reservation.taskIndex, !entry.finishedTasks.get(reservation.taskIndex));
+          state.settle(reservation, random.nextInt(50) > 0);
         }
       }
-      assertFits(entry, valueKb);
+      assertFits(state, valueKb);
     }
     assertTrue(most >= atLeastAtOnce, most + " at once");
     assertTrue(waves < 400, waves + " waves");
@@ -72,26 +68,19 @@
     AllocationSizeLimit room = room(job, valueKb, true);
     for (MachineState machine : machines) {
       int free = SLOTS - machine.reservations.size();
-      free -=
-          (int)
-              job.reservations.values().stream()
-                  .filter(reservation -> reservation.machine == machine)
-                  .count();
-      for (int i = 0; i < free && !job.pendingTasks.isEmpty(); i++) {
-        int index = job.pendingTasks.nextSetBit(0);
+      for (int i = 0; i < free && job.hasPendingTasks(); i++) {
+        int index = job.tasks().nextPending(0);
         if (!room.fits(index, attempt, machine.name)) {
           return;
         }
         room.add(index, attempt, machine.name);
-        job.reservations.put(index, new Reservation(job, index, attempt, machine));
-        job.pendingTasks.clear(index);
-        job.lastAttempt = attempt;
+        job.propose(index, attempt, machine);
       }
     }
   }
 
   private static void assertFits(JobState job, double valueKb) {
-    StoredRecord.Allocation record = job.toAllocation();
+    StoredRecord.Allocation record = AllocationRecordBuilder.build(job);
     StoreRequest.Change change =
         StoreRequest.Change.put("k", new StoredRecord.BitmapAllocation(record));
     int bytes = bytes(change) - bytes(StoreRequest.Change.remove("k"));
@@ -112,22 +101,28 @@
   @ValueSource(booleans = {true, false})
   void theAttemptsOfStragglersAreCountedAsFarAsTheyLieBehind(boolean withBitmaps) {
     Job job = TestFixtures.job(1, JobKind.ARRAY, 400, 1);
-    JobState entry = TestFixtures.entry(job);
+    JobState state = TestFixtures.jobState(job);
     double valueKb = 2;
     long newest = 1L << 40;
     int index = 0;
-    while (room(entry, valueKb, withBitmaps).fits(index, 1, name(index))) {
-      reserve(entry, index, 1);
+    while (room(state, valueKb, withBitmaps).fits(index, 1, name(index))) {
+      reserve(state, index, 1);
       index += 2;
-      if (room(entry, valueKb, withBitmaps).fits(index, newest, name(index))) {
-        reserve(entry, index, newest);
-        assertFits(entry, valueKb);
-        entry.pendingTasks.set(index);
-        entry.reservations.remove(index);
-        entry.lastAttempt = 1;
+      if (room(state, valueKb, withBitmaps).fits(index, newest, name(index))) {
+        JobState withNewest = copyOf(state);
+        reserve(withNewest, index, newest);
+        assertFits(withNewest, valueKb);
       }
     }
-    assertTrue(entry.reservations.size() > 50, entry.reservations.size() + " at once");
+    assertTrue(state.reservations().size() > 50, state.reservations().size() + " at once");
+  }
+
+  private static JobState copyOf(JobState job) {
+    JobState copy = TestFixtures.jobState(job.spec);
+    for (Reservation reservation : job.reservations().values()) {
+      reserve(copy, reservation.taskIndex, reservation.attempt);
+    }
+    return copy;
   }
 
   private static AllocationSizeLimit room(JobState job, double valueKb, boolean withBitmaps) {
@@ -136,9 +131,7 @@
 
   private static void reserve(JobState job, int index, long attempt) {
     MachineState machine = new MachineState(name(index), index, new MachineIndexes(), 0);
-    job.reservations.put(index, new Reservation(job, index, attempt, machine));
-    job.pendingTasks.clear(index);
-    job.lastAttempt = attempt;
+    job.propose(index, attempt, machine);
   }
 
   private static String name(int index) {
--- a/src/test/java/eiderfork/controller/IncarnationLeaseExpiryTest.java
+++ b/src/test/java/eiderfork/controller/IncarnationLeaseExpiryTest.java
@@ -116,7 +116,7 @@
     Effect.SendCommands sent = answerDirectly(true, NEXT_INCARNATION, runningStatus(task));
     assertEquals(ImmutableList.of(new WorkerCommand.Run(task.toAttempt())), sent.commands());
     assertEquals(NEXT_INCARNATION, sent.incarnation());
-    assertEquals(TaskStatus.State.RUNNING, task.reportedState);
+    assertEquals(TaskStatus.State.RUNNING, task.reportedState());
     return task;
   }
 
@@ -132,15 +132,15 @@
     sendHeartbeat(INCARNATION, ++sequenceNumber, machine.fencingToken, runningStatus(first));
     elapseUnderCommands(answeredBeforeMs + TICK_MS, first);
     commandDirectly(false, NEXT_INCARNATION);
-    assertNull(job.reservations.get(0), "the session before is over");
+    assertNull(job.reservations().get(0), "the session before is over");
     assertEquals(1, leaseLog.startedByCommand());
     long seenMs = context.nowMs;
     Reservation task = startInNextIncarnation();
 
     elapse(seenMs + context.workerLeaseMs() - context.nowMs);
-    assertSame(task, job.reservations.get(0), "the new session's lease is not over");
+    assertSame(task, job.reservations().get(0), "the new session's lease is not over");
     elapse(JUDGED_MS);
-    assertNull(job.reservations.get(0), "the new session's lease is surely over");
+    assertNull(job.reservations().get(0), "the new session's lease is surely over");
   }
 
   /** What was read before a lease was over says nothing of who has renewed it since. */
@@ -154,7 +154,7 @@
     Reservation task = startInNextIncarnation();
     context.nowMs += context.workerLeaseMs() + JUDGED_MS;
     read.accept(Set.of());
-    assertSame(task, job.reservations.get(0));
+    assertSame(task, job.reservations().get(0));
     assertEquals(1, leaseLog.staleReads());
   }
 
@@ -166,7 +166,7 @@
     sendHeartbeat(INCARNATION, ++sequenceNumber, machine.fencingToken, runningStatus(task));
     context.nowMs += context.workerLeaseMs() + JUDGED_MS;
     read.accept(Set.of());
-    assertSame(task, job.reservations.get(0));
+    assertSame(task, job.reservations().get(0));
     assertEquals(1, leaseLog.staleReads());
   }
 
@@ -186,9 +186,9 @@
   void aLeaseIsSettledOnceItIsSurelyOver() {
     Reservation task = startTask();
     elapse(context.workerLeaseMs());
-    assertSame(task, job.reservations.get(0));
+    assertSame(task, job.reservations().get(0));
     elapse(JUDGED_MS);
-    assertNull(job.reservations.get(0));
+    assertNull(job.reservations().get(0));
   }
 
   /** The clocks may drift, and half a step is kept to spare. */
--- a/src/test/java/eiderfork/controller/JobArchiverTransactionTest.java
+++ b/src/test/java/eiderfork/controller/JobArchiverTransactionTest.java
@@ -149,17 +149,18 @@
   @Test
   void aJobWithSomethingOpenStays() {
     assertTrue(done.isArchivable());
-    done.writeInFlight = true;
+    done.writes().onWriteBegun(done.writes().committed(), context.nowMs);
     assertTrue(!done.isArchivable());
-    done.writeInFlight = false;
+    done.writes().onNotApplied();
+    assertTrue(done.isArchivable());
     MachineState machine = new MachineState("n-1", 0, new MachineIndexes(), context.nowMs);
     Reservation open = new Reservation(done, 0, 1, machine);
-    done.uncommittedSettlements.add(open);
+    done.tasks().reserve(open);
     assertTrue(!done.isArchivable());
-    done.uncommittedSettlements.clear();
-    done.reservations.put(0, open);
+    done.tasks().settle(open, true);
     assertTrue(!done.isArchivable());
-    done.reservations.clear();
+    done.tasks().onSettlementsCommitted(List.of(open));
+    assertTrue(done.isArchivable());
     done.freeze();
     assertTrue(!done.isArchivable());
   }
--- a/src/test/java/eiderfork/controller/JobRegistryTest.java
+++ b/src/test/java/eiderfork/controller/JobRegistryTest.java
@@ -43,8 +43,8 @@
   @Test
   void aNewLeaderStopsWhatIsLeftOfABrokenGang() {
     JobState job = restoredGang(ImmutableList.of());
-    assertEquals(2, job.reservations.size());
-    assertTrue(job.reservations.values().stream().noneMatch(Reservation::isDesired));
+    assertEquals(2, job.reservations().size());
+    assertTrue(job.reservations().values().stream().noneMatch(Reservation::isDesired));
     assertEquals(0, job.stopGraceS());
     assertFalse(job.gang.canStartAttempt());
   }
@@ -52,8 +52,8 @@
   @Test
   void aNewLeaderKnowsThatAllTasksOfAGangAreDoneWhereOneIs() {
     JobState job = restoredGang(ImmutableList.of(new StoredRecord.TaskRange(0, 0)));
-    assertTrue(job.hasAllTasksFinished());
-    assertTrue(job.dirty, "it is written");
+    assertTrue(job.tasks().isAllFinished());
+    assertTrue(job.writes().isDirty(), "it is written");
     assertEquals(2, job.quotaTaskCount(), "until then the others count");
     assertTrue(jobs.mustRetainAttempt(job, 3, 1), "and are not cleared");
   }
@@ -68,8 +68,8 @@
       jobs.propose(job, i, 1, machine);
     }
     jobs.settle(first, true);
-    assertTrue(job.hasAllTasksFinished());
-    assertTrue(job.reservations.isEmpty() && job.pendingTasks.isEmpty());
+    assertTrue(job.tasks().isAllFinished());
+    assertTrue(job.reservations().isEmpty() && !job.hasPendingTasks());
   }
 
   /**
@@ -94,7 +94,7 @@
       jobs.restoreAllocation(entry, allocation, 100 - i, fleet);
       jobs.markCancelled(job.uid());
     }
-    jobs.restoreCachedImages(fleet);
+    new CachedImageRestorer(fleet).restore(jobs.all());
     // The cache of this type holds two, and the record of the third job is the oldest.
     assertEquals(List.of("img-2", "img-1"), List.copyOf(machine.cachedImagesGb.keySet()));
   }
@@ -116,7 +116,7 @@
           entries.add(jobs.add(TestFixtures.job(step, kind, 4, gpus), step));
         }
         case 1, 2, 3 -> {
-          int index = job == null ? -1 : job.pendingTasks.nextSetBit(0);
+          int index = job == null ? -1 : job.tasks().nextPending(0);
           if (index >= 0 && (job.gang == null || job.gang.canStartAttempt())) {
             placed.add(jobs.propose(job, index, step, machine));
           }
@@ -129,21 +129,20 @@
         }
         case 6 -> {
           if (reservation != null
-              && reservation.job.reservations.get(reservation.taskIndex) == reservation
-              && !reservation.job.cancelled) {
+              && reservation.job.tasks().holds(reservation)
+              && !reservation.job.isCancelled()) {
             placed.remove(reservation);
             jobs.withdrawProposal(reservation);
           }
         }
         case 8 -> {
-          if (reservation != null
-              && reservation.job.reservations.get(reservation.taskIndex) == reservation) {
+          if (reservation != null && reservation.job.tasks().holds(reservation)) {
             jobs.requestStop(reservation);
           }
         }
         case 9 -> {
           if (reservation != null
-              && reservation.job.reservations.get(reservation.taskIndex) == reservation
+              && reservation.job.tasks().holds(reservation)
               && reservation.job.gang == null) {
             jobs.revokeStop(reservation);
           }
@@ -160,7 +159,7 @@
             jobs.evict(job);
             entries.remove(job);
           } else if (job != null) {
-            job.uncommittedSettlements.clear();
+            job.tasks().onSettlementsCommitted(List.copyOf(job.tasks().uncommittedSettlements()));
             jobs.refreshIndexes(job);
           }
         }
@@ -181,16 +180,17 @@
       used = used.plus(demand.times(job.quotaTaskCount()));
       boolean frozen = jobs.isFrozen(job.spec.uid());
       long ending =
-          job.reservations.values().stream()
+          job.reservations().values().stream()
               .filter(reservation -> !reservation.isDesired())
               .count();
       stopping = stopping.plus(demand.times(frozen ? job.spec.tasks() : ending));
-      settled = settled.plus(demand.times(frozen ? 0 : job.uncommittedSettlements.size()));
+      settled =
+          settled.plus(demand.times(frozen ? 0 : job.tasks().uncommittedSettlements().size()));
       if (demand.gpus() > 0) {
         cpusOnGpus += demand.cpus() * job.spec.tasks();
         gpus += demand.gpus() * job.spec.tasks();
       }
-      if (!job.pendingTasks.isEmpty() || job.dirty) {
+      if (job.hasPendingTasks() || job.writes().isDirty()) {
         withWork.add(job);
       }
     }
--- a/src/test/java/eiderfork/controller/LeaderAndWorkerFixture.java
+++ b/src/test/java/eiderfork/controller/LeaderAndWorkerFixture.java
@@ -146,7 +146,7 @@
     Reservation task = jobs.propose(job, 0, job.nextAttemptNumber(), machine);
     jobs.write(job, RequestPriority.START);
     answerStore(new Reply.Committed(5));
-    assertTrue(task.committed);
+    assertTrue(task.isCommitted());
     return task;
   }
 
@@ -155,7 +155,7 @@
     Reservation task = reserveTask();
     sendHeartbeat(INCARNATION, 2, firstToken);
     sendHeartbeat(INCARNATION, 3, firstToken, runningStatus(task));
-    assertEquals(TaskStatus.State.RUNNING, task.reportedState);
+    assertEquals(TaskStatus.State.RUNNING, task.reportedState());
     return task;
   }
 }
--- a/src/test/java/eiderfork/controller/PreemptionTest.java
+++ b/src/test/java/eiderfork/controller/PreemptionTest.java
@@ -1,7 +1,6 @@
 package eiderfork.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.google.common.collect.ImmutableList;
@@ -50,9 +49,9 @@
     JobState array = add(JobKind.ARRAY, 4, Priority.LOW, "batch-img");
     for (int index = 0; index < 4; index++) {
       Reservation task = jobs.propose(array, index, 1, m);
-      task.committed = true;
-      task.reportedState = TaskStatus.State.RUNNING;
-      task.runningSinceMs = context.nowMs - ranMs;
+      task.onCommitted();
+      task.onStateReported(TaskStatus.State.RUNNING);
+      task.onRunningReported(context.nowMs - ranMs);
     }
     return m;
   }
@@ -73,7 +72,7 @@
             new PriorityPreemptionPolicy(
                 context, jobs, cpusPerGpu, new DeadlineEstimator(context, fleet)),
             1000);
-    int wanted = service.pendingTasks.cardinality();
+    int wanted = service.pendingTaskCount();
     return preemption.preempt(service, wanted, new HashMap<>(), Double.MAX_VALUE);
   }
 
@@ -108,7 +107,7 @@
     JobState service = add(JobKind.SERVICE, 1, Priority.LOW, "web-img");
     assertEquals(0, preemptFor(service));
     assertEquals(0, countStopping(machine));
-    assertFalse(service.pendingTasks.isEmpty());
+    assertTrue(service.hasPendingTasks());
     assertTrue(machine.reservations.stream().allMatch(Reservation::isDesired));
   }
 }
--- a/src/test/java/eiderfork/controller/QueueOrderTest.java
+++ b/src/test/java/eiderfork/controller/QueueOrderTest.java
@@ -139,14 +139,15 @@
   @Test
   void aTaskIsLateIfRunAgainOnlyWhereItIsInTimeNow() {
     JobState job = array(1, 1, 50, 100.0);
-    Reservation reservation = new Reservation(job, 0, 1, fleet.getOrRegister("n-1"));
-    reservation.runningSinceMs = START_MS + 20_000;
+    Reservation first = new Reservation(job, 0, 1, fleet.getOrRegister("n-1"));
+    first.onRunningReported(START_MS + 20_000);
     context.nowMs = START_MS + 40_000;
-    assertFalse(deadlines.isLateIfRerun(reservation), "a run from now ends at 90 s");
+    assertFalse(deadlines.isLateIfRerun(first), "a run from now ends at 90 s");
     context.nowMs = START_MS + 60_000;
-    assertTrue(deadlines.isLateIfRerun(reservation), "a run from now ends at 110 s");
-    reservation.runningSinceMs = START_MS + 55_000;
+    assertTrue(deadlines.isLateIfRerun(first), "a run from now ends at 110 s");
+    Reservation second = new Reservation(job, 0, 2, fleet.getOrRegister("n-1"));
+    second.onRunningReported(START_MS + 55_000);
     assertFalse(
-        deadlines.isLateIfRerun(reservation), "it misses 100 s anyhow, and meets 150 s either way");
+        deadlines.isLateIfRerun(second), "it misses 100 s anyhow, and meets 150 s either way");
   }
 }
--- a/src/test/java/eiderfork/controller/TestFixtures.java
+++ b/src/test/java/eiderfork/controller/TestFixtures.java
@@ -326,7 +326,7 @@
   }
 
   /** A job as a leader holds it that has just learned of it. */
-  static JobState entry(Job job) {
+  static JobState jobState(Job job) {
     Backoff backoff = new Backoff(1, 2);
     return new JobState(
         job, PlacementProfile.of(job), 1, 0, backoff, backoff, new FailureHistory(1));
--- a/src/test/java/eiderfork/controller/WorkerCommanderTest.java
+++ b/src/test/java/eiderfork/controller/WorkerCommanderTest.java
@@ -180,34 +180,34 @@
     Reservation task = startTask();
     sendHeartbeat(INCARNATION, 4, firstToken, runningStatus(task));
     sendHeartbeat(INCARNATION + 1, 1, firstToken);
-    assertNull(job.reservations.get(0));
+    assertNull(job.reservations().get(0));
   }
 
   @Test
   void anOlderReportThatComesLaterChangesNothing() {
     Reservation task = startTask();
     sendHeartbeat(INCARNATION, 2, firstToken + 100);
-    assertEquals(task, job.reservations.get(0), "an older sequence number");
+    assertEquals(task, job.reservations().get(0), "an older sequence number");
     sendHeartbeat(INCARNATION + 1, 1, firstToken, runningStatus(task));
     sendHeartbeat(INCARNATION, 9, firstToken + 100);
-    assertEquals(task, job.reservations.get(0), "an older session");
+    assertEquals(task, job.reservations().get(0), "an older session");
   }
 
   @Test
   void aTaskThatIsMissingIsBelievedGoneOnlyWhereItsStartCanNotFollow() {
     Reservation task = startTask();
     sendHeartbeat(INCARNATION, 4, firstToken);
-    assertEquals(task, job.reservations.get(0), "the start may still be under way");
-    assertTrue(machine.fencingToken > task.startToken, "a higher token outdates the start");
+    assertEquals(task, job.reservations().get(0), "the start may still be under way");
+    assertTrue(machine.fencingToken > task.startToken(), "a higher token outdates the start");
     sendHeartbeat(INCARNATION, 5, machine.fencingToken);
-    assertNull(job.reservations.get(0));
+    assertNull(job.reservations().get(0));
   }
 
   @Test
   void aTaskThatIsMissingInALaterSessionIsGone() {
     startTask();
     sendHeartbeat(INCARNATION + 1, 1, firstToken);
-    assertNull(job.reservations.get(0));
+    assertNull(job.reservations().get(0));
   }
 
   /** A leader that takes over before the write would start the task again. */
@@ -215,7 +215,7 @@
   void anEndCountsForTheQuotaUntilItIsWritten() {
     Reservation task = startTask();
     sendHeartbeat(INCARNATION, 4, firstToken, doneStatus(task));
-    assertNull(job.reservations.get(0));
+    assertNull(job.reservations().get(0));
     assertEquals(1, job.quotaTaskCount());
     jobs.write(job, RequestPriority.BATCH);
     assertEquals(1, job.quotaTaskCount());
@@ -264,7 +264,7 @@
   @Test
   void aWriteThatIsTooLargeMayHaveBeenAppliedBefore() {
     Reservation task = jobs.propose(job, 0, 1, machine);
-    StoredRecord.Allocation record = job.toAllocation();
+    StoredRecord.Allocation record = AllocationRecordBuilder.build(job);
     jobs.write(job, RequestPriority.START);
     answerStore(new Reply.Unanswered());
     context.nowMs += 1000;
@@ -272,8 +272,8 @@
     store.sendQueued();
     answerStore(new Reply.Refused(400));
     answerStore(new Reply.Value(record, 5));
-    assertTrue(task.committed);
-    assertEquals(5, job.allocationVersion);
+    assertTrue(task.isCommitted());
+    assertEquals(5, job.writes().version());
   }
 
   /** 400 is final: what was to be reserved waits for its turn again. */
@@ -283,9 +283,9 @@
     jobs.write(job, RequestPriority.START);
     answerStore(new Reply.Refused(400));
     answerStore(new Reply.Value(null, 0));
-    assertTrue(job.reservations.isEmpty());
-    assertTrue(job.pendingTasks.get(0));
-    assertFalse(job.writeInFlight);
+    assertTrue(job.reservations().isEmpty());
+    assertTrue(job.tasks().isPending(0));
+    assertFalse(job.writes().isInFlight());
     assertFalse(job.canWrite(context.nowMs), "not at once");
     jobs.tick();
     assertTrue(effects(Effect.CallStore.class).isEmpty());
