--- a/src/main/java/eiderfork/controller/AllocationSizeLimit.java
+++ b/src/main/java/eiderfork/controller/AllocationSizeLimit.java
@@ -6,8 +6,8 @@
 
 /**
  * Whether one more reservation of a job can be stored. Every record must fit in a form that is
- * written under the limits of now and those to come. Until all members read the packed form it must
- * fit in the plain one as well, under the limits in force.
+ * written, under the current value limit and the announced one. Until all members read the packed
+ * form it must also fit in the plain one, under the current limit.
  */
 final class AllocationSizeLimit {
   private final PlainAllocationSize plain;
@@ -20,7 +20,7 @@
   private final double compactLimitKb;
 
   /**
-   * Begins with what is reserved for the job now.
+   * Begins with the job's current reservations.
    *
    * @param plainLimitKb the largest value for the plain form; infinite where that is not written
    * @param compactLimitKb the largest value for the shorter forms
@@ -37,6 +37,7 @@
     this.compactLimitKb = compactLimitKb;
   }
 
+  /** Counts one more reservation. */
   void add(int index, long attempt, String machine) {
     plain.add(index, attempt, machine);
     packed.add(index, attempt, machine);
@@ -45,6 +46,7 @@
     }
   }
 
+  /** Whether a record with one more reservation can be written. */
   boolean fits(int index, long attempt, String machine) {
     return plain.fits(index, attempt, machine, plainLimitKb)
         && (packed.fits(index, attempt, machine, compactLimitKb)
--- a/src/main/java/eiderfork/controller/FailureHistory.java
+++ b/src/main/java/eiderfork/controller/FailureHistory.java
@@ -8,32 +8,32 @@
 import java.util.Set;
 
 /**
- * How the tasks of a job have failed, and when they are tried again.
+ * How the tasks of a job have failed, and when they are retried.
  *
  * <p>A task that failed waits for longer after each failure. A job that failed on several machines,
- * and of which nothing ended well since, is suspected to fail everywhere: it is tried with one task
- * at a time, after a delay that grows with the tries, until one of them does well.
+ * and of which no task succeeded since, is suspected to fail everywhere: it is tried with one task
+ * at a time, after a delay that grows with the tries, until one of them succeeds.
  */
 final class FailureHistory {
-  /** A job that fails on this many machines in a row is itself suspected. */
+  /** A job that fails on this many machines in a row is suspected. */
   private static final int SUSPECT_MACHINES = 2;
 
-  /** A job that fails on this many machines is itself at fault; no machine is blamed or avoided. */
+  /** A job that fails on this many machines is at fault; no machine is marked faulty or avoided. */
   private static final int JOB_FAULT_MACHINES = 3;
 
-  /** For so many steps after its last failure a job avoids the machines that it failed on. */
+  /** How long after its last failure a job avoids the machines that it failed on, in steps. */
   private static final int AVOID_STEPS = 30;
 
-  /** The delay doubles with each try up to this many times: to 32 steps. */
+  /** The delay doubles with each try up to this many times, which makes 32 steps. */
   private static final int MAX_DOUBLINGS = 5;
 
   /** A new leader suspects a job of this many attempts, see {@link #restore}. */
   private static final int SUSPECT_ATTEMPTS = 4;
 
-  /** What a task is taken to run before it fails where no leader of now has seen one fail. */
+  /** How long a task is assumed to run before it fails, where this leader has seen none fail. */
   private static final int INHERITED_RUN_STEPS = 4;
 
-  /** A task that runs for this many times what others ran before they failed does well. */
+  /** A task succeeds once it has run this many times longer than those that failed. */
   private static final int SURVIVAL_FACTOR = 2;
 
   private final long stepMs;
@@ -41,7 +41,7 @@
   private final Int2IntOpenHashMap failuresByTask = new Int2IntOpenHashMap();
   private final Int2LongOpenHashMap retryAtMs = new Int2LongOpenHashMap();
 
-  /** Tries in a row of which no task ended well; tasks reserved together are one try. */
+  /** Consecutive tries without a success; tasks reserved together are one try. */
   private int consecutiveFailedTries;
 
   /** Attempts up to this one are part of a try that has been counted. */
@@ -51,7 +51,7 @@
   private long lastFailureMs;
   private boolean suspected;
 
-  /** Suspected for what an earlier leader left, and not for failures that this one has seen. */
+  /** Suspected because of what an earlier leader left, not for failures that this one has seen. */
   private boolean inherited;
 
   private long notBeforeMs;
@@ -61,7 +61,7 @@
   }
 
   /**
-   * A task failed.
+   * Records that a task failed.
    *
    * @param lastAttempt the newest attempt of the job: what was reserved by now is of the same try
    */
@@ -85,12 +85,12 @@
     }
   }
 
-  /** A task was refused by its machine; the job waits for a step. */
+  /** Records that a machine refused a task; the job waits for a step. */
   void recordRefusal(long nowMs) {
     notBeforeMs = Math.max(notBeforeMs, nowMs + stepMs);
   }
 
-  /** A task of the job does well: the job is not at fault as a whole. */
+  /** Records that a task of the job succeeds, so that the job as a whole is not at fault. */
   void recordSuccess() {
     consecutiveFailedTries = 0;
     inherited = false;
@@ -101,8 +101,8 @@
   }
 
   /**
-   * A new leader takes the job up. Its predecessor's history is lost, but a job of many attempts of
-   * which nothing is done, and one task is reserved at most, goes on being tried with one task.
+   * Restores the history of a job from its allocation. An earlier leader's history is lost, but a
+   * job of many attempts without a finished task, and with one reserved at most, stays suspected.
    */
   void restore(StoredRecord.Allocation allocation, int tasks) {
     long lastAttempt = allocation.lastAttempt();
@@ -126,9 +126,8 @@
   }
 
   /**
-   * Whether a task that runs since then has outlived those that failed. A new leader has seen none
-   * of them fail: an array that was stopped for others again and again looks like one that fails,
-   * so a while is enough.
+   * Whether a running task has outlived those that failed. A new leader has seen none of them fail,
+   * and an array that was preempted often looks like one that fails, so a short run is enough.
    */
   boolean hasOutlivedFailures(Reservation reservation, long nowMs) {
     long failedMs = longestRunMs > 0 ? longestRunMs : INHERITED_RUN_STEPS * stepMs;
@@ -137,14 +136,14 @@
   }
 
   /**
-   * Whether failures that this leader has seen make the job a suspect, so that nothing is rented
-   * for it.
+   * Whether failures that this leader has seen make the job a suspect, so that no machines are
+   * added for it.
    */
   boolean isConfirmedSuspect() {
     return suspected && !inherited;
   }
 
-  /** Before this time nothing of the job is tried. */
+  /** The time before which no task of the job is tried. */
   long notBeforeMs() {
     return notBeforeMs;
   }
@@ -159,14 +158,14 @@
     return failuresByTask.get(index);
   }
 
-  /** Whether the job was failed by so many machines that it is itself at fault. */
+  /** Whether the job failed on so many machines that it is at fault, not the machines. */
   boolean isJobAtFault() {
     return failedMachines.size() >= JOB_FAULT_MACHINES;
   }
 
   /**
-   * Whether the job should rather run on another machine than this one. Not for ever: where the
-   * others are full, a plan counts on the room here and rents no more.
+   * Whether the job should rather run on another machine. This ends after a time, since the
+   * autoscaler counts on the free capacity here while the other machines are full.
    */
   boolean isAvoided(String machine, long nowMs) {
     return failedMachines.contains(machine)
--- a/src/main/java/eiderfork/controller/FinalStatusCache.java
+++ b/src/main/java/eiderfork/controller/FinalStatusCache.java
@@ -5,21 +5,22 @@
 import eiderfork.model.JobStatus;
 
 /**
- * The jobs that this node has seen to be over. That never changes, so their state may be told at
- * any time, also without the state service.
+ * The final statuses that this node has seen. They never change, so queries are answered from here
+ * at any time, also without the store.
  */
 final class FinalStatusCache {
-  /** More than users ask about at a time; one takes some hundred bytes. */
+  /** More than users query at a time. */
   private static final int MAX_ENTRIES = 4096;
 
   private final Cache<String, JobStatus> cache =
       Caffeine.newBuilder().maximumSize(MAX_ENTRIES).executor(Runnable::run).build();
 
-  /** Null unless the job is known to be over. */
+  /** The final status of a job; null where it is not known. */
   JobStatus get(String uid) {
     return cache.getIfPresent(uid);
   }
 
+  /** Keeps a status that never changes again. */
   void putIfFinal(JobStatus status) {
     if (status.phase().isFinal()) {
       cache.put(status.uid(), status);
--- a/src/main/java/eiderfork/controller/FinishedJobSweeper.java
+++ b/src/main/java/eiderfork/controller/FinishedJobSweeper.java
@@ -6,13 +6,14 @@
 import eiderfork.controller.message.StoreKeys;
 import eiderfork.controller.recovery.JobPageReader;
 import eiderfork.controller.store.RequestPriority;
+import eiderfork.model.Job;
 import eiderfork.model.StoredRecord;
 import java.util.HashMap;
 import java.util.Map;
 
 /**
- * Brings ended jobs that a new leader found no room for in its memory back to it, some at a time,
- * so that they are archived, too. Meanwhile they are answered for from their records.
+ * Loads finished jobs that a new leader's memory had no space for, a page at a time, so that they
+ * are archived, too. Meanwhile queries for them are answered from their records.
  */
 final class FinishedJobSweeper {
   private final ControllerContext context;
@@ -22,7 +23,7 @@
   private final CancellationTracker cancellations;
   private final JobPageReader jobPageReader;
 
-  /** The id after which the next page begins; null where every ended job is in memory. */
+  /** The uid after which the next page begins; null where every finished job is in memory. */
   private String nextAfterUid;
 
   private boolean readInFlight;
@@ -43,56 +44,56 @@
     this.jobPageReader = jobPageReader;
   }
 
-  /** A term begins or ends. */
+  /** Forgets reads in flight; called when a term begins or ends. */
   void reset() {
     generation++;
     nextAfterUid = null;
     readInFlight = false;
   }
 
-  /** Whether some ended jobs are not in memory. */
+  /** Whether some finished jobs are not in memory. */
   boolean isIncomplete() {
     return nextAfterUid != null;
   }
 
   /**
-   * Lets go of ended jobs of a page that a new leader has read, where memory holds enough of them.
+   * Evicts finished jobs of a page that a new leader has read while memory holds too many of them.
    *
-   * @param after the id after which the page began
+   * @param afterUid the uid after which the page began
    */
-  void evictExcess(JobPageReader.JobPage page, String after) {
-    int most = context.settings.operator().maxEndedJobs();
+  void evictExcess(JobPageReader.JobPage page, String afterUid) {
+    int maxFinished = context.settings.operator().maxEndedJobs();
     for (Reply.Item item : page.jobs()) {
       JobState job = jobs.get(StoreKeys.withoutPrefix(item.key()));
-      if (jobs.finishedJobs().size() <= most) {
+      if (jobs.finishedJobs().size() <= maxFinished) {
         return;
       }
       if (job != null && jobs.finishedJobs().contains(job) && job.isArchivable()) {
         jobs.evict(job);
-        nextAfterUid = nextAfterUid == null ? after : nextAfterUid;
+        nextAfterUid = nextAfterUid == null ? afterUid : nextAfterUid;
       }
     }
   }
 
-  /** Some job that is over was not taken up; all are looked through for such. */
+  /** A finished job was not restored: all jobs are swept from the first on. */
   void restart() {
     nextAfterUid = "";
   }
 
-  /** Reads on where the archive has made room; only a rebuilt leader does. */
+  /** Reads the next page once the archiver has made space; called on a recovered leader only. */
   void tick() {
-    boolean hasRoom = jobs.finishedJobs().size() <= context.settings.operator().maxEndedJobs() / 2;
-    if (nextAfterUid == null || readInFlight || !hasRoom) {
+    boolean hasSpace = jobs.finishedJobs().size() <= context.settings.operator().maxEndedJobs() / 2;
+    if (nextAfterUid == null || readInFlight || !hasSpace) {
       return;
     }
     readInFlight = true;
-    long of = generation;
+    long sentGeneration = generation;
     jobPageReader.read(
         nextAfterUid,
         election.currentTerm(),
         RequestPriority.CLEANUP,
         page -> {
-          if (of == generation) {
+          if (sentGeneration == generation) {
             readInFlight = false;
             nextAfterUid = page.continueAfter();
             loadFinished(page);
@@ -100,30 +101,41 @@
         });
   }
 
-  /** Takes those that are over and unknown; others come with the watch, if they are new. */
+  /** Adds the finished jobs that are not in memory; a new job comes with the watch. */
   private void loadFinished(JobPageReader.JobPage page) {
-    Map<String, Reply.Item> allocs = new HashMap<>();
-    page.allocs().forEach(item -> allocs.put(StoreKeys.withoutPrefix(item.key()), item));
+    Map<String, Reply.Item> allocations = new HashMap<>();
+    page.allocs().forEach(item -> allocations.put(StoreKeys.withoutPrefix(item.key()), item));
     for (Reply.Item item : page.jobs()) {
       String uid = StoreKeys.withoutPrefix(item.key());
       if (jobs.get(uid) == null && item.record() instanceof StoredRecord.JobSpec spec) {
-        Reply.Item alloc = allocs.get(uid);
-        if (alloc == null && cancellations.contains(uid)) {
-          jobs.add(spec.job(), item.version());
-          jobs.markCancelled(uid);
-        } else if (alloc != null
-            && alloc.record() instanceof StoredRecord.Allocation allocation
-            && allocation.done()) {
-          jobs.restoreAllocation(
-              jobs.add(spec.job(), item.version()), allocation, alloc.version(), fleet);
-        } else if (alloc != null
-            && alloc.record() instanceof StoredRecord.Allocation allocation
-            && cancellations.contains(uid)) {
-          jobs.add(spec.job(), item.version());
-          jobs.markCancelled(uid);
-          jobs.restoreAllocation(jobs.get(uid), allocation, alloc.version(), fleet);
-        }
+        loadIfFinished(spec.job(), item.version(), allocations.get(uid));
       }
     }
   }
+
+  /**
+   * @param allocation the allocation's item, or null where there is none
+   */
+  private void loadIfFinished(Job spec, long specVersion, Reply.Item allocation) {
+    boolean isCancelled = cancellations.contains(spec.uid());
+    if (allocation == null) {
+      if (isCancelled) {
+        addCancelled(spec, specVersion);
+      }
+    } else if (allocation.record() instanceof StoredRecord.Allocation stored) {
+      if (stored.done()) {
+        JobState job = jobs.add(spec, specVersion);
+        jobs.restoreAllocation(job, stored, allocation.version(), fleet);
+      } else if (isCancelled) {
+        JobState job = addCancelled(spec, specVersion);
+        jobs.restoreAllocation(job, stored, allocation.version(), fleet);
+      }
+    }
+  }
+
+  private JobState addCancelled(Job spec, long specVersion) {
+    JobState job = jobs.add(spec, specVersion);
+    jobs.markCancelled(spec.uid());
+    return job;
+  }
 }
--- a/src/main/java/eiderfork/controller/FinishedJobs.java
+++ b/src/main/java/eiderfork/controller/FinishedJobs.java
@@ -4,9 +4,9 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** The jobs in a leader's memory that are over and of which no reservation is left. */
+/** The terminal jobs in a leader's memory of which nothing is reserved, oldest first. */
 final class FinishedJobs {
-  /** A job, and since when this leader knows that nothing of it is left. */
+  /** A job, and since when this leader knows that nothing of it is reserved. */
   record FinishedJob(JobState job, long finishedMs) {}
 
   private final Map<String, FinishedJob> jobs = new LinkedHashMap<>();
@@ -31,7 +31,7 @@
     return jobs.size();
   }
 
-  /** All of them, the one that ended first in front. */
+  /** All of them, the one that finished first in front. */
   Iterable<FinishedJob> oldestFirst() {
     return Iterables.unmodifiableIterable(jobs.values());
   }
--- a/src/main/java/eiderfork/controller/JobArchiver.java
+++ b/src/main/java/eiderfork/controller/JobArchiver.java
@@ -16,18 +16,18 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Takes jobs that are over out of the leader's memory and out of the keys that a new leader reads.
- * What stays of a job is one small record of its final state, by which any node answers for it.
+ * Removes terminal jobs from the leader's memory and from the keys that a new leader reads. What
+ * stays of a job is one small record of its final state, from which any node answers queries.
  *
- * <p>A batch of jobs is moved in one transaction, under the condition that this node leads, that
- * each job's alloc record is the one in memory, and that no archived record is there. The archived
- * record is never removed, and every write that could bring the job back, carried out however late,
- * has the condition that it is not there.
+ * <p>A batch of jobs is moved in one transaction, on the condition that this node leads, that each
+ * job's allocation is the one in memory, and that no archived record exists. The archived record is
+ * never removed, and every write that could bring the job back, applied however late, is
+ * conditional on its absence.
  */
 final class JobArchiver {
   private static final Logger LOG = LoggerFactory.getLogger(JobArchiver.class);
 
-  /** The archived record, and the job's own, alloc and cancellation records, which go. */
+  /** One put of the archived record; removals of the spec, the allocation and the cancellation. */
   private static final int MAX_CHANGES_PER_JOB = 4;
 
   private static final long LOG_INTERVAL_MS = 60_000;
@@ -65,16 +65,16 @@
     maxJobsPerBatch = context.settings.safeTransactionOps() / MAX_CHANGES_PER_JOB;
   }
 
-  /** A term begins or ends. */
+  /** Forgets moves in flight; called when a term begins or ends. */
   void reset() {
     generation++;
     moveInFlight = false;
     nextMoveMs = 0;
   }
 
-  /** Moves a batch where one is due and writes are left over; only a rebuilt leader does. */
+  /** Moves a batch if one is due and the write rate has room; called on a recovered leader only. */
   void tick() {
-    // A member of an older version would deny a job that was archived.
+    // A member of an older version would answer 404 for an archived job.
     if (!version.isMinimumVersion(ClusterVersion.ARCHIVED_JOBS)) {
       return;
     }
@@ -101,24 +101,38 @@
   }
 
   private List<JobState> dueJobs() {
-    long stayMs = (long) (1000 * context.settings.operator().endedJobRetentionS());
-    // While some are not in memory for want of room, all that are there make room for them.
-    int most = sweeper.isIncomplete() ? 0 : context.settings.operator().maxEndedJobs();
-    int excess = jobs.finishedJobs().size() - most;
+    long retentionMs = (long) (1000 * context.settings.operator().endedJobRetentionS());
+    // While some are not in memory for lack of space, all that are make space for them.
+    int maxFinished = sweeper.isIncomplete() ? 0 : context.settings.operator().maxEndedJobs();
+    int excess = jobs.finishedJobs().size() - maxFinished;
     List<JobState> batch = new ArrayList<>();
-    for (FinishedJobs.FinishedJob ended : jobs.finishedJobs().oldestFirst()) {
-      boolean isDue = excess-- > 0 || context.nowMs - ended.finishedMs() >= stayMs;
+    for (FinishedJobs.FinishedJob finished : jobs.finishedJobs().oldestFirst()) {
+      boolean isDue = excess-- > 0 || context.nowMs - finished.finishedMs() >= retentionMs;
       if (!isDue || batch.size() >= maxJobsPerBatch) {
         break;
       }
-      if (ended.job().isArchivable()) {
-        batch.add(ended.job());
+      if (finished.job().isArchivable()) {
+        batch.add(finished.job());
       }
     }
     return batch;
   }
 
   private void moveBatch(List<JobState> batch) {
+    moveInFlight = true;
+    long sentGeneration = generation;
+    store.send(
+        moveTransaction(batch),
+        RequestPriority.CLEANUP,
+        reply -> {
+          if (sentGeneration == generation) {
+            moveInFlight = false;
+            onReply(batch, reply);
+          }
+        });
+  }
+
+  private StoreRequest.Transaction moveTransaction(List<JobState> batch) {
     ImmutableList.Builder<StoreRequest.Condition> conditions = ImmutableList.builder();
     ImmutableList.Builder<StoreRequest.Change> changes = ImmutableList.builder();
     conditions.add(election.leaderCondition());
@@ -135,17 +149,7 @@
         changes.add(StoreRequest.Change.remove(StoreKeys.cancellation(uid)));
       }
     }
-    moveInFlight = true;
-    long of = generation;
-    store.send(
-        new StoreRequest.Transaction(conditions.build(), changes.build()),
-        RequestPriority.CLEANUP,
-        reply -> {
-          if (of == generation) {
-            moveInFlight = false;
-            onReply(batch, reply);
-          }
-        });
+    return new StoreRequest.Transaction(conditions.build(), changes.build());
   }
 
   private static StoredRecord.ArchivedJob toArchivedJob(JobState job) {
@@ -160,7 +164,7 @@
     } else if (reply instanceof Reply.Conflict conflict) {
       onConflict(batch, conflict);
     } else {
-      // It may be carried out yet: the next try then finds the archived records there.
+      // It may still be applied: then the next move finds the archived records.
       nextMoveMs = context.nowMs + context.stepMs();
       if (reply instanceof Reply.Refused refused && refused.isMalformed()) {
         maxJobsPerBatch = Math.max(1, maxJobsPerBatch / 2);
@@ -176,11 +180,11 @@
     for (JobState job : batch) {
       String uid = job.spec.uid();
       if (conflict.failedKeys().contains(StoreKeys.ended(uid))) {
-        // An earlier copy of a move was carried out without an answer, or this is a late copy.
+        // An earlier move was applied without a reply, or this job is a late copy.
         onArchived(job);
         jobs.removeStaleSpec(job);
       } else if (conflict.failedKeys().contains(StoreKeys.alloc(uid))) {
-        LOG.error("alloc of {} is not what this leader holds; the job is not archived", uid);
+        LOG.error("allocation-mismatch job={} action=not-archived", uid);
         jobs.finishedJobs().remove(uid);
       }
     }
@@ -198,7 +202,7 @@
     }
     lastLoggedMs = context.nowMs;
     LOG.info(
-        "jobs: {} alive, {} over in memory, {} archived since this was last told",
+        "job-counts active={} finishedInMemory={} archivedSinceLast={}",
         jobs.activeJobs().size(),
         jobs.finishedJobs().size(),
         archivedSinceLog);
--- a/src/main/java/eiderfork/controller/JobRegistry.java
+++ b/src/main/java/eiderfork/controller/JobRegistry.java
@@ -19,26 +19,32 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The jobs of a leader: what is reserved for them, what has ended and what waits. */
+/**
+ * The jobs in a leader's memory, with indexes of those that are active, have work or have finished.
+ * Every change of a job's tasks goes through here, so that the indexes are kept up to date.
+ */
 final class JobRegistry {
+  private static final int FIRST_WRITE_RETRIES_PER_STEP = 5;
+  private static final int MAX_WRITE_BACKOFF_STEPS = 2;
+
   private final ControllerContext context;
   private final AllocationWriter writer;
   private final Map<String, JobState> jobs = new LinkedHashMap<>();
 
-  /** Jobs that still have something to do, so that rounds skip the long past. */
+  /** Jobs that are not terminal, or of which something is still reserved. */
   private final Map<String, JobState> activeJobs = new LinkedHashMap<>();
 
-  /** Those of them that may have something to place or to write. */
+  /** The active jobs that may have something to schedule or to write. */
   private final ReferenceLinkedOpenHashSet<JobState> backlog = new ReferenceLinkedOpenHashSet<>();
 
   private final ResourceUsage resourceUsage = new ResourceUsage();
 
   private final FinishedJobs finishedJobs = new FinishedJobs();
 
-  /** Profiles in use; those of jobs that have left memory go with them. */
+  /** Equal profiles are one object; those of evicted jobs are collected with them. */
   private final Interner<PlacementProfile> profileInterner = Interners.newWeakInterner();
 
-  /** Jobs of which a stored record can't be read. */
+  /** Jobs with a stored record that can't be read. */
   private final Set<String> frozen = new HashSet<>();
 
   JobRegistry(
@@ -60,8 +66,8 @@
   }
 
   /**
-   * Leaves a job alone of which a stored record can't be read: nothing of it is started, stopped or
-   * answered for, since any of that could contradict what the record says.
+   * Freezes a job with an unreadable record: nothing of it is started, stopped or answered for,
+   * since any of that could contradict the record.
    */
   void freeze(String uid) {
     frozen.add(uid);
@@ -78,26 +84,28 @@
     return frozen.contains(uid) && !(job != null && job.isCancelled());
   }
 
+  /** The job of this uid; null where memory does not hold it. */
   JobState get(String uid) {
     return jobs.get(uid);
   }
 
+  /** The jobs that are not terminal, or of which something is still reserved. */
   Collection<JobState> activeJobs() {
     return activeJobs.values();
   }
 
-  /** The active jobs that have something to place or to write. */
+  /** The active jobs that have something to schedule or to write. */
   List<JobState> jobsWithWork() {
     backlog.removeIf(job -> !job.hasPendingWork());
     return new ArrayList<>(backlog);
   }
 
-  /** What the tasks of active jobs take. */
+  /** The resources that the tasks of active jobs use. */
   ResourceUsage resourceUsage() {
     return resourceUsage;
   }
 
-  /** Takes up what has changed of a job's tasks, or of whether it has something to do. */
+  /** Brings the indexes up to date after a change of the job's tasks or of its work. */
   void refreshIndexes(JobState job) {
     resourceUsage.update(job);
     if (job.isActive() && job.hasPendingWork()) {
@@ -118,12 +126,12 @@
     resourceUsage.update(job);
   }
 
-  /** The jobs that are over and of which nothing is left. */
+  /** The terminal jobs of which nothing is reserved. */
   FinishedJobs finishedJobs() {
     return finishedJobs;
   }
 
-  /** Drops a job that memory has no use for any more. */
+  /** Removes a job from memory, with all of its reservations. */
   void evict(JobState job) {
     String uid = job.spec.uid();
     if (jobs.remove(uid, job)) {
@@ -133,7 +141,7 @@
     }
   }
 
-  /** Removes what a late copy of an archived job's submission has left of it. */
+  /** Removes the record that a late copy of an archived job's submission has left. */
   void removeStaleSpec(JobState job) {
     writer.removeStaleSpec(job);
   }
@@ -147,27 +155,34 @@
     return jobs.size();
   }
 
-  /** Takes a job that the state service holds; a known one stays as it is. */
+  /** Adds a job that the store holds; one that is in memory stays as it is. */
   JobState add(Job job, long specVersion) {
     JobState known = jobs.get(job.uid());
     if (known != null) {
       return known;
     }
-    Backoff writeBackoff = new Backoff(context.stepMs() / 5, context.stepMs() * 2);
-    Backoff sizeBackoff = new Backoff(context.stepMs(), context.workerLeaseMs());
-    PlacementProfile profile = profileInterner.intern(PlacementProfile.of(job));
-    FailureHistory failures = new FailureHistory(context.stepMs());
-    JobState entry =
-        new JobState(job, profile, specVersion, context.nowMs, writeBackoff, sizeBackoff, failures);
-    jobs.put(job.uid(), entry);
-    activate(entry);
-    return entry;
+    JobState added = newJobState(job, specVersion);
+    jobs.put(job.uid(), added);
+    activate(added);
+    return added;
+  }
+
+  private JobState newJobState(Job job, long specVersion) {
+    long stepMs = context.stepMs();
+    return new JobState(
+        job,
+        profileInterner.intern(PlacementProfile.of(job)),
+        specVersion,
+        context.nowMs,
+        new Backoff(stepMs / FIRST_WRITE_RETRIES_PER_STEP, stepMs * MAX_WRITE_BACKOFF_STEPS),
+        new Backoff(stepMs, context.workerLeaseMs()),
+        new FailureHistory(stepMs));
   }
 
   /** Restores the allocation of a job that an earlier leader has committed. */
   void restoreAllocation(
       JobState job, StoredRecord.Allocation allocation, long version, MachineRegistry fleet) {
-    job.restore(allocation, version, fleet::getOrRegister);
+    new AllocationRestorer(fleet).restore(job, allocation, version);
     if (allocation.done()) {
       retire(job);
     } else {
@@ -190,7 +205,7 @@
     retireIfTerminal(job);
   }
 
-  /** Takes a job that is over, and of which nothing is left, out of what rounds look at. */
+  /** Removes a terminal job of which nothing is reserved from the active ones. */
   void retireIfTerminal(JobState job) {
     if (job.isTerminal() && job.reservations().isEmpty() && !job.writes().isInFlight()) {
       retire(job);
@@ -202,7 +217,7 @@
     finishedJobs.add(job, context.nowMs);
   }
 
-  /** A reservation is settled: the task has ended, or surely is not on its machine any more. */
+  /** Settles a reservation: its task has ended, or surely is not on its machine any more. */
   void settle(Reservation reservation, boolean completed) {
     JobState job = reservation.job;
     if (!job.tasks().holds(reservation)) {
@@ -215,7 +230,7 @@
     }
   }
 
-  /** Has a task stopped; a gang is stopped as a whole and saves if it can. */
+  /** Stops a task; a gang is stopped as a whole and saves if it can. */
   void requestStop(Reservation reservation) {
     if (reservation.job.gang == null) {
       reservation.requestStop();
@@ -235,7 +250,7 @@
     refreshIndexes(reservation.job);
   }
 
-  /** Takes back a proposal of this round. */
+  /** Takes back a reservation that was not committed. */
   void withdrawProposal(Reservation reservation) {
     reservation.job.tasks().withdraw(reservation);
     refreshIndexes(reservation.job);
@@ -256,16 +271,17 @@
     return reservation;
   }
 
-  /** Writes what changed of a job, in one conditional write. */
+  /** Writes all that has changed of a job, in one transaction. */
   void write(JobState job, RequestPriority priority) {
     writer.write(job, priority);
   }
 
+  /** Sends the writes whose retry is due. */
   void tick() {
     writer.tick();
   }
 
-  /** Drops reservations that were never committed, of a job that was cancelled meanwhile. */
+  /** Releases the uncommitted reservations of a cancelled job. */
   void dropUncommittedReservations(JobState job) {
     job.tasks().releaseUncommitted();
     refreshIndexes(job);
--- a/src/main/java/eiderfork/controller/JobState.java
+++ b/src/main/java/eiderfork/controller/JobState.java
@@ -5,9 +5,7 @@
 import eiderfork.model.JobKind;
 import eiderfork.model.JobStatus;
 import eiderfork.model.StoredRecord;
-import eiderfork.model.TaskStatus;
 import it.unimi.dsi.fastutil.ints.Int2ObjectSortedMap;
-import java.util.function.Function;
 
 /**
  * A job as the leader holds it. {@link JobRegistry} changes it and keeps its indexes up to date;
@@ -260,20 +258,11 @@
   private int countRunningTasks() {
     int running = 0;
     for (Reservation reservation : tasks.reservations().values()) {
-      running += isReportedRunning(reservation.reportedState()) ? 1 : 0;
+      running += reservation.isReportedRunning() ? 1 : 0;
     }
     return running;
   }
 
-  /** A gang runs once all of its tasks do; a replica runs once it has been started. */
-  private boolean isReportedRunning(TaskStatus.State reported) {
-    if (reported == null || reported == TaskStatus.State.ENDED) {
-      return false;
-    }
-    return gang == null
-        || reported != TaskStatus.State.FETCHING && reported != TaskStatus.State.WAITING_FOR_GANG;
-  }
-
   /** Reserves a pending task on a machine. */
   Reservation propose(int taskIndex, long attempt, MachineState machine) {
     Reservation reservation = new Reservation(this, taskIndex, attempt, machine);
@@ -305,48 +294,14 @@
   }
 
   /** The tasks of a gang complete together: where one is done, all are. */
-  private void finishGang() {
+  void finishGang() {
     tasks.finishAll();
     writes.onChanged();
   }
 
-  /** Restores what an earlier leader has committed. */
-  void restore(
-      StoredRecord.Allocation allocation,
-      long version,
-      Function<String, MachineState> machineByName) {
+  /** A new leader has read the allocation that an earlier one has committed. */
+  void onAllocationRestored(StoredRecord.Allocation allocation, long version) {
     writes.onRestored(allocation, version);
     lastAttempt = allocation.lastAttempt();
-    allocation.finished().forEach(tasks::restoreFinished);
-    for (StoredRecord.ReservedRange range : allocation.reserved()) {
-      MachineState machine = machineByName.apply(range.machine());
-      for (int index = range.from(); index <= range.to(); index++) {
-        restoreReservation(new Reservation(this, index, range.attempt(), machine));
-      }
-    }
-    if (spec.kind() == JobKind.ARRAY) {
-      failureHistory.restore(allocation, spec.tasks());
-    }
-    restoreGang();
-  }
-
-  private void restoreReservation(Reservation reservation) {
-    reservation.onCommitted();
-    tasks.reserve(reservation);
-    if (cancelled) {
-      reservation.machine.requestCommand();
-    }
-  }
-
-  /** An older leader may have seen a part of a gang end, and ended before it acted on it. */
-  private void restoreGang() {
-    if (gang == null || isTerminal()) {
-      return;
-    }
-    if (tasks.hasFinished()) {
-      finishGang();
-    } else if (tasks.hasPending()) {
-      gang.onTaskLost();
-    }
   }
 }
--- a/src/main/java/eiderfork/controller/PlacementProfile.java
+++ b/src/main/java/eiderfork/controller/PlacementProfile.java
@@ -5,9 +5,8 @@
 import eiderfork.model.Resources;
 
 /**
- * What decides which machines the tasks of a job find good: jobs that agree in it share what was
- * found out for one of them. {@link JobRegistry} holds one object for all equal ones, so that they
- * are told apart without a look inside.
+ * What decides which machines suit the tasks of a job: jobs with equal profiles share the results
+ * of searches. {@link JobRegistry} interns profiles, so that they are compared by identity.
  */
 record PlacementProfile(
     Resources taskResources, ImmutableSet<String> allowedTypes, boolean spotAllowed, String image) {
--- a/src/main/java/eiderfork/controller/Reservation.java
+++ b/src/main/java/eiderfork/controller/Reservation.java
@@ -51,6 +51,19 @@
     reportedState = state;
   }
 
+  /**
+   * Whether the task counts as running. A gang runs once all of its tasks do; a replica counts
+   * while it fetches its image.
+   */
+  boolean isReportedRunning() {
+    if (reportedState == null || reportedState == TaskStatus.State.ENDED) {
+      return false;
+    }
+    return job.gang == null
+        || reportedState != TaskStatus.State.FETCHING
+            && reportedState != TaskStatus.State.WAITING_FOR_GANG;
+  }
+
   /** When the task was first reported as running, 0 for not yet. */
   long runningSinceMs() {
     return runningSinceMs;
--- a/src/main/java/eiderfork/controller/ResourceUsage.java
+++ b/src/main/java/eiderfork/controller/ResourceUsage.java
@@ -6,8 +6,8 @@
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap;
 
 /**
- * What the tasks of active jobs take, by team, and what GPU work takes beside its GPUs; kept as
- * jobs change.
+ * The resources that the tasks of active jobs use, by team, and the processors that GPU work takes
+ * beside each GPU; kept up to date as jobs change.
  */
 final class ResourceUsage {
   private final TaskSizeCounter used = new TaskSizeCounter();
@@ -15,10 +15,10 @@
   private final TaskSizeCounter settled = new TaskSizeCounter();
   private final Object2IntMap<Resources> gpuTasks = new Object2IntOpenHashMap<>();
 
-  /** Counts the changes, so that what was made of the tally can be kept until the next one. */
+  /** Counts the changes, so that values derived from the usage can be cached until the next. */
   private long changeCount;
 
-  /** Null while it has to be made anew. */
+  /** Null while it has to be recomputed. */
   private CpusPerGpu cpusPerGpu;
 
   void clear() {
@@ -30,7 +30,7 @@
     changeCount++;
   }
 
-  /** Takes up what has changed of a job. */
+  /** Accounts for what has changed of a job. */
   void update(JobState job) {
     TaskCounts before = job.accountedTasks();
     TaskCounts now = job.isActive() ? job.taskCounts() : TaskCounts.NONE;
@@ -58,32 +58,32 @@
     }
   }
 
-  /** What the tasks of a team's jobs use now. */
+  /** The resources that count for a team's quota. */
   Resources used(String team) {
     return used.sum(team);
   }
 
-  /** What of it belongs to tasks that are stopping or cancelled. */
+  /** The part of it that belongs to tasks that are stopping or cancelled. */
   Resources stopping(String team) {
     return stopping.sum(team);
   }
 
-  /** What of it belongs to tasks that have ended, of which only the end is not committed yet. */
+  /** The part of it that belongs to ended tasks whose settlement is not committed yet. */
   Resources settled(String team) {
     return settled.sum(team);
   }
 
-  /** What the team's tasks hold on machines, as far as is known: all but what is settled. */
+  /** The resources that the team's tasks hold on machines: all but what is settled. */
   Resources held(String team) {
     return used(team).minus(settled(team));
   }
 
-  /** Stays as it is while nothing has changed that is counted here. */
+  /** Unchanged for as long as the usage is. */
   long changeCount() {
     return changeCount;
   }
 
-  /** How many processors the GPU work of now takes beside each GPU. */
+  /** How many processors the current GPU work takes beside each GPU. */
   CpusPerGpu cpusPerGpu() {
     if (cpusPerGpu == null) {
       Resources sum = TaskSizeCounter.sum(gpuTasks);
--- a/src/main/java/eiderfork/controller/TaskSizeCounter.java
+++ b/src/main/java/eiderfork/controller/TaskSizeCounter.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 
 /**
- * Tasks of each team, counted by their size. Sums are made of the counts: sums of decimal amounts
- * that were changed a million times would be off.
+ * Counts the tasks of each team by their size. Sums are computed from the counts, since sums of
+ * decimal amounts drift when they are changed often.
  */
 final class TaskSizeCounter {
   private final Map<String, Object2IntMap<Resources>> tasksByTeam = new HashMap<>();
@@ -19,7 +19,7 @@
     sumByTeam.clear();
   }
 
-  /** So many tasks more of this size, or fewer. */
+  /** Adds tasks of this size, or removes them where the change is negative. */
   void add(String team, Resources demand, int change) {
     Object2IntMap<Resources> tasks =
         tasksByTeam.computeIfAbsent(team, name -> new Object2IntOpenHashMap<>());
@@ -36,7 +36,7 @@
     }
   }
 
-  /** What the team's tasks take together. */
+  /** The resources of all of the team's tasks. */
   Resources sum(String team) {
     return sumByTeam.computeIfAbsent(team, name -> sum(tasksByTeam.get(name)));
   }
--- a/src/main/java/eiderfork/model/Attempt.java
+++ b/src/main/java/eiderfork/model/Attempt.java
@@ -1,4 +1,4 @@
 package eiderfork.model;
 
-/** One try of a task. */
+/** One attempt to run a task, numbered within the job. */
 public record Attempt(TaskId task, long number) {}
--- a/src/main/java/eiderfork/model/BitmapAllocationSize.java
+++ b/src/main/java/eiderfork/model/BitmapAllocationSize.java
@@ -1,11 +1,9 @@
 package eiderfork.model;
 
 import java.util.BitSet;
-import java.util.HashSet;
-import java.util.Set;
 
 /**
- * The bound on the bitmap form of an {@link StoredRecord.Alloc}: two compressed bitmaps of the
+ * The bound on the bitmap form of an {@link StoredRecord.Allocation}: two compressed bitmaps of the
  * tasks, and one row for each run of reservations.
  *
  * <p>Nothing of it grows when a task ends. Runs are counted among the reserved tasks alone, so that
@@ -18,16 +16,10 @@
   /** The last attempt, the mark of a job that is done, and the edges of columns and bitmaps. */
   private static final int FRAME_BYTES = 64;
 
-  /** The JSON around the text. */
-  private static final int JSON_ENVELOPE_BYTES = 20;
-
-  /** The lengths of a series' prefix and of its numbers, beside the prefix. */
-  private static final int SERIES_OVERHEAD_BYTES = 4;
-
   /** A run's series of machine names. */
   private static final int SERIES_INDEX_BYTES = 1;
 
-  /** One that is put between others begins a run of its own and has another begin anew. */
+  /** A reservation between others begins a run of its own and splits another. */
   private static final int MAX_RUNS_PER_INSERTION = 2;
 
   private static final int TASKS_PER_WORD = 32;
@@ -40,21 +32,18 @@
   private static final int WORDS_PER_BITMAP = 5;
 
   private static final int BITMAPS = 2;
-  private static final double BASE64_EXPANSION = 4 / 3.0;
-
-  /** The share of a value that is used, for what a store may count beside the text. */
-  private static final double USABLE_VALUE_SHARE = 0.95;
 
   private final int tasks;
 
-  /** The words that hold an unfinished task and lie before the end of what has begun. */
+  /**
+   * The words that hold an unfinished task, up to the last one with a finished or reserved task.
+   */
   private final BitSet unfinishedWords;
 
   private final BitSet reservedWords = new BitSet();
-  private final Set<NumberedName.Series> series = new HashSet<>();
+  private final NameSeriesSize seriesSize = new NameSeriesSize();
   private int endOfWords;
   private int runs;
-  private int seriesBytes;
   private long maxNumberBound = 1;
   private int lastIndex = -1;
   private long lastAttempt;
@@ -77,7 +66,7 @@
     }
   }
 
-  /** Counts reservations that stand already, in the order of their tasks. */
+  /** Counts a reservation of the record so far; to be called in the order of the tasks. */
   public void addExisting(int index, long attempt, String machine) {
     boolean sameRun = lastIndex >= 0 && attempt == lastAttempt && machine.equals(lastMachine);
     count(index, attempt, machine, sameRun ? 0 : 1);
@@ -100,8 +89,7 @@
       endOfWords = word + 1;
     }
     NumberedName.Series nameSeries = NumberedName.of(machine).series();
-    if (series.add(nameSeries)) {
-      seriesBytes += bytesOf(nameSeries);
+    if (seriesSize.add(nameSeries)) {
       maxNumberBound = Math.max(maxNumberBound, nameSeries.exclusiveUpperBound());
     }
   }
@@ -115,8 +103,7 @@
   @Override
   public boolean fits(int index, long attempt, String machine, double valueKb) {
     NumberedName.Series nameSeries = NumberedName.of(machine).series();
-    int additionalSeriesBytes = series.contains(nameSeries) ? 0 : bytesOf(nameSeries);
-    // A run's attempt is told as how far it lies behind the newest one.
+    // A run's attempt is stored as its distance from the newest one.
     int runBytes =
         VarintSize.maxBytes(tasks)
             + VarintSize.maxBytes(attempt)
@@ -124,13 +111,8 @@
             + SERIES_INDEX_BYTES;
     int totalRuns = runs + additionalRuns(index, attempt, machine);
     int totalBytes =
-        FRAME_BYTES
-            + seriesBytes
-            + additionalSeriesBytes
-            + bitmapBytes(index)
-            + totalRuns * runBytes;
-    return totalBytes * BASE64_EXPANSION + JSON_ENVELOPE_BYTES
-        <= valueKb * 1024 * USABLE_VALUE_SHARE;
+        FRAME_BYTES + seriesSize.bytesWith(nameSeries) + bitmapBytes(index) + totalRuns * runBytes;
+    return ValueLimit.fitsBase64(totalBytes, valueKb);
   }
 
   private int bitmapBytes(int index) {
@@ -145,8 +127,4 @@
     int words = WORDS_PER_CHANGING_WORD * changingWords + BITMAPS * WORDS_PER_BITMAP;
     return words * BYTES_PER_WORD;
   }
-
-  private static int bytesOf(NumberedName.Series series) {
-    return SERIES_OVERHEAD_BYTES + series.prefix().length() * NumberedName.MAX_BYTES_PER_CHARACTER;
-  }
 }
--- a/src/main/java/eiderfork/model/ListedMachine.java
+++ b/src/main/java/eiderfork/model/ListedMachine.java
@@ -1,8 +1,8 @@
 package eiderfork.model;
 
-/** A line of the cloud's machine list. */
+/** A machine in the cloud's machine list. */
 public record ListedMachine(Machine machine, State state, double ageS) {
-  /** What the cloud says a machine is doing. */
+  /** The state of a machine as the cloud lists it. */
   public enum State {
     BOOTING,
     RUNNING,
--- a/src/main/java/eiderfork/model/NumberedName.java
+++ b/src/main/java/eiderfork/model/NumberedName.java
@@ -1,8 +1,8 @@
 package eiderfork.model;
 
 /**
- * A name taken apart into a prefix and the number that it ends with: names that are counted up
- * differ little, and are stored in little space.
+ * A name as its prefix and the number that it ends with, so that numbered names can be stored in
+ * little space.
  *
  * @param series the prefix, and how many digits the number has
  * @param number the number; 0 where the name does not end with one
@@ -14,9 +14,9 @@
   /** Digits that surely fit into a long. */
   private static final int MAX_DIGITS = 17;
 
-  /** Names of one prefix and one number of digits. */
+  /** Names with the same prefix and number of digits. */
   public record Series(String prefix, int digits) {
-    /** A number that all numbers of the series are below. */
+    /** A bound that all numbers of the series are below. */
     long exclusiveUpperBound() {
       long bound = 1;
       for (int i = 0; i < digits; i++) {
@@ -26,7 +26,7 @@
     }
   }
 
-  /** Takes a name apart. */
+  /** Splits a name. */
   public static NumberedName of(String name) {
     int start = name.length();
     while (start > 0 && name.length() - start < MAX_DIGITS && isDigit(name.charAt(start - 1))) {
@@ -41,7 +41,7 @@
     return c >= '0' && c <= '9';
   }
 
-  /** The name that was taken apart. */
+  /** The whole name. */
   public String text() {
     String digits = series.digits() == 0 ? "" : Long.toString(number);
     return series.prefix() + "0".repeat(series.digits() - digits.length()) + digits;
--- a/src/main/java/eiderfork/model/PlainAllocationSize.java
+++ b/src/main/java/eiderfork/model/PlainAllocationSize.java
@@ -3,20 +3,17 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** The bound on the plain form of an {@link StoredRecord.Alloc}, which every version reads. */
+/** The bound on the plain form of an {@link StoredRecord.Allocation}, which every version reads. */
 public final class PlainAllocationSize implements AllocationSize {
-  /** Braces, field names, the last attempt and the mark of a job that is done. */
+  /** Braces, field names, the last attempt and whether the job is done. */
   private static final int FRAME_BYTES = 96;
 
   /** Quotes, colon, braces and comma around an attempt or a machine. */
   private static final int DELIMITER_BYTES = 6;
 
-  /** Characters of a bitmap say six tasks each. */
+  /** A character of a bitmap holds six tasks. */
   private static final int TASKS_PER_CHARACTER = 6;
 
-  /** The share of a value that is used, for what a store may count beside the text. */
-  private static final double USABLE_VALUE_SHARE = 0.95;
-
   private final int tasks;
   private final int finishedRanges;
   private final Set<Long> attempts = new HashSet<>();
@@ -25,7 +22,7 @@
   private int groupBytes;
 
   /**
-   * Begins with a record that reserves nothing.
+   * Begins with a record without reservations.
    *
    * @param tasks how many tasks the job has
    * @param finishedRanges how many separate ranges of its tasks have finished
@@ -49,8 +46,7 @@
   @Override
   public boolean fits(int index, long attempt, String machine, double valueKb) {
     int additionalBytes = digits(attempt) + machine.length() + 2 * DELIMITER_BYTES;
-    return totalBytes(reservations + 1, groupBytes + additionalBytes)
-        <= valueKb * 1024 * USABLE_VALUE_SHARE;
+    return ValueLimit.fitsText(totalBytes(reservations + 1, groupBytes + additionalBytes), valueKb);
   }
 
   /**
@@ -66,7 +62,7 @@
     return FRAME_BYTES + groupsTakeBytes + (double) reservationCount * indexBytes + finishedBytes;
   }
 
-  /** Whether values of this size let a job of that many tasks run at all, one by one. */
+  /** Whether a value of this size holds one reservation of a job with that many tasks. */
   public static boolean canFitOneReservation(int tasks, int nameBytes, double valueKb) {
     return new PlainAllocationSize(tasks, 1)
         .fits(0, Long.MAX_VALUE, "m".repeat(nameBytes), valueKb);
--- a/src/main/java/eiderfork/model/Resources.java
+++ b/src/main/java/eiderfork/model/Resources.java
@@ -1,11 +1,11 @@
 package eiderfork.model;
 
-/** An amount of the things a machine has and a task takes. */
+/** An amount of the resources that a machine has and a task uses. */
 public record Resources(double cpus, double gpus, double ramGb) {
-  /** Nothing of anything. */
+  /** No resources. */
   public static final Resources NONE = new Resources(0, 0, 0);
 
-  /** Sums of decimal amounts pick up rounding dust; nothing real is smaller than this. */
+  /** Sums of decimal amounts pick up rounding errors; no real amount is smaller than this. */
   public static final double ROUNDING_TOLERANCE = 1e-6;
 
   /** The sum of both amounts. */
@@ -13,7 +13,7 @@
     return new Resources(cpus + other.cpus, gpus + other.gpus, ramGb + other.ramGb);
   }
 
-  /** What is left of this amount without the other; may be negative. */
+  /** The difference of both amounts; may be negative. */
   public Resources minus(Resources other) {
     return new Resources(cpus - other.cpus, gpus - other.gpus, ramGb - other.ramGb);
   }
@@ -28,7 +28,7 @@
     return fitsIn(capacity.cpus, capacity.gpus, capacity.ramGb);
   }
 
-  /** Whether no part of this amount exceeds what there is of it. */
+  /** Whether no part of this amount exceeds what is available of it. */
   public boolean fitsIn(double availableCpus, double availableGpus, double availableRamGb) {
     return cpus <= availableCpus + ROUNDING_TOLERANCE
         && gpus <= availableGpus + ROUNDING_TOLERANCE
@@ -50,7 +50,7 @@
     return (int) Math.max(0, Math.min(count, Integer.MAX_VALUE));
   }
 
-  /** The mean share of {@code whole} that this amount is, over the kinds that it has. */
+  /** The mean share of {@code whole} that this amount is, over the kinds that {@code whole} has. */
   public double shareOf(Resources whole) {
     double sum = 0;
     int kinds = 0;
--- a/src/main/java/eiderfork/model/StoredRecord.java
+++ b/src/main/java/eiderfork/model/StoredRecord.java
@@ -2,16 +2,16 @@
 
 import com.google.common.collect.ImmutableList;
 
-/** What the state service holds under a key. */
+/** The value of a key in the store. */
 public sealed interface StoredRecord {
 
-  /** A job as its user submitted it; written once. */
+  /** A job as its user submitted it; written once, never changed. */
   record JobSpec(Job job) implements StoredRecord {}
 
-  /** The leader key: who leads, and in which term. */
+  /** The leader key: the leading node and its term. */
   record Leadership(String node, long term) implements StoredRecord {}
 
-  /** A value that this version can't read; what it stands for is left as it is. */
+  /** A value that this version can't read; what it describes is left alone. */
   record Unreadable(String reason) implements StoredRecord {}
 
   /** The counter of terms. */
@@ -37,7 +37,7 @@
   }
 
   /**
-   * The leader's own record of a job.
+   * The leader's record of a job's reserved and finished tasks.
    *
    * @param lastAttempt the largest attempt number ever reserved in this job
    */
@@ -47,7 +47,7 @@
       ImmutableList<ReservedRange> reserved,
       ImmutableList<TaskRange> finished)
       implements StoredRecord {
-    /** The record of a job that nothing was ever reserved for. */
+    /** The allocation of a job of which nothing was ever reserved. */
     public static final Allocation EMPTY =
         new Allocation(0, false, ImmutableList.of(), ImmutableList.of());
 
@@ -63,29 +63,29 @@
   }
 
   /**
-   * The same record in a form that takes a fraction of the space. Versions before the second can't
-   * read it; it is read back as the record that it holds.
+   * An allocation in a packed form. Versions before the second can't read it; it is read back as
+   * the allocation that it holds.
    */
   record PackedAllocation(Allocation alloc) implements StoredRecord {}
 
   /**
-   * The same record in the packed or the bitmap form, whichever is shorter. Versions before the
-   * fourth can't read the bitmap one; both are read back as the record that they hold.
+   * An allocation in the packed or the bitmap form, whichever is shorter. Versions before the
+   * fourth can't read the bitmap one; both are read back as the allocation that they hold.
    */
   record BitmapAllocation(Allocation alloc) implements StoredRecord {}
 
-  /** A rent reserved before the cloud is asked, under the name that the request carries. */
+  /** A scale-out request, stored before it is sent to the cloud under this request name. */
   record ScaleOutIntent(String requestName, String type, String zone, boolean spot, int count)
       implements StoredRecord {}
 
-  /** A return reserved before the cloud is asked. */
+  /** A scale-in request, stored before it is sent to the cloud. */
   record ScaleInIntent(ImmutableList<String> machines) implements StoredRecord {}
 
-  /** Machines whose workers a node answers in the place of a leader that they can't reach. */
+  /** Machines whose leases a node renews in place of a leader that their workers can't reach. */
   record ProxiedLeases(ImmutableList<String> machines) implements StoredRecord {}
 
   /**
-   * The final state of a job that was archived: its other records are gone.
+   * The final state of an archived job, whose other records are removed.
    *
    * @param doneTasks how many of its tasks had completed
    */
@@ -94,6 +94,6 @@
   /** The newest version that every member of the cluster runs. */
   record StoredVersion(int version) implements StoredRecord {}
 
-  /** The machine types, kept for nodes that must judge a submission without the cloud. */
+  /** The machine types, for nodes that have to validate a submission without the cloud. */
   record MachineTypes(ImmutableList<MachineType> types) implements StoredRecord {}
 }
--- a/src/main/java/eiderfork/model/TaskId.java
+++ b/src/main/java/eiderfork/model/TaskId.java
@@ -7,7 +7,7 @@
     return jobUid + "/" + index;
   }
 
-  /** Null where the text names no task. */
+  /** Parses the text form; null where the text names no task. */
   public static TaskId parse(String text) {
     int slash = text.lastIndexOf('/');
     if (slash <= 0) {
--- a/src/main/java/eiderfork/model/Team.java
+++ b/src/main/java/eiderfork/model/Team.java
@@ -9,7 +9,7 @@
         .fitsIn(new Resources(limitOrUnbounded(maxCpus), limitOrUnbounded(maxGpus), 0));
   }
 
-  /** How many tasks of this size, of those wanted, the limit allows beside what is used. */
+  /** How many tasks of this size, up to those requested, the limit allows beside what is used. */
   public int countWithinLimit(Resources used, Resources demand, int requestedTasks) {
     Resources left =
         new Resources(
@@ -19,7 +19,7 @@
     return Math.min(requestedTasks, left.countFitting(demand));
   }
 
-  /** Whether anything is guaranteed to the team. */
+  /** Whether the team has a guarantee. */
   public boolean hasGuarantee() {
     return guaranteedCpus > 0 || guaranteedGpus > 0;
   }
