--- a/src/main/java/eiderfork/controller/CommandBuilder.java
+++ b/src/main/java/eiderfork/controller/CommandBuilder.java
@@ -77,7 +77,7 @@
       Reservation reservation =
           job == null || !committed.contains(attempt)
               ? null
-              : job.reservations.get(attempt.task().index());
+              : job.reservations().get(attempt.task().index());
       agrees &= reservation != null && isAsReserved(task, reservation);
       addStopOrClear(commands, task, job, reservation);
     }
@@ -87,7 +87,7 @@
   private static Set<Attempt> committedAttempts(MachineState machine) {
     Set<Attempt> committed = new HashSet<>();
     for (Reservation reservation : machine.reservations()) {
-      if (reservation.committed) {
+      if (reservation.isCommitted()) {
         committed.add(reservation.toAttempt());
       }
     }
@@ -131,10 +131,10 @@
 
   private void addStarts(MachineState machine, List<WorkerCommand> commands) {
     for (Reservation reservation : machine.reservations()) {
-      if (reservation.canStart() && !reservation.job.cancelling) {
+      if (reservation.canStart() && !reservation.job.isCancelling()) {
         commands.add(new WorkerCommand.Run(reservation.toAttempt()));
-        reservation.startToken = machine.commandChannel().fencingToken();
-        reservation.startIncarnation = machine.incarnation().number();
+        reservation.onStartSent(
+            machine.commandChannel().fencingToken(), machine.incarnation().number());
         reconciler.recordImageUse(machine, reservation);
       }
     }
--- a/src/main/java/eiderfork/controller/FaultDetector.java
+++ b/src/main/java/eiderfork/controller/FaultDetector.java
@@ -62,7 +62,7 @@
 
   private static boolean hasOtherRunningTasks(MachineState machine) {
     for (Reservation reservation : machine.reservations()) {
-      if (reservation.reportedState == TaskStatus.State.RUNNING
+      if (reservation.reportedState() == TaskStatus.State.RUNNING
           && !machine.failures().hasFailed(reservation.job.spec.uid())) {
         return true;
       }
--- a/src/main/java/eiderfork/controller/JobRegistry.java
+++ b/src/main/java/eiderfork/controller/JobRegistry.java
@@ -8,39 +8,43 @@
 import eiderfork.controller.store.RequestPriority;
 import eiderfork.controller.store.StoreClient;
 import eiderfork.model.Job;
-import eiderfork.model.JobKind;
-import eiderfork.model.MachineType;
 import eiderfork.model.StoredRecord;
 import it.unimi.dsi.fastutil.objects.ReferenceLinkedOpenHashSet;
 import java.util.ArrayList;
 import java.util.Collection;
-import java.util.Comparator;
+import java.util.Collections;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 
-/** The jobs of a leader: what is reserved for them, what has ended and what waits. */
+/**
+ * The jobs in a leader's memory, with indexes of those that are active, have work or have finished.
+ * Every change of a job's tasks goes through here, so that the indexes are kept up to date.
+ */
 final class JobRegistry {
+  private static final int FIRST_WRITE_RETRIES_PER_STEP = 5;
+  private static final int MAX_WRITE_BACKOFF_STEPS = 2;
+
   private final ControllerContext context;
   private final AllocationWriter writer;
   private final Map<String, JobState> jobs = new LinkedHashMap<>();
 
-  /** Jobs that still have something to do, so that rounds skip the long past. */
+  /** Jobs that are not terminal, or of which something is still reserved. */
   private final Map<String, JobState> activeJobs = new LinkedHashMap<>();
 
-  /** Those of them that may have something to place or to write. */
+  /** The active jobs that may have something to schedule or to write. */
   private final ReferenceLinkedOpenHashSet<JobState> backlog = new ReferenceLinkedOpenHashSet<>();
 
   private final ResourceUsage resourceUsage = new ResourceUsage();
 
   private final FinishedJobs finishedJobs = new FinishedJobs();
 
-  /** Profiles in use; those of jobs that have left memory go with them. */
+  /** Equal profiles are one object; those of evicted jobs are collected with them. */
   private final Interner<PlacementProfile> profileInterner = Interners.newWeakInterner();
 
-  /** Jobs of which a stored record can't be read. */
+  /** Jobs with a stored record that can't be read. */
   private final Set<String> frozen = new HashSet<>();
 
   JobRegistry(
@@ -62,8 +66,8 @@
   }
 
   /**
-   * Leaves a job alone of which a stored record can't be read: nothing of it is started, stopped or
-   * answered for, since any of that could contradict what the record says.
+   * Freezes a job with an unreadable record: nothing of it is started, stopped or answered for,
+   * since any of that could contradict the record.
    */
   void freeze(String uid) {
     frozen.add(uid);
@@ -77,121 +81,112 @@
   /** Whether a job is frozen; a cancellation that was read still ends it. */
   boolean isFrozen(String uid) {
     JobState job = jobs.get(uid);
-    return frozen.contains(uid) && !(job != null && job.cancelled);
+    return frozen.contains(uid) && !(job != null && job.isCancelled());
   }
 
+  /** The job of this uid; null where memory does not hold it. */
   JobState get(String uid) {
     return jobs.get(uid);
   }
 
+  /** The jobs that are not terminal, or of which something is still reserved. */
   Collection<JobState> activeJobs() {
     return activeJobs.values();
   }
 
-  /** The active jobs that have something to place or to write. */
+  /** The active jobs that have something to schedule or to write. */
   List<JobState> jobsWithWork() {
     backlog.removeIf(job -> !job.hasPendingWork());
     return new ArrayList<>(backlog);
   }
 
-  /** What the tasks of active jobs take. */
+  /** The resources that the tasks of active jobs use. */
   ResourceUsage resourceUsage() {
     return resourceUsage;
   }
 
-  /** Takes up what has changed of a job's tasks, or of whether it has something to do. */
+  /** Brings the indexes up to date after a change of the job's tasks or of its work. */
   void refreshIndexes(JobState job) {
     resourceUsage.update(job);
-    if (job.active && job.hasPendingWork()) {
+    if (job.isActive() && job.hasPendingWork()) {
       backlog.add(job);
     }
   }
 
   private void activate(JobState job) {
-    job.active = true;
+    job.activate();
     activeJobs.put(job.spec.uid(), job);
     refreshIndexes(job);
   }
 
   private void deactivate(JobState job) {
-    job.active = false;
+    job.deactivate();
     activeJobs.remove(job.spec.uid(), job);
     backlog.remove(job);
     resourceUsage.update(job);
   }
 
-  /** The jobs that are over and of which nothing is left. */
+  /** The terminal jobs of which nothing is reserved. */
   FinishedJobs finishedJobs() {
     return finishedJobs;
   }
 
-  /** Drops a job that memory has no use for any more. */
+  /** Removes a job from memory, with all of its reservations. */
   void evict(JobState job) {
     String uid = job.spec.uid();
     if (jobs.remove(uid, job)) {
       deactivate(job);
       finishedJobs.remove(uid);
-      List.copyOf(job.reservations.values()).forEach(JobRegistry::detach);
+      job.tasks().releaseAll();
     }
   }
 
-  /** Removes what a late copy of an archived job's submission has left of it. */
+  /** Removes the record that a late copy of an archived job's submission has left. */
   void removeStaleSpec(JobState job) {
     writer.removeStaleSpec(job);
   }
 
+  /** All jobs in memory. */
+  Collection<JobState> all() {
+    return Collections.unmodifiableCollection(jobs.values());
+  }
+
   int size() {
     return jobs.size();
   }
 
-  /** Takes a job that the state service holds; a known one stays as it is. */
+  /** Adds a job that the store holds; one that is in memory stays as it is. */
   JobState add(Job job, long specVersion) {
     JobState known = jobs.get(job.uid());
     if (known != null) {
       return known;
     }
-    Backoff writeBackoff = new Backoff(context.stepMs() / 5, context.stepMs() * 2);
-    Backoff sizeBackoff = new Backoff(context.stepMs(), context.workerLeaseMs());
-    PlacementProfile profile = profileInterner.intern(PlacementProfile.of(job));
-    FailureHistory failures = new FailureHistory(context.stepMs());
-    JobState entry =
-        new JobState(job, profile, specVersion, context.nowMs, writeBackoff, sizeBackoff, failures);
-    jobs.put(job.uid(), entry);
-    activate(entry);
-    return entry;
+    JobState added = newJobState(job, specVersion);
+    jobs.put(job.uid(), added);
+    activate(added);
+    return added;
+  }
+
+  private JobState newJobState(Job job, long specVersion) {
+    long stepMs = context.stepMs();
+    return new JobState(
+        job,
+        profileInterner.intern(PlacementProfile.of(job)),
+        specVersion,
+        context.nowMs,
+        new Backoff(stepMs / FIRST_WRITE_RETRIES_PER_STEP, stepMs * MAX_WRITE_BACKOFF_STEPS),
+        new Backoff(stepMs, context.workerLeaseMs()),
+        new FailureHistory(stepMs));
   }
 
-  /** Takes the reservations of a rebuilt job. */
+  /** Restores the allocation of a job that an earlier leader has committed. */
   void restoreAllocation(
       JobState job, StoredRecord.Allocation allocation, long version, MachineRegistry fleet) {
-    job.committedAllocation = allocation;
-    job.allocationVersion = version;
-    job.lastAttempt = allocation.lastAttempt();
-    for (StoredRecord.TaskRange range : allocation.finished()) {
-      job.finishedTasks.set(range.from(), range.to() + 1);
-      job.pendingTasks.clear(range.from(), range.to() + 1);
-    }
-    for (StoredRecord.ReservedRange span : allocation.reserved()) {
-      MachineState machine = fleet.getOrRegister(span.machine());
-      for (int index = span.from(); index <= span.to(); index++) {
-        Reservation reservation = new Reservation(job, index, span.attempt(), machine);
-        reservation.committed = true;
-        job.reservations.put(index, reservation);
-        job.pendingTasks.clear(index);
-        machine.addReservation(reservation);
-        if (job.cancelled) {
-          machine.requestCommand();
-        }
-      }
-    }
-    if (job.spec.kind() == JobKind.ARRAY) {
-      job.failureHistory.restore(allocation, job.spec.tasks());
-    }
-    restoreGang(job);
+    new AllocationRestorer(fleet).restore(job, allocation, version);
     if (allocation.done()) {
       retire(job);
     } else {
-      // A cancellation taken while rebuilding may have retired the job before its reservations
+      // A cancellation read during the recovery may have retired the job before its reservations
       // were read; they count for the quota until they are settled.
       activate(job);
       finishedJobs.remove(job.spec.uid());
@@ -199,60 +194,20 @@
     }
   }
 
-  /** An older leader may have seen a part of a gang end, and ended before it did what follows. */
-  private static void restoreGang(JobState job) {
-    if (job.gang == null || job.cancelled || job.committedAllocation.done()) {
-      return;
-    }
-    if (!job.finishedTasks.isEmpty()) {
-      finishGang(job);
-    } else if (!job.pendingTasks.isEmpty()) {
-      job.gang.onTaskLost();
-    }
-  }
-
-  /**
-   * Notes which images the machines have been given, in the order in which the jobs were last
-   * written. The alloc record of a cancelled service keeps its reservations, so a new leader knows
-   * more than what runs now: without this, replicas went to machines that had to fetch first.
-   */
-  void restoreCachedImages(MachineRegistry fleet) {
-    List<JobState> byAge = new ArrayList<>(jobs.values());
-    byAge.sort(Comparator.comparingLong(job -> job.allocationVersion));
-    for (JobState job : byAge) {
-      for (StoredRecord.ReservedRange span : job.committedAllocation.reserved()) {
-        MachineState machine = fleet.get(span.machine());
-        if (machine != null && job.spec.image() != null) {
-          MachineType type = fleet.typeOf(machine);
-          double cacheGb = type == null ? Double.MAX_VALUE : type.imageCacheGb();
-          machine.images().recordUse(job.spec.image(), job.spec.imageGb(), cacheGb);
-        }
-      }
-    }
-  }
-
+  /** A cancellation of the job is committed. */
   void markCancelled(String uid) {
     JobState job = jobs.get(uid);
-    if (job == null || job.cancelled) {
+    if (job == null || job.isCancelled()) {
       return;
     }
-    job.cancelled = true;
-    job.pendingTasks.clear();
-    job.uncommittedSettlements.clear();
-    for (Reservation reservation : List.copyOf(job.reservations.values())) {
-      if (reservation.committed) {
-        reservation.machine.requestCommand();
-      } else if (!job.writeInFlight) {
-        detach(reservation);
-      }
-    }
+    job.onCancelled();
     refreshIndexes(job);
     retireIfTerminal(job);
   }
 
-  /** Takes a job that is over, and of which nothing is left, out of what rounds look at. */
+  /** Removes a terminal job of which nothing is reserved from the active ones. */
   void retireIfTerminal(JobState job) {
-    if (job.isTerminal() && job.reservations.isEmpty() && !job.writeInFlight) {
+    if (job.isTerminal() && job.reservations().isEmpty() && !job.writes().isInFlight()) {
       retire(job);
     }
   }
@@ -262,46 +217,20 @@
     finishedJobs.add(job, context.nowMs);
   }
 
-  /** A reservation is settled: the task has ended, or surely is not on its machine any more. */
+  /** Settles a reservation: its task has ended, or surely is not on its machine any more. */
   void settle(Reservation reservation, boolean completed) {
     JobState job = reservation.job;
-    if (job.reservations.get(reservation.taskIndex) != reservation) {
-      return;
-    }
-    detach(reservation);
-    if (job.cancelled) {
-      refreshIndexes(job);
-      retireIfTerminal(job);
+    if (!job.tasks().holds(reservation)) {
       return;
     }
-    if (completed) {
-      job.finishedTasks.set(reservation.taskIndex);
-      job.failureHistory.recordSuccess();
-    } else {
-      job.pendingTasks.set(reservation.taskIndex);
-    }
-    job.uncommittedSettlements.add(reservation);
-    job.dirty = true;
-    if (job.gang != null && completed) {
-      finishGang(job);
-    } else if (job.gang != null) {
-      job.gang.onTaskLost();
-    }
+    job.settle(reservation, completed);
     refreshIndexes(job);
-  }
-
-  /** The tasks of a gang complete together: where one is done, all are. */
-  private static void finishGang(JobState job) {
-    for (Reservation other : List.copyOf(job.reservations.values())) {
-      detach(other);
-      job.uncommittedSettlements.add(other);
+    if (job.isCancelled()) {
+      retireIfTerminal(job);
     }
-    job.finishedTasks.set(0, job.spec.tasks());
-    job.pendingTasks.clear();
-    job.dirty = true;
   }
 
-  /** Has a task stopped; a gang is stopped as a whole and saves if it can. */
+  /** Stops a task; a gang is stopped as a whole and saves if it can. */
   void requestStop(Reservation reservation) {
     if (reservation.job.gang == null) {
       reservation.requestStop();
@@ -321,63 +250,40 @@
     refreshIndexes(reservation.job);
   }
 
-  /** Takes back a proposal of this round. */
+  /** Takes back a reservation that was not committed. */
   void withdrawProposal(Reservation reservation) {
-    detach(reservation);
-    reservation.job.pendingTasks.set(reservation.taskIndex);
+    reservation.job.tasks().withdraw(reservation);
     refreshIndexes(reservation.job);
   }
 
-  private static void detach(Reservation reservation) {
-    if (reservation.job.reservations.remove(reservation.taskIndex) == reservation) {
-      reservation.onRemoved();
-    }
-    reservation.machine.removeReservation(reservation);
-  }
-
   /**
-   * Whether a worker must keep this attempt in its reports, because what is committed does not say
-   * yet how it ended. A cleared attempt would start anew on a late repeat of its command.
+   * Whether a worker must keep this attempt in its heartbeats, because the store does not show yet
+   * how it ended. A cleared attempt would start anew on a late copy of its command.
    */
-  boolean mustRetainAttempt(JobState job, long attempt, int index) {
-    for (Reservation reservation : job.uncommittedSettlements) {
-      if (reservation.taskIndex == index && reservation.attempt == attempt) {
-        return true;
-      }
-    }
-    return false;
+  boolean mustRetainAttempt(JobState job, long attempt, int taskIndex) {
+    return job.tasks().isSettlementUncommitted(taskIndex, attempt);
   }
 
-  Reservation propose(JobState job, int index, long attempt, MachineState machine) {
-    Reservation reservation = new Reservation(job, index, attempt, machine);
-    if (job.gang != null && job.gang.canStartAttempt()) {
-      job.gang.onAttemptStarted();
-    }
-    job.lastAttempt = attempt;
-    job.reservations.put(index, reservation);
-    job.pendingTasks.clear(index);
-    machine.addReservation(reservation);
-    job.dirty = true;
+  /** Reserves a pending task on a machine. */
+  Reservation propose(JobState job, int taskIndex, long attempt, MachineState machine) {
+    Reservation reservation = job.propose(taskIndex, attempt, machine);
     refreshIndexes(job);
     return reservation;
   }
 
-  /** Writes what changed of a job, in one conditional write. */
-  void write(JobState job, RequestPriority urgency) {
-    writer.write(job, urgency);
+  /** Writes all that has changed of a job, in one transaction. */
+  void write(JobState job, RequestPriority priority) {
+    writer.write(job, priority);
   }
 
+  /** Sends the writes whose retry is due. */
   void tick() {
     writer.tick();
   }
 
-  /** Drops reservations that were never committed, of a job that was cancelled meanwhile. */
+  /** Releases the uncommitted reservations of a cancelled job. */
   void dropUncommittedReservations(JobState job) {
-    for (Reservation reservation : List.copyOf(job.reservations.values())) {
-      if (!reservation.committed) {
-        detach(reservation);
-      }
-    }
+    job.tasks().releaseUncommitted();
     refreshIndexes(job);
   }
 }
--- a/src/main/java/eiderfork/controller/ReservationReconciler.java
+++ b/src/main/java/eiderfork/controller/ReservationReconciler.java
@@ -60,10 +60,10 @@
 
   private void reconcileLiveTask(MachineState machine, Reservation reservation, TaskStatus task) {
     reconcileImage(machine, reservation, task);
-    reservation.reportedState = task.state();
+    reservation.onStateReported(task.state());
     if (reservation.job.gang != null) {
       reconcileGang(machine, reservation);
-    } else if (reservation.reportedState == TaskStatus.State.CHECKPOINTING
+    } else if (reservation.reportedState() == TaskStatus.State.CHECKPOINTING
         && context.settings.operator().isLendingEnabled()) {
       reconcileCheckpoint(reservation);
     }
@@ -72,8 +72,8 @@
   /** A new leader learns from the tasks which images a machine has. */
   private void reconcileImage(MachineState machine, Reservation reservation, TaskStatus task) {
     String image = reservation.job.spec.image();
-    if (task.state() == TaskStatus.State.RUNNING && reservation.runningSinceMs == 0) {
-      reservation.runningSinceMs = context.nowMs;
+    if (task.state() == TaskStatus.State.RUNNING && reservation.runningSinceMs() == 0) {
+      reservation.onRunningReported(context.nowMs);
       recordImageUse(machine, reservation);
       machine.images().recordReadyTime(image, context.nowMs);
     }
@@ -100,30 +100,30 @@
       return;
     }
     Double terminationNoticeS = machine.lastHeartbeat().terminationNoticeS();
-    if (reservation.reportedState == TaskStatus.State.CHECKPOINTING) {
+    if (reservation.reportedState() == TaskStatus.State.CHECKPOINTING) {
       // An earlier leader has begun to stop the gang; a task that is not stopped in time fails the
       // checkpoint of all.
       reservation.job.gang.requestSave();
       jobs.refreshIndexes(reservation.job);
     } else if (terminationNoticeS != null
-        && reservation.reportedState == TaskStatus.State.RUNNING) {
+        && reservation.reportedState() == TaskStatus.State.RUNNING) {
       reservation.job.gang.onTerminationNotice(terminationNoticeS);
       jobs.refreshIndexes(reservation.job);
     }
   }
 
   private void reconcileMissingTask(MachineState machine, Reservation reservation) {
-    if (!reservation.committed) {
+    if (!reservation.isCommitted()) {
       return;
     }
-    boolean mayHaveEnded = !reservation.isDesired() || reservation.reportedState != null;
+    boolean mayHaveEnded = !reservation.isDesired() || reservation.reportedState() != null;
     if (!mayHaveEnded) {
       return;
     }
     if (isStartOutdated(machine.lastHeartbeat(), reservation)) {
       jobs.settle(reservation, false);
       requestRound.run();
-    } else if (reservation.startToken >= machine.commandChannel().fencingToken()) {
+    } else if (reservation.startToken() >= machine.commandChannel().fencingToken()) {
       // Outdates the unanswered start, so that its absence can be believed.
       raiseFencingToken(machine);
     }
@@ -132,8 +132,9 @@
   /** Whether a start that is still on its way would be dropped by the worker. */
   private boolean isStartOutdated(Heartbeat heartbeat, Reservation reservation) {
     boolean isLaterIncarnation =
-        reservation.startIncarnation > 0 && heartbeat.incarnation() > reservation.startIncarnation;
-    long newestStartToken = Math.max(reservation.startToken, election.firstFencingToken() - 1);
+        reservation.startIncarnation() > 0
+            && heartbeat.incarnation() > reservation.startIncarnation();
+    long newestStartToken = Math.max(reservation.startToken(), election.firstFencingToken() - 1);
     return isLaterIncarnation || heartbeat.fencingToken() > newestStartToken;
   }
 
--- a/src/main/java/eiderfork/controller/ResourceUsage.java
+++ b/src/main/java/eiderfork/controller/ResourceUsage.java
@@ -6,8 +6,8 @@
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap;
 
 /**
- * What the tasks of active jobs take, by team, and what GPU work takes beside its GPUs; kept as
- * jobs change.
+ * The resources that the tasks of active jobs use, by team, and the processors that GPU work takes
+ * beside each GPU; kept up to date as jobs change.
  */
 final class ResourceUsage {
   private final TaskSizeCounter used = new TaskSizeCounter();
@@ -15,10 +15,10 @@
   private final TaskSizeCounter settled = new TaskSizeCounter();
   private final Object2IntMap<Resources> gpuTasks = new Object2IntOpenHashMap<>();
 
-  /** Counts the changes, so that what was made of the tally can be kept until the next one. */
+  /** Counts the changes, so that values derived from the usage can be cached until the next. */
   private long changeCount;
 
-  /** Null while it has to be made anew. */
+  /** Null while it has to be recomputed. */
   private CpusPerGpu cpusPerGpu;
 
   void clear() {
@@ -30,54 +30,60 @@
     changeCount++;
   }
 
-  /** Takes up what has changed of a job. */
-  void update(JobState entry) {
-    Job job = entry.spec;
-    TaskCounts counts = entry.active ? entry.taskCounts() : TaskCounts.NONE;
-    TaskCounts before = entry.accountedTasks;
-    if (!counts.equals(before)) {
-      entry.accountedTasks = counts;
-      changeCount++;
-      used.add(job.team(), job.taskResources(), counts.used() - before.used());
-      stopping.add(job.team(), job.taskResources(), counts.stopping() - before.stopping());
-      settled.add(job.team(), job.taskResources(), counts.settled() - before.settled());
+  /** Accounts for what has changed of a job. */
+  void update(JobState job) {
+    TaskCounts before = job.accountedTasks();
+    TaskCounts now = job.isActive() ? job.taskCounts() : TaskCounts.NONE;
+    if (!now.equals(before)) {
+      job.onTasksAccounted(now);
+      addTasks(job.spec, before, now);
     }
-    if (entry.active != entry.accountedActive) {
-      entry.accountedActive = entry.active;
-      if (job.taskResources().gpus() > 0) {
-        TaskSizeCounter.add(
-            gpuTasks, job.taskResources(), entry.active ? job.tasks() : -job.tasks());
-        cpusPerGpu = null;
-      }
+    if (job.isActive() != job.isAccountedActive()) {
+      job.onActivityAccounted();
+      addGpuTasks(job.spec, job.isActive() ? job.spec.tasks() : -job.spec.tasks());
     }
   }
 
-  /** What the tasks of a team's jobs use now. */
+  private void addTasks(Job job, TaskCounts before, TaskCounts now) {
+    changeCount++;
+    used.add(job.team(), job.taskResources(), now.used() - before.used());
+    stopping.add(job.team(), job.taskResources(), now.stopping() - before.stopping());
+    settled.add(job.team(), job.taskResources(), now.settled() - before.settled());
+  }
+
+  private void addGpuTasks(Job job, int change) {
+    if (job.taskResources().gpus() > 0) {
+      TaskSizeCounter.add(gpuTasks, job.taskResources(), change);
+      cpusPerGpu = null;
+    }
+  }
+
+  /** The resources that count for a team's quota. */
   Resources used(String team) {
     return used.sum(team);
   }
 
-  /** What of it belongs to tasks that are stopping or cancelled. */
+  /** The part of it that belongs to tasks that are stopping or cancelled. */
   Resources stopping(String team) {
     return stopping.sum(team);
   }
 
-  /** What of it belongs to tasks that have ended, of which only the end is not committed yet. */
+  /** The part of it that belongs to ended tasks whose settlement is not committed yet. */
   Resources settled(String team) {
     return settled.sum(team);
   }
 
-  /** What the team's tasks hold on machines, as far as is known: all but what is settled. */
+  /** The resources that the team's tasks hold on machines: all but what is settled. */
   Resources held(String team) {
     return used(team).minus(settled(team));
   }
 
-  /** Stays as it is while nothing has changed that is counted here. */
+  /** Unchanged for as long as the usage is. */
   long changeCount() {
     return changeCount;
   }
 
-  /** How many processors the GPU work of now takes beside each GPU. */
+  /** How many processors the current GPU work takes beside each GPU. */
   CpusPerGpu cpusPerGpu() {
     if (cpusPerGpu == null) {
       Resources sum = TaskSizeCounter.sum(gpuTasks);
