--- a/src/main/java/eiderfork/controller/election/LeaderElection.java
+++ b/src/main/java/eiderfork/controller/election/LeaderElection.java
@@ -258,7 +258,7 @@
     leader = null;
     leaseValidUntilMs = 0;
     nextAttemptMs = context.nowMs;
-    store.leading(false);
+    store.actAsFollower();
     listener.onLeadershipLost();
   }
 
@@ -388,7 +388,7 @@
             leaseValidUntilMs = grantSentMs + usableLeaseMs();
             nextAttemptMs = context.nowMs;
             renewalPending = false;
-            store.leading(true);
+            store.actAsLeader();
             LOG.info("leading term {} with tokens from {}", term, firstFencingToken());
             listener.onElected();
           } else {
--- a/src/main/java/eiderfork/controller/message/Reply.java
+++ b/src/main/java/eiderfork/controller/message/Reply.java
@@ -21,10 +21,25 @@
       return status == 400;
     }
 
-    /** More was asked than the other side's limits allow. */
+    /** What the request names does not exist. */
+    public boolean isNotFound() {
+      return status == 404;
+    }
+
+    /** What the request names existed, and is not kept any more. */
+    public boolean isGone() {
+      return status == 410;
+    }
+
+    /** More was requested than the other side's limits allow. */
     public boolean isOverLimit() {
       return status == 429;
     }
+
+    /** The other side serves nothing now. */
+    public boolean isUnavailable() {
+      return status == 503;
+    }
   }
 
   /** The transaction was applied as this revision. */
--- a/src/main/java/eiderfork/controller/recovery/JobPageReader.java
+++ b/src/main/java/eiderfork/controller/recovery/JobPageReader.java
@@ -39,12 +39,12 @@
    * @param leadingTerm the term in which this node leads
    */
   public void read(
-      String afterJob, long leadingTerm, RequestPriority urgency, PageConsumer pageConsumer) {
+      String afterJob, long leadingTerm, RequestPriority priority, PageConsumer pageConsumer) {
     reader.readPage(
         StoreKeys.JOB_PREFIX,
         keyAfter(StoreKeys.JOB_PREFIX, afterJob),
         leadingTerm,
-        urgency,
+        priority,
         page -> {
           String last = null;
           if (page.hasMore()) {
@@ -56,7 +56,7 @@
               last,
               ImmutableList.builder(),
               leadingTerm,
-              urgency,
+              priority,
               pageConsumer);
         });
   }
@@ -71,13 +71,13 @@
       String lastJob,
       ImmutableList.Builder<Reply.Item> allocs,
       long leadingTerm,
-      RequestPriority urgency,
+      RequestPriority priority,
       PageConsumer pageConsumer) {
     reader.readPage(
         StoreKeys.ALLOC_PREFIX,
         keyAfter(StoreKeys.ALLOC_PREFIX, afterJob),
         leadingTerm,
-        urgency,
+        priority,
         page -> {
           String uid = afterJob;
           for (Reply.Item item : page.items()) {
@@ -88,7 +88,7 @@
           }
           boolean more = page.hasMore() && (lastJob == null || uid.compareTo(lastJob) < 0);
           if (more) {
-            readAllocs(jobs, uid, lastJob, allocs, leadingTerm, urgency, pageConsumer);
+            readAllocs(jobs, uid, lastJob, allocs, leadingTerm, priority, pageConsumer);
           } else {
             pageConsumer.accept(new JobPage(jobs, allocs.build(), lastJob));
           }
--- a/src/main/java/eiderfork/controller/recovery/RangeReader.java
+++ b/src/main/java/eiderfork/controller/recovery/RangeReader.java
@@ -86,11 +86,11 @@
       String prefix,
       String afterKey,
       long leadingTerm,
-      RequestPriority urgency,
+      RequestPriority priority,
       Consumer<Reply.Page> consumer) {
     store.send(
         new StoreRequest.Scan(prefix, afterKey),
-        urgency,
+        priority,
         reply -> {
           if (!isLeadingTerm(leadingTerm)) {
             return;
@@ -98,7 +98,7 @@
           if (reply instanceof Reply.Page page) {
             consumer.accept(page);
           } else {
-            runAtNextTick(() -> readPage(prefix, afterKey, leadingTerm, urgency, consumer));
+            runAtNextTick(() -> readPage(prefix, afterKey, leadingTerm, priority, consumer));
           }
         });
   }
--- a/src/test/java/eiderfork/controller/JobArchiverTest.java
+++ b/src/test/java/eiderfork/controller/JobArchiverTest.java
@@ -423,7 +423,7 @@
     ControllerContext context =
         new ControllerContext(TestFixtures.settings("roost-0"), new Random(1), 0);
     StoreClient store = new StoreClient(context);
-    store.leading(true);
+    store.actAsLeader();
     context.nowMs += 1000;
     assertTrue(store.hasSpareWriteCapacity(8));
     // 0.85 of 40 writes a second may be written at once.
--- a/src/test/java/eiderfork/controller/JobArchiverTransactionTest.java
+++ b/src/test/java/eiderfork/controller/JobArchiverTransactionTest.java
@@ -42,7 +42,7 @@
   private final JobState cancelled = jobs.add(CANCELLED, 4);
 
   JobArchiverTransactionTest() {
-    store.leading(true);
+    store.actAsLeader();
     version.recordStored(new StoredRecord.StoredVersion(ClusterVersion.CURRENT), 2);
     StoredRecord.Allocation ended =
         new StoredRecord.Allocation(
--- a/src/test/java/eiderfork/controller/RateLimitTest.java
+++ b/src/test/java/eiderfork/controller/RateLimitTest.java
@@ -57,7 +57,7 @@
     ControllerContext context =
         new ControllerContext(TestFixtures.settings("roost-0"), new Random(1), 0);
     StoreClient store = new StoreClient(context);
-    store.leading(true);
+    store.actAsLeader();
     for (int i = 0; i < 200; i++) {
       sendWrite(store, "batch/" + i, RequestPriority.BATCH);
     }
