--- a/src/main/java/eiderfork/controller/Controller.java
+++ b/src/main/java/eiderfork/controller/Controller.java
@@ -82,7 +82,7 @@
     fleet = new MachineRegistry(context, jobs);
     cancellations = new CancellationTracker(context, this::onCancelled);
     peers = new PeerMonitor(context, election, cancellations, version);
-    election.setPeerReachability(peers::isLost, peers::isAnyOtherReachable);
+    election.setPeerReachability(peers);
     leaseProxy = new LeaseProxy(context, store, election, peers, cancellations);
     liveness = new MachineLiveness(context, election);
     reachability = new WorkerReachability(context, election, fleet, liveness, peers, leaseProxy);
@@ -131,6 +131,7 @@
     sweeper = new FinishedJobSweeper(context, election, jobs, fleet, cancellations, jobPageReader);
     archiver = new JobArchiver(context, store, election, version, jobs, cancellations, sweeper);
     standby = new Standby(context, election, new StandbyReplica(context, store));
+    election.setYieldRule(standby);
     recovery =
         new LeaderRecovery(
             context,
--- a/src/main/java/eiderfork/controller/PeerMonitor.java
+++ b/src/main/java/eiderfork/controller/PeerMonitor.java
@@ -11,7 +11,7 @@
 import java.util.function.Function;
 
 /** What the peers say of themselves, and what this node tells them. */
-final class PeerMonitor {
+final class PeerMonitor implements LeaderElection.PeerReachability {
   /** A ping each step; this many may be missed before a peer counts as out of reach. */
   private static final double MAX_STATUS_AGE_STEPS = 3;
 
@@ -119,14 +119,14 @@
         && context.nowMs - received.receivedMs <= context.stepMs() * MAX_STATUS_AGE_STEPS;
   }
 
-  /** Whether this peer was heard and is not any more. */
-  boolean isLost(String node) {
+  @Override
+  public boolean isLost(String node) {
     ReceivedStatus received = lastStatuses.get(node);
     return received != null && !isFresh(received);
   }
 
-  /** Whether any other peer than this one has been heard lately. */
-  boolean isAnyOtherReachable(String excludedNode) {
+  @Override
+  public boolean isAnyOtherReachable(String excludedNode) {
     return lastStatuses.keySet().stream()
         .anyMatch(node -> !node.equals(excludedNode) && isReachable(node));
   }
--- a/src/main/java/eiderfork/controller/standby/Standby.java
+++ b/src/main/java/eiderfork/controller/standby/Standby.java
@@ -7,7 +7,7 @@
 import org.slf4j.LoggerFactory;
 
 /** Whether this node stands by for the leader, and what it keeps for that. */
-public final class Standby {
+public final class Standby implements LeaderElection.YieldRule {
   private static final Logger LOG = LoggerFactory.getLogger(Standby.class);
 
   private static final long LOG_INTERVAL_MS = 60_000;
@@ -27,7 +27,6 @@
     this.context = context;
     this.election = election;
     this.replica = replica;
-    election.setYieldRule(this::shouldYield);
   }
 
   private boolean isEnabled() {
@@ -39,8 +38,9 @@
     return StandbyRanking.of(context.settings, leader);
   }
 
-  /** Whether a vacant lead is another's before it is this node's. */
-  private boolean shouldYield(boolean byNodeOrder) {
+  /** A vacant leadership is a standby's before it is another node's. */
+  @Override
+  public boolean yieldsToOthers(boolean byNodeOrder) {
     if (!isEnabled() || lastLeader == null) {
       return byNodeOrder;
     }
