--- a/src/main/java/eiderfork/controller/Controller.java
+++ b/src/main/java/eiderfork/controller/Controller.java
@@ -213,7 +213,7 @@
 
   /** Whether this node keeps a copy by which it could take the lead over. */
   boolean isStandby() {
-    return standby.copy().isFollowing();
+    return standby.replica().isFollowing();
   }
 
   /** How many jobs this node holds, over or not. */
@@ -328,8 +328,8 @@
   public void onElected() {
     leaseProxy.stop();
     reachability.onElected();
-    hintPublisher.elected();
-    failoverTimer.elected();
+    hintPublisher.onElected();
+    failoverTimer.onElected();
     clearLeaderState();
     commander.onElected();
     recovery.recover();
@@ -338,8 +338,8 @@
   @Override
   public void onLeadershipLost() {
     clearLeaderState();
-    standby.deposed();
-    failoverTimer.deposed();
+    standby.onLeadershipLost();
+    failoverTimer.onLeadershipLost();
   }
 
   private void clearLeaderState() {
@@ -361,7 +361,7 @@
     rebuilt = true;
     hintPublisher.apply(standby.hints());
     standby.hints().clear();
-    failoverTimer.stateRecovered(copied);
+    failoverTimer.recordRecovery(copied);
     users.ready(true);
     commander.recovered();
     fleet.machines().forEach(commander::reconcile);
--- a/src/main/java/eiderfork/controller/FailoverTimer.java
+++ b/src/main/java/eiderfork/controller/FailoverTimer.java
@@ -8,7 +8,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Measures the phases of a takeover, up to the first worker that is answered with a command. */
+/** Measures the phases of a failover, up to the first command that is sent to a worker. */
 final class FailoverTimer {
   private static final Logger LOG = LoggerFactory.getLogger(FailoverTimer.class);
 
@@ -26,8 +26,8 @@
     this.election = election;
   }
 
-  /** This node leads. */
-  void elected() {
+  /** A failover begins: this node leads. */
+  void onElected() {
     electedMs = context.nowMs;
     vacantSinceMs = election.vacancySeenMs() < 0 ? electedMs : election.vacancySeenMs();
     recoveredMs = 0;
@@ -36,23 +36,23 @@
     running = true;
   }
 
-  /** The lead is over. */
-  void deposed() {
+  /** The leadership is over, and a failover that was still under way with it. */
+  void onLeadershipLost() {
     running = false;
   }
 
-  /** Memory holds what is committed, from the copy or from a read of everything. */
-  void stateRecovered(boolean usedReplica) {
+  /** Memory holds what is committed, from the replica or from a full read. */
+  void recordRecovery(boolean usedReplica) {
     recoveredMs = context.nowMs;
     fromReplica = usedReplica;
   }
 
-  /** Whether the state of this term came from a copy. */
+  /** Whether the state of this term came from the replica. */
   boolean isFromReplica() {
     return fromReplica;
   }
 
-  /** Looks at what an input had sent. */
+  /** Notes the first response and the first command among the effects of an input. */
   void observeEffects(List<Effect> effects) {
     if (!running) {
       return;
@@ -61,27 +61,31 @@
       if (firstResponseMs == 0 && effect instanceof Effect.RespondToWorker) {
         firstResponseMs = context.nowMs;
       }
-      boolean commands =
-          effect instanceof Effect.SendCommands it && !it.commands().isEmpty()
-              || effect instanceof Effect.RespondToWorker answer && !answer.commands().isEmpty();
-      if (commands && recoveredMs > 0) {
+      if (recoveredMs > 0 && hasCommands(effect)) {
         finish();
         return;
       }
     }
   }
 
+  private static boolean hasCommands(Effect effect) {
+    return effect instanceof Effect.SendCommands direct && !direct.commands().isEmpty()
+        || effect instanceof Effect.RespondToWorker response && !response.commands().isEmpty();
+  }
+
   private void finish() {
     running = false;
-    long firstAnswerMs = firstResponseMs == 0 ? context.nowMs : firstResponseMs;
+    if (firstResponseMs == 0) {
+      firstResponseMs = context.nowMs;
+    }
     LOG.info(
-        "took term {} over: vacant for {} ms, state {} in {} ms, first worker answered after {} ms,"
-            + " first command after {} ms",
+        "failover-completed term={} fromReplica={} vacantMs={} recoveryMs={} firstResponseMs={}"
+            + " firstCommandMs={}",
         election.currentTerm(),
+        fromReplica,
         electedMs - vacantSinceMs,
-        fromReplica ? "from the copy" : "read",
         recoveredMs - electedMs,
-        firstAnswerMs - vacantSinceMs,
+        firstResponseMs - vacantSinceMs,
         context.nowMs - vacantSinceMs);
     context.emit(
         new Effect.FailoverCompleted(
@@ -89,7 +93,7 @@
             ImmutableList.of(
                 new Effect.Phase("election", vacantSinceMs, electedMs),
                 new Effect.Phase(fromReplica ? "copy" : "read", electedMs, recoveredMs),
-                new Effect.Phase("first answer", vacantSinceMs, firstAnswerMs),
+                new Effect.Phase("first answer", vacantSinceMs, firstResponseMs),
                 new Effect.Phase("first command", recoveredMs, context.nowMs))));
   }
 }
--- a/src/main/java/eiderfork/controller/LeaderRecovery.java
+++ b/src/main/java/eiderfork/controller/LeaderRecovery.java
@@ -101,7 +101,7 @@
    */
   void recover() {
     long leadingTerm = election.currentTerm();
-    StandbyReplica replica = standby.copy();
+    StandbyReplica replica = standby.replica();
     if (!replica.isFollowing()) {
       readEverything(leadingTerm);
       return;
--- a/src/main/java/eiderfork/controller/MachineHintPublisher.java
+++ b/src/main/java/eiderfork/controller/MachineHintPublisher.java
@@ -18,16 +18,17 @@
 import java.util.Set;
 
 /**
- * Tells the standbys which images the machines have, some machines with each message, so that all
- * are told of within a lease; nothing while writes wait, since hints are worth less than those.
+ * Publishes to the standbys which images the machines have: some machines with each batch, so that
+ * all are published within a lease, and none while writes wait, which are worth more.
  */
 final class MachineHintPublisher {
-  /** The images told of a machine; older ones are not missed. */
+  /** The images published of a machine, those used last. */
   private static final int MAX_IMAGES_PER_MACHINE = 8;
 
-  /** A message stays far below the size of a request's body. */
+  /** A batch stays far below the largest body of a request. */
   private static final int MAX_BATCH_BYTES = 32 * 1024;
 
+  /** What an image takes in a batch beside its name. */
   private static final int IMAGE_BYTES = 24;
 
   private final ControllerContext context;
@@ -36,14 +37,14 @@
   private final MachineRegistry fleet;
   private final Standby standby;
 
-  /** Standbys that have not answered the last message. */
+  /** Standbys that have not replied to the last batch. */
   private final Set<String> unacknowledged = new HashSet<>();
 
   private long sequence;
   private long nextSendMs;
 
-  /** The machine told of last. */
-  private int lastMachine;
+  /** The number of the machine that was published last. */
+  private int lastMachineNumber;
 
   MachineHintPublisher(
       ControllerContext context,
@@ -58,14 +59,14 @@
     this.standby = standby;
   }
 
-  /** A term begins. */
-  void elected() {
+  /** A term begins, and with it a new sequence of batches. */
+  void onElected() {
     unacknowledged.clear();
     sequence = 0;
-    lastMachine = 0;
+    lastMachineNumber = 0;
   }
 
-  /** Sends what is due; only a rebuilt leader does. */
+  /** Sends the next batch where one is due; only a recovered leader does. */
   void tick() {
     if (context.settings.operator().standbyCount() == 0 || context.nowMs < nextSendMs) {
       return;
@@ -86,34 +87,39 @@
     }
     long sentTerm = election.currentTerm();
     context.call(
-        call -> new Effect.SendHints(call, node, batch, context.stepMs()),
+        callId -> new Effect.SendHints(callId, node, batch, context.stepMs()),
         reply -> {
-          // A node that knows no hints is asked again; it costs one request a step.
+          // A node of a version without hints refuses each batch: one request a step.
           if (election.currentTerm() == sentTerm) {
             unacknowledged.remove(node);
           }
         });
   }
 
-  /** The hints of the machines behind the last one told of, and of the first after the end. */
+  /** The hints of the machines after the one published last, and of the first after the end. */
   private ImmutableList<MachineHint> nextHints() {
     int machineCount =
         (int) Math.ceil(fleet.machines().size() * context.stepS() * 1000 / context.workerLeaseMs());
     ImmutableList.Builder<MachineHint> hints = ImmutableList.builder();
     int bytes = 0;
     for (int i = 0; i < machineCount && bytes < MAX_BATCH_BYTES; i++) {
-      MachineState machine = fleet.nextAfter(lastMachine);
-      lastMachine = machine.number;
+      MachineState machine = fleet.nextAfter(lastMachineNumber);
+      lastMachineNumber = machine.number;
       MachineHint hint = hint(machine);
       hints.add(hint);
-      bytes += machine.name.length();
-      for (MachineHint.ImageHint image : hint.images()) {
-        bytes += image.image().length() + IMAGE_BYTES;
-      }
+      bytes += bytes(hint);
     }
     return hints.build();
   }
 
+  private static int bytes(MachineHint hint) {
+    int bytes = hint.machine().length();
+    for (MachineHint.ImageHint image : hint.images()) {
+      bytes += image.image().length() + IMAGE_BYTES;
+    }
+    return bytes;
+  }
+
   private MachineHint hint(MachineState machine) {
     List<MachineHint.ImageHint> images = new ArrayList<>();
     for (Map.Entry<String, Double> image : machine.cachedImagesGb.entrySet()) {
@@ -125,29 +131,29 @@
     return new MachineHint(machine.name, ImmutableList.copyOf(images.subList(from, images.size())));
   }
 
-  /** Takes what an earlier leader has told of machines that this one knows. */
+  /** Applies the hints of an earlier leader to the machines that this one has. */
   void apply(MachineHintStore hints) {
     hints.forEach(
-        (hint, toldMs) -> {
+        (hint, receivedMs) -> {
           MachineState machine = fleet.get(hint.machine());
           MachineType type = machine == null ? null : fleet.typeOf(machine);
           if (type != null) {
             for (MachineHint.ImageHint image : hint.images()) {
-              apply(machine, type, image, toldMs);
+              apply(machine, type, image, receivedMs);
             }
           }
         });
   }
 
   private static void apply(
-      MachineState machine, MachineType type, MachineHint.ImageHint image, long toldMs) {
+      MachineState machine, MachineType type, MachineHint.ImageHint image, long receivedMs) {
     boolean known = machine.cachedImagesGb.containsKey(image.image());
     if (!known) {
       machine.recordImageUse(image.image(), image.sizeGb(), type.imageCacheGb());
     }
     if (machine.cachedImagesGb.containsKey(image.image())
         && !machine.imageReadyMs.containsKey(image.image())) {
-      machine.imageReadyMs.put(image.image(), toldMs + image.readyInMs());
+      machine.imageReadyMs.put(image.image(), receivedMs + image.readyInMs());
     }
   }
 }
--- a/src/main/java/eiderfork/controller/standby/MachineHintStore.java
+++ b/src/main/java/eiderfork/controller/standby/MachineHintStore.java
@@ -7,7 +7,7 @@
 import java.util.function.BiConsumer;
 
 /**
- * What the leader has told of machines beside what is committed. A hint may be old, lost or wrong;
+ * What the leader published of machines beside what is committed. A hint may be old, lost or wrong;
  * it is used for better guesses alone.
  */
 public final class MachineHintStore {
@@ -26,7 +26,7 @@
     lastSequence = 0;
   }
 
-  /** Takes a message of a leader; one that is older than the last says nothing. */
+  /** Takes a batch of a leader; one that is older than the last is ignored. */
   public void receive(MachineHintBatch batch, long nowMs) {
     boolean newer = batch.term() > term || batch.term() == term && batch.sequence() > lastSequence;
     if (!newer) {
@@ -42,12 +42,12 @@
     }
   }
 
-  /** Shows each machine's hint and when it was told. */
+  /** Passes on each machine's hint with the time at which it was received. */
   public void forEach(BiConsumer<MachineHint, Long> action) {
-    machines.values().forEach(told -> action.accept(told.hint, told.receivedMs));
+    machines.values().forEach(received -> action.accept(received.hint, received.receivedMs));
   }
 
-  /** How many machines were told of. */
+  /** How many machines there are hints of. */
   public int size() {
     return machines.size();
   }
--- a/src/main/java/eiderfork/controller/standby/RecordFootprint.java
+++ b/src/main/java/eiderfork/controller/standby/RecordFootprint.java
@@ -4,7 +4,7 @@
 import eiderfork.model.Job;
 import eiderfork.model.StoredRecord;
 
-/** What a copied record takes of memory, as an estimate on the high side. */
+/** What a replicated record takes of memory, as an estimate on the high side. */
 final class RecordFootprint {
   /** The entry of a map, the item, and the key's text without its characters. */
   private static final int ITEM_BYTES = 160;
@@ -24,20 +24,20 @@
 
   private static long bytes(StoredRecord record) {
     if (record instanceof StoredRecord.JobSpec jobSpec) {
-      return JOB_BYTES + texts(jobSpec.job());
+      return JOB_BYTES + textBytes(jobSpec.job());
     }
     if (record instanceof StoredRecord.Allocation allocation) {
       return OTHER_BYTES
           + (long) SPAN_BYTES * allocation.reserved().size()
           + (long) RANGE_BYTES * allocation.finished().size();
     }
-    if (record instanceof StoredRecord.ScaleInIntent machineReturn) {
-      return OTHER_BYTES + (long) NAME_BYTES * machineReturn.machines().size();
+    if (record instanceof StoredRecord.ScaleInIntent intent) {
+      return OTHER_BYTES + (long) NAME_BYTES * intent.machines().size();
     }
     return OTHER_BYTES;
   }
 
-  private static int texts(Job job) {
+  private static int textBytes(Job job) {
     int types = job.allowedTypes() == null ? 0 : NAME_BYTES * job.allowedTypes().size();
     return job.uid().length() + job.jobClass().length() + job.team().length() + types;
   }
--- a/src/main/java/eiderfork/controller/standby/ReplicaInvalidException.java
+++ b/src/main/java/eiderfork/controller/standby/ReplicaInvalidException.java
@@ -1,6 +1,6 @@
 package eiderfork.controller.standby;
 
-/** The copy can't be proved to be what is committed; the message says why. */
+/** The replica can't be proved to be what is committed; the message says why. */
 final class ReplicaInvalidException extends Exception {
   private static final long serialVersionUID = 1;
 
--- a/src/main/java/eiderfork/controller/standby/ReplicatedRange.java
+++ b/src/main/java/eiderfork/controller/standby/ReplicatedRange.java
@@ -5,7 +5,7 @@
 import java.util.Collection;
 import java.util.TreeMap;
 
-/** The keys under one prefix as of a revision: read once, then kept by the answers of watches. */
+/** The keys under one prefix as of a revision: read once, then kept current by watches. */
 final class ReplicatedRange {
   private static final long NOT_READ = -1;
 
@@ -20,25 +20,27 @@
     this.prefix = prefix;
   }
 
+  /** The prefix of the keys. */
   String prefix() {
     return prefix;
   }
 
-  /** Every change up to this revision has been taken. */
+  /** The revision up to which every change has been applied. */
   long revision() {
     return revision;
   }
 
-  /** A moment of which all changes have been taken. */
+  /** A moment up to which all changes have been applied. */
   long caughtUpMs() {
     return caughtUpMs;
   }
 
-  /** What the copy of these keys takes. */
+  /** What these keys take of memory, as an estimate on the high side. */
   long bytes() {
     return bytes;
   }
 
+  /** How many keys there are. */
   int size() {
     return items.size();
   }
@@ -59,12 +61,12 @@
   }
 
   /**
-   * Takes a page of the first read. What changes while pages are read comes again with the watch
-   * that follows on the first page.
+   * Adds a page of the first read. What changes while pages are read comes again with the watch
+   * that continues from the first page's revision.
    *
    * @throws ReplicaInvalidException where it holds what can't be read
    */
-  void take(Reply.Page page, long requestedMs) throws ReplicaInvalidException {
+  void addPage(Reply.Page page, long requestedMs) throws ReplicaInvalidException {
     if (revision == NOT_READ) {
       revision = page.revision();
       caughtUpMs = requestedMs;
@@ -76,17 +78,17 @@
   }
 
   /**
-   * Takes the answer of a watch for what came after a revision.
+   * Applies the reply to a watch of what came after a revision.
    *
-   * @throws ReplicaInvalidException where the answer does not follow on what was taken
+   * @throws ReplicaInvalidException where the reply does not continue what was applied
    */
-  void take(Reply.Changes changes, long afterRevision, long requestedMs)
+  void applyChanges(Reply.Changes changes, long afterRevision, long requestedMs)
       throws ReplicaInvalidException {
-    // An answer from before a page was read would set back what the page had.
+    // A reply from before a page was read would undo what the page held.
     if (afterRevision != revision
         || changes.revision() < Math.max(afterRevision, newestPageRevision)) {
       throw new ReplicaInvalidException(
-          "an answer for " + prefix + " does not follow on the one before");
+          "a reply for " + prefix + " does not continue the one before");
     }
     long last = afterRevision;
     for (Reply.Item change : changes.items()) {
--- a/src/main/java/eiderfork/controller/standby/Standby.java
+++ b/src/main/java/eiderfork/controller/standby/Standby.java
@@ -44,15 +44,15 @@
     if (!isEnabled() || lastLeader == null) {
       return byNodeOrder;
     }
-    return !standbysOf(lastLeader).contains(context.settings.nodeName());
+    return !isStandbyOf(lastLeader);
   }
 
-  /** The copy of what is committed. */
-  public StandbyReplica copy() {
+  /** The replica of what is committed. */
+  public StandbyReplica replica() {
     return replica;
   }
 
-  /** What the leader has told. */
+  /** The hints that the leader published. */
   public MachineHintStore hints() {
     return hints;
   }
@@ -69,9 +69,7 @@
     if (election.isLeading()) {
       return;
     }
-    boolean standsBy =
-        lastLeader != null && standbysOf(lastLeader).contains(context.settings.nodeName());
-    if (standsBy) {
+    if (lastLeader != null && isStandbyOf(lastLeader)) {
       replica.startIfDue();
       logState();
     } else if (replica.isFollowing()) {
@@ -80,20 +78,24 @@
     }
   }
 
+  private boolean isStandbyOf(String leader) {
+    return standbysOf(leader).contains(context.settings.nodeName());
+  }
+
   private void logState() {
     if (context.nowMs >= nextLogMs) {
       nextLogMs = context.nowMs + LOG_INTERVAL_MS;
       LOG.info(
-          "standing by for {}: {}, hints of {} machines",
+          "standing-by leader={} hintedMachines={} {}",
           lastLeader,
-          replica.describe(),
-          hints.size());
+          hints.size(),
+          replica.describe());
     }
   }
 
-  /** This node's lead is over; what it held as a standby went with its beginning. */
-  public void deposed() {
-    replica.clear("a lead is over");
+  /** This node's leadership is over; what it held as a standby was used up when it began. */
+  public void onLeadershipLost() {
+    replica.clear("this node's leadership is over");
     hints.clear();
   }
 }
--- a/src/main/java/eiderfork/controller/standby/StandbyRanking.java
+++ b/src/main/java/eiderfork/controller/standby/StandbyRanking.java
@@ -16,16 +16,16 @@
   /** The nodes that stand by for this leader, the first one in front. */
   public static ImmutableList<String> of(Settings settings, String leader) {
     List<String> nodes = CandidateOrder.of(settings).nodes();
-    int at = nodes.indexOf(leader);
-    if (at < 0) {
+    int leaderIndex = nodes.indexOf(leader);
+    if (leaderIndex < 0) {
       return ImmutableList.of();
     }
     List<String> otherZones = new ArrayList<>();
     List<String> sameZone = new ArrayList<>();
     for (int i = 1; i < nodes.size(); i++) {
-      String node = nodes.get((at + i) % nodes.size());
-      boolean other = !zone(settings, node).equals(zone(settings, leader));
-      (other ? otherZones : sameZone).add(node);
+      String node = nodes.get((leaderIndex + i) % nodes.size());
+      boolean inOtherZone = !zone(settings, node).equals(zone(settings, leader));
+      (inOtherZone ? otherZones : sameZone).add(node);
     }
     otherZones.addAll(sameZone);
     int count = Math.min(settings.operator().standbyCount(), otherZones.size());
--- a/src/main/java/eiderfork/controller/standby/StandbyReplica.java
+++ b/src/main/java/eiderfork/controller/standby/StandbyReplica.java
@@ -7,29 +7,28 @@
 import eiderfork.controller.message.StoreRequest;
 import eiderfork.controller.store.RequestPriority;
 import eiderfork.controller.store.StoreClient;
-import java.util.ArrayList;
 import java.util.Collection;
 import java.util.LinkedHashMap;
-import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * A copy of what leaders commit: the keys that a new leader reads, read once and then followed with
- * watches, each change taken in order and with its revision.
+ * A replica of what leaders commit: the keys that a new leader reads, read once and then followed
+ * with watches, each change applied in order and with its revision.
  *
  * <p>It is proved before it is used. A new leader whose leader key was written as revision L brings
- * each range to L or later by one unbroken sequence of answers since the first read. What an older
+ * each range to L or later by one unbroken sequence of replies since the first read. What an older
  * leader writes is conditional on its own leader key, so that nothing of it can follow L; what
  * peers may write at any time, submissions and cancellations, is followed as by any leader. Where
- * anything is missing from the sequence the copy is dropped, and everything is read instead.
+ * anything is missing from the sequence the replica is dropped, and everything is read instead.
  */
 public final class StandbyReplica {
   private static final Logger LOG = LoggerFactory.getLogger(StandbyReplica.class);
 
-  /** In the order in which a new leader takes them up. */
+  /** In the order in which a new leader restores them. */
   private static final ImmutableList<String> PREFIXES =
       ImmutableList.of(
           StoreKeys.CANCELLATION_PREFIX,
@@ -40,257 +39,272 @@
           StoreKeys.RENT_PREFIX,
           StoreKeys.RETURN_PREFIX);
 
-  /** The share of the state service's rate of requests that the watches may take. */
+  private static final String FIRST_PAGE = "";
+
+  /** The share of the store's rate of requests that the watches may take. */
   private static final double REQUEST_SHARE = 0.05;
 
-  /** The pause between a watch's answer and the next watch, in steps, where the rate allows it. */
+  /** The pause between a watch's reply and the next watch, in steps, where the rate allows it. */
   private static final double PAUSE_STEPS = 0.25;
 
   /** How long a watch waits for a change, in steps. */
   private static final int WATCH_STEPS = 2;
 
-  /** The share of the process's memory that the copy may take. */
+  /** The share of the process's memory that the replica may take. */
   private static final double MEMORY_SHARE = 0.25;
 
-  /** How long a dropped copy is not read anew, in leases of workers. */
+  /** How long after an invalid replica none is read, in leases of workers. */
   private static final int RETRY_LEASES = 1;
 
-  private static final double MB = 1024 * 1024;
+  private static final double BYTES_PER_MB = 1024 * 1024;
 
   private enum Phase {
     NONE,
     READING,
     FOLLOWING,
-    /** This node leads and asks for what is missing. */
+    /** This node leads and requests what is missing. */
     CATCHING_UP
   }
 
-  private record ScheduledAction(long atMs, Runnable action) {}
+  /** One attempt to bring the replica up to a new leader's revision. */
+  private static final class CatchUp {
+    private final long generation;
+    private final long minRevision;
+    private final Consumer<Boolean> onComplete;
+    private int rangesBehind;
+
+    CatchUp(long generation, long minRevision, int ranges, Consumer<Boolean> onComplete) {
+      this.generation = generation;
+      this.minRevision = minRevision;
+      this.rangesBehind = ranges;
+      this.onComplete = onComplete;
+    }
+
+    void recordRangeCaughtUp() {
+      rangesBehind--;
+      if (rangesBehind == 0) {
+        onComplete.accept(true);
+      }
+    }
+  }
 
   private final ControllerContext context;
   private final StoreClient store;
+  private final DelayedActions delayedActions;
   private final Map<String, ReplicatedRange> ranges = new LinkedHashMap<>();
-  private final List<ScheduledAction> scheduleAfterPause = new ArrayList<>();
   private Phase phase = Phase.NONE;
+
+  /** Counts up with each start, drop and catch-up; replies to earlier requests are ignored. */
   private long generation;
+
   private long nextReadMs;
   private String dropReason = "never read";
 
-  /** Makes a copy that holds nothing. */
+  /** Makes a replica that holds nothing. */
   public StandbyReplica(ControllerContext context, StoreClient store) {
     this.context = context;
     this.store = store;
+    delayedActions = new DelayedActions(context);
   }
 
-  /** Whether the copy is followed, so that a new leader may bring it up to its own revision. */
+  /** Whether the replica is followed, so that a new leader may bring it up to its own revision. */
   public boolean isFollowing() {
     return phase == Phase.FOLLOWING;
   }
 
-  /** Begins to read where nothing is held and the rest after a failure is over. */
+  /** Begins to read where nothing is held and the pause after a failure is over. */
   public void startIfDue() {
     if (phase == Phase.NONE && context.nowMs >= nextReadMs) {
-      LOG.info("a copy of what is committed is read");
+      LOG.info("replica-read-started");
       generation++;
       phase = Phase.READING;
       PREFIXES.forEach(prefix -> ranges.put(prefix, new ReplicatedRange(prefix)));
-      read(0, "", generation);
+      readPage(0, FIRST_PAGE, generation);
     }
   }
 
-  /** Lets go of everything, for want of a use for it. */
+  /** Drops everything that is held. */
   public void clear(String reason) {
     if (phase != Phase.NONE) {
-      LOG.info("the copy is dropped: {}", reason);
+      LOG.info("replica-dropped reason={}", reason);
     }
     dropReason = reason;
     generation++;
     phase = Phase.NONE;
     ranges.clear();
-    scheduleAfterPause.clear();
+    delayedActions.clear();
   }
 
-  /** The copy can't be proved right; it is read anew after a while. */
-  private void invalidate(String reason) {
-    clear(reason);
+  /** The replica can't be proved right; it is read again after a while. */
+  private void invalidate(ReplicaInvalidException cause) {
+    clear(cause.getMessage());
     nextReadMs = context.nowMs + RETRY_LEASES * context.workerLeaseMs();
   }
 
-  /** Does what its time has come for. */
+  /** Sends the requests whose pause is over. */
   public void tick() {
-    if (scheduleAfterPause.isEmpty()) {
-      return;
-    }
-    List<ScheduledAction> due = new ArrayList<>();
-    scheduleAfterPause.removeIf(it -> it.atMs <= context.nowMs && due.add(it));
-    due.forEach(it -> it.action.run());
+    delayedActions.tick();
   }
 
-  private void scheduleAfterPause(long expectedGeneration, Runnable action) {
-    scheduleAfterPause.add(
-        new ScheduledAction(
-            context.nowMs + pauseMs(),
-            () -> {
-              if (expectedGeneration == generation) {
-                action.run();
-              }
-            }));
+  private void runAfterPause(long startedGeneration, Runnable action) {
+    delayedActions.schedule(
+        pauseMs(),
+        () -> {
+          if (startedGeneration == generation) {
+            action.run();
+          }
+        });
   }
 
   private long pauseMs() {
-    double rps = context.settings.storeLimits().requestsPerS() * REQUEST_SHARE;
-    double leastS = PREFIXES.size() / rps;
-    return (long) Math.max(context.stepMs() * PAUSE_STEPS, 1000 * leastS);
+    double requestsPerS = context.settings.storeLimits().requestsPerS() * REQUEST_SHARE;
+    double minS = PREFIXES.size() / requestsPerS;
+    return (long) Math.max(context.stepMs() * PAUSE_STEPS, 1000 * minS);
   }
 
   // Reading.
 
-  private void read(int rangeIndex, String afterKey, long expectedGeneration) {
+  private void readPage(int rangeIndex, String afterKey, long startedGeneration) {
     ReplicatedRange range = ranges.get(PREFIXES.get(rangeIndex));
     long requestedMs = context.nowMs;
     store.send(
         new StoreRequest.Scan(range.prefix(), afterKey),
         RequestPriority.CLEANUP,
         reply -> {
-          if (expectedGeneration != generation) {
+          if (startedGeneration != generation) {
             return;
           }
           if (!(reply instanceof Reply.Page page)) {
-            scheduleAfterPause(
-                expectedGeneration, () -> read(rangeIndex, afterKey, expectedGeneration));
-            return;
-          }
-          try {
-            range.take(page, requestedMs);
-            checkMemory();
-          } catch (ReplicaInvalidException e) {
-            invalidate(e.getMessage());
-            return;
-          }
-          if (page.hasMore()) {
-            String last = page.items().get(page.items().size() - 1).key();
-            read(rangeIndex, last, expectedGeneration);
-          } else if (rangeIndex + 1 < PREFIXES.size()) {
-            read(rangeIndex + 1, "", expectedGeneration);
-          } else {
-            phase = Phase.FOLLOWING;
-            ranges.values().forEach(each -> follow(each, expectedGeneration));
+            runAfterPause(
+                startedGeneration, () -> readPage(rangeIndex, afterKey, startedGeneration));
+          } else if (addPage(range, page, requestedMs)) {
+            readNextPage(rangeIndex, page, startedGeneration);
           }
         });
   }
 
+  private boolean addPage(ReplicatedRange range, Reply.Page page, long requestedMs) {
+    try {
+      range.addPage(page, requestedMs);
+      checkMemory();
+      return true;
+    } catch (ReplicaInvalidException e) {
+      invalidate(e);
+      return false;
+    }
+  }
+
+  private void readNextPage(int rangeIndex, Reply.Page page, long startedGeneration) {
+    if (page.hasMore()) {
+      String lastKey = page.items().get(page.items().size() - 1).key();
+      readPage(rangeIndex, lastKey, startedGeneration);
+    } else if (rangeIndex + 1 < PREFIXES.size()) {
+      readPage(rangeIndex + 1, FIRST_PAGE, startedGeneration);
+    } else {
+      phase = Phase.FOLLOWING;
+      ranges.values().forEach(range -> follow(range, startedGeneration));
+    }
+  }
+
   // Following.
 
-  private void follow(ReplicatedRange range, long expectedGeneration) {
+  private void follow(ReplicatedRange range, long startedGeneration) {
     long requestedMs = context.nowMs;
     long afterRevision = range.revision();
     store.send(
         new StoreRequest.Watch(range.prefix(), afterRevision, WATCH_STEPS * context.stepMs()),
         RequestPriority.CLEANUP,
         reply -> {
-          if (expectedGeneration != generation) {
-            return;
+          if (startedGeneration == generation
+              && applyWatchReply(range, reply, afterRevision, requestedMs)) {
+            runAfterPause(startedGeneration, () -> follow(range, startedGeneration));
           }
-          try {
-            if (reply instanceof Reply.Changes changes) {
-              takeChanges(range, changes, afterRevision, requestedMs);
-            } else {
-              checkChangesAvailable(range, reply);
-            }
-          } catch (ReplicaInvalidException e) {
-            invalidate(e.getMessage());
-            return;
-          }
-          scheduleAfterPause(expectedGeneration, () -> follow(range, expectedGeneration));
         });
   }
 
-  private void takeChanges(
-      ReplicatedRange range, Reply.Changes changes, long afterRevision, long requestedMs)
-      throws ReplicaInvalidException {
-    if (range.prefix().equals(StoreKeys.CLUSTER_VERSION) && !changes.items().isEmpty()) {
-      // Records of a form that came with it may be in what was read before.
-      throw new ReplicaInvalidException("the cluster's version has moved");
+  /**
+   * Applies the reply to a watch; one that brought nothing, for want of the store, may be followed
+   * by another watch.
+   *
+   * @return whether the replica is still valid
+   */
+  private boolean applyWatchReply(
+      ReplicatedRange range, Reply reply, long afterRevision, long requestedMs) {
+    try {
+      if (reply instanceof Reply.Changes changes) {
+        checkVersionUnchanged(range, changes);
+        range.applyChanges(changes, afterRevision, requestedMs);
+        checkMemory();
+      } else if (StoreClient.requiresFullRead(reply)) {
+        throw new ReplicaInvalidException(
+            "changes of " + range.prefix() + " are not kept any more");
+      }
+      return true;
+    } catch (ReplicaInvalidException e) {
+      invalidate(e);
+      return false;
     }
-    range.take(changes, afterRevision, requestedMs);
-    checkMemory();
   }
 
-  private static void checkChangesAvailable(ReplicatedRange range, Reply reply)
+  /** Records of a form that came with a new version may be in what was read before. */
+  private static void checkVersionUnchanged(ReplicatedRange range, Reply.Changes changes)
       throws ReplicaInvalidException {
-    if (StoreClient.requiresFullRead(reply)) {
-      throw new ReplicaInvalidException(
-          "changes of " + range.prefix() + " are not to be had any more");
+    if (range.prefix().equals(StoreKeys.CLUSTER_VERSION) && !changes.items().isEmpty()) {
+      throw new ReplicaInvalidException("the cluster version has changed");
     }
   }
 
   private void checkMemory() throws ReplicaInvalidException {
-    double mostMb = context.settings.controllerResources().memoryMb() * MEMORY_SHARE;
-    if (memoryMb() > mostMb) {
-      throw new ReplicaInvalidException("it takes more than " + Math.round(mostMb) + " MB");
+    double maxMb = context.settings.controllerResources().memoryMb() * MEMORY_SHARE;
+    if (memoryMb() > maxMb) {
+      throw new ReplicaInvalidException("it takes more than " + Math.round(maxMb) + " MB");
     }
   }
 
   // Using.
 
   /**
-   * Brings the copy to this revision or a later one; only a leader does whose key was written as
+   * Brings the replica to this revision or a later one; only a leader does whose key was written as
    * that revision.
    *
-   * @param onComplete takes whether the copy holds all that was committed up to there
+   * @param onComplete takes whether the replica holds all that was committed up to there
    */
   public void catchUp(long minRevision, Consumer<Boolean> onComplete) {
     generation++;
-    scheduleAfterPause.clear();
+    delayedActions.clear();
     phase = Phase.CATCHING_UP;
-    int[] open = {ranges.size()};
+    CatchUp attempt = new CatchUp(generation, minRevision, ranges.size(), onComplete);
     for (ReplicatedRange range : ranges.values()) {
-      catchUp(range, minRevision, generation, open, onComplete);
+      catchUp(range, attempt);
     }
   }
 
-  private void catchUp(
-      ReplicatedRange range,
-      long minRevision,
-      long expectedGeneration,
-      int[] open,
-      Consumer<Boolean> onComplete) {
+  private void catchUp(ReplicatedRange range, CatchUp attempt) {
     long requestedMs = context.nowMs;
     long afterRevision = range.revision();
     store.send(
         new StoreRequest.Watch(range.prefix(), afterRevision, 0),
         RequestPriority.START,
         reply -> {
-          if (expectedGeneration != generation) {
+          if (attempt.generation != generation) {
             return;
           }
-          try {
-            if (reply instanceof Reply.Changes changes) {
-              takeChanges(range, changes, afterRevision, requestedMs);
-            } else {
-              checkChangesAvailable(range, reply);
-            }
-          } catch (ReplicaInvalidException e) {
-            invalidate(e.getMessage());
-            onComplete.accept(false);
-            return;
-          }
-          if (!(reply instanceof Reply.Changes) || range.revision() < minRevision) {
-            scheduleAfterPause(
-                expectedGeneration,
-                () -> catchUp(range, minRevision, expectedGeneration, open, onComplete));
-          } else if (--open[0] == 0) {
-            onComplete.accept(true);
+          if (!applyWatchReply(range, reply, afterRevision, requestedMs)) {
+            attempt.onComplete.accept(false);
+          } else if (!(reply instanceof Reply.Changes) || range.revision() < attempt.minRevision) {
+            runAfterPause(attempt.generation, () -> catchUp(range, attempt));
+          } else {
+            attempt.recordRangeCaughtUp();
           }
         });
   }
 
-  /** The copied items under one of the prefixes, in the order of their keys. */
+  /** The items under one of the prefixes, in the order of their keys. */
   public Collection<Reply.Item> items(String prefix) {
     return ranges.get(prefix).items();
   }
 
-  /** Those of them behind one key. */
+  /** The items under one of the prefixes behind this key. */
   public Collection<Reply.Item> itemsAfter(String prefix, String key) {
     return ranges.get(prefix).itemsAfter(key);
   }
@@ -300,31 +314,34 @@
     return ranges.get(prefix).item(key);
   }
 
-  /** A moment of which all changes under a prefix have been taken. */
+  /** A moment up to which all changes under a prefix have been applied. */
   public long caughtUpMs(String prefix) {
     return ranges.get(prefix).caughtUpMs();
   }
 
-  /** Every change of every range up to this revision has been taken. */
+  /** The revision up to which every change of every range has been applied. */
   public long revision() {
     return ranges.values().stream().mapToLong(ReplicatedRange::revision).min().orElse(0);
   }
 
-  /** What the copy takes of memory, as an estimate on the high side. */
+  /** What the replica takes of memory, as an estimate on the high side. */
   public double memoryMb() {
-    return ranges.values().stream().mapToLong(ReplicatedRange::bytes).sum() / MB;
+    return ranges.values().stream().mapToLong(ReplicatedRange::bytes).sum() / BYTES_PER_MB;
   }
 
-  /** How the copy stands, for an operator. */
+  /** The state of the replica, for a line in the log. */
   public String describe() {
+    if (phase == Phase.NONE) {
+      return "replica=none reason=" + dropReason;
+    }
     if (phase != Phase.FOLLOWING) {
-      return phase == Phase.NONE ? "none, " + dropReason : "being read";
+      return "replica=reading";
     }
     int keys = ranges.values().stream().mapToInt(ReplicatedRange::size).sum();
     long oldestMs = ranges.values().stream().mapToLong(ReplicatedRange::caughtUpMs).min().orElse(0);
     return String.format(
-        java.util.Locale.ROOT,
-        "%d keys at revision %d, %.1f s behind, %.1f MB",
+        Locale.ROOT,
+        "replica=following keys=%d revision=%d behindS=%.1f memoryMb=%.1f",
         keys,
         revision(),
         (context.nowMs - oldestMs) / 1000.0,
