--- a/src/main/java/eiderfork/controller/CancellationTracker.java
+++ b/src/main/java/eiderfork/controller/CancellationTracker.java
@@ -17,11 +17,11 @@
 /**
  * Which jobs are known to be cancelled, and up to which moment none can be unknown.
  *
- * <p>Any node may confirm a cancellation that it wrote to the state service itself, and the leader
- * may be cut off from that service just then. So each node remembers what it confirmed and tells
- * its peers with each ping until they have it. A leader lets workers keep their tasks only as far
- * as it is proven that it knows every cancellation confirmed before: from the state service, or
- * from the word of all peers.
+ * <p>Any node may confirm a cancellation that it wrote to the store itself, and the leader may be
+ * cut off from the store just then. So each node remembers what it confirmed and sends it to its
+ * peers with each ping until they acknowledge it. A leader lets workers keep their tasks only as
+ * far as it is proven that it knows every cancellation confirmed before: from the store, or from
+ * all peers.
  */
 final class CancellationTracker {
   private static final long NEVER = Long.MIN_VALUE / 4;
@@ -39,16 +39,25 @@
 
   private record Confirmation(long number, String uid, long confirmedMs) {}
 
-  /** What is known from a peer and what it knows from here. */
+  /** What was received from a peer, and what it has acknowledged. */
   private static final class PeerState {
-    long processId;
-    long receivedNumber;
-    long acknowledgedNumber;
+    private long processId;
+    private long receivedNumber;
+    private long acknowledgedNumber;
 
     /** When a confirmation that it had not acknowledged was last dropped before its time. */
-    long evictedMs = NEVER;
+    private long evictedMs = NEVER;
 
-    long completeUpToMs = NEVER;
+    /** Up to when all that the peer confirmed is known here. */
+    private long completeUpToMs = NEVER;
+
+    private void restart(long newProcessId, long lastEvictedMs) {
+      processId = newProcessId;
+      receivedNumber = 0;
+      acknowledgedNumber = 0;
+      // A process that knows nothing yet can't be sent what was dropped already.
+      evictedMs = lastEvictedMs;
+    }
   }
 
   private final ControllerContext context;
@@ -63,12 +72,12 @@
   /** When a confirmation was last dropped before its time, whoever knew it. */
   private long lastEvictedMs = NEVER;
 
-  /** What was confirmed here or heard of; a hint that a restart or many others may lose. */
-  private final Cache<String, Boolean> heard =
+  /** What was confirmed here or by peers; a hint that a restart or many others may lose. */
+  private final Cache<String, Boolean> confirmedAnywhere =
       Caffeine.newBuilder().maximumSize(MAX_REMEMBERED).executor(Runnable::run).build();
 
-  /** What the state service held, of this term. */
-  private final Set<String> read = new HashSet<>();
+  /** What the store held, as far as it was read in this term. */
+  private final Set<String> storedUids = new HashSet<>();
 
   private long caughtUpMs = NEVER;
   private final Map<String, PeerState> peers = new HashMap<>();
@@ -86,59 +95,63 @@
 
   /** A term begins or ends: what memory held of it is gone, and proofs with it. */
   void reset() {
-    read.clear();
+    storedUids.clear();
     caughtUpMs = NEVER;
     peers.values().forEach(peer -> peer.completeUpToMs = NEVER);
   }
 
   /** Whether the job is known to be cancelled; that never changes. */
   boolean contains(String uid) {
-    return read.contains(uid) || heard.getIfPresent(uid) != null;
+    return storedUids.contains(uid) || confirmedAnywhere.getIfPresent(uid) != null;
   }
 
-  /** Whether some node has told a user that the job is cancelled. */
+  /** Whether some node has confirmed to a user that the job is cancelled. */
   boolean wasConfirmed(String uid) {
-    return heard.getIfPresent(uid) != null;
+    return confirmedAnywhere.getIfPresent(uid) != null;
   }
 
   /** The job is archived, so that nothing of it runs; its cancellation is not read any more. */
   void jobArchived(String uid) {
-    read.remove(uid);
+    storedUids.remove(uid);
   }
 
-  /** This node is about to tell a user that the job is cancelled. */
+  /** This node is about to confirm to a user that the job is cancelled. */
   void confirm(String uid) {
     if (confirmedUids.add(uid)) {
       confirmed.add(new Confirmation(++lastNumber, uid, context.nowMs));
       if (confirmed.size() > MAX_REMEMBERED) {
-        Confirmation oldest = confirmed.remove();
-        confirmedUids.remove(oldest.uid);
-        lastEvictedMs = context.nowMs;
-        for (PeerState peer : peers.values()) {
-          if (peer.acknowledgedNumber < oldest.number) {
-            peer.evictedMs = context.nowMs;
-          }
-        }
+        evictOldest();
       }
     }
     learn(uid);
   }
 
+  private void evictOldest() {
+    Confirmation oldest = confirmed.remove();
+    confirmedUids.remove(oldest.uid);
+    lastEvictedMs = context.nowMs;
+    for (PeerState peer : peers.values()) {
+      if (peer.acknowledgedNumber < oldest.number) {
+        peer.evictedMs = context.nowMs;
+      }
+    }
+  }
+
   private void learn(String uid) {
-    if (heard.getIfPresent(uid) == null) {
-      heard.put(uid, true);
+    if (confirmedAnywhere.getIfPresent(uid) == null) {
+      confirmedAnywhere.put(uid, true);
       onLearned.accept(uid);
     }
   }
 
-  /** The state service holds this cancellation. */
-  void read(String uid) {
-    if (read.add(uid)) {
+  /** The store holds this cancellation. */
+  void recordStored(String uid) {
+    if (storedUids.add(uid)) {
       onLearned.accept(uid);
     }
   }
 
-  /** Everything that the state service held at this moment has been taken. */
+  /** Everything that the store held at this moment is known. */
   void recordCaughtUp(long requestedMs) {
     caughtUpMs = Math.max(caughtUpMs, requestedMs);
   }
@@ -147,50 +160,57 @@
     return RETENTION_TIMEOUTS * context.cancellationTimeoutMs();
   }
 
-  /** What this node tells a peer now. */
+  /** The message that this node sends a peer now. */
   CancellationGossip gossipFor(String node) {
-    while (!confirmed.isEmpty() && context.nowMs - confirmed.peek().confirmedMs > retentionMs()) {
-      confirmedUids.remove(confirmed.remove().uid);
-    }
+    dropExpired();
     PeerState peer = peers.getOrDefault(node, new PeerState());
-    Deque<Confirmation> unknown = new ArrayDeque<>();
-    for (Iterator<Confirmation> it = confirmed.descendingIterator(); it.hasNext(); ) {
-      Confirmation next = it.next();
-      if (next.number <= peer.acknowledgedNumber) {
-        break;
-      }
-      unknown.addFirst(next);
-    }
+    Deque<Confirmation> unacknowledged = unacknowledgedBy(peer);
     ImmutableList<String> uids =
-        unknown.stream()
+        unacknowledged.stream()
             .limit(MAX_JOBS_PER_MESSAGE)
             .map(Confirmation::uid)
             .collect(ImmutableList.toImmutableList());
     boolean evicted = context.nowMs - peer.evictedMs <= retentionMs();
     // What was dropped because its time is over matters to nobody.
-    long after = unknown.isEmpty() ? lastNumber : unknown.peek().number - 1;
+    long afterNumber = unacknowledged.isEmpty() ? lastNumber : unacknowledged.peek().number - 1;
     return new CancellationGossip(
         processId,
         context.nowMs - startedMs,
-        after,
+        afterNumber,
         uids,
-        !evicted && uids.size() == unknown.size(),
+        !evicted && uids.size() == unacknowledged.size(),
         peer.processId,
         peer.receivedNumber);
   }
 
-  /** A peer said this, by itself or asked. */
-  void heard(String node, CancellationGossip gossip) {
+  private void dropExpired() {
+    while (!confirmed.isEmpty() && context.nowMs - confirmed.peek().confirmedMs > retentionMs()) {
+      confirmedUids.remove(confirmed.remove().uid);
+    }
+  }
+
+  /** The confirmations that a peer has not acknowledged, the oldest first. */
+  private Deque<Confirmation> unacknowledgedBy(PeerState peer) {
+    Deque<Confirmation> unacknowledged = new ArrayDeque<>();
+    Iterator<Confirmation> newestFirst = confirmed.descendingIterator();
+    while (newestFirst.hasNext()) {
+      Confirmation confirmation = newestFirst.next();
+      if (confirmation.number <= peer.acknowledgedNumber) {
+        break;
+      }
+      unacknowledged.addFirst(confirmation);
+    }
+    return unacknowledged;
+  }
+
+  /** Takes what a peer sent, on its own or in reply. */
+  void receive(String node, CancellationGossip gossip) {
     PeerState peer = peers.get(node);
     if (peer == null || gossip.processId() == 0) {
       return;
     }
     if (gossip.processId() != peer.processId) {
-      peer.processId = gossip.processId();
-      peer.receivedNumber = 0;
-      peer.acknowledgedNumber = 0;
-      // A process that knows nothing yet can't be told what was dropped already.
-      peer.evictedMs = lastEvictedMs;
+      peer.restart(gossip.processId(), lastEvictedMs);
     }
     if (gossip.acknowledgedProcessId() == processId) {
       peer.acknowledgedNumber = Math.max(peer.acknowledgedNumber, gossip.acknowledgedNumber());
@@ -200,16 +220,16 @@
   }
 
   /**
-   * A peer answered a question of {@code requestedMs} with this. Its word goes no further than the
-   * moment of the question, and counts only where the process that answers has run since before
-   * this node last had the state service: an earlier one may have confirmed what nobody remembers.
+   * Takes a peer's reply to a request that was sent at {@code requestedMs}. It proves nothing of
+   * later moments, and counts only where the process that replies has run since before this node
+   * last read the store: an earlier process may have confirmed what nobody remembers.
    */
   void receiveReply(String node, CancellationGossip gossip, long requestedMs) {
-    heard(node, gossip);
+    receive(node, gossip);
     PeerState peer = peers.get(node);
-    long startedMs =
+    long peerStartedMs =
         context.nowMs - (long) (gossip.uptimeMs() * (1 - ControllerContext.MAX_CLOCK_DRIFT));
-    if (peer != null && gossip.complete() && startedMs < caughtUpMs) {
+    if (peer != null && gossip.complete() && peerStartedMs < caughtUpMs) {
       peer.completeUpToMs = Math.max(peer.completeUpToMs, requestedMs);
     }
   }
@@ -219,16 +239,16 @@
     if (caughtUpMs == NEVER) {
       return NEVER;
     }
-    long leastMs = context.nowMs;
+    long allPeersMs = context.nowMs;
     for (PeerState peer : peers.values()) {
-      leastMs = Math.min(leastMs, peer.completeUpToMs);
+      allPeersMs = Math.min(allPeersMs, peer.completeUpToMs);
     }
-    return Math.max(caughtUpMs, leastMs);
+    return Math.max(caughtUpMs, allPeersMs);
   }
 
   /**
-   * Whether a worker's lease may be renewed now. It runs from when the report was sent, which lies
-   * behind, and is over within the cancellation time of whatever may have been cancelled unheard.
+   * Whether a worker's lease may be renewed now. It runs from when the heartbeat was sent, and has
+   * to end within the cancellation timeout of whatever may have been cancelled without being known.
    */
   boolean mayRenewLeases() {
     long sinceMs = ControllerContext.withClockDrift(context.nowMs - completeUpToMs());
--- a/src/main/java/eiderfork/controller/LeaderRecovery.java
+++ b/src/main/java/eiderfork/controller/LeaderRecovery.java
@@ -249,7 +249,7 @@
         jobs.restoreAllocation(job, allocation, item.version(), fleet);
       }
     } else if (record instanceof StoredRecord.Cancellation aborted) {
-      cancellations.read(aborted.uid());
+      cancellations.recordStored(aborted.uid());
     } else if (record instanceof StoredRecord.ScaleOutIntent rent) {
       cloud.rents().restore(rent);
     } else if (record instanceof StoredRecord.ScaleInIntent back) {
@@ -314,7 +314,7 @@
         requestRound.run();
       }
     } else if (item.record() instanceof StoredRecord.Cancellation aborted) {
-      cancellations.read(aborted.uid());
+      cancellations.recordStored(aborted.uid());
     }
   }
 
--- a/src/main/java/eiderfork/controller/LeaseProxy.java
+++ b/src/main/java/eiderfork/controller/LeaseProxy.java
@@ -356,7 +356,7 @@
     if (item.record() == null) {
       cancellations.jobArchived(StoreKeys.withoutPrefix(item.key()));
     } else if (item.record() instanceof StoredRecord.Cancellation aborted) {
-      cancellations.read(aborted.uid());
+      cancellations.recordStored(aborted.uid());
     }
   }
 
--- a/src/main/java/eiderfork/controller/PeerMonitor.java
+++ b/src/main/java/eiderfork/controller/PeerMonitor.java
@@ -10,9 +10,9 @@
 import java.util.Map;
 import java.util.function.Function;
 
-/** What the peers say of themselves, and what this node tells them. */
+/** Exchanges status with the peers by pings, and knows which of them can be reached. */
 final class PeerMonitor implements LeaderElection.PeerReachability {
-  /** A ping each step; this many may be missed before a peer counts as out of reach. */
+  /** A peer is pinged each step, and counts as out of reach after this many without a status. */
   private static final double MAX_STATUS_AGE_STEPS = 3;
 
   private record ReceivedStatus(PeerStatus status, long receivedMs) {}
@@ -41,47 +41,54 @@
     this.election = election;
     this.cancellations = cancellations;
     this.version = version;
-    // Election and first answers come before the first ping, which loads Avro: on a sliver of a
-    // core that takes as long as the election.
+    // The first ping loads Avro, which is slow on a small core: election and first replies go
+    // first.
     nextPingMs = context.nowMs + context.stepMs() * 5 / 2;
   }
 
-  /** Pings every peer that has answered the last ping, with what {@code statusFor} tells it. */
+  /** Pings every peer that has replied to the last ping, with the status that is for it. */
   void tick(Function<String, PeerStatus> statusFor) {
     if (context.nowMs < nextPingMs) {
       return;
     }
     nextPingMs = context.nowMs + context.stepMs();
     for (String node : context.settings.peerEndpoints().keySet()) {
-      if (pingPending.getOrDefault(node, false)) {
-        continue;
+      if (!pingPending.getOrDefault(node, false)) {
+        ping(node, statusFor.apply(node));
       }
-      pingPending.put(node, true);
-      long requestedMs = context.nowMs;
-      PeerStatus own = statusFor.apply(node);
-      context.call(
-          call -> new Effect.PingPeer(call, node, own, context.stepMs()),
-          reply -> {
-            pingPending.put(node, false);
-            if (reply instanceof Reply.PeerPong pong) {
-              receiveStatus(pong.status());
-              recordAcknowledgedTerm(node, pong.status());
-              if (pong.status().node().equals(node)) {
-                cancellations.receiveReply(node, pong.status().cancellations(), requestedMs);
-                version.recordReply(node, pong.status().version());
-              }
-            }
-          });
     }
   }
 
+  private void ping(String node, PeerStatus ownStatus) {
+    pingPending.put(node, true);
+    long requestedMs = context.nowMs;
+    context.call(
+        callId -> new Effect.PingPeer(callId, node, ownStatus, context.stepMs()),
+        reply -> {
+          pingPending.put(node, false);
+          if (reply instanceof Reply.PeerPong pong) {
+            receivePong(node, pong.status(), requestedMs);
+          }
+        });
+  }
+
+  private void receivePong(String node, PeerStatus status, long requestedMs) {
+    receiveStatus(status);
+    recordAcknowledgedTerm(node, status);
+    if (status.node().equals(node)) {
+      cancellations.receiveReply(node, status.cancellations(), requestedMs);
+      version.recordReply(node, status.version());
+    }
+  }
+
+  /** Takes the status that a peer sent, on its own or in reply. */
   void receiveStatus(PeerStatus status) {
     Settings settings = context.settings;
     if (!settings.peerEndpoints().containsKey(status.node())) {
       return;
     }
     lastStatuses.put(status.node(), new ReceivedStatus(status, context.nowMs));
-    cancellations.heard(status.node(), status.cancellations());
+    cancellations.receive(status.node(), status.cancellations());
     version.recordUnsolicited(status.node(), status.version());
     if (status.leading()) {
       election.observeLeader(status.node(), status.term());
@@ -102,9 +109,9 @@
   }
 
   /**
-   * Since when no older leader can answer a worker: every peer has said that it knows this term,
-   * which ends any lead of an earlier one, and a process started later never had one. {@link
-   * Long#MAX_VALUE} while a peer has not said so.
+   * Since when no earlier leader can reply to a worker: every peer has acknowledged this term,
+   * which ends any leadership of an earlier one, and a process started later never had one. {@link
+   * Long#MAX_VALUE} while a peer has not acknowledged it.
    */
   long earlierTermsEndedMs() {
     if (acknowledgedTerm != election.currentTerm()
@@ -131,33 +138,33 @@
         .anyMatch(node -> !node.equals(excludedNode) && isReachable(node));
   }
 
-  /** Whether this peer has been heard lately. */
+  /** Whether this peer can be reached. */
   boolean isReachable(String node) {
     return isFresh(lastStatuses.get(node));
   }
 
   /**
-   * Whether another zone seems out of reach as a whole: none of its nodes has been heard lately,
-   * and one of this zone has.
+   * Whether another zone seems out of reach as a whole: none of its nodes can be reached, and one
+   * of this zone can.
    */
   boolean isZoneUnreachable(String zone) {
-    boolean own = false;
+    boolean ownZoneReachable = false;
     for (Map.Entry<String, String> peer : context.settings.peerZones().entrySet()) {
-      boolean reached = isReachable(peer.getKey());
-      if (peer.getValue().equals(zone) && reached) {
+      boolean reachable = isReachable(peer.getKey());
+      if (peer.getValue().equals(zone) && reachable) {
         return false;
       }
-      own |= peer.getValue().equals(context.settings.zone()) && reached;
+      ownZoneReachable |= peer.getValue().equals(context.settings.zone()) && reachable;
     }
-    return own && !zone.equals(context.settings.zone());
+    return ownZoneReachable && !zone.equals(context.settings.zone());
   }
 
-  /** Whether any peer has been heard lately. */
+  /** Whether any peer can be reached. */
   boolean isAnyReachable() {
     return lastStatuses.values().stream().anyMatch(this::isFresh);
   }
 
-  /** Whether a peer has been heard lately that has the state service. */
+  /** Whether a peer can be reached that is served by the store. */
   boolean isAnyServedByStore() {
     return lastStatuses.values().stream().anyMatch(this::isServedByStore);
   }
@@ -167,7 +174,7 @@
         && received.status.storeAgeMs() < context.stepMs() * MAX_STATUS_AGE_STEPS;
   }
 
-  /** Whether a peer that has the state service hears more machines than {@code count}. */
+  /** Whether a peer that is served by the store gets heartbeats of more machines than this. */
   boolean hasPeerWithMoreMachines(int count) {
     return lastStatuses.values().stream()
         .anyMatch(
--- a/src/test/java/eiderfork/controller/CancellationTrackerTest.java
+++ b/src/test/java/eiderfork/controller/CancellationTrackerTest.java
@@ -40,7 +40,7 @@
   /** The leader pings, and the answer arrives a while after it was asked for. */
   private void ping(String node, CancellationTracker to, long tookMs) {
     long requestedMs = leaderTime.nowMs;
-    to.heard("roost-0", leader.gossipFor(node));
+    to.receive("roost-0", leader.gossipFor(node));
     CancellationGossip gossip = to.gossipFor("roost-0");
     at(requestedMs + tookMs);
     leader.receiveReply(node, gossip, requestedMs);
@@ -130,7 +130,7 @@
     peer = new CancellationTracker(peerTime, uid -> {});
     peer.confirm("run-2");
     ping("roost-1", peer, 10);
-    leader.heard("roost-1", late);
+    leader.receive("roost-1", late);
     assertEquals(List.of("run-2", "run-1"), learned);
     ping("roost-1", peer, 10);
     assertTrue(leader.contains("run-1") && leader.contains("run-2"));
--- a/src/test/java/eiderfork/controller/JobArchiverTransactionTest.java
+++ b/src/test/java/eiderfork/controller/JobArchiverTransactionTest.java
@@ -48,7 +48,7 @@
         new StoredRecord.Allocation(
             1, true, ImmutableList.of(), ImmutableList.of(new StoredRecord.TaskRange(0, 1)));
     jobs.restoreAllocation(done, ended, 9, new MachineRegistry(context, jobs));
-    cancellations.read(CANCELLED.uid());
+    cancellations.recordStored(CANCELLED.uid());
   }
 
   /** The calls that the next tick after some time makes. */
