--- /dev/null
+++ b/src/main/java/eiderfork/controller/CommittedChangeApplier.java
@@ -0,0 +1,59 @@
+package eiderfork.controller;
+
+import eiderfork.controller.message.Reply;
+import eiderfork.controller.message.StoreKeys;
+import eiderfork.model.Job;
+import eiderfork.model.StoredRecord;
+
+/** Applies what other nodes commit to a leader's memory: submissions and cancellations. */
+final class CommittedChangeApplier {
+  private final StoredRecordRestorer restorer;
+  private final JobRegistry jobs;
+  private final CancellationTracker cancellations;
+  private final Autoscaler autoscaler;
+  private final RoundTrigger rounds;
+
+  CommittedChangeApplier(
+      StoredRecordRestorer restorer,
+      JobRegistry jobs,
+      CancellationTracker cancellations,
+      Autoscaler autoscaler,
+      RoundTrigger rounds) {
+    this.restorer = restorer;
+    this.jobs = jobs;
+    this.cancellations = cancellations;
+    this.autoscaler = autoscaler;
+    this.rounds = rounds;
+  }
+
+  /** Applies one change; what memory holds already changes nothing. */
+  void apply(Reply.Item change) {
+    if (change.record() == null) {
+      applyRemoval(change.key());
+    } else if (change.record() instanceof StoredRecord.Unreadable unreadable) {
+      restorer.freezeUnreadable(change.key(), unreadable);
+    } else if (change.record() instanceof StoredRecord.JobSpec spec) {
+      applySubmission(spec.job(), change.version());
+    } else if (change.record() instanceof StoredRecord.Cancellation cancellation) {
+      cancellations.recordStored(cancellation.uid());
+    }
+  }
+
+  private void applySubmission(Job job, long version) {
+    if (jobs.get(job.uid()) == null) {
+      restorer.addJob(job, version);
+      autoscaler.recordArrival(job);
+      rounds.request();
+    }
+  }
+
+  /** Records of jobs and cancellations are removed only where the job is archived. */
+  private void applyRemoval(String key) {
+    String uid = StoreKeys.withoutPrefix(key);
+    if (key.startsWith(StoreKeys.CANCELLATION_PREFIX)) {
+      cancellations.jobArchived(uid);
+    } else if (key.startsWith(StoreKeys.JOB_PREFIX) && jobs.get(uid) != null) {
+      jobs.evict(jobs.get(uid));
+    }
+  }
+}
--- a/src/main/java/eiderfork/controller/Controller.java
+++ b/src/main/java/eiderfork/controller/Controller.java
@@ -1,14 +1,11 @@
 package eiderfork.controller;
 
-import com.google.common.collect.ImmutableList;
 import eiderfork.config.Settings;
 import eiderfork.controller.context.ControllerContext;
 import eiderfork.controller.election.LeaderElection;
 import eiderfork.controller.message.Effect;
 import eiderfork.controller.message.Input;
 import eiderfork.controller.message.PeerStatus;
-import eiderfork.controller.message.Reply;
-import eiderfork.controller.message.UserResponse;
 import eiderfork.controller.recovery.JobPageReader;
 import eiderfork.controller.recovery.RangeReader;
 import eiderfork.controller.standby.Standby;
@@ -17,50 +14,63 @@
 import eiderfork.controller.store.StoreClient;
 import java.util.List;
 import java.util.random.RandomGenerator;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
 
 /**
  * A controller node as a state machine: takes timed inputs and returns what to send, write and
- * answer. It knows no clock, thread or socket.
+ * answer. It uses no clock, thread or socket.
+ *
+ * <p>The constructor assembles the parts in the order in which they need each other. Four calls go
+ * against that order, from an earlier part to a later one, and only once inputs are handled: the
+ * election notifies this class ({@link LeaderElection.Listener}) and is given the reachability of
+ * peers and the rule of the standbys; cancellations notify {@link #onCancelled}; the recovery
+ * notifies {@link #onRecovered}.
  */
 public final class Controller implements LeaderElection.Listener {
-  private static final Logger LOG = LoggerFactory.getLogger(Controller.class);
-
   /** Ticks in a step: the finest grain of anything timed. */
   private static final int TICKS_PER_STEP = 20;
 
+  // The store, and who leads.
   private final ControllerContext context;
   private final StoreClient store;
   private final LeaderElection election;
+
+  // What members know of each other.
+  private final ClusterVersion version;
+  private final CancellationTracker cancellations;
+  private final PeerMonitor peers;
+  private final LeaseProxy leaseProxy;
+
+  // The leader's memory of jobs and machines.
   private final JobRegistry jobs;
   private final MachineRegistry fleet;
-  private final MachineLiveness liveness;
+
+  // Workers.
+  private final WorkerReachability reachability;
+  private final RangeReader reader;
   private final WorkerCommander commander;
+  private final HeartbeatHandler heartbeats;
+
+  // Scheduling and scaling.
+  private final RoundTrigger rounds = new RoundTrigger();
   private final Scheduler scheduler;
   private final CloudProvisioner cloud;
   private final Autoscaler autoscaler;
-  private final ClusterVersion version;
-  private final PeerMonitor peers;
+  private final SchedulingLoop schedulingLoop;
+
+  // Users, and jobs that are over.
   private final ReadBarrier readBarrier;
-  private final CancellationTracker cancellations;
-  private final LeaseProxy leaseProxy;
   private final UserRequestHandler users;
-  private final RangeReader reader;
-  private final JobArchiver archiver;
+  private final ForwardedQueryHandler forwardedQueries;
+  private final HealthCheckHandler healthChecks;
   private final FinishedJobSweeper sweeper;
-  private final LeaderRecovery recovery;
+  private final JobArchiver archiver;
+
+  // Failover.
   private final Standby standby;
+  private final LeaderRecovery recovery;
   private final MachineHintPublisher hintPublisher;
   private final FailoverTimer failoverTimer;
-
-  private boolean rebuilt;
-  private boolean roundRequested;
-  private long nextRoundMs;
-  private long nextPlanMs;
-
-  private final WorkerReachability reachability;
-  private final HeartbeatHandler heartbeatHandler;
+  private boolean recovered;
 
   /**
    * Makes a controller that follows until it is elected.
@@ -72,31 +82,34 @@
     this(settings, random, nowMs, ClusterVersion.CURRENT);
   }
 
-  /** Makes a controller that tells its peers, and holds itself to, this version. */
+  /** Makes a controller that reports this version to its peers, and holds itself to it. */
   Controller(Settings settings, RandomGenerator random, long nowMs, int ownVersion) {
     context = new ControllerContext(settings, random, nowMs);
     store = new StoreClient(context);
     election = new LeaderElection(context, store, this);
+
     version = new ClusterVersion(context, store, election, ownVersion);
-    jobs = new JobRegistry(context, store, election, version);
-    fleet = new MachineRegistry(context, jobs);
     cancellations = new CancellationTracker(context, this::onCancelled);
     peers = new PeerMonitor(context, election, cancellations, version);
     election.setPeerReachability(peers);
     leaseProxy = new LeaseProxy(context, store, election, peers, cancellations);
-    liveness = new MachineLiveness(context, election);
+
+    jobs = new JobRegistry(context, store, election, version);
+    fleet = new MachineRegistry(context, jobs);
+
+    MachineLiveness liveness = new MachineLiveness(context, election);
     reachability = new WorkerReachability(context, election, fleet, liveness, peers, leaseProxy);
     reader = new RangeReader(store, election);
-    WorkerLeaseLog sessionLog = new WorkerLeaseLog(context);
+    WorkerLeaseLog leaseLog = new WorkerLeaseLog(context);
     LeaseExpiry leaseExpiry =
         new LeaseExpiry(
             context,
             fleet,
             peers,
             liveness,
-            sessionLog,
+            leaseLog,
             reader::readProxiedMachines,
-            this::requestRound);
+            rounds::request);
     commander =
         new WorkerCommander(
             context,
@@ -106,15 +119,24 @@
             cancellations,
             liveness,
             leaseExpiry,
-            sessionLog,
-            this::requestRound);
-    heartbeatHandler =
+            leaseLog,
+            rounds::request);
+    heartbeats =
         new HeartbeatHandler(context, election, commander, cancellations, leaseProxy, reachability);
+
     scheduler = new Scheduler(context, election, store, jobs, fleet, liveness, version);
     cloud = new CloudProvisioner(context, election, store, fleet);
     autoscaler =
         new Autoscaler(context, store, jobs, fleet, liveness, leaseExpiry, cloud, scheduler);
-    readBarrier = new ReadBarrier(context, store, this::applyChange, cancellations::recordCaughtUp);
+    schedulingLoop =
+        new SchedulingLoop(
+            context, rounds, fleet, scheduler, autoscaler, commander, tickIntervalMs());
+
+    StoredRecordRestorer restorer =
+        new StoredRecordRestorer(jobs, fleet, cloud, cancellations, version);
+    CommittedChangeApplier changes =
+        new CommittedChangeApplier(restorer, jobs, cancellations, autoscaler, rounds);
+    readBarrier = new ReadBarrier(context, store, changes::apply, cancellations::recordCaughtUp);
     users =
         new UserRequestHandler(
             context,
@@ -126,65 +148,40 @@
             readBarrier,
             cancellations,
             version,
-            this::requestRound);
-    JobPageReader jobPageReader = new JobPageReader(reader);
-    sweeper = new FinishedJobSweeper(context, election, jobs, fleet, cancellations, jobPageReader);
+            rounds::request);
+    forwardedQueries = new ForwardedQueryHandler(context, users);
+    healthChecks = new HealthCheckHandler(context, store, peers);
+    JobPageReader jobPages = new JobPageReader(reader);
+    sweeper = new FinishedJobSweeper(context, election, jobs, fleet, cancellations, jobPages);
     archiver = new JobArchiver(context, store, election, version, jobs, cancellations, sweeper);
+
     standby = new Standby(context, election, new StandbyReplica(context, store));
     election.setYieldRule(standby);
     recovery =
         new LeaderRecovery(
-            context,
-            store,
             election,
-            reader,
-            jobPageReader,
-            sweeper,
+            standby,
+            new ReplicaRecovery(reader, restorer, cancellations, sweeper),
+            new FullReadRecovery(context, reader, jobPages, restorer, cancellations, sweeper),
+            new CommittedChangeWatcher(context, store, reader, readBarrier, cancellations, changes),
+            readBarrier,
             jobs,
             fleet,
-            cloud,
-            autoscaler,
-            readBarrier,
-            cancellations,
-            version,
-            standby,
-            this::rebuilt,
-            this::requestRound);
+            rounds,
+            this::onRecovered);
     hintPublisher = new MachineHintPublisher(context, election, store, fleet, standby);
     failoverTimer = new FailoverTimer(context, election);
   }
 
-  /** Takes one input at {@code nowMs} of a steady clock, and says what follows from it. */
+  /** Handles one input at {@code nowMs} of a steady clock, and returns what follows from it. */
   public List<Effect> handle(long nowMs, Input input) {
     context.nowMs = Math.max(context.nowMs, nowMs);
-    if (input instanceof Input.Tick) {
-      tick();
-    } else if (input instanceof Input.Answered answered) {
-      context.completeCall(answered.callId(), answered.reply());
-    } else if (input instanceof Input.WorkerReport it) {
-      heartbeatHandler.handle(it.ticket(), it.report());
-    } else if (input instanceof Input.Submit it) {
-      handleUserRequest(it.ticket(), it, true);
-    } else if (input instanceof Input.Query it) {
-      handleUserRequest(it.ticket(), it, true);
-    } else if (input instanceof Input.Abort it) {
-      handleUserRequest(it.ticket(), it, true);
-    } else if (input instanceof Input.PeerRequest it) {
-      handleUserRequest(it.ticket(), it.request(), false);
-    } else if (input instanceof Input.PeerQueries it) {
-      handleForwardedQueries(it);
-    } else if (input instanceof Input.PeerPing it) {
-      peers.receiveStatus(it.status());
-      context.emit(new Effect.RespondToPing(it.ticket(), statusFor(it.status().node())));
-    } else if (input instanceof Input.PeerHints it) {
-      standby.hints().receive(it.hints(), context.nowMs);
-      context.emit(new Effect.AcknowledgeHints(it.ticket()));
-    } else if (input instanceof Input.HealthCheck it) {
-      handleHealthCheck(it.ticket());
-    }
-    heartbeatHandler.retryPending(input);
+    dispatch(input);
+    heartbeats.retryPending(input);
     store.sendQueued();
-    runRoundIfDue();
+    if (isRecoveredLeader()) {
+      schedulingLoop.runRoundIfDue();
+    }
     List<Effect> effects = context.drainEffects();
     failoverTimer.observeEffects(effects);
     effects.addAll(context.drainEffects());
@@ -206,12 +203,12 @@
     return scheduler.examinedMachines();
   }
 
-  /** Whether the lead of now was taken over with a copy of what is committed. */
+  /** Whether the leadership of now was recovered from a replica of what is committed. */
   boolean recoveredFromReplica() {
     return failoverTimer.isFromReplica();
   }
 
-  /** Whether this node keeps a copy by which it could take the lead over. */
+  /** Whether this node keeps a replica from which it could recover as the leader. */
   boolean isStandby() {
     return standby.replica().isFollowing();
   }
@@ -221,34 +218,48 @@
     return jobs.size();
   }
 
-  private void handleUserRequest(long ticket, Input request, boolean passOn) {
+  private void dispatch(Input input) {
+    if (input instanceof Input.Tick) {
+      tick();
+    } else if (input instanceof Input.Answered answered) {
+      context.completeCall(answered.callId(), answered.reply());
+    } else if (input instanceof Input.WorkerReport heartbeat) {
+      heartbeats.handle(heartbeat.ticket(), heartbeat.report());
+    } else if (input instanceof Input.Submit submission) {
+      handleUserRequest(submission.ticket(), submission, true);
+    } else if (input instanceof Input.Query query) {
+      handleUserRequest(query.ticket(), query, true);
+    } else if (input instanceof Input.Abort cancellation) {
+      handleUserRequest(cancellation.ticket(), cancellation, true);
+    } else if (input instanceof Input.PeerRequest forwarded) {
+      handleUserRequest(forwarded.ticket(), forwarded.request(), false);
+    } else if (input instanceof Input.PeerQueries queries) {
+      forwardedQueries.handle(queries);
+    } else if (input instanceof Input.PeerPing ping) {
+      handlePing(ping);
+    } else if (input instanceof Input.PeerHints hints) {
+      handleHints(hints);
+    } else if (input instanceof Input.HealthCheck check) {
+      healthChecks.handle(check);
+    }
+  }
+
+  private void handleUserRequest(long ticket, Input request, boolean mayForward) {
     users.handle(
-        request, passOn, response -> context.emit(new Effect.RespondToUser(ticket, response)));
+        request, mayForward, response -> context.emit(new Effect.RespondToUser(ticket, response)));
   }
 
-  /** Answers a peer's questions together, once the last of them is answered. */
-  private void handleForwardedQueries(Input.PeerQueries asked) {
-    UserResponse[] answers = new UserResponse[asked.uids().size()];
-    int[] open = {answers.length};
-    for (int i = 0; i < answers.length; i++) {
-      int at = i;
-      users.handle(
-          new Input.Query(0, asked.uids().get(i)),
-          false,
-          response -> {
-            answers[at] = response;
-            if (--open[0] == 0) {
-              context.emit(
-                  new Effect.RespondToQueries(asked.ticket(), ImmutableList.copyOf(answers)));
-            }
-          });
-    }
-    if (answers.length == 0) {
-      context.emit(new Effect.RespondToQueries(asked.ticket(), ImmutableList.of()));
-    }
+  private void handlePing(Input.PeerPing ping) {
+    peers.receiveStatus(ping.status());
+    context.emit(new Effect.RespondToPing(ping.ticket(), statusFor(ping.status().node())));
   }
 
-  /** What this node tells of itself to a peer. */
+  private void handleHints(Input.PeerHints hints) {
+    standby.hints().receive(hints.hints(), context.nowMs);
+    context.emit(new Effect.AcknowledgeHints(hints.ticket()));
+  }
+
+  /** The status that this node reports to a peer. */
   private PeerStatus statusFor(String peer) {
     return new PeerStatus(
         context.settings.nodeName(),
@@ -260,17 +271,6 @@
         cancellations.gossipFor(peer));
   }
 
-  /** A node that neither the state service nor any peer answers is cut off, and of no use. */
-  private void handleHealthCheck(long ticket) {
-    boolean served = store.sinceServedMs() <= 2 * context.stepMs();
-    boolean healthy = served || peers.isAnyReachable();
-    context.emit(
-        new Effect.RespondToHealthCheck(
-            ticket,
-            healthy,
-            served ? "serving" : healthy ? "the state service is out" : "cut off"));
-  }
-
   private void tick() {
     election.tick();
     jobs.tick();
@@ -278,43 +278,34 @@
     users.tick();
     leaseProxy.retryFailed();
     leaseProxy.tick();
-    heartbeatHandler.tick();
+    heartbeats.tick();
     reader.tick();
     standby.tick();
     if (election.isLeading()) {
       commander.tick();
-      if (rebuilt && election.isLeaseValid()) {
-        scheduler.tick();
-        version.tick();
-        cloud.tick();
-        archiver.tick();
-        sweeper.tick();
-        hintPublisher.tick();
-        if (context.nowMs >= nextPlanMs && !fleet.types().isEmpty()) {
-          nextPlanMs = context.nowMs + context.stepMs();
-          autoscaler.plan();
-          roundRequested = true;
-        }
+      if (isRecoveredLeader()) {
+        tickRecoveredLeader();
       }
       reachability.resignIfUnreachable();
     }
   }
 
-  /** Something changed that a round should see soon. */
-  private void requestRound() {
-    roundRequested = true;
+  private void tickRecoveredLeader() {
+    scheduler.tick();
+    version.tick();
+    cloud.tick();
+    archiver.tick();
+    sweeper.tick();
+    hintPublisher.tick();
+    schedulingLoop.planIfDue();
   }
 
-  private void runRoundIfDue() {
-    if (roundRequested && rebuilt && election.isLeaseValid() && context.nowMs >= nextRoundMs) {
-      // A start should not wait for the round; ends are collected, see Placer.
-      nextRoundMs = context.nowMs + tickIntervalMs();
-      roundRequested = scheduler.runRound();
-      commander.tick();
-    }
+  /** Whether this node surely leads, and its memory holds what is committed. */
+  private boolean isRecoveredLeader() {
+    return recovered && election.isLeaseValid();
   }
 
-  /** A job turns out to be cancelled; nothing of it may go on, whoever knows what of it. */
+  /** A job turns out to be cancelled: no task of it may go on, whatever memory holds of it. */
   private void onCancelled(String uid) {
     if (election.isLeading()) {
       jobs.markCancelled(uid);
@@ -322,8 +313,6 @@
     }
   }
 
-  // Leading.
-
   @Override
   public void onElected() {
     leaseProxy.stop();
@@ -343,7 +332,7 @@
   }
 
   private void clearLeaderState() {
-    rebuilt = false;
+    recovered = false;
     reader.cancelPending();
     users.ready(false);
     readBarrier.failWaiters();
@@ -357,17 +346,13 @@
     autoscaler.reset();
   }
 
-  private void rebuilt(boolean copied) {
-    rebuilt = true;
+  private void onRecovered(boolean fromReplica) {
+    recovered = true;
     hintPublisher.apply(standby.hints());
     standby.hints().clear();
-    failoverTimer.recordRecovery(copied);
+    failoverTimer.recordRecovery(fromReplica);
     users.ready(true);
     commander.recovered();
     fleet.machines().forEach(commander::reconcile);
   }
-
-  private void applyChange(Reply.Item item) {
-    recovery.applyChange(item);
-  }
 }
--- a/src/test/java/eiderfork/controller/JobArchiverTransactionTest.java
+++ b/src/test/java/eiderfork/controller/JobArchiverTransactionTest.java
@@ -167,27 +167,13 @@
   /** A watch that was held up brings a job and its move at once, after memory has let it go. */
   @Test
   void whatAWatchShowsAsRemovedLeavesMemory() {
-    LeaderRecovery recovery =
-        new LeaderRecovery(
-            context,
-            store,
-            election,
-            null,
-            null,
-            null,
-            jobs,
-            null,
-            null,
-            null,
-            null,
-            cancellations,
-            version,
-            null,
-            null,
-            null);
-    recovery.applyChange(new Reply.Item(StoreKeys.job(DONE.uid()), null, 20));
+    StoredRecordRestorer restorer =
+        new StoredRecordRestorer(jobs, null, null, cancellations, version);
+    CommittedChangeApplier changes =
+        new CommittedChangeApplier(restorer, jobs, cancellations, null, new RoundTrigger());
+    changes.apply(new Reply.Item(StoreKeys.job(DONE.uid()), null, 20));
     assertNull(jobs.get(DONE.uid()));
-    recovery.applyChange(new Reply.Item(StoreKeys.cancellation(CANCELLED.uid()), null, 20));
+    changes.apply(new Reply.Item(StoreKeys.cancellation(CANCELLED.uid()), null, 20));
     assertTrue(!cancellations.contains(CANCELLED.uid()));
   }
 
