--- a/src/main/java/eiderfork/controller/message/UserResponse.java
+++ b/src/main/java/eiderfork/controller/message/UserResponse.java
@@ -3,12 +3,17 @@
 import eiderfork.model.JobStatus;
 
 /**
- * The answer to a user.
+ * The response to a user.
  *
  * @param job null unless {@code status} is 200 or 201
- * @param retryAfterS when to come back; 0 for not said
+ * @param retryAfterS when to retry; 0 where that is left open
  */
 public record UserResponse(int status, JobStatus job, int retryAfterS, String error) {
+  /** Whether the request was not served now, and may be repeated. */
+  public boolean isUnavailable() {
+    return status == 503;
+  }
+
   /** The job is in this state. */
   public static UserResponse ok(JobStatus job) {
     return new UserResponse(200, job, 0, null);
@@ -29,7 +34,7 @@
     return new UserResponse(503, null, seconds, error);
   }
 
-  /** The answer where it is not known whether anything was done. */
+  /** The response where it is not known whether anything was done. */
   public static UserResponse unavailable() {
     return retryAfter(1, "the state service can't be reached");
   }
--- a/src/main/java/eiderfork/controller/store/ReadBarrier.java
+++ b/src/main/java/eiderfork/controller/store/ReadBarrier.java
@@ -10,10 +10,10 @@
 import java.util.function.LongConsumer;
 
 /**
- * Brings a leader's memory up to the cancellations committed before a question was asked. A peer
- * that could not reach the leader may have written one and told its user; the long watch brings it
- * a moment later, and an answer from memory in between would be older than what was told. One
- * request serves every question that waits.
+ * Brings a leader's memory up to the cancellations committed before a query was received. A peer
+ * that could not reach the leader may have committed and confirmed one; the long watch brings it a
+ * moment later, and a response from memory in between would contradict it. One request serves all
+ * queries that wait.
  */
 public final class ReadBarrier {
   private final ControllerContext context;
@@ -26,8 +26,8 @@
   private long generation;
 
   /**
-   * @param consumer takes each cancellation
-   * @param caughtUpTo takes the moment of which all cancellations have been taken
+   * @param consumer takes each change of cancellations
+   * @param caughtUpTo takes a moment up to which all cancellations have been passed on
    */
   public ReadBarrier(
       ControllerContext context,
@@ -45,22 +45,22 @@
     revision = Math.max(revision, upTo);
   }
 
-  /** Gives those who wait no for an answer: memory is not this node's to speak from any more. */
+  /** Fails all that wait: this node may not answer from memory any more. */
   public void failWaiters() {
     generation++;
     readPending = false;
     revision = 0;
-    List<Consumer<Boolean>> all = waiters;
+    List<Consumer<Boolean>> failed = waiters;
     waiters = new ArrayList<>();
-    all.forEach(each -> each.accept(false));
+    failed.forEach(waiter -> waiter.accept(false));
   }
 
-  /** Calls back with whether memory has caught up with this moment, or with a later one. */
+  /** Calls back once it is known whether memory has caught up with this moment. */
   public void awaitCaughtUp(Consumer<Boolean> onComplete) {
     waiters.add(onComplete);
   }
 
-  /** Asks for all that came since the last tick; a question waits for that, not for long. */
+  /** Reads for all that began to wait since the last read. */
   public void tick() {
     if (!readPending && !waiters.isEmpty()) {
       readChanges();
@@ -79,15 +79,18 @@
         reply -> {
           boolean caughtUp = sentGeneration == generation && reply instanceof Reply.Changes;
           if (caughtUp) {
-            Reply.Changes changes = (Reply.Changes) reply;
-            changes.items().forEach(cancellationConsumer);
-            revision = Math.max(revision, changes.revision());
-            caughtUpTo.accept(requestedMs);
+            apply((Reply.Changes) reply, requestedMs);
           }
-          served.forEach(each -> each.accept(caughtUp));
+          served.forEach(waiter -> waiter.accept(caughtUp));
           if (sentGeneration == generation) {
             readPending = false;
           }
         });
   }
+
+  private void apply(Reply.Changes changes, long requestedMs) {
+    changes.items().forEach(cancellationConsumer);
+    revision = Math.max(revision, changes.revision());
+    caughtUpTo.accept(requestedMs);
+  }
 }
