--- a/src/main/java/eiderfork/controller/ClusterVersion.java
+++ b/src/main/java/eiderfork/controller/ClusterVersion.java
@@ -18,23 +18,23 @@
  * The newest version that every member of the cluster is known to run. What an older version can't
  * read is written, and what it can't do is accepted, only from that version on.
  *
- * <p>Each member tells its version with its pings. The first leader that has heard of the current
- * version from all of them stores it, so that no later leader needs the proof again; from then on
- * no member may be taken back to an older version.
+ * <p>Each member sends its version with its pings. The first leader that knows all of them to run
+ * the current version stores it, so that no later leader needs the proof again; from then on no
+ * member may be rolled back to an older version.
  */
 final class ClusterVersion {
   private static final Logger LOG = LoggerFactory.getLogger(ClusterVersion.class);
 
-  /** The version of a member that does not tell its version. */
+  /** The version of a member that does not send its version. */
   static final int FIRST = 1;
 
-  /** The first version that reads packed allocs and carries out gangs. */
+  /** The first version that reads packed allocations and runs gangs. */
   static final int PACKED_ALLOCS = 2;
 
-  /** The first version that looks for archived jobs before it takes one for unknown. */
+  /** The first version that looks for archived jobs before it treats one as unknown. */
   static final int ARCHIVED_JOBS = 3;
 
-  /** The first version that reads bitmap allocs. */
+  /** The first version that reads bitmap allocations. */
   static final int BITMAP_ALLOCS = 4;
 
   /** The version of this program. It counts up with each form that the one before can't read. */
@@ -51,6 +51,8 @@
   private long nextStoreMs;
 
   /**
+   * Makes the version of a cluster of which nothing is known.
+   *
    * @param ownVersion the version of this node, which tests set to an earlier one
    */
   ClusterVersion(
@@ -61,6 +63,7 @@
     this.election = election;
   }
 
+  /** Makes the version of a cluster in which this node runs the current version. */
   ClusterVersion(ControllerContext context, StoreClient store, LeaderElection election) {
     this(context, store, election, CURRENT);
   }
@@ -76,8 +79,8 @@
   }
 
   /**
-   * Whether no member may be taken back to a version before this one. Until then one that was taken
-   * back would deny a job that it does not find where it was.
+   * Whether no member may be rolled back to a version before this one. Until then one that was
+   * rolled back would deny a job that it does not find where it was.
    */
   boolean isMinimumVersion(int required) {
     return ownVersion >= required && storedVersion >= required;
@@ -88,28 +91,25 @@
         .allMatch(node -> peerVersions.getOrDefault(node, FIRST) >= required);
   }
 
-  /** A peer answered a question of this node, so that it runs this version now. */
+  /** A peer replied to a request of this node, so that it runs this version now. */
   void recordReply(String node, int version) {
     peerVersions.put(node, version);
   }
 
-  /** A peer's message says this; it may be an old copy, so that it proves no newer version. */
+  /** A message that a peer sent on its own may be an old copy, and proves no newer version. */
   void recordUnsolicited(String node, int version) {
     if (version < peerVersions.getOrDefault(node, FIRST)) {
       peerVersions.put(node, version);
     }
   }
 
-  /** The state service holds this version. */
+  /** The store holds this version. */
   void recordStored(StoredRecord.StoredVersion record, long keyVersion) {
     storedVersion = Math.max(storedVersion, record.version());
     storedKeyVersion = Math.max(storedKeyVersion, keyVersion);
   }
 
-  /**
-   * Reads the stored version for a node that has no proof of its own, and goes on with {@code
-   * then}.
-   */
+  /** Reads the stored version, for a node that has no proof of its own. */
   void loadStored(Runnable onComplete) {
     store.send(
         new StoreRequest.Get(StoreKeys.CLUSTER_VERSION),
@@ -123,10 +123,10 @@
         });
   }
 
-  /** Stores the current version once all members run it; only a leader that has rebuilt does. */
+  /** Stores the current version once all members run it; only a recovered leader does. */
   void tick() {
-    boolean due = ownVersion >= CURRENT && storedVersion < CURRENT && allPeersRun(CURRENT);
-    if (due && !storePending && context.nowMs >= nextStoreMs) {
+    boolean needed = ownVersion >= CURRENT && storedVersion < CURRENT && allPeersRun(CURRENT);
+    if (needed && !storePending && context.nowMs >= nextStoreMs) {
       storeCurrentVersion();
     }
   }
@@ -145,7 +145,7 @@
         reply -> {
           storePending = false;
           if (reply instanceof Reply.Committed committed) {
-            LOG.info("every member runs version {}", CURRENT);
+            LOG.info("cluster-version-committed version={}", CURRENT);
             recordStored(record, committed.revision());
           } else if (reply instanceof Reply.Conflict) {
             loadStored(() -> {});
--- a/src/main/java/eiderfork/controller/LoadShedder.java
+++ b/src/main/java/eiderfork/controller/LoadShedder.java
@@ -4,9 +4,9 @@
 import eiderfork.controller.message.UserResponse;
 import java.util.function.Consumer;
 
-/** Refuses requests at once that would wait too long for their turn at the state service. */
+/** Rejects requests at once that would be queued too long for the store. */
 final class LoadShedder {
-  /** How long a request may wait, in steps; later ones are told when to come back. */
+  /** How long a request may be queued, in steps. */
   private static final double MAX_WAIT_STEPS = 0.8;
 
   private final ControllerContext context;
@@ -16,14 +16,16 @@
   }
 
   /**
-   * Answers a request that would wait for {@code waitMs} where that is too long; whether it was.
+   * Rejects a request that would be queued for {@code waitMs} where that is too long.
+   *
+   * @return whether it was rejected
    */
   boolean rejects(long waitMs, Consumer<UserResponse> onResponse) {
     if (waitMs <= context.stepMs() * MAX_WAIT_STEPS) {
       return false;
     }
-    int laterS = (int) Math.max(1, Math.ceil(waitMs / 1000.0));
-    onResponse.accept(UserResponse.retryAfter(laterS, "too many requests"));
+    int retryAfterS = (int) Math.max(1, Math.ceil(waitMs / 1000.0));
+    onResponse.accept(UserResponse.retryAfter(retryAfterS, "too many requests"));
     return true;
   }
 }
--- a/src/main/java/eiderfork/controller/context/ControllerContext.java
+++ b/src/main/java/eiderfork/controller/context/ControllerContext.java
@@ -10,12 +10,26 @@
 import java.util.function.LongFunction;
 import java.util.random.RandomGenerator;
 
-/** What the parts of one controller share: the time of the input, its effects, open calls. */
+/** What the parts of one controller share: settings, the time of the input, calls and effects. */
 public final class ControllerContext {
+  /** A steady clock may be off by this share; lease expiry is judged with twice that to spare. */
+  public static final double MAX_CLOCK_DRIFT = 0.001;
+
+  private static final double MS_PER_S = 1000;
+
+  /** How long a worker waits for the reply to a heartbeat, by the protocol. */
+  private static final long HEARTBEAT_REPLY_TIMEOUT_MS = 4000;
+
+  /** Steps in a worker's wait for a reply; users wait half of that for the reply to a query. */
+  private static final int STEPS_PER_REPLY_TIMEOUT = 4;
+
+  /** The settings of this node. */
   public final Settings settings;
+
+  /** The source of all random choices. */
   public final RandomGenerator random;
 
-  /** The steady time of the input being taken. */
+  /** The steady time of the input that is being handled. */
   public long nowMs;
 
   private final Long2ObjectOpenHashMap<Consumer<Reply>> pendingCalls =
@@ -23,81 +37,82 @@
   private List<Effect> effects = new ArrayList<>();
   private long lastCallId;
 
-  /** Makes what the parts of a controller share. */
+  /** Makes a context without pending calls or effects. */
   public ControllerContext(Settings settings, RandomGenerator random, long nowMs) {
     this.settings = settings;
     this.random = random;
     this.nowMs = nowMs;
   }
 
-  /** Has something sent or answered. */
+  /** Adds an effect to those of this input. */
   public void emit(Effect effect) {
     effects.add(effect);
   }
 
-  /** Sends a call and has {@code onComplete} take its reply. */
-  public void call(LongFunction<Effect.Call> callFactory, Consumer<Reply> onComplete) {
-    long id = ++lastCallId;
-    pendingCalls.put(id, onComplete);
-    effects.add(callFactory.apply(id));
+  /**
+   * Emits a call; {@code onReply} takes its reply.
+   *
+   * @param callFactory makes the call with the id that its reply will carry
+   */
+  public void call(LongFunction<Effect.Call> callFactory, Consumer<Reply> onReply) {
+    long callId = ++lastCallId;
+    pendingCalls.put(callId, onReply);
+    effects.add(callFactory.apply(callId));
   }
 
-  /** Hands a reply to whoever asked. */
+  /** Passes a reply to the caller; a second reply to the same call is ignored. */
   public void completeCall(long callId, Reply reply) {
-    Consumer<Reply> onComplete = pendingCalls.remove(callId);
-    if (onComplete != null) {
-      onComplete.accept(reply);
+    Consumer<Reply> onReply = pendingCalls.remove(callId);
+    if (onReply != null) {
+      onReply.accept(reply);
     }
   }
 
-  /** What is to be sent and answered since this was last taken. */
+  /** Returns the effects that were emitted since the last call of this method. */
   public List<Effect> drainEffects() {
-    List<Effect> taken = effects;
+    List<Effect> drained = effects;
     effects = new ArrayList<>();
-    return taken;
+    return drained;
   }
 
-  /** The interval of workers' reports. */
+  /** The interval of workers' heartbeats. */
   public long heartbeatIntervalMs() {
-    return (long) (settings.workerTimings().heartbeatS() * 1000);
+    return millis(settings.workerTimings().heartbeatS());
   }
 
   /**
-   * The step of all that somebody waits for, however seldom workers report: a quarter of the time
-   * that a worker waits for an answer, and half of what a user waits for one to a poll. Where it
-   * hung on the report interval, an interval of 4 s had users and workers wait past their time.
+   * The step: the unit of time of everything that a worker or user waits for. It is the heartbeat
+   * interval, or less where workers seldom send heartbeats, as their waits are no longer for that.
    */
   public long stepMs() {
-    return Math.min(heartbeatIntervalMs(), HEARTBEAT_REPLY_TIMEOUT_MS / 4);
+    return Math.min(heartbeatIntervalMs(), HEARTBEAT_REPLY_TIMEOUT_MS / STEPS_PER_REPLY_TIMEOUT);
   }
 
   /** The step in seconds. */
   public double stepS() {
-    return stepMs() / 1000.0;
+    return stepMs() / MS_PER_S;
   }
 
-  /** The workers' lease. */
+  /** The duration of a worker's lease. */
   public long workerLeaseMs() {
-    return (long) (settings.workerTimings().leaseS() * 1000);
+    return millis(settings.workerTimings().leaseS());
   }
 
-  /** The time in which a cancelled task must have ended. */
+  /** The time within which a cancelled task must have ended. */
   public long cancellationTimeoutMs() {
-    return (long) (settings.workerTimings().cancelDeadlineS() * 1000);
+    return millis(settings.workerTimings().cancelDeadlineS());
   }
 
-  /** How old the cloud's list may be. */
+  /** How old the cloud's list of machines may be. */
   public long cloudListLagMs() {
-    return (long) (settings.cloudLimits().listLagS() * 1000);
+    return millis(settings.cloudLimits().listLagS());
   }
 
-  /** How long a worker waits for the answer to a report, by the protocol. */
-  private static final long HEARTBEAT_REPLY_TIMEOUT_MS = 4000;
-
-  /** A steady clock may be off by this share; lapses are judged with twice that to spare. */
-  public static final double MAX_CLOCK_DRIFT = 0.001;
+  private static long millis(double seconds) {
+    return (long) (seconds * MS_PER_S);
+  }
 
-  /** A time span after which another clock has surely seen {@code durationMs} go by. */
+  /** A duration on this clock in which another clock surely counts {@code durationMs}. */
   public static long withClockDrift(long durationMs) {
     return (long) Math.ceil(durationMs * (1 + MAX_CLOCK_DRIFT));
   }
--- a/src/main/java/eiderfork/controller/election/CandidateOrder.java
+++ b/src/main/java/eiderfork/controller/election/CandidateOrder.java
@@ -6,9 +6,9 @@
 import java.util.List;
 
 /**
- * The order in which workers are taken to try the nodes: by their names, shorter ones first, so
- * that {@code node-10} comes after {@code node-9}. It is a hint for who should lead; no rule hangs
- * on it.
+ * The order in which workers are expected to try the nodes: by their names, shorter ones first, so
+ * that {@code node-10} comes after {@code node-9}. It is a hint for who should lead, and safety
+ * does not depend on it.
  */
 public record CandidateOrder(List<String> nodes, Settings settings) {
   /** The order of all nodes that the settings name. */
@@ -25,14 +25,14 @@
   }
 
   /**
-   * Whether the node that workers try after this one stands in another zone, as far as there is
-   * one. A worker whose zone can't reach its leader tries the next node 5 s later; where that one
-   * stands in the leader's zone too, the second try takes the rest of its lease. A leader behind
-   * which workers find a node of the other zone loses none of them in a split.
+   * Whether the node that workers try after this one is in another zone, as far as there is one. A
+   * worker that can't reach the leader's zone tries the next node after a timeout; were that one in
+   * the leader's zone too, the second timeout would take the rest of its lease.
    */
   public boolean isNextNodeInOtherZone() {
     String own = settings.zone();
-    boolean severalZones = settings.peerZones().values().stream().anyMatch(z -> !z.equals(own));
+    boolean severalZones =
+        settings.peerZones().values().stream().anyMatch(zone -> !zone.equals(own));
     String nextZone = settings.peerZones().getOrDefault(nextNode(), own);
     return !severalZones || !nextZone.equals(own);
   }
--- a/src/main/java/eiderfork/controller/message/CancellationGossip.java
+++ b/src/main/java/eiderfork/controller/message/CancellationGossip.java
@@ -3,7 +3,7 @@
 import com.google.common.collect.ImmutableList;
 
 /**
- * What a node tells one peer of the cancellations that it confirmed to users, in the order in which
+ * What a node sends one peer of the cancellations that it confirmed to users, in the order in which
  * it did. The numbers count from 1 within a process.
  *
  * @param processId names the process; another after each start
@@ -12,7 +12,7 @@
  * @param uids the jobs that follow
  * @param complete whether no further ones follow: nothing else that matters was confirmed by this
  *     process after {@code afterNumber}
- * @param acknowledgedProcessId the receiver's process of which the sender heard last
+ * @param acknowledgedProcessId the receiver's process from which the sender received last
  * @param acknowledgedNumber the number up to which the sender knows what that process confirmed
  */
 public record CancellationGossip(
@@ -23,7 +23,7 @@
     boolean complete,
     long acknowledgedProcessId,
     long acknowledgedNumber) {
-  /** Of a peer that says nothing of cancellations. */
+  /** Of a peer that sends nothing of cancellations. */
   public static final CancellationGossip NONE =
       new CancellationGossip(0, 0, 0, ImmutableList.of(), false, 0, 0);
 
--- a/src/main/java/eiderfork/controller/message/Effect.java
+++ b/src/main/java/eiderfork/controller/message/Effect.java
@@ -4,30 +4,30 @@
 import eiderfork.model.StoredRecord;
 import eiderfork.model.WorkerCommand;
 
-/** What a controller wants done. */
+/** What a controller has done by the node that it runs in. */
 public sealed interface Effect {
   /** A request whose reply comes back as {@link Input.Answered}; none in time is Unanswered. */
   sealed interface Call extends Effect {
-    /** The number under which the reply comes back. */
+    /** The id with which the reply comes back. */
     long callId();
 
     /** How long to wait for the reply. */
     long timeoutMs();
   }
 
-  /** An answer to an input that carried this ticket. */
+  /** A response to an input that carried this ticket. */
   sealed interface Response extends Effect {
-    /** The ticket of the input that is answered. */
+    /** The ticket of the input that is responded to. */
     long ticket();
   }
 
-  /** Asks the state service. */
+  /** Sends a request to the store. */
   record CallStore(long callId, StoreRequest request, long timeoutMs) implements Call {}
 
-  /** Asks the cloud for its machine types. */
+  /** Requests the machine types from the cloud. */
   record ListMachineTypes(long callId, long timeoutMs) implements Call {}
 
-  /** Asks the cloud for machines. */
+  /** Rents machines from the cloud. */
   record RentMachines(long callId, StoredRecord.ScaleOutIntent rent, long timeoutMs)
       implements Call {}
 
@@ -35,7 +35,7 @@
   record ReturnMachines(long callId, ImmutableList<String> machines, long timeoutMs)
       implements Call {}
 
-  /** Asks the cloud for the machine list, beginning after {@code after}. */
+  /** Requests a page of the cloud's list of machines, beginning after {@code after}. */
   record ListHosts(long callId, String after, long timeoutMs) implements Call {}
 
   /** Sends commands to a worker directly. */
@@ -48,48 +48,48 @@
       long timeoutMs)
       implements Call {}
 
-  /** Asks a worker for its report. */
+  /** Requests a heartbeat from a worker. */
   record InspectWorker(long callId, String address, long timeoutMs) implements Call {}
 
-  /** Tells a peer this node's view and asks for its own. */
+  /** Sends a peer this node's status and requests its own. */
   record PingPeer(long callId, String node, PeerStatus status, long timeoutMs) implements Call {}
 
-  /** Passes a user's request on to a peer. */
+  /** Forwards a user's request to a peer. */
   record ForwardRequest(long callId, String node, Input request, long timeoutMs) implements Call {}
 
-  /** Questions after several jobs, answered in their order. */
+  /** Forwards queries of several jobs, whose responses come in the same order. */
   record ForwardQueries(long callId, String node, ImmutableList<String> uids, long timeoutMs)
       implements Call {}
 
-  /** Tells a standby what is not committed. */
+  /** Sends a standby hints of what is not committed. */
   record SendHints(long callId, String node, MachineHintBatch hints, long timeoutMs)
       implements Call {}
 
-  /** A peer's hints were taken. */
+  /** Acknowledges a peer's hints. */
   record AcknowledgeHints(long ticket) implements Response {}
 
-  /** This node has taken the lead over; what that took is traced. */
+  /** This node has completed a failover, whose phases are traced. */
   record FailoverCompleted(long term, ImmutableList<Phase> phases) implements Effect {}
 
-  /** A part of a takeover, from one moment of the steady time to another. */
+  /** A phase of a failover, from one moment of the steady time to another. */
   record Phase(String name, long fromMs, long toMs) {}
 
-  /** Answers queries that a peer passed on, in their order. */
+  /** Responds to queries that a peer forwarded, in their order. */
   record RespondToQueries(long ticket, ImmutableList<UserResponse> responses) implements Response {}
 
-  /** Answers a user or, for a request that was passed on, a peer. */
+  /** Responds to a user or, for a request that was forwarded, to a peer. */
   record RespondToUser(long ticket, UserResponse response) implements Response {}
 
-  /** Answers a health check. */
+  /** Responds to a health check. */
   record RespondToHealthCheck(long ticket, boolean healthy, String reason) implements Response {}
 
-  /** Answers a worker's report, which renews its lease. */
+  /** Responds to a worker's heartbeat, which renews its lease. */
   record RespondToWorker(long ticket, long fencingToken, ImmutableList<WorkerCommand> commands)
       implements Response {}
 
-  /** 421: report elsewhere; {@code leader} is null where it is not known. */
+  /** Redirects a worker to the leader (421), which is null where it is not known. */
   record RedirectWorker(long ticket, String leader) implements Response {}
 
-  /** Answers a peer's ping. */
+  /** Responds to a peer's ping. */
   record RespondToPing(long ticket, PeerStatus status) implements Response {}
 }
--- a/src/main/java/eiderfork/controller/message/Input.java
+++ b/src/main/java/eiderfork/controller/message/Input.java
@@ -4,38 +4,38 @@
 import eiderfork.model.Heartbeat;
 import eiderfork.model.Job;
 
-/** What happens to a controller. */
+/** What a controller has to handle. */
 public sealed interface Input {
   /** Time has passed. */
   record Tick() implements Input {}
 
-  /** A submission; {@code body} is what the user sent, for passing on. */
+  /** A submission; {@code body} is what the user sent, for forwarding. */
   record Submit(long ticket, Job job, byte[] body) implements Input {}
 
-  /** A user asks for a job's state. */
+  /** A user requests a job's state. */
   record Query(long ticket, String uid) implements Input {}
 
   /** A user cancels a job. */
   record Abort(long ticket, String uid) implements Input {}
 
-  /** The load balancer asks whether this node can take requests. */
+  /** The load balancer checks whether this node can take requests. */
   record HealthCheck(long ticket) implements Input {}
 
-  /** A worker reports. */
+  /** A heartbeat of a worker. */
   record WorkerReport(long ticket, Heartbeat report) implements Input {}
 
-  /** A submission, query or cancellation passed on by a peer. */
+  /** A submission, query or cancellation forwarded by a peer. */
   record PeerRequest(long ticket, Input request) implements Input {}
 
-  /** Questions after several jobs, passed on by a peer. */
+  /** Queries of several jobs, forwarded by a peer. */
   record PeerQueries(long ticket, ImmutableList<String> uids) implements Input {}
 
-  /** A peer tells its view and asks for this node's. */
+  /** A peer sends its status and requests this node's. */
   record PeerPing(long ticket, PeerStatus status) implements Input {}
 
-  /** The leader tells this node, which may stand by for it, what is not committed. */
+  /** The leader sends this node, which may be its standby, hints of what is not committed. */
   record PeerHints(long ticket, MachineHintBatch hints) implements Input {}
 
-  /** The reply to a call that an effect asked for. */
+  /** The reply to a call, see {@link Effect.Call}. */
   record Answered(long callId, Reply reply) implements Input {}
 }
--- a/src/main/java/eiderfork/controller/message/MachineHintBatch.java
+++ b/src/main/java/eiderfork/controller/message/MachineHintBatch.java
@@ -3,7 +3,7 @@
 import com.google.common.collect.ImmutableList;
 
 /**
- * One message of the stream of hints from a leader to its standby.
+ * One message of the stream of hints from a leader to its standbys.
  *
  * @param term the term of the leader
  * @param sequence counts up with each message of a term
--- a/src/main/java/eiderfork/controller/message/PeerStatus.java
+++ b/src/main/java/eiderfork/controller/message/PeerStatus.java
@@ -1,10 +1,10 @@
 package eiderfork.controller.message;
 
 /**
- * What a node tells its peers about itself.
+ * The status that a node sends its peers.
  *
- * @param storeAgeMs how long ago the state service last served the node
- * @param reportingMachines how many machines reported to it lately, whatever it answered
+ * @param storeAgeMs how long ago the store last served the node
+ * @param reportingMachines how many machines sent it heartbeats lately, whatever it responded
  * @param version the version that the node runs
  * @param cancellations the cancellations that it confirmed and the receiver may not know
  */
--- a/src/main/java/eiderfork/controller/message/Reply.java
+++ b/src/main/java/eiderfork/controller/message/Reply.java
@@ -6,7 +6,7 @@
 import eiderfork.model.MachineType;
 import eiderfork.model.StoredRecord;
 
-/** What came of a call to another party. */
+/** The outcome of a call to another service, worker or peer. */
 public sealed interface Reply {
   /** No reply: the request may have been carried out, or may be yet. */
   record Unanswered() implements Reply {}
@@ -51,7 +51,7 @@
   /** {@code record} is null where the key does not exist. */
   record Value(StoredRecord record, long version) implements Reply {}
 
-  /** A key of the state service; {@code record} is null where the key was removed. */
+  /** A key of the store; {@code record} is null where the key was removed. */
   record Item(String key, StoredRecord record, long version) {}
 
   /** A part of a range of keys, as of the revision. */
@@ -66,30 +66,30 @@
   /** The cloud's machine types. */
   record Types(ImmutableList<MachineType> types) implements Reply {}
 
-  /** The machines that a rent brought. */
+  /** The machines that were rented. */
   record Rented(ImmutableList<String> machines) implements Reply {}
 
-  /** The cloud has none of the kind asked for; nothing was rented. */
+  /** The cloud has no machine of the requested type; nothing was rented. */
   record NoCapacity() implements Reply {}
 
-  /** The machines that were to be returned are gone. */
+  /** The machines were returned, or were gone before. */
   record Returned() implements Reply {}
 
-  /** A part of the cloud's machine list. */
+  /** A page of the cloud's list of machines. */
   record Hosts(ImmutableList<ListedMachine> entries, boolean hasMore) implements Reply {}
 
-  /** A worker's report, sent back for commands ({@code executed}) or instead of them. */
+  /** A worker's heartbeat, sent after commands ({@code executed}) or instead of executing them. */
   record WorkerReply(boolean executed, Heartbeat report) implements Reply {}
 
-  /** A peer's view, in answer to a ping. */
+  /** A peer's status, in reply to a ping. */
   record PeerPong(PeerStatus status) implements Reply {}
 
-  /** A standby has taken hints. */
+  /** A standby has received hints. */
   record HintsAcknowledged() implements Reply {}
 
-  /** A peer's answer to a request that was passed on to it. */
+  /** A peer's response to a request that was forwarded to it. */
   record ForwardedResponse(UserResponse response) implements Reply {}
 
-  /** A peer's answers to queries that were passed on to it, in their order. */
+  /** A peer's responses to queries that were forwarded to it, in their order. */
   record ForwardedResponses(ImmutableList<UserResponse> responses) implements Reply {}
 }
--- a/src/main/java/eiderfork/controller/message/StoreKeys.java
+++ b/src/main/java/eiderfork/controller/message/StoreKeys.java
@@ -1,20 +1,38 @@
 package eiderfork.controller.message;
 
-/** The keys in the state service. */
+/** The keys in the store. */
 public final class StoreKeys {
+  /** Who leads; attached to the leader's lease. */
   public static final String LEADER = "leader";
+
+  /** The last term that was begun. */
   public static final String TERM = "term";
+
+  /** The cloud's machine types, as last read. */
   public static final String MACHINE_TYPES = "types";
+
+  /** Submissions by job. */
   public static final String JOB_PREFIX = "job/";
+
+  /** Reservations and finished tasks by job. */
   public static final String ALLOC_PREFIX = "alloc/";
+
+  /** Confirmed cancellations by job. */
   public static final String CANCELLATION_PREFIX = "abort/";
 
-  /** The final states of jobs that have left the keys above. */
+  /** Final states by job, of jobs that are archived. */
   public static final String ENDED_PREFIX = "ended/";
 
+  /** Intents to scale out. */
   public static final String RENT_PREFIX = "rent/";
+
+  /** Intents to scale in. */
   public static final String RETURN_PREFIX = "return/";
+
+  /** The version that every member runs. */
   public static final String CLUSTER_VERSION = "cluster-version";
+
+  /** The machines whose leases are renewed by proxies. */
   public static final String LEASE_PROXY_PREFIX = "deputy/";
 
   private StoreKeys() {}
--- a/src/main/java/eiderfork/controller/message/StoreRequest.java
+++ b/src/main/java/eiderfork/controller/message/StoreRequest.java
@@ -3,14 +3,14 @@
 import com.google.common.collect.ImmutableList;
 import eiderfork.model.StoredRecord;
 
-/** A request to the state service. */
+/** A request to the key-value store. */
 public sealed interface StoreRequest {
-  /** The key has this version; 0 where it does not exist. */
+  /** A condition that the key has this version; 0 where it does not exist. */
   record Condition(String key, long version) {}
 
   /** A change: {@code record} null removes the key; lease 0 is none. */
   record Change(String key, StoredRecord record, long leaseId) {
-    /** Writes a key that hangs on no lease. */
+    /** Writes a key that is attached to no lease. */
     public static Change put(String key, StoredRecord record) {
       return new Change(key, record, 0);
     }
@@ -21,7 +21,7 @@
     }
   }
 
-  /** Applies all changes if all conditions hold, or nothing. */
+  /** Compare and swap: applies all changes if all conditions hold, or none. */
   record Transaction(ImmutableList<Condition> conditions, ImmutableList<Change> changes)
       implements StoreRequest {}
 
@@ -34,7 +34,7 @@
   /** Waits for changes of keys with this prefix after a revision. */
   record Watch(String prefix, long afterRevision, long timeoutMs) implements StoreRequest {}
 
-  /** Asks for a new lease. */
+  /** Grants a new lease. */
   record Grant(long ttlMs) implements StoreRequest {}
 
   /** Renews a lease. */
--- a/src/main/java/eiderfork/controller/ratelimit/Backoff.java
+++ b/src/main/java/eiderfork/controller/ratelimit/Backoff.java
@@ -2,8 +2,11 @@
 
 import java.util.random.RandomGenerator;
 
-/** Growing, jittered pauses between tries. */
+/** Exponential backoff with jitter. */
 public final class Backoff {
+  /** Bounds the shift below the width of a long. */
+  private static final int MAX_DOUBLINGS = 16;
+
   private final long firstMs;
   private final long maxMs;
   private int failures;
@@ -16,12 +19,12 @@
 
   /** The pause after one more failure. */
   public long nextPauseMs(RandomGenerator random) {
-    long base = Math.min(maxMs, firstMs << Math.min(failures, 16));
+    long base = Math.min(maxMs, firstMs << Math.min(failures, MAX_DOUBLINGS));
     failures++;
     return base / 2 + random.nextLong(base / 2 + 1);
   }
 
-  /** What was tried has worked. */
+  /** An attempt has succeeded: pauses begin with the first one again. */
   public void reset() {
     failures = 0;
   }
--- a/src/main/java/eiderfork/controller/ratelimit/TokenBucket.java
+++ b/src/main/java/eiderfork/controller/ratelimit/TokenBucket.java
@@ -1,7 +1,9 @@
 package eiderfork.controller.ratelimit;
 
-/** The budget for one outside limit. */
+/** A token bucket for one rate limit of another service. */
 public final class TokenBucket {
+  private static final double MS_PER_S = 1000;
+
   private double tokensPerS;
   private double burst;
   private double tokens;
@@ -15,9 +17,9 @@
     this.refilledAtMs = nowMs;
   }
 
-  /** Changes the rate; what is saved stays as far as the new burst allows. */
-  public void setRate(double newPerS, double newBurst) {
-    tokensPerS = newPerS;
+  /** Changes the rate; saved tokens stay as far as the new burst allows. */
+  public void setRate(double newTokensPerS, double newBurst) {
+    tokensPerS = newTokensPerS;
     burst = newBurst;
     tokens = Math.min(tokens, burst);
   }
@@ -27,7 +29,7 @@
     return burst;
   }
 
-  /** The tokens gained in a second. */
+  /** How many tokens are gained in a second. */
   public double tokensPerS() {
     return tokensPerS;
   }
@@ -40,7 +42,7 @@
     return tokens >= Math.min(count, burst);
   }
 
-  /** Takes {@code count} tokens where they are there; whether they were. */
+  /** Takes {@code count} tokens where there are as many; returns whether there were. */
   public boolean tryTake(double count, long nowMs) {
     if (!hasTokens(count, nowMs)) {
       return false;
@@ -49,14 +51,14 @@
     return true;
   }
 
-  /** Gives up what is saved, after the other side said that it was too much. */
+  /** Drops the saved tokens, after the other side refused a request for its rate. */
   public void drain(long nowMs) {
     refill(nowMs);
     tokens = Math.min(tokens, 0);
   }
 
   private void refill(long nowMs) {
-    tokens = Math.min(burst, tokens + tokensPerS * Math.max(0, nowMs - refilledAtMs) / 1000.0);
+    tokens = Math.min(burst, tokens + tokensPerS * Math.max(0, nowMs - refilledAtMs) / MS_PER_S);
     refilledAtMs = Math.max(refilledAtMs, nowMs);
   }
 }
--- a/src/main/java/eiderfork/controller/recovery/JobPageReader.java
+++ b/src/main/java/eiderfork/controller/recovery/JobPageReader.java
@@ -6,12 +6,12 @@
 import eiderfork.controller.store.RequestPriority;
 
 /**
- * Reads stored jobs a page at a time, each page with the alloc records of its jobs, so that a
- * reader can let go of what it has no use for before it reads on.
+ * Reads stored jobs a page at a time, each page with the allocations of its jobs, so that a reader
+ * can drop what it has no use for before it reads on.
  */
 public final class JobPageReader {
   /**
-   * A page of submissions, and the alloc records between the page before and this one's end.
+   * A page of submissions, and the allocations between the page before and this one's end.
    *
    * @param continueAfter the id of the job after which the next page begins; null where this is the
    *     last
@@ -27,7 +27,7 @@
 
   private final RangeReader reader;
 
-  /** Makes a reader of jobs on one of ranges of keys. */
+  /** Makes a reader of jobs over a reader of ranges. */
   public JobPageReader(RangeReader reader) {
     this.reader = reader;
   }
--- a/src/main/java/eiderfork/controller/recovery/RangeReader.java
+++ b/src/main/java/eiderfork/controller/recovery/RangeReader.java
@@ -14,7 +14,7 @@
 import java.util.function.Consumer;
 import java.util.function.LongConsumer;
 
-/** A leader's reads of whole ranges of keys. One that fails is tried again at the next tick. */
+/** A leader's reads of whole ranges of keys. One that fails is retried at the next tick. */
 public final class RangeReader {
   private final StoreClient store;
   private final LeaderElection election;
@@ -26,19 +26,19 @@
     this.election = election;
   }
 
-  /** Tries again what has failed. */
+  /** Retries what has failed, and runs what was left for this tick. */
   public void tick() {
     List<Runnable> due = List.copyOf(deferred);
     deferred.clear();
     due.forEach(Runnable::run);
   }
 
-  /** Gives up what was to be tried again. */
+  /** Drops what was left for the next tick. */
   public void cancelPending() {
     deferred.clear();
   }
 
-  /** Has something tried at the next tick. */
+  /** Has an action run at the next tick. */
   public void runAtNextTick(Runnable action) {
     deferred.add(action);
   }
@@ -103,10 +103,14 @@
         });
   }
 
-  /** Reads which machines other nodes answer in this one's place; null where a record is spoilt. */
+  /**
+   * Reads the names of the machines whose leases other nodes renew as proxies.
+   *
+   * @param onComplete takes the names, or null where a record can't be read
+   */
   public void readProxiedMachines(Consumer<Set<String>> onComplete) {
     Set<String> names = new HashSet<>();
-    boolean[] whole = {true};
+    boolean[] readable = {true};
     scan(
         StoreKeys.LEASE_PROXY_PREFIX,
         "",
@@ -115,9 +119,9 @@
           if (item.record() instanceof StoredRecord.ProxiedLeases proxiedLeases) {
             names.addAll(proxiedLeases.machines());
           } else {
-            whole[0] = false;
+            readable[0] = false;
           }
         },
-        revision -> onComplete.accept(whole[0] ? names : null));
+        revision -> onComplete.accept(readable[0] ? names : null));
   }
 }
--- a/src/main/java/eiderfork/controller/store/RequestPriority.java
+++ b/src/main/java/eiderfork/controller/store/RequestPriority.java
@@ -1,8 +1,8 @@
 package eiderfork.controller.store;
 
-/** In what order calls to the state service go out when not all can. */
+/** In what order requests to the store are sent while its limits hold some of them back. */
 public enum RequestPriority {
-  /** Grants and renewals of leases, elections, and what holds leases. */
+  /** Grants and renewals of leases, and elections. */
   LEASE,
   /** Cancellations by users. */
   ABORT,
@@ -14,8 +14,8 @@
   START,
   /** Starts of an array's tasks, and the ends of some of them. */
   BATCH,
-  /** What is tidied up, and waits at no cost. */
+  /** Cleanup, which waits at no cost. */
   CLEANUP,
-  /** Questions that a node answers from the state service. */
+  /** Queries that a node answers from the store. */
   READ
 }
