--- a/src/test/java/eiderfork/controller/ClusterVersionTest.java
+++ b/src/test/java/eiderfork/controller/ClusterVersionTest.java
@@ -18,35 +18,35 @@
   private final ClusterVersion version =
       new ClusterVersion(context, store, new LeaderElection(context, store, null));
 
-  private void allAnswer() {
+  private void recordRepliesOfAll() {
     version.recordReply("roost-1", ClusterVersion.CURRENT);
     version.recordReply("roost-2", ClusterVersion.CURRENT);
   }
 
   @Test
-  void everyPeerHasToAnswerThatItIsNew() {
+  void everyPeerHasToReplyThatItIsNew() {
     version.recordReply("roost-1", ClusterVersion.CURRENT);
     assertFalse(version.isSupportedByAll(ClusterVersion.CURRENT));
     version.recordReply("roost-2", ClusterVersion.FIRST);
     assertFalse(version.isSupportedByAll(ClusterVersion.CURRENT));
-    allAnswer();
+    recordRepliesOfAll();
     assertTrue(version.isSupportedByAll(ClusterVersion.CURRENT));
   }
 
-  /** A held-up ping of a process that was taken back to the older version meanwhile. */
+  /** A delayed ping of a process that was rolled back to the older version meanwhile. */
   @Test
-  void whatAPeerSaysUnaskedMayBeOldAndProvesNothing() {
+  void unsolicitedVersionMayBeOldAndProvesNothing() {
     version.recordUnsolicited("roost-1", ClusterVersion.CURRENT);
     version.recordUnsolicited("roost-2", ClusterVersion.CURRENT);
     assertFalse(version.isSupportedByAll(ClusterVersion.CURRENT));
-    allAnswer();
+    recordRepliesOfAll();
     version.recordUnsolicited("roost-2", ClusterVersion.FIRST);
     assertFalse(
         version.isSupportedByAll(ClusterVersion.CURRENT), "it is back at the older version");
   }
 
   @Test
-  void whatIsStoredHoldsWhateverPeersSay() {
+  void storedVersionHoldsWhateverPeersSend() {
     version.recordStored(new StoredRecord.StoredVersion(ClusterVersion.CURRENT), 5);
     version.recordUnsolicited("roost-1", ClusterVersion.FIRST);
     assertTrue(version.isSupportedByAll(ClusterVersion.CURRENT));
--- a/src/test/java/eiderfork/controller/ControllerTest.java
+++ b/src/test/java/eiderfork/controller/ControllerTest.java
@@ -29,11 +29,11 @@
       new Controller(TestFixtures.settings("roost-0"), new Random(1), 0);
   private final List<Effect> effects = new ArrayList<>();
 
-  private void take(long nowMs, Input input) {
+  private void handle(long nowMs, Input input) {
     effects.addAll(node.handle(nowMs, input));
   }
 
-  private static Input report(long ticket) {
+  private static Input heartbeat(long ticket) {
     Machine machine = new Machine("n-1", "n-1:1", "g4", "a", false);
     return new Input.WorkerReport(
         ticket, new Heartbeat(machine, 1, 5, 3, null, ImmutableList.of()));
@@ -48,16 +48,16 @@
 
   /** Without a name a worker waits a second more, which its lease did not have after a crash. */
   @Test
-  void aReportWaitsForTheLeadersNameButNotForLong() {
-    take(0, new Input.Tick());
-    take(10, report(7));
+  void heartbeatWaitsForTheLeadersNameButNotForLong() {
+    handle(0, new Input.Tick());
+    handle(10, heartbeat(7));
     assertTrue(redirects().isEmpty());
-    learnLeader(300);
+    observeLeader(300);
     assertEquals(List.of(new Effect.RedirectWorker(7, "roost-2")), redirects());
   }
 
   /** The node learns that another one leads term 4. */
-  private void learnLeader(long nowMs) {
+  private void observeLeader(long nowMs) {
     long read =
         effects.stream()
             .filter(Effect.CallStore.class::isInstance)
@@ -66,13 +66,13 @@
             .findFirst()
             .orElseThrow()
             .callId();
-    take(
+    handle(
         nowMs,
         new Input.Answered(read, new Reply.Value(new StoredRecord.Leadership("roost-2", 4), 9)));
   }
 
   /** A worker with a task that shows the token of term 4, and one that has none. */
-  private static Input reportOfTerm4(long ticket, boolean hasTask) {
+  private static Input heartbeatOfTerm4(long ticket, boolean hasTask) {
     Machine machine = new Machine("n-" + ticket, "n-" + ticket + ":1", "g4", "a", false);
     TaskStatus task =
         new TaskStatus(
@@ -84,21 +84,21 @@
 
   /** Sent back at once it waits at the leader that it has lost, until half of its lease is over. */
   @Test
-  void aWorkerThatHasLostTheLeaderIsKeptForAWhile() {
-    take(0, new Input.Tick());
-    learnLeader(10);
-    take(20, reportOfTerm4(7, true));
-    take(20, reportOfTerm4(8, false));
+  void workerThatHasLostTheLeaderIsKeptForAWhile() {
+    handle(0, new Input.Tick());
+    observeLeader(10);
+    handle(20, heartbeatOfTerm4(7, true));
+    handle(20, heartbeatOfTerm4(8, false));
     assertEquals(List.of(new Effect.RedirectWorker(8, "roost-2")), redirects());
-    take(2900, new Input.Tick());
+    handle(2900, new Input.Tick());
     assertEquals(1, redirects().size(), "three steps are not over");
-    take(3050, new Input.Tick());
+    handle(3050, new Input.Tick());
     assertEquals(7, redirects().get(1).ticket());
   }
 
   /** Commands to every machine at once, beside every worker's report, once took all sockets. */
   @Test
-  void aNewLeaderReachesNoMoreMachinesAtOnceThanItsSocketsAllow() {
+  void newLeaderReachesNoMoreMachinesAtOnceThanItsSocketsAllow() {
     ControllerContext context =
         new ControllerContext(TestFixtures.settings("roost-0"), new Random(1), 0);
     StoreClient store = new StoreClient(context);
@@ -136,19 +136,19 @@
   }
 
   @Test
-  void aReportThatNobodyCanPlaceIsTurnedAwayAfterAnInterval() {
-    take(10, report(7));
-    take(900, new Input.Tick());
+  void heartbeatIsRedirectedAfterAnIntervalWithoutAKnownLeader() {
+    handle(10, heartbeat(7));
+    handle(900, new Input.Tick());
     assertTrue(redirects().isEmpty());
-    take(1010, new Input.Tick());
+    handle(1010, new Input.Tick());
     assertEquals(List.of(new Effect.RedirectWorker(7, null)), redirects());
   }
 
   /** A wait of a report interval outlived the worker's own, which is 4 s whatever the interval. */
   @Test
-  void noReportWaitsLongerForBeingASeldomOne() {
+  void heartbeatWaitsNoLongerWhereTheIntervalIsLong() {
     Controller slow = new Controller(TestFixtures.longLeaseSettings(), new Random(1), 0);
-    slow.handle(10, report(7));
+    slow.handle(10, heartbeat(7));
     List<Effect> later = slow.handle(1010, new Input.Tick());
     assertTrue(later.contains(new Effect.RedirectWorker(7, null)), later::toString);
   }
--- a/src/test/java/eiderfork/controller/ElectedLeader.java
+++ b/src/test/java/eiderfork/controller/ElectedLeader.java
@@ -36,9 +36,9 @@
 
   /** Answers the one call to the state service that is open. */
   static void answer(ControllerContext context, Reply reply) {
-    List<Effect.CallStore> asked = effects(context, Effect.CallStore.class);
-    assertEquals(1, asked.size());
-    context.completeCall(asked.get(0).callId(), reply);
+    List<Effect.CallStore> pending = effects(context, Effect.CallStore.class);
+    assertEquals(1, pending.size());
+    context.completeCall(pending.get(0).callId(), reply);
   }
 
   /** Takes all effects, and gives those of this kind. */
--- a/src/test/java/eiderfork/controller/LeaderLeaseTest.java
+++ b/src/test/java/eiderfork/controller/LeaderLeaseTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A controller that stands still while its clock runs on is sure of no lease that may be over. */
+/** A controller that is paused while its clock runs on counts on no lease that may have expired. */
 class LeaderLeaseTest {
   private static final long LEASE_MS = 3300;
 
@@ -26,40 +26,31 @@
       new ControllerContext(TestFixtures.settings("roost-0"), new Random(1), 0);
   private final StoreClient store = new StoreClient(context);
   private final LeaderElection election =
-      new LeaderElection(
-          context,
-          store,
-          new LeaderElection.Listener() {
-            @Override
-            public void onElected() {}
+      new LeaderElection(context, store, ElectedLeader.NO_LISTENER);
 
-            @Override
-            public void onLeadershipLost() {}
-          });
-
-  /** The one call to the state service that is open now. */
-  private Effect.CallStore asked() {
+  /** The one call to the store that is pending now. */
+  private Effect.CallStore pendingStoreCall() {
     List<Effect> effects = new ArrayList<>(context.drainEffects());
     assertEquals(1, effects.size(), effects.toString());
     return assertInstanceOf(Effect.CallStore.class, effects.get(0));
   }
 
-  private void answer(Effect.CallStore storeCall, Reply reply) {
+  private void reply(Effect.CallStore storeCall, Reply reply) {
     context.completeCall(storeCall.callId(), reply);
     store.sendQueued();
   }
 
-  private void pass(long ms) {
+  private void advance(long ms) {
     context.nowMs += ms;
     store.sendQueued();
   }
 
   /** Follows the steps of an election up to the lease that was granted. */
-  private Effect.CallStore standUpToGrant() {
+  private Effect.CallStore electUpToGrant() {
     election.tick();
-    answer(asked(), new Reply.Value(null, 0));
-    answer(asked(), new Reply.Value(null, 0));
-    Effect.CallStore grant = asked();
+    reply(pendingStoreCall(), new Reply.Value(null, 0));
+    reply(pendingStoreCall(), new Reply.Value(null, 0));
+    Effect.CallStore grant = pendingStoreCall();
     assertEquals(new StoreRequest.Grant(LEASE_MS), grant.request());
     return grant;
   }
@@ -70,16 +61,16 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {0, 500, 1000, 2000, 2900, 3200})
-  void theLeaseCountsFromWhenItWasAskedFor(long stillMs) {
-    Effect.CallStore grant = standUpToGrant();
+  void leaseCountsFromItsRequest(long pauseMs) {
+    Effect.CallStore grant = electUpToGrant();
     long grantedMs = context.nowMs;
-    pass(stillMs);
-    answer(grant, new Reply.Leased(7));
-    Effect.CallStore take = asked();
-    assertInstanceOf(StoreRequest.Transaction.class, take.request());
-    answer(take, new Reply.Committed(11));
+    advance(pauseMs);
+    reply(grant, new Reply.Leased(7));
+    Effect.CallStore claim = pendingStoreCall();
+    assertInstanceOf(StoreRequest.Transaction.class, claim.request());
+    reply(claim, new Reply.Committed(11));
     assertTrue(election.isLeading());
-    for (long ms = stillMs; ms <= 2 * LEASE_MS; ms += 50) {
+    for (long ms = pauseMs; ms <= 2 * LEASE_MS; ms += 50) {
       context.nowMs = grantedMs + ms;
       assertFalse(election.isLeaseValid() && ms >= LEASE_MS, "sure " + ms + " ms after the grant");
     }
@@ -88,17 +79,17 @@
   /** The same for the answer to the transaction, and for that to a renewal. */
   @ParameterizedTest
   @ValueSource(longs = {0, 1000, 3000, 5000, 20_000})
-  void aRenewalCountsFromWhenItWasAskedFor(long stillMs) {
-    answer(standUpToGrant(), new Reply.Leased(7));
-    answer(asked(), new Reply.Committed(11));
-    pass(50);
+  void renewalCountsFromItsRequest(long pauseMs) {
+    reply(electUpToGrant(), new Reply.Leased(7));
+    reply(pendingStoreCall(), new Reply.Committed(11));
+    advance(50);
     long renewedMs = context.nowMs;
     election.tick();
-    Effect.CallStore renewal = asked();
+    Effect.CallStore renewal = pendingStoreCall();
     assertEquals(new StoreRequest.Renew(7), renewal.request());
-    pass(stillMs);
-    answer(renewal, new Reply.Leased(7));
-    assertEquals(stillMs < LEASE_MS * 9 / 10, election.isLeaseValid());
+    advance(pauseMs);
+    reply(renewal, new Reply.Leased(7));
+    assertEquals(pauseMs < LEASE_MS * 9 / 10, election.isLeaseValid());
     context.nowMs = Math.max(context.nowMs, renewedMs + LEASE_MS);
     assertFalse(election.isLeaseValid());
   }
@@ -107,15 +98,15 @@
    * Woken after its lease, a node says so to nobody's face until the state service has answered.
    */
   @Test
-  void afterAStillStandNothingIsSureBeforeARenewalIsAnswered() {
-    answer(standUpToGrant(), new Reply.Leased(7));
-    answer(asked(), new Reply.Committed(11));
+  void noLeaseIsValidAfterAPauseBeforeARenewalIsConfirmed() {
+    reply(electUpToGrant(), new Reply.Leased(7));
+    reply(pendingStoreCall(), new Reply.Committed(11));
     assertTrue(election.isLeaseValid());
-    pass(20_000);
+    advance(20_000);
     assertFalse(election.isLeaseValid());
     election.tick();
     assertFalse(election.isLeaseValid());
-    answer(asked(), new Reply.Refused(404));
+    reply(pendingStoreCall(), new Reply.Refused(404));
     assertFalse(election.isLeading());
   }
 }
--- a/src/test/java/eiderfork/controller/ReadBarrierTest.java
+++ b/src/test/java/eiderfork/controller/ReadBarrierTest.java
@@ -17,7 +17,7 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** A question is answered only from memory that holds every cancellation committed before it. */
+/** A query is answered only from memory that holds every cancellation committed before it. */
 class ReadBarrierTest {
   private final ControllerContext context =
       new ControllerContext(TestFixtures.settings("roost-0"), new Random(1), 1000);
@@ -31,7 +31,7 @@
           item -> aborted.add(((StoredRecord.Cancellation) item.record()).uid()),
           caughtUp::add);
 
-  private Effect.CallStore asked() {
+  private Effect.CallStore nextStoreCall() {
     context.nowMs += 1000;
     readBarrier.tick();
     store.sendQueued();
@@ -41,39 +41,38 @@
   }
 
   @Test
-  void servesQuestionsTogetherAndNeverFromAnEarlierLook() {
-    List<String> told = new ArrayList<>();
+  void servesWaitersTogetherAndNeverFromAnEarlierRead() {
+    List<String> outcomes = new ArrayList<>();
     readBarrier.advanceTo(5);
-    readBarrier.awaitCaughtUp(ok -> told.add("first " + ok + aborted));
-    Effect.CallStore look = asked();
-    assertEquals(new StoreRequest.Watch(StoreKeys.CANCELLATION_PREFIX, 5, 0), look.request());
-    readBarrier.awaitCaughtUp(ok -> told.add("second " + ok + aborted));
-    readBarrier.awaitCaughtUp(ok -> told.add("third " + ok + aborted));
+    readBarrier.awaitCaughtUp(ok -> outcomes.add("first " + ok + aborted));
+    Effect.CallStore read = nextStoreCall();
+    assertEquals(new StoreRequest.Watch(StoreKeys.CANCELLATION_PREFIX, 5, 0), read.request());
+    readBarrier.awaitCaughtUp(ok -> outcomes.add("second " + ok + aborted));
+    readBarrier.awaitCaughtUp(ok -> outcomes.add("third " + ok + aborted));
     readBarrier.tick();
-    assertTrue(context.drainEffects().isEmpty(), "a look is under way");
+    assertTrue(context.drainEffects().isEmpty(), "a read is pending");
     long requestedMs = context.nowMs;
     context.nowMs += 400;
-    context.completeCall(look.callId(), new Reply.Changes(ImmutableList.of(), 6));
-    assertEquals(List.of("first true[]"), told);
-    assertEquals(
-        List.of(requestedMs), caughtUp, "it speaks of when it was asked, not of its arrival");
-    Effect.CallStore next = asked();
-    assertEquals(new StoreRequest.Watch(StoreKeys.CANCELLATION_PREFIX, 6, 0), next.request());
+    context.completeCall(read.callId(), new Reply.Changes(ImmutableList.of(), 6));
+    assertEquals(List.of("first true[]"), outcomes);
+    assertEquals(List.of(requestedMs), caughtUp, "the time of the request, not of the reply");
+    Effect.CallStore nextRead = nextStoreCall();
+    assertEquals(new StoreRequest.Watch(StoreKeys.CANCELLATION_PREFIX, 6, 0), nextRead.request());
     Reply.Item item = new Reply.Item("abort/run-1", new StoredRecord.Cancellation("run-1"), 7);
-    context.completeCall(next.callId(), new Reply.Changes(ImmutableList.of(item), 7));
-    assertEquals(List.of("first true[]", "second true[run-1]", "third true[run-1]"), told);
+    context.completeCall(nextRead.callId(), new Reply.Changes(ImmutableList.of(item), 7));
+    assertEquals(List.of("first true[]", "second true[run-1]", "third true[run-1]"), outcomes);
   }
 
   @Test
-  void saysNoWhenTheLookFailsOrTheLeadIsLost() {
-    List<Boolean> told = new ArrayList<>();
-    readBarrier.awaitCaughtUp(told::add);
-    context.completeCall(asked().callId(), new Reply.Refused(503));
-    readBarrier.awaitCaughtUp(told::add);
-    readBarrier.awaitCaughtUp(told::add);
-    Effect.CallStore look = asked();
+  void failsWaitersWhenTheReadFailsOrLeadershipIsLost() {
+    List<Boolean> outcomes = new ArrayList<>();
+    readBarrier.awaitCaughtUp(outcomes::add);
+    context.completeCall(nextStoreCall().callId(), new Reply.Refused(503));
+    readBarrier.awaitCaughtUp(outcomes::add);
+    readBarrier.awaitCaughtUp(outcomes::add);
+    Effect.CallStore read = nextStoreCall();
     readBarrier.failWaiters();
-    context.completeCall(look.callId(), new Reply.Changes(ImmutableList.of(), 9));
-    assertEquals(List.of(false, false, false), told);
+    context.completeCall(read.callId(), new Reply.Changes(ImmutableList.of(), 9));
+    assertEquals(List.of(false, false, false), outcomes);
   }
 }
--- a/src/test/java/eiderfork/controller/RequestForwarderTest.java
+++ b/src/test/java/eiderfork/controller/RequestForwarderTest.java
@@ -19,11 +19,13 @@
   private final ControllerContext context =
       new ControllerContext(TestFixtures.settings("roost-0"), new Random(1), 0);
   private final RequestForwarder forwards = new RequestForwarder(context);
-  private final List<String> told = new ArrayList<>();
+  private final List<String> outcomes = new ArrayList<>();
 
-  private void ask(String uid) {
+  private void enqueue(String uid) {
     forwards.enqueueQuery(
-        uid, response -> told.add(uid + " " + response.status()), () -> told.add(uid + " here"));
+        uid,
+        response -> outcomes.add(uid + " " + response.status()),
+        () -> outcomes.add(uid + " fallback"));
   }
 
   private static UserResponse running(String uid) {
@@ -36,10 +38,10 @@
 
   /** Passed on one by one, the questions of a thousand jobs' users took most of the processor. */
   @Test
-  void theQuestionsOfATickGoInOneRequestAndEachGetsItsOwnAnswer() {
-    ask("run-1");
-    ask("run-2");
-    ask("run-3");
+  void queriesOfATickGoInOneRequestAndEachGetsItsOwnResponse() {
+    enqueue("run-1");
+    enqueue("run-2");
+    enqueue("run-3");
     forwards.sendQueued("roost-1");
     List<Effect.ForwardQueries> sent = sent();
     assertEquals(1, sent.size());
@@ -50,29 +52,30 @@
             UserResponse.refused(404, "no such job"),
             UserResponse.retryAfter(1, "busy"));
     context.completeCall(sent.get(0).callId(), new Reply.ForwardedResponses(answers));
-    assertEquals(List.of("run-1 200", "run-2 404", "run-3 here"), told);
+    assertEquals(List.of("run-1 200", "run-2 404", "run-3 fallback"), outcomes);
   }
 
   @Test
-  void withoutAnAnswerFromTheLeaderEachIsAnsweredHere() {
-    ask("run-1");
+  void withoutAResponseFromTheLeaderEachFallsBack() {
+    enqueue("run-1");
     forwards.sendQueued(null);
-    assertEquals(List.of("run-1 here"), told);
-    ask("run-2");
+    assertEquals(List.of("run-1 fallback"), outcomes);
+    enqueue("run-2");
     forwards.sendQueued("roost-1");
     context.completeCall(sent().get(0).callId(), new Reply.Unanswered());
-    ask("run-3");
-    ask("run-4");
+    enqueue("run-3");
+    enqueue("run-4");
     forwards.sendQueued("roost-1");
     ImmutableList<UserResponse> tooFew = ImmutableList.of(running("run-3"));
     context.completeCall(sent().get(0).callId(), new Reply.ForwardedResponses(tooFew));
-    assertEquals(List.of("run-1 here", "run-2 here", "run-3 here", "run-4 here"), told);
+    assertEquals(
+        List.of("run-1 fallback", "run-2 fallback", "run-3 fallback", "run-4 fallback"), outcomes);
   }
 
   @Test
-  void aRequestStaysBelowWhatAPeerTakes() {
+  void requestStaysBelowThePeersSizeLimit() {
     for (int i = 0; i < 1000; i++) {
-      ask("run-%060d".formatted(i));
+      enqueue("run-%060d".formatted(i));
     }
     forwards.sendQueued("roost-1");
     List<Effect.ForwardQueries> sent = sent();
--- a/src/test/java/eiderfork/controller/StandbyFailoverTest.java
+++ b/src/test/java/eiderfork/controller/StandbyFailoverTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A standby takes the lead over with its copy while something else goes wrong. */
+/** A standby takes over with its replica while something else goes wrong. */
 class StandbyFailoverTest {
   private static SimulatedCluster world(long seed) {
     return world(seed, 3, 1);
@@ -69,7 +69,7 @@
   }
 
   @Test
-  void theStandbyFollowsAndLeadsNext() {
+  void standbyFollowsAndLeadsNext() {
     SimulatedCluster world = world(1);
     List<Job> jobs = rollout(world);
     world.run(30);
@@ -95,10 +95,10 @@
     ExpectedOutcome.allServed(world, jobs);
   }
 
-  /** At every write of a round, with the copy current, one placement behind, and far behind. */
+  /** At every write of a round, with the replica current, one placement behind, and far behind. */
   @ParameterizedTest
   @ValueSource(ints = {0, 50, 100, 150, 200, 300, 400, 500, 700, 900, 1100, 1300, 1600, 2000, 3000})
-  void theLeaderIsKilledInTheMiddleOfARollout(int afterMs) {
+  void leaderIsKilledInTheMiddleOfARollout(int afterMs) {
     for (long stateDelayMs : new long[] {0, 300}) {
       SimulatedCluster world = world(2);
       world.run(20);
@@ -116,7 +116,7 @@
   /** Rents and returns that the old leader had reserved are settled by the next one. */
   @ParameterizedTest
   @ValueSource(ints = {0, 50, 100, 200, 500, 1000, 2000})
-  void rentsAndReturnsInTheCopyAreSettled(int afterMs) {
+  void scaleOutAndScaleInIntentsOfTheReplicaAreSettled(int afterMs) {
     SimulatedCluster world = world(12);
     world.run(20);
     List<Job> jobs = rollout(world);
@@ -134,7 +134,7 @@
   /** Watches bring nothing for a while; what was written meanwhile comes with the proof. */
   @ParameterizedTest
   @ValueSource(ints = {1, 4, 8})
-  void theCopyIsFarBehind(int blindS) {
+  void replicaIsFarBehind(int blindS) {
     SimulatedCluster world = world(13);
     world.run(20);
     String standby = standby(world);
@@ -195,7 +195,7 @@
 
   @ParameterizedTest
   @ValueSource(ints = {-500, 0, 500, 3000, 3400, 3800})
-  void theStateServiceIsOutDuringTheTakeover(int afterMs) {
+  void storeIsUnavailableDuringTheFailover(int afterMs) {
     SimulatedCluster world = world(3);
     List<Job> jobs = rollout(world);
     world.run(25);
@@ -208,7 +208,7 @@
 
   @ParameterizedTest
   @ValueSource(ints = {0, 2000, 3300, 4000})
-  void theStandbyAloneIsRefused(int afterMs) {
+  void standbyAloneIsRefused(int afterMs) {
     SimulatedCluster world = world(4);
     List<Job> jobs = rollout(world);
     world.run(25);
@@ -237,7 +237,7 @@
   /** While it waits, stands for election, catches up, and right after. */
   @ParameterizedTest
   @ValueSource(ints = {0, 1000, 3000, 3300, 3350, 3400, 3450, 3500, 3600, 3800, 4500})
-  void theStandbyIsKilledAtEachPhase(int afterMs) {
+  void standbyIsKilledAtEachPhase(int afterMs) {
     SimulatedCluster world = world(5);
     List<Job> jobs = rollout(world);
     world.run(25);
@@ -263,7 +263,7 @@
   /** Its late commands, transactions, answers and renewals come when the standby leads. */
   @ParameterizedTest
   @CsvSource({"3600,0", "5000,900", "8000,1500", "12000,3000"})
-  void theOldLeaderStoodStillAndGoesOn(int stillMs, int commandsLateMs) {
+  void oldLeaderResumesAfterAPause(int stillMs, int commandsLateMs) {
     SimulatedCluster world = world(7);
     world.lookCloselyAtNews(true);
     world.run(15);
@@ -282,13 +282,13 @@
   /** A third node confirms cancellations, and then the state service is out past cancel_s. */
   @ParameterizedTest
   @ValueSource(ints = {0, 1000, 2500, 3000, 3300, 3400, 3500, 3700, 4200})
-  void cancellationsInTheInstantsOfATakeover(int afterMs) {
+  void cancellationsDuringAFailover(int afterMs) {
     for (long stateDelayMs : new long[] {0, 700}) {
-      cancelInTheInstantsOfATakeover(afterMs, stateDelayMs);
+      cancelDuringAFailover(afterMs, stateDelayMs);
     }
   }
 
-  private static void cancelInTheInstantsOfATakeover(int afterMs, long stateDelayMs) {
+  private static void cancelDuringAFailover(int afterMs, long stateDelayMs) {
     SimulatedCluster world = world(8);
     List<Job> jobs = rollout(world);
     world.run(25);
@@ -308,10 +308,10 @@
     ExpectedOutcome.allServed(world, jobs);
   }
 
-  /** Ended jobs are archived while the copy is followed; some are in it, some go as it is used. */
+  /** Jobs are archived while the replica is followed; some are in it, some go as it is used. */
   @ParameterizedTest
   @MethodSource("seeds")
-  void archivedJobsInTheCopy(long seed) {
+  void archivedJobsInTheReplica(long seed) {
     Settings settings = TestFixtures.withStandbys(TestFixtures.archiving(60, 2), 1);
     SimulatedCluster world = new SimulatedCluster(seed, settings);
     List<Job> jobs = rollout(world);
@@ -329,7 +329,7 @@
 
   @ParameterizedTest
   @ValueSource(ints = {0, 100, 200, 300, 400, 600, 1000})
-  void aGangIsHalfReserved(int afterMs) {
+  void gangIsHalfReserved(int afterMs) {
     SimulatedCluster world = world(9);
     world.run(20);
     List<Job> jobs = new ArrayList<>();
@@ -409,14 +409,14 @@
       }
     }
     for (int i = 0; i < 8; i++) {
-      world.at(10_000 + script.nextInt(60_000), () -> trouble(world, script));
+      world.at(10_000 + script.nextInt(60_000), () -> injectFault(world, script));
     }
     world.run(80);
     world.lookCloselyAtNews(false);
     return jobs;
   }
 
-  private static void trouble(SimulatedCluster world, Random script) {
+  private static void injectFault(SimulatedCluster world, Random script) {
     String any = world.all().get(script.nextInt(world.count));
     String leader = world.leader() == null ? any : world.leader();
     String standby = standby(world) == null ? any : standby(world);
