--- a/src/main/java/eiderfork/controller/recovery/JobPageReader.java
+++ b/src/main/java/eiderfork/controller/recovery/JobPageReader.java
@@ -6,12 +6,12 @@
 import eiderfork.controller.store.RequestPriority;
 
 /**
- * Reads stored jobs a page at a time, each page with the alloc records of its jobs, so that a
- * reader can let go of what it has no use for before it reads on.
+ * Reads stored jobs a page at a time, each page with the allocations of its jobs, so that a reader
+ * can drop what it has no use for before it reads on.
  */
 public final class JobPageReader {
   /**
-   * A page of submissions, and the alloc records between the page before and this one's end.
+   * A page of submissions, and the allocations between the page before and this one's end.
    *
    * @param continueAfter the id of the job after which the next page begins; null where this is the
    *     last
@@ -27,7 +27,7 @@
 
   private final RangeReader reader;
 
-  /** Makes a reader of jobs on one of ranges of keys. */
+  /** Makes a reader of jobs over a reader of ranges. */
   public JobPageReader(RangeReader reader) {
     this.reader = reader;
   }
@@ -39,12 +39,12 @@
    * @param leadingTerm the term in which this node leads
    */
   public void read(
-      String afterJob, long leadingTerm, RequestPriority urgency, PageConsumer pageConsumer) {
+      String afterJob, long leadingTerm, RequestPriority priority, PageConsumer pageConsumer) {
     reader.readPage(
         StoreKeys.JOB_PREFIX,
         keyAfter(StoreKeys.JOB_PREFIX, afterJob),
         leadingTerm,
-        urgency,
+        priority,
         page -> {
           String last = null;
           if (page.hasMore()) {
@@ -56,7 +56,7 @@
               last,
               ImmutableList.builder(),
               leadingTerm,
-              urgency,
+              priority,
               pageConsumer);
         });
   }
@@ -71,13 +71,13 @@
       String lastJob,
       ImmutableList.Builder<Reply.Item> allocs,
       long leadingTerm,
-      RequestPriority urgency,
+      RequestPriority priority,
       PageConsumer pageConsumer) {
     reader.readPage(
         StoreKeys.ALLOC_PREFIX,
         keyAfter(StoreKeys.ALLOC_PREFIX, afterJob),
         leadingTerm,
-        urgency,
+        priority,
         page -> {
           String uid = afterJob;
           for (Reply.Item item : page.items()) {
@@ -88,7 +88,7 @@
           }
           boolean more = page.hasMore() && (lastJob == null || uid.compareTo(lastJob) < 0);
           if (more) {
-            readAllocs(jobs, uid, lastJob, allocs, leadingTerm, urgency, pageConsumer);
+            readAllocs(jobs, uid, lastJob, allocs, leadingTerm, priority, pageConsumer);
           } else {
             pageConsumer.accept(new JobPage(jobs, allocs.build(), lastJob));
           }
--- a/src/main/java/eiderfork/controller/standby/Standby.java
+++ b/src/main/java/eiderfork/controller/standby/Standby.java
@@ -7,7 +7,7 @@
 import org.slf4j.LoggerFactory;
 
 /** Whether this node stands by for the leader, and what it keeps for that. */
-public final class Standby {
+public final class Standby implements LeaderElection.YieldRule {
   private static final Logger LOG = LoggerFactory.getLogger(Standby.class);
 
   private static final long LOG_INTERVAL_MS = 60_000;
@@ -27,7 +27,6 @@
     this.context = context;
     this.election = election;
     this.replica = replica;
-    election.setYieldRule(this::shouldYield);
   }
 
   private boolean isEnabled() {
@@ -39,20 +38,21 @@
     return StandbyRanking.of(context.settings, leader);
   }
 
-  /** Whether a vacant lead is another's before it is this node's. */
-  private boolean shouldYield(boolean byNodeOrder) {
+  /** A vacant leadership is a standby's before it is another node's. */
+  @Override
+  public boolean yieldsToOthers(boolean byNodeOrder) {
     if (!isEnabled() || lastLeader == null) {
       return byNodeOrder;
     }
-    return !standbysOf(lastLeader).contains(context.settings.nodeName());
+    return !isStandbyOf(lastLeader);
   }
 
-  /** The copy of what is committed. */
-  public StandbyReplica copy() {
+  /** The replica of what is committed. */
+  public StandbyReplica replica() {
     return replica;
   }
 
-  /** What the leader has told. */
+  /** The hints that the leader published. */
   public MachineHintStore hints() {
     return hints;
   }
@@ -69,9 +69,7 @@
     if (election.isLeading()) {
       return;
     }
-    boolean standsBy =
-        lastLeader != null && standbysOf(lastLeader).contains(context.settings.nodeName());
-    if (standsBy) {
+    if (lastLeader != null && isStandbyOf(lastLeader)) {
       replica.startIfDue();
       logState();
     } else if (replica.isFollowing()) {
@@ -80,20 +78,24 @@
     }
   }
 
+  private boolean isStandbyOf(String leader) {
+    return standbysOf(leader).contains(context.settings.nodeName());
+  }
+
   private void logState() {
     if (context.nowMs >= nextLogMs) {
       nextLogMs = context.nowMs + LOG_INTERVAL_MS;
       LOG.info(
-          "standing by for {}: {}, hints of {} machines",
+          "standing-by leader={} hintedMachines={} {}",
           lastLeader,
-          replica.describe(),
-          hints.size());
+          hints.size(),
+          replica.describe());
     }
   }
 
-  /** This node's lead is over; what it held as a standby went with its beginning. */
-  public void deposed() {
-    replica.clear("a lead is over");
+  /** This node's leadership is over; what it held as a standby was used up when it began. */
+  public void onLeadershipLost() {
+    replica.clear("this node's leadership is over");
     hints.clear();
   }
 }
--- a/src/test/java/eiderfork/controller/JobArchiverTransactionTest.java
+++ b/src/test/java/eiderfork/controller/JobArchiverTransactionTest.java
@@ -42,13 +42,13 @@
   private final JobState cancelled = jobs.add(CANCELLED, 4);
 
   JobArchiverTransactionTest() {
-    store.leading(true);
+    store.actAsLeader();
     version.recordStored(new StoredRecord.StoredVersion(ClusterVersion.CURRENT), 2);
     StoredRecord.Allocation ended =
         new StoredRecord.Allocation(
             1, true, ImmutableList.of(), ImmutableList.of(new StoredRecord.TaskRange(0, 1)));
     jobs.restoreAllocation(done, ended, 9, new MachineRegistry(context, jobs));
-    cancellations.read(CANCELLED.uid());
+    cancellations.recordStored(CANCELLED.uid());
   }
 
   /** The calls that the next tick after some time makes. */
@@ -168,27 +168,13 @@
   /** A watch that was held up brings a job and its move at once, after memory has let it go. */
   @Test
   void whatAWatchShowsAsRemovedLeavesMemory() {
-    LeaderRecovery recovery =
-        new LeaderRecovery(
-            context,
-            store,
-            election,
-            null,
-            null,
-            null,
-            jobs,
-            null,
-            null,
-            null,
-            null,
-            cancellations,
-            version,
-            null,
-            null,
-            null);
-    recovery.applyChange(new Reply.Item(StoreKeys.job(DONE.uid()), null, 20));
+    StoredRecordRestorer restorer =
+        new StoredRecordRestorer(jobs, null, null, cancellations, version);
+    CommittedChangeApplier changes =
+        new CommittedChangeApplier(restorer, jobs, cancellations, null, new RoundTrigger());
+    changes.apply(new Reply.Item(StoreKeys.job(DONE.uid()), null, 20));
     assertNull(jobs.get(DONE.uid()));
-    recovery.applyChange(new Reply.Item(StoreKeys.cancellation(CANCELLED.uid()), null, 20));
+    changes.apply(new Reply.Item(StoreKeys.cancellation(CANCELLED.uid()), null, 20));
     assertTrue(!cancellations.contains(CANCELLED.uid()));
   }
 
