--- /dev/null
+++ b/src/main/java/eiderfork/controller/AllocationSizeLimitFactory.java
@@ -0,0 +1,25 @@
+package eiderfork.controller;
+
+import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.store.StoreClient;
+
+/** Creates the size limits of allocation records, by the forms that all members can read now. */
+final class AllocationSizeLimitFactory {
+  private final ControllerContext context;
+  private final StoreClient store;
+  private final ClusterVersion version;
+
+  AllocationSizeLimitFactory(ControllerContext context, StoreClient store, ClusterVersion version) {
+    this.context = context;
+    this.store = store;
+    this.version = version;
+  }
+
+  /** The limit for further reservations of this job, beside those that it has. */
+  AllocationSizeLimit create(JobState job) {
+    boolean plainFormUnused = version.isSupportedByAll(ClusterVersion.PACKED_ALLOCS);
+    double plainKb = plainFormUnused ? Double.POSITIVE_INFINITY : store.maxValueKb();
+    boolean withBitmaps = version.isSupportedByAll(ClusterVersion.BITMAP_ALLOCS);
+    return new AllocationSizeLimit(job, plainKb, context.settings.safeValueKb(), withBitmaps);
+  }
+}
--- a/src/main/java/eiderfork/controller/CapacityIndex.java
+++ b/src/main/java/eiderfork/controller/CapacityIndex.java
@@ -20,13 +20,13 @@
   private static final int LEVEL_COUNT = 65;
 
   /** The machines of one kind. */
-  private static final class Group {
+  private static final class MachineGroup {
     final CloudProvisioner.MachineKind kind;
     final RoaringBitmap[] byFreeCpus = new RoaringBitmap[LEVEL_COUNT];
     final RoaringBitmap[] byFreeGpus = new RoaringBitmap[LEVEL_COUNT];
     int machineCount;
 
-    Group(CloudProvisioner.MachineKind kind) {
+    MachineGroup(CloudProvisioner.MachineKind kind) {
       this.kind = kind;
     }
 
@@ -39,17 +39,17 @@
   }
 
   /** Where a machine stands in the index. */
-  static final class Place {
-    private final Group group;
+  static final class Position {
+    private final MachineGroup group;
     private int cpuLevel;
     private int gpuLevel;
 
-    private Place(Group group) {
+    private Position(MachineGroup group) {
       this.group = group;
     }
   }
 
-  private final Map<CloudProvisioner.MachineKind, Group> groups = new LinkedHashMap<>();
+  private final Map<CloudProvisioner.MachineKind, MachineGroup> groups = new LinkedHashMap<>();
   private final FailedSearchCache failedSearches = new FailedSearchCache();
   private int size;
 
@@ -79,7 +79,7 @@
   /** The zones that have machines. */
   Set<String> zones() {
     Set<String> zones = new LinkedHashSet<>();
-    for (Group group : groups.values()) {
+    for (MachineGroup group : groups.values()) {
       if (group.machineCount > 0) {
         zones.add(group.kind.zone());
       }
@@ -92,9 +92,9 @@
     Resources free = machine.freeCapacity();
     int cpuLevel = levelOf(free.cpus());
     int gpuLevel = levelOf(free.gpus());
-    Place place = machine.indexPosition;
+    Position place = machine.indexPosition;
     if (place == null) {
-      place = new Place(groupOf(machine));
+      place = new Position(groupOf(machine));
       place.group.machineCount++;
       size++;
       machine.indexPosition = place;
@@ -105,8 +105,8 @@
     }
     place.cpuLevel = cpuLevel;
     place.gpuLevel = gpuLevel;
-    Group.add(place.group.byFreeCpus, cpuLevel, machine.number);
-    Group.add(place.group.byFreeGpus, gpuLevel, machine.number);
+    MachineGroup.add(place.group.byFreeCpus, cpuLevel, machine.number);
+    MachineGroup.add(place.group.byFreeGpus, gpuLevel, machine.number);
   }
 
   void remove(MachineState machine) {
@@ -118,16 +118,16 @@
     }
   }
 
-  private static void removeFromLevels(Place place, int number) {
+  private static void removeFromLevels(Position place, int number) {
     place.group.byFreeCpus[place.cpuLevel].remove(number);
     place.group.byFreeGpus[place.gpuLevel].remove(number);
   }
 
-  private Group groupOf(MachineState machine) {
+  private MachineGroup groupOf(MachineState machine) {
     CloudProvisioner.MachineKind kind =
         new CloudProvisioner.MachineKind(
             machine.spec.type(), machine.spec.zone(), machine.spec.spot());
-    return groups.computeIfAbsent(kind, Group::new);
+    return groups.computeIfAbsent(kind, MachineGroup::new);
   }
 
   private static int levelOf(double amount) {
@@ -140,7 +140,7 @@
     Resources demand = job.taskResources();
     boolean byGpus = demand.gpus() > 0;
     int least = levelOf(byGpus ? demand.gpus() : demand.cpus());
-    for (Group group : groups.values()) {
+    for (MachineGroup group : groups.values()) {
       CloudProvisioner.MachineKind kind = group.kind;
       if (!eligibleZones.contains(kind.zone())
           || !job.allowsType(kind.type())
--- a/src/main/java/eiderfork/controller/Controller.java
+++ b/src/main/java/eiderfork/controller/Controller.java
@@ -110,7 +110,7 @@
             this::requestRound);
     heartbeatHandler =
         new HeartbeatHandler(context, election, commander, cancellations, leaseProxy, reachability);
-    scheduler = new Scheduler(context, election, store, jobs, fleet, liveness, version);
+    scheduler = new Scheduler(context, store, jobs, fleet, liveness, version);
     cloud = new CloudProvisioner(context, election, store, fleet);
     autoscaler =
         new Autoscaler(context, store, jobs, fleet, liveness, leaseExpiry, cloud, scheduler);
--- a/src/main/java/eiderfork/controller/DispatchEligibility.java
+++ b/src/main/java/eiderfork/controller/DispatchEligibility.java
@@ -34,7 +34,7 @@
         && context.nowMs >= job.failureHistory.notBeforeMs()
         && !isBatchingStarts(job)
         && !isAwaitingTrialTask(job)
-        && store.writeWaitMs(startUrgency(job)) <= context.stepMs();
+        && store.writeWaitMs(startPriority(job)) <= context.stepMs();
   }
 
   /**
@@ -62,7 +62,7 @@
     return !job.reservations.isEmpty();
   }
 
-  static RequestPriority startUrgency(JobState job) {
+  static RequestPriority startPriority(JobState job) {
     return job.spec.kind() == JobKind.ARRAY ? RequestPriority.BATCH : RequestPriority.START;
   }
 
--- a/src/main/java/eiderfork/controller/FairShareOrder.java
+++ b/src/main/java/eiderfork/controller/FairShareOrder.java
@@ -18,19 +18,19 @@
  */
 final class FairShareOrder {
   /** A job with what decides its place. */
-  private record QueuedJob(JobState entry, boolean isWithinGuarantee, long queueTimeMs)
+  private record QueuedJob(JobState job, boolean isWithinGuarantee, long queueTimeMs)
       implements Comparable<QueuedJob> {
     @Override
     public int compareTo(QueuedJob other) {
       if (isWithinGuarantee != other.isWithinGuarantee) {
         return isWithinGuarantee ? -1 : 1;
       }
-      int byPriority = entry.spec.priority().compareTo(other.entry.spec.priority());
+      int byPriority = job.spec.priority().compareTo(other.job.spec.priority());
       if (byPriority != 0) {
         return byPriority;
       }
       int byTurn = Long.compare(queueTimeMs, other.queueTimeMs);
-      return byTurn != 0 ? byTurn : Long.compare(entry.specVersion, other.entry.specVersion);
+      return byTurn != 0 ? byTurn : Long.compare(job.specVersion, other.job.specVersion);
     }
   }
 
@@ -54,7 +54,7 @@
     }
     turns.sort(null);
     List<JobState> ranked = new ArrayList<>(turns.size());
-    turns.forEach(turn -> ranked.add(turn.entry));
+    turns.forEach(turn -> ranked.add(turn.job));
     return ranked;
   }
 
--- a/src/main/java/eiderfork/controller/FreeCapacity.java
+++ b/src/main/java/eiderfork/controller/FreeCapacity.java
@@ -19,7 +19,7 @@
  */
 final class FreeCapacity {
   /** Room on a machine that is being made for a job; nobody else may take it meanwhile. */
-  record Claim(JobState entry, MachineState machine, long untilMs) {}
+  record Claim(JobState job, MachineState machine, long untilMs) {}
 
   private final MachineRegistry fleet;
   private final Predicate<MachineState> usableFilter;
@@ -76,9 +76,9 @@
     claimRevision++;
     for (Claim claim : open) {
       boolean lives =
-          (claim.untilMs > nowMs || borrowedCapacity.isWritePending(claim.entry))
-              && !claim.entry.isTerminal()
-              && !claim.entry.pendingTasks.isEmpty()
+          (claim.untilMs > nowMs || borrowedCapacity.isWritePending(claim.job))
+              && !claim.job.isTerminal()
+              && !claim.job.pendingTasks.isEmpty()
               && fleet.get(claim.machine.name) == claim.machine
               && claimableFilter.test(claim.machine);
       if (lives) {
@@ -99,7 +99,7 @@
   void addClaim(Claim claim) {
     claimRevision++;
     claims.add(claim);
-    claimedByMachine.merge(claim.machine, claim.entry.spec.taskResources(), Resources::plus);
+    claimedByMachine.merge(claim.machine, claim.job.spec.taskResources(), Resources::plus);
   }
 
   /** Opens the room claimed for a job to it, and returns the claims. */
@@ -107,7 +107,7 @@
     List<Claim> own = new ArrayList<>();
     for (Iterator<Claim> all = claims.iterator(); all.hasNext(); ) {
       Claim claim = all.next();
-      if (claim.entry == job) {
+      if (claim.job == job) {
         all.remove();
         claimRevision++;
         own.add(claim);
@@ -119,7 +119,7 @@
 
   boolean hasClaims(JobState job) {
     for (Claim claim : claims) {
-      if (claim.entry == job) {
+      if (claim.job == job) {
         return true;
       }
     }
@@ -128,7 +128,7 @@
 
   /** Whether room on this machine is claimed for the job. */
   boolean hasClaim(JobState job, MachineState machine) {
-    return claims.stream().anyMatch(claim -> claim.entry == job && claim.machine == machine);
+    return claims.stream().anyMatch(claim -> claim.job == job && claim.machine == machine);
   }
 
   /** All claims. */
@@ -154,7 +154,7 @@
   private void returnCapacity(Claim claim) {
     boolean others = claims.stream().anyMatch(it -> it.machine == claim.machine);
     if (others) {
-      claimedByMachine.merge(claim.machine, claim.entry.spec.taskResources(), Resources::minus);
+      claimedByMachine.merge(claim.machine, claim.job.spec.taskResources(), Resources::minus);
     } else {
       claimedByMachine.remove(claim.machine);
     }
--- a/src/main/java/eiderfork/controller/GangScheduler.java
+++ b/src/main/java/eiderfork/controller/GangScheduler.java
@@ -1,137 +1,144 @@
 package eiderfork.controller;
 
 import eiderfork.model.Job;
+import eiderfork.model.Resources;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.random.RandomGenerator;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Finds room for all tasks of a gang at once, or reserves nothing. */
+/** Places all tasks of a gang at once, has capacity preempted for all of them, or does neither. */
 final class GangScheduler {
   private static final Logger LOG = LoggerFactory.getLogger(GangScheduler.class);
 
   private final JobRegistry jobs;
   private final FreeCapacity capacity;
-  private final RandomGenerator random;
-  private final double maxFullSearchExaminations;
+  private final MachineSearchFactory searches;
+  private final AllocationSizeLimitFactory sizeLimits;
+  private final RoundUsage usage;
+  private final QuotaBorrowing borrowing;
+  private final PreemptionBudget preemptionBudget;
 
-  /**
-   * @param maxFullSearchExaminations past this many looks at machines in a round a search takes a
-   *     sample
-   */
   GangScheduler(
       JobRegistry jobs,
       FreeCapacity capacity,
-      RandomGenerator random,
-      double maxFullSearchExaminations) {
+      MachineSearchFactory searches,
+      AllocationSizeLimitFactory sizeLimits,
+      RoundUsage usage,
+      QuotaBorrowing borrowing,
+      PreemptionBudget preemptionBudget) {
     this.jobs = jobs;
     this.capacity = capacity;
-    this.random = random;
-    this.maxFullSearchExaminations = maxFullSearchExaminations;
+    this.searches = searches;
+    this.sizeLimits = sizeLimits;
+    this.usage = usage;
+    this.borrowing = borrowing;
+    this.preemptionBudget = preemptionBudget;
   }
 
-  /** Proposes reservations for the whole gang; whether there was room for it. */
-  boolean place(
-      JobState job,
-      MachineScorer scorer,
-      AllocationSizeLimit stored,
-      SearchConstraints restrictions) {
+  /** Proposes reservations for the whole gang, or has capacity preempted for the whole of it. */
+  void place(JobState job, PreemptionPlanner preemption, SearchConstraints constraints) {
+    Job spec = job.spec;
+    Resources usedWithGang = usage.used(spec.team()).plus(spec.taskResources().times(spec.tasks()));
+    if (!job.gang.canStartAttempt()
+        || borrowing.isGangCoolingDown(job)
+        || !usage.isWithinLimit(spec.team(), usedWithGang)) {
+      return;
+    }
+    List<FreeCapacity.Claim> claims = capacity.releaseClaims(job);
+    if (placeInAnyZone(job, constraints)) {
+      usage.record(spec.team(), usedWithGang);
+    } else if (!claims.isEmpty()) {
+      claims.forEach(capacity::addClaim);
+    } else if (preemptionBudget.isAvailable()) {
+      preemptInAnyZone(job, preemption);
+    }
+  }
+
+  private boolean placeInAnyZone(JobState job, SearchConstraints constraints) {
+    AllocationSizeLimit sizeLimit = sizeLimits.create(job);
     for (Map<String, Integer> tasksByZone : zoneCandidates(job)) {
-      if (hasCapacityForAll(job, tasksByZone, restrictions)
-          && placeInZones(tasksByZone, job, scorer, stored, restrictions)) {
+      if (hasCapacityForAll(job, tasksByZone, constraints)
+          && placeInZones(job, tasksByZone, sizeLimit, constraints)) {
         return true;
       }
     }
     return false;
   }
 
-  /** Has room made for the whole gang; whether that is under way. */
-  boolean preempt(JobState job, PreemptionPlanner preemption) {
+  private void preemptInAnyZone(JobState job, PreemptionPlanner preemption) {
     for (Map<String, Integer> tasksByZone : zoneCandidates(job)) {
       if (preemption.preemptForGang(job, tasksByZone)) {
-        return true;
+        return;
       }
     }
-    return false;
   }
 
   /**
-   * The tasks that each zone holds, to begin a search with. A gang that has to be in one zone is
-   * tried in one after the other: the best machine for its first task may stand where the others
-   * find no room.
+   * The tasks of each zone to begin a search with. A gang that has to be in one zone is tried in
+   * one after the other, since the best machine for its first task may be in a zone that has no
+   * capacity for the others.
    */
   private List<Map<String, Integer>> zoneCandidates(JobState job) {
-    List<Map<String, Integer>> choices = new ArrayList<>();
+    List<Map<String, Integer>> candidates = new ArrayList<>();
     if (!job.spec.singleZone()) {
-      choices.add(new HashMap<>());
-      return choices;
+      candidates.add(new HashMap<>());
+      return candidates;
     }
     for (String zone : capacity.eligibleZones(job, Map.of())) {
       Map<String, Integer> tasksByZone = new HashMap<>();
       tasksByZone.put(zone, 0);
-      choices.add(tasksByZone);
+      candidates.add(tasksByZone);
     }
-    return choices;
+    return candidates;
   }
 
-  /** Whether the machines have room for every task, before any of them is looked at closely. */
+  /** Whether the machines hold every task, before any of them is scored. */
   private boolean hasCapacityForAll(
-      JobState entry, Map<String, Integer> tasksByZone, SearchConstraints restrictions) {
-    Job job = entry.spec;
-    Map<String, Integer> fitting = new HashMap<>();
+      JobState job, Map<String, Integer> tasksByZone, SearchConstraints constraints) {
+    Job spec = job.spec;
+    Map<String, Integer> fittingByZone = new HashMap<>();
     for (MachineState machine :
-        capacity.candidates(job, capacity.eligibleZones(entry, tasksByZone))) {
+        capacity.candidates(spec, capacity.eligibleZones(job, tasksByZone))) {
       capacity.countExamined();
-      int fits =
-          capacity
-              .freeOn(machine, entry, restrictions.excludesReclaimed())
-              .countFitting(job.taskResources());
-      if (fits > 0
+      Resources free = capacity.freeOn(machine, job, constraints.excludesReclaimed());
+      int fitting = free.countFitting(spec.taskResources());
+      if (fitting > 0
           && capacity.isUsable(machine)
-          && capacity.isAllowed(entry, machine, tasksByZone)) {
-        fitting.merge(machine.zone(), Math.min(fits, job.tasks()), Integer::sum);
+          && capacity.isAllowed(job, machine, tasksByZone)) {
+        fittingByZone.merge(machine.zone(), Math.min(fitting, spec.tasks()), Integer::sum);
       }
     }
     int total = 0;
-    for (int tasks : fitting.values()) {
-      total += Math.min(tasks, job.maxTasksPerZone());
+    for (int fitting : fittingByZone.values()) {
+      total += Math.min(fitting, spec.maxTasksPerZone());
     }
-    return total >= job.tasks();
+    return total >= spec.tasks();
   }
 
   private boolean placeInZones(
-      Map<String, Integer> tasksByZone,
       JobState job,
-      MachineScorer scorer,
-      AllocationSizeLimit stored,
-      SearchConstraints restrictions) {
+      Map<String, Integer> tasksByZone,
+      AllocationSizeLimit sizeLimit,
+      SearchConstraints constraints) {
     long attempt = job.nextAttemptNumber();
     List<Reservation> proposed = new ArrayList<>();
-    MachineSearch search =
-        new MachineSearch(
-            capacity,
-            scorer,
-            random,
-            maxFullSearchExaminations,
-            job,
-            tasksByZone,
-            false,
-            restrictions);
+    MachineSearch search = searches.create(job, tasksByZone, false, constraints);
     for (int index = 0; index < job.spec.tasks(); index++) {
       MachineState machine = search.bestMachine();
-      if (machine == null || !stored.fits(index, attempt, machine.name)) {
+      if (machine == null || !sizeLimit.fits(index, attempt, machine.name)) {
         proposed.forEach(jobs::withdrawProposal);
         return false;
       }
       proposed.add(jobs.propose(job, index, attempt, machine));
-      stored.add(index, attempt, machine.name);
+      sizeLimit.add(index, attempt, machine.name);
       tasksByZone.merge(machine.zone(), 1, Integer::sum);
       search.taskPlaced();
     }
-    LOG.debug("gang {} of {}: attempt {}", job.spec.uid(), job.spec.jobClass(), attempt);
+    LOG.debug(
+        "gang-placed job={} jobClass={} attempt={}", job.spec.uid(), job.spec.jobClass(), attempt);
     return true;
   }
 }
--- a/src/main/java/eiderfork/controller/MachineSearch.java
+++ b/src/main/java/eiderfork/controller/MachineSearch.java
@@ -11,8 +11,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The search for machines for the tasks of one job. They are all alike, so each machine is looked
- * at once, and again only after it has taken a task.
+ * The search for machines for the tasks of one job. The tasks are alike, so each machine is
+ * examined once, and again only after a task was placed on it.
  */
 final class MachineSearch {
   private record Candidate(MachineState machine, double score) {
@@ -21,31 +21,30 @@
     }
   }
 
-  /** How many machines a sample has for each task. */
-  private static final int SAMPLE_PER_TASK = 8;
+  private static final int SAMPLED_MACHINES_PER_TASK = 8;
 
   private final FreeCapacity capacity;
   private final MachineScorer scorer;
   private final JobState job;
-  private final SearchConstraints restrictions;
+  private final SearchConstraints constraints;
   private final Map<String, Integer> tasksByZone;
   private final PriorityQueue<Candidate> candidates =
       new PriorityQueue<>(
           Comparator.comparingDouble(Candidate::score).thenComparingInt(Candidate::machineNumber));
 
-  /** Not every machine was looked at, so that nothing found is no proof of no room. */
-  final boolean sampled;
+  private final boolean isSampled;
 
-  /** Zones in which some machine has room for a task. */
+  /** Zones in which some machine has the free capacity for a task. */
   private final Set<String> zonesWithCapacity = new HashSet<>();
 
   /**
+   * Examines the machines on which a task may fit.
+   *
    * @param random draws the sample
-   * @param maxExaminations past this many looks in a round only a sample of the machines is
-   *     searched
-   * @param believe whether what other jobs' searches proved holds for this one; room that was
-   *     claimed for it is not in that
-   * @param restrictions which free room is left alone
+   * @param maxExaminations once a round has examined more machines than this, a sample is examined
+   * @param tasksByZone the job's tasks in each zone; the caller counts each task that it places
+   * @param useFailedSearches whether zones are left out in which other jobs' searches have failed;
+   *     not valid for a job whose own claims were just released
    */
   MachineSearch(
       FreeCapacity capacity,
@@ -54,52 +53,64 @@
       double maxExaminations,
       JobState job,
       Map<String, Integer> tasksByZone,
-      boolean believe,
-      SearchConstraints restrictions) {
+      boolean useFailedSearches,
+      SearchConstraints constraints) {
     this.capacity = capacity;
-    this.restrictions = restrictions;
     this.scorer = scorer;
     this.job = job;
     this.tasksByZone = tasksByZone;
-    Set<String> open = capacity.eligibleZones(job, tasksByZone);
-    if (believe) {
-      open.removeIf(zone -> capacity.failedSearches().isRuledOut(job.spec, zone));
+    this.constraints = constraints;
+    Set<String> zones = capacity.eligibleZones(job, tasksByZone);
+    if (useFailedSearches) {
+      removeFailedZones(zones);
     }
-    if (believe && restrictions.isRestricted()) {
-      open.removeIf(
-          zone -> capacity.failedRestrictedSearches(restrictions).isRuledOut(job.spec, zone));
-    }
-    if (open.isEmpty()) {
-      sampled = false;
+    if (zones.isEmpty()) {
+      isSampled = false;
       return;
     }
-    List<MachineState> all = capacity.candidates(job.spec, open);
-    int sample = SAMPLE_PER_TASK * job.pendingTasks.cardinality();
-    sampled = capacity.examinedMachines() > maxExaminations && all.size() > sample;
-    if (sampled) {
-      for (int i = 0; i < sample; i++) {
-        Collections.swap(all, i, i + random.nextInt(all.size() - i));
-      }
-      all = all.subList(0, sample);
+    List<MachineState> machines = capacity.candidates(job.spec, zones);
+    int sampleSize = SAMPLED_MACHINES_PER_TASK * job.pendingTasks.cardinality();
+    isSampled = capacity.examinedMachines() > maxExaminations && machines.size() > sampleSize;
+    if (isSampled) {
+      sample(machines, sampleSize, random).forEach(this::examine);
+    } else {
+      machines.forEach(this::examine);
+      recordFailures(zones);
+    }
+  }
+
+  private void removeFailedZones(Set<String> zones) {
+    zones.removeIf(zone -> capacity.failedSearches().isRuledOut(job.spec, zone));
+    if (constraints.isRestricted()) {
+      FailedSearchCache restricted = capacity.failedRestrictedSearches(constraints);
+      zones.removeIf(zone -> restricted.isRuledOut(job.spec, zone));
     }
-    for (MachineState machine : all) {
-      examine(machine);
+  }
+
+  private static List<MachineState> sample(
+      List<MachineState> machines, int size, RandomGenerator random) {
+    for (int i = 0; i < size; i++) {
+      Collections.swap(machines, i, i + random.nextInt(machines.size() - i));
     }
-    if (!sampled) {
-      open.stream()
-          .filter(z -> !zonesWithCapacity.contains(z))
-          .forEach(z -> capacity.failedSearches().recordFailure(job.spec, z));
-      if (restrictions.isRestricted() && candidates.isEmpty()) {
-        open.forEach(
-            z -> capacity.failedRestrictedSearches(restrictions).recordFailure(job.spec, z));
+    return machines.subList(0, size);
+  }
+
+  private void recordFailures(Set<String> zones) {
+    for (String zone : zones) {
+      if (!zonesWithCapacity.contains(zone)) {
+        capacity.failedSearches().recordFailure(job.spec, zone);
       }
     }
+    if (constraints.isRestricted() && candidates.isEmpty()) {
+      FailedSearchCache restricted = capacity.failedRestrictedSearches(constraints);
+      zones.forEach(zone -> restricted.recordFailure(job.spec, zone));
+    }
   }
 
   private void examine(MachineState machine) {
     capacity.countExamined();
-    Resources left = capacity.freeOn(machine);
-    if (!job.spec.taskResources().fitsIn(left)
+    Resources free = capacity.freeOn(machine);
+    if (!job.spec.taskResources().fitsIn(free)
         || !PlacementConstraints.isMachineAllowed(job.spec, machine)) {
       return;
     }
@@ -108,36 +119,42 @@
       return;
     }
     zonesWithCapacity.add(machine.zone());
-    if (restrictions.keepsGpuHeadroom() && scorer.wouldStrandGpus(left)
-        || !fitsOutsideReclaimed(machine)) {
-      return;
-    }
-    if (capacity.isAllowed(job, machine, tasksByZone)) {
-      candidates.add(new Candidate(machine, scorer.score(machine, left)));
+    if (isAllowedByConstraints(machine, free) && capacity.isAllowed(job, machine, tasksByZone)) {
+      candidates.add(new Candidate(machine, scorer.score(machine, free)));
     }
   }
 
-  private boolean fitsOutsideReclaimed(MachineState machine) {
-    return !restrictions.excludesReclaimed()
-        || job.spec.taskResources().fitsIn(capacity.freeOn(machine, job, true));
+  private boolean isAllowedByConstraints(MachineState machine, Resources free) {
+    boolean takesHeadroom = constraints.keepsGpuHeadroom() && scorer.wouldStrandGpus(free);
+    return !takesHeadroom && (!constraints.excludesReclaimed() || fitsIn(machine));
+  }
+
+  private boolean fitsIn(MachineState machine) {
+    Resources free = capacity.freeOn(machine, job, constraints.excludesReclaimed());
+    return job.spec.taskResources().fitsIn(free);
+  }
+
+  /**
+   * Whether only a sample was examined, so that finding nothing does not prove that nothing fits.
+   */
+  boolean isSampled() {
+    return isSampled;
   }
 
   /** The best machine for one more task, or null where none fits. */
   MachineState bestMachine() {
-    // A zone that is full for this job stays so, since its tasks only grow in number.
-    while (!candidates.isEmpty()
-        && !(capacity.isAllowed(job, candidates.peek().machine, tasksByZone)
-            && job.spec
-                .taskResources()
-                .fitsIn(
-                    capacity.freeOn(
-                        candidates.peek().machine, job, restrictions.excludesReclaimed())))) {
+    // A zone that is full for this job stays full, since its tasks only grow in number.
+    while (!candidates.isEmpty() && !canTakeTask(candidates.peek().machine)) {
       candidates.remove();
     }
     return candidates.isEmpty() ? null : candidates.peek().machine;
   }
 
-  /** The best machine has taken a task. */
+  private boolean canTakeTask(MachineState machine) {
+    return capacity.isAllowed(job, machine, tasksByZone) && fitsIn(machine);
+  }
+
+  /** Records that a task was placed on the best machine. */
   void taskPlaced() {
     Candidate best = candidates.remove();
     examine(best.machine);
--- a/src/main/java/eiderfork/controller/MachineState.java
+++ b/src/main/java/eiderfork/controller/MachineState.java
@@ -21,7 +21,7 @@
   private final MachineIndexes indexes;
 
   /** Where the machine stands in the index of free room; null while it is not in it. */
-  CapacityIndex.Place indexPosition;
+  CapacityIndex.Position indexPosition;
 
   /** Null while only the name is known, from a rent or a reservation. */
   Machine spec;
--- a/src/main/java/eiderfork/controller/QuotaPreemptionPolicy.java
+++ b/src/main/java/eiderfork/controller/QuotaPreemptionPolicy.java
@@ -8,7 +8,7 @@
 import eiderfork.controller.quota.PreemptionVictim;
 import eiderfork.controller.quota.Preemptor;
 import eiderfork.controller.quota.QuotaLedger;
-import eiderfork.controller.quota.ReclaimPolicy;
+import eiderfork.controller.quota.QuotaPreemptionRules;
 import eiderfork.controller.quota.TeamId;
 import eiderfork.controller.quota.VictimPreference;
 import eiderfork.model.Job;
@@ -30,7 +30,7 @@
   private static final double GANG_RESTART_STEPS = 2;
 
   /** How late a start may be seen, in report intervals. */
-  private static final double START_OBSERVATION_DELAY_REPORTS = 1.25;
+  private static final double START_OBSERVATION_DELAY_HEARTBEATS = 1.25;
 
   private final ControllerContext context;
   private final JobRegistry jobs;
@@ -106,8 +106,8 @@
     Team team = context.settings.teams().get(job.team());
     Resources used = jobs.resourceUsage().used(job.team());
     for (FreeCapacity.Claim claim : teamUsage.claims()) {
-      if (claim.entry().spec.team().equals(job.team())) {
-        used = used.plus(claim.entry().spec.taskResources());
+      if (claim.job().spec.team().equals(job.team())) {
+        used = used.plus(claim.job().spec.taskResources());
       }
     }
     return team == null || !canReclaim
@@ -180,7 +180,8 @@
 
   private PreemptionDecision.Allowed evaluateVictim(
       Preemptor preemptor, Reservation reservation, QuotaLedger ledger, VictimPreference upTo) {
-    PreemptionDecision verdict = ReclaimPolicy.evaluate(preemptor, victimOf(reservation), ledger);
+    PreemptionDecision verdict =
+        QuotaPreemptionRules.evaluate(preemptor, victimOf(reservation), ledger);
     if (verdict instanceof PreemptionDecision.Refused refused) {
       reclaimLog.recordRefusal(refused.reason());
       return null;
@@ -212,7 +213,7 @@
         (context.nowMs - reservation.runningSinceMs) / 1000.0,
         reservation.isStartObserved(),
         preemptor.maxCheckpointWaitS(),
-        START_OBSERVATION_DELAY_REPORTS * context.heartbeatIntervalMs() / 1000.0);
+        START_OBSERVATION_DELAY_HEARTBEATS * context.heartbeatIntervalMs() / 1000.0);
   }
 
   /** What was reclaimed before weighs more, so that it is not always the same that is stopped. */
--- a/src/main/java/eiderfork/controller/TeamUsageTracker.java
+++ b/src/main/java/eiderfork/controller/TeamUsageTracker.java
@@ -79,7 +79,7 @@
   private List<TeamUsage> accounts(Map<String, QuotaAmount> requestedByTeam) {
     Map<String, QuotaAmount> promised = new HashMap<>();
     for (FreeCapacity.Claim claim : capacity.claims()) {
-      Job job = claim.entry().spec;
+      Job job = claim.job().spec;
       promised.merge(job.team(), QuotaAmount.of(job.taskResources()), QuotaAmount::plus);
     }
     List<TeamUsage> accounts = new ArrayList<>();
@@ -120,7 +120,7 @@
 
   /** How many of a gang's tasks have no room promised yet. */
   private long unclaimedTasks(JobState job) {
-    long claimed = capacity.claims().stream().filter(claim -> claim.entry() == job).count();
+    long claimed = capacity.claims().stream().filter(claim -> claim.job() == job).count();
     return Math.max(0, job.spec.tasks() - claimed);
   }
 
--- a/src/main/java/eiderfork/controller/quota/ReclaimPolicy.java
+++ b/src/main/java/eiderfork/controller/quota/QuotaPreemptionRules.java
@@ -11,8 +11,8 @@
  * for work that lies beyond another's. What can't be stopped in part, and lies beyond the guarantee
  * in part only, may be stopped for work within another's guarantee once nothing else would do.
  */
-public final class ReclaimPolicy {
-  private ReclaimPolicy() {}
+public final class QuotaPreemptionRules {
+  private QuotaPreemptionRules() {}
 
   /** Whether the victim may be stopped for the taker, as the ledger stands now. */
   public static PreemptionDecision evaluate(
--- a/src/test/java/eiderfork/controller/quota/ReclaimPolicyTest.java
+++ b/src/test/java/eiderfork/controller/quota/QuotaPreemptionRulesTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Who may reclaim from whom, and what the ledger says after each victim. */
-class ReclaimPolicyTest {
+class QuotaPreemptionRulesTest {
   private static final TeamId DESK = new TeamId("desk");
   private static final TeamId NIGHT = new TeamId("night");
   private static final QuotaAmount ONE_GPU = new QuotaAmount(1, 4);
@@ -74,7 +74,7 @@
     PreemptionVictim victim = new PreemptionVictim(NIGHT, victimKind, victimPriority, ONE_GPU);
     Preemptor preemptor = taker(kind, priority, within, true);
     QuotaLedger ledger = ledger(lenderGuaranteed, lenderUsed);
-    assertEquals(expected, verdict(ReclaimPolicy.evaluate(preemptor, victim, ledger)));
+    assertEquals(expected, verdict(QuotaPreemptionRules.evaluate(preemptor, victim, ledger)));
   }
 
   @Test
@@ -82,7 +82,8 @@
     PreemptionVictim replica = new PreemptionVictim(NIGHT, JobKind.SERVICE, Priority.LOW, ONE_GPU);
     Preemptor preemptor = taker(JobKind.SERVICE, Priority.HIGH, true, false);
     assertEquals(
-        "REPLICA_NOT_YET", verdict(ReclaimPolicy.evaluate(preemptor, replica, ledger(0, 8))));
+        "REPLICA_NOT_YET",
+        verdict(QuotaPreemptionRules.evaluate(preemptor, replica, ledger(0, 8))));
   }
 
   @Test
@@ -90,9 +91,10 @@
     PreemptionVictim own = new PreemptionVictim(DESK, JobKind.ARRAY, Priority.LOW, ONE_GPU);
     Preemptor urgent = taker(JobKind.SERVICE, Priority.HIGH, true, true);
     assertEquals(
-        "PRIORITY BORROWED_BATCH", verdict(ReclaimPolicy.evaluate(urgent, own, ledger(4, 4))));
+        "PRIORITY BORROWED_BATCH",
+        verdict(QuotaPreemptionRules.evaluate(urgent, own, ledger(4, 4))));
     Preemptor same = taker(JobKind.SERVICE, Priority.LOW, true, true);
-    assertEquals("SAME_TEAM", verdict(ReclaimPolicy.evaluate(same, own, ledger(4, 4))));
+    assertEquals("SAME_TEAM", verdict(QuotaPreemptionRules.evaluate(same, own, ledger(4, 4))));
   }
 
   /** Six used, four guaranteed: two may go, the third may not. */
@@ -103,13 +105,15 @@
     PreemptionVictim victim = new PreemptionVictim(NIGHT, JobKind.ARRAY, Priority.HIGH, ONE_GPU);
     for (int i = 0; i < 2; i++) {
       assertEquals(
-          "GUARANTEE BORROWED_BATCH", verdict(ReclaimPolicy.evaluate(preemptor, victim, ledger)));
+          "GUARANTEE BORROWED_BATCH",
+          verdict(QuotaPreemptionRules.evaluate(preemptor, victim, ledger)));
       QuotaLedger trialLedger = ledger.copy();
       trialLedger.addStopping(NIGHT, ONE_GPU);
       assertTrue(ledger.hasOtherBorrower(DESK), "a trial leaves the ledger as it is");
       ledger = trialLedger;
     }
-    assertEquals("NOT_MORE_URGENT", verdict(ReclaimPolicy.evaluate(preemptor, victim, ledger)));
+    assertEquals(
+        "NOT_MORE_URGENT", verdict(QuotaPreemptionRules.evaluate(preemptor, victim, ledger)));
     assertFalse(ledger.hasOtherBorrower(DESK));
   }
 
@@ -120,14 +124,16 @@
     PreemptionVictim gang =
         new PreemptionVictim(NIGHT, JobKind.GANG, Priority.HIGH, ONE_GPU.times(4));
     assertEquals(
-        "GUARANTEE BORROWED_BATCH", verdict(ReclaimPolicy.evaluate(preemptor, gang, ledger(4, 8))));
+        "GUARANTEE BORROWED_BATCH",
+        verdict(QuotaPreemptionRules.evaluate(preemptor, gang, ledger(4, 8))));
     assertEquals(
         "GUARANTEE PARTLY_BORROWED_BATCH",
-        verdict(ReclaimPolicy.evaluate(preemptor, gang, ledger(4, 7))));
-    assertEquals("NOT_MORE_URGENT", verdict(ReclaimPolicy.evaluate(preemptor, gang, ledger(4, 4))));
+        verdict(QuotaPreemptionRules.evaluate(preemptor, gang, ledger(4, 7))));
+    assertEquals(
+        "NOT_MORE_URGENT", verdict(QuotaPreemptionRules.evaluate(preemptor, gang, ledger(4, 4))));
     Preemptor beyond = taker(JobKind.SERVICE, Priority.PRODUCTION, false, true);
     assertEquals(
-        "LENDER_AT_GUARANTEE", verdict(ReclaimPolicy.evaluate(beyond, gang, ledger(4, 7))));
+        "LENDER_AT_GUARANTEE", verdict(QuotaPreemptionRules.evaluate(beyond, gang, ledger(4, 7))));
   }
 
   /** Six are used and one is promised of eight: one more is covered, two are not. */
