--- a/src/main/java/eiderfork/controller/BorrowedCapacity.java
+++ b/src/main/java/eiderfork/controller/BorrowedCapacity.java
@@ -9,8 +9,8 @@
 import eiderfork.model.Team;
 
 /**
- * Which work borrows, and what of a machine's room is kept from it. The cooldowns are hints: a new
- * leader begins without them, which costs one more reversal a machine at most.
+ * Which work borrows quota, and which capacity is withheld from it. The cooldowns are not stored: a
+ * new leader begins without them, which costs one more reversal per machine at most.
  */
 final class BorrowedCapacity {
   private final ControllerContext context;
@@ -26,6 +26,7 @@
     isEnabled = context.settings.operator().isLendingEnabled();
   }
 
+  /** Forgets what belongs to a term that is over. */
   void clear() {
     cooldowns.clear();
   }
@@ -35,26 +36,28 @@
     cooldowns.decay(context.nowMs);
   }
 
-  /** Whether the next task of the job would run beyond what its team is guaranteed. */
+  /** Whether the job's next task, or its whole gang, would exceed its team's guarantee. */
   boolean isBorrowing(JobState job) {
-    if (!isEnabled || job.spec.kind() == JobKind.SERVICE) {
+    Job spec = job.spec;
+    if (!isEnabled || spec.kind() == JobKind.SERVICE) {
       return false;
     }
-    Team team = context.settings.teams().get(job.spec.team());
-    int tasks = job.gang == null ? 1 : job.spec.tasks();
-    Resources used = jobs.resourceUsage().held(job.spec.team());
-    return team == null
-        || !team.isWithinGuarantee(used.plus(job.spec.taskResources().times(tasks)));
+    Team team = context.settings.teams().get(spec.team());
+    int tasks = job.gang == null ? 1 : spec.tasks();
+    Resources used = jobs.resourceUsage().held(spec.team());
+    return team == null || !team.isWithinGuarantee(used.plus(spec.taskResources().times(tasks)));
   }
 
   /**
-   * What of a machine's free room is kept from a job that borrows. What was reclaimed for the job
-   * itself is not: an urgent gang that borrows once waited for the room that was made for it.
+   * The free capacity of a machine that is withheld from a borrowing job. What was reclaimed for
+   * the job itself is not, or it could not use what was freed for it.
    */
   Resources withheldFrom(JobState borrower, MachineState machine) {
-    String own = borrower.spec.uid();
+    String borrowerUid = borrower.spec.uid();
     return cooldowns.withheld(
-        machine.name, context.nowMs, uid -> uid.equals(own) || hasReservation(uid, machine));
+        machine.name,
+        context.nowMs,
+        uid -> uid.equals(borrowerUid) || hasReservation(uid, machine));
   }
 
   private static boolean hasReservation(String uid, MachineState machine) {
@@ -62,7 +65,7 @@
         .anyMatch(reservation -> reservation.job.spec.uid().equals(uid));
   }
 
-  /** Room was reclaimed from a task for another job. */
+  /** Records that a task was reclaimed for another job. */
   void recordReclaim(Reservation victim, Job preemptor) {
     MachineState machine = victim.machine;
     MachineType type = fleet.typeOf(machine);
@@ -70,20 +73,20 @@
       return;
     }
     long startAndSaveMs = startAndSaveMs(victim.job.spec, type);
-    boolean shortLoan =
+    boolean isShortLoan =
         victim.isStartObserved() && context.nowMs - victim.runningSinceMs < startAndSaveMs;
-    long firstMs = Math.max(startAndSaveMs, cooldownMs(type.bootS()));
+    long firstCooldownMs = Math.max(startAndSaveMs, cooldownMs(type.bootS()));
     cooldowns.recordReclaim(
         machine.name,
         preemptor.uid(),
         preemptor.taskResources(),
         context.nowMs,
-        firstMs,
-        shortLoan);
+        firstCooldownMs,
+        isShortLoan);
   }
 
-  private static long startAndSaveMs(Job job, MachineType type) {
-    return (long) (1000 * (job.imageGb() / type.imageFetchGbPerS() + job.saveDurationS()));
+  private static long startAndSaveMs(Job spec, MachineType type) {
+    return (long) (1000 * (spec.imageGb() / type.imageFetchGbPerS() + spec.saveDurationS()));
   }
 
   private long cooldownMs(double bootS) {
@@ -92,28 +95,28 @@
 
   /**
    * Whether a gang that would borrow has to wait, since it was reclaimed lately: longer with each
-   * time. It is the first to be reclaimed where nothing else is borrowed, and loses a start and a
-   * save each time.
+   * time. Where nothing else is borrowed it would be the victim of each reclaim, and lose a start
+   * and a save each time.
    */
-  boolean isGangCoolingDown(JobState job) {
-    int times = job.reclaimCount(0);
-    if (times == 0 || !isBorrowing(job)) {
+  boolean isGangCoolingDown(JobState gang) {
+    int reclaims = gang.reclaimCount(0);
+    if (reclaims == 0 || !isBorrowing(gang)) {
       return false;
     }
-    long firstMs = cooldownMs(fleet.longestBootMs(job.spec) / 1000);
-    long waitsMs = ReclaimCooldowns.cooldownMs(times, firstMs);
-    return context.nowMs - job.lastReclaimedMs() < waitsMs;
+    long firstCooldownMs = cooldownMs(fleet.longestBootMs(gang.spec) / 1000);
+    long cooldownMs = ReclaimCooldowns.cooldownMs(reclaims, firstCooldownMs);
+    return context.nowMs - gang.lastReclaimedMs() < cooldownMs;
   }
 
   /**
-   * Whether a job can't take the room that was made for it, since a write of it is under way.
-   * Without this a borrower took it, and others had to be stopped for the job.
+   * Whether a job can't use its claims yet, since a write of it is in flight. The claims outlast
+   * the write, or a borrower would take the capacity and others be preempted for the job.
    */
   boolean isWritePending(JobState job) {
     return isEnabled && job.writeInFlight;
   }
 
-  /** Whether tasks on this machine can be told to stop: it has answered what it was last told. */
+  /** Whether a machine has answered the latest commands, so that its tasks can be stopped. */
   boolean isResponsive(MachineState machine) {
     return !isEnabled || machine.unansweredCommands == 0;
   }
--- a/src/main/java/eiderfork/controller/DeferredPreemptions.java
+++ b/src/main/java/eiderfork/controller/DeferredPreemptions.java
@@ -10,20 +10,18 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The tasks that are to be stopped right after their next checkpoint. They are hints: nothing was
- * sent for them, and a new leader judges anew.
+ * The tasks that are to be preempted right after their next checkpoint. Nothing is sent for them
+ * before, and nothing stored: a new leader decides anew.
  */
 final class DeferredPreemptions {
   private static final Logger LOG = LoggerFactory.getLogger(DeferredPreemptions.class);
 
-  private record Pending(JobState preemptor, long stopAtMs) {}
+  private record Pending(JobState preemptor, long dueMs) {}
 
   private final ControllerContext context;
   private final JobRegistry jobs;
   private final FreeCapacity capacity;
-  private final Map<Reservation, Pending> pending = new LinkedHashMap<>();
-
-  /** Counts the changes of what is pending. */
+  private final Map<Reservation, Pending> pendingByVictim = new LinkedHashMap<>();
   private long revision;
 
   DeferredPreemptions(ControllerContext context, JobRegistry jobs, FreeCapacity capacity) {
@@ -32,37 +30,39 @@
     this.capacity = capacity;
   }
 
+  /** Forgets what belongs to a term that is over. */
   void clear() {
     revision++;
-    pending.clear();
+    pendingByVictim.clear();
   }
 
-  /** Has a task stopped for a job once it has written its next checkpoint. */
+  /** Has a task preempted for a job once it has written its next checkpoint. */
   void preemptAfterCheckpoint(Reservation victim, JobState preemptor, double checkpointDelayS) {
     revision++;
-    pending.put(
-        victim, new Pending(preemptor, context.nowMs + Math.round(checkpointDelayS * 1000)));
+    long dueMs = context.nowMs + Math.round(checkpointDelayS * 1000);
+    pendingByVictim.put(victim, new Pending(preemptor, dueMs));
   }
 
-  /** A task is not to be stopped after all. */
+  /** Takes the preemption of a task back. */
   void cancel(Reservation victim) {
     revision++;
-    pending.remove(victim);
+    pendingByVictim.remove(victim);
   }
 
+  /** Whether a task is to be preempted after its next checkpoint. */
   boolean isPending(Reservation victim) {
-    return pending.containsKey(victim);
+    return pendingByVictim.containsKey(victim);
   }
 
-  /** Stays as it is while nothing changes here. */
+  /** Grows with each change of what is pending. */
   long revision() {
     return revision;
   }
 
-  /** What is to be stopped of a team's work. */
+  /** What pending preemptions will free of a team's usage. */
   QuotaAmount pendingAmountOf(TeamId team) {
     QuotaAmount sum = QuotaAmount.NONE;
-    for (Reservation victim : pending.keySet()) {
+    for (Reservation victim : pendingByVictim.keySet()) {
       if (victim.job.spec.team().equals(team.name())) {
         sum = sum.plus(amountFreedBy(victim));
       }
@@ -76,31 +76,37 @@
     return QuotaAmount.of(victim.job.spec.taskResources()).times(tasks);
   }
 
-  /** Stops what has come to its checkpoint, and drops what nobody waits for any more. */
+  /** Preempts the tasks whose checkpoint is due, and drops what no job waits for any more. */
   void tick() {
-    for (Iterator<Map.Entry<Reservation, Pending>> all = pending.entrySet().iterator();
-        all.hasNext(); ) {
-      Map.Entry<Reservation, Pending> each = all.next();
-      Reservation victim = each.getKey();
-      Pending plan = each.getValue();
-      boolean stands =
-          victim.job.reservations.get(victim.taskIndex) == victim && victim.isDesired();
-      if (!stands
-          || plan.preemptor.isTerminal()
-          || !capacity.hasClaim(plan.preemptor, victim.machine)) {
-        all.remove();
+    for (Iterator<Map.Entry<Reservation, Pending>> entries = pendingByVictim.entrySet().iterator();
+        entries.hasNext(); ) {
+      Map.Entry<Reservation, Pending> entry = entries.next();
+      Reservation victim = entry.getKey();
+      Pending pending = entry.getValue();
+      if (!isNeeded(victim, pending.preemptor)) {
+        entries.remove();
         revision++;
-      } else if (context.nowMs >= plan.stopAtMs) {
-        all.remove();
+      } else if (context.nowMs >= pending.dueMs) {
+        entries.remove();
         revision++;
-        preemptNow(victim, plan.preemptor);
+        preemptNow(victim, pending.preemptor);
       }
     }
   }
 
+  private boolean isNeeded(Reservation victim, JobState preemptor) {
+    boolean isCurrent =
+        victim.job.reservations.get(victim.taskIndex) == victim && victim.isDesired();
+    return isCurrent && !preemptor.isTerminal() && capacity.hasClaim(preemptor, victim.machine);
+  }
+
   private void preemptNow(Reservation victim, JobState preemptor) {
     LOG.info(
-        "{} has written a checkpoint and ends for {}", victim.toAttempt(), preemptor.spec.uid());
+        "deferred-preemption victim={} attempt={} machine={} preemptor={}",
+        victim.toAttempt().task(),
+        victim.attempt,
+        victim.machine.name,
+        preemptor.spec.uid());
     if (victim.job.gang == null) {
       victim.skipSave();
       victim.requestStop();
--- /dev/null
+++ b/src/main/java/eiderfork/controller/PreemptionLog.java
@@ -0,0 +1,35 @@
+package eiderfork.controller;
+
+import eiderfork.model.Job;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Logs the preemptions of all policies in one form. */
+final class PreemptionLog {
+  private static final Logger LOG = LoggerFactory.getLogger(PreemptionLog.class);
+
+  private PreemptionLog() {}
+
+  /** Logs that a task, or a gang by one of its tasks, is preempted for a job. */
+  static void logVictim(Job preemptor, PreemptionPolicy.Choice choice) {
+    Reservation victim = choice.task();
+    LOG.info(
+        "preemption preemptor={} preemptorTeam={} victim={} attempt={} victimTeam={} machine={}"
+            + " reason={} mode={} delayS={} lostWorkS={} cost={}",
+        preemptor.uid(),
+        preemptor.team(),
+        victim.toAttempt().task(),
+        victim.attempt,
+        victim.job.spec.team(),
+        victim.machine.name,
+        choice.reason(),
+        choice.plan().mode(),
+        oneDecimal(choice.plan().delayS()),
+        oneDecimal(choice.plan().lostWorkS()),
+        oneDecimal(choice.cost()));
+  }
+
+  private static String oneDecimal(double value) {
+    return "%.1f".formatted(value);
+  }
+}
--- a/src/main/java/eiderfork/controller/PreemptionPolicy.java
+++ b/src/main/java/eiderfork/controller/PreemptionPolicy.java
@@ -5,51 +5,57 @@
 import eiderfork.controller.quota.VictimPreference;
 import java.util.List;
 
-/** Which work may be stopped to make room for a job, how, and what that costs. */
+/**
+ * Which work may be preempted for a job, how, and what that costs.
+ *
+ * <p>The planner examines machines one after the other: {@link #beginOption}, then {@link
+ * #evaluate} for each task, then {@link #include} for those that it would choose. It commits to an
+ * option with {@link #preempt}, and ends each job with {@link #confirm} or {@link #rollBack}.
+ */
 interface PreemptionPolicy {
   /**
-   * A task that may be stopped.
+   * A task that may be preempted.
    *
-   * @param cost what that throws away, in seconds of its work weighted by its size
+   * @param cost the work that is thrown away, in seconds weighted by size
    */
   record Choice(Reservation task, PreemptionReason reason, PreemptionPlan plan, double cost) {}
 
-  /** Whether room may be made for an array; it may always be for other jobs. */
+  /** Whether work may be preempted for an array; it always may for other jobs. */
   boolean canPreemptForArray(JobState preemptor);
 
-  /** How many of the wanted tasks may have room made for them now. */
+  /** For how many of the wanted tasks work may be preempted now. */
   int maxTasks(JobState preemptor, int wanted);
 
-  /** Up to which kinds of work victims are looked for, one after the other. */
+  /** Up to which kinds of work victims are looked for, one search after the other. */
   List<VictimPreference> preferences(JobState preemptor);
 
-  /** What distinguishes the jobs for which the same searches for victims fail. */
+  /** Equal for jobs of which the policy treats every victim alike. */
   Object preemptorClass(JobState preemptor);
 
-  /** Whether the job borrows, so that room which was reclaimed lately is not for it. */
+  /** Whether the job borrows quota, so that recently reclaimed capacity is withheld from it. */
   boolean isBorrowing(JobState preemptor);
 
-  /** Whether tasks on this machine may be told to stop, and are likely to do so. */
+  /** Whether tasks on this machine can be expected to obey a stop command. */
   boolean canPreemptOn(MachineState machine);
 
-  /** Whether the room of a task becomes free without anybody else being stopped. */
+  /** Whether a task is ending already, so that its capacity counts as free. */
   boolean isFreeingCapacity(Reservation reservation);
 
-  /** A machine is looked at; nothing of it was chosen yet. */
+  /** Begins with another machine, of which no task is included yet. */
   void beginOption();
 
-  /** How a task may be stopped for the job; null where it may not be. */
-  Choice evaluate(JobState preemptor, Reservation reservation, VictimPreference upTo);
+  /** How a task may be preempted for the job; null where it may not be. */
+  Choice evaluate(JobState preemptor, Reservation reservation, VictimPreference maxPreference);
 
-  /** Whether a task may still be stopped after those taken since {@link #beginOption}; takes it. */
-  boolean include(JobState preemptor, Choice choice, VictimPreference upTo);
+  /** Includes a task, if it may still be preempted beside those included before. */
+  boolean include(JobState preemptor, Choice choice, VictimPreference maxPreference);
 
-  /** Room for a task of the job is made on this machine, by stopping these. */
+  /** Preempts the tasks for one task of the job on this machine. */
   void preempt(JobState preemptor, MachineState machine, List<Choice> choices);
 
-  /** What was stopped since the last call stays so. */
+  /** Confirms what was preempted since the last confirmation. */
   void confirm(JobState preemptor);
 
-  /** What was stopped since the last confirmation goes on; nothing was sent to it yet. */
+  /** Takes back what was preempted since the last confirmation; no command was sent for it yet. */
   void rollBack();
 }
--- a/src/main/java/eiderfork/controller/PriorityPreemptionPolicy.java
+++ b/src/main/java/eiderfork/controller/PriorityPreemptionPolicy.java
@@ -1,45 +1,27 @@
 package eiderfork.controller;
 
-import eiderfork.controller.context.ControllerContext;
 import eiderfork.controller.quota.PreemptionMode;
 import eiderfork.controller.quota.PreemptionPlan;
 import eiderfork.controller.quota.PreemptionReason;
 import eiderfork.controller.quota.VictimPreference;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
-import eiderfork.model.TaskStatus;
 import java.util.ArrayList;
 import java.util.List;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
 
-/** Stops batch work of a lower priority, whoever's it is. Guarantees are not looked at. */
+/**
+ * Preempts batch work of a lower priority, whichever team it belongs to, and ignores guarantees.
+ */
 final class PriorityPreemptionPolicy implements PreemptionPolicy {
-  private static final Logger LOG = LoggerFactory.getLogger(PriorityPreemptionPolicy.class);
-
-  /** How long a gang is away when it is stopped, in steps. */
-  private static final double GANG_RESTART_STEPS = 2;
-
-  /** How many runs of a task its job's deadline is worth when it is decided which one to stop. */
-  static final double MISSED_DEADLINE_RUNS = 4;
-
-  private final ControllerContext context;
   private final JobRegistry jobs;
-  private final CpusPerGpu cpusPerGpu;
-  private final DeadlineEstimator deadlines;
+  private final PreemptionCosts costs;
 
-  /** What was stopped and not confirmed yet. */
+  /** What was preempted and not confirmed yet. */
   private final List<Reservation> unconfirmed = new ArrayList<>();
 
-  PriorityPreemptionPolicy(
-      ControllerContext context,
-      JobRegistry jobs,
-      CpusPerGpu cpusPerGpu,
-      DeadlineEstimator deadlines) {
-    this.context = context;
+  PriorityPreemptionPolicy(JobRegistry jobs, PreemptionCosts costs) {
     this.jobs = jobs;
-    this.cpusPerGpu = cpusPerGpu;
-    this.deadlines = deadlines;
+    this.costs = costs;
   }
 
   @Override
@@ -81,71 +63,48 @@
   public void beginOption() {}
 
   @Override
-  public Choice evaluate(JobState preemptor, Reservation reservation, VictimPreference upTo) {
+  public Choice evaluate(
+      JobState preemptor, Reservation reservation, VictimPreference maxPreference) {
     Job spec = reservation.job.spec;
-    boolean mayStop =
+    boolean isPreemptible =
         spec.kind() != JobKind.SERVICE && spec.priority().compareTo(preemptor.spec.priority()) > 0;
-    if (!mayStop) {
+    if (!isPreemptible) {
       return null;
     }
     PreemptionPlan plan = new PreemptionPlan(PreemptionMode.SAVE, 0, lostWorkS(reservation));
-    return new Choice(
-        reservation,
-        PreemptionReason.PRIORITY,
-        plan,
-        plan.lostWorkS() * cpusPerGpu.gpuWeight(spec.taskResources()));
+    double cost = plan.lostWorkS() * costs.weight(spec);
+    return new Choice(reservation, PreemptionReason.PRIORITY, plan, cost);
   }
 
   private double lostWorkS(Reservation reservation) {
-    Job spec = reservation.job.spec;
     if (reservation.job.gang != null) {
       return gangLostWorkS(reservation);
     }
-    if (reservation.reportedState != TaskStatus.State.RUNNING || reservation.runningSinceMs == 0) {
+    if (!PreemptionCosts.isKnownRunning(reservation)) {
       return 0;
     }
-    double ranS = (context.nowMs - reservation.runningSinceMs) / 1000.0;
-    double sinceCheckpointS =
-        spec.checkpointIntervalS() > 0 ? Math.min(ranS, spec.checkpointIntervalS()) : ranS;
-    double lateS =
-        deadlines.isLateIfRerun(reservation) ? spec.estimatedRunS() * MISSED_DEADLINE_RUNS : 0;
-    return sinceCheckpointS + lateS;
+    double runS = costs.runS(reservation);
+    double checkpointIntervalS = reservation.job.spec.checkpointIntervalS();
+    double sinceCheckpointS = checkpointIntervalS > 0 ? Math.min(runS, checkpointIntervalS) : runS;
+    return sinceCheckpointS + costs.missedDeadlineS(reservation);
   }
 
-  /**
-   * What each of a gang's tasks on a machine bears of stopping all of the gang. It saves first if
-   * it can, and is away for a while; a gang that can't save loses what it did.
-   */
+  /** A gang saves first if it can; one that can't save loses all that it did. */
   private double gangLostWorkS(Reservation reservation) {
     Job spec = reservation.job.spec;
-    double ranS =
-        reservation.runningSinceMs == 0 ? 0 : (context.nowMs - reservation.runningSinceMs) / 1000.0;
-    double lostS = spec.checkpointIntervalS() > 0 ? spec.saveDurationS() : ranS;
-    return (lostS + GANG_RESTART_STEPS * context.stepS()) * gangTasksPerLocalTask(reservation);
-  }
-
-  /** How many of a gang's tasks end for each of them on a machine. */
-  static double gangTasksPerLocalTask(Reservation reservation) {
-    long here =
-        reservation.machine.reservations.stream()
-            .filter(other -> other.job == reservation.job)
-            .count();
-    return reservation.job.spec.tasks() / (double) here;
+    double lostS = spec.checkpointIntervalS() > 0 ? spec.saveDurationS() : costs.runS(reservation);
+    return costs.gangShareS(reservation, lostS);
   }
 
   @Override
-  public boolean include(JobState preemptor, Choice choice, VictimPreference upTo) {
+  public boolean include(JobState preemptor, Choice choice, VictimPreference maxPreference) {
     return true;
   }
 
   @Override
   public void preempt(JobState preemptor, MachineState machine, List<Choice> choices) {
     for (Choice choice : choices) {
-      LOG.info(
-          "stopping {} on {} for {}",
-          choice.task().toAttempt(),
-          machine.name,
-          preemptor.spec.uid());
+      PreemptionLog.logVictim(preemptor.spec, choice);
       jobs.requestStop(choice.task());
       machine.requestCommand();
       unconfirmed.add(choice.task());
--- a/src/main/java/eiderfork/controller/QuotaBorrowing.java
+++ b/src/main/java/eiderfork/controller/QuotaBorrowing.java
@@ -3,8 +3,9 @@
 import eiderfork.controller.context.ControllerContext;
 
 /**
- * GPUs lent to batch work: puts together what the rules of {@code controller.quota} need, for one
- * leader. Nothing is stored for it. What is lent follows from reservations, guarantees and demand.
+ * Quota that teams borrow, for one leader: connects its state with the rules of {@code
+ * controller.quota}. Nothing is stored for it; what is borrowed follows from reservations,
+ * guarantees and demand.
  */
 final class QuotaBorrowing {
   private final ControllerContext context;
@@ -15,13 +16,13 @@
   private final BorrowedCapacity borrowedCapacity;
   private final DeferredPreemptions deferredPreemptions;
   private final TeamUsageTracker teamUsage;
-  private final QuotaReclaimLog reclaimLog;
+  private final QuotaUsageLog usageLog;
   private final boolean isEnabled;
 
-  /** When this leader began to decide; 0 for not yet. */
+  /** When this leader first decided; 0 for not yet. */
   private long firstTickMs;
 
-  /** The machines have shown what an older leader stopped, or had the time to. */
+  /** Machines have shown what an earlier leader preempted, or had the time to. */
   private boolean canReclaim;
 
   QuotaBorrowing(
@@ -40,7 +41,7 @@
     this.borrowedCapacity = borrowedCapacity;
     deferredPreemptions = new DeferredPreemptions(context, jobs, capacity);
     teamUsage = new TeamUsageTracker(context, jobs, fleet, capacity, deferredPreemptions);
-    reclaimLog = new QuotaReclaimLog(context);
+    usageLog = new QuotaUsageLog(context);
     isEnabled = context.settings.operator().isLendingEnabled();
   }
 
@@ -51,42 +52,42 @@
     borrowedCapacity.clear();
     deferredPreemptions.clear();
     teamUsage.clear();
-    reclaimLog.clear();
+    usageLog.clear();
   }
 
-  /** What may be stopped for jobs in a round. */
+  /** The policy for the preemptions of one round. */
   PreemptionPolicy preemptionPolicy(CpusPerGpu cpusPerGpu) {
-    return isEnabled
-        ? new QuotaPreemptionPolicy(
-            context,
-            jobs,
-            fleet,
-            cpusPerGpu,
-            deadlines,
-            teamUsage,
-            deferredPreemptions,
-            borrowedCapacity,
-            reclaimLog,
-            canReclaim)
-        : new PriorityPreemptionPolicy(context, jobs, cpusPerGpu, deadlines);
+    PreemptionCosts costs = new PreemptionCosts(context, cpusPerGpu, deadlines);
+    if (!isEnabled) {
+      return new PriorityPreemptionPolicy(jobs, costs);
+    }
+    return new QuotaPreemptionPolicy(
+        context,
+        jobs,
+        new QuotaPreemptionPlans(context, fleet, costs),
+        teamUsage,
+        deferredPreemptions,
+        borrowedCapacity,
+        usageLog,
+        canReclaim);
   }
 
   /**
-   * A new leader reclaims nothing before it has seen what stands on each machine: what an older one
-   * has stopped there may be about to end, and others would be stopped in its stead. A machine that
-   * stays silent is waited for no longer than until it counts as silent.
+   * A new leader reclaims nothing before it has seen what runs on each machine: tasks that an
+   * earlier leader preempted there may be about to end, and others would be preempted in their
+   * place. It waits for a silent machine until the heartbeat timeout.
    */
   private void awaitEarlierReclaims() {
     if (canReclaim) {
       return;
     }
     firstTickMs = firstTickMs == 0 ? context.nowMs : firstTickMs;
-    boolean anyUnshown =
+    boolean isAnyUnseen =
         fleet.indexes().anyAwaitingToken(number -> !fleet.get(number).reservations.isEmpty());
-    canReclaim = !anyUnshown || context.nowMs - firstTickMs > liveness.heartbeatTimeoutMs();
+    canReclaim = !isAnyUnseen || context.nowMs - firstTickMs > liveness.heartbeatTimeoutMs();
   }
 
-  /** Whether the next task of the job would run beyond what its team is guaranteed. */
+  /** Whether the job's next task, or its whole gang, would exceed its team's guarantee. */
   boolean isBorrowing(JobState job) {
     return borrowedCapacity.isBorrowing(job);
   }
@@ -96,12 +97,13 @@
     return isEnabled && borrowedCapacity.isGangCoolingDown(job);
   }
 
+  /** Does what is due between rounds. */
   void tick() {
     if (isEnabled) {
       awaitEarlierReclaims();
       deferredPreemptions.tick();
       borrowedCapacity.tick();
-      reclaimLog.logIfDue(teamUsage::accountsWithDemand);
+      usageLog.logIfDue(teamUsage::usagesWithRequests);
     }
   }
 }
--- a/src/main/java/eiderfork/controller/ReplicaMigration.java
+++ b/src/main/java/eiderfork/controller/ReplicaMigration.java
@@ -11,18 +11,23 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Finds replicas that may move away for a job, and the room that they move to. */
+/** Finds replicas that may migrate for a job, and the machines that they migrate to. */
 final class ReplicaMigration {
-  /** How long a replica is away while it moves, in steps. */
+  /** The cost of a migration that is not allowed. */
+  static final double IMPOSSIBLE = Double.MAX_VALUE;
+
+  /** How long a replica does not serve while it migrates, in steps. */
   private static final double MIGRATION_STEPS = 2;
 
-  /** How long a replica has to run before it may move, in steps. */
+  /** How long a replica has to run before it may migrate, in steps. */
   private static final int MIN_RUN_STEPS = 10;
 
-  /** Machines of a zone that may take replicas of a profile; those before the first are full. */
+  /** Machines of a zone that replicas of one profile may migrate to. */
   private static final class MigrationTargets {
-    final List<MachineState> machines;
-    int firstNotFull;
+    private final List<MachineState> machines;
+
+    /** The machines before this index are known to be full. */
+    private int firstNotFull;
 
     MigrationTargets(List<MachineState> machines) {
       this.machines = machines;
@@ -37,10 +42,10 @@
   private final Map<PlacementProfile, Map<String, MigrationTargets>> targets =
       new Reference2ObjectOpenHashMap<>();
 
-  /** What moved replicas will take where they go; it only guards against moving too many. */
+  /** What migrated replicas will take on their targets; only a guard against migrating too many. */
   private final Map<MachineState, Resources> confirmedMigrations = new HashMap<>();
 
-  /** The same for the option that is being looked at. */
+  /** The same for the option that is being examined. */
   private final Map<MachineState, Resources> proposedMigrations = new HashMap<>();
 
   private int examinedMachines;
@@ -56,82 +61,100 @@
     this.cpusPerGpu = cpusPerGpu;
   }
 
-  /** How many looks at machines were taken for this. */
+  /** How often a machine was examined as a target. */
   int examinedMachines() {
     return examinedMachines;
   }
 
-  /** Another machine is looked at; what was to move from the one before it stays. */
+  /** Begins another option: what was proposed for the one before is dropped. */
   void beginOption() {
     proposedMigrations.clear();
   }
 
-  /** The moves found since {@link #beginOption} are made. */
+  /** Confirms the migrations that were proposed since {@link #beginOption}. */
   void confirm() {
     proposedMigrations.forEach(
         (machine, needs) -> confirmedMigrations.merge(machine, needs, Resources::plus));
   }
 
   /**
-   * What moving this replica for the job throws away, in seconds of its work weighted by its size;
-   * the largest double where it stays.
+   * What migrating this replica for the job costs, in seconds of its work weighted by its size;
+   * {@link #IMPOSSIBLE} where it stays.
    *
-   * <p>Replicas on GPUs stay where there is no room at all: what moving them makes is taken from
-   * smaller jobs that wait as well. They move for an image that would come too late, once they have
-   * run for long enough to count as started.
+   * <p>Replicas on GPUs do not migrate to free capacity, since their new place is taken from
+   * smaller jobs that wait as well. They migrate where a more urgent job's image would come too
+   * late elsewhere, once they have run for long enough to count as started.
    *
-   * @param forImage whether there is room elsewhere, where the image comes too late
+   * @param forImage whether the job has capacity elsewhere, where its image comes too late
    */
-  double cost(Job job, Reservation reservation, boolean forImage) {
-    Job spec = reservation.job.spec;
-    boolean gpusMove =
-        forImage
-            && spec.priority().compareTo(job.priority()) > 0
-            && context.nowMs - reservation.runningSinceMs > MachineConsolidation.MIN_RUNNING_MS;
-    boolean movable =
+  double cost(Job job, Reservation replica, boolean forImage) {
+    Job spec = replica.job.spec;
+    boolean isMovable =
         spec.kind() == JobKind.SERVICE
-            && (spec.taskResources().gpus() <= 0 || gpusMove)
-            && reservation.reportedState == TaskStatus.State.RUNNING
-            && spec.taskResources().shareOf(reservation.machine.capacity)
-                < job.taskResources().shareOf(reservation.machine.capacity)
-            && context.nowMs - reservation.runningSinceMs > MIN_RUN_STEPS * context.stepMs();
-    double weight = cpusPerGpu.gpuWeight(spec.taskResources());
-    return movable ? MIGRATION_STEPS * context.stepS() * weight : Double.MAX_VALUE;
+            && (spec.taskResources().gpus() <= 0 || forImage && isGpuReplicaMovable(job, replica))
+            && replica.reportedState == TaskStatus.State.RUNNING
+            && isSmaller(spec, job, replica.machine)
+            && runMs(replica) > MIN_RUN_STEPS * context.stepMs();
+    return isMovable
+        ? MIGRATION_STEPS * context.stepS() * cpusPerGpu.gpuWeight(spec.taskResources())
+        : IMPOSSIBLE;
+  }
+
+  private boolean isGpuReplicaMovable(Job job, Reservation replica) {
+    return replica.job.spec.priority().compareTo(job.priority()) > 0
+        && runMs(replica) > MachineConsolidation.MIN_RUNNING_MS;
+  }
+
+  private static boolean isSmaller(Job spec, Job than, MachineState machine) {
+    return spec.taskResources().shareOf(machine.capacity)
+        < than.taskResources().shareOf(machine.capacity);
   }
 
-  /** Whether a replica finds room on another machine; takes that room. */
-  boolean reserveTarget(Reservation reservation) {
-    Job job = reservation.job.spec;
-    String zone = reservation.machine.zone();
-    MigrationTargets open =
-        targets
-            .computeIfAbsent(reservation.job.profile, profile -> new HashMap<>())
-            .computeIfAbsent(zone, z -> new MigrationTargets(capacity.candidates(job, Set.of(z))));
-    for (int i = open.firstNotFull; i < open.machines.size(); i++) {
-      MachineState machine = open.machines.get(i);
+  private long runMs(Reservation replica) {
+    return context.nowMs - replica.runningSinceMs;
+  }
+
+  /** Proposes a machine for a replica to migrate to; whether there is one. */
+  boolean reserveTarget(Reservation replica) {
+    Job spec = replica.job.spec;
+    MigrationTargets zoneTargets = targetsFor(replica);
+    for (int i = zoneTargets.firstNotFull; i < zoneTargets.machines.size(); i++) {
+      MachineState machine = zoneTargets.machines.get(i);
       examinedMachines++;
       capacity.countExamined();
-      Resources left =
+      Resources free =
           capacity.freeOn(machine).minus(confirmedMigrations.getOrDefault(machine, Resources.NONE));
-      if (!capacity.isUsable(machine)
-          || !canAccept(job, left)
-          || imageFetch.waitS(job, machine) > context.stepS()) {
-        if (i == open.firstNotFull) {
-          open.firstNotFull++;
+      if (!isTarget(spec, machine, free)) {
+        if (i == zoneTargets.firstNotFull) {
+          zoneTargets.firstNotFull++;
         }
         continue;
       }
-      if (machine != reservation.machine
-          && canAccept(job, left.minus(proposedMigrations.getOrDefault(machine, Resources.NONE)))) {
-        proposedMigrations.merge(machine, job.taskResources(), Resources::plus);
+      Resources proposed = proposedMigrations.getOrDefault(machine, Resources.NONE);
+      if (machine != replica.machine && canAccept(spec, free.minus(proposed))) {
+        proposedMigrations.merge(machine, spec.taskResources(), Resources::plus);
         return true;
       }
     }
     return false;
   }
 
-  private boolean canAccept(Job job, Resources left) {
-    return job.taskResources().fitsIn(left)
-        && cpusPerGpu.strandedGpusBy(job.taskResources(), left) <= 0;
+  private MigrationTargets targetsFor(Reservation replica) {
+    return targets
+        .computeIfAbsent(replica.job.profile, profile -> new HashMap<>())
+        .computeIfAbsent(
+            replica.machine.zone(),
+            zone -> new MigrationTargets(capacity.candidates(replica.job.spec, Set.of(zone))));
+  }
+
+  private boolean isTarget(Job spec, MachineState machine, Resources free) {
+    return capacity.isUsable(machine)
+        && canAccept(spec, free)
+        && imageFetch.waitS(spec, machine) <= context.stepS();
+  }
+
+  private boolean canAccept(Job spec, Resources free) {
+    return spec.taskResources().fitsIn(free)
+        && cpusPerGpu.strandedGpusBy(spec.taskResources(), free) <= 0;
   }
 }
--- a/src/main/java/eiderfork/controller/TaskScheduler.java
+++ b/src/main/java/eiderfork/controller/TaskScheduler.java
@@ -114,7 +114,7 @@
       if (isOutOfCapacity && !job.failureHistory.isConfirmedSuspect()) {
         int maxTasks = job.failureHistory.isSuspected() ? 1 : startable;
         int wanted = Math.min(job.pendingTasks.cardinality(), maxTasks) - kept;
-        preempt(wanted, Double.MAX_VALUE);
+        preempt(wanted, PreemptionRequest.ANY_IMAGE_WAIT_S);
       }
     }
 
--- a/src/main/java/eiderfork/controller/TeamUsageTracker.java
+++ b/src/main/java/eiderfork/controller/TeamUsageTracker.java
@@ -9,15 +9,16 @@
 import eiderfork.controller.quota.TeamId;
 import eiderfork.controller.quota.TeamUsage;
 import eiderfork.model.Job;
+import eiderfork.model.Resources;
 import eiderfork.model.Team;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 
-/** Keeps the ledger of lending up to date with the jobs, the claims and what is to be stopped. */
+/** Derives what teams use and borrow from jobs, claims and pending preemptions. */
 final class TeamUsageTracker {
-  /** The share of the time in which a task should start that may go into a checkpoint's wait. */
+  /** The share of a task's start objective that may be spent on waiting for a checkpoint. */
   private static final double CHECKPOINT_WAIT_SHARE = 0.5;
 
   private final ControllerContext context;
@@ -27,7 +28,7 @@
   private final DeferredPreemptions deferredPreemptions;
   private QuotaLedger ledger;
 
-  /** The changes of jobs, claims and reclaims that the ledger was made of. */
+  /** The sum of the revisions that the ledger was derived from. */
   private long ledgerRevision;
 
   TeamUsageTracker(
@@ -43,90 +44,102 @@
     this.deferredPreemptions = deferredPreemptions;
   }
 
+  /** Forgets the ledger of a term that is over. */
   void clear() {
     ledger = null;
   }
 
-  /** The ledger as things stand now; made anew only after something has changed. */
+  /** The current ledger; the same object as long as nothing has changed. */
   QuotaLedger ledger() {
-    long changes =
+    long revision =
         jobs.resourceUsage().changeCount()
             + capacity.claimRevision()
             + deferredPreemptions.revision();
-    if (ledger == null || changes != ledgerRevision) {
-      ledger = new QuotaLedger(accounts(Map.of()));
-      ledgerRevision = changes;
+    if (ledger == null || revision != ledgerRevision) {
+      ledger = new QuotaLedger(usages(Map.of()));
+      ledgerRevision = revision;
     }
     return ledger;
   }
 
-  /** The room that is being made for jobs. */
-  List<FreeCapacity.Claim> claims() {
-    return capacity.claims();
+  /** What a team uses, with the capacity that is claimed for its jobs. */
+  Resources usedWithClaims(String team) {
+    Resources used = jobs.resourceUsage().used(team);
+    for (FreeCapacity.Claim claim : capacity.claims()) {
+      Job spec = claim.job().spec;
+      if (spec.team().equals(team)) {
+        used = used.plus(spec.taskResources());
+      }
+    }
+    return used;
   }
 
-  /** The accounts with what the waiting tasks of each team ask for. */
-  List<TeamUsage> accountsWithDemand() {
-    Map<String, QuotaAmount> asked = new HashMap<>();
+  /** The usage of each team, with what its pending tasks request. */
+  List<TeamUsage> usagesWithRequests() {
+    Map<String, QuotaAmount> requestedByTeam = new HashMap<>();
     for (JobState job : jobs.jobsWithWork()) {
-      QuotaAmount waiting =
+      QuotaAmount requested =
           QuotaAmount.of(job.spec.taskResources()).times(job.pendingTasks.cardinality());
-      asked.merge(job.spec.team(), waiting, QuotaAmount::plus);
+      requestedByTeam.merge(job.spec.team(), requested, QuotaAmount::plus);
     }
-    return accounts(asked);
+    return usages(requestedByTeam);
   }
 
-  private List<TeamUsage> accounts(Map<String, QuotaAmount> requestedByTeam) {
-    Map<String, QuotaAmount> promised = new HashMap<>();
-    for (FreeCapacity.Claim claim : capacity.claims()) {
-      Job job = claim.job().spec;
-      promised.merge(job.team(), QuotaAmount.of(job.taskResources()), QuotaAmount::plus);
-    }
-    List<TeamUsage> accounts = new ArrayList<>();
+  private List<TeamUsage> usages(Map<String, QuotaAmount> requestedByTeam) {
+    Map<String, QuotaAmount> promisedByTeam = promisedByTeam();
+    List<TeamUsage> usages = new ArrayList<>();
     for (Team team : context.settings.teams().values()) {
       TeamId id = new TeamId(team.name());
       QuotaAmount stopping =
           QuotaAmount.of(jobs.resourceUsage().stopping(team.name()))
               .plus(deferredPreemptions.pendingAmountOf(id));
-      accounts.add(
+      usages.add(
           new TeamUsage(
               id,
               GuaranteedQuota.of(team),
-              new QuotaAmount(team.maxGpus(), team.maxCpus()),
               QuotaAmount.of(jobs.resourceUsage().held(team.name())),
               stopping,
-              promised.getOrDefault(team.name(), QuotaAmount.NONE),
+              promisedByTeam.getOrDefault(team.name(), QuotaAmount.NONE),
               requestedByTeam.getOrDefault(team.name(), QuotaAmount.NONE)));
     }
-    return accounts;
+    return usages;
+  }
+
+  private Map<String, QuotaAmount> promisedByTeam() {
+    Map<String, QuotaAmount> promisedByTeam = new HashMap<>();
+    for (FreeCapacity.Claim claim : capacity.claims()) {
+      Job spec = claim.job().spec;
+      promisedByTeam.merge(spec.team(), QuotaAmount.of(spec.taskResources()), QuotaAmount::plus);
+    }
+    return promisedByTeam;
   }
 
-  /** The job as one that room is to be made for. */
-  Preemptor preemptorOf(JobState entry) {
-    Job job = entry.spec;
-    TeamId team = new TeamId(job.team());
-    TeamUsage account = ledger().account(team);
-    QuotaAmount need =
-        QuotaAmount.of(job.taskResources()).times(entry.gang == null ? 1 : unclaimedTasks(entry));
-    boolean waitedForBoot = context.nowMs - entry.firstSeenMs >= fleet.longestBootMs(job);
+  /** The job as a preemptor. */
+  Preemptor preemptorOf(JobState job) {
+    Job spec = job.spec;
+    TeamId team = new TeamId(spec.team());
+    TeamUsage usage = ledger().usage(team);
+    QuotaAmount demand =
+        QuotaAmount.of(spec.taskResources()).times(job.gang == null ? 1 : unclaimedTasks(job));
     return new Preemptor(
         team,
-        job.kind(),
-        job.priority(),
-        account != null && account.canCover(need),
-        maxCheckpointWaitS(job),
-        waitedForBoot);
+        spec.kind(),
+        spec.priority(),
+        usage != null && usage.canCover(demand),
+        maxCheckpointWaitS(spec),
+        context.nowMs - job.firstSeenMs >= fleet.longestBootMs(spec));
   }
 
-  /** How many of a gang's tasks have no room promised yet. */
+  /** How many of a gang's tasks have no capacity claimed for them yet. */
   private long unclaimedTasks(JobState job) {
     long claimed = capacity.claims().stream().filter(claim -> claim.job() == job).count();
     return Math.max(0, job.spec.tasks() - claimed);
   }
 
-  private double maxCheckpointWaitS(Job job) {
-    double aimS = context.settings.shortestObjectiveS(Objective.Kind.WAIT, job.jobClass());
+  private double maxCheckpointWaitS(Job spec) {
+    double objectiveS = context.settings.shortestObjectiveS(Objective.Kind.WAIT, spec.jobClass());
+    boolean hasObjective = objectiveS != Double.MAX_VALUE;
     return CHECKPOINT_WAIT_SHARE
-        * (aimS == Double.MAX_VALUE ? context.settings.workerTimings().leaseS() : aimS);
+        * (hasObjective ? objectiveS : context.settings.workerTimings().leaseS());
   }
 }
--- a/src/main/java/eiderfork/controller/quota/GuaranteedQuota.java
+++ b/src/main/java/eiderfork/controller/quota/GuaranteedQuota.java
@@ -5,7 +5,7 @@
 
 /**
  * What a team is guaranteed. A team without any guarantee borrows all that it uses. Where GPUs
- * alone are guaranteed, processors are not counted; where processors alone are, every GPU is
+ * alone are guaranteed, CPUs are not counted; where CPUs alone are guaranteed, every GPU is
  * borrowed.
  */
 public record GuaranteedQuota(double gpus, double cpus) {
@@ -19,12 +19,12 @@
     return gpus <= 0 && cpus <= 0;
   }
 
-  /** Whether all that is used lies within the guarantee. */
+  /** Whether all that is used is guaranteed. */
   public boolean covers(QuotaAmount used) {
     return !isNone() && !excess(used).isPositive();
   }
 
-  /** What of the amount used lies beyond the guarantee, which is what the team borrows. */
+  /** The part of the used amount that exceeds the guarantee, which is what the team borrows. */
   public QuotaAmount excess(QuotaAmount used) {
     boolean countsCpus = isNone() || cpus > 0;
     return new QuotaAmount(
@@ -32,18 +32,18 @@
   }
 
   /** Whether work of this size takes anything that is guaranteed. */
-  public boolean appliesTo(QuotaAmount need) {
-    return gpus > 0 && need.gpus() > 0 || cpus > 0 && need.cpus() > 0;
+  public boolean appliesTo(QuotaAmount demand) {
+    return gpus > 0 && demand.gpus() > 0 || cpus > 0 && demand.cpus() > 0;
   }
 
-  /** Whether a team that uses this much keeps its whole guarantee without {@code stopped}. */
+  /** Whether a team that uses this much still uses its whole guarantee without {@code stopped}. */
   public boolean isMetWithout(QuotaAmount stopped, QuotaAmount used) {
     QuotaAmount left = used.minus(stopped);
-    boolean gpusKept =
+    boolean keepsGpus =
         gpus <= 0 || stopped.gpus() <= 0 || left.gpus() >= gpus - Resources.ROUNDING_TOLERANCE;
-    boolean cpusKept =
+    boolean keepsCpus =
         cpus <= 0 || stopped.cpus() <= 0 || left.cpus() >= cpus - Resources.ROUNDING_TOLERANCE;
-    return gpusKept && cpusKept;
+    return keepsGpus && keepsCpus;
   }
 
   /** Whether all of {@code stopped} is borrowed by a team that uses this much. */
@@ -57,8 +57,8 @@
   }
 
   private boolean includesExcess(QuotaAmount stopped, QuotaAmount used) {
-    QuotaAmount beyond = excess(used);
-    return stopped.gpus() > 0 && beyond.gpus() > Resources.ROUNDING_TOLERANCE
-        || stopped.cpus() > 0 && beyond.cpus() > Resources.ROUNDING_TOLERANCE;
+    QuotaAmount excess = excess(used);
+    return stopped.gpus() > 0 && excess.gpus() > Resources.ROUNDING_TOLERANCE
+        || stopped.cpus() > 0 && excess.cpus() > Resources.ROUNDING_TOLERANCE;
   }
 }
--- a/src/main/java/eiderfork/controller/quota/PreemptionDecision.java
+++ b/src/main/java/eiderfork/controller/quota/PreemptionDecision.java
@@ -1,23 +1,23 @@
 package eiderfork.controller.quota;
 
-/** Whether some work may be stopped for a job. */
+/** Whether some work may be preempted for a job. */
 public sealed interface PreemptionDecision {
-  /** It may. */
+  /** It may be preempted. */
   record Allowed(PreemptionReason reason, VictimPreference preference)
       implements PreemptionDecision {}
 
-  /** It may not. */
+  /** It may not be preempted. */
   record Refused(Refusal reason) implements PreemptionDecision {}
 
-  /** Why it may not be stopped. */
+  /** Why it may not be preempted. */
   enum Refusal {
-    /** It is as urgent, and the job is not within its team's guarantee. */
+    /** It is not less urgent, and not borrowed from the guarantee of the job's team. */
     NOT_MORE_URGENT,
-    /** Its team would be brought below its guarantee for work that is beyond the taker's. */
+    /** Its team would lose part of its guarantee to work beyond the preemptor's guarantee. */
     LENDER_AT_GUARANTEE,
     /** It belongs to the same team and is not less urgent. */
     SAME_TEAM,
-    /** A replica, while a machine may still come for the job. */
+    /** It is a replica, and a new machine may still boot for the job. */
     REPLICA_NOT_YET
   }
 }
--- a/src/main/java/eiderfork/controller/quota/PreemptionMode.java
+++ b/src/main/java/eiderfork/controller/quota/PreemptionMode.java
@@ -1,10 +1,10 @@
 package eiderfork.controller.quota;
 
-/** How a task is stopped. */
+/** How a task is preempted. */
 public enum PreemptionMode {
-  /** At once: what was done since the last checkpoint is lost. */
+  /** At once: its work since the last checkpoint is lost. */
   AT_ONCE,
-  /** It is given the time that it needs to save. */
+  /** It gets the time that it needs to save. */
   SAVE,
   /** At once, right after the next checkpoint. */
   AFTER_CHECKPOINT
--- a/src/main/java/eiderfork/controller/quota/PreemptionPlan.java
+++ b/src/main/java/eiderfork/controller/quota/PreemptionPlan.java
@@ -1,31 +1,31 @@
 package eiderfork.controller.quota;
 
 /**
- * A way to stop a task.
+ * A way to preempt a task.
  *
- * @param delayS how long until its room is free
+ * @param delayS how long until its capacity is free
  * @param lostWorkS the work that has to be done again
  */
 public record PreemptionPlan(PreemptionMode mode, double delayS, double lostWorkS) {
-  /** Machines of one type differ in speed by this share, and so does when checkpoints are due. */
+  /** By how much machines of one type differ in speed, and so in when checkpoints are due. */
   private static final double SPEED_SPREAD = 0.1;
 
-  /** Stops a task that has not begun to work. */
+  /** Preempts a task that has not begun to work. */
   public static final PreemptionPlan NO_WORK_LOST =
       new PreemptionPlan(PreemptionMode.AT_ONCE, 0, 0);
 
-  /** What it costs, in seconds of GPUs that work for nobody. */
+  /** The time that the capacity is of no use, as it waits or repeats lost work. */
   public double costS() {
     return delayS + lostWorkS;
   }
 
   /**
-   * The cheapest way to stop a running task.
+   * The cheapest way to preempt a running task.
    *
    * @param ranS how long it has run
-   * @param isStartKnown whether that counts from its start; a new leader has not seen it
-   * @param maxCheckpointWaitS how long the taker may wait for a checkpoint
-   * @param startObservationDelayS how late the start may have been seen
+   * @param isStartKnown whether that counts from its start, which a new leader has not observed
+   * @param maxCheckpointWaitS how long the preemptor may wait for a checkpoint
+   * @param startObservationDelayS how late the start may have been observed
    */
   public static PreemptionPlan cheapest(
       CheckpointPolicy checkpoints,
@@ -41,21 +41,35 @@
     if (!isStartKnown || 2 * marginS >= checkpoints.intervalS()) {
       return save;
     }
-    double sinceS = checkpoints.workSinceLastS(ranS);
-    boolean maybeJustWritten = ranS >= checkpoints.intervalS() && sinceS < marginS;
-    // A checkpoint that was due a moment ago may not be written yet.
-    double lostS = maybeJustWritten ? checkpoints.intervalS() : sinceS;
-    PreemptionPlan atOnce = new PreemptionPlan(PreemptionMode.AT_ONCE, 0, lostS);
-    PreemptionPlan best = cheaper(save, atOnce);
-    double dueS = maybeJustWritten ? -sinceS : checkpoints.untilNextS(ranS);
-    double waitS = dueS + marginS;
-    if (waitS <= maxCheckpointWaitS) {
-      best = cheaper(best, new PreemptionPlan(PreemptionMode.AFTER_CHECKPOINT, waitS, 0));
-    }
-    return best;
+    PreemptionPlan best = cheaper(save, atOnce(checkpoints, ranS, marginS));
+    PreemptionPlan afterCheckpoint = afterCheckpoint(checkpoints, ranS, marginS);
+    return afterCheckpoint.delayS <= maxCheckpointWaitS ? cheaper(best, afterCheckpoint) : best;
+  }
+
+  private static PreemptionPlan atOnce(CheckpointPolicy checkpoints, double ranS, double marginS) {
+    double lostS =
+        isCheckpointUncertain(checkpoints, ranS, marginS)
+            ? checkpoints.intervalS()
+            : checkpoints.workSinceLastS(ranS);
+    return new PreemptionPlan(PreemptionMode.AT_ONCE, 0, lostS);
+  }
+
+  private static PreemptionPlan afterCheckpoint(
+      CheckpointPolicy checkpoints, double ranS, double marginS) {
+    double dueS =
+        isCheckpointUncertain(checkpoints, ranS, marginS)
+            ? -checkpoints.workSinceLastS(ranS)
+            : checkpoints.untilNextS(ranS);
+    return new PreemptionPlan(PreemptionMode.AFTER_CHECKPOINT, dueS + marginS, 0);
+  }
+
+  /** Whether a checkpoint was due so lately that it may not be written yet. */
+  private static boolean isCheckpointUncertain(
+      CheckpointPolicy checkpoints, double ranS, double marginS) {
+    return ranS >= checkpoints.intervalS() && checkpoints.workSinceLastS(ranS) < marginS;
   }
 
-  private static PreemptionPlan cheaper(PreemptionPlan a, PreemptionPlan b) {
-    return b.costS() < a.costS() ? b : a;
+  private static PreemptionPlan cheaper(PreemptionPlan first, PreemptionPlan second) {
+    return second.costS() < first.costS() ? second : first;
   }
 }
--- a/src/main/java/eiderfork/controller/quota/Preemptor.java
+++ b/src/main/java/eiderfork/controller/quota/Preemptor.java
@@ -4,12 +4,12 @@
 import eiderfork.model.Priority;
 
 /**
- * A job that room is to be made for.
+ * A job that others may be preempted for.
  *
  * @param isWithinGuarantee whether its team's guarantee covers the job's next task, or its whole
  *     gang
  * @param maxCheckpointWaitS how long it may wait for a victim to reach its checkpoint
- * @param hasWaitedForBoot whether it has waited for so long that a rented machine would have come
+ * @param hasWaitedForBoot whether it has waited for so long that a new machine would have booted
  */
 public record Preemptor(
     TeamId team,
--- a/src/main/java/eiderfork/controller/quota/QuotaAmount.java
+++ b/src/main/java/eiderfork/controller/quota/QuotaAmount.java
@@ -2,12 +2,12 @@
 
 import eiderfork.model.Resources;
 
-/** GPUs and processors, the two things that teams are guaranteed. */
+/** An amount of GPUs and CPUs, the resources that teams are guaranteed. */
 public record QuotaAmount(double gpus, double cpus) {
   /** Nothing. */
   public static final QuotaAmount NONE = new QuotaAmount(0, 0);
 
-  /** The guaranteed kinds of what tasks take. */
+  /** The GPUs and CPUs of these resources. */
   public static QuotaAmount of(Resources resources) {
     return new QuotaAmount(resources.gpus(), resources.cpus());
   }
@@ -27,7 +27,7 @@
     return new QuotaAmount(gpus * n, cpus * n);
   }
 
-  /** Whether there is something of either kind. */
+  /** Whether there is some of either resource. */
   public boolean isPositive() {
     return gpus > Resources.ROUNDING_TOLERANCE || cpus > Resources.ROUNDING_TOLERANCE;
   }
--- a/src/main/java/eiderfork/controller/quota/QuotaPreemptionRules.java
+++ b/src/main/java/eiderfork/controller/quota/QuotaPreemptionRules.java
@@ -6,52 +6,56 @@
 import eiderfork.model.JobKind;
 
 /**
- * Who may reclaim from whom. The protocol has two grounds: a higher priority, and a team's
- * guarantee against what another team runs beyond its own. No team is brought below its guarantee
- * for work that lies beyond another's. What can't be stopped in part, and lies beyond the guarantee
- * in part only, may be stopped for work within another's guarantee once nothing else would do.
+ * Who may preempt whom where quota is borrowed. There are two reasons: a team reclaims its
+ * guarantee from what another has borrowed, or the preemptor has the higher priority. No team loses
+ * part of its guarantee to work beyond another's. Work that can't be preempted in part and is
+ * borrowed in part only may be preempted for work within another's guarantee once nothing else
+ * would do.
  */
 public final class QuotaPreemptionRules {
   private QuotaPreemptionRules() {}
 
-  /** Whether the victim may be stopped for the taker, as the ledger stands now. */
+  /** Whether the victim may be preempted, as the ledger stands now. */
   public static PreemptionDecision evaluate(
       Preemptor preemptor, PreemptionVictim victim, QuotaLedger ledger) {
-    TeamUsage lender = ledger.account(victim.team());
-    boolean sameTeam = preemptor.team().equals(victim.team());
-    boolean borrowed =
+    TeamUsage lender = ledger.usage(victim.team());
+    boolean isSameTeam = preemptor.team().equals(victim.team());
+    boolean isBorrowed =
         lender != null
             && lender.guarantee().isPartlyBorrowed(victim.amount(), lender.usedAfterStopping());
-    if (!sameTeam && preemptor.isWithinGuarantee() && borrowed) {
-      return byGuarantee(preemptor, victim, lender);
+    if (!isSameTeam && preemptor.isWithinGuarantee() && isBorrowed) {
+      return evaluateReclaim(preemptor, victim, lender);
     }
-    return byPriority(preemptor, victim, lender, sameTeam);
+    return evaluatePriority(preemptor, victim, lender, isSameTeam);
   }
 
-  private static PreemptionDecision byGuarantee(
+  private static PreemptionDecision evaluateReclaim(
       Preemptor preemptor, PreemptionVictim victim, TeamUsage lender) {
     if (victim.isBatch()) {
-      boolean wholly = lender.guarantee().isBorrowed(victim.amount(), lender.usedAfterStopping());
+      boolean isWhollyBorrowed =
+          lender.guarantee().isBorrowed(victim.amount(), lender.usedAfterStopping());
       return new Allowed(
           PreemptionReason.GUARANTEE,
-          wholly ? VictimPreference.BORROWED_BATCH : VictimPreference.PARTLY_BORROWED_BATCH);
+          isWhollyBorrowed
+              ? VictimPreference.BORROWED_BATCH
+              : VictimPreference.PARTLY_BORROWED_BATCH);
     }
     return preemptor.hasWaitedForBoot()
         ? new Allowed(PreemptionReason.GUARANTEE, VictimPreference.BORROWED_REPLICA)
         : new Refused(Refusal.REPLICA_NOT_YET);
   }
 
-  private static PreemptionDecision byPriority(
-      Preemptor preemptor, PreemptionVictim victim, TeamUsage lender, boolean sameTeam) {
-    boolean moreUrgent = victim.priority().compareTo(preemptor.priority()) > 0;
-    // Arrays stop nothing for their priority alone: their turn comes.
-    if (!moreUrgent || !victim.isBatch() || preemptor.kind() == JobKind.ARRAY) {
-      return new Refused(sameTeam ? Refusal.SAME_TEAM : Refusal.NOT_MORE_URGENT);
+  private static PreemptionDecision evaluatePriority(
+      Preemptor preemptor, PreemptionVictim victim, TeamUsage lender, boolean isSameTeam) {
+    boolean isMoreUrgent = victim.priority().compareTo(preemptor.priority()) > 0;
+    // Arrays preempt nothing for their priority alone; they come first in the queue.
+    if (!isMoreUrgent || !victim.isBatch() || preemptor.kind() == JobKind.ARRAY) {
+      return new Refused(isSameTeam ? Refusal.SAME_TEAM : Refusal.NOT_MORE_URGENT);
     }
     boolean keepsGuarantee =
         lender == null
             || lender.guarantee().isMetWithout(victim.amount(), lender.usedAfterStopping());
-    if (sameTeam || keepsGuarantee) {
+    if (isSameTeam || keepsGuarantee) {
       return new Allowed(PreemptionReason.PRIORITY, VictimPreference.BORROWED_BATCH);
     }
     return preemptor.isWithinGuarantee()
--- a/src/main/java/eiderfork/controller/quota/ReclaimCooldowns.java
+++ b/src/main/java/eiderfork/controller/quota/ReclaimCooldowns.java
@@ -3,17 +3,16 @@
 import eiderfork.model.Resources;
 import java.util.ArrayList;
 import java.util.HashMap;
-import java.util.Iterator;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Predicate;
 
 /**
- * How soon room that was reclaimed may be lent again. Each reversal on a machine (a reclaim after
- * its room was lent anew) doubles the time, up to a bound, and a reversal is forgotten after a calm
- * of several times the first cooldown. With a first cooldown of {@code b} seconds a machine sees at
- * most {@value #MAX_LEVEL} + t / ({@value #DECAY_COOLDOWNS} b) reversals in t seconds, and each of
- * its GPUs is reclaimed at most once for each.
+ * How soon capacity that was reclaimed may be borrowed again. Each reversal on a machine (a reclaim
+ * after its capacity was borrowed again) doubles the time, up to a bound, and a reversal is
+ * forgotten after several first cooldowns without another. With a first cooldown of {@code b}
+ * seconds a machine sees at most {@value #MAX_LEVEL} + t / ({@value #DECAY_COOLDOWNS} b) reversals
+ * in t seconds, and each of its GPUs is reclaimed at most once for each.
  */
 public final class ReclaimCooldowns {
   /** The cooldown doubles this often at most, counted from 1. */
@@ -22,14 +21,40 @@
   /** A reversal is forgotten after this many first cooldowns without another. */
   static final int DECAY_COOLDOWNS = 8;
 
-  private record Hold(String preemptorUid, Resources resources) {}
+  /** How many levels a loan counts that was too short to be worth its start and save. */
+  private static final int SHORT_LOAN_LEVELS = 2;
 
+  private record Reclaimed(String preemptorUid, Resources resources) {}
+
+  /** The cooldown of one machine. */
   private static final class MachineCooldown {
-    int level;
-    long firstMs;
-    long untilMs;
-    long decaysAtMs;
-    final List<Hold> holds = new ArrayList<>();
+    private int level;
+    private long firstMs;
+    private long untilMs;
+    private long decaysAtMs;
+    private final List<Reclaimed> reclaimed = new ArrayList<>();
+
+    boolean isActive(long nowMs) {
+      return nowMs < untilMs;
+    }
+
+    void restart(long nowMs, long firstCooldownMs, boolean isShortLoan) {
+      reclaimed.clear();
+      firstMs = firstCooldownMs;
+      level = Math.min(MAX_LEVEL, level + (isShortLoan ? SHORT_LOAN_LEVELS : 1));
+      untilMs = nowMs + cooldownMs(level, firstMs);
+      decaysAtMs = nowMs + DECAY_COOLDOWNS * firstMs;
+    }
+
+    /** Forgets a reversal if its time is over; whether none is left. */
+    boolean decay(long nowMs) {
+      if (nowMs < decaysAtMs || isActive(nowMs)) {
+        return false;
+      }
+      level--;
+      decaysAtMs = nowMs + DECAY_COOLDOWNS * firstMs;
+      return level <= 0;
+    }
   }
 
   private final Map<String, MachineCooldown> machines = new HashMap<>();
@@ -50,7 +75,7 @@
   }
 
   /**
-   * Room was reclaimed on a machine for a job.
+   * Records that capacity was reclaimed on a machine for a job.
    *
    * @param firstMs the first cooldown
    * @param isShortLoan whether the borrower ran for less than its start and save take, which counts
@@ -59,54 +84,43 @@
   public void recordReclaim(
       String machine,
       String preemptorUid,
-      Resources room,
+      Resources resources,
       long nowMs,
       long firstMs,
       boolean isShortLoan) {
-    MachineCooldown it = machines.computeIfAbsent(machine, name -> new MachineCooldown());
-    if (nowMs >= it.untilMs) {
-      it.holds.clear();
-      it.firstMs = firstMs;
-      it.level = Math.min(MAX_LEVEL, it.level + (isShortLoan ? 2 : 1));
-      it.untilMs = nowMs + cooldownMs(it.level, firstMs);
-      it.decaysAtMs = nowMs + DECAY_COOLDOWNS * firstMs;
+    MachineCooldown cooldown = machines.computeIfAbsent(machine, name -> new MachineCooldown());
+    if (!cooldown.isActive(nowMs)) {
+      cooldown.restart(nowMs, firstMs, isShortLoan);
     }
-    it.holds.add(new Hold(preemptorUid, room));
+    cooldown.reclaimed.add(new Reclaimed(preemptorUid, resources));
   }
 
-  /** Whether some room of the machine is kept from borrowers. */
+  /** Whether some capacity of the machine is withheld from borrowers. */
   public boolean isCoolingDown(String machine, long nowMs) {
-    MachineCooldown it = machines.get(machine);
-    return it != null && nowMs < it.untilMs;
+    MachineCooldown cooldown = machines.get(machine);
+    return cooldown != null && cooldown.isActive(nowMs);
   }
 
   /**
-   * The room of a machine that is kept from borrowers: what was reclaimed there for jobs that do
-   * not hold it any more.
+   * The capacity of a machine that is withheld from borrowers: what was reclaimed there for jobs
+   * that do not hold it any more.
    *
-   * @param hasReservation whether a job still holds room on the machine, or is about to
+   * @param hasReservation whether a job still holds capacity on the machine, or is about to
    */
   public Resources withheld(String machine, long nowMs, Predicate<String> hasReservation) {
-    Resources kept = Resources.NONE;
+    Resources withheld = Resources.NONE;
     if (isCoolingDown(machine, nowMs)) {
-      for (Hold hold : machines.get(machine).holds) {
-        kept = hasReservation.test(hold.preemptorUid) ? kept : kept.plus(hold.resources);
+      for (Reclaimed each : machines.get(machine).reclaimed) {
+        if (!hasReservation.test(each.preemptorUid)) {
+          withheld = withheld.plus(each.resources);
+        }
       }
     }
-    return kept;
+    return withheld;
   }
 
   /** Forgets the reversals that are long past. */
   public void decay(long nowMs) {
-    for (Iterator<MachineCooldown> all = machines.values().iterator(); all.hasNext(); ) {
-      MachineCooldown it = all.next();
-      if (nowMs >= it.decaysAtMs && nowMs >= it.untilMs) {
-        it.level--;
-        it.decaysAtMs = nowMs + DECAY_COOLDOWNS * it.firstMs;
-        if (it.level <= 0) {
-          all.remove();
-        }
-      }
-    }
+    machines.values().removeIf(cooldown -> cooldown.decay(nowMs));
   }
 }
--- a/src/main/java/eiderfork/controller/quota/VictimPreference.java
+++ b/src/main/java/eiderfork/controller/quota/VictimPreference.java
@@ -1,16 +1,16 @@
 package eiderfork.controller.quota;
 
-/** Which work is stopped first; the next kind only where the one before it makes no room. */
+/** Which work is preempted first; the next kind only where those before it free too little. */
 public enum VictimPreference {
-  /** Batch work whose end leaves its team all of its guarantee. */
+  /** Batch work without which its team still uses its whole guarantee. */
   BORROWED_BATCH,
   /**
-   * Batch work that its team runs beyond its guarantee only in part: a large task, or a gang. The
-   * team can't run it within its guarantee.
+   * A large task or a gang that exceeds its team's guarantee in part only, so that the team can't
+   * run it within its guarantee.
    */
   PARTLY_BORROWED_BATCH,
   /** Less urgent batch work within the guarantee of its team. */
   GUARANTEED_BATCH,
-  /** Replicas that their team runs beyond its guarantee. */
+  /** Replicas that exceed the guarantee of their team. */
   BORROWED_REPLICA
 }
--- a/src/test/java/eiderfork/controller/PreemptionTest.java
+++ b/src/test/java/eiderfork/controller/PreemptionTest.java
@@ -71,10 +71,11 @@
             new ImageFetchEstimator(context, fleet),
             cpusPerGpu,
             new PriorityPreemptionPolicy(
-                context, jobs, cpusPerGpu, new DeadlineEstimator(context, fleet)),
+                jobs,
+                new PreemptionCosts(context, cpusPerGpu, new DeadlineEstimator(context, fleet))),
             1000);
     int wanted = service.pendingTasks.cardinality();
-    return preemption.preempt(service, wanted, new HashMap<>(), Double.MAX_VALUE);
+    return preemption.preempt(service, wanted, new HashMap<>(), PreemptionRequest.ANY_IMAGE_WAIT_S);
   }
 
   private static long countStopping(MachineState machine) {
--- a/src/test/java/eiderfork/controller/quota/QuotaPreemptionRulesTest.java
+++ b/src/test/java/eiderfork/controller/quota/QuotaPreemptionRulesTest.java
@@ -21,7 +21,6 @@
     return new TeamUsage(
         team,
         new GuaranteedQuota(guaranteed, 0),
-        QuotaAmount.NONE,
         new QuotaAmount(used, used * 4),
         QuotaAmount.NONE,
         new QuotaAmount(promised, 0),
@@ -139,7 +138,7 @@
   /** Six are used and one is promised of eight: one more is covered, two are not. */
   @Test
   void roomThatIsBeingMadeCountsForTheGuarantee() {
-    TeamUsage desk = ledger(4, 8).account(DESK);
+    TeamUsage desk = ledger(4, 8).usage(DESK);
     assertTrue(desk.canCover(ONE_GPU));
     assertFalse(desk.canCover(ONE_GPU.times(2)));
     assertFalse(desk.canCover(new QuotaAmount(0, 4)), "processors are not guaranteed to it");
