--- a/src/main/java/eiderfork/controller/ArrayParallelism.java
+++ b/src/main/java/eiderfork/controller/ArrayParallelism.java
@@ -6,21 +6,20 @@
 import eiderfork.model.JobKind;
 
 /**
- * How many of an array's waiting tasks get room at once. An array whose tasks are short beside the
- * time that it has runs in waves: room for all of 25,000 tasks of four seconds at once was rented,
- * and stood idle when they were through.
+ * How many of an array's pending tasks get capacity at once. An array whose tasks are short beside
+ * its objective runs in waves, or the machines booted for all of its tasks would stand idle soon.
  */
 final class ArrayParallelism {
-  /** The share of the time that the users give an array in which it should be done. */
+  /** The share of its objective within which an array is planned to be done. */
   private static final double OBJECTIVE_SHARE = 0.25;
 
   /** An array of fewer waves is planned for as a whole. */
   private static final double MIN_WAVES = 4;
 
-  /** From the end of a task to the start of one in its place: a report, a write and a command. */
+  /** From the end of a task to the start of the next one: a heartbeat, a write and a command. */
   private static final double TURNAROUND_STEPS = 2;
 
-  /** How many times as many tasks as planned for are started where there is room. */
+  /** How many times the planned tasks are started where there is free capacity. */
   private static final double START_FACTOR = 1.5;
 
   private final ControllerContext context;
@@ -29,36 +28,38 @@
     this.context = context;
   }
 
-  /** How many tasks that wait need room at once. */
+  /** How many pending tasks of a job need capacity at once. */
   int tasksToPlanFor(JobState job) {
     return maxTasks(job, 1);
   }
 
   /**
-   * How many tasks that wait may be started at once. Where there is room for more than planned, the
-   * array is sooner through, but 8,000 tasks of one guest at a time left no processors to others.
+   * How many pending tasks of a job may be started at once. Free capacity is used beyond the plan,
+   * so that the array is done sooner, but some is left to other jobs.
    */
   int tasksToStart(JobState job) {
     return maxTasks(job, START_FACTOR);
   }
 
-  private int maxTasks(JobState entry, double factor) {
-    int waiting = entry.pendingTasks.cardinality();
-    Job job = entry.spec;
-    double timeS = objectiveS(job) * OBJECTIVE_SHARE;
-    double taskS = job.estimatedRunS() + TURNAROUND_STEPS * context.stepS();
-    if (job.kind() != JobKind.ARRAY || timeS < MIN_WAVES * taskS) {
-      return waiting;
+  private int maxTasks(JobState job, double factor) {
+    Job spec = job.spec;
+    int pending = job.pendingTasks.cardinality();
+    double plannedS = objectiveS(spec) * OBJECTIVE_SHARE;
+    double taskS = spec.estimatedRunS() + TURNAROUND_STEPS * context.stepS();
+    if (spec.kind() != JobKind.ARRAY || plannedS < MIN_WAVES * taskS) {
+      return pending;
     }
-    // All of its tasks count, also those that are through: the last ones are not strung out.
-    double atOnce = Math.ceil(factor * job.tasks() * taskS / timeS);
-    return (int) Math.min(waiting, Math.max(0, atOnce - entry.reservations.size()));
+    // Finished tasks count as well, so that the last ones still run side by side.
+    double atOnce = Math.ceil(factor * spec.tasks() * taskS / plannedS);
+    return (int) Math.min(pending, Math.max(0, atOnce - job.reservations.size()));
   }
 
-  /** The time in which the users want the job done; 0 where they name none. */
-  private double objectiveS(Job job) {
-    double aimS = context.settings.shortestObjectiveS(Objective.Kind.FINISHED, job.jobClass());
-    double timeS = job.deadlineS() == null ? aimS : Math.min(aimS, job.deadlineS());
-    return timeS == Double.MAX_VALUE ? 0 : timeS;
+  /** The time in which the job should be done; 0 where it has neither objective nor deadline. */
+  private double objectiveS(Job spec) {
+    double objectiveS =
+        context.settings.shortestObjectiveS(Objective.Kind.FINISHED, spec.jobClass());
+    double shortestS =
+        spec.deadlineS() == null ? objectiveS : Math.min(objectiveS, spec.deadlineS());
+    return shortestS == Double.MAX_VALUE ? 0 : shortestS;
   }
 }
--- a/src/main/java/eiderfork/controller/CapacityIndex.java
+++ b/src/main/java/eiderfork/controller/CapacityIndex.java
@@ -11,20 +11,20 @@
 import org.roaringbitmap.RoaringBitmap;
 
 /**
- * Machines that have reported, by kind and by what is free on them: a search looks only where a
- * task may fit. What is found still has to be checked, since levels are whole processors and GPUs
- * and a machine may be silent or on its way back to the cloud.
+ * Machines that have sent a heartbeat, by kind and free capacity, so that a search examines only
+ * those on which a task may fit. Each candidate still has to be checked: levels are whole CPUs and
+ * GPUs, and a machine may be silent or about to be deleted.
  */
 final class CapacityIndex {
-  /** Free processors and GPUs are told apart up to this number; the last level has all above. */
+  /** Levels of free CPUs and of free GPUs; the last one holds all larger amounts. */
   private static final int LEVEL_COUNT = 65;
 
   /** The machines of one kind. */
   private static final class MachineGroup {
-    final CloudProvisioner.MachineKind kind;
-    final RoaringBitmap[] byFreeCpus = new RoaringBitmap[LEVEL_COUNT];
-    final RoaringBitmap[] byFreeGpus = new RoaringBitmap[LEVEL_COUNT];
-    int machineCount;
+    private final CloudProvisioner.MachineKind kind;
+    private final RoaringBitmap[] byFreeCpus = new RoaringBitmap[LEVEL_COUNT];
+    private final RoaringBitmap[] byFreeGpus = new RoaringBitmap[LEVEL_COUNT];
+    private int machineCount;
 
     MachineGroup(CloudProvisioner.MachineKind kind) {
       this.kind = kind;
@@ -38,7 +38,7 @@
     }
   }
 
-  /** Where a machine stands in the index. */
+  /** The position of a machine in the index. */
   static final class Position {
     private final MachineGroup group;
     private int cpuLevel;
@@ -53,18 +53,19 @@
   private final FailedSearchCache failedSearches = new FailedSearchCache();
   private int size;
 
+  /** Removes all machines. */
   void clear() {
     groups.clear();
     failedSearches.clear();
     size = 0;
   }
 
-  /** Searches that found no room, and would find none now. */
+  /** The searches that have failed, and would fail now. */
   FailedSearchCache failedSearches() {
     return failedSearches;
   }
 
-  /** A machine has more room than before, or may be used again. */
+  /** Takes note that a machine has more free capacity than before, or may be used again. */
   void capacityIncreased(MachineState machine) {
     if (machine.indexPosition != null) {
       failedSearches.capacityIncreased(machine);
@@ -87,28 +88,29 @@
     return zones;
   }
 
-  /** Takes a machine up, or what has changed of its free room. */
+  /** Adds a machine, or moves it to the levels of its free capacity. */
   void update(MachineState machine) {
     Resources free = machine.freeCapacity();
     int cpuLevel = levelOf(free.cpus());
     int gpuLevel = levelOf(free.gpus());
-    Position place = machine.indexPosition;
-    if (place == null) {
-      place = new Position(groupOf(machine));
-      place.group.machineCount++;
+    Position position = machine.indexPosition;
+    if (position == null) {
+      position = new Position(groupOf(machine));
+      position.group.machineCount++;
       size++;
-      machine.indexPosition = place;
-    } else if (place.cpuLevel == cpuLevel && place.gpuLevel == gpuLevel) {
+      machine.indexPosition = position;
+    } else if (position.cpuLevel == cpuLevel && position.gpuLevel == gpuLevel) {
       return;
     } else {
-      removeFromLevels(place, machine.number);
+      removeFromLevels(position, machine.number);
     }
-    place.cpuLevel = cpuLevel;
-    place.gpuLevel = gpuLevel;
-    MachineGroup.add(place.group.byFreeCpus, cpuLevel, machine.number);
-    MachineGroup.add(place.group.byFreeGpus, gpuLevel, machine.number);
+    position.cpuLevel = cpuLevel;
+    position.gpuLevel = gpuLevel;
+    MachineGroup.add(position.group.byFreeCpus, cpuLevel, machine.number);
+    MachineGroup.add(position.group.byFreeGpus, gpuLevel, machine.number);
   }
 
+  /** Removes a machine that is gone. */
   void remove(MachineState machine) {
     if (machine.indexPosition != null) {
       removeFromLevels(machine.indexPosition, machine.number);
@@ -118,9 +120,9 @@
     }
   }
 
-  private static void removeFromLevels(Position place, int number) {
-    place.group.byFreeCpus[place.cpuLevel].remove(number);
-    place.group.byFreeGpus[place.gpuLevel].remove(number);
+  private static void removeFromLevels(Position position, int number) {
+    position.group.byFreeCpus[position.cpuLevel].remove(number);
+    position.group.byFreeGpus[position.gpuLevel].remove(number);
   }
 
   private MachineGroup groupOf(MachineState machine) {
@@ -135,24 +137,28 @@
         Math.max(0, Math.min(LEVEL_COUNT - 1, Math.floor(amount + Resources.ROUNDING_TOLERANCE)));
   }
 
-  /** Names every machine in these zones that may have room for a task of the job. */
-  void forEachCandidate(Job job, Collection<String> eligibleZones, IntConsumer consumer) {
-    Resources demand = job.taskResources();
+  /** Passes the number of every machine in these zones on which a task of the job may fit. */
+  void forEachCandidate(Job spec, Collection<String> eligibleZones, IntConsumer consumer) {
+    Resources demand = spec.taskResources();
     boolean byGpus = demand.gpus() > 0;
-    int least = levelOf(byGpus ? demand.gpus() : demand.cpus());
+    int minLevel = levelOf(byGpus ? demand.gpus() : demand.cpus());
     for (MachineGroup group : groups.values()) {
-      CloudProvisioner.MachineKind kind = group.kind;
-      if (!eligibleZones.contains(kind.zone())
-          || !job.allowsType(kind.type())
-          || kind.spot() && !job.spotAllowed()) {
+      if (!isEligible(group.kind, spec, eligibleZones)) {
         continue;
       }
       RoaringBitmap[] levels = byGpus ? group.byFreeGpus : group.byFreeCpus;
-      for (int i = least; i < LEVEL_COUNT; i++) {
-        if (levels[i] != null) {
-          levels[i].forEach((org.roaringbitmap.IntConsumer) consumer::accept);
+      for (int level = minLevel; level < LEVEL_COUNT; level++) {
+        if (levels[level] != null) {
+          levels[level].forEach((org.roaringbitmap.IntConsumer) consumer::accept);
         }
       }
     }
   }
+
+  private static boolean isEligible(
+      CloudProvisioner.MachineKind kind, Job spec, Collection<String> eligibleZones) {
+    return eligibleZones.contains(kind.zone())
+        && spec.allowsType(kind.type())
+        && (spec.spotAllowed() || !kind.spot());
+  }
 }
--- a/src/main/java/eiderfork/controller/DeadlineEstimator.java
+++ b/src/main/java/eiderfork/controller/DeadlineEstimator.java
@@ -9,16 +9,17 @@
 import java.util.OptionalLong;
 
 /**
- * Which deadlines jobs can still meet, by their owners' estimates of the run and by the image.
+ * Estimates which deadlines jobs can still meet, from their owners' estimates of the run and from
+ * the image fetch.
  *
- * <p>The time counts from when this leader learned of the job, which is a moment after its
- * submission or, after a takeover, later; that makes the order a hint and decides no rule.
+ * <p>Time counts from when this leader learned of the job: a moment after its submission or, after
+ * a failover, later. So the estimates may order jobs, and must not decide whether one runs.
  */
 final class DeadlineEstimator {
   private final ControllerContext context;
   private final MachineRegistry fleet;
 
-  /** How many times their deadline jobs of a class may take; looked up once. */
+  /** The multiples of their deadline that have an objective, by job class. */
   private final Map<String, List<Double>> deadlineFactorsByClass = new HashMap<>();
 
   DeadlineEstimator(ControllerContext context, MachineRegistry fleet) {
@@ -27,16 +28,16 @@
   }
 
   /**
-   * The latest moment at which the job may start to meet the strictest of its deadlines that it can
-   * still meet; empty where it has none, or can meet none any more.
+   * The latest time at which the job may start to meet the strictest of its deadlines that it still
+   * can; empty where it has none, or can't meet any.
    */
-  OptionalLong latestStartMs(JobState entry) {
-    Job job = entry.spec;
-    if (job.deadlineS() == null) {
+  OptionalLong latestStartMs(JobState job) {
+    Job spec = job.spec;
+    if (spec.deadlineS() == null) {
       return OptionalLong.empty();
     }
-    for (double times : deadlineFactors(job)) {
-      long latestMs = deadlineMs(entry, times) - toMs(job.estimatedRunS() + longestFetchS(job));
+    for (double factor : deadlineFactors(spec)) {
+      long latestMs = deadlineMs(job, factor) - toMs(spec.estimatedRunS() + longestFetchS(spec));
       if (latestMs >= context.nowMs) {
         return OptionalLong.of(latestMs);
       }
@@ -45,8 +46,8 @@
   }
 
   /**
-   * Whether a task of the job that starts now and is lost on its way can't be run again in time:
-   * such work belongs on machines that are not taken back.
+   * Whether a task of the job that starts now and is lost can't be run again in time. Such work
+   * belongs on machines that the cloud does not take back.
    */
   boolean hasNoTimeForRerun(JobState job) {
     OptionalLong latestMs = latestStartMs(job);
@@ -54,39 +55,39 @@
         && latestMs.getAsLong() - context.nowMs < toMs(job.spec.estimatedRunS());
   }
 
-  /** Whether a running task is in time as it is, and would not be if it were run again from now. */
+  /** Whether a running task meets a deadline, and would not if it were run again from now. */
   boolean isLateIfRerun(Reservation reservation) {
-    Job job = reservation.job.spec;
-    if (job.deadlineS() == null) {
+    Job spec = reservation.job.spec;
+    if (spec.deadlineS() == null) {
       return false;
     }
-    for (double times : deadlineFactors(job)) {
-      long leftMs = deadlineMs(reservation.job, times) - toMs(job.estimatedRunS());
-      if (reservation.runningSinceMs <= leftMs) {
-        return context.nowMs > leftMs;
+    for (double factor : deadlineFactors(spec)) {
+      long latestStartMs = deadlineMs(reservation.job, factor) - toMs(spec.estimatedRunS());
+      if (reservation.runningSinceMs <= latestStartMs) {
+        return context.nowMs > latestStartMs;
       }
     }
     return false;
   }
 
-  private List<Double> deadlineFactors(Job job) {
+  private List<Double> deadlineFactors(Job spec) {
     return deadlineFactorsByClass.computeIfAbsent(
-        job.jobClass(), context.settings::deadlineFactors);
+        spec.jobClass(), context.settings::deadlineFactors);
   }
 
-  private static long deadlineMs(JobState job, double times) {
-    return job.firstSeenMs + toMs(times * job.spec.deadlineS());
+  private static long deadlineMs(JobState job, double factor) {
+    return job.firstSeenMs + toMs(factor * job.spec.deadlineS());
   }
 
-  /** How long the job's image takes on the slowest machine that it may run on. */
-  private double longestFetchS(Job job) {
-    double fetchS = 0;
+  /** How long the image fetch takes on the slowest machine type that the job may use. */
+  private double longestFetchS(Job spec) {
+    double longestS = 0;
     for (MachineType type : fleet.types().values()) {
-      if (job.allowsType(type.name()) && job.taskResources().fitsIn(type.capacity())) {
-        fetchS = Math.max(fetchS, job.imageGb() / type.imageFetchGbPerS());
+      if (spec.allowsType(type.name()) && spec.taskResources().fitsIn(type.capacity())) {
+        longestS = Math.max(longestS, spec.imageGb() / type.imageFetchGbPerS());
       }
     }
-    return fetchS;
+    return longestS;
   }
 
   private static long toMs(double seconds) {
--- a/src/main/java/eiderfork/controller/DispatchEligibility.java
+++ b/src/main/java/eiderfork/controller/DispatchEligibility.java
@@ -5,14 +5,12 @@
 import eiderfork.controller.store.StoreClient;
 import eiderfork.model.JobKind;
 
-/** Whether a job's tasks may be placed, and what ended of it written, in this round. */
+/** Whether a job's tasks may be placed, and its completions written, in this round. */
 final class DispatchEligibility {
-  /** Writes that wait for less than this share of a step leave room for what is not urgent. */
+  /** While writes wait for less than this share of a step, what is not urgent is written, too. */
   private static final double IDLE_WRITE_WAIT_SHARE = 0.2;
 
-  /**
-   * How long the ends of some of a job's tasks may be left unwritten while writes wait, in steps.
-   */
+  /** How long completions of a running job may stay unwritten while writes wait, in steps. */
   private static final int MAX_PARTIAL_COMPLETION_DELAY_STEPS = 5;
 
   private final ControllerContext context;
@@ -25,10 +23,12 @@
     this.jobs = jobs;
   }
 
+  /** Whether a write of the job may begin. */
   boolean canWrite(JobState job) {
     return job.canWrite(context.nowMs);
   }
 
+  /** Whether tasks of the job may be placed. */
   boolean canPlace(JobState job) {
     return !job.pendingTasks.isEmpty()
         && context.nowMs >= job.failureHistory.notBeforeMs()
@@ -38,9 +38,9 @@
   }
 
   /**
-   * Whether an array that has begun collects some room before it starts more tasks. Those that end
-   * one by one would each be followed by a start, a write and a run of reservations of its own,
-   * which take more of the record than a few longer runs.
+   * Whether an array that has begun waits for more free capacity before it starts further tasks. If
+   * each completion were followed by a start, each start would take a write, and a range of its own
+   * in the job's record.
    */
   boolean isBatchingStarts(JobState job) {
     return job.spec.kind() == JobKind.ARRAY
@@ -48,7 +48,7 @@
         && context.nowMs - job.lastWriteMs < batchingDelayMs();
   }
 
-  /** Whether one task of a job that seems to fail everywhere is under way and may show better. */
+  /** Whether a suspected job waits for the outcome of the one task that it may try. */
   private boolean isAwaitingTrialTask(JobState job) {
     if (!job.failureHistory.isSuspected()) {
       return false;
@@ -62,11 +62,12 @@
     return !job.reservations.isEmpty();
   }
 
+  /** The priority of a write that starts tasks of the job. */
   static RequestPriority startPriority(JobState job) {
     return job.spec.kind() == JobKind.ARRAY ? RequestPriority.BATCH : RequestPriority.START;
   }
 
-  /** Writes what only ended, once it was collected for long enough; whether some is left. */
+  /** Writes completions once they were collected for long enough; whether some are left. */
   boolean writeCompletions(JobState job) {
     if (!canWrite(job)) {
       return job.writeInFlight && job.dirty;
@@ -80,11 +81,10 @@
   }
 
   /**
-   * Whether the ends of some of a job's tasks may be written now. While writes wait they are left
-   * to the job's next start or end, which carry them: handed over, they would hold up starts, and a
-   * job whose last task ends meanwhile could only be written behind them. On a full write rate
-   * users were told 6 to 12 s late that their arrays were done. They are not left for long, since a
-   * team's tasks count until their ends are written.
+   * Whether the completions of a job that goes on may be written now. While writes wait they are
+   * left to the job's next write, since they would delay starts, and the completion of the whole
+   * job behind them. They are not left for long: a task counts for its team's quota until its
+   * completion is written.
    */
   private boolean canWritePartialCompletions(JobState job) {
     long sinceWrittenMs = context.nowMs - job.lastWriteMs;
--- a/src/main/java/eiderfork/controller/FailedSearchCache.java
+++ b/src/main/java/eiderfork/controller/FailedSearchCache.java
@@ -9,14 +9,17 @@
 import java.util.Map;
 
 /**
- * What searches have proved to find no room, zone by zone. While no machine gets more room, what
- * takes as much or more, on the same kinds of machine, finds none either and is not searched for:
- * hundreds of jobs of a few sizes wait for a full fleet, and searches for each once took the whole
- * processor.
+ * Searches that have found no machine, zone by zone. As long as no machine gets more free capacity,
+ * a task that takes as much or more on the same kinds of machine fits nowhere either and needs no
+ * search: hundreds of jobs of a few sizes wait for a full fleet.
  */
 final class FailedSearchCache {
-  /** The kinds of machine that were searched. */
+  /** The machines that were searched. */
   private record SearchScope(ImmutableSet<String> types, boolean spot, String zone) {
+    static SearchScope of(Job spec, String zone) {
+      return new SearchScope(spec.allowedTypes(), spec.spotAllowed(), zone);
+    }
+
     boolean contains(MachineState machine) {
       return zone.equals(machine.zone())
           && (types == null || types.contains(machine.spec.type()))
@@ -24,51 +27,51 @@
     }
   }
 
+  /** The sizes that fit nowhere, of which none includes another. */
   private final Map<SearchScope, List<Resources>> smallestFailed = new HashMap<>();
 
-  /** Counts the proofs that were given up, so that what was concluded from them can be, too. */
+  /** Counts what is no longer known, so that conclusions from it can be dropped, too. */
   private long retractions;
 
+  /** Forgets all searches. */
   void clear() {
     retractions++;
     smallestFailed.clear();
   }
 
-  /** A task of this job fits on none of the machines that it may have in the zone. */
-  void recordFailure(Job job, String zone) {
+  /** Records that a task of this job fits on none of the machines that it may use in the zone. */
+  void recordFailure(Job spec, String zone) {
     List<Resources> sizes =
-        smallestFailed.computeIfAbsent(
-            new SearchScope(job.allowedTypes(), job.spotAllowed(), zone), w -> new ArrayList<>());
-    sizes.removeIf(size -> job.taskResources().fitsIn(size));
-    sizes.add(job.taskResources());
+        smallestFailed.computeIfAbsent(SearchScope.of(spec, zone), scope -> new ArrayList<>());
+    sizes.removeIf(size -> spec.taskResources().fitsIn(size));
+    sizes.add(spec.taskResources());
   }
 
-  /** Whether it was proved that a task of this job fits nowhere in the zone. */
-  boolean isRuledOut(Job job, String zone) {
-    List<Resources> sizes =
-        smallestFailed.get(new SearchScope(job.allowedTypes(), job.spotAllowed(), zone));
+  /** Whether it is known that a task of this job fits nowhere in the zone. */
+  boolean isRuledOut(Job spec, String zone) {
+    List<Resources> sizes = smallestFailed.get(SearchScope.of(spec, zone));
     if (sizes == null) {
       return false;
     }
     for (Resources size : sizes) {
-      if (size.fitsIn(job.taskResources())) {
+      if (size.fitsIn(spec.taskResources())) {
         return true;
       }
     }
     return false;
   }
 
-  /** Gives up what a machine with more room than before may contradict. */
+  /** Forgets what the free capacity of this machine contradicts. */
   void capacityIncreased(MachineState machine) {
-    for (Map.Entry<SearchScope, List<Resources>> each : smallestFailed.entrySet()) {
-      if (each.getKey().contains(machine)
-          && each.getValue().removeIf(size -> size.fitsIn(machine.freeCapacity()))) {
+    for (Map.Entry<SearchScope, List<Resources>> entry : smallestFailed.entrySet()) {
+      if (entry.getKey().contains(machine)
+          && entry.getValue().removeIf(size -> size.fitsIn(machine.freeCapacity()))) {
         retractions++;
       }
     }
   }
 
-  /** Stays as it is while every proof holds. */
+  /** Grows whenever something is no longer known. */
   long retractions() {
     return retractions;
   }
--- a/src/main/java/eiderfork/controller/FairShareOrder.java
+++ b/src/main/java/eiderfork/controller/FairShareOrder.java
@@ -13,11 +13,11 @@
 import java.util.Set;
 
 /**
- * Puts the jobs that have something to do in the order in which they are served: work within its
- * team's guarantee first, then by priority, then by {@link QueueOrder}.
+ * Sorts the jobs that have something to place or to write into the order in which they are served:
+ * work within its team's guarantee first, then by priority, then by {@link QueueOrder}.
  */
 final class FairShareOrder {
-  /** A job with what decides its place. */
+  /** A job with what decides its position. */
   private record QueuedJob(JobState job, boolean isWithinGuarantee, long queueTimeMs)
       implements Comparable<QueuedJob> {
     @Override
@@ -29,8 +29,8 @@
       if (byPriority != 0) {
         return byPriority;
       }
-      int byTurn = Long.compare(queueTimeMs, other.queueTimeMs);
-      return byTurn != 0 ? byTurn : Long.compare(job.specVersion, other.job.specVersion);
+      int byQueueTime = Long.compare(queueTimeMs, other.queueTimeMs);
+      return byQueueTime != 0 ? byQueueTime : Long.compare(job.specVersion, other.job.specVersion);
     }
   }
 
@@ -46,48 +46,48 @@
   List<JobState> sort(JobRegistry jobs) {
     List<JobState> work = jobs.jobsWithWork();
     Set<JobState> guaranteed = jobsWithinGuarantee(work, jobs.resourceUsage());
-    int mostTasks = maxWaitingArrayTasks(work);
-    List<QueuedJob> turns = new ArrayList<>(work.size());
+    int maxWaitingTasks = maxWaitingArrayTasks(work);
+    List<QueuedJob> queue = new ArrayList<>(work.size());
     for (JobState job : work) {
-      long turnMs = queueOrder.queueTimeMs(job, mostTasks);
-      turns.add(new QueuedJob(job, guaranteed.contains(job), turnMs));
+      long queueTimeMs = queueOrder.queueTimeMs(job, maxWaitingTasks);
+      queue.add(new QueuedJob(job, guaranteed.contains(job), queueTimeMs));
     }
-    turns.sort(null);
-    List<JobState> ranked = new ArrayList<>(turns.size());
-    turns.forEach(turn -> ranked.add(turn.job));
-    return ranked;
+    queue.sort(null);
+    List<JobState> sorted = new ArrayList<>(queue.size());
+    queue.forEach(queued -> sorted.add(queued.job));
+    return sorted;
   }
 
-  /** The jobs that fit into their team's guarantee beside its more urgent and earlier ones. */
-  private Set<JobState> jobsWithinGuarantee(List<JobState> work, ResourceUsage tally) {
+  /** The jobs that fit into their team's guarantee beside its more urgent and earlier jobs. */
+  private Set<JobState> jobsWithinGuarantee(List<JobState> work, ResourceUsage usage) {
     List<JobState> byUrgency = new ArrayList<>();
-    for (JobState entry : work) {
-      Team team = context.settings.teams().get(entry.spec.team());
+    for (JobState job : work) {
+      Team team = context.settings.teams().get(job.spec.team());
       if (team != null && team.hasGuarantee()) {
-        byUrgency.add(entry);
+        byUrgency.add(job);
       }
     }
     byUrgency.sort(FairShareOrder::compareUrgency);
     Set<JobState> guaranteed = new ReferenceOpenHashSet<>();
-    Map<String, Resources> wantedByTeam = new HashMap<>();
-    for (JobState entry : byUrgency) {
-      Job job = entry.spec;
-      Resources waiting = job.taskResources().times(entry.pendingTasks.cardinality());
-      Resources wanted = wantedByTeam.merge(job.team(), waiting, Resources::plus);
-      Team team = context.settings.teams().get(job.team());
-      if (team.isWithinGuarantee(usageOf(tally, job.team()).plus(wanted))) {
-        guaranteed.add(entry);
+    Map<String, Resources> requestedByTeam = new HashMap<>();
+    for (JobState job : byUrgency) {
+      Job spec = job.spec;
+      Resources pending = spec.taskResources().times(job.pendingTasks.cardinality());
+      Resources requested = requestedByTeam.merge(spec.team(), pending, Resources::plus);
+      Team team = context.settings.teams().get(spec.team());
+      if (team.isWithinGuarantee(usedBy(spec.team(), usage).plus(requested))) {
+        guaranteed.add(job);
       }
     }
     return guaranteed;
   }
 
   /**
-   * What counts as used beside what waits. A task that was lost waits again before its end is
-   * committed; counted twice, a team that lost tasks once came behind those that borrowed its room.
+   * What counts as used beside pending tasks. A lost task is pending again before its end is
+   * committed; counted twice, it would put its team behind those that borrow the team's quota.
    */
-  private Resources usageOf(ResourceUsage tally, String team) {
-    return context.settings.operator().isLendingEnabled() ? tally.held(team) : tally.used(team);
+  private Resources usedBy(String team, ResourceUsage usage) {
+    return context.settings.operator().isLendingEnabled() ? usage.held(team) : usage.used(team);
   }
 
   private static int compareUrgency(JobState first, JobState second) {
@@ -95,14 +95,14 @@
     return byPriority != 0 ? byPriority : Long.compare(first.specVersion, second.specVersion);
   }
 
-  /** The most tasks that any array has waiting. */
+  /** The most pending tasks of any array. */
   private static int maxWaitingArrayTasks(List<JobState> work) {
-    int most = 1;
+    int maxTasks = 1;
     for (JobState job : work) {
       if (job.spec.kind() == JobKind.ARRAY) {
-        most = Math.max(most, job.pendingTasks.cardinality());
+        maxTasks = Math.max(maxTasks, job.pendingTasks.cardinality());
       }
     }
-    return most;
+    return maxTasks;
   }
 }
--- a/src/main/java/eiderfork/controller/GangScheduler.java
+++ b/src/main/java/eiderfork/controller/GangScheduler.java
@@ -47,7 +47,7 @@
         || !usage.isWithinLimit(spec.team(), usedWithGang)) {
       return;
     }
-    List<FreeCapacity.Claim> claims = capacity.releaseClaims(job);
+    List<CapacityClaim> claims = capacity.releaseClaims(job);
     if (placeInAnyZone(job, constraints)) {
       usage.record(spec.team(), usedWithGang);
     } else if (!claims.isEmpty()) {
--- a/src/main/java/eiderfork/controller/GpuHeadroom.java
+++ b/src/main/java/eiderfork/controller/GpuHeadroom.java
@@ -4,18 +4,18 @@
 import eiderfork.model.JobKind;
 import java.util.List;
 
-/** Which jobs have to leave free GPUs the processors that GPU work takes, while such work waits. */
+/** Which jobs have to leave free GPUs the CPUs that GPU work needs, while such work is pending. */
 final class GpuHeadroom {
   private final ControllerContext context;
-  private boolean isGpuWorkWaiting;
+  private boolean isGpuWorkPending;
 
   GpuHeadroom(ControllerContext context) {
     this.context = context;
   }
 
   /** Begins a round with these jobs. */
-  void beginRound(List<JobState> ranked) {
-    isGpuWorkWaiting = ranked.stream().anyMatch(GpuHeadroom::isWaitingForGpus);
+  void beginRound(List<JobState> queue) {
+    isGpuWorkPending = queue.stream().anyMatch(GpuHeadroom::isWaitingForGpus);
   }
 
   private static boolean isWaitingForGpus(JobState job) {
@@ -23,14 +23,15 @@
   }
 
   /**
-   * Whether free GPUs are spared from the job. Arrays without GPUs that took their processors left
-   * 132 GPUs of spot machines idle for minutes, since work of one priority does not preempt. Such
-   * an array does not wait for ever, and less long where it has not begun.
+   * Whether the job has to leave the headroom. Arrays without GPUs would keep GPUs idle, since work
+   * of the same priority does not preempt them. Such an array does not wait for ever, and less long
+   * where it has not begun.
    */
   boolean appliesTo(JobState job) {
-    long sparesMs = QueueOrder.OVERDUE_MS * (job.lastAttempt == 0 ? 1 : 2);
-    boolean overdue = context.nowMs - job.firstSeenMs > sparesMs;
-    boolean withoutGpus = job.spec.kind() == JobKind.ARRAY && job.spec.taskResources().gpus() <= 0;
-    return isGpuWorkWaiting && withoutGpus && !overdue;
+    long maxWaitMs = QueueOrder.OVERDUE_MS * (job.lastAttempt == 0 ? 1 : 2);
+    boolean isOverdue = context.nowMs - job.firstSeenMs > maxWaitMs;
+    boolean isArrayWithoutGpus =
+        job.spec.kind() == JobKind.ARRAY && job.spec.taskResources().gpus() <= 0;
+    return isGpuWorkPending && isArrayWithoutGpus && !isOverdue;
   }
 }
--- a/src/main/java/eiderfork/controller/MachineScorer.java
+++ b/src/main/java/eiderfork/controller/MachineScorer.java
@@ -6,23 +6,21 @@
 import eiderfork.model.Resources;
 
 /**
- * How good machines are for one more task of a job; the lower the better. Made anew for each
- * search, so that what depends on the job alone is looked up once.
+ * Scores machines for one more task of a job; the lower the better. There is one for each search,
+ * so that what depends on the job alone is looked up once.
  */
 final class MachineScorer {
-  /** A stranded GPU weighs as much as an image wait of this many steps. */
+  /** A stranded GPU counts as much as an image wait of this many steps. */
   private static final double STRANDED_GPU_PENALTY_STEPS = 100;
 
-  /**
-   * The least image wait that counts, as a share of the time in which the job's tasks should start.
-   */
+  /** The smallest image wait that counts, as a share of the job's start objective. */
   private static final double IMAGE_STEP_SHARE = 0.25;
 
   private final ImageFetchEstimator imageFetch;
   private final CpusPerGpu cpusPerGpu;
-  private final Job job;
+  private final Job spec;
 
-  /** Machines of the kind that the job should leave to others, spot or ordinary. */
+  /** Whether the job should leave spot machines, rather than ordinary ones, to other jobs. */
   private final boolean avoidsSpot;
 
   private final double imageStepS;
@@ -32,36 +30,36 @@
       ImageFetchEstimator imageFetch,
       CpusPerGpu cpusPerGpu,
       DeadlineEstimator deadlines,
-      JobState entry) {
+      JobState job) {
     this.imageFetch = imageFetch;
     this.cpusPerGpu = cpusPerGpu;
-    job = entry.spec;
-    avoidsSpot = deadlines.hasNoTimeForRerun(entry);
-    double waitS = context.settings.shortestObjectiveS(Objective.Kind.WAIT, job.jobClass());
-    imageStepS = Math.min(context.stepS(), waitS * IMAGE_STEP_SHARE);
+    spec = job.spec;
+    avoidsSpot = deadlines.hasNoTimeForRerun(job);
+    double objectiveS = context.settings.shortestObjectiveS(Objective.Kind.WAIT, spec.jobClass());
+    imageStepS = Math.min(context.stepS(), objectiveS * IMAGE_STEP_SHARE);
   }
 
-  /** Whether a task would leave free GPUs fewer processors than GPU work takes beside them. */
+  /** Whether a task would leave free GPUs fewer CPUs than GPU work needs beside them. */
   boolean wouldStrandGpus(Resources free) {
-    return cpusPerGpu.strandedGpusBy(job.taskResources(), free) > 0;
+    return cpusPerGpu.strandedGpusBy(spec.taskResources(), free) > 0;
   }
 
   /**
-   * First counts how many GPUs the task would leave without the processors that GPU work takes,
-   * then how long the image keeps it waiting, in steps, then what the machine has left. Work that
-   * may use spot machines leaves the others to the rest, unless a machine that is taken back would
-   * cost it its deadline: then it leaves the spot machines to what has more time.
+   * The score of a machine. GPUs that the task would strand count most, then the wait for its image
+   * in steps, then the capacity that it would leave free. Work that may use spot machines leaves
+   * the others to the rest; work whose deadline would be lost with a spot machine does the
+   * opposite.
    *
-   * @param free what the machine has left before the task
+   * @param free the free capacity of the machine before the task
    */
   double score(MachineState machine, Resources free) {
-    double stranded = cpusPerGpu.strandedGpusBy(job.taskResources(), free);
-    double steps = Math.floor(imageFetch.waitS(job, machine) / imageStepS);
-    double fullness = free.minus(job.taskResources()).shareOf(machine.capacity);
-    boolean wrongKind = job.spotAllowed() && machine.spec.spot() == avoidsSpot;
-    return steps
-        + fullness
-        + Math.max(0, stranded) * STRANDED_GPU_PENALTY_STEPS
-        + (wrongKind ? job.imageGb() : 0);
+    double strandedGpus = cpusPerGpu.strandedGpusBy(spec.taskResources(), free);
+    double imageSteps = Math.floor(imageFetch.waitS(spec, machine) / imageStepS);
+    double shareLeftFree = free.minus(spec.taskResources()).shareOf(machine.capacity);
+    boolean isForOthers = spec.spotAllowed() && machine.spec.spot() == avoidsSpot;
+    return imageSteps
+        + shareLeftFree
+        + Math.max(0, strandedGpus) * STRANDED_GPU_PENALTY_STEPS
+        + (isForOthers ? spec.imageGb() : 0);
   }
 }
--- a/src/main/java/eiderfork/controller/PlacementConstraints.java
+++ b/src/main/java/eiderfork/controller/PlacementConstraints.java
@@ -6,7 +6,7 @@
 
 /** Where a job allows its tasks to run, given its other tasks. */
 final class PlacementConstraints {
-  /** The key of tasks in {@link #countTasksByZone} whose machine is known by name only. */
+  /** The key in {@link #countTasksByZone} of tasks whose machine is known by name only. */
   private static final String UNKNOWN_ZONE = "";
 
   private PlacementConstraints() {}
@@ -15,8 +15,7 @@
   static Map<String, Integer> countTasksByZone(JobState job) {
     Map<String, Integer> tasksByZone = new HashMap<>();
     for (Reservation reservation : job.reservations.values()) {
-      String zone = reservation.machine.zone();
-      tasksByZone.merge(zone, 1, Integer::sum);
+      tasksByZone.merge(reservation.machine.zone(), 1, Integer::sum);
     }
     return tasksByZone;
   }
@@ -26,19 +25,19 @@
    * by name only; those could be in any zone, and are counted in each.
    */
   static boolean canZoneAccept(
-      Job job, String zone, Map<String, Integer> tasksByZone, int maxTasks) {
+      Job spec, String zone, Map<String, Integer> tasksByZone, int maxTasks) {
     int unknown = tasksByZone.getOrDefault(UNKNOWN_ZONE, 0);
-    if (job.singleZone()
-        && (unknown > 0 || !(tasksByZone.isEmpty() || tasksByZone.containsKey(zone)))) {
+    boolean hasOtherZone = unknown > 0 || !(tasksByZone.isEmpty() || tasksByZone.containsKey(zone));
+    if (spec.singleZone() && hasOtherZone) {
       return false;
     }
-    return tasksByZone.getOrDefault(zone, 0) + (job.spreadZones() ? unknown : 0) < maxTasks;
+    return tasksByZone.getOrDefault(zone, 0) + (spec.spreadZones() ? unknown : 0) < maxTasks;
   }
 
   /** Whether the job's tasks may run on this kind of machine, in its zone. */
-  static boolean isMachineAllowed(Job job, MachineState machine) {
-    return job.allowsType(machine.spec.type())
-        && job.allowsZone(machine.zone())
-        && (job.spotAllowed() || !machine.spec.spot());
+  static boolean isMachineAllowed(Job spec, MachineState machine) {
+    return spec.allowsType(machine.spec.type())
+        && spec.allowsZone(machine.zone())
+        && (spec.spotAllowed() || !machine.spec.spot());
   }
 }
--- a/src/main/java/eiderfork/controller/PreemptionPlanner.java
+++ b/src/main/java/eiderfork/controller/PreemptionPlanner.java
@@ -207,7 +207,7 @@
         context.nowMs
             + CLAIM_DURATION_STEPS * context.stepMs()
             + Math.round(option.delayS() * 1000);
-    capacity.addClaim(new FreeCapacity.Claim(job, machine, untilMs));
+    capacity.addClaim(new CapacityClaim(job, machine, untilMs));
   }
 
   /** Records the zones that would take one more task and have no victims for it. */
--- a/src/main/java/eiderfork/controller/QueueOrder.java
+++ b/src/main/java/eiderfork/controller/QueueOrder.java
@@ -2,31 +2,30 @@
 
 import eiderfork.config.Settings.Objective;
 import eiderfork.controller.context.ControllerContext;
-import eiderfork.model.Job;
 import eiderfork.model.JobKind;
 import java.util.OptionalLong;
 
 /**
- * When a job's turn is among those of its rank, as a moment: the earlier, the sooner it is served.
+ * The order of jobs of one priority, as a time: the earlier, the sooner a job is served.
  *
- * <p>Services go in the order of their arrival. Work with a deadline goes by the latest moment at
- * which it may start to be in time (earliest deadline first, less the run and the image). What
- * can't be in time any more goes behind what can, but not for ever.
+ * <p>Services go in the order of their arrival. Work with a deadline goes by the latest time at
+ * which it may start to meet it (earliest deadline first, less the run and the image fetch). What
+ * can't meet any deadline goes behind what can, but not for ever.
  */
 final class QueueOrder {
-  /** The share of the time it has that an array may yield to smaller ones of its rank. */
+  /** The share of its objective for which an array may yield to smaller ones. */
   private static final double SMALLER_ARRAYS_FIRST_SHARE = 0.5;
 
-  /** The time, by the users, in which the largest jobs must have begun whatever their chances. */
+  /** The objective within which every job must have begun, whatever its chances. */
   private static final long MAX_START_DELAY_MS = 240_000;
 
-  /** The share of that time after which a late job that never started goes before all others. */
+  /** The share of that time after which a late job that never started is not put off any more. */
   private static final double OVERDUE_SHARE = 0.6;
 
-  /** After this time work that never started goes before what is put first otherwise. */
+  /** The age at which a job that never started is overdue. */
   static final long OVERDUE_MS = (long) (MAX_START_DELAY_MS * OVERDUE_SHARE);
 
-  /** Longer than any job lives: what is put off by this comes behind all others of its rank. */
+  /** Longer than any job lives: puts a job behind all others of its priority. */
   private static final long LAST_IN_RANK_OFFSET_MS = 1L << 50;
 
   private final ControllerContext context;
@@ -38,29 +37,39 @@
   }
 
   /**
-   * @param maxWaitingTasks the most tasks that any array has waiting
+   * The time by which the job is queued.
+   *
+   * @param maxWaitingTasks the most pending tasks of any array
    */
-  long queueTimeMs(JobState entry, int maxWaitingTasks) {
-    Job job = entry.spec;
-    if (job.kind() == JobKind.SERVICE) {
-      return entry.firstSeenMs;
+  long queueTimeMs(JobState job, int maxWaitingTasks) {
+    if (job.spec.kind() == JobKind.SERVICE) {
+      return job.firstSeenMs;
     }
-    // Small arrays are sooner done, and a larger one loses less by waiting for them.
-    double size = entry.pendingTasks.cardinality() / (double) maxWaitingTasks;
-    if (job.deadlineS() == null) {
-      double aimS = context.settings.shortestObjectiveS(Objective.Kind.FINISHED, job.jobClass());
-      double yieldS = aimS == Double.MAX_VALUE ? 0 : aimS * SMALLER_ARRAYS_FIRST_SHARE;
-      return entry.firstSeenMs + (job.kind() == JobKind.ARRAY ? toMs(yieldS * size) : 0);
+    if (job.spec.deadlineS() == null) {
+      return job.firstSeenMs + yieldMs(job, maxWaitingTasks);
     }
-    OptionalLong latestStartMs = deadlines.latestStartMs(entry);
-    if (latestStartMs.isPresent()) {
-      return latestStartMs.getAsLong();
+    OptionalLong latestStartMs = deadlines.latestStartMs(job);
+    return latestStartMs.isPresent() ? latestStartMs.getAsLong() : lateQueueTimeMs(job);
+  }
+
+  /** How long an array yields to smaller ones, which are done sooner and delay it less. */
+  private long yieldMs(JobState job, int maxWaitingTasks) {
+    if (job.spec.kind() != JobKind.ARRAY) {
+      return 0;
     }
-    // Late work that never began has a right to begin; what has begun may wait for longer.
-    boolean begun = entry.lastAttempt > 0;
-    double waitMostMs = MAX_START_DELAY_MS * (begun ? 1 : OVERDUE_SHARE);
-    boolean waitedLongEnough = context.nowMs - entry.firstSeenMs >= waitMostMs;
-    return entry.firstSeenMs + (waitedLongEnough ? 0 : LAST_IN_RANK_OFFSET_MS);
+    double objectiveS =
+        context.settings.shortestObjectiveS(Objective.Kind.FINISHED, job.spec.jobClass());
+    double yieldS = objectiveS == Double.MAX_VALUE ? 0 : objectiveS * SMALLER_ARRAYS_FIRST_SHARE;
+    double size = job.pendingTasks.cardinality() / (double) maxWaitingTasks;
+    return toMs(yieldS * size);
+  }
+
+  /** A job that never started must begin; one that has begun may wait for longer. */
+  private long lateQueueTimeMs(JobState job) {
+    boolean hasBegun = job.lastAttempt > 0;
+    double maxWaitMs = MAX_START_DELAY_MS * (hasBegun ? 1 : OVERDUE_SHARE);
+    boolean isOverdue = context.nowMs - job.firstSeenMs >= maxWaitMs;
+    return job.firstSeenMs + (isOverdue ? 0 : LAST_IN_RANK_OFFSET_MS);
   }
 
   private static long toMs(double seconds) {
--- a/src/main/java/eiderfork/controller/SearchConstraints.java
+++ b/src/main/java/eiderfork/controller/SearchConstraints.java
@@ -1,16 +1,16 @@
 package eiderfork.controller;
 
 /**
- * Which free room a search leaves alone.
+ * Which free capacity a search does not use.
  *
- * @param keepsGpuHeadroom free GPUs keep the processors that GPU work takes
- * @param excludesReclaimed room that was reclaimed lately is not taken
+ * @param keepsGpuHeadroom whether free GPUs keep the CPUs that GPU work needs
+ * @param excludesReclaimed whether recently reclaimed capacity is left to others
  */
 record SearchConstraints(boolean keepsGpuHeadroom, boolean excludesReclaimed) {
-  /** All free room is taken. */
+  /** All free capacity is used. */
   static final SearchConstraints NONE = new SearchConstraints(false, false);
 
-  /** Whether some room is left alone. */
+  /** Whether some free capacity is not used. */
   boolean isRestricted() {
     return keepsGpuHeadroom || excludesReclaimed;
   }
--- a/src/main/java/eiderfork/controller/TaskScheduler.java
+++ b/src/main/java/eiderfork/controller/TaskScheduler.java
@@ -80,7 +80,7 @@
     private final Map<String, Integer> tasksByZone;
 
     /** Claims of this job whose capacity it has not used yet. */
-    private final List<FreeCapacity.Claim> claims;
+    private final List<CapacityClaim> claims;
 
     private final long attempt;
     private final AllocationSizeLimit sizeLimit;
--- a/src/main/java/eiderfork/controller/TeamUsageTracker.java
+++ b/src/main/java/eiderfork/controller/TeamUsageTracker.java
@@ -65,7 +65,7 @@
   /** What a team uses, with the capacity that is claimed for its jobs. */
   Resources usedWithClaims(String team) {
     Resources used = jobs.resourceUsage().used(team);
-    for (FreeCapacity.Claim claim : capacity.claims()) {
+    for (CapacityClaim claim : capacity.claims()) {
       Job spec = claim.job().spec;
       if (spec.team().equals(team)) {
         used = used.plus(spec.taskResources());
@@ -107,7 +107,7 @@
 
   private Map<String, QuotaAmount> promisedByTeam() {
     Map<String, QuotaAmount> promisedByTeam = new HashMap<>();
-    for (FreeCapacity.Claim claim : capacity.claims()) {
+    for (CapacityClaim claim : capacity.claims()) {
       Job spec = claim.job().spec;
       promisedByTeam.merge(spec.team(), QuotaAmount.of(spec.taskResources()), QuotaAmount::plus);
     }
--- a/src/test/java/eiderfork/controller/CapacityIndexTest.java
+++ b/src/test/java/eiderfork/controller/CapacityIndexTest.java
@@ -148,7 +148,7 @@
     FreeCapacity capacity = new FreeCapacity(fleet, machine -> true, machine -> true, loans);
     capacity.beginRound(0);
     JobState claims = jobs.add(job(new Resources(64, 8, 1), false), 1);
-    capacity.addClaim(new FreeCapacity.Claim(claims, m, 1000));
+    capacity.addClaim(new CapacityClaim(claims, m, 1000));
     Job waits = job(new Resources(8, 1, 1), false);
     index.failedSearches().recordFailure(waits, "a");
     capacity.beginRound(500);
