--- a/src/test/java/eiderfork/controller/ArrayParallelismTest.java
+++ b/src/test/java/eiderfork/controller/ArrayParallelismTest.java
@@ -16,12 +16,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Arrays of thousands of short tasks: what is rented for them, and how they end. */
+/** Arrays of thousands of short tasks: how many machines they get, and how they end. */
 class ArrayParallelismTest {
   private static final int TASKS = 3000;
 
-  private static Settings settings(double aimS) {
-    Objective objective = new Objective(Objective.Kind.FINISHED, "batch", aimS, 1, 0.9);
+  private static Settings settings(double objectiveS) {
+    Objective objective = new Objective(Objective.Kind.FINISHED, "batch", objectiveS, 1, 0.9);
     return TestFixtures.withObjectives(
         TestFixtures.settings("roost-0"), ImmutableList.of(objective));
   }
@@ -50,7 +50,7 @@
   }
 
   /**
-   * Room for all tasks at once would be 94 machines; they stood idle when the array was through.
+   * Capacity for all tasks at once would take 94 machines, which once stood idle after the array.
    */
   @Test
   void anArrayOfShortTasksIsPlannedInWaves() {
@@ -64,10 +64,10 @@
     assertEquals(List.of(), world.checker.breaches);
   }
 
-  /** A leader that ends in its middle, twice, loses and repeats nothing. */
+  /** A leader that ends while the array runs, twice, loses and repeats nothing. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
-  void twoCrashesOfTheLeaderLoseNothingOfIt(long seed) {
+  void twoLeaderCrashesLoseNothing(long seed) {
     SimulatedCluster world = new SimulatedCluster(seed, settings(400));
     world.cloud.capacity = 6;
     world.submit(array(1));
@@ -84,9 +84,9 @@
     assertEquals(List.of(), world.checker.breaches);
   }
 
-  /** Half of the limit, and machines that die or lose their leases in its middle. */
+  /** Half of the store limit, and machines that die while the array runs. */
   @Test
-  void itGoesOnUnderHalfOfTheLimitWhileMachinesDie() {
+  void anArrayFinishesUnderHalfOfTheStoreLimitWhileMachinesDie() {
     Settings base = settings(400);
     Settings.StoreLimits limits = base.storeLimits();
     Settings.StoreLimits half =
@@ -104,7 +104,7 @@
     assertEquals(List.of(), world.checker.breaches);
   }
 
-  /** An array whose tasks take a good part of its time gets room for all of them. */
+  /** An array whose tasks take a good part of its objective gets capacity for all of them. */
   @Test
   void anArrayOfLongTasksIsPlannedAsAWhole() {
     SimulatedCluster world = new SimulatedCluster(6, settings(20));
@@ -112,6 +112,6 @@
     world.submit(job);
     world.run(25);
     assertTrue(world.checker.isDone(job.uid()));
-    assertTrue(world.cloud.hosts().size() >= 5, "room for one after the other only");
+    assertTrue(world.cloud.hosts().size() >= 5, "capacity for one after the other only");
   }
 }
--- a/src/test/java/eiderfork/controller/CapacityIndexTest.java
+++ b/src/test/java/eiderfork/controller/CapacityIndexTest.java
@@ -21,7 +21,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** The index names every machine with room, and forgets what is proved no longer. */
+/** The index finds every machine with capacity, and forgets searches that would succeed now. */
 class CapacityIndexTest {
   private static final ImmutableList<String> ZONES = ImmutableList.of("a", "b");
 
@@ -29,7 +29,7 @@
       new ControllerContext(TestFixtures.settings("roost-0"), new Random(1), 0);
   private final JobRegistry jobs = new JobRegistry(context, new StoreClient(context), null, null);
   private final MachineRegistry fleet = new MachineRegistry(context, jobs);
-  private final BorrowedCapacity loans = new BorrowedCapacity(context, jobs, fleet);
+  private final BorrowedCapacity borrowedCapacity = new BorrowedCapacity(context, jobs, fleet);
   private final CapacityIndex index = fleet.indexes().capacityIndex();
   private final Random random = new Random(2);
   private int lastJob;
@@ -43,9 +43,9 @@
 
   private MachineState machine(String name, String type, String zone, boolean spot) {
     Machine machine = new Machine(name, name + ":1", type, zone, spot);
-    MachineState entry = fleet.getOrRegister(machine);
-    fleet.recordHeartbeat(entry, new Heartbeat(machine, 1, 1, 0, null, ImmutableList.of()));
-    return entry;
+    MachineState state = fleet.getOrRegister(machine);
+    fleet.recordHeartbeat(state, new Heartbeat(machine, 1, 1, 0, null, ImmutableList.of()));
+    return state;
   }
 
   private Job job(Resources demand, boolean spot) {
@@ -73,12 +73,12 @@
         null);
   }
 
-  private Resources need() {
+  private Resources randomDemand() {
     return new Resources(0.5 + random.nextInt(80) / 2.0, random.nextInt(4), random.nextInt(64));
   }
 
   @Test
-  void noMachineWithRoomIsMissedWhateverIsPlacedAndReleased() {
+  void noMachineWithCapacityIsMissedWhateverIsPlacedAndSettled() {
     List<MachineState> machines = new ArrayList<>();
     for (int i = 0; i < 40; i++) {
       String type = random.nextBoolean() ? "g8" : "c100";
@@ -86,33 +86,33 @@
     }
     List<Reservation> placed = new ArrayList<>();
     for (int step = 0; step < 2000; step++) {
-      MachineState m = machines.get(random.nextInt(machines.size()));
-      Job job = job(need(), true);
-      if (random.nextInt(3) > 0 && job.taskResources().fitsIn(m.freeCapacity())) {
-        placed.add(jobs.propose(jobs.add(job, lastJob), 0, 1, m));
+      MachineState machine = machines.get(random.nextInt(machines.size()));
+      Job job = job(randomDemand(), true);
+      if (random.nextInt(3) > 0 && job.taskResources().fitsIn(machine.freeCapacity())) {
+        placed.add(jobs.propose(jobs.add(job, lastJob), 0, 1, machine));
       } else if (!placed.isEmpty()) {
         jobs.settle(placed.remove(random.nextInt(placed.size())), false);
       }
-      Job wanted = job(need(), random.nextBoolean());
-      Set<MachineState> named = new HashSet<>();
-      index.forEachCandidate(wanted, Set.of("a"), number -> named.add(fleet.get(number)));
+      Job wanted = job(randomDemand(), random.nextBoolean());
+      Set<MachineState> candidates = new HashSet<>();
+      index.forEachCandidate(wanted, Set.of("a"), number -> candidates.add(fleet.get(number)));
       for (MachineState each : machines) {
         boolean fits = wanted.taskResources().fitsIn(each.freeCapacity());
         boolean allowed = each.zone().equals("a") && (wanted.spotAllowed() || !each.spec.spot());
         assertTrue(
-            !fits || !allowed || named.contains(each),
+            !fits || !allowed || candidates.contains(each),
             wanted.taskResources() + " on " + each.freeCapacity());
-        assertTrue(allowed || !named.contains(each), "only what is allowed");
+        assertTrue(allowed || !candidates.contains(each), "only what is allowed");
       }
     }
   }
 
   @Test
-  void aMachineThatIsGoneIsNamedNoMore() {
-    MachineState m = machine("n-1", "g8", "a", false);
+  void aRemovedMachineIsNoCandidate() {
+    MachineState machine = machine("n-1", "g8", "a", false);
     assertEquals(1, index.size());
     assertEquals(Set.of("a"), index.zones());
-    fleet.remove(m, "it died");
+    fleet.remove(machine, "it died");
     assertEquals(0, index.size());
     assertEquals(Set.of(), index.zones());
     index.forEachCandidate(
@@ -124,56 +124,55 @@
   }
 
   @Test
-  void onlyAMachineThatMayTakeTheTaskContradictsAProof() {
-    MachineState m = machine("n-1", "g8", "a", false);
+  void onlyAMachineThatMayRunTheTaskEndsAFailedSearch() {
+    MachineState machine = machine("n-1", "g8", "a", false);
     JobState large = jobs.add(job(new Resources(60, 8, 1), false), 1);
-    Reservation task = jobs.propose(large, 0, 1, m);
+    Reservation task = jobs.propose(large, 0, 1, machine);
     Job waits = job(new Resources(8, 1, 1), false);
     Job waitsForMore = job(new Resources(70, 1, 1), false);
     index.failedSearches().recordFailure(waits, "a");
     index.failedSearches().recordFailure(waits, "b");
     jobs.settle(task, false);
-    assertTrue(!index.failedSearches().isRuledOut(waits, "a"), "the machine has room now");
+    assertTrue(!index.failedSearches().isRuledOut(waits, "a"), "the machine has capacity now");
     assertTrue(
         index.failedSearches().isRuledOut(waits, "b"), "in the other zone nothing has changed");
     index.failedSearches().recordFailure(waitsForMore, "a");
-    jobs.settle(jobs.propose(large, 0, 2, m), false);
+    jobs.settle(jobs.propose(large, 0, 2, machine), false);
     assertTrue(index.failedSearches().isRuledOut(waitsForMore, "a"), "more than the machine has");
   }
 
-  /** Room that was claimed for one job is free for others once the claim is over. */
+  /** Capacity that was claimed for one job is free for others once the claim has ended. */
   @Test
-  void aClaimThatLapsesContradictsWhatWasProvedBesideIt() {
-    MachineState m = machine("n-1", "g8", "a", false);
-    FreeCapacity capacity = new FreeCapacity(fleet, machine -> true, machine -> true, loans);
+  void aClaimThatEndsEndsTheSearchesThatFailedBesideIt() {
+    MachineState machine = machine("n-1", "g8", "a", false);
+    FreeCapacity capacity = new FreeCapacity(fleet, any -> true, any -> true, borrowedCapacity);
     capacity.beginRound(0);
-    JobState claims = jobs.add(job(new Resources(64, 8, 1), false), 1);
-    capacity.addClaim(new CapacityClaim(claims, m, 1000));
+    JobState claimant = jobs.add(job(new Resources(64, 8, 1), false), 1);
+    capacity.addClaim(new CapacityClaim(claimant, machine, 1000));
     Job waits = job(new Resources(8, 1, 1), false);
     index.failedSearches().recordFailure(waits, "a");
     capacity.beginRound(500);
-    assertEquals(0, capacity.freeOn(m).gpus());
+    assertEquals(0, capacity.freeOn(machine).gpus());
     assertTrue(index.failedSearches().isRuledOut(waits, "a"));
     capacity.beginRound(1000);
-    assertEquals(8, capacity.freeOn(m).gpus());
+    assertEquals(8, capacity.freeOn(machine).gpus());
     assertTrue(!index.failedSearches().isRuledOut(waits, "a"));
   }
 
   @Test
-  void aSearchMarksMachinesWithRoomThatItMayNotUse() {
-    MachineState m = machine("n-1", "g8", "a", false);
-    FreeCapacity capacity = new FreeCapacity(fleet, machine -> false, machine -> false, loans);
+  void aSearchMarksMachinesWithCapacityThatAreNotUsable() {
+    MachineState machine = machine("n-1", "g8", "a", false);
+    FreeCapacity capacity = new FreeCapacity(fleet, any -> false, any -> false, borrowedCapacity);
     capacity.beginRound(0);
-    JobState entry = jobs.add(job(new Resources(8, 1, 1), false), 1);
+    JobState job = jobs.add(job(new Resources(8, 1, 1), false), 1);
     ImageFetchEstimator imageFetch = new ImageFetchEstimator(context, fleet);
     DeadlineEstimator deadlines = new DeadlineEstimator(context, fleet);
-    MachineScorer scorer =
-        new MachineScorer(context, imageFetch, CpusPerGpu.NONE, deadlines, entry);
+    MachineScorer scorer = new MachineScorer(context, imageFetch, CpusPerGpu.NONE, deadlines, job);
     MachineSearch search =
         new MachineSearch(
-            capacity, scorer, random, 1000, entry, new HashMap<>(), true, SearchConstraints.NONE);
+            capacity, scorer, random, 1000, job, new HashMap<>(), true, SearchConstraints.NONE);
     assertEquals(null, search.bestMachine());
-    assertTrue(m.skippedBySearch);
-    assertTrue(index.failedSearches().isRuledOut(entry.spec, "a"));
+    assertTrue(machine.skippedBySearch);
+    assertTrue(index.failedSearches().isRuledOut(job.spec, "a"));
   }
 }
--- a/src/test/java/eiderfork/controller/GpuHeadroomTest.java
+++ b/src/test/java/eiderfork/controller/GpuHeadroomTest.java
@@ -10,8 +10,18 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Arrays without GPUs leave free GPUs the processors that GPU work takes. */
+/** Arrays without GPUs leave free GPUs the CPUs that GPU work needs. */
 class GpuHeadroomTest {
+  /** The cloud has this many machines of type {@code g4}, all of one zone and none of them spot. */
+  private static SimulatedCluster clusterWithGpuMachines(long seed, int machines) {
+    SimulatedCluster world = new SimulatedCluster(seed);
+    world.cloud.stock.put(new CloudProvisioner.MachineKind("g4", "a", false), machines);
+    world.cloud.stock.put(new CloudProvisioner.MachineKind("g4", "b", false), 0);
+    world.cloud.stock.put(new CloudProvisioner.MachineKind("g4", "a", true), 0);
+    world.cloud.stock.put(new CloudProvisioner.MachineKind("g4", "b", true), 0);
+    return world;
+  }
+
   private static Job array(int number, int tasks, Resources demand, double runS) {
     Job template = TestFixtures.job(number, JobKind.ARRAY, tasks, 0);
     return TestFixtures.sized(
@@ -19,64 +29,53 @@
   }
 
   /**
-   * A guest's idle work once took the processors of 132 free GPUs, for which arrays of the same
-   * priority waited for minutes: what has started is not stopped for its equals.
+   * An array without GPUs once used the CPUs of 132 free GPUs, for which arrays of the same
+   * priority waited for minutes: work is not preempted for work of its own priority.
    */
   @Test
-  void idleWorkLeavesTheProcessorsToArraysThatWaitForGpus() {
-    SimulatedCluster world = new SimulatedCluster(3);
-    world.cloud.stock.put(new CloudProvisioner.MachineKind("g4", "a", false), 2);
-    world.cloud.stock.put(new CloudProvisioner.MachineKind("g4", "b", false), 0);
-    world.cloud.stock.put(new CloudProvisioner.MachineKind("g4", "a", true), 0);
-    world.cloud.stock.put(new CloudProvisioner.MachineKind("g4", "b", true), 0);
+  void cpuArraysLeaveTheCpusToArraysThatWaitForGpus() {
+    SimulatedCluster world = clusterWithGpuMachines(3, 2);
     Job first = array(1, 8, new Resources(3, 1, 4), 20);
     world.submit(first);
     world.run(14);
-    // All GPUs are taken: more GPU work waits, and guests come before there is room for it.
-    Job waits = array(2, 8, new Resources(3, 1, 4), 20);
-    world.submit(waits);
-    Job guest = array(3, 40, new Resources(2, 0, 2), 60);
-    world.submit(guest);
+    // All GPUs are in use; more GPU work is pending, and an array without GPUs comes.
+    Job gpuArray = array(2, 8, new Resources(3, 1, 4), 20);
+    world.submit(gpuArray);
+    Job cpuArray = array(3, 40, new Resources(2, 0, 2), 60);
+    world.submit(cpuArray);
     world.run(45);
     assertTrue(world.checker.isDone(first.uid()));
-    assertEquals(8, world.checker.running(waits.uid()) + world.checker.completed(waits.uid()));
-    assertTrue(world.checker.running(guest.uid()) > 0, "the guest has what nobody needs");
+    assertEquals(
+        8, world.checker.running(gpuArray.uid()) + world.checker.completed(gpuArray.uid()));
+    assertTrue(world.checker.running(cpuArray.uid()) > 0, "it has what no other job needs");
     assertEquals(List.of(), world.checker.breaches);
   }
 
-  /** Guests that came later took what the end of the earlier ones left too little without. */
+  /** Small tasks that came later once used the CPUs that a large task still lacked. */
   @Test
-  void idleWorkDoesNotTakeWhatWaitingGpuWorkStillLacks() {
-    SimulatedCluster world = new SimulatedCluster(5);
-    world.cloud.stock.put(new CloudProvisioner.MachineKind("g4", "a", false), 1);
-    world.cloud.stock.put(new CloudProvisioner.MachineKind("g4", "b", false), 0);
-    world.cloud.stock.put(new CloudProvisioner.MachineKind("g4", "a", true), 0);
-    world.cloud.stock.put(new CloudProvisioner.MachineKind("g4", "b", true), 0);
+  void cpuArraysDoNotUseWhatPendingGpuWorkStillLacks() {
+    SimulatedCluster world = clusterWithGpuMachines(5, 1);
     world.submit(array(1, 4, new Resources(2, 0, 2), 20));
     world.run(14);
-    Job waits = array(2, 1, new Resources(12, 4, 4), 10);
-    world.submit(waits);
+    Job gpuArray = array(2, 1, new Resources(12, 4, 4), 10);
+    world.submit(gpuArray);
     world.run(1);
-    Job guest = array(3, 8, new Resources(1, 0, 1), 100);
-    world.submit(guest);
+    Job cpuArray = array(3, 8, new Resources(1, 0, 1), 100);
+    world.submit(cpuArray);
     world.run(35);
-    assertTrue(world.checker.isDone(waits.uid()), "it waited for the guest");
+    assertTrue(world.checker.isDone(gpuArray.uid()), "it waited for the other array");
     assertEquals(List.of(), world.checker.breaches);
   }
 
-  /** While no GPU work waits, the processors are there for anybody. */
+  /** While no GPU work is pending, every job may use the CPUs. */
   @Test
-  void idleWorkTakesThemWhereNoGpuWorkWaits() {
-    SimulatedCluster world = new SimulatedCluster(4);
-    world.cloud.stock.put(new CloudProvisioner.MachineKind("g4", "a", false), 1);
-    world.cloud.stock.put(new CloudProvisioner.MachineKind("g4", "b", false), 0);
-    world.cloud.stock.put(new CloudProvisioner.MachineKind("g4", "a", true), 0);
-    world.cloud.stock.put(new CloudProvisioner.MachineKind("g4", "b", true), 0);
+  void cpuArraysUseTheCpusWhereNoGpuWorkIsPending() {
+    SimulatedCluster world = clusterWithGpuMachines(4, 1);
     world.submit(TestFixtures.job(1, JobKind.SERVICE, 1, 1));
     world.run(14);
-    Job guest = array(3, 7, new Resources(2, 0, 2), 10);
-    world.submit(guest);
+    Job cpuArray = array(3, 7, new Resources(2, 0, 2), 10);
+    world.submit(cpuArray);
     world.run(30);
-    assertTrue(world.checker.isDone(guest.uid()));
+    assertTrue(world.checker.isDone(cpuArray.uid()));
   }
 }
--- a/src/test/java/eiderfork/controller/GuaranteeChecker.java
+++ b/src/test/java/eiderfork/controller/GuaranteeChecker.java
@@ -11,13 +11,13 @@
 
 /**
  * Watches from outside whether teams have the GPUs that they are guaranteed: it reads only what
- * workers run and what users asked for. A team that lacks some of its guarantee while another uses
- * more than its own has to get it back; how long that takes, and why, is kept for each minute.
+ * workers run and what users requested. A team that lacks some of its guarantee while another uses
+ * more than its own has to get it back; how long that takes, and why, is recorded for each minute.
  */
 final class GuaranteeChecker {
-  /** Why a team has less than it is guaranteed and asks for. */
+  /** Why a team has less than it is guaranteed and requests. */
   enum Cause {
-    /** It has it all, or asks for no more. */
+    /** It has it all, or requests no more. */
     NONE,
     /** No other team uses more than its own guarantee. */
     NOBODY_BORROWS,
@@ -27,17 +27,17 @@
     STARTING,
     /** A borrower saves its progress. */
     SAVING,
-    /** Only replicas are borrowed, which are left alone for as long as a machine takes to boot. */
+    /** Only replicas borrow, which are not preempted for as long as a machine takes to boot. */
     REPLICAS_BORROW,
-    /** Something went wrong, and a lease and a boot have not passed since. */
+    /** There was a failure, and a lease and a boot have not passed since. */
     TROUBLE,
-    /** It was asked for, or stopped, a moment ago. */
+    /** It was requested, or preempted, a moment ago. */
     REACTING,
     /** None of these. */
     UNEXPLAINED
   }
 
-  /** A team's minute: the least that it held and the most that it asked for at one time. */
+  /** A team's minute: the least that it held and the most that it requested at one time. */
   static final class Minute {
     final long minute;
     final String team;
@@ -75,7 +75,7 @@
   private static final long CHECK_INTERVAL_MS = 1000;
   private static final long MINUTE_MS = 60_000;
 
-  /** A report, a round, a write and a command, each with its slack. */
+  /** A heartbeat, a round, a write and a command, each with its slack. */
   private static final int REACTION_S = 4;
 
   private final SimulatedCluster world;
@@ -86,13 +86,13 @@
 
   private final Map<String, Double> gpusPerType = new HashMap<>();
 
-  /** Until when what went wrong explains that a guarantee is not there. */
+  /** Until when a failure explains that a guarantee is not held. */
   private long disruptedUntilMs;
 
   /** The longest that each team lacked its guarantee while another borrowed, in seconds. */
   final Map<String, Integer> longestShortfallS = new LinkedHashMap<>();
 
-  /** Seconds in which a guarantee was not there for no known cause. */
+  /** Seconds in which a guarantee was not held without a known cause. */
   final List<String> unexplained = new ArrayList<>();
 
   GuaranteeChecker(SimulatedCluster world) {
@@ -101,7 +101,7 @@
     check();
   }
 
-  /** Something goes wrong for this long. */
+  /** Takes note of a failure that lasts this long. */
   void expectDisruption(long forMs) {
     long leaseAndBootMs = (long) (world.settings.workerTimings().leaseS() * 1000) + 15_000;
     disruptedUntilMs = Math.max(disruptedUntilMs, world.nowMs + forMs + leaseAndBootMs);
@@ -116,8 +116,8 @@
 
   private void check(Team team) {
     double held = world.checker.held(team.name()).gpus();
-    double asked = world.checker.asked(team.name()).gpus();
-    Cause cause = cause(team, held, asked);
+    double requested = world.checker.asked(team.name()).gpus();
+    Cause cause = cause(team, held, requested);
     boolean counts =
         cause != Cause.NONE
             && cause != Cause.NOBODY_BORROWS
@@ -133,13 +133,13 @@
                   team.name(),
                   held,
                   team.guaranteedGpus(),
-                  asked,
+                  requested,
                   lacking));
     }
-    record(team, held, asked, cause);
+    record(team, held, requested, cause);
   }
 
-  private void record(Team team, double held, double asked, Cause cause) {
+  private void record(Team team, double held, double requested, Cause cause) {
     long minute = (world.nowMs - beganMs) / MINUTE_MS;
     Minute row = currentMinutes.get(team.name());
     if (row == null || row.minute != minute) {
@@ -147,7 +147,7 @@
       currentMinutes.put(team.name(), row);
       minutes.add(row);
     }
-    row.maxRequested = Math.max(row.maxRequested, asked);
+    row.maxRequested = Math.max(row.maxRequested, requested);
     row.minHeld = Math.min(row.minHeld, held);
     if (cause != Cause.NONE) {
       row.secondsBelow++;
@@ -155,8 +155,8 @@
     }
   }
 
-  private Cause cause(Team team, double held, double asked) {
-    double lacked = Math.min(asked, team.guaranteedGpus()) - held;
+  private Cause cause(Team team, double held, double requested) {
+    double lacked = Math.min(requested, team.guaranteedGpus()) - held;
     if (lacked < 1) {
       return Cause.NONE;
     }
@@ -187,11 +187,11 @@
     return world.cloud.types.stream().mapToDouble(MachineType::bootS).max().orElse(0);
   }
 
-  /** Whether batch work of another team stands on a machine while that team is beyond its own. */
+  /** Whether another team with batch work on machines exceeds its guarantee. */
   private boolean hasBatchBorrower(Team team) {
     for (Team other : world.settings.teams().values()) {
-      boolean borrows = world.checker.held(other.name()).gpus() > other.guaranteedGpus();
-      if (other != team && borrows && world.checker.holdsBatch(other.name())) {
+      boolean isBorrowing = world.checker.held(other.name()).gpus() > other.guaranteedGpus();
+      if (other != team && isBorrowing && world.checker.holdsBatch(other.name())) {
         return true;
       }
     }
@@ -222,8 +222,8 @@
 
   private double gpusPerType(String type) {
     return world.cloud.types.stream()
-        .filter(it -> it.name().equals(type))
-        .mapToDouble(it -> it.capacity().gpus())
+        .filter(machineType -> machineType.name().equals(type))
+        .mapToDouble(machineType -> machineType.capacity().gpus())
         .findFirst()
         .orElse(0);
   }
--- a/src/test/java/eiderfork/controller/PreemptionTest.java
+++ b/src/test/java/eiderfork/controller/PreemptionTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Which arrays are stopped for a service that finds no room. */
+/** Which array tasks are preempted for a service that finds no free capacity. */
 class PreemptionTest {
   private final ControllerContext context =
       new ControllerContext(TestFixtures.settings("roost-0"), new Random(1), 1_000_000);
@@ -29,7 +29,7 @@
   private int lastJob;
 
   @BeforeEach
-  void typesAreKnown() {
+  void publishMachineTypes() {
     fleet.types(
         ImmutableList.of(
             new MachineType(
@@ -45,16 +45,16 @@
   /** A machine that is full of an array's tasks, which have run for this long. */
   private MachineState fullMachine(String name, long ranMs) {
     Machine machine = new Machine(name, name + ":1", "g4", "a", false);
-    MachineState m = fleet.getOrRegister(machine);
-    fleet.recordHeartbeat(m, new Heartbeat(machine, 1, 1, 0, null, ImmutableList.of()));
+    MachineState state = fleet.getOrRegister(machine);
+    fleet.recordHeartbeat(state, new Heartbeat(machine, 1, 1, 0, null, ImmutableList.of()));
     JobState array = add(JobKind.ARRAY, 4, Priority.LOW, "batch-img");
     for (int index = 0; index < 4; index++) {
-      Reservation task = jobs.propose(array, index, 1, m);
+      Reservation task = jobs.propose(array, index, 1, state);
       task.committed = true;
       task.reportedState = TaskStatus.State.RUNNING;
       task.runningSinceMs = context.nowMs - ranMs;
     }
-    return m;
+    return state;
   }
 
   private int preemptFor(JobState service) {
@@ -83,7 +83,7 @@
   }
 
   @Test
-  void ofAlikeMachinesTheOneIsTakenWhoseTasksHaveRunForLess() {
+  void ofEqualMachinesTheOneWithTheLeastWorkLostIsChosen() {
     MachineState longer = fullMachine("n-1", 30_000);
     MachineState shorter = fullMachine("n-2", 10_000);
     assertEquals(1, preemptFor(add(JobKind.SERVICE, 1, Priority.HIGH, "web-img")));
@@ -91,9 +91,12 @@
     assertEquals(1, countStopping(shorter));
   }
 
-  /** A replica that took room where its image had to be fetched once waited 62 s for it. */
+  /**
+   * A replica once preempted tasks on a machine that still fetched other images, and waited 62 s
+   * for its own.
+   */
   @Test
-  void theWaitForAnImageCountsLikeWorkThatIsThrownAway() {
+  void theWaitForAnImageCountsLikeLostWork() {
     MachineState cached = fullMachine("n-1", 25_000);
     MachineState uncached = fullMachine("n-2", 10_000);
     cached.recordImageUse("web-img", 40, 100);
@@ -104,7 +107,7 @@
   }
 
   @Test
-  void arraysOfTheSamePriorityAreLeftAlone() {
+  void arraysOfTheSamePriorityAreNotPreempted() {
     MachineState machine = fullMachine("n-1", 10_000);
     JobState service = add(JobKind.SERVICE, 1, Priority.LOW, "web-img");
     assertEquals(0, preemptFor(service));
--- a/src/test/java/eiderfork/controller/QueueOrderTest.java
+++ b/src/test/java/eiderfork/controller/QueueOrderTest.java
@@ -18,7 +18,7 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** In which order work of one rank is served. */
+/** In which order jobs of one priority are served. */
 class QueueOrderTest {
   private static final long START_MS = 1_000_000;
 
@@ -28,7 +28,7 @@
   private final JobRegistry jobs = new JobRegistry(context, store, null, null);
   private final MachineRegistry fleet = new MachineRegistry(context, jobs);
   private final DeadlineEstimator deadlines = new DeadlineEstimator(context, fleet);
-  private final FairShareOrder ranking = new FairShareOrder(context, deadlines);
+  private final FairShareOrder order = new FairShareOrder(context, deadlines);
 
   QueueOrderTest() {
     fleet.types(
@@ -37,7 +37,7 @@
                 "g4", new Resources(16, 4, 64), 50, 2, 8, 3, 4, ImmutableList.of("a"))));
   }
 
-  /** The users want arrays done by their deadline, and nearly all by 1.5 times that. */
+  /** Objectives: most arrays are done by their deadline, and nearly all by 1.5 times that. */
   private static Settings settings() {
     return TestFixtures.withObjectives(
         TestFixtures.settings("roost-0"),
@@ -74,32 +74,32 @@
     return jobs.add(job, number);
   }
 
-  private List<JobState> ranked() {
-    return ranking.sort(jobs);
+  private List<JobState> sorted() {
+    return order.sort(jobs);
   }
 
   @Test
-  void theLatestMomentToStartDecidesAndNotTheArrival() {
+  void theLatestStartTimeDecidesAndNotTheArrival() {
     JobState patient = array(1, 4, 50, 300.0);
     JobState urgent = array(2, 4, 50, 80.0);
     JobState shortRun = array(3, 4, 10, 80.0);
-    assertEquals(List.of(urgent, shortRun, patient), ranked());
+    assertEquals(List.of(urgent, shortRun, patient), sorted());
   }
 
   @Test
-  void whatCanNotBeInTimeGoesBehindWhatCan() {
+  void whatMissesItsDeadlineGoesBehindWhatCanMeetIt() {
     JobState late = array(1, 4, 50, 30.0);
     JobState inTime = array(2, 4, 50, 300.0);
-    assertEquals(List.of(inTime, late), ranked());
+    assertEquals(List.of(inTime, late), sorted());
   }
 
   @Test
-  void aMissedDeadlineLeavesTheNextOfTheAims() {
+  void aMissedDeadlineLeavesTheNextObjective() {
     JobState other = array(1, 4, 50, 200.0);
     JobState first = array(2, 4, 50, 100.0);
     context.nowMs = START_MS + 60_000;
     // The deadline itself could be met by a start up to 40 s, 1.5 times it up to 90 s.
-    assertEquals(List.of(first, other), ranked());
+    assertEquals(List.of(first, other), sorted());
   }
 
   /** Behind all others a late job would wait for ever where work keeps coming. */
@@ -108,7 +108,7 @@
     JobState late = array(1, 4, 50, 40.0);
     context.nowMs = START_MS + 150_000;
     JobState fresh = array(2, 4, 50, 70.0);
-    assertEquals(List.of(late, fresh), ranked());
+    assertEquals(List.of(late, fresh), sorted());
   }
 
   @Test
@@ -118,14 +118,14 @@
       arrays.add(array(i, 4, 50, null));
       context.nowMs += 1000;
     }
-    assertEquals(arrays, ranked());
+    assertEquals(arrays, sorted());
     JobState urgent = array(4, 4, 50, 61.0);
-    assertTrue(ranked().indexOf(urgent) > 0, "the older ones have waited for longer");
+    assertTrue(sorted().indexOf(urgent) > 0, "the older ones have waited for longer");
   }
 
   /** Spot machines that were taken back cost a fifth of the arrays their deadline. */
   @Test
-  void workThatCanNotBeRunAgainInTimeIsToldFromTheRest() {
+  void workWithoutTimeForARerunIsRecognised() {
     JobState patient = array(1, 4, 50, 200.0);
     JobState tight = array(2, 4, 50, 100.0);
     JobState free = array(3, 4, 50, null);
@@ -137,7 +137,7 @@
   }
 
   @Test
-  void aTaskIsLateIfRunAgainOnlyWhereItIsInTimeNow() {
+  void aTaskIsLateIfRerunOnlyWhereItIsInTimeNow() {
     JobState job = array(1, 1, 50, 100.0);
     Reservation reservation = new Reservation(job, 0, 1, fleet.getOrRegister("n-1"));
     reservation.runningSinceMs = START_MS + 20_000;
--- a/src/test/java/eiderfork/controller/QuotaBorrowingTest.java
+++ b/src/test/java/eiderfork/controller/QuotaBorrowingTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What batch work borrows, and how it is reclaimed, while nothing fails. */
+/** What batch work borrows, and how it is reclaimed, without failures. */
 class QuotaBorrowingTest {
   private final QuotaCluster scenario = QuotaCluster.enabled(3);
   private final SimulatedCluster world = scenario.world;
@@ -32,7 +32,7 @@
     assertRulesAndGuaranteesHold();
   }
 
-  /** With the switch off nothing is reclaimed by guarantees. */
+  /** Without lending nothing is reclaimed by guarantees. */
   @Test
   void withoutLendingTheTeamWaits() {
     QuotaCluster off = QuotaCluster.disabled(3);
@@ -55,7 +55,7 @@
     assertRulesAndGuaranteesHold();
   }
 
-  /** Nobody is brought below the guarantee: the last four stay with the lender. */
+  /** No team loses its guarantee: the last four GPUs stay with the lender. */
   @Test
   void theLenderKeepsItsGuarantee() {
     Job night = scenario.fillWithNightArray(200, 10);
@@ -70,7 +70,7 @@
     assertRulesAndGuaranteesHold();
   }
 
-  /** Of two tasks on one machine only one is borrowed: both would make room, and neither goes. */
+  /** Of two tasks on a machine only one is borrowed. Both would have to go, so neither does. */
   @Test
   void theSecondVictimOnAMachineIsJudgedAfterTheFirst() {
     QuotaCluster scenario = QuotaCluster.enabled(3, 40);
@@ -92,7 +92,7 @@
     ExpectedOutcome.rulesHold(scenario.world);
   }
 
-  /** A gang near its checkpoint is waited for; its work goes on from there. */
+  /** A gang near its checkpoint is preempted right after it, and resumes from there. */
   @Test
   void aGangNearItsCheckpointIsReclaimedRightAfterIt() {
     Job gang = scenario.submit(QuotaCluster.gang(1, 16, 300, 20, QuotaCluster.NIGHT));
@@ -111,8 +111,8 @@
   @Test
   void reclaimsAreSpreadOverTheTasks() {
     scenario.fillWithNightArray(600, 10);
-    for (int rush = 0; rush < 4; rush++) {
-      Job desk = scenario.submit(QuotaCluster.replicas(10 + rush, 4, QuotaCluster.DESK));
+    for (int peak = 0; peak < 4; peak++) {
+      Job desk = scenario.submit(QuotaCluster.replicas(10 + peak, 4, QuotaCluster.DESK));
       world.run(20);
       assertEquals(4, scenario.runningTasks(desk));
       world.abort(desk.uid());
@@ -122,9 +122,9 @@
     assertRulesAndGuaranteesHold();
   }
 
-  /** Free room that is kept from a gang that borrows is there for a team within its guarantee. */
+  /** Capacity that is withheld from a borrowing gang is free for a team within its guarantee. */
   @Test
-  void aBorrowingGangClaimsNoRoomThatIsKeptFromIt() {
+  void aBorrowingGangDoesNotClaimWithheldCapacity() {
     QuotaCluster scenario = QuotaCluster.enabled(3, 40);
     Job night = scenario.fillWithNightArray(600, 10);
     Job desk = scenario.submit(QuotaCluster.replicas(2, 8, QuotaCluster.DESK));
@@ -135,16 +135,16 @@
     Job lab = QuotaCluster.array(4, 4, 60, 10, QuotaCluster.LAB);
     scenario.world.at(3000, () -> scenario.submit(lab));
     scenario.world.run(8);
-    assertEquals(0, scenario.runningTasks(gang), "it is kept from the room");
+    assertEquals(0, scenario.runningTasks(gang), "the capacity is withheld from it");
     assertEquals(4, scenario.runningTasks(lab));
-    assertEquals(8, scenario.world.progress.stops(), "there was room");
+    assertEquals(8, scenario.world.progress.stops(), "there was free capacity");
     assertEquals(8, scenario.runningTasks(night));
     ExpectedOutcome.rulesHold(scenario.world);
   }
 
-  /** An urgent gang beyond its team's guarantee gets the room that is made for it. */
+  /** An urgent gang beyond its team's guarantee gets the capacity that is freed for it. */
   @Test
-  void aBorrowingGangStartsWhereRoomWasMadeForIt() {
+  void aBorrowingGangStartsWhereCapacityWasFreedForIt() {
     QuotaCluster scenario = QuotaCluster.enabled(3, 40);
     Job night = scenario.fillWithNightArray(600, 10);
     Job gang = QuotaCluster.job(2, JobKind.GANG, 6, 100, 10, QuotaCluster.LAB, Priority.PRODUCTION);
@@ -155,9 +155,9 @@
     ExpectedOutcome.rulesHold(scenario.world);
   }
 
-  /** A save that hangs is ended, and the room goes to the job that waits for it. */
+  /** A save that hangs is ended, and the preemptor gets the capacity. */
   @Test
-  void aSaveThatHangsIsGivenUp() {
+  void aSaveThatHangsIsEnded() {
     Job night = scenario.fillWithNightArray(200, 30);
     world.workers().forEach(worker -> world.progress.savesHangOn.add(worker.machine.name()));
     Job desk = scenario.submit(QuotaCluster.replicas(2, 8, QuotaCluster.DESK));
--- a/src/test/java/eiderfork/controller/QuotaCluster.java
+++ b/src/test/java/eiderfork/controller/QuotaCluster.java
@@ -14,8 +14,8 @@
 import java.util.List;
 
 /**
- * Three controllers, four machines of four GPUs and no more to rent; batch work of one team borrows
- * what another is guaranteed.
+ * Three controllers and four machines of four GPUs, without more to request from the cloud; batch
+ * work of one team borrows what another is guaranteed.
  */
 final class QuotaCluster {
   static final String DESK = "desk";
@@ -26,7 +26,7 @@
   static final double LAB_GPUS = 4;
   static final int MACHINES = 4;
 
-  /** Within this time a team has its guarantee back while nothing else goes wrong. */
+  /** Within this time a team has its guarantee back where there is no failure. */
   static final double RECLAIM_S = 8;
 
   final SimulatedCluster world;
@@ -45,7 +45,7 @@
     return new QuotaCluster(new SimulatedCluster(seed, settings(true)));
   }
 
-  /** The same, where a machine boots for this long by its type, which is the first cooldown. */
+  /** The same with this boot time of the machine type, which is the first cooldown. */
   static QuotaCluster enabled(long seed, double bootS) {
     QuotaCluster scenario = enabled(seed);
     MachineType g4 = scenario.world.cloud.types.get(0);
@@ -77,12 +77,12 @@
         TestFixtures.withLending(TestFixtures.settings("roost-0"), lending), teams);
   }
 
-  /** An array that saves each {@code checkpointS}, in 2 s when it is stopped; 0: never. */
+  /** An array with a checkpoint each {@code checkpointS}, and saves of 2 s; 0 for none. */
   static Job array(int number, int tasks, double runS, double checkpointS, String team) {
     return job(number, JobKind.ARRAY, tasks, runS, checkpointS, team, Priority.HIGH);
   }
 
-  /** Replicas of the lowest priority, so that the guarantee alone gets them room. */
+  /** Replicas of the lowest priority, for which only the guarantee preempts others. */
   static Job replicas(int number, int tasks, String team) {
     return job(number, JobKind.SERVICE, tasks, 0, 0, team, Priority.LOW);
   }
@@ -141,7 +141,7 @@
     return job;
   }
 
-  /** The night team's array fills all machines, of which three quarters are borrowed. */
+  /** Runs an array of the night team on all machines, of which it borrows three quarters. */
   Job fillWithNightArray(double runS, double checkpointS) {
     Job night = submit(array(1, 16, runS, checkpointS, NIGHT));
     world.run(25);
@@ -167,7 +167,7 @@
         .toList();
   }
 
-  /** The node that leads, or any where none does. */
+  /** The leader, or any node where there is none. */
   String leader() {
     return world.leader() == null ? "roost-0" : world.leader();
   }
--- a/src/test/java/eiderfork/controller/QuotaDay.java
+++ b/src/test/java/eiderfork/controller/QuotaDay.java
@@ -17,9 +17,9 @@
 import java.util.Random;
 
 /**
- * A simulated day of stand-in jobs: opticians' hours, publishers' rushes of which one flaps,
- * nightly scans and fine-tuning, and in it leaders that end while room is reclaimed, machines that
- * are lost, an outage of the state service and a zone that is cut off.
+ * A simulated day: replicas of two teams in office hours and at peaks, of which one comes and goes
+ * within a minute, arrays most of all at night, and gangs each hour. Leaders end during reclaims,
+ * machines are lost, the store is unavailable, and a zone is partitioned.
  */
 final class QuotaDay {
   private static final String DESK = "desk";
@@ -29,17 +29,17 @@
 
   private static final int HOUR_MS = 3_600_000;
   private static final int MINUTE_MS = 60_000;
-  private static final int GPUS_EACH = 4;
+  private static final int GPUS_PER_MACHINE = 4;
   private static final int MACHINES_PER_ZONE = 3;
   private static final double BOOT_S = 40;
 
   /** Starts of replicas within this time count as in time. */
-  private static final double START_AIM_S = 15;
+  private static final double START_OBJECTIVE_S = 15;
 
   /** Batch work within this many times its run counts as in time. */
-  private static final double BATCH_TIMES = 3;
+  private static final double MAX_BATCH_DURATION_FACTOR = 3;
 
-  private record Started(Job job, long submittedMs) {}
+  private record Submitted(Job job, long submittedMs) {}
 
   final SimulatedCluster world;
   final GuaranteeChecker guarantees;
@@ -50,8 +50,8 @@
   private int lastJob;
 
   private final Map<TaskId, Long> replicaWaitsMs = new LinkedHashMap<>();
-  private final Map<String, Started> replicas = new LinkedHashMap<>();
-  private final List<Started> batch = new ArrayList<>();
+  private final Map<String, Submitted> replicas = new LinkedHashMap<>();
+  private final List<Submitted> batch = new ArrayList<>();
   private int batchInTime;
   private int batchEnded;
   private double idleGpuS;
@@ -67,7 +67,7 @@
     MachineType type =
         new MachineType(
             "g4",
-            new Resources(32, GPUS_EACH, 128),
+            new Resources(32, GPUS_PER_MACHINE, 128),
             60,
             2,
             8,
@@ -88,7 +88,7 @@
     world.progress.onStop = (worker, attempt) -> endLeaderMidReclaim();
     permanentReplicas();
     deskTraffic();
-    pressRushes();
+    pressPeaks();
     pressFlapping();
     scanArrays();
     tuningGangs();
@@ -107,7 +107,7 @@
         TestFixtures.withLending(TestFixtures.settings("roost-0"), lending), teams);
   }
 
-  /** Plays the day, in steps of an hour so that what is over is not kept. */
+  /** Runs the simulated hours. */
   void run() {
     world.run((untilMs - fromMs) / 1000.0);
   }
@@ -131,7 +131,7 @@
         fromOfDayMs,
         () -> {
           Job job = job(JobKind.SERVICE, team, Priority.STANDARD, tasks, 0, 0);
-          replicas.put(job.uid(), new Started(job, world.nowMs));
+          replicas.put(job.uid(), new Submitted(job, world.nowMs));
           world.submit(job);
           world.at(
               forMs,
@@ -144,11 +144,11 @@
 
   private void batch(JobKind kind, String team, int tasks, double runS, double checkpointS) {
     Job job = job(kind, team, Priority.STANDARD, tasks, runS, checkpointS);
-    batch.add(new Started(job, world.nowMs));
+    batch.add(new Submitted(job, world.nowMs));
     world.submit(job);
   }
 
-  /** Two models that stand all day. */
+  /** Replicas of two teams that run all day. */
   private void permanentReplicas() {
     replicas(DESK, 3, fromMs + 5000, 25L * HOUR_MS);
     replicas(PRESS, 2, fromMs + 9000, 25L * HOUR_MS);
@@ -162,21 +162,21 @@
     }
   }
 
-  private void pressRushes() {
+  private void pressPeaks() {
     for (int hour : new int[] {3, 7, 9, 11, 13, 16, 18, 21, 23}) {
       long ms = (long) hour * HOUR_MS + script.nextInt(40) * (long) MINUTE_MS;
       replicas(PRESS, 4 + script.nextInt(3), ms, (4 + script.nextInt(20)) * (long) MINUTE_MS);
     }
   }
 
-  /** For an hour in the afternoon a rush stops and starts within a minute. */
+  /** For an hour in the afternoon replicas come and go within a minute. */
   private void pressFlapping() {
     for (long ms = 14L * HOUR_MS; ms < 15L * HOUR_MS; ms += 75_000) {
       replicas(PRESS, 5, ms, 40_000);
     }
   }
 
-  /** Scans come all day, and most of them at night. */
+  /** Arrays come all day, and most of them at night. */
   private void scanArrays() {
     for (int minute = 0; minute < 24 * 60; minute += 3) {
       boolean night = minute < 6 * 60 || minute >= 20 * 60;
@@ -208,14 +208,14 @@
       atTimeOfDay((long) minute * MINUTE_MS, this::loseMachine);
     }
     for (int minute : new int[] {215, 820, 1270}) {
-      atTimeOfDay((long) minute * MINUTE_MS, this::stateOutage);
+      atTimeOfDay((long) minute * MINUTE_MS, this::storeOutage);
     }
     for (int minute : new int[] {590, 875}) {
       atTimeOfDay((long) minute * MINUTE_MS, this::partitionZone);
     }
   }
 
-  /** The leader ends within moments of a stop, where one is to end. */
+  /** Ends the leader soon after a preemption, where one is to end. */
   private void endLeaderMidReclaim() {
     if (leadersToEnd > 0 && world.leader() != null) {
       leadersToEnd--;
@@ -241,7 +241,7 @@
             });
   }
 
-  private void stateOutage() {
+  private void storeOutage() {
     guarantees.expectDisruption(45_000);
     world.state.outage(world.nowMs);
     world.at(45_000, () -> world.state.recover(world.nowMs));
@@ -257,7 +257,7 @@
     for (String team : world.settings.teams().keySet()) {
       held += world.checker.held(team).gpus();
     }
-    int gpus = world.workers().size() * GPUS_EACH;
+    int gpus = world.workers().size() * GPUS_PER_MACHINE;
     gpuS += gpus;
     idleGpuS += Math.max(0, gpus - held);
     measureReplicaStarts();
@@ -266,23 +266,23 @@
   }
 
   private void measureReplicaStarts() {
-    for (Started each : replicas.values()) {
+    for (Submitted each : replicas.values()) {
       long running = world.checker.running(each.job.uid());
       for (int index = 0; index < each.job.tasks(); index++) {
         TaskId id = new TaskId(each.job.uid(), index);
         if (running == each.job.tasks()) {
           replicaWaitsMs.putIfAbsent(id, world.nowMs - each.submittedMs);
-        } else if (world.nowMs - each.submittedMs > START_AIM_S * 1000) {
+        } else if (world.nowMs - each.submittedMs > START_OBJECTIVE_S * 1000) {
           replicaWaitsMs.putIfAbsent(id, Long.MAX_VALUE);
         }
       }
     }
   }
 
-  private boolean isOver(Started each) {
+  private boolean isOver(Submitted each) {
     double ranS = (world.nowMs - each.submittedMs) / 1000.0;
     boolean done = world.checker.isDone(each.job.uid());
-    boolean late = ranS > BATCH_TIMES * each.job.estimatedRunS();
+    boolean late = ranS > MAX_BATCH_DURATION_FACTOR * each.job.estimatedRunS();
     if (done || late) {
       batchEnded++;
       batchInTime += late ? 0 : 1;
@@ -292,7 +292,8 @@
 
   /** The figures of the day, as a line of CSV. */
   String summary() {
-    long inTime = replicaWaitsMs.values().stream().filter(ms -> ms <= START_AIM_S * 1000).count();
+    long inTime =
+        replicaWaitsMs.values().stream().filter(ms -> ms <= START_OBJECTIVE_S * 1000).count();
     return "%.3f,%.3f,%.3f,%.0f,%d,%d,%d,%d,%d,%d"
         .formatted(
             batchInTime / (double) Math.max(1, batchEnded),
--- a/src/test/java/eiderfork/controller/QuotaDayTest.java
+++ b/src/test/java/eiderfork/controller/QuotaDayTest.java
@@ -13,8 +13,8 @@
 
 /**
  * Every team's guarantee is held each minute of a simulated day. Two hours of it run by default;
- * the properties {@code day.hours}, {@code day.seeds} and {@code day.out} play more, and write the
- * record, see {@code docs/lending.md}.
+ * the properties {@code day.hours}, {@code day.seeds} and {@code day.out} simulate more, and write
+ * the record, see {@code docs/lending.md}.
  */
 class QuotaDayTest {
   private static final int WHOLE_DAY = 24;
@@ -48,7 +48,7 @@
     }
   }
 
-  /** The record shows it where nobody gives guarantees back. */
+  /** Without lending the record shows guarantees that are not held. */
   @Test
   void theRecordShowsGuaranteesThatAreNotHeld() {
     QuotaDay day = runDay(1, false, 1);
--- a/src/test/java/eiderfork/controller/QuotaReclaimFailureTest.java
+++ b/src/test/java/eiderfork/controller/QuotaReclaimFailureTest.java
@@ -17,20 +17,20 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Controllers and machines fail at every moment of a reclaim. A team asks for its guarantee while
- * another borrows it; the moments go from before the request until the room is taken.
+ * Controllers and machines fail at every moment of a reclaim. A team requests its guarantee while
+ * another borrows it; the moments go from before the request until the capacity is used.
  */
 class QuotaReclaimFailureTest {
   private static final int FIRST_MOMENT_MS = -400;
   private static final int LAST_MOMENT_MS = 5200;
   private static final int MOMENT_STEP_MS = 350;
 
-  /** The replicas that ask, and how long a trouble lasts. */
+  /** The replicas that request their team's guarantee. */
   private static final int DESK_REPLICAS = 8;
 
   private static final int FAULT_DURATION_MS = 6000;
 
-  /** What goes wrong, and whether borrowers may lose tasks, or be stopped in others' stead. */
+  /** What fails, and whether that may cost borrowers more tasks than are reclaimed. */
   enum Fault {
     LEADER_KILLED(false, scenario -> scenario.world.crash(scenario.leader(), 3000)),
     LEADER_KILLED_AND_BACK_AT_ONCE(false, scenario -> scenario.world.crash(scenario.leader(), 200)),
@@ -101,7 +101,7 @@
           scenario.world.at(500, () -> scenario.world.crash(scenario.leader(), 2000));
         });
 
-    /** Machines may lose tasks, or not answer, so that others are stopped in their stead. */
+    /** Machines may lose tasks, or not answer, so that others are preempted in their place. */
     final boolean canMachinesFail;
 
     final Consumer<QuotaCluster> inject;
@@ -123,7 +123,7 @@
     }
   }
 
-  /** Its commands of before arrive after the next leader's. */
+  /** Commands of the isolated leader arrive after those of the next one. */
   private static void isolateWithDelayedCommands(QuotaCluster scenario) {
     scenario.world.commandsLateMs = 2500;
     scenario.world.isolate(scenario.leader(), FAULT_DURATION_MS);
@@ -159,7 +159,7 @@
     scenario.world.at(FAULT_DURATION_MS, () -> hung.forEach(worker -> worker.hanging = false));
   }
 
-  /** All moments at which something may go wrong. */
+  /** All moments at which a fault is injected. */
   private static List<Integer> moments() {
     List<Integer> moments = new ArrayList<>();
     for (int ms = FIRST_MOMENT_MS; ms <= LAST_MOMENT_MS; ms += MOMENT_STEP_MS) {
@@ -171,11 +171,12 @@
   private static QuotaCluster runWithFault(Fault fault, int afterMs, double checkpointS) {
     QuotaCluster scenario = QuotaCluster.enabled(7 + afterMs);
     scenario.fillWithNightArray(400, checkpointS);
-    long askAtMs = Math.max(0, -FIRST_MOMENT_MS);
+    long requestAtMs = Math.max(0, -FIRST_MOMENT_MS);
     scenario.world.at(
-        askAtMs, () -> scenario.submit(QuotaCluster.replicas(2, DESK_REPLICAS, QuotaCluster.DESK)));
+        requestAtMs,
+        () -> scenario.submit(QuotaCluster.replicas(2, DESK_REPLICAS, QuotaCluster.DESK)));
     scenario.world.at(
-        askAtMs + afterMs,
+        requestAtMs + afterMs,
         () -> {
           scenario.guarantees.expectDisruption(FAULT_DURATION_MS + 4000);
           fault.inject.accept(scenario);
@@ -203,7 +204,7 @@
 
   @ParameterizedTest
   @EnumSource(Fault.class)
-  void whateverFailsTheTeamGetsItsGuaranteeAndNobodyIsStoppedTwice(Fault fault) {
+  void whateverFailsTheTeamGetsItsGuaranteeAndNoTaskIsStoppedTwice(Fault fault) {
     for (int afterMs : moments()) {
       assertInvariants(
           fault, runWithFault(fault, afterMs, 15), fault + " after " + afterMs + " ms");
@@ -219,7 +220,7 @@
     }
   }
 
-  /** Members of the version before, which knows nothing of lending, lead and are replaced. */
+  /** Members of the version before, which has no lending, lead and are replaced. */
   @ParameterizedTest
   @ValueSource(ints = {0, 1, 2})
   void membersWithoutLendingAreAmongThem(int older) {
@@ -271,10 +272,12 @@
     }
   }
 
-  /** The rush is over while borrowers save: they get the room back, and nothing else is stopped. */
+  /**
+   * The peak ends while borrowers save: they get the capacity back, and nothing else is stopped.
+   */
   @ParameterizedTest
   @ValueSource(ints = {-1, 0, 300, 1000, 2500})
-  void aRushThatEndsWhileBorrowersSave(int crashAfterMs) {
+  void aPeakThatEndsWhileBorrowersSave(int crashAfterMs) {
     for (int endsAfterMs = 100; endsAfterMs <= LAST_MOMENT_MS; endsAfterMs += MOMENT_STEP_MS) {
       QuotaCluster scenario = QuotaCluster.enabled(11 + endsAfterMs);
       Job night = scenario.fillWithNightArray(400, 15);
@@ -293,7 +296,7 @@
     }
   }
 
-  /** A borrower is cancelled while it saves; a follower confirms, and the state service is out. */
+  /** A borrower is cancelled while it saves; a follower confirms, and the store is unavailable. */
   @ParameterizedTest
   @ValueSource(ints = {0, 200, 500, 900, 1400, 2000, 2600, 3400})
   void aBorrowerThatIsCancelledWhileItSavesEndsInTime(int afterMs) {
@@ -329,10 +332,10 @@
     }
   }
 
-  /** Two teams want their guarantees from the same borrower, and the leader ends in between. */
+  /** Two teams reclaim their guarantees from one borrower, and the leader ends in between. */
   @ParameterizedTest
   @ValueSource(ints = {0, 50, 300, 1000})
-  void twoTeamsRushAtOnce(int apartMs) {
+  void twoTeamsReclaimAtOnce(int apartMs) {
     for (int afterMs : moments()) {
       QuotaCluster scenario = QuotaCluster.enabled(31 + afterMs + apartMs);
       Job night = scenario.fillWithNightArray(400, 15);
@@ -350,7 +353,7 @@
     }
   }
 
-  /** A team lends and borrows at once: it asks for its own back while it holds another's. */
+  /** A team lends and borrows at once: it reclaims its own quota while it holds another's. */
   @ParameterizedTest
   @ValueSource(ints = {-1, 200, 900, 1800, 3000})
   void aTeamThatLendsAndBorrowsAtOnce(int crashAfterMs) {
--- a/src/test/java/eiderfork/controller/QuotaReclaimFlappingTest.java
+++ b/src/test/java/eiderfork/controller/QuotaReclaimFlappingTest.java
@@ -11,34 +11,34 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A rush that stops and starts does not make borrowed work go to and fro. */
+/** Demand that comes and goes does not preempt borrowed work again and again. */
 class QuotaReclaimFlappingTest {
   private static final double BOOT_S = 40;
-  private static final double FLAPS_S = 1200;
-  private static final int GPUS = 4;
+  private static final double FLAPPING_S = 1200;
+  private static final int GPUS_PER_MACHINE = 4;
 
-  /** A gang that alone borrows is not stopped by each of the rushes that come every minute. */
+  /** A gang that is the only borrower is not preempted by each of the peaks of every minute. */
   @Test
-  void aGangIsNotStoppedAgainAndAgain() {
+  void aGangIsNotPreemptedAtEachPeak() {
     QuotaCluster scenario = QuotaCluster.enabled(19, BOOT_S);
-    scenario.submit(QuotaCluster.array(1, 4, 4 * FLAPS_S, 15, QuotaCluster.NIGHT));
-    Job gang = scenario.submit(QuotaCluster.gang(2, 8, 4 * FLAPS_S, 15, QuotaCluster.LAB));
+    scenario.submit(QuotaCluster.array(1, 4, 4 * FLAPPING_S, 15, QuotaCluster.NIGHT));
+    Job gang = scenario.submit(QuotaCluster.gang(2, 8, 4 * FLAPPING_S, 15, QuotaCluster.LAB));
     scenario.world.run(25);
     assertEquals(8, scenario.runningTasks(gang));
-    for (int i = 0; i < FLAPS_S / 60; i++) {
-      Job rush = QuotaCluster.replicas(100 + i, 8, QuotaCluster.DESK);
-      scenario.world.at(i * 60_000L, () -> scenario.submit(rush));
-      scenario.world.at(i * 60_000L + 25_000, () -> scenario.world.abort(rush.uid()));
+    for (int i = 0; i < FLAPPING_S / 60; i++) {
+      Job peak = QuotaCluster.replicas(100 + i, 8, QuotaCluster.DESK);
+      scenario.world.at(i * 60_000L, () -> scenario.submit(peak));
+      scenario.world.at(i * 60_000L + 25_000, () -> scenario.world.abort(peak.uid()));
     }
-    scenario.world.run(FLAPS_S);
-    double most = ReclaimCooldowns.maxReversals(FLAPS_S, BOOT_S);
-    assertTrue(scenario.world.progress.mostStopsOfATask() <= most, "stops of one task");
+    scenario.world.run(FLAPPING_S);
+    double maxReversals = ReclaimCooldowns.maxReversals(FLAPPING_S, BOOT_S);
+    assertTrue(scenario.world.progress.mostStopsOfATask() <= maxReversals, "stops of one task");
     scenario.world.run(400);
     assertEquals(8, scenario.runningTasks(gang));
     ExpectedOutcome.rulesHold(scenario.world);
   }
 
-  /** Columns: the rush's period in seconds, its share of it, and how often leaders end. */
+  /** Columns: the period of the peaks in seconds, their share of it, and how often leaders end. */
   @ParameterizedTest
   @CsvSource({
     "1, 0.5, 0",
@@ -57,9 +57,9 @@
     "90, 0.5, 2",
     "180, 0.5, 2"
   })
-  void movesStayWithinTheStatedBound(double periodS, double share, int leaderEnds) {
+  void reclaimsStayWithinTheStatedBound(double periodS, double share, int leaderEnds) {
     QuotaCluster scenario = QuotaCluster.enabled(17 + (long) periodS, BOOT_S);
-    Job night = scenario.fillWithNightArray(4 * FLAPS_S, 15);
+    Job night = scenario.fillWithNightArray(4 * FLAPPING_S, 15);
     Map<String, Integer> stops = new HashMap<>();
     scenario.world.progress.onStop =
         (worker, attempt) -> {
@@ -67,28 +67,28 @@
             stops.merge(worker.machine.name(), 1, Integer::sum);
           }
         };
-    int rushes = (int) (FLAPS_S / periodS);
-    for (int i = 0; i < rushes; i++) {
-      Job rush = QuotaCluster.replicas(100 + i, 8, QuotaCluster.DESK);
+    int peaks = (int) (FLAPPING_S / periodS);
+    for (int i = 0; i < peaks; i++) {
+      Job peak = QuotaCluster.replicas(100 + i, 8, QuotaCluster.DESK);
       long beginsMs = (long) (i * periodS * 1000);
-      scenario.world.at(beginsMs, () -> scenario.submit(rush));
+      scenario.world.at(beginsMs, () -> scenario.submit(peak));
       scenario.world.at(
-          beginsMs + (long) (periodS * share * 1000), () -> scenario.world.abort(rush.uid()));
+          beginsMs + (long) (periodS * share * 1000), () -> scenario.world.abort(peak.uid()));
     }
     for (int i = 1; i <= leaderEnds; i++) {
-      long endsMs = (long) (FLAPS_S * 1000 * i / (leaderEnds + 1));
+      long endsMs = (long) (FLAPPING_S * 1000 * i / (leaderEnds + 1));
       scenario.world.at(endsMs, () -> scenario.world.crash(scenario.leader(), 2000));
     }
-    scenario.world.run(FLAPS_S);
-    double firstS = BOOT_S;
-    double reversals = ReclaimCooldowns.maxReversals(FLAPS_S, firstS) + leaderEnds;
+    scenario.world.run(FLAPPING_S);
+    double reversals = ReclaimCooldowns.maxReversals(FLAPPING_S, BOOT_S) + leaderEnds;
     for (Map.Entry<String, Integer> each : stops.entrySet()) {
       assertTrue(
-          each.getValue() <= GPUS * reversals, () -> each + " stops, at most " + GPUS * reversals);
+          each.getValue() <= GPUS_PER_MACHINE * reversals,
+          () -> each + " stops, at most " + GPUS_PER_MACHINE * reversals);
     }
     ExpectedOutcome.rulesHold(scenario.world);
     scenario.world.run(400);
-    assertEquals(16, scenario.runningTasks(night), "it has all of its room back");
+    assertEquals(16, scenario.runningTasks(night), "it has all of its capacity back");
     ExpectedOutcome.rulesHold(scenario.world);
   }
 }
--- a/src/test/java/eiderfork/controller/QuotaReclaimHistoryTest.java
+++ b/src/test/java/eiderfork/controller/QuotaReclaimHistoryTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Random histories of teams that lend and borrow under every trouble of {@link
+ * Random histories of teams that lend and borrow under every fault of {@link
  * QuotaReclaimFailureTest}. The properties {@code histories.from} and {@code histories.to} name
  * other seeds.
  */
@@ -61,7 +61,7 @@
     assertTrue(scenario.world.checker.starts > 10);
   }
 
-  /** Plays the random history of this seed to its quiet end, and tells the jobs. */
+  /** Runs the random history of this seed to its quiet end, and returns the jobs. */
   static List<Job> play(QuotaCluster scenario, long seed) {
     Random script = new Random(seed * 53);
     List<Job> jobs = new ArrayList<>();
@@ -75,9 +75,9 @@
     }
     scenario.world.loss = 0.01;
     scenario.world.doubled = 0.02;
-    QuotaReclaimFailureTest.Fault[] troubles = QuotaReclaimFailureTest.Fault.values();
+    QuotaReclaimFailureTest.Fault[] faults = QuotaReclaimFailureTest.Fault.values();
     for (int i = 0; i < 8; i++) {
-      QuotaReclaimFailureTest.Fault fault = troubles[script.nextInt(troubles.length)];
+      QuotaReclaimFailureTest.Fault fault = faults[script.nextInt(faults.length)];
       scenario.world.at(
           20_000 + script.nextInt(100_000),
           () -> {
--- a/src/test/java/eiderfork/controller/SchedulingWorkTest.java
+++ b/src/test/java/eiderfork/controller/SchedulingWorkTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Work counted, not timed, at the size of a fleet of hundreds of machines. */
+/** Counts the work of scheduling, without timing it, with a fleet of hundreds of machines. */
 class SchedulingWorkTest {
   private static final int JOBS = 150;
   private static final int TASKS = 16;
@@ -26,11 +26,11 @@
       jobs.add(job);
       world.submit(job);
     }
-    int most = 0;
+    int maxExamined = 0;
     for (int i = 0; i < 800; i++) {
       world.run(0.05);
       for (Controller node : world.nodes.values()) {
-        most = Math.max(most, node.machinesExamined());
+        maxExamined = Math.max(maxExamined, node.machinesExamined());
       }
     }
     long machines = world.cloud.liveHostCount();
@@ -38,21 +38,21 @@
     assertTrue(machines >= 150, machines + " machines");
     // Four kinds of the larger type, 40 machines each, with four tasks on a machine.
     assertEquals(4 * 40 * 4, running);
-    // A round looks at each machine once for a job and once more for a task, and a plan does so at
-    // the machines that it wants as well.
+    // A round examines each machine once for a job and once more for a task, and a plan does so
+    // with the machines that it requests.
     long wanted = JOBS * TASKS / 4;
     long bound = JOBS * (machines + wanted) + 2 * JOBS * TASKS;
-    assertTrue(most <= bound, most + " looks of " + bound);
+    assertTrue(maxExamined <= bound, maxExamined + " examined of " + bound);
     assertEquals(List.of(), world.checker.breaches);
   }
 
   /**
-   * Hundreds of services that wait for a full fleet once had every round look for replicas to move
-   * at each machine, for each task and for each replica on each other machine: a day of 867
-   * machines did not end.
+   * With hundreds of services that waited for a full fleet, every round once searched each machine
+   * for replicas to migrate, for each task, and each other machine for each replica: a simulated
+   * day of 867 machines did not end.
    */
   @Test
-  void jobsThatWaitForAFullFleetAreSearchedForOnceForAllOfASize() {
+  void jobsOfOneSizeThatWaitForAFullFleetShareOneSearch() {
     SimulatedCluster world = new SimulatedCluster(4);
     world.cloud.capacity = 40;
     world.run(3);
@@ -69,14 +69,15 @@
     long machines = world.cloud.liveHostCount();
     long waiting = 300 * 8 - world.checker.runningTasks();
     assertTrue(machines >= 100 && waiting > 1000, machines + " machines, " + waiting + " wait");
-    int most = 0;
+    int maxExamined = 0;
     for (int i = 0; i < 200; i++) {
       world.run(0.05);
       for (Controller node : world.nodes.values()) {
-        most = Math.max(most, node.machinesExaminedInRound());
+        maxExamined = Math.max(maxExamined, node.machinesExaminedInRound());
       }
     }
-    assertTrue(most <= 20 * machines, most + " looks with " + machines + " machines");
+    assertTrue(
+        maxExamined <= 20 * machines, maxExamined + " examined with " + machines + " machines");
     assertEquals(List.of(), world.checker.breaches);
   }
 }
--- a/src/test/java/eiderfork/controller/ZoneBalanceTest.java
+++ b/src/test/java/eiderfork/controller/ZoneBalanceTest.java
@@ -15,12 +15,12 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
-/** Zones are filled side by side. */
+/** Machines are requested in all zones evenly. */
 class ZoneBalanceTest {
   private static final ImmutableList<String> ZONES = ImmutableList.of("a", "b", "c");
   private static final int MACHINES_PER_ZONE = 12;
 
-  private static SimulatedCluster worldOfThreeZones() {
+  private static SimulatedCluster clusterOfThreeZones() {
     SimulatedCluster world = new SimulatedCluster(11);
     world.cloud.types =
         ImmutableList.of(new MachineType("c8", new Resources(8, 0, 64), 50, 2, 1, 0.4, 3, ZONES));
@@ -40,8 +40,8 @@
   }
 
   @Test
-  void machinesAreRentedInAllZonesAlike() {
-    SimulatedCluster world = worldOfThreeZones();
+  void machinesAreRequestedInAllZonesEvenly() {
+    SimulatedCluster world = clusterOfThreeZones();
     submitSpread(world, 30);
     world.run(30);
     Map<String, Long> byZone =
@@ -55,17 +55,17 @@
 
   /**
    * Two zones were filled first; of services that must be spread only the half that one zone may
-   * hold then found room in the third.
+   * hold then found capacity in the third.
    */
   @Test
   void servicesThatMustBeSpreadFillThreeZones() {
-    SimulatedCluster world = worldOfThreeZones();
-    // Nine of ten processors.
+    SimulatedCluster world = clusterOfThreeZones();
+    // Nine of ten CPUs.
     List<Job> jobs = submitSpread(world, 65);
     world.run(60);
     long missing =
         jobs.stream().mapToLong(job -> job.tasks() - world.checker.running(job.uid())).sum();
-    assertEquals(0, missing, "tasks without room");
+    assertEquals(0, missing, "tasks without capacity");
     assertEquals(List.of(), world.checker.breaches);
   }
 }
--- a/src/test/java/eiderfork/controller/quota/PreemptionPlanTest.java
+++ b/src/test/java/eiderfork/controller/quota/PreemptionPlanTest.java
@@ -7,13 +7,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** How a task is stopped, by how far it is from its checkpoints. */
+/** How a task is preempted, by how far it is from its checkpoints. */
 class PreemptionPlanTest {
   private static final double SEEN_LATE_S = 1;
 
   /**
    * Checkpoints each 60 s, margins of 1 s and a tenth of the run. Columns: seconds run, to save,
-   * that the taker may wait; how it is stopped, after how long, and what is lost.
+   * that the preemptor may wait; how it is preempted, after how long, and what is lost.
    */
   @ParameterizedTest
   @CsvSource({
--- a/src/test/java/eiderfork/controller/quota/QuotaPreemptionRulesTest.java
+++ b/src/test/java/eiderfork/controller/quota/QuotaPreemptionRulesTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Who may reclaim from whom, and what the ledger says after each victim. */
+/** Who may preempt whom, and what the ledger says after each victim. */
 class QuotaPreemptionRulesTest {
   private static final TeamId DESK = new TeamId("desk");
   private static final TeamId NIGHT = new TeamId("night");
@@ -32,7 +32,8 @@
         List.of(account(DESK, 8, 6, 1), account(NIGHT, lenderGuaranteed, lenderUsed, 0)));
   }
 
-  private static Preemptor taker(JobKind kind, Priority priority, boolean within, boolean waited) {
+  private static Preemptor preemptor(
+      JobKind kind, Priority priority, boolean within, boolean waited) {
     return new Preemptor(DESK, kind, priority, within, 5, waited);
   }
 
@@ -42,7 +43,9 @@
         : ((PreemptionDecision.Refused) verdict).reason().toString();
   }
 
-  /** Taker: kind, priority, within its guarantee. Victim: kind, priority. Lender: its figures. */
+  /**
+   * Preemptor: kind, priority, within its guarantee. Victim: kind, priority. Lender: its figures.
+   */
   @ParameterizedTest
   @CsvSource({
     "SERVICE, LOW, true, ARRAY, HIGH, 4, 8, GUARANTEE BORROWED_BATCH",
@@ -71,7 +74,7 @@
       double lenderUsed,
       String expected) {
     PreemptionVictim victim = new PreemptionVictim(NIGHT, victimKind, victimPriority, ONE_GPU);
-    Preemptor preemptor = taker(kind, priority, within, true);
+    Preemptor preemptor = preemptor(kind, priority, within, true);
     QuotaLedger ledger = ledger(lenderGuaranteed, lenderUsed);
     assertEquals(expected, verdict(QuotaPreemptionRules.evaluate(preemptor, victim, ledger)));
   }
@@ -79,7 +82,7 @@
   @Test
   void aReplicaIsNotReclaimedWhileAMachineMayStillCome() {
     PreemptionVictim replica = new PreemptionVictim(NIGHT, JobKind.SERVICE, Priority.LOW, ONE_GPU);
-    Preemptor preemptor = taker(JobKind.SERVICE, Priority.HIGH, true, false);
+    Preemptor preemptor = preemptor(JobKind.SERVICE, Priority.HIGH, true, false);
     assertEquals(
         "REPLICA_NOT_YET",
         verdict(QuotaPreemptionRules.evaluate(preemptor, replica, ledger(0, 8))));
@@ -88,11 +91,11 @@
   @Test
   void withinATeamOnlyPriorityCounts() {
     PreemptionVictim own = new PreemptionVictim(DESK, JobKind.ARRAY, Priority.LOW, ONE_GPU);
-    Preemptor urgent = taker(JobKind.SERVICE, Priority.HIGH, true, true);
+    Preemptor urgent = preemptor(JobKind.SERVICE, Priority.HIGH, true, true);
     assertEquals(
         "PRIORITY BORROWED_BATCH",
         verdict(QuotaPreemptionRules.evaluate(urgent, own, ledger(4, 4))));
-    Preemptor same = taker(JobKind.SERVICE, Priority.LOW, true, true);
+    Preemptor same = preemptor(JobKind.SERVICE, Priority.LOW, true, true);
     assertEquals("SAME_TEAM", verdict(QuotaPreemptionRules.evaluate(same, own, ledger(4, 4))));
   }
 
@@ -100,16 +103,16 @@
   @Test
   void theSecondVictimIsJudgedAfterTheFirst() {
     QuotaLedger ledger = ledger(4, 6);
-    Preemptor preemptor = taker(JobKind.SERVICE, Priority.LOW, true, true);
+    Preemptor preemptor = preemptor(JobKind.SERVICE, Priority.LOW, true, true);
     PreemptionVictim victim = new PreemptionVictim(NIGHT, JobKind.ARRAY, Priority.HIGH, ONE_GPU);
     for (int i = 0; i < 2; i++) {
       assertEquals(
           "GUARANTEE BORROWED_BATCH",
           verdict(QuotaPreemptionRules.evaluate(preemptor, victim, ledger)));
-      QuotaLedger trialLedger = ledger.copy();
-      trialLedger.addStopping(NIGHT, ONE_GPU);
-      assertTrue(ledger.hasOtherBorrower(DESK), "a trial leaves the ledger as it is");
-      ledger = trialLedger;
+      QuotaLedger copy = ledger.copy();
+      copy.addStopping(NIGHT, ONE_GPU);
+      assertTrue(ledger.hasOtherBorrower(DESK), "a copy leaves the ledger as it is");
+      ledger = copy;
     }
     assertEquals(
         "NOT_MORE_URGENT", verdict(QuotaPreemptionRules.evaluate(preemptor, victim, ledger)));
@@ -119,7 +122,7 @@
   /** A gang counts whole: where a part of it is guaranteed it comes after what is borrowed. */
   @Test
   void aGangThatIsPartlyGuaranteedComesLater() {
-    Preemptor preemptor = taker(JobKind.SERVICE, Priority.LOW, true, true);
+    Preemptor preemptor = preemptor(JobKind.SERVICE, Priority.LOW, true, true);
     PreemptionVictim gang =
         new PreemptionVictim(NIGHT, JobKind.GANG, Priority.HIGH, ONE_GPU.times(4));
     assertEquals(
@@ -130,14 +133,14 @@
         verdict(QuotaPreemptionRules.evaluate(preemptor, gang, ledger(4, 7))));
     assertEquals(
         "NOT_MORE_URGENT", verdict(QuotaPreemptionRules.evaluate(preemptor, gang, ledger(4, 4))));
-    Preemptor beyond = taker(JobKind.SERVICE, Priority.PRODUCTION, false, true);
+    Preemptor beyond = preemptor(JobKind.SERVICE, Priority.PRODUCTION, false, true);
     assertEquals(
         "LENDER_AT_GUARANTEE", verdict(QuotaPreemptionRules.evaluate(beyond, gang, ledger(4, 7))));
   }
 
   /** Six are used and one is promised of eight: one more is covered, two are not. */
   @Test
-  void roomThatIsBeingMadeCountsForTheGuarantee() {
+  void claimedCapacityCountsForTheGuarantee() {
     TeamUsage desk = ledger(4, 8).usage(DESK);
     assertTrue(desk.canCover(ONE_GPU));
     assertFalse(desk.canCover(ONE_GPU.times(2)));
