--- a/src/main/java/eiderfork/controller/MachineState.java
+++ b/src/main/java/eiderfork/controller/MachineState.java
@@ -23,7 +23,7 @@
   private final Set<Reservation> reservations = new LinkedHashSet<>();
   private final Set<Reservation> reservationsView = Collections.unmodifiableSet(reservations);
 
-  private CapacityIndex.Place indexPosition;
+  private CapacityIndex.Position indexPosition;
   private Machine spec;
   private Resources capacity;
 
@@ -158,12 +158,12 @@
   }
 
   /** The machine's position in the index of free capacity; null while it is not indexed. */
-  CapacityIndex.Place indexPosition() {
+  CapacityIndex.Position indexPosition() {
     return indexPosition;
   }
 
   /** The index of free capacity has added the machine. */
-  void onIndexed(CapacityIndex.Place position) {
+  void onIndexed(CapacityIndex.Position position) {
     indexPosition = position;
   }
 
--- /dev/null
+++ b/src/main/java/eiderfork/controller/quota/QuotaPreemptionRules.java
@@ -0,0 +1,65 @@
+package eiderfork.controller.quota;
+
+import eiderfork.controller.quota.PreemptionDecision.Allowed;
+import eiderfork.controller.quota.PreemptionDecision.Refusal;
+import eiderfork.controller.quota.PreemptionDecision.Refused;
+import eiderfork.model.JobKind;
+
+/**
+ * Who may preempt whom where quota is borrowed. There are two reasons: a team reclaims its
+ * guarantee from what another has borrowed, or the preemptor has the higher priority. No team loses
+ * part of its guarantee to work beyond another's. Work that can't be preempted in part and is
+ * borrowed in part only may be preempted for work within another's guarantee once nothing else
+ * would do.
+ */
+public final class QuotaPreemptionRules {
+  private QuotaPreemptionRules() {}
+
+  /** Whether the victim may be preempted, as the ledger stands now. */
+  public static PreemptionDecision evaluate(
+      Preemptor preemptor, PreemptionVictim victim, QuotaLedger ledger) {
+    TeamUsage lender = ledger.usage(victim.team());
+    boolean isSameTeam = preemptor.team().equals(victim.team());
+    boolean isBorrowed =
+        lender != null
+            && lender.guarantee().isPartlyBorrowed(victim.amount(), lender.usedAfterStopping());
+    if (!isSameTeam && preemptor.isWithinGuarantee() && isBorrowed) {
+      return evaluateReclaim(preemptor, victim, lender);
+    }
+    return evaluatePriority(preemptor, victim, lender, isSameTeam);
+  }
+
+  private static PreemptionDecision evaluateReclaim(
+      Preemptor preemptor, PreemptionVictim victim, TeamUsage lender) {
+    if (victim.isBatch()) {
+      boolean isWhollyBorrowed =
+          lender.guarantee().isBorrowed(victim.amount(), lender.usedAfterStopping());
+      return new Allowed(
+          PreemptionReason.GUARANTEE,
+          isWhollyBorrowed
+              ? VictimPreference.BORROWED_BATCH
+              : VictimPreference.PARTLY_BORROWED_BATCH);
+    }
+    return preemptor.hasWaitedForBoot()
+        ? new Allowed(PreemptionReason.GUARANTEE, VictimPreference.BORROWED_REPLICA)
+        : new Refused(Refusal.REPLICA_NOT_YET);
+  }
+
+  private static PreemptionDecision evaluatePriority(
+      Preemptor preemptor, PreemptionVictim victim, TeamUsage lender, boolean isSameTeam) {
+    boolean isMoreUrgent = victim.priority().compareTo(preemptor.priority()) > 0;
+    // Arrays preempt nothing for their priority alone; they come first in the queue.
+    if (!isMoreUrgent || !victim.isBatch() || preemptor.kind() == JobKind.ARRAY) {
+      return new Refused(isSameTeam ? Refusal.SAME_TEAM : Refusal.NOT_MORE_URGENT);
+    }
+    boolean keepsGuarantee =
+        lender == null
+            || lender.guarantee().isMetWithout(victim.amount(), lender.usedAfterStopping());
+    if (isSameTeam || keepsGuarantee) {
+      return new Allowed(PreemptionReason.PRIORITY, VictimPreference.BORROWED_BATCH);
+    }
+    return preemptor.isWithinGuarantee()
+        ? new Allowed(PreemptionReason.PRIORITY, VictimPreference.GUARANTEED_BATCH)
+        : new Refused(Refusal.LENDER_AT_GUARANTEE);
+  }
+}
