--- a/src/main/java/eiderfork/controller/ScaleInPolicy.java
+++ b/src/main/java/eiderfork/controller/ScaleInPolicy.java
@@ -60,26 +60,26 @@
       double bootMs = type == null ? 0 : type.bootS() * 1000;
       long ageMs = context.nowMs - machine.knownSinceMs;
       if (machine.faulty) {
-        cloud.returns().returnMachine(machine, "faulty");
+        cloud.returns().returnMachine(machine, ScaleInReason.FAULTY);
       } else if (machine.lastHeartbeat() == null) {
         if (type != null && bootTimes.hasFailed(machine, type)) {
-          cloud.returns().returnSilent(machine, "it does not come up");
+          cloud.returns().returnSilent(machine, ScaleInReason.BOOT_FAILED);
         }
       } else if (believe
           && !leaseExpiry.isProxied(machine)
           && liveness.sinceLastContactMs(machine)
               > BootTimeEstimator.UNREACHABLE_GRACE_LEASES * context.workerLeaseMs() + bootMs) {
-        cloud.returns().returnSilent(machine, "it is silent");
+        cloud.returns().returnSilent(machine, ScaleInReason.SILENT);
       } else if (believe
           && liveness.hasRecentHeartbeat(machine)
           && liveness.isUnresponsive(machine)
           && isUnreachableForLong(machine)) {
-        cloud.returns().returnMachine(machine, "commands do not reach it");
+        cloud.returns().returnMachine(machine, ScaleInReason.COMMANDS_LOST);
       } else if (machine.reservations.isEmpty() && machine.reportedTasks().isEmpty()) {
         Bin bin = packed.get(machine);
         boolean needed = bin != null && !bin.free.equals(machine.capacity);
         if (machine.draining) {
-          cloud.returns().returnMachine(machine, "drained");
+          cloud.returns().returnMachine(machine, ScaleInReason.DRAINED);
         } else if (needed) {
           machine.idleSinceMs = 0;
         } else if (machine.idleSinceMs == 0) {
@@ -87,7 +87,7 @@
         } else if (context.nowMs - machine.idleSinceMs
                 > bootMs * context.settings.operator().idleBootShare()
             && ageMs > MIN_CHARGE_MS) {
-          cloud.returns().returnMachine(machine, "idle");
+          cloud.returns().returnMachine(machine, ScaleInReason.IDLE);
         }
       } else {
         machine.idleSinceMs = 0;
--- a/src/main/java/eiderfork/controller/ScaleInRequests.java
+++ b/src/main/java/eiderfork/controller/ScaleInRequests.java
@@ -11,141 +11,118 @@
 import eiderfork.model.StoredRecord;
 import java.util.ArrayList;
 import java.util.HashSet;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.Set;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Gives machines back to the cloud, under reservations of their own. */
-final class ScaleInRequests {
+/** The machines to return to the cloud, and the calls that return them. */
+final class ScaleInRequests extends ProvisioningRequests<ScaleInRequests.Return> {
   private static final Logger LOG = LoggerFactory.getLogger(ScaleInRequests.class);
 
-  /** The most machines that the protocol lets one return name. */
+  /** The most machines that the protocol lets one call return. */
   private static final int MAX_RETURN_COUNT = 100;
 
-  /** How much of a value the names of a return may take. */
+  /** The share of a stored value that the names of an intent may take. */
   private static final double VALUE_SHARE = 0.8;
 
   /** Quotes and comma around a name. */
   private static final int NAME_OVERHEAD_BYTES = 3;
 
-  /** How a return stands. */
-  private static final class Return {
-    final String key;
-    final ImmutableList<String> machines;
-    boolean isCommitted;
-    boolean isInFlight;
+  private static final int BYTES_PER_KB = 1024;
 
-    /** It was asked for and not refused, so the machines may go at any time. */
-    boolean possiblyApplied;
-
-    long nextAttemptMs;
-    final Backoff backoff;
-
-    Return(String key, ImmutableList<String> machines, Backoff backoff) {
-      this.key = key;
-      this.machines = machines;
-      this.backoff = backoff;
-    }
-  }
-
-  private final ControllerContext context;
-  private final LeaderElection election;
-  private final MachineRegistry fleet;
-  private final ProvisioningIntents intents;
-  private final TokenBucket callBudget;
-  private final Map<String, Return> returns = new LinkedHashMap<>();
+  /** Machines that are to be returned by a later call. */
   private final Set<String> pendingNames = new HashSet<>();
-  private int lastRequestNumber;
 
-  /**
-   * @param callBudget the budget of calls to the cloud
-   */
   ScaleInRequests(
       ControllerContext context,
       LeaderElection election,
       MachineRegistry fleet,
       ProvisioningIntents intents,
       TokenBucket callBudget) {
-    this.context = context;
-    this.election = election;
-    this.fleet = fleet;
-    this.intents = intents;
-    this.callBudget = callBudget;
+    super(context, election, fleet, intents, callBudget);
   }
 
-  private Backoff newBackoff() {
-    return new Backoff(context.stepMs(), context.cloudListLagMs());
+  /** The return of several machines. */
+  static final class Return extends ProvisioningRequest {
+    private final ImmutableList<String> machineNames;
+
+    /** A call was made and not refused, so the machines may be gone at any time. */
+    private boolean possiblyApplied;
+
+    private Return(String key, ImmutableList<String> machineNames, Backoff backoff) {
+      super(key, backoff);
+      this.machineNames = machineNames;
+    }
+
+    private boolean canBeRevoked() {
+      return isCommitted() && !isInFlight() && !possiblyApplied;
+    }
   }
 
-  /** Decides on no more of the returns of a term that is over. */
+  @Override
   void reset() {
-    returns.clear();
+    super.reset();
     pendingNames.clear();
-    lastRequestNumber = 0;
   }
 
-  /** Takes up a return that an earlier leader reserved, and may have asked for. */
-  void restore(String key, StoredRecord.ScaleInIntent record) {
-    Return machineReturn = new Return(key, record.machines(), newBackoff());
-    machineReturn.isCommitted = true;
-    machineReturn.possiblyApplied = true;
-    returns.put(key, machineReturn);
-    record.machines().forEach(name -> fleet.getOrRegister(name).scalingIn = true);
+  /** Takes up a return whose intent an earlier leader stored, and which it may have called for. */
+  void restore(String key, StoredRecord.ScaleInIntent intent) {
+    Return request = new Return(key, intent.machines(), newBackoff());
+    request.possiblyApplied = true;
+    restore(request);
+    intent.machines().forEach(name -> fleet.getOrRegister(name).scalingIn = true);
   }
 
-  /** Reserves returns that were decided, and asks for those whose reservation stands. */
+  /** Stores intents for what was decided, and makes the calls that are due. */
   void tick() {
     keepRecovered();
     if (!pendingNames.isEmpty()) {
-      ImmutableList<String> batch = nextBatch();
-      batch.forEach(pendingNames::remove);
-      String key =
-          StoreKeys.RETURN_PREFIX + "t" + election.currentTerm() + "-" + ++lastRequestNumber;
-      Return machineReturn = new Return(key, batch, newBackoff());
-      returns.put(key, machineReturn);
-      intents.reserve(
-          key,
-          new StoredRecord.ScaleInIntent(batch),
-          () -> returns.get(key) == machineReturn,
-          () -> machineReturn.isCommitted = true,
-          () -> {
-            returns.remove(key);
-            pendingNames.addAll(batch);
-          });
-    }
-    for (Return machineReturn : List.copyOf(returns.values())) {
-      if (machineReturn.isCommitted
-          && !machineReturn.isInFlight
-          && context.nowMs >= machineReturn.nextAttemptMs
-          && callBudget.tryTake(1, context.nowMs)) {
-        send(machineReturn);
-      }
+      submitNextBatch();
     }
+    sendDue();
+  }
+
+  private void submitNextBatch() {
+    ImmutableList<String> batch = nextBatch();
+    batch.forEach(pendingNames::remove);
+    String key = StoreKeys.RETURN_PREFIX + nextRequestName();
+    submit(new Return(key, batch, newBackoff()), new StoredRecord.ScaleInIntent(batch));
+  }
+
+  @Override
+  void onIntentFailed(Return request) {
+    pendingNames.addAll(request.machineNames);
   }
 
-  /** Gives a machine back because nothing is heard of it; it is kept if that ends in time. */
-  void returnSilent(MachineState machine, String reason) {
+  /** Returns a machine that sends no heartbeats; it is kept if it recovers before the call. */
+  void returnSilent(MachineState machine, ScaleInReason reason) {
     machine.scaledInUnreachableMs = context.nowMs;
     returnMachine(machine, reason);
   }
 
+  /** Returns a machine. */
+  void returnMachine(MachineState machine, ScaleInReason reason) {
+    if (!machine.scalingIn) {
+      LOG.info("scale-in-decided machine={} reason={}", machine.name, reason);
+      machine.scalingIn = true;
+      pendingNames.add(machine.name);
+    }
+  }
+
   /**
-   * Keeps machines that are heard again before the cloud took their return: while it refuses all
-   * calls, machines that had only hung once stood unused until it answered, and were lost then.
+   * Keeps machines that sent a heartbeat before the cloud was called for their return: while it
+   * refuses all calls, a machine that only hung for a moment is of use again.
    */
   private void keepRecovered() {
     pendingNames.removeIf(this::keepIfRecovered);
-    for (Return machineReturn : List.copyOf(returns.values())) {
-      if (!machineReturn.isCommitted || machineReturn.isInFlight || machineReturn.possiblyApplied) {
+    for (Return request : openRequests()) {
+      if (!request.canBeRevoked()) {
         continue;
       }
-      List<String> others = new ArrayList<>(machineReturn.machines);
+      List<String> others = new ArrayList<>(request.machineNames);
       if (others.removeIf(this::keepIfRecovered)) {
-        returns.remove(machineReturn.key);
-        intents.remove(machineReturn.key);
+        close(request);
         pendingNames.addAll(others);
       }
     }
@@ -158,23 +135,15 @@
         || machine.incarnation.lastHeartbeatMs() <= machine.scaledInUnreachableMs) {
       return false;
     }
-    LOG.info("keeping {}: it is heard again", name);
+    LOG.info("scale-in-revoked machine={} reason=heartbeats-resumed", name);
     machine.scalingIn = false;
     machine.scaledInUnreachableMs = 0;
     return true;
   }
 
-  void returnMachine(MachineState machine, String reason) {
-    if (!machine.scalingIn) {
-      LOG.info("returning {}: {}", machine.name, reason);
-      machine.scalingIn = true;
-      pendingNames.add(machine.name);
-    }
-  }
-
-  /** The machines of the next return, as many as it may name and its reservation may hold. */
+  /** The machines of the next return, as many as a call may name and an intent may hold. */
   private ImmutableList<String> nextBatch() {
-    double leftBytes = context.settings.safeValueKb() * 1024 * VALUE_SHARE;
+    double leftBytes = context.settings.safeValueKb() * BYTES_PER_KB * VALUE_SHARE;
     ImmutableList.Builder<String> batch = ImmutableList.builder();
     int count = 0;
     for (String name : pendingNames) {
@@ -188,31 +157,25 @@
     return batch.build();
   }
 
-  private void send(Return machineReturn) {
-    machineReturn.isInFlight = true;
-    context.call(
-        call ->
-            new Effect.ReturnMachines(
-                call, machineReturn.machines, CloudProvisioner.callTimeoutMs(context)),
-        reply -> {
-          machineReturn.isInFlight = false;
-          if (returns.get(machineReturn.key) != machineReturn) {
-            return;
-          }
-          if (reply instanceof Reply.Returned) {
-            returns.remove(machineReturn.key);
-            for (String name : machineReturn.machines) {
-              MachineState machine = fleet.get(name);
-              if (machine != null) {
-                fleet.remove(machine, "returned");
-              }
-            }
-            intents.remove(machineReturn.key);
-          } else {
-            machineReturn.possiblyApplied |= reply instanceof Reply.Unanswered;
-            machineReturn.nextAttemptMs =
-                context.nowMs + machineReturn.backoff.nextPauseMs(context.random);
-          }
-        });
+  @Override
+  Effect.Call toCall(long callId, Return request) {
+    return new Effect.ReturnMachines(
+        callId, request.machineNames, CloudProvisioner.callTimeoutMs(context));
+  }
+
+  @Override
+  void onReply(Return request, Reply reply) {
+    if (!(reply instanceof Reply.Returned)) {
+      request.possiblyApplied |= reply instanceof Reply.Unanswered;
+      request.scheduleRetry(context.nowMs, context.random);
+      return;
+    }
+    for (String name : request.machineNames) {
+      MachineState machine = fleet.get(name);
+      if (machine != null) {
+        fleet.remove(machine, "returned");
+      }
+    }
+    close(request);
   }
 }
--- a/src/main/java/eiderfork/controller/ScaleOutRequests.java
+++ b/src/main/java/eiderfork/controller/ScaleOutRequests.java
@@ -11,224 +11,202 @@
 import eiderfork.model.StoredRecord;
 import java.util.ArrayList;
 import java.util.HashMap;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/**
- * Rents machines under reservations of their own. A rent without an answer is asked for again under
- * the same name until it is settled.
- */
-final class ScaleOutRequests {
+/** The calls that rent machines, and which kinds of machine the cloud is short of. */
+final class ScaleOutRequests extends ProvisioningRequests<ScaleOutRequests.Rent> {
   private static final Logger LOG = LoggerFactory.getLogger(ScaleOutRequests.class);
 
-  /** How a rent stands. */
-  private static final class Rent {
-    final StoredRecord.ScaleOutIntent record;
-    ImmutableList<String> machines;
-    boolean isCommitted;
-    boolean wasSent;
-    boolean isInFlight;
-    long nextAttemptMs;
-    final Backoff backoff;
-
-    Rent(StoredRecord.ScaleOutIntent record, Backoff backoff) {
-      this.record = record;
-      this.backoff = backoff;
-    }
-  }
+  /** The pauses after a kind was found out of stock, in lags of the cloud's list. */
+  private static final int FIRST_OUT_OF_STOCK_LAGS = 2;
+
+  private static final int MAX_OUT_OF_STOCK_LAGS = 8;
 
-  private final ControllerContext context;
-  private final LeaderElection election;
-  private final MachineRegistry fleet;
-  private final ProvisioningIntents intents;
-  private final TokenBucket callBudget;
-  private final Map<String, Rent> rents = new LinkedHashMap<>();
   private final Map<CloudProvisioner.MachineKind, Long> outOfStockUntilMs = new HashMap<>();
   private final Map<CloudProvisioner.MachineKind, Backoff> outOfStockBackoffs = new HashMap<>();
 
-  /** How many rents of a kind may be open at once, where the cloud has filled the ones before. */
+  /** How many rents of a kind the cloud has filled since it was last short of it. */
   private final Map<CloudProvisioner.MachineKind, Integer> filledRents = new HashMap<>();
 
-  private int lastRequestNumber;
-
-  /**
-   * @param callBudget the budget of calls to the cloud
-   */
   ScaleOutRequests(
       ControllerContext context,
       LeaderElection election,
       MachineRegistry fleet,
       ProvisioningIntents intents,
       TokenBucket callBudget) {
-    this.context = context;
-    this.election = election;
-    this.fleet = fleet;
-    this.intents = intents;
-    this.callBudget = callBudget;
+    super(context, election, fleet, intents, callBudget);
   }
 
-  private Backoff newBackoff() {
-    return new Backoff(context.stepMs(), context.cloudListLagMs());
+  /** A rent; it stays open until the cloud's list has its machines. */
+  static final class Rent extends ProvisioningRequest {
+    private final StoredRecord.ScaleOutIntent intent;
+
+    /** Null until the cloud has answered. */
+    private ImmutableList<String> machineNames;
+
+    private Rent(StoredRecord.ScaleOutIntent intent, Backoff backoff) {
+      super(StoreKeys.RENT_PREFIX + intent.requestName(), backoff);
+      this.intent = intent;
+    }
+
+    private CloudProvisioner.MachineKind kind() {
+      return new CloudProvisioner.MachineKind(intent.type(), intent.zone(), intent.spot());
+    }
+
+    private boolean isAnswered() {
+      return machineNames != null;
+    }
+
+    @Override
+    boolean isDue(long nowMs) {
+      return !isAnswered() && super.isDue(nowMs);
+    }
   }
 
-  /** Forgets the rents of a term that is over. */
+  @Override
   void reset() {
-    rents.clear();
+    super.reset();
     outOfStockUntilMs.clear();
     outOfStockBackoffs.clear();
     filledRents.clear();
-    lastRequestNumber = 0;
   }
 
-  /** Takes up a rent that an earlier leader reserved. */
-  void restore(StoredRecord.ScaleOutIntent record) {
-    Rent rent = new Rent(record, newBackoff());
-    rent.isCommitted = true;
-    rents.put(record.requestName(), rent);
+  /** Takes up a rent whose intent an earlier leader stored. */
+  void restore(StoredRecord.ScaleOutIntent intent) {
+    restore(new Rent(intent, newBackoff()));
   }
 
-  /** Asks for the rents whose reservation stands, as far as the budget of calls goes. */
+  /** Makes the calls that are due. */
   void tick() {
-    for (Rent rent : List.copyOf(rents.values())) {
-      if (rent.isCommitted
-          && rent.machines == null
-          && !rent.isInFlight
-          && context.nowMs >= rent.nextAttemptMs
-          && callBudget.tryTake(1, context.nowMs)) {
-        send(rent);
-      }
-    }
+    sendDue();
   }
 
   /** Rents whose machines are not known yet. */
   List<StoredRecord.ScaleOutIntent> openRents() {
     List<StoredRecord.ScaleOutIntent> open = new ArrayList<>();
-    for (Rent rent : rents.values()) {
-      if (rent.machines == null) {
-        open.add(rent.record);
+    for (Rent rent : openRequests()) {
+      if (!rent.isAnswered()) {
+        open.add(rent.intent);
       }
     }
     return open;
   }
 
-  /** Whether a rent is reserved that the cloud has not been asked for, for want of its turn. */
+  /** Whether a rent was decided that the cloud was not called for yet. */
   boolean hasUnsentRents() {
-    for (Rent rent : rents.values()) {
-      if (!rent.wasSent) {
-        return true;
-      }
-    }
-    return false;
+    return openRequests().stream().anyMatch(rent -> !rent.hasBeenSent());
   }
 
+  /** Whether the cloud may have machines of this kind. */
   boolean isInStock(CloudProvisioner.MachineKind kind) {
     return outOfStockUntilMs.getOrDefault(kind, 0L) <= context.nowMs;
   }
 
+  /** Rents so many machines of a kind. */
   void rent(CloudProvisioner.MachineKind kind, int count) {
-    String requestName = "t" + election.currentTerm() + "-" + ++lastRequestNumber;
-    StoredRecord.ScaleOutIntent record =
-        new StoredRecord.ScaleOutIntent(requestName, kind.type(), kind.zone(), kind.spot(), count);
-    LOG.info("renting {} of {}", count, kind);
-    Rent rent = new Rent(record, newBackoff());
-    rents.put(requestName, rent);
-    intents.reserve(
-        StoreKeys.RENT_PREFIX + requestName,
-        record,
-        () -> rents.get(requestName) == rent,
-        () -> rent.isCommitted = true,
-        () -> rents.remove(requestName));
-  }
-
-  private void send(Rent rent) {
-    rent.isInFlight = true;
-    rent.wasSent = true;
-    StoredRecord.ScaleOutIntent record = rent.record;
-    CloudProvisioner.MachineKind kind =
-        new CloudProvisioner.MachineKind(record.type(), record.zone(), record.spot());
-    context.call(
-        call -> new Effect.RentMachines(call, record, CloudProvisioner.callTimeoutMs(context)),
-        reply -> {
-          rent.isInFlight = false;
-          if (rents.get(record.requestName()) != rent) {
-            return;
-          }
-          if (reply instanceof Reply.Rented rented) {
-            rent.machines = rented.machines();
-            LOG.info(
-                "rented {} of {} {}: {}",
-                rented.machines().size(),
-                record.count(),
-                kind,
-                rented.machines());
-            for (String name : rented.machines()) {
-              if (!fleet.isRemoved(name)) {
-                MachineState machine = fleet.getOrRegister(name);
-                machine.booting = machine.lastHeartbeat() == null;
-                machine.lastAliveMs = context.nowMs;
-                if (machine.spec == null) {
-                  machine.provisionedAs(kind, fleet.types().get(kind.type()));
-                }
-              }
-            }
-            if (rented.machines().size() < record.count()) {
-              markOutOfStock(kind);
-            } else {
-              outOfStockBackoffs.remove(kind);
-              filledRents.merge(kind, 1, Integer::sum);
-            }
-          } else if (reply instanceof Reply.NoCapacity) {
-            // No capacity, and nothing was rented: the reservation is over.
-            markOutOfStock(kind);
-            rents.remove(record.requestName());
-            intents.remove(StoreKeys.RENT_PREFIX + record.requestName());
-          } else if (reply instanceof Reply.Refused refused && refused.status() == 400) {
-            LOG.error("the cloud calls the rent {} malformed", record);
-            markOutOfStock(kind);
-            rents.remove(record.requestName());
-            intents.remove(StoreKeys.RENT_PREFIX + record.requestName());
-          } else {
-            rent.nextAttemptMs = context.nowMs + rent.backoff.nextPauseMs(context.random);
-          }
-        });
+    StoredRecord.ScaleOutIntent intent =
+        new StoredRecord.ScaleOutIntent(
+            nextRequestName(), kind.type(), kind.zone(), kind.spot(), count);
+    LOG.info(
+        "scale-out-decided request={} type={} zone={} spot={} machines={}",
+        intent.requestName(),
+        kind.type(),
+        kind.zone(),
+        kind.spot(),
+        count);
+    submit(new Rent(intent, newBackoff()), intent);
+  }
+
+  @Override
+  Effect.Call toCall(long callId, Rent rent) {
+    return new Effect.RentMachines(callId, rent.intent, CloudProvisioner.callTimeoutMs(context));
+  }
+
+  @Override
+  void onReply(Rent rent, Reply reply) {
+    if (reply instanceof Reply.Rented rented) {
+      onRented(rent, rented.machines());
+    } else if (reply instanceof Reply.NoCapacity) {
+      // Nothing was rented, so the intent is settled.
+      markOutOfStock(rent.kind());
+      close(rent);
+    } else if (reply instanceof Reply.Refused refused && refused.isMalformed()) {
+      LOG.error("scale-out-malformed intent={}", rent.intent);
+      markOutOfStock(rent.kind());
+      close(rent);
+    } else {
+      rent.scheduleRetry(context.nowMs, context.random);
+    }
+  }
+
+  private void onRented(Rent rent, ImmutableList<String> machineNames) {
+    rent.machineNames = machineNames;
+    LOG.info(
+        "scaled-out request={} type={} zone={} spot={} wanted={} machines={}",
+        rent.intent.requestName(),
+        rent.intent.type(),
+        rent.intent.zone(),
+        rent.intent.spot(),
+        rent.intent.count(),
+        machineNames);
+    machineNames.forEach(name -> register(name, rent.kind()));
+    if (machineNames.size() < rent.intent.count()) {
+      markOutOfStock(rent.kind());
+    } else {
+      outOfStockBackoffs.remove(rent.kind());
+      filledRents.merge(rent.kind(), 1, Integer::sum);
+    }
+  }
+
+  private void register(String name, CloudProvisioner.MachineKind kind) {
+    if (fleet.isRemoved(name)) {
+      return;
+    }
+    MachineState machine = fleet.getOrRegister(name);
+    machine.booting = machine.lastHeartbeat() == null;
+    machine.lastAliveMs = context.nowMs;
+    if (machine.spec == null) {
+      machine.provisionedAs(kind, fleet.types().get(kind.type()));
+    }
   }
 
   /**
-   * How many rents of this kind may be asked for together: one at first and one more for each that
-   * was filled, since calls for what the cloud may not have take the turns of others; no more than
-   * the rate lets through in a step.
+   * How many rents of this kind may be made at once: one at first and one more for each that was
+   * filled, since calls for what is out of stock use up the rate; never more than the rate allows
+   * in a step.
    */
   int maxConcurrentRents(CloudProvisioner.MachineKind kind) {
-    int most = (int) Math.max(1, context.settings.cloudLimits().requestsPerS() * context.stepS());
-    return Math.min(most, 1 + filledRents.getOrDefault(kind, 0));
+    double callsPerStep = context.settings.cloudLimits().requestsPerS() * context.stepS();
+    int max = (int) Math.max(1, callsPerStep);
+    return Math.min(max, 1 + filledRents.getOrDefault(kind, 0));
   }
 
   private void markOutOfStock(CloudProvisioner.MachineKind kind) {
     filledRents.remove(kind);
-    Backoff backoff =
-        outOfStockBackoffs.computeIfAbsent(
-            kind, k -> new Backoff(context.cloudListLagMs() * 2, context.cloudListLagMs() * 8));
+    Backoff backoff = outOfStockBackoffs.computeIfAbsent(kind, k -> newOutOfStockBackoff());
     outOfStockUntilMs.put(kind, context.nowMs + backoff.nextPauseMs(context.random));
   }
 
-  /** A rent's key may go once its machines would be found without it. */
+  private Backoff newOutOfStockBackoff() {
+    return new Backoff(
+        context.cloudListLagMs() * FIRST_OUT_OF_STOCK_LAGS,
+        context.cloudListLagMs() * MAX_OUT_OF_STOCK_LAGS);
+  }
+
+  /** Removes the intents of rents whose machines a new leader would find in the cloud's list. */
   void removeSettled() {
-    for (Rent rent : List.copyOf(rents.values())) {
-      if (rent.machines == null) {
-        continue;
-      }
-      boolean found = true;
-      for (String name : rent.machines) {
-        MachineState machine = fleet.get(name);
-        found &= machine == null || machine.listedByCloud;
-      }
-      if (found) {
-        rents.remove(rent.record.requestName());
-        intents.remove(StoreKeys.RENT_PREFIX + rent.record.requestName());
+    for (Rent rent : openRequests()) {
+      if (rent.isAnswered() && rent.machineNames.stream().allMatch(this::isListedOrGone)) {
+        close(rent);
       }
     }
   }
+
+  private boolean isListedOrGone(String name) {
+    MachineState machine = fleet.get(name);
+    return machine == null || machine.listedByCloud;
+  }
 }
