--- a/src/main/java/eiderfork/controller/CloudProvisioner.java
+++ b/src/main/java/eiderfork/controller/CloudProvisioner.java
@@ -12,6 +12,7 @@
 import eiderfork.controller.store.RequestPriority;
 import eiderfork.controller.store.StoreClient;
 import eiderfork.model.ListedMachine;
+import eiderfork.model.Machine;
 import java.util.LinkedHashMap;
 import java.util.Map;
 import org.slf4j.Logger;
@@ -37,7 +38,12 @@
   private static final int MAX_LISTING_LAGS = 4;
 
   /** A kind of machine that may be out of stock. */
-  record MachineKind(String type, String zone, boolean spot) {}
+  record MachineKind(String type, String zone, boolean spot) {
+    /** The kind that a machine is of. */
+    static MachineKind of(Machine machine) {
+      return new MachineKind(machine.type(), machine.zone(), machine.spot());
+    }
+  }
 
   private final ControllerContext context;
   private final LeaderElection election;
--- a/src/main/java/eiderfork/controller/FirstFitTree.java
+++ b/src/main/java/eiderfork/controller/FirstFitTree.java
@@ -1,5 +1,6 @@
 package eiderfork.controller;
 
+import eiderfork.controller.CloudProvisioner.MachineKind;
 import eiderfork.model.Resources;
 import it.unimi.dsi.fastutil.objects.Object2IntMap;
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap;
@@ -9,26 +10,30 @@
 import java.util.function.Predicate;
 
 /**
- * The bins of a plan in their order, and above them a binary tree of the most that any bin below a
- * node has left. The first bin that takes a task is found without a look at those that are full: a
- * plan for thousands of machines and tasks once looked at each machine for each job.
+ * The bins of a plan in their order as the leaves of a binary tree, each node of which has the
+ * maxima of what the bins below it have free. The first bin that takes a task is found without
+ * visiting bins that are full.
  */
 final class FirstFitTree {
   /** Kinds of machine past this number share the last bit. */
   private static final int MAX_KIND_BITS = Long.SIZE;
 
-  private static final int INITIAL_CAPACITY = 16;
+  private static final int INITIAL_LEAF_COUNT = 16;
+
+  private static final int NOT_FOUND = -1;
+
+  private static final int ROOT = 1;
 
   /** What a search is for: the kinds as bits, and whether free GPUs keep their processors. */
-  private record Query(Resources need, long kindMask, boolean sparesGpus, Predicate<Bin> accepts) {}
+  private record Query(
+      Resources demand, long kindMask, boolean sparesGpus, Predicate<Bin> accepts) {}
 
   private final List<Bin> bins;
   private final CpusPerGpu cpusPerGpu;
-  private final Object2IntMap<CloudProvisioner.MachineKind> kindBits =
-      new Object2IntOpenHashMap<>();
+  private final Object2IntMap<MachineKind> kindBits = new Object2IntOpenHashMap<>();
 
-  /** A power of two; the node of bin i is capacity + i, the root is 1. */
-  private int capacity = INITIAL_CAPACITY;
+  /** How many leaves there are: a power of two. The leaf of bin i is the node leafCount + i. */
+  private int leafCount = INITIAL_LEAF_COUNT;
 
   private double[] maxFreeCpus;
   private double[] maxFreeGpus;
@@ -41,8 +46,7 @@
   private int visitedBins;
 
   /**
-   * @param bins the list that the tree stands on; lengthened by {@link #enqueueQuery} alone from
-   *     now on
+   * @param bins the leaves; from now on only {@link #add} may lengthen the list
    */
   FirstFitTree(List<Bin> bins, CpusPerGpu cpusPerGpu) {
     this.bins = bins;
@@ -52,86 +56,86 @@
   }
 
   private void rebuild() {
-    while (capacity < bins.size()) {
-      capacity *= 2;
+    while (leafCount < bins.size()) {
+      leafCount *= 2;
     }
     maxFreeCpus = emptyNodes();
     maxFreeGpus = emptyNodes();
     maxFreeRamGb = emptyNodes();
     maxSpareCpus = emptyNodes();
-    kindMasks = new long[2 * capacity];
+    kindMasks = new long[2 * leafCount];
     for (int i = 0; i < bins.size(); i++) {
       setLeaf(i);
     }
-    for (int node = capacity - 1; node > 0; node--) {
+    for (int node = leafCount - 1; node > 0; node--) {
       setFromChildren(node);
     }
   }
 
-  /** Nodes without bins take nothing. */
+  /** Below nodes without bins nothing fits. */
   private double[] emptyNodes() {
-    double[] nodes = new double[2 * capacity];
+    double[] nodes = new double[2 * leafCount];
     Arrays.fill(nodes, Double.NEGATIVE_INFINITY);
     return nodes;
   }
 
-  private void setLeaf(int i) {
-    Bin bin = bins.get(i);
-    int node = capacity + i;
-    maxFreeCpus[node] = bin.free.cpus();
-    maxFreeGpus[node] = bin.free.gpus();
-    maxFreeRamGb[node] = bin.free.ramGb();
-    maxSpareCpus[node] = cpusPerGpu.spareCpus(bin.free);
-    kindMasks[node] = 1L << kindBit(bin.kind);
+  private void setLeaf(int index) {
+    Bin bin = bins.get(index);
+    int node = leafCount + index;
+    maxFreeCpus[node] = bin.free().cpus();
+    maxFreeGpus[node] = bin.free().gpus();
+    maxFreeRamGb[node] = bin.free().ramGb();
+    maxSpareCpus[node] = cpusPerGpu.spareCpus(bin.free());
+    kindMasks[node] = 1L << kindBit(bin.kind());
   }
 
   private void setFromChildren(int node) {
-    int a = 2 * node;
-    int b = a + 1;
-    maxFreeCpus[node] = Math.max(maxFreeCpus[a], maxFreeCpus[b]);
-    maxFreeGpus[node] = Math.max(maxFreeGpus[a], maxFreeGpus[b]);
-    maxFreeRamGb[node] = Math.max(maxFreeRamGb[a], maxFreeRamGb[b]);
-    maxSpareCpus[node] = Math.max(maxSpareCpus[a], maxSpareCpus[b]);
-    kindMasks[node] = kindMasks[a] | kindMasks[b];
+    int left = 2 * node;
+    int right = left + 1;
+    maxFreeCpus[node] = Math.max(maxFreeCpus[left], maxFreeCpus[right]);
+    maxFreeGpus[node] = Math.max(maxFreeGpus[left], maxFreeGpus[right]);
+    maxFreeRamGb[node] = Math.max(maxFreeRamGb[left], maxFreeRamGb[right]);
+    maxSpareCpus[node] = Math.max(maxSpareCpus[left], maxSpareCpus[right]);
+    kindMasks[node] = kindMasks[left] | kindMasks[right];
   }
 
-  private int kindBit(CloudProvisioner.MachineKind kind) {
-    int number = kindBits.getInt(kind);
-    if (number < 0) {
-      number = Math.min(kindBits.size(), MAX_KIND_BITS - 1);
-      kindBits.put(kind, number);
+  private int kindBit(MachineKind kind) {
+    int bit = kindBits.getInt(kind);
+    if (bit < 0) {
+      bit = Math.min(kindBits.size(), MAX_KIND_BITS - 1);
+      kindBits.put(kind, bit);
     }
-    return number;
+    return bit;
   }
 
-  /** Puts a bin behind all others. */
+  /** Adds a bin after all others. */
   void add(Bin bin) {
     bins.add(bin);
-    if (bins.size() > capacity) {
+    if (bins.size() > leafCount) {
       rebuild();
     } else {
       update(bins.size() - 1);
     }
   }
 
-  /** What is left of a bin has changed. */
+  /** What a bin has free has changed. */
   void update(int index) {
     setLeaf(index);
-    for (int node = (capacity + index) / 2; node > 0; node /= 2) {
+    for (int node = (leafCount + index) / 2; node > 0; node /= 2) {
       setFromChildren(node);
     }
   }
 
-  /** How often a bin was looked at. */
+  /** How often a bin was visited. */
   int visitedBins() {
     return visitedBins;
   }
 
-  /** The kinds of which there are bins, and that are accepted, as bits. */
-  long kindMasks(Predicate<CloudProvisioner.MachineKind> accepted) {
+  /** The bits of the kinds of which there are bins, and which the predicate accepts. */
+  long kindMask(Predicate<MachineKind> accepts) {
     long bits = 0;
-    for (Object2IntMap.Entry<CloudProvisioner.MachineKind> each : kindBits.object2IntEntrySet()) {
-      if (accepted.test(each.getKey())) {
+    for (Object2IntMap.Entry<MachineKind> each : kindBits.object2IntEntrySet()) {
+      if (accepts.test(each.getKey())) {
         bits |= 1L << each.getIntValue();
       }
     }
@@ -141,40 +145,41 @@
   /**
    * The index of the first bin that takes the task, or -1.
    *
-   * @param kinds the kinds to look at; where kinds share a bit, {@code accepts} tells them apart
-   * @param sparing only bins whose free GPUs keep the processors that they need
+   * @param kindMask the kinds to visit; where kinds share a bit, {@code accepts} tells them apart
+   * @param sparesGpus only bins whose free GPUs keep the processors that they need
    */
-  int findFirst(Resources demand, long kinds, boolean sparing, Predicate<Bin> accepts) {
-    return findFirst(1, new Query(demand, kinds, sparing, accepts));
+  int findFirst(Resources demand, long kindMask, boolean sparesGpus, Predicate<Bin> accepts) {
+    return findFirst(ROOT, new Query(demand, kindMask, sparesGpus, accepts));
   }
 
   private int findFirst(int node, Query query) {
     if (!canContain(node, query)) {
-      return -1;
+      return NOT_FOUND;
     }
-    if (node >= capacity) {
+    if (node >= leafCount) {
       visitedBins++;
-      return query.accepts.test(bins.get(node - capacity)) ? node - capacity : -1;
+      int index = node - leafCount;
+      return query.accepts.test(bins.get(index)) ? index : NOT_FOUND;
     }
     int found = findFirst(2 * node, query);
-    return found >= 0 ? found : findFirst(2 * node + 1, query);
+    return found == NOT_FOUND ? findFirst(2 * node + 1, query) : found;
   }
 
   private boolean canContain(int node, Query query) {
-    Resources demand = query.need;
+    Resources demand = query.demand;
     return (kindMasks[node] & query.kindMask) != 0
         && demand.fitsIn(maxFreeCpus[node], maxFreeGpus[node], maxFreeRamGb[node])
         && (!query.sparesGpus
             || demand.cpus() <= maxSpareCpus[node] + Resources.ROUNDING_TOLERANCE);
   }
 
-  /** Shows every bin that has room for the task. */
-  void forEachWithFreeCapacity(Resources demand, long kinds, Consumer<Bin> consumer) {
-    Predicate<Bin> showsAll =
+  /** Shows every bin of these kinds that has free capacity for the task. */
+  void forEachWithFreeCapacity(Resources demand, long kindMask, Consumer<Bin> consumer) {
+    Predicate<Bin> rejectsAll =
         bin -> {
           consumer.accept(bin);
           return false;
         };
-    findFirst(1, new Query(demand, kinds, false, showsAll));
+    findFirst(ROOT, new Query(demand, kindMask, false, rejectsAll));
   }
 }
--- a/src/main/java/eiderfork/controller/ScaleInPolicy.java
+++ b/src/main/java/eiderfork/controller/ScaleInPolicy.java
@@ -7,11 +7,13 @@
 import java.util.List;
 import java.util.Map;
 
-/** Gives back machines that no plan needs, that are lost or that can't be used. */
+/** Decides which machines are returned: those that no plan needs, are lost or can't be used. */
 final class ScaleInPolicy {
-  /** A returned machine costs this long at least. */
+  /** The cloud charges for a machine as if it had run this long at least. */
   static final long MIN_CHARGE_MS = 60_000;
 
+  private static final double MS_PER_S = 1000;
+
   private final ControllerContext context;
   private final MachineRegistry fleet;
   private final MachineLiveness liveness;
@@ -34,14 +36,36 @@
     this.bootTimes = bootTimes;
   }
 
-  /** Gives back what the plan needs no more. */
+  /**
+   * Returns what the plan does not need.
+   *
+   * @param bins the machines of the plan, with what it packed on them
+   */
   void returnUnneeded(List<Bin> bins) {
-    Map<MachineState, Bin> packed = new Reference2ObjectOpenHashMap<>();
+    Map<MachineState, Bin> binsWithoutReservations = binsWithoutReservations(bins);
+    boolean areHeartbeatsConclusive = areMostMachinesHeard();
+    for (MachineState machine : ImmutableList.copyOf(fleet.machines())) {
+      if (machine.scalingIn || machine.spec == null) {
+        continue;
+      }
+      if (!returnIfUnusable(machine, areHeartbeatsConclusive)) {
+        returnIfEmpty(machine, binsWithoutReservations.get(machine));
+      }
+    }
+  }
+
+  private static Map<MachineState, Bin> binsWithoutReservations(List<Bin> bins) {
+    Map<MachineState, Bin> byMachine = new Reference2ObjectOpenHashMap<>();
     for (Bin bin : bins) {
-      if (bin.machine != null && bin.machine.reservations.isEmpty()) {
-        packed.put(bin.machine, bin);
+      if (bin.hasMachine() && bin.machine().reservations.isEmpty()) {
+        byMachine.put(bin.machine(), bin);
       }
     }
+    return byMachine;
+  }
+
+  /** Where most machines are silent at once, it is this node that is cut off. */
+  private boolean areMostMachinesHeard() {
     int silent = 0;
     int live = 0;
     for (MachineState machine : fleet.machines()) {
@@ -50,52 +74,72 @@
         silent += liveness.hasRecentHeartbeat(machine) ? 0 : 1;
       }
     }
-    // When most are silent at once it is this node that is cut off, not they that are lost.
-    boolean believe = silent * 2 <= live;
-    for (MachineState machine : ImmutableList.copyOf(fleet.machines())) {
-      if (machine.scalingIn || machine.spec == null) {
-        continue;
-      }
-      MachineType type = fleet.typeOf(machine);
-      double bootMs = type == null ? 0 : type.bootS() * 1000;
-      long ageMs = context.nowMs - machine.knownSinceMs;
-      if (machine.faulty) {
-        cloud.returns().returnMachine(machine, ScaleInReason.FAULTY);
-      } else if (machine.lastHeartbeat() == null) {
-        if (type != null && bootTimes.hasFailed(machine, type)) {
-          cloud.returns().returnSilent(machine, ScaleInReason.BOOT_FAILED);
-        }
-      } else if (believe
-          && !leaseExpiry.isProxied(machine)
-          && liveness.sinceLastContactMs(machine)
-              > BootTimeEstimator.UNREACHABLE_GRACE_LEASES * context.workerLeaseMs() + bootMs) {
-        cloud.returns().returnSilent(machine, ScaleInReason.SILENT);
-      } else if (believe
-          && liveness.hasRecentHeartbeat(machine)
-          && liveness.isUnresponsive(machine)
-          && isUnreachableForLong(machine)) {
-        cloud.returns().returnMachine(machine, ScaleInReason.COMMANDS_LOST);
-      } else if (machine.reservations.isEmpty() && machine.reportedTasks().isEmpty()) {
-        Bin bin = packed.get(machine);
-        boolean needed = bin != null && !bin.free.equals(machine.capacity);
-        if (machine.draining) {
-          cloud.returns().returnMachine(machine, ScaleInReason.DRAINED);
-        } else if (needed) {
-          machine.idleSinceMs = 0;
-        } else if (machine.idleSinceMs == 0) {
-          machine.idleSinceMs = context.nowMs;
-        } else if (context.nowMs - machine.idleSinceMs
-                > bootMs * context.settings.operator().idleBootShare()
-            && ageMs > MIN_CHARGE_MS) {
-          cloud.returns().returnMachine(machine, ScaleInReason.IDLE);
-        }
-      } else {
-        machine.idleSinceMs = 0;
-      }
+    return silent * 2 <= live;
+  }
+
+  /** Returns a machine that is faulty or lost; whether it is one, or has not come up yet. */
+  private boolean returnIfUnusable(MachineState machine, boolean areHeartbeatsConclusive) {
+    if (machine.faulty) {
+      cloud.returns().returnMachine(machine, ScaleInReason.FAULTY);
+    } else if (machine.lastHeartbeat() == null) {
+      returnIfBootFailed(machine);
+    } else if (areHeartbeatsConclusive && isLost(machine)) {
+      cloud.returns().returnSilent(machine, ScaleInReason.SILENT);
+    } else if (areHeartbeatsConclusive && isUnresponsiveForLong(machine)) {
+      cloud.returns().returnMachine(machine, ScaleInReason.COMMANDS_LOST);
+    } else {
+      return false;
+    }
+    return true;
+  }
+
+  private void returnIfBootFailed(MachineState machine) {
+    MachineType type = fleet.typeOf(machine);
+    if (type != null && bootTimes.hasFailed(machine, type)) {
+      cloud.returns().returnSilent(machine, ScaleInReason.BOOT_FAILED);
     }
   }
 
-  private boolean isUnreachableForLong(MachineState machine) {
-    return context.nowMs - machine.unresponsiveSinceMs > context.workerLeaseMs();
+  private boolean isLost(MachineState machine) {
+    return !leaseExpiry.isProxied(machine)
+        && liveness.sinceLastContactMs(machine)
+            > BootTimeEstimator.UNREACHABLE_GRACE_LEASES * context.workerLeaseMs()
+                + bootMs(machine);
+  }
+
+  private boolean isUnresponsiveForLong(MachineState machine) {
+    return liveness.hasRecentHeartbeat(machine)
+        && liveness.isUnresponsive(machine)
+        && context.nowMs - machine.unresponsiveSinceMs > context.workerLeaseMs();
+  }
+
+  /**
+   * Returns a machine that holds nothing, once it was drained or has been idle for long.
+   *
+   * @param bin what the plan packed on the machine; null where the plan did not count on it
+   */
+  private void returnIfEmpty(MachineState machine, Bin bin) {
+    if (!machine.reservations.isEmpty() || !machine.reportedTasks().isEmpty()) {
+      machine.idleSinceMs = 0;
+    } else if (machine.draining) {
+      cloud.returns().returnMachine(machine, ScaleInReason.DRAINED);
+    } else if (bin != null && !bin.isUnused()) {
+      machine.idleSinceMs = 0;
+    } else if (machine.idleSinceMs == 0) {
+      machine.idleSinceMs = context.nowMs;
+    } else if (isIdleForLong(machine)) {
+      cloud.returns().returnMachine(machine, ScaleInReason.IDLE);
+    }
+  }
+
+  private boolean isIdleForLong(MachineState machine) {
+    double keptMs = bootMs(machine) * context.settings.operator().idleBootShare();
+    return context.nowMs - machine.idleSinceMs > keptMs
+        && context.nowMs - machine.knownSinceMs > MIN_CHARGE_MS;
+  }
+
+  private double bootMs(MachineState machine) {
+    MachineType type = fleet.typeOf(machine);
+    return type == null ? 0 : type.bootS() * MS_PER_S;
   }
 }
--- a/src/test/java/eiderfork/controller/BinPackingTest.java
+++ b/src/test/java/eiderfork/controller/BinPackingTest.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.google.common.collect.ImmutableList;
+import eiderfork.controller.CloudProvisioner.MachineKind;
 import eiderfork.controller.context.ControllerContext;
 import eiderfork.controller.store.StoreClient;
 import eiderfork.model.Job;
@@ -19,14 +20,13 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Onto which machines a plan puts tasks, and which machines it wants to rent for them. */
+/** On which machines a plan packs tasks, and which machines it rents for them. */
 class BinPackingTest {
   private static final MachineType GPU_MACHINE =
       new MachineType("g8", new Resources(40, 8, 400), 50, 2, 20, 8, 4, ImmutableList.of("a"));
   private static final MachineType CPU_MACHINE =
       new MachineType("c8", new Resources(8, 0, 64), 50, 2, 1, 0.4, 4, ImmutableList.of("a"));
-  private static final CloudProvisioner.MachineKind GPU_KIND =
-      new CloudProvisioner.MachineKind("g8", "a", false);
+  private static final MachineKind GPU_KIND = new MachineKind("g8", "a", false);
 
   /** Each GPU takes four processors, so eight of a GPU machine's forty are to spare. */
   private static final CpusPerGpu FOUR_CPUS_A_GPU = new CpusPerGpu(4);
@@ -38,7 +38,7 @@
     return packing(Set.of(), types);
   }
 
-  private BinPacking packing(Set<CloudProvisioner.MachineKind> lateKinds, MachineType... types) {
+  private BinPacking packing(Set<MachineKind> overdueKinds, MachineType... types) {
     ControllerContext context =
         new ControllerContext(TestFixtures.settings("roost-0"), new Random(1), 1000);
     StoreClient store = new StoreClient(context);
@@ -47,7 +47,7 @@
     fleet.types(ImmutableList.copyOf(types));
     CloudProvisioner cloud = new CloudProvisioner(context, null, store, fleet);
     return new BinPacking(
-        context, fleet, cloud, FOUR_CPUS_A_GPU, new ArrayList<>(List.of(gpuBin)), lateKinds);
+        context, fleet, cloud, FOUR_CPUS_A_GPU, new ArrayList<>(List.of(gpuBin)), overdueKinds);
   }
 
   private static Job cpuService(int tasks) {
@@ -63,29 +63,29 @@
   void tasksWithoutGpusLeaveFreeGpusTheirProcessors() {
     BinPacking packing = packing(GPU_MACHINE, CPU_MACHINE);
     assertEquals(20, placeAll(packing, cpuService(20)));
-    assertEquals(32, gpuBin.free.cpus(), "eight were to spare");
+    assertEquals(32, gpuBin.free().cpus(), "eight were to spare");
     assertEquals(2, packing.binsToRent().size(), "twelve tasks on machines of eight processors");
-    assertTrue(packing.binsToRent().stream().allMatch(bin -> bin.kind.type().equals("c8")));
+    assertTrue(packing.binsToRent().stream().allMatch(bin -> bin.kind().type().equals("c8")));
   }
 
   @Test
-  void tasksWithoutGpusTakeWhatThereIsWhereNoOtherMachineCanBeHad() {
+  void tasksWithoutGpusUseGpuMachinesWhereNoOtherCanBeRented() {
     BinPacking packing = packing(GPU_MACHINE);
     assertEquals(60, placeAll(packing, cpuService(60)));
-    assertEquals(0, gpuBin.free.cpus());
+    assertEquals(0, gpuBin.free().cpus());
     assertEquals(1, packing.binsToRent().size(), "a further GPU machine for the last twenty");
   }
 
   @Test
-  void processorsBesideGpusInUseAreFree() {
+  void processorsBesideGpusInUseAreAvailable() {
     BinPacking packing = packing(GPU_MACHINE, CPU_MACHINE);
-    gpuBin.free = new Resources(20, 0, 200);
+    gpuBin.pack(new Resources(20, 8, 200));
     assertEquals(20, placeAll(packing, cpuService(20)));
     assertEquals(List.of(), packing.binsToRent());
   }
 
   @Test
-  void aZoneTakesNoMoreThanItMay() {
+  void zoneHoldsAtMostTheAllowedTasks() {
     BinPacking packing = packing(GPU_MACHINE, CPU_MACHINE);
     Job spread = TestFixtures.job(1, JobKind.SERVICE, 5, 0, "blue", Priority.HIGH, true, false);
     assertEquals(3, placeAll(packing, spread));
@@ -98,24 +98,24 @@
   }
 
   private static List<String> rentedKinds(BinPacking packing) {
-    return packing.binsToRent().stream().map(bin -> bin.kind.type() + bin.kind.zone()).toList();
+    return packing.binsToRent().stream().map(bin -> bin.kind().type() + bin.kind().zone()).toList();
   }
 
   /** Where half of the machines of a kind are overdue another zone or type takes its place. */
   @Test
-  void kindsThatComeUpLateAreRentedLast() {
-    CloudProvisioner.MachineKind late = new CloudProvisioner.MachineKind("c8", "a", false);
+  void overdueKindsAreRentedLast() {
+    MachineKind overdue = new MachineKind("c8", "a", false);
     MachineType cheap = cpuMachine("c8", 1, "a", "b");
-    BinPacking zones = packing(Set.of(late), cheap);
-    gpuBin.free = Resources.NONE;
+    BinPacking zones = packing(Set.of(overdue), cheap);
+    gpuBin.pack(gpuBin.free());
     placeAll(zones, cpuService(24));
     assertEquals(List.of("c8b", "c8b", "c8b"), rentedKinds(zones));
     MachineType other = cpuMachine("d8", 1.5, "a");
-    BinPacking types = packing(Set.of(late), cpuMachine("c8", 1, "a"), other);
+    BinPacking types = packing(Set.of(overdue), cpuMachine("c8", 1, "a"), other);
     placeAll(types, cpuService(8));
     assertEquals(List.of("d8a"), rentedKinds(types));
     MachineType dear = cpuMachine("d8", 3, "a");
-    BinPacking prices = packing(Set.of(late), cpuMachine("c8", 1, "a"), dear);
+    BinPacking prices = packing(Set.of(overdue), cpuMachine("c8", 1, "a"), dear);
     placeAll(prices, cpuService(8));
     assertEquals(List.of("c8a"), rentedKinds(prices), "the other costs more than the wait");
   }
