--- a/src/main/java/eiderfork/loadtest/EmulatedCloud.java
+++ b/src/main/java/eiderfork/loadtest/EmulatedCloud.java
@@ -117,15 +117,15 @@
       return;
     }
     try {
-      if (exchange.path.equals("/flavors")) {
+      if (exchange.path().equals("/flavors")) {
         exchange.respond(200, CloudServerCodec.encodeTypes(List.copyOf(types.values())), 0);
-      } else if (exchange.path.equals("/hosts")) {
-        handleScaleOut(exchange, CloudServerCodec.decodeRent(exchange.body));
-      } else if (exchange.path.equals("/hosts/return")) {
-        CloudServerCodec.machines(exchange.body).forEach(this::deleteMachine);
-        exchange.respond(200, CloudServerCodec.machines(List.of()), 0);
+      } else if (exchange.path().equals("/hosts")) {
+        handleScaleOut(exchange, CloudServerCodec.decodeRent(exchange.body()));
+      } else if (exchange.path().equals("/hosts/return")) {
+        CloudServerCodec.decodeReturn(exchange.body()).forEach(this::deleteMachine);
+        exchange.respond(200, CloudServerCodec.encodeMachines(List.of()), 0);
       } else {
-        handleList(exchange, new QueryStringDecoder(exchange.path));
+        handleList(exchange, new QueryStringDecoder(exchange.path()));
       }
     } catch (MalformedMessageException e) {
       exchange.respond(400, ERROR_BODY, 0);
@@ -141,7 +141,7 @@
       exchange.respond(503, NO_CAPACITY_BODY, 0);
     } else {
       machinesByRequest.put(request.requestName(), before);
-      exchange.respond(200, CloudServerCodec.machines(before), 0);
+      exchange.respond(200, CloudServerCodec.encodeMachines(before), 0);
     }
   }
 
--- a/src/main/java/eiderfork/loadtest/EmulatedStore.java
+++ b/src/main/java/eiderfork/loadtest/EmulatedStore.java
@@ -87,7 +87,7 @@
 
   void handle(HttpServer.Exchange exchange) {
     counters.stateRequests++;
-    counters.stateBytesIn += exchange.body.length;
+    counters.stateBytesIn += exchange.body().length;
     if (!requestBudget.tryTake(1, SteadyClock.nowMs())) {
       counters.stateRefused++;
       respond(exchange, 429, EMPTY_JSON);
@@ -101,17 +101,17 @@
   }
 
   private void dispatch(HttpServer.Exchange exchange) throws MalformedMessageException {
-    String path = exchange.path;
+    String path = exchange.path();
     if (path.startsWith("/keys/")) {
       handleGet(exchange, path.substring("/keys/".length()));
     } else if (path.startsWith("/keys?")) {
       handleRange(exchange, new QueryStringDecoder(path));
     } else if (path.equals("/multi")) {
-      handleTransaction(exchange, StoreServerCodec.decodeTransaction(exchange.body));
+      handleTransaction(exchange, StoreServerCodec.decodeTransaction(exchange.body()));
     } else if (path.startsWith("/follow?")) {
       handleWatch(exchange, new QueryStringDecoder(path));
     } else if (path.equals("/leases")) {
-      handleGrant(exchange, StoreServerCodec.decodeLeaseMs(exchange.body));
+      handleGrant(exchange, StoreServerCodec.decodeLeaseMs(exchange.body()));
     } else if (path.startsWith("/leases/")) {
       handleLease(exchange, path.substring("/leases/".length()));
     } else {
--- a/src/main/java/eiderfork/loadtest/EmulatedWorker.java
+++ b/src/main/java/eiderfork/loadtest/EmulatedWorker.java
@@ -238,12 +238,12 @@
     if (stopped || setPartitioned) {
       return;
     }
-    if (exchange.path.equals(WorkerCodec.INSPECT_PATH)) {
+    if (exchange.path().equals(WorkerCodec.INSPECT_PATH)) {
       exchange.respond(200, WorkerClientCodec.encodeReport(heartbeat()), 0);
       return;
     }
     try {
-      var commands = WorkerClientCodec.decodeCommands(exchange.body);
+      var commands = WorkerClientCodec.decodeCommands(exchange.body());
       boolean valid =
           commands.fencingToken() >= fencingToken && commands.incarnation() == incarnation;
       if (valid) {
--- /dev/null
+++ b/src/main/java/eiderfork/net/CallSender.java
@@ -0,0 +1,214 @@
+package eiderfork.net;
+
+import eiderfork.config.Settings;
+import eiderfork.config.Settings.Endpoint;
+import eiderfork.controller.message.Effect;
+import eiderfork.controller.message.Input;
+import eiderfork.controller.message.Reply;
+import eiderfork.wire.CloudCodec;
+import eiderfork.wire.MalformedMessageException;
+import eiderfork.wire.PeerCodec;
+import eiderfork.wire.StoreCodec;
+import eiderfork.wire.WorkerCodec;
+import io.netty.channel.EventLoop;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Makes the controller's calls to other parties, and gives it their replies as inputs. */
+final class CallSender {
+  private static final Logger LOG = LoggerFactory.getLogger(CallSender.class);
+
+  private static final int OK = 200;
+  private static final int CONFLICT = 409;
+
+  private final Settings settings;
+  private final EventLoop loop;
+  private final HttpClient client;
+  private final InputHandler inputs;
+
+  CallSender(Settings settings, EventLoop loop, HttpClient client, InputHandler inputs) {
+    this.settings = settings;
+    this.loop = loop;
+    this.client = client;
+    this.inputs = inputs;
+  }
+
+  /** Reads the response to a call. */
+  private interface ReplyDecoder {
+    Reply decode(int status, byte[] body) throws MalformedMessageException;
+  }
+
+  /** Makes the call. */
+  void send(Effect.Call effect) {
+    if (effect instanceof Effect.CallStore call) {
+      callStore(call);
+    } else if (effect instanceof Effect.ListMachineTypes call) {
+      getFromCloud(call, CloudCodec.TYPES_PATH, CloudCodec::decodeTypes);
+    } else if (effect instanceof Effect.ListHosts call) {
+      getFromCloud(call, CloudCodec.hostsPath(call.after()), CloudCodec::decodeHosts);
+    } else if (effect instanceof Effect.RentMachines call) {
+      byte[] body = CloudCodec.encodeRent(call.rent());
+      postToCloud(call, CloudCodec.HOSTS_PATH, body, CloudCodec::decodeRentReply);
+    } else if (effect instanceof Effect.ReturnMachines call) {
+      byte[] body = CloudCodec.encodeReturn(call.machines());
+      postToCloud(
+          call,
+          CloudCodec.RETURN_PATH,
+          body,
+          (status, response) -> CloudCodec.decodeReturnReply(status));
+    } else if (effect instanceof Effect.SendCommands call) {
+      sendCommands(call);
+    } else if (effect instanceof Effect.InspectWorker call) {
+      inspectWorker(call);
+    } else {
+      callPeer(effect);
+    }
+  }
+
+  private void callStore(Effect.CallStore call) {
+    StoreCodec.Request request = StoreCodec.encodeRequest(call.request());
+    send(
+        call,
+        settings.storeEndpoint(),
+        request.method(),
+        request.path(),
+        request.body(),
+        (status, body) -> StoreCodec.decodeReply(call.request(), status, body));
+  }
+
+  private void getFromCloud(Effect.Call call, String path, ReplyDecoder decoder) {
+    send(call, settings.cloudEndpoint(), "GET", path, null, decoder);
+  }
+
+  private void postToCloud(Effect.Call call, String path, byte[] body, ReplyDecoder decoder) {
+    send(call, settings.cloudEndpoint(), "POST", path, body, decoder);
+  }
+
+  private void sendCommands(Effect.SendCommands call) {
+    byte[] body =
+        WorkerCodec.encodeCommands(call.fencingToken(), call.incarnation(), call.commands());
+    Endpoint worker = parseEndpoint(call.address());
+    send(call, worker, "POST", WorkerCodec.COMMANDS_PATH, body, CallSender::decodeWorkerReply);
+  }
+
+  private void inspectWorker(Effect.InspectWorker call) {
+    Endpoint worker = parseEndpoint(call.address());
+    send(call, worker, "GET", WorkerCodec.INSPECT_PATH, null, CallSender::decodeWorkerReply);
+  }
+
+  /** Workers answer 409 where they refuse commands, and report all the same. */
+  private static Reply decodeWorkerReply(int status, byte[] body) throws MalformedMessageException {
+    if (status != OK && status != CONFLICT) {
+      return new Reply.Refused(status);
+    }
+    return new Reply.WorkerReply(status == OK, WorkerCodec.decodeReport(body));
+  }
+
+  private void callPeer(Effect.Call effect) {
+    if (effect instanceof Effect.PingPeer call) {
+      byte[] body = PeerCodec.encodeStatus(call.status());
+      postToPeer(
+          call,
+          call.node(),
+          PeerCodec.PING_PATH,
+          body,
+          response -> new Reply.PeerPong(PeerCodec.decodeStatus(response)));
+    } else if (effect instanceof Effect.ForwardRequest call) {
+      byte[] body = PeerCodec.encodeRequest(call.request());
+      postToPeer(call, call.node(), PeerCodec.REQUEST_PATH, body, PeerCodec::decodeAnswer);
+    } else if (effect instanceof Effect.ForwardQueries call) {
+      byte[] body = PeerCodec.encodeQueries(call.uids());
+      postToPeer(call, call.node(), PeerCodec.QUERIES_PATH, body, PeerCodec::decodeAnswers);
+    } else if (effect instanceof Effect.SendHints call) {
+      byte[] body = PeerCodec.encodeHints(call.hints());
+      postToPeer(
+          call, call.node(), PeerCodec.HINTS_PATH, body, response -> new Reply.HintsAcknowledged());
+    } else {
+      throw new IllegalArgumentException("unknown call " + effect);
+    }
+  }
+
+  /** Reads the body of a peer's response with status 200. */
+  private interface PeerReplyDecoder {
+    Reply decode(byte[] body) throws MalformedMessageException;
+  }
+
+  private void postToPeer(
+      Effect.Call call, String node, String path, byte[] body, PeerReplyDecoder decoder) {
+    send(
+        call,
+        settings.peerEndpoints().get(node),
+        "POST",
+        path,
+        body,
+        (status, response) -> status == OK ? decoder.decode(response) : new Reply.Refused(status));
+  }
+
+  /**
+   * Sends a request.
+   *
+   * @param endpoint null where the address is not known or none; the call stays unanswered then
+   */
+  private void send(
+      Effect.Call call,
+      Endpoint endpoint,
+      String method,
+      String path,
+      byte[] body,
+      ReplyDecoder decoder) {
+    if (endpoint == null) {
+      // Not at once: the controller is in the middle of another input.
+      loop.execute(() -> handleReply(call, new Reply.Unanswered()));
+      return;
+    }
+    client.send(
+        endpoint,
+        method,
+        path,
+        body,
+        call.timeoutMs(),
+        (status, response) -> {
+          try {
+            handleReply(call, decode(status, response, decoder));
+          } catch (MalformedMessageException e) {
+            logMalformedResponse(method, path, endpoint, status, e);
+            handleReply(call, new Reply.Unanswered());
+          }
+        });
+  }
+
+  private static void logMalformedResponse(
+      String method, String path, Endpoint endpoint, int status, MalformedMessageException e) {
+    LOG.info(
+        "malformed-response method={} path={} endpoint={} status={} reason=\"{}\"",
+        method,
+        path,
+        endpoint,
+        status,
+        e.getMessage());
+  }
+
+  private void handleReply(Effect.Call call, Reply reply) {
+    inputs.handle(new Input.Answered(call.callId(), reply));
+  }
+
+  private static Reply decode(int status, byte[] response, ReplyDecoder decoder)
+      throws MalformedMessageException {
+    return switch (status) {
+      case HttpClient.STATUS_NONE -> new Reply.Unanswered();
+      case HttpClient.STATUS_OVERSIZED -> new Reply.Oversized();
+      default -> decoder.decode(status, response);
+    };
+  }
+
+  /** The endpoint that a worker's address names, or null where it is malformed. */
+  private static Endpoint parseEndpoint(String address) {
+    int colon = address.lastIndexOf(':');
+    try {
+      String host = address.substring(0, colon);
+      return new Endpoint(host, Integer.parseInt(address.substring(colon + 1)));
+    } catch (NumberFormatException | IndexOutOfBoundsException e) {
+      return null;
+    }
+  }
+}
--- a/src/main/java/eiderfork/net/ClassDataTraining.java
+++ b/src/main/java/eiderfork/net/ClassDataTraining.java
@@ -144,7 +144,7 @@
   }
 
   private void respondAsStub(HttpServer.Exchange exchange) {
-    String path = exchange.path;
+    String path = exchange.path();
     int status = 200;
     String body;
     if (path.startsWith("/keys/")) {
--- a/src/main/java/eiderfork/net/EventLoopMetrics.java
+++ b/src/main/java/eiderfork/net/EventLoopMetrics.java
@@ -6,17 +6,31 @@
 import java.util.TreeMap;
 
 /**
- * How long the event loop takes over its inputs, by their kind, and what peers exchange: told in
- * the log once a minute, so that it can be seen what a controller's processor goes into.
+ * How long the event loop takes over its inputs, by their kind, and how much peers exchange: for a
+ * log line that shows what a controller's processor time is used for.
  */
 final class EventLoopMetrics {
   private static final double NANOS_PER_MS = 1e6;
   private static final double BYTES_PER_KB = 1024;
 
   private static final class InputStats {
-    long inputs;
-    long nanos;
-    long maxNanos;
+    private long inputs;
+    private long nanos;
+    private long maxNanos;
+
+    void add(long inputNanos) {
+      inputs++;
+      nanos += inputNanos;
+      maxNanos = Math.max(maxNanos, inputNanos);
+    }
+
+    double meanMs() {
+      return nanos / NANOS_PER_MS / inputs;
+    }
+
+    double maxMs() {
+      return maxNanos / NANOS_PER_MS;
+    }
   }
 
   private final Map<String, InputStats> statsByKind = new TreeMap<>();
@@ -24,13 +38,10 @@
   private long peerBytesIn;
   private long peerBytesOut;
 
-  /** An input took that long, with all that it had sent. */
+  /** An input took that long, including its effects. */
   void recordInput(Input input, long nanos) {
-    InputStats stats =
-        statsByKind.computeIfAbsent(input.getClass().getSimpleName(), k -> new InputStats());
-    stats.inputs++;
-    stats.nanos += nanos;
-    stats.maxNanos = Math.max(stats.maxNanos, nanos);
+    String kind = input.getClass().getSimpleName();
+    statsByKind.computeIfAbsent(kind, k -> new InputStats()).add(nanos);
   }
 
   /** A peer sent a request of that size. */
@@ -39,35 +50,41 @@
     peerBytesIn += bytes;
   }
 
-  /** A peer was answered with that much. */
+  /** A peer was sent a response of that size. */
   void recordPeerResponse(int bytes) {
     peerBytesOut += bytes;
   }
 
-  /** What there was since this was last told. */
+  /** What was recorded since the last call, as keys and values. */
   String takeSummary() {
-    StringBuilder text = new StringBuilder();
-    statsByKind.forEach(
-        (kind, stats) ->
-            text.append(
-                String.format(
-                    Locale.ROOT,
-                    "%s %d (mean %.2f, most %.0f ms), ",
-                    kind,
-                    stats.inputs,
-                    stats.nanos / NANOS_PER_MS / stats.inputs,
-                    stats.maxNanos / NANOS_PER_MS)));
-    text.append(
+    StringBuilder summary = new StringBuilder();
+    statsByKind.forEach((kind, stats) -> append(summary, kind, stats));
+    summary.append(
         String.format(
             Locale.ROOT,
-            "peers' requests %d (%.1f KB in, %.1f KB out)",
+            "peerRequests=%d peerInKb=%.1f peerOutKb=%.1f",
             peerRequests,
             peerBytesIn / BYTES_PER_KB,
             peerBytesOut / BYTES_PER_KB));
+    reset();
+    return summary.toString();
+  }
+
+  private static void append(StringBuilder summary, String kind, InputStats stats) {
+    summary.append(
+        String.format(
+            Locale.ROOT,
+            "%1$s=%2$d %1$sMeanMs=%3$.2f %1$sMaxMs=%4$.0f ",
+            kind,
+            stats.inputs,
+            stats.meanMs(),
+            stats.maxMs()));
+  }
+
+  private void reset() {
     statsByKind.clear();
     peerRequests = 0;
     peerBytesIn = 0;
     peerBytesOut = 0;
-    return text.toString();
   }
 }
--- a/src/main/java/eiderfork/net/HeapMonitor.java
+++ b/src/main/java/eiderfork/net/HeapMonitor.java
@@ -70,12 +70,9 @@
     heap.collect();
     double afterMb = heap.committedMb();
     thresholdMb = Math.max(maxHeapMb * INITIAL_THRESHOLD_SHARE, afterMb * GROWTH_FACTOR);
-    LOG.info("heap of {} MB collected, {} MB are left", Math.round(beforeMb), Math.round(afterMb));
+    LOG.info("heap-collected beforeMb={} afterMb={}", Math.round(beforeMb), Math.round(afterMb));
     if (afterMb > maxHeapMb) {
-      LOG.warn(
-          "the heap takes {} MB, more than the {} MB that this machine's memory leaves for it",
-          Math.round(afterMb),
-          Math.round(maxHeapMb));
+      LOG.warn("heap-over-limit heapMb={} limitMb={}", Math.round(afterMb), Math.round(maxHeapMb));
     }
   }
 }
--- a/src/main/java/eiderfork/net/HttpServer.java
+++ b/src/main/java/eiderfork/net/HttpServer.java
@@ -1,6 +1,7 @@
 package eiderfork.net;
 
 import eiderfork.config.Settings.Endpoint;
+import eiderfork.wire.UserCodec;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
@@ -32,11 +33,13 @@
   /** The protocol's limit on a request body. */
   private static final int MAX_BODY_BYTES = 64 * 1024;
 
-  /** A request and the way back. */
+  private static final int BAD_REQUEST = 400;
+
+  /** A request, and the connection that its response goes to. */
   public static final class Exchange {
-    public final String method;
-    public final String path;
-    public final byte[] body;
+    private final String method;
+    private final String path;
+    private final byte[] body;
     private final ChannelHandlerContext context;
     private final boolean keepAlive;
 
@@ -48,9 +51,24 @@
       keepAlive = HttpUtil.isKeepAlive(request);
     }
 
+    /** The HTTP method. */
+    public String method() {
+      return method;
+    }
+
+    /** The path with the query. */
+    public String path() {
+      return path;
+    }
+
+    /** The body; empty for none. */
+    public byte[] body() {
+      return body;
+    }
+
     /** Answers the request; {@code retryAfterS} 0 is none. */
-    public void respond(int status, byte[] answer, int retryAfterS) {
-      HttpServer.writeResponse(context, status, answer, retryAfterS, keepAlive);
+    public void respond(int status, byte[] response, int retryAfterS) {
+      writeResponse(context, status, response, retryAfterS, keepAlive);
     }
   }
 
@@ -58,13 +76,13 @@
   private final int backlog;
 
   /**
-   * Makes a server that hands each request to {@code consumer}.
+   * Makes a server that hands each request to {@code requestHandler}.
    *
-   * @param backlog how many connections may wait to be accepted: every worker and user may turn to
-   *     this node in the same moment
+   * @param backlog how many connections may wait to be accepted: every worker and user may connect
+   *     to this node at the same moment
    */
-  public HttpServer(Consumer<Exchange> consumer, int backlog) {
-    this.requestHandler = consumer;
+  public HttpServer(Consumer<Exchange> requestHandler, int backlog) {
+    this.requestHandler = requestHandler;
     this.backlog = backlog;
   }
 
@@ -119,7 +137,7 @@
 
     @Override
     protected void handleOversizedMessage(ChannelHandlerContext context, HttpMessage message) {
-      writeResponse(context, 400, eiderfork.wire.UserCodec.encodeError("over 64 KiB"), 0, false);
+      writeResponse(context, BAD_REQUEST, UserCodec.encodeError("over 64 KiB"), 0, false);
     }
   }
 
@@ -127,7 +145,7 @@
     @Override
     protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
       if (!request.decoderResult().isSuccess()) {
-        writeResponse(context, 400, eiderfork.wire.UserCodec.encodeError("not HTTP"), 0, false);
+        writeResponse(context, BAD_REQUEST, UserCodec.encodeError("not HTTP"), 0, false);
         return;
       }
       requestHandler.accept(new Exchange(context, request));
@@ -135,7 +153,10 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-      LOG.debug("connection from {}: {}", context.channel().remoteAddress(), cause.toString());
+      LOG.debug(
+          "connection-failed remote={} cause=\"{}\"",
+          context.channel().remoteAddress(),
+          cause.toString());
       context.close();
     }
   }
--- /dev/null
+++ b/src/main/java/eiderfork/net/RequestRouter.java
@@ -0,0 +1,142 @@
+package eiderfork.net;
+
+import com.google.common.collect.ImmutableList;
+import eiderfork.controller.message.Input;
+import eiderfork.controller.message.MachineHintBatch;
+import eiderfork.controller.message.PeerStatus;
+import eiderfork.model.Heartbeat;
+import eiderfork.model.Job;
+import eiderfork.wire.MalformedMessageException;
+import eiderfork.wire.PeerCodec;
+import eiderfork.wire.UserCodec;
+import eiderfork.wire.WorkerCodec;
+
+/** Turns the requests to this node into inputs, and rejects those that are none. */
+final class RequestRouter {
+  private static final int BAD_REQUEST = 400;
+  private static final int NOT_FOUND = 404;
+  private static final int METHOD_NOT_ALLOWED = 405;
+
+  private final OpenExchanges openExchanges;
+  private final EventLoopMetrics metrics;
+  private final InputHandler inputs;
+
+  RequestRouter(OpenExchanges openExchanges, EventLoopMetrics metrics, InputHandler inputs) {
+    this.openExchanges = openExchanges;
+    this.metrics = metrics;
+    this.inputs = inputs;
+  }
+
+  /** Takes a request of a worker, a user or the load balancer. */
+  void onPublicRequest(HttpServer.Exchange exchange) {
+    try {
+      routePublicRequest(exchange, pathWithoutQuery(exchange.path()));
+    } catch (MalformedMessageException e) {
+      reject(exchange, BAD_REQUEST, e.getMessage());
+    }
+  }
+
+  private static String pathWithoutQuery(String path) {
+    int query = path.indexOf('?');
+    return query < 0 ? path : path.substring(0, query);
+  }
+
+  private void routePublicRequest(HttpServer.Exchange exchange, String path)
+      throws MalformedMessageException {
+    if (path.equals(WorkerCodec.REPORT_PATH)) {
+      onHeartbeat(exchange);
+    } else if (path.equals(UserCodec.HEALTH_PATH)) {
+      onHealthCheck(exchange);
+    } else if (path.equals(UserCodec.JOBS_PATH)) {
+      onSubmission(exchange);
+    } else if (path.startsWith(UserCodec.JOBS_PATH + "/")) {
+      onJobRequest(exchange, path.substring(UserCodec.JOBS_PATH.length() + 1));
+    } else {
+      reject(exchange, NOT_FOUND, "no such path");
+    }
+  }
+
+  private void onHeartbeat(HttpServer.Exchange exchange) throws MalformedMessageException {
+    if (hasMethod(exchange, "POST")) {
+      Heartbeat heartbeat = WorkerCodec.decodeReport(exchange.body());
+      inputs.handle(new Input.WorkerReport(openExchanges.open(exchange), heartbeat));
+    }
+  }
+
+  private void onHealthCheck(HttpServer.Exchange exchange) {
+    if (hasMethod(exchange, "GET")) {
+      inputs.handle(new Input.HealthCheck(openExchanges.open(exchange)));
+    }
+  }
+
+  private void onSubmission(HttpServer.Exchange exchange) throws MalformedMessageException {
+    if (hasMethod(exchange, "POST")) {
+      Job job = UserCodec.decodeJob(exchange.body());
+      inputs.handle(new Input.Submit(openExchanges.open(exchange), job, exchange.body()));
+    }
+  }
+
+  /** Takes a query or a cancellation of the job that the rest of the path names. */
+  private void onJobRequest(HttpServer.Exchange exchange, String rest) {
+    boolean isCancellation = rest.endsWith(UserCodec.CANCEL_SUFFIX);
+    String uid =
+        isCancellation ? rest.substring(0, rest.length() - UserCodec.CANCEL_SUFFIX.length()) : rest;
+    if (uid.contains("/")) {
+      reject(exchange, NOT_FOUND, "no such path");
+    } else if (hasMethod(exchange, isCancellation ? "POST" : "GET")) {
+      if (!UserCodec.isJobId(uid)) {
+        reject(exchange, NOT_FOUND, "no such job");
+      } else if (isCancellation) {
+        inputs.handle(new Input.Abort(openExchanges.open(exchange), uid));
+      } else {
+        inputs.handle(new Input.Query(openExchanges.open(exchange), uid));
+      }
+    }
+  }
+
+  /** Whether the request has this method; rejects it where it has not. */
+  private static boolean hasMethod(HttpServer.Exchange exchange, String expected) {
+    if (exchange.method().equals(expected)) {
+      return true;
+    }
+    reject(exchange, METHOD_NOT_ALLOWED, "the method is " + expected);
+    return false;
+  }
+
+  /** Takes a request of another controller. */
+  void onPeerRequest(HttpServer.Exchange exchange) {
+    metrics.recordPeerRequest(exchange.body().length);
+    try {
+      routePeerRequest(exchange);
+    } catch (MalformedMessageException e) {
+      reject(exchange, BAD_REQUEST, e.getMessage());
+    }
+  }
+
+  private void routePeerRequest(HttpServer.Exchange exchange) throws MalformedMessageException {
+    byte[] body = exchange.body();
+    switch (exchange.path()) {
+      case PeerCodec.PING_PATH -> {
+        PeerStatus status = PeerCodec.decodeStatus(body);
+        inputs.handle(new Input.PeerPing(openExchanges.open(exchange), status));
+      }
+      case PeerCodec.QUERIES_PATH -> {
+        ImmutableList<String> uids = PeerCodec.decodeQueries(body);
+        inputs.handle(new Input.PeerQueries(openExchanges.open(exchange), uids));
+      }
+      case PeerCodec.HINTS_PATH -> {
+        MachineHintBatch hints = PeerCodec.decodeHints(body);
+        inputs.handle(new Input.PeerHints(openExchanges.open(exchange), hints));
+      }
+      case PeerCodec.REQUEST_PATH -> {
+        Input request = PeerCodec.decodeRequest(body);
+        inputs.handle(new Input.PeerRequest(openExchanges.openForwarded(exchange), request));
+      }
+      default -> reject(exchange, NOT_FOUND, "no such path");
+    }
+  }
+
+  private static void reject(HttpServer.Exchange exchange, int status, String error) {
+    exchange.respond(status, UserCodec.encodeError(error), 0);
+  }
+}
--- /dev/null
+++ b/src/main/java/eiderfork/net/ResponseSender.java
@@ -0,0 +1,72 @@
+package eiderfork.net;
+
+import eiderfork.controller.message.Effect;
+import eiderfork.controller.message.UserResponse;
+import eiderfork.wire.PeerCodec;
+import eiderfork.wire.UserCodec;
+import eiderfork.wire.WorkerCodec;
+
+/** Answers requests to this node as the controller's effects say. */
+final class ResponseSender {
+  private static final int OK = 200;
+  private static final int MISDIRECTED_REQUEST = 421;
+  private static final int SERVICE_UNAVAILABLE = 503;
+
+  private static final byte[] EMPTY_BODY = new byte[0];
+
+  private final OpenExchanges openExchanges;
+  private final EventLoopMetrics metrics;
+
+  ResponseSender(OpenExchanges openExchanges, EventLoopMetrics metrics) {
+    this.openExchanges = openExchanges;
+    this.metrics = metrics;
+  }
+
+  /** Sends the response. */
+  void send(Effect.Response effect) {
+    if (effect instanceof Effect.RespondToUser response) {
+      respondToUser(response);
+    } else if (effect instanceof Effect.RespondToHealthCheck response) {
+      byte[] body = UserCodec.encodeHealth(response.healthy(), response.reason());
+      respond(response, response.healthy() ? OK : SERVICE_UNAVAILABLE, body);
+    } else if (effect instanceof Effect.RespondToWorker response) {
+      byte[] body = WorkerCodec.encodeReportResponse(response.fencingToken(), response.commands());
+      respond(response, OK, body);
+    } else if (effect instanceof Effect.RedirectWorker response) {
+      respond(response, MISDIRECTED_REQUEST, WorkerCodec.encodeRedirect(response.leader()));
+    } else if (effect instanceof Effect.RespondToPing response) {
+      respondToPeer(response, PeerCodec.encodeStatus(response.status()));
+    } else if (effect instanceof Effect.RespondToQueries response) {
+      respondToPeer(response, PeerCodec.encodeAnswers(response.responses()));
+    } else if (effect instanceof Effect.AcknowledgeHints response) {
+      respondToPeer(response, EMPTY_BODY);
+    } else {
+      throw new IllegalArgumentException("unknown response " + effect);
+    }
+  }
+
+  private void respondToUser(Effect.RespondToUser effect) {
+    UserResponse response = effect.response();
+    HttpServer.Exchange forwarded = openExchanges.takeForwarded(effect.ticket());
+    if (forwarded != null) {
+      respondToPeer(forwarded, PeerCodec.encodeAnswer(response));
+      return;
+    }
+    openExchanges
+        .take(effect.ticket())
+        .respond(response.status(), UserCodec.encodeAnswer(response), response.retryAfterS());
+  }
+
+  private void respond(Effect.Response effect, int status, byte[] body) {
+    openExchanges.take(effect.ticket()).respond(status, body, 0);
+  }
+
+  private void respondToPeer(Effect.Response effect, byte[] body) {
+    respondToPeer(openExchanges.take(effect.ticket()), body);
+  }
+
+  private void respondToPeer(HttpServer.Exchange peer, byte[] body) {
+    metrics.recordPeerResponse(body.length);
+    peer.respond(OK, body, 0);
+  }
+}
--- a/src/main/java/eiderfork/wire/CloudServerCodec.java
+++ b/src/main/java/eiderfork/wire/CloudServerCodec.java
@@ -41,12 +41,12 @@
    *
    * @throws MalformedMessageException where it does not follow the protocol
    */
-  public static ImmutableList<String> machines(byte[] body) throws MalformedMessageException {
+  public static ImmutableList<String> decodeReturn(byte[] body) throws MalformedMessageException {
     return CloudCodec.decodeTexts(JsonReader.array(JsonReader.parse(body), "Roosts"));
   }
 
   /** The answer to a rent or a return: the machines that it is about. */
-  public static byte[] machines(List<String> names) {
+  public static byte[] encodeMachines(List<String> names) {
     ObjectNode node = JsonReader.newObject();
     names.forEach(node.putArray("Roosts")::add);
     return JsonReader.toBytes(node);
--- a/src/main/java/eiderfork/wire/PeerCodec.java
+++ b/src/main/java/eiderfork/wire/PeerCodec.java
@@ -73,7 +73,7 @@
   }
 
   /** Writes a node's view. */
-  public static byte[] view(PeerStatus status) {
+  public static byte[] encodeStatus(PeerStatus status) {
     GenericRecord record = new GenericData.Record(VIEW_SCHEMA);
     record.put("node", status.node());
     record.put("term", status.term());
@@ -120,7 +120,7 @@
    *
    * @throws MalformedMessageException where it can't be read
    */
-  public static PeerStatus view(byte[] bytes) throws MalformedMessageException {
+  public static PeerStatus decodeStatus(byte[] bytes) throws MalformedMessageException {
     GenericRecord record = decodeViewOfAnyVersion(bytes);
     return new PeerStatus(
         record.get("node").toString(),
@@ -133,7 +133,7 @@
   }
 
   /** Writes a user's request that is passed on. */
-  public static byte[] request(Input request) {
+  public static byte[] encodeRequest(Input request) {
     GenericRecord record = new GenericData.Record(REQUEST_SCHEMA);
     if (request instanceof Input.Submit it) {
       putKind(record, "SUBMIT", it.job().uid());
@@ -156,7 +156,7 @@
    *
    * @throws MalformedMessageException where it can't be read
    */
-  public static Input request(byte[] bytes) throws MalformedMessageException {
+  public static Input decodeRequest(byte[] bytes) throws MalformedMessageException {
     GenericRecord record = decode(REQUEST_SCHEMA, bytes);
     String uid = record.get("uid").toString();
     switch (record.get("kind").toString()) {
@@ -175,7 +175,7 @@
   }
 
   /** Writes the ids of jobs that are asked for together. */
-  public static byte[] queries(List<String> uids) {
+  public static byte[] encodeQueries(List<String> uids) {
     GenericRecord record = new GenericData.Record(QUERIES_SCHEMA);
     record.put("uids", uids);
     return AvroCodec.encode(record);
@@ -186,12 +186,12 @@
    *
    * @throws MalformedMessageException where they can't be read
    */
-  public static ImmutableList<String> queries(byte[] bytes) throws MalformedMessageException {
+  public static ImmutableList<String> decodeQueries(byte[] bytes) throws MalformedMessageException {
     return strings((List<?>) decode(QUERIES_SCHEMA, bytes).get("uids"));
   }
 
   /** Writes the answers to queries, in the order of the queries. */
-  public static byte[] answers(List<UserResponse> answers) {
+  public static byte[] encodeAnswers(List<UserResponse> answers) {
     GenericRecord record = new GenericData.Record(ANSWERS_SCHEMA);
     record.put("answers", answers.stream().map(PeerCodec::toRecord).toList());
     return AvroCodec.encode(record);
@@ -202,7 +202,7 @@
    *
    * @throws MalformedMessageException where they can't be read
    */
-  public static Reply answers(byte[] bytes) throws MalformedMessageException {
+  public static Reply decodeAnswers(byte[] bytes) throws MalformedMessageException {
     ImmutableList.Builder<UserResponse> answers = ImmutableList.builder();
     for (Object answer : (List<?>) decode(ANSWERS_SCHEMA, bytes).get("answers")) {
       answers.add(fromRecord((GenericRecord) answer));
@@ -211,7 +211,7 @@
   }
 
   /** Writes the answer to a request that was passed on. */
-  public static byte[] answer(UserResponse response) {
+  public static byte[] encodeAnswer(UserResponse response) {
     return AvroCodec.encode(toRecord(response));
   }
 
@@ -233,7 +233,7 @@
    *
    * @throws MalformedMessageException where it can't be read
    */
-  public static Reply answer(byte[] bytes) throws MalformedMessageException {
+  public static Reply decodeAnswer(byte[] bytes) throws MalformedMessageException {
     return new Reply.ForwardedResponse(fromRecord(decode(ANSWER_SCHEMA, bytes)));
   }
 
@@ -260,7 +260,7 @@
   }
 
   /** Writes hints for a standby. */
-  public static byte[] hints(MachineHintBatch batch) {
+  public static byte[] encodeHints(MachineHintBatch batch) {
     GenericRecord record = new GenericData.Record(HINT_MESSAGE_SCHEMA);
     record.put("term", batch.term());
     record.put("number", batch.sequence());
@@ -288,7 +288,7 @@
    *
    * @throws MalformedMessageException where they can't be read
    */
-  public static MachineHintBatch hints(byte[] bytes) throws MalformedMessageException {
+  public static MachineHintBatch decodeHints(byte[] bytes) throws MalformedMessageException {
     GenericRecord record = decode(HINT_MESSAGE_SCHEMA, bytes);
     ImmutableList.Builder<MachineHint> machines = ImmutableList.builder();
     for (Object machine : (List<?>) record.get("machines")) {
--- a/src/test/java/eiderfork/controller/EffectDigest.java
+++ b/src/test/java/eiderfork/controller/EffectDigest.java
@@ -85,13 +85,13 @@
 
   private void addPeerCall(Effect.Call call) {
     if (call instanceof Effect.PingPeer it) {
-      message("peer ping", it.node(), PeerCodec.view(it.status()));
+      message("peer ping", it.node(), PeerCodec.encodeStatus(it.status()));
     } else if (call instanceof Effect.ForwardRequest it) {
-      message("peer request", it.node(), PeerCodec.request(it.request()));
+      message("peer request", it.node(), PeerCodec.encodeRequest(it.request()));
     } else if (call instanceof Effect.ForwardQueries it) {
-      message("peer queries", it.node(), PeerCodec.queries(it.uids()));
+      message("peer queries", it.node(), PeerCodec.encodeQueries(it.uids()));
     } else if (call instanceof Effect.SendHints it) {
-      message("peer hints", it.node(), PeerCodec.hints(it.hints()));
+      message("peer hints", it.node(), PeerCodec.encodeHints(it.hints()));
     } else {
       throw unknown(call);
     }
@@ -120,10 +120,10 @@
   private void addPeerAnswer(Effect.Response answer) {
     if (answer instanceof Effect.RespondToPing it) {
       text("answer ping");
-      bytes(PeerCodec.view(it.status()));
+      bytes(PeerCodec.encodeStatus(it.status()));
     } else if (answer instanceof Effect.RespondToQueries it) {
       text("answer queries");
-      bytes(PeerCodec.answers(it.responses()));
+      bytes(PeerCodec.encodeAnswers(it.responses()));
     } else if (answer instanceof Effect.AcknowledgeHints) {
       text("answer hints");
     } else {
--- a/src/test/java/eiderfork/net/EventLoopMetricsTest.java
+++ b/src/test/java/eiderfork/net/EventLoopMetricsTest.java
@@ -5,10 +5,10 @@
 import eiderfork.controller.message.Input;
 import org.junit.jupiter.api.Test;
 
-/** What is told of the event loop's work. */
+/** The summary of the event loop's work. */
 class EventLoopMetricsTest {
   @Test
-  void eachKindIsToldOnceWithItsMeanAndItsMost() {
+  void summaryHasEachKindOnceWithMeanAndMaximum() {
     EventLoopMetrics meter = new EventLoopMetrics();
     meter.recordInput(new Input.Tick(), 1_000_000);
     meter.recordInput(new Input.Tick(), 5_000_000);
@@ -16,9 +16,9 @@
     meter.recordPeerRequest(2048);
     meter.recordPeerResponse(512);
     assertEquals(
-        "Query 1 (mean 0.50, most 1 ms), Tick 2 (mean 3.00, most 5 ms), "
-            + "peers' requests 1 (2.0 KB in, 0.5 KB out)",
+        "Query=1 QueryMeanMs=0.50 QueryMaxMs=1 Tick=2 TickMeanMs=3.00 TickMaxMs=5 "
+            + "peerRequests=1 peerInKb=2.0 peerOutKb=0.5",
         meter.takeSummary());
-    assertEquals("peers' requests 0 (0.0 KB in, 0.0 KB out)", meter.takeSummary());
+    assertEquals("peerRequests=0 peerInKb=0.0 peerOutKb=0.0", meter.takeSummary());
   }
 }
--- a/src/test/java/eiderfork/wire/ProductionCompatibilityTest.java
+++ b/src/test/java/eiderfork/wire/ProductionCompatibilityTest.java
@@ -98,33 +98,36 @@
   void messagesOfProductionAreRead() throws Exception {
     // A view without a version is the first version's, and says of cancellations what it says.
     assertEquals(
-        new PeerStatus("roost-1", 4, true, 12, 56, 1, NEWS), PeerCodec.view(message("view")));
-    Input.Submit submit = (Input.Submit) PeerCodec.request(message("submit"));
+        new PeerStatus("roost-1", 4, true, 12, 56, 1, NEWS),
+        PeerCodec.decodeStatus(message("view")));
+    Input.Submit submit = (Input.Submit) PeerCodec.decodeRequest(message("submit"));
     assertEquals("run-000412", submit.job().uid());
-    assertEquals(new Input.Query(0, "run-000412"), PeerCodec.request(message("query")));
-    assertEquals(new Input.Abort(0, "run-000412"), PeerCodec.request(message("abort")));
+    assertEquals(new Input.Query(0, "run-000412"), PeerCodec.decodeRequest(message("query")));
+    assertEquals(new Input.Abort(0, "run-000412"), PeerCodec.decodeRequest(message("abort")));
     UserResponse ok =
         new UserResponse(200, new JobStatus("run-000412", JobStatus.Phase.RUNNING, 4, 3), 0, null);
     UserResponse later = new UserResponse(503, null, 2, "the machine types are not known yet");
-    assertEquals(new Reply.ForwardedResponse(ok), PeerCodec.answer(message("answer")));
-    assertEquals(List.of("run-000412", "run-000413"), PeerCodec.queries(message("queries")));
+    assertEquals(new Reply.ForwardedResponse(ok), PeerCodec.decodeAnswer(message("answer")));
+    assertEquals(List.of("run-000412", "run-000413"), PeerCodec.decodeQueries(message("queries")));
     assertEquals(
         new Reply.ForwardedResponses(ImmutableList.of(ok, later)),
-        PeerCodec.answers(message("answers")));
+        PeerCodec.decodeAnswers(message("answers")));
   }
 
   @Test
   void requestsAndAnswersAreSentByteForByteAsProductionDoes() throws Exception {
-    Input.Submit submit = (Input.Submit) PeerCodec.request(message("submit"));
-    assertEquals(hex(message("submit")), hex(PeerCodec.request(submit)));
-    assertEquals(hex(message("query")), hex(PeerCodec.request(new Input.Query(0, "run-000412"))));
-    assertEquals(hex(message("abort")), hex(PeerCodec.request(new Input.Abort(0, "run-000412"))));
+    Input.Submit submit = (Input.Submit) PeerCodec.decodeRequest(message("submit"));
+    assertEquals(hex(message("submit")), hex(PeerCodec.encodeRequest(submit)));
+    assertEquals(
+        hex(message("query")), hex(PeerCodec.encodeRequest(new Input.Query(0, "run-000412"))));
+    assertEquals(
+        hex(message("abort")), hex(PeerCodec.encodeRequest(new Input.Abort(0, "run-000412"))));
     Reply.ForwardedResponses answers =
-        (Reply.ForwardedResponses) PeerCodec.answers(message("answers"));
-    assertEquals(hex(message("answers")), hex(PeerCodec.answers(answers.responses())));
-    assertEquals(hex(message("answer")), hex(PeerCodec.answer(answers.responses().get(0))));
+        (Reply.ForwardedResponses) PeerCodec.decodeAnswers(message("answers"));
+    assertEquals(hex(message("answers")), hex(PeerCodec.encodeAnswers(answers.responses())));
+    assertEquals(hex(message("answer")), hex(PeerCodec.encodeAnswer(answers.responses().get(0))));
     assertEquals(
-        hex(message("queries")), hex(PeerCodec.queries(List.of("run-000412", "run-000413"))));
+        hex(message("queries")), hex(PeerCodec.encodeQueries(List.of("run-000412", "run-000413"))));
   }
 
   private static String hex(byte[] bytes) {
@@ -135,7 +138,7 @@
   @Test
   void productionReadsThisVersionsViewWithAllThatItKnows() throws Exception {
     Schema productions = new Schema.Parser().parse(resource("peer.avpr.json")).getTypes().get(0);
-    byte[] sent = PeerCodec.view(new PeerStatus("roost-1", 4, true, 12, 56, 2, NEWS));
+    byte[] sent = PeerCodec.encodeStatus(new PeerStatus("roost-1", 4, true, 12, 56, 2, NEWS));
     var decoder = DecoderFactory.get().binaryDecoder(sent, null);
     GenericRecord read =
         new GenericDatumReader<GenericRecord>(productions, productions).read(null, decoder);
@@ -157,7 +160,7 @@
    */
   @Test
   void thePackedFormHasNoFieldThatProductionReads() throws Exception {
-    Job job = ((Input.Submit) PeerCodec.request(message("submit"))).job();
+    Job job = ((Input.Submit) PeerCodec.decodeRequest(message("submit"))).job();
     StoredRecord.Allocation allocation =
         new StoredRecord.Allocation(
             1,
