--- a/src/main/java/eiderfork/cli/CommandLineInterface.java
+++ b/src/main/java/eiderfork/cli/CommandLineInterface.java
@@ -1,10 +1,7 @@
 package eiderfork.cli;
 
 import eiderfork.config.InvalidSettingsException;
-import eiderfork.config.OperatorSettings;
-import eiderfork.config.OperatorSettingsParser;
 import eiderfork.config.Settings;
-import eiderfork.config.SettingsParser;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
 import picocli.CommandLine;
@@ -13,7 +10,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** The command line. */
+/** The commands and options of the command line. */
 @Command(
     name = "eiderfork",
     description = "Scheduler for fleets of machines that serve language models.",
@@ -23,6 +20,7 @@
 final class CommandLineInterface {
   private CommandLineInterface() {}
 
+  /** Runs the command that the arguments name; its exit code. */
   static int run(String[] args) {
     return commandLine().execute(args);
   }
@@ -62,20 +60,18 @@
     private Path operator;
 
     Settings read() throws InvalidSettingsException {
-      OperatorSettings own =
-          operator == null ? OperatorSettings.DEFAULTS : OperatorSettingsParser.read(operator);
-      return SettingsParser.read(settings, own);
+      return Main.readSettings(settings, operator);
     }
   }
 
   /** Runs a controller. */
   @Command(name = "serve", description = "Runs a controller until it is killed.")
   static final class Serve implements Callable<Integer> {
-    @CommandLine.Mixin private SettingsArguments files;
+    @CommandLine.Mixin private SettingsArguments arguments;
 
     @Override
     public Integer call() throws InvalidSettingsException, InterruptedException {
-      Main.serve(files.read());
+      Main.serve(arguments.read());
       return 0;
     }
   }
@@ -83,13 +79,13 @@
   /** Checks the settings without running anything. */
   @Command(name = "check", description = "Checks the settings and says what is wrong with them.")
   static final class Check implements Callable<Integer> {
-    @CommandLine.Mixin private SettingsArguments files;
+    @CommandLine.Mixin private SettingsArguments arguments;
 
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
     @Override
     public Integer call() throws InvalidSettingsException {
-      Settings settings = files.read();
+      Settings settings = arguments.read();
       spec.commandLine()
           .getOut()
           .printf(
--- a/src/main/java/eiderfork/cli/LoadTestCommand.java
+++ b/src/main/java/eiderfork/cli/LoadTestCommand.java
@@ -9,7 +9,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Plays a scale run on loopback. */
+/** Runs a load test on loopback. */
 @Command(
     name = "scale",
     description = "Plays a scale run: real controllers among emulated services and workers.")
@@ -42,8 +42,8 @@
 
   @Override
   public Integer call() throws Exception {
-    boolean terminal = System.console() != null;
-    LoadTest.Outcome outcome = LoadTest.play(file, deploy, logs, terminal ? System.err : null);
+    boolean isTerminal = System.console() != null;
+    LoadTest.Outcome outcome = LoadTest.play(file, deploy, logs, isTerminal ? System.err : null);
     spec.commandLine().getOut().print(outcome.text());
     spec.commandLine().getOut().flush();
     if (report != null) {
--- a/src/main/java/eiderfork/cli/Main.java
+++ b/src/main/java/eiderfork/cli/Main.java
@@ -11,15 +11,18 @@
 import java.util.Set;
 
 /**
- * Where the program starts. The platform's own form, {@code serve SETTINGS}, also with an
- * operators' file, goes past the command line's library: its classes are too old for the class-data
- * archive, and loading them was half of the processor time of a start, which has to fit in the
- * workers' lease. Everything else goes through it.
+ * The entry point. {@code serve SETTINGS} and {@code serve --operator FILE SETTINGS} are parsed
+ * here; everything else goes through the command line's library, whose classes can't be in the
+ * class-data archive and would take half of the processor time of a start.
  */
 public final class Main {
-  /** The exit code for settings that can't be used. */
+  private static final int EXIT_FAILED = 1;
+
   private static final int EXIT_INVALID_SETTINGS = 2;
 
+  private static final String DEFAULT_LOG_LEVEL = "info";
+  private static final Set<String> LOG_LEVELS = Set.of("error", "warn", "info", "debug");
+
   private Main() {}
 
   /** Runs the command that the arguments name and ends the process with its exit code. */
@@ -37,12 +40,9 @@
   }
 
   private static int servePlain(String[] args) {
+    Path operatorFile = args.length == 2 ? null : Path.of(args[2]);
     try {
-      OperatorSettings operator =
-          args.length == 2
-              ? OperatorSettings.DEFAULTS
-              : OperatorSettingsParser.read(Path.of(args[2]));
-      serve(SettingsParser.read(Path.of(args[args.length - 1]), operator));
+      serve(readSettings(Path.of(args[args.length - 1]), operatorFile));
       return 0;
     } catch (InvalidSettingsException | InterruptedException | RuntimeException e) {
       System.err.println(errorLine(e));
@@ -50,6 +50,17 @@
     }
   }
 
+  /** Reads the settings; {@code operatorFile} is null for the operators' defaults. */
+  static Settings readSettings(Path settingsFile, Path operatorFile)
+      throws InvalidSettingsException {
+    OperatorSettings operator =
+        operatorFile == null
+            ? OperatorSettings.DEFAULTS
+            : OperatorSettingsParser.read(operatorFile);
+    return SettingsParser.read(settingsFile, operator);
+  }
+
+  /** Runs a controller until it is closed. */
   static void serve(Settings settings) throws InterruptedException {
     try (ControllerNode node = new ControllerNode(settings)) {
       node.start();
@@ -57,21 +68,21 @@
     }
   }
 
+  /** The line on stderr for an exception that ends a command. */
   static String errorLine(Exception e) {
     return "eiderfork: " + (e instanceof InvalidSettingsException ? e.getMessage() : e.toString());
   }
 
+  /** The exit code for an exception that ends a command. */
   static int exitCode(Exception e) {
-    return e instanceof InvalidSettingsException ? EXIT_INVALID_SETTINGS : 1;
+    return e instanceof InvalidSettingsException ? EXIT_INVALID_SETTINGS : EXIT_FAILED;
   }
 
   private static void configureLogging(String level) {
-    String wanted = level == null ? "info" : level.toLowerCase(Locale.ROOT);
-    if (!Set.of("error", "warn", "info", "debug").contains(wanted)) {
-      wanted = "info";
-    }
-    System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", wanted);
-    // Of the libraries' own logs only what is wrong is of use to an operator.
+    String wanted = level == null ? DEFAULT_LOG_LEVEL : level.toLowerCase(Locale.ROOT);
+    System.setProperty(
+        "org.slf4j.simpleLogger.defaultLogLevel",
+        LOG_LEVELS.contains(wanted) ? wanted : DEFAULT_LOG_LEVEL);
     System.setProperty("org.slf4j.simpleLogger.log.io.netty", "error");
     System.setProperty("org.slf4j.simpleLogger.showShortLogName", "true");
     System.setProperty("org.slf4j.simpleLogger.showThreadName", "false");
--- a/src/main/java/eiderfork/config/InvalidSettingsException.java
+++ b/src/main/java/eiderfork/config/InvalidSettingsException.java
@@ -1,9 +1,40 @@
 package eiderfork.config;
 
-/** Settings that can't be used; the text names file, field and reason. */
+/** Settings that can't be used, with the file, the field and the reason. */
 public final class InvalidSettingsException extends Exception {
-  /** Names the file, the field (empty for the file as a whole) and the reason. */
+  private final String file;
+  private final String field;
+  private final String reason;
+
+  /**
+   * Names what can't be used, and why.
+   *
+   * @param field empty for the file as a whole
+   */
   public InvalidSettingsException(String file, String field, String reason) {
-    super(file + ": " + (field.isEmpty() ? "" : field + ": ") + reason);
+    this(file, field, reason, null);
+  }
+
+  /** Names what can't be used, and why, with the exception that showed it. */
+  public InvalidSettingsException(String file, String field, String reason, Throwable cause) {
+    super(file + ": " + (field.isEmpty() ? "" : field + ": ") + reason, cause);
+    this.file = file;
+    this.field = field;
+    this.reason = reason;
+  }
+
+  /** The file. */
+  public String file() {
+    return file;
+  }
+
+  /** The path of the field; empty for the file as a whole. */
+  public String field() {
+    return field;
+  }
+
+  /** Why it can't be used. */
+  public String reason() {
+    return reason;
   }
 }
--- a/src/main/java/eiderfork/config/OperatorSettingsParser.java
+++ b/src/main/java/eiderfork/config/OperatorSettingsParser.java
@@ -1,18 +1,15 @@
 package eiderfork.config;
 
-import java.io.IOException;
-import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
 import us.bpsm.edn.EdnException;
 import us.bpsm.edn.Keyword;
-import us.bpsm.edn.parser.Parseable;
 import us.bpsm.edn.parser.Parser;
 import us.bpsm.edn.parser.Parsers;
 
-/** Reads the operators' own settings: one EDN map, every entry of which may be left out. */
+/** Reads the operators' settings: an EDN map, each entry of which is optional. */
 public final class OperatorSettingsParser {
   private static final Set<String> KNOWN_ENTRIES =
       Set.of(
@@ -29,16 +26,14 @@
           "trace-file");
 
   private static final int MAX_STANDBYS = 2;
-
   private static final double MIN_LOAN_COOLDOWN = 0.1;
-
   private static final double MAX_LOAN_COOLDOWN = 20;
 
-  private final String file;
+  private final SettingsSource source;
   private final Map<?, ?> entries;
 
-  private OperatorSettingsParser(String file, Map<?, ?> entries) {
-    this.file = file;
+  private OperatorSettingsParser(SettingsSource source, Map<?, ?> entries) {
+    this.source = source;
     this.entries = entries;
   }
 
@@ -48,11 +43,7 @@
    * @throws InvalidSettingsException where the file or an entry can't be used
    */
   public static OperatorSettings read(Path path) throws InvalidSettingsException {
-    try {
-      return parse(path.toString(), Files.readString(path));
-    } catch (IOException e) {
-      throw new InvalidSettingsException(path.toString(), "", "can't be read");
-    }
+    return parse(SettingsSource.read(path));
   }
 
   /**
@@ -61,40 +52,50 @@
    * @throws InvalidSettingsException where the text or an entry can't be used
    */
   public static OperatorSettings parse(String file, String text) throws InvalidSettingsException {
+    return parse(new SettingsSource(file, text));
+  }
+
+  private static OperatorSettings parse(SettingsSource source) throws InvalidSettingsException {
+    OperatorSettingsParser parser = new OperatorSettingsParser(source, parseMap(source));
+    parser.rejectUnknownEntries();
+    return parser.readSettings();
+  }
+
+  private static Map<?, ?> parseMap(SettingsSource source) throws InvalidSettingsException {
     Object value;
     try {
-      Parseable in = Parsers.newParseable(text);
       Parser parser = Parsers.newParser(Parsers.defaultConfiguration());
-      value = parser.nextValue(in);
+      value = parser.nextValue(Parsers.newParseable(source.text()));
     } catch (EdnException e) {
-      throw new InvalidSettingsException(file, "", "not EDN: " + e.getMessage());
+      throw source.invalidText("not EDN: " + e.getMessage(), e);
     }
     if (!(value instanceof Map<?, ?> map)) {
-      throw new InvalidSettingsException(file, "", "not an EDN map");
+      throw source.invalidText("not an EDN map", null);
     }
-    OperatorSettingsParser reader = new OperatorSettingsParser(file, map);
-    reader.rejectUnknownEntries();
+    return map;
+  }
+
+  private OperatorSettings readSettings() throws InvalidSettingsException {
     OperatorSettings defaults = OperatorSettings.DEFAULTS;
     return new OperatorSettings(
-        reader.number("round-share", defaults.updateWindowShare(), 0.02, 5),
-        reader.number("state-lease-share", defaults.leaderLeaseShare(), 0.1, 0.6),
-        reader.number("headroom", defaults.headroomDeviations(), 0, 20),
-        reader.number("idle-share", defaults.idleBootShare(), 0, 100),
-        reader.flag("spot", defaults.isSpotAllowed()),
-        reader.number("ended-jobs-stay-s", defaults.endedJobRetentionS(), 60, 604_800),
-        (int) reader.number("most-ended-jobs", defaults.maxEndedJobs(), 0, 1_000_000),
-        reader.wholeNumber("standbys", defaults.standbyCount(), MAX_STANDBYS),
-        reader.flag("lending", defaults.isLendingEnabled()),
-        reader.loanCooldown(defaults.loanCooldownBoots()),
-        reader.text("trace-file"));
+        number("round-share", defaults.updateWindowShare(), 0.02, 5),
+        number("state-lease-share", defaults.leaderLeaseShare(), 0.1, 0.6),
+        number("headroom", defaults.headroomDeviations(), 0, 20),
+        number("idle-share", defaults.idleBootShare(), 0, 100),
+        flag("spot", defaults.isSpotAllowed()),
+        number("ended-jobs-stay-s", defaults.endedJobRetentionS(), 60, 604_800),
+        (int) number("most-ended-jobs", defaults.maxEndedJobs(), 0, 1_000_000),
+        wholeNumber("standbys", defaults.standbyCount(), MAX_STANDBYS),
+        flag("lending", defaults.isLendingEnabled()),
+        loanCooldown(defaults.loanCooldownBoots()),
+        text("trace-file"));
   }
 
   private void rejectUnknownEntries() throws InvalidSettingsException {
     for (Object key : entries.keySet()) {
       String name = key instanceof Keyword keyword ? keyword.getName() : String.valueOf(key);
       if (!(key instanceof Keyword) || !KNOWN_ENTRIES.contains(name)) {
-        throw new InvalidSettingsException(
-            file, name, "unknown; known are " + new TreeSet<>(KNOWN_ENTRIES));
+        throw source.invalidField(name, "unknown; known are " + new TreeSet<>(KNOWN_ENTRIES));
       }
     }
   }
@@ -111,7 +112,7 @@
     }
     if (!(value instanceof Number number)
         || !(number.doubleValue() >= min && number.doubleValue() <= max)) {
-      throw new InvalidSettingsException(file, name, "not a number from " + min + " to " + max);
+      throw source.invalidField(name, "not a number from " + min + " to " + max);
     }
     return number.doubleValue();
   }
@@ -119,16 +120,16 @@
   private int wholeNumber(String name, int fallback, int max) throws InvalidSettingsException {
     double value = number(name, fallback, 0, max);
     if (value != Math.rint(value)) {
-      throw new InvalidSettingsException(file, name, "not a whole number");
+      throw source.invalidField(name, "not a whole number");
     }
     return (int) value;
   }
 
-  /** A cooldown means nothing where nothing is lent. */
+  /** Only allowed together with lending, without which it has no effect. */
   private double loanCooldown(double fallback) throws InvalidSettingsException {
-    boolean lending = flag("lending", OperatorSettings.DEFAULTS.isLendingEnabled());
-    if (!lending && entry("loan-cooldown") != null) {
-      throw new InvalidSettingsException(file, "loan-cooldown", "needs :lending true");
+    boolean isLendingEnabled = flag("lending", OperatorSettings.DEFAULTS.isLendingEnabled());
+    if (!isLendingEnabled && entry("loan-cooldown") != null) {
+      throw source.invalidField("loan-cooldown", "needs :lending true");
     }
     return number("loan-cooldown", fallback, MIN_LOAN_COOLDOWN, MAX_LOAN_COOLDOWN);
   }
@@ -136,7 +137,7 @@
   private String text(String name) throws InvalidSettingsException {
     Object value = entry(name);
     if (value != null && !(value instanceof String text && !text.isEmpty())) {
-      throw new InvalidSettingsException(file, name, "not a text");
+      throw source.invalidField(name, "not a text");
     }
     return (String) value;
   }
@@ -147,7 +148,7 @@
       return fallback;
     }
     if (!(value instanceof Boolean flag)) {
-      throw new InvalidSettingsException(file, name, "not true or false");
+      throw source.invalidField(name, "not true or false");
     }
     return flag;
   }
--- a/src/main/java/eiderfork/config/Settings.java
+++ b/src/main/java/eiderfork/config/Settings.java
@@ -4,7 +4,17 @@
 import com.google.common.collect.ImmutableMap;
 import eiderfork.model.Team;
 
-/** What the platform hands over. */
+/**
+ * The settings of a controller: the platform's, and the operators'.
+ *
+ * @param publicEndpoint where users, workers and the load balancer connect
+ * @param peerListenEndpoint where other controllers connect
+ * @param peerEndpoints where the other controllers listen, by name
+ * @param peerZones the zones of the other controllers, by name
+ * @param storeLimits the store's limits now
+ * @param nextStoreLimits its limits after a change that comes without notice; the same where no
+ *     change is announced
+ */
 public record Settings(
     String nodeName,
     String zone,
@@ -32,88 +42,98 @@
   }
 
   /**
-   * An aim of the users for a class of jobs.
+   * A service-level objective for a class of jobs.
    *
    * @param withinS the time that waiting or finishing may take; 0 for other kinds
    * @param deadlineFactor how many times their deadline jobs may take; 1 for other kinds
-   * @param share the part of the jobs or tasks that should be in time
+   * @param share the share of the jobs or tasks that should be in time
    */
   public record Objective(
       Kind kind, String jobClass, double withinS, double deadlineFactor, double share) {
-    /** What an aim is about. */
+    /** What an objective is about. */
     public enum Kind {
       /** How soon tasks start. */
       WAIT,
-      /** How soon jobs are done. */
+      /** How soon jobs finish. */
       FINISHED,
-      /** Whether jobs are done within some times their own deadline. */
+      /** Whether jobs finish within a multiple of their own deadline. */
       DEADLINE,
-      /** Anything else, which decides nothing here. */
+      /** Any other, which has no influence on scheduling. */
       OTHER
     }
   }
 
-  /** The shortest time of the users' aims of this kind for a class; the largest double for none. */
+  /** The shortest time of the objectives of this kind for a class; the largest double for none. */
   public double shortestObjectiveS(Objective.Kind kind, String jobClass) {
-    double least = Double.MAX_VALUE;
+    double shortestS = Double.MAX_VALUE;
     for (Objective objective : objectives) {
       if (objective.kind() == kind && objective.jobClass().equals(jobClass)) {
-        least = Math.min(least, objective.withinS());
+        shortestS = Math.min(shortestS, objective.withinS());
       }
     }
-    return least;
+    return shortestS;
   }
 
-  /** How many times their deadline jobs of a class should take at most, the strictest first. */
+  /** How many times their deadline jobs of a class may take, the strictest objective first. */
   public ImmutableList<Double> deadlineFactors(String jobClass) {
-    ImmutableList<Double> times =
+    ImmutableList<Double> factors =
         objectives.stream()
             .filter(objective -> objective.kind() == Objective.Kind.DEADLINE)
             .filter(objective -> objective.jobClass().equals(jobClass))
             .map(Objective::deadlineFactor)
             .sorted()
             .collect(ImmutableList.toImmutableList());
-    return times.isEmpty() ? ImmutableList.of(1.0) : times;
+    return factors.isEmpty() ? ImmutableList.of(1.0) : factors;
   }
 
   /**
-   * How often workers report, how long their leases last, and how soon cancelled tasks must end.
+   * The timing of workers.
+   *
+   * @param heartbeatS the interval of heartbeats
+   * @param leaseS how long a lease lasts
+   * @param cancelDeadlineS how soon the tasks of a cancelled job must have ended
    */
   public record WorkerTimings(double heartbeatS, double leaseS, double cancelDeadlineS) {}
 
   /**
-   * What the state service takes: requests and changes a second, the size of a value, and the
-   * changes of one transaction.
+   * The limits of the store.
+   *
+   * @param writesPerS the changes in a second, of all transactions
+   * @param valueKb the largest value
+   * @param transactionOps the most changes in a transaction
    */
   public record StoreLimits(
       double requestsPerS, double writesPerS, double valueKb, int transactionOps) {}
 
-  /**
-   * The largest value that the state service takes now and after its limits have changed to {@code
-   * nextStateLimits}, which comes without notice.
-   */
+  /** The largest value that the store takes both now and with its next limits. */
   public double safeValueKb() {
     return Math.min(storeLimits.valueKb(), nextStoreLimits.valueKb());
   }
 
-  /** The most changes of a transaction that the state service takes now and after that. */
+  /** The most changes in a transaction that the store takes both now and with its next limits. */
   public int safeTransactionOps() {
     return Math.min(storeLimits.transactionOps(), nextStoreLimits.transactionOps());
   }
 
   /**
-   * What a controller's machine gives it: a share of one core, sockets, and memory in megabytes.
+   * The resources of a controller.
+   *
+   * @param cpuShare the share of one core
    */
   public record ControllerResources(double cpuShare, int sockets, double memoryMb) {
-    /** Workers and users come in on sockets of their own; this part is for what goes out. */
+    /** One socket in so many is for outbound connections, the others are for workers and users. */
     private static final int OUTBOUND_DIVISOR = 8;
 
-    /** How many connections may be kept, and how many workers commanded, at a time. */
+    /** The most outbound connections that may be open at a time. */
     public int maxOutboundConnections() {
       return Math.max(1, sockets / OUTBOUND_DIVISOR);
     }
   }
 
-  /** What the cloud takes in calls a second, and how old its lists may be. */
+  /**
+   * The limits of the cloud.
+   *
+   * @param listLagS how old its list of machines may be
+   */
   public record CloudLimits(double requestsPerS, double listLagS) {}
 }
--- a/src/test/java/eiderfork/config/SettingsTest.java
+++ b/src/test/java/eiderfork/config/SettingsTest.java
@@ -62,7 +62,7 @@
   }
 
   @Test
-  void readsThePlatformsSettings() throws InvalidSettingsException {
+  void readsPlatformSettings() throws InvalidSettingsException {
     Settings settings = SettingsParser.parse("s.toml", VALID, OperatorSettings.DEFAULTS);
     assertEquals("roost-0", settings.nodeName());
     assertEquals(8082, settings.peerEndpoints().get("roost-1").port());
@@ -70,6 +70,18 @@
     assertEquals(10.0, settings.workerTimings().leaseS());
   }
 
+  @Test
+  void invalidSettingsHaveFileFieldAndReason() {
+    String text = VALID.replace("lease_s = 10.0\n", "");
+    InvalidSettingsException invalid =
+        assertThrows(
+            InvalidSettingsException.class,
+            () -> SettingsParser.parse("s.toml", text, OperatorSettings.DEFAULTS));
+    assertEquals("s.toml", invalid.file());
+    assertEquals("deployment.workers.lease_s", invalid.field());
+    assertEquals("missing or not above 0", invalid.reason());
+  }
+
   @Test
   void namesFileFieldAndReason() {
     assertEquals(
@@ -92,7 +104,7 @@
     "memory_mb = 148.0,memory_mb = 64.0,deployment.resources.memory_mb",
     "memory_mb = 148.0,memory_mb = -1,deployment.resources.memory_mb"
   })
-  void refusesFiguresThatCannotWorkTogether(String good, String bad, String field) {
+  void rejectsInconsistentFigures(String good, String bad, String field) {
     assertTrue(VALID.contains(good));
     assertTrue(rejectionMessage(VALID.replace(good, bad)).startsWith("s.toml: " + field + ": "));
   }
@@ -106,7 +118,7 @@
       """;
 
   @Test
-  void readsTheLimitsThatAreToCome() throws InvalidSettingsException {
+  void readsNextStoreLimits() throws InvalidSettingsException {
     Settings settings =
         SettingsParser.parse("s.toml", VALID + NEXT_LIMITS, OperatorSettings.DEFAULTS);
     assertEquals(new Settings.StoreLimits(150, 20, 8, 16), settings.storeLimits());
@@ -123,7 +135,7 @@
     "txn_ops = 5,txn_ops = 1,deployment.state.next.txn_ops",
     "write_rps = 15.0,write_rps = 0.0,deployment.state.next.write_rps"
   })
-  void refusesLimitsToComeThatCannotWork(String good, String bad, String field) {
+  void rejectsInvalidNextStoreLimits(String good, String bad, String field) {
     assertTrue(NEXT_LIMITS.contains(good));
     assertTrue(
         rejectionMessage(VALID + NEXT_LIMITS.replace(good, bad))
@@ -134,8 +146,8 @@
   }
 
   @Test
-  void readsTheUsersAims() throws InvalidSettingsException {
-    String aims =
+  void readsObjectives() throws InvalidSettingsException {
+    String objectives =
         """
 
         [[deployment.objectives]]
@@ -159,7 +171,8 @@
         kind = "of-a-later-version"
         share = 0.9
         """;
-    Settings settings = SettingsParser.parse("s.toml", VALID + aims, OperatorSettings.DEFAULTS);
+    Settings settings =
+        SettingsParser.parse("s.toml", VALID + objectives, OperatorSettings.DEFAULTS);
     assertEquals(List.of(1.0, 1.5), settings.deadlineFactors("batch"));
     assertEquals(List.of(1.0), settings.deadlineFactors("web"), "the deadline itself");
     assertEquals(8.0, settings.shortestObjectiveS(Settings.Objective.Kind.WAIT, "web"));
@@ -168,12 +181,12 @@
         settings.shortestObjectiveS(Settings.Objective.Kind.WAIT, "batch"),
         "no aim");
     assertTrue(
-        rejectionMessage(VALID + aims.replace("times = 1.5", "times = \"often\""))
+        rejectionMessage(VALID + objectives.replace("times = 1.5", "times = \"often\""))
             .startsWith("s.toml: deployment.objectives.times: "));
   }
 
   @Test
-  void readsOperatorsSettingsWithDefaults() throws InvalidSettingsException {
+  void readsOperatorSettingsWithDefaults() throws InvalidSettingsException {
     OperatorSettings own =
         OperatorSettingsParser.parse("o.edn", "{:headroom 2.5 :spot false} ; ours");
     assertEquals(2.5, own.headroomDeviations());
@@ -204,15 +217,15 @@
     "{:lending false :loan-cooldown 1}, o.edn: loan-cooldown: needs :lending true",
     "{:loan-cooldown 1}, o.edn: loan-cooldown: needs :lending true"
   })
-  void namesFileFieldAndReasonOfLendingThatCannotWork(String text, String reason) {
-    InvalidSettingsException bad =
+  void namesFileFieldAndReasonOfInvalidLendingEntries(String text, String reason) {
+    InvalidSettingsException invalid =
         assertThrows(
             InvalidSettingsException.class, () -> OperatorSettingsParser.parse("o.edn", text));
-    assertEquals(reason, bad.getMessage());
+    assertEquals(reason, invalid.getMessage());
   }
 
   @Test
-  void refusesOperatorsSettingsThatMeanNothing() {
+  void rejectsInvalidOperatorSettings() {
     assertThrows(
         InvalidSettingsException.class,
         () -> OperatorSettingsParser.parse("o.edn", "{:hedroom 2}"));
