--- a/src/main/java/eiderfork/wire/AvroCodec.java
+++ b/src/main/java/eiderfork/wire/AvroCodec.java
@@ -20,10 +20,11 @@
     try (InputStream in = AvroCodec.class.getResourceAsStream(resource)) {
       return new Schema.Parser().parse(in);
     } catch (IOException e) {
-      throw new UncheckedIOException(e);
+      throw new UncheckedIOException("schema " + resource + " can't be read", e);
     }
   }
 
+  /** Writes a record by its schema. */
   static byte[] encode(GenericRecord record) {
     try {
       ByteArrayOutputStream out = new ByteArrayOutputStream();
@@ -31,19 +32,18 @@
       new GenericDatumWriter<GenericRecord>(record.getSchema()).write(record, encoder);
       return out.toByteArray();
     } catch (IOException e) {
-      throw new UncheckedIOException(e);
+      throw new UncheckedIOException("a record can't be written", e);
     }
   }
 
-  /** Reads what was written by one schema as a record of another, usually the same. */
+  /** Reads what was written with one schema as a record of another, usually the same. */
   static GenericRecord decode(Schema writer, Schema schema, byte[] bytes)
       throws MalformedMessageException {
     try {
       var decoder = DecoderFactory.get().binaryDecoder(bytes, null);
       return new GenericDatumReader<GenericRecord>(writer, schema).read(null, decoder);
     } catch (IOException | RuntimeException e) {
-      // The decoder trusts lengths that it reads, and fails in many ways on bytes of something
-      // else.
+      // The decoder trusts the lengths that it reads, so other bytes fail in many ways.
       throw new MalformedMessageException("not an Avro record of the form " + schema.getName());
     }
   }
--- a/src/main/java/eiderfork/wire/CompressedBitmap.java
+++ b/src/main/java/eiderfork/wire/CompressedBitmap.java
@@ -30,7 +30,7 @@
       bitmap.serialize(new DataOutputStream(out));
       return ByteBuffer.wrap(out.toByteArray());
     } catch (IOException e) {
-      throw new UncheckedIOException(e);
+      throw new UncheckedIOException("a bitmap can't be written", e);
     }
   }
 
@@ -39,25 +39,30 @@
     byte[] bytes = new byte[buffer.remaining()];
     buffer.get(bytes);
     checkLength(bytes);
-    BitSet tasks = new BitSet();
     try {
-      EWAHCompressedBitmap32 read = new EWAHCompressedBitmap32();
-      read.deserialize(new DataInputStream(new ByteArrayInputStream(bytes)));
-      for (var all = read.intIterator(); all.hasNext(); ) {
-        int task = all.next();
-        if (task < 0 || task >= Job.MAX_TASKS) {
-          throw new MalformedMessageException("task " + task + " is not that of a job");
-        }
-        tasks.set(task);
-      }
+      EWAHCompressedBitmap32 bitmap = new EWAHCompressedBitmap32();
+      bitmap.deserialize(new DataInputStream(new ByteArrayInputStream(bytes)));
+      return toTasks(bitmap);
     } catch (IOException | RuntimeException e) {
-      // The library trusts what it reads, and fails in many ways on bytes of something else.
+      // The library trusts what it reads, so other bytes fail in many ways.
       throw new MalformedMessageException("not a bitmap");
     }
+  }
+
+  private static BitSet toTasks(EWAHCompressedBitmap32 bitmap) throws MalformedMessageException {
+    BitSet tasks = new BitSet();
+    var numbers = bitmap.intIterator();
+    while (numbers.hasNext()) {
+      int task = numbers.next();
+      if (task < 0 || task >= Job.MAX_TASKS) {
+        throw new MalformedMessageException("task " + task + " is not that of a job");
+      }
+      tasks.set(task);
+    }
     return tasks;
   }
 
-  /** The library makes room for as many words as the bytes say that there are. */
+  /** The library allocates as many words as the bytes say that there are. */
   private static void checkLength(byte[] bytes) throws MalformedMessageException {
     if (bytes.length < (HEADER_INTS + 1) * Integer.BYTES) {
       throw new MalformedMessageException("not a bitmap");
--- a/src/main/java/eiderfork/wire/JsonReader.java
+++ b/src/main/java/eiderfork/wire/JsonReader.java
@@ -8,7 +8,7 @@
 import java.io.IOException;
 import java.util.function.Function;
 
-/** JSON trees, and fields read out of them with what is wrong said in plain words. */
+/** JSON trees, and their fields, with errors that name the field. */
 final class JsonReader {
   private static final ObjectMapper MAPPER = new ObjectMapper();
 
@@ -22,7 +22,7 @@
     try {
       return MAPPER.writeValueAsBytes(node);
     } catch (JsonProcessingException e) {
-      throw new IllegalStateException(e);
+      throw new IllegalStateException("a JSON tree can't be written", e);
     }
   }
 
--- a/src/main/java/eiderfork/wire/StoreCodec.java
+++ b/src/main/java/eiderfork/wire/StoreCodec.java
@@ -6,129 +6,160 @@
 import com.google.common.collect.ImmutableList;
 import eiderfork.controller.message.Reply;
 import eiderfork.controller.message.StoreRequest;
+import eiderfork.model.StoredRecord;
 
-/** What the state service is asked and says. */
+/** The requests to the store and its responses. */
 public final class StoreCodec {
   /** The most items in a page. */
   private static final int MAX_PAGE_ITEMS = 1000;
 
+  private static final int OK = 200;
+  private static final int NOT_FOUND = 404;
+  private static final int CONFLICT = 409;
+
+  private static final String LEASES_PATH = "/leases";
+
+  private static final String KEY = "Path";
+  private static final String VALUE = "V";
+  private static final String VERSION = "Stamp";
+  private static final String REVISION = "Ledger";
+  private static final String LEASE = "Tether";
+  private static final String WRITTEN_KEY = "Write";
+  private static final String REMOVED_KEY = "Drop";
+
   private StoreCodec() {}
 
   /** A request line and body; the body is null for none. */
   public record Request(String method, String path, byte[] body) {}
 
-  /** The request that carries out an operation. */
+  /** Writes a request to the store. */
   public static Request encodeRequest(StoreRequest request) {
-    if (request instanceof StoreRequest.Transaction it) {
-      return new Request("POST", "/multi", encodeTransaction(it));
-    } else if (request instanceof StoreRequest.Get it) {
-      return new Request("GET", "/keys/" + it.key(), null);
-    } else if (request instanceof StoreRequest.Scan it) {
-      String after = it.afterKey().isEmpty() ? "" : "&After=" + it.afterKey();
-      return new Request(
-          "GET", "/keys?Starts=" + it.prefix() + after + "&Page=" + MAX_PAGE_ITEMS, null);
-    } else if (request instanceof StoreRequest.Watch it) {
-      return new Request(
-          "GET",
-          "/follow?Starts="
-              + it.prefix()
-              + "&After="
-              + it.afterRevision()
-              + "&BlockMs="
-              + it.timeoutMs(),
-          null);
-    } else if (request instanceof StoreRequest.Grant it) {
-      return new Request(
-          "POST", "/leases", JsonReader.toBytes(JsonReader.newObject().put("LifeMs", it.ttlMs())));
-    } else if (request instanceof StoreRequest.Renew it) {
-      return new Request(
-          "POST", "/leases/" + it.leaseId() + "/renew", JsonReader.toBytes(JsonReader.newObject()));
-    } else if (request instanceof StoreRequest.Release it) {
-      return new Request("DELETE", "/leases/" + it.leaseId(), null);
+    if (request instanceof StoreRequest.Transaction transaction) {
+      return new Request("POST", "/multi", encodeTransaction(transaction));
+    } else if (request instanceof StoreRequest.Get get) {
+      return new Request("GET", "/keys/" + get.key(), null);
+    } else if (request instanceof StoreRequest.Scan scan) {
+      return new Request("GET", path(scan), null);
+    } else if (request instanceof StoreRequest.Watch watch) {
+      return new Request("GET", path(watch), null);
+    } else if (request instanceof StoreRequest.Grant grant) {
+      byte[] body = JsonReader.toBytes(JsonReader.newObject().put("LifeMs", grant.ttlMs()));
+      return new Request("POST", LEASES_PATH, body);
+    } else if (request instanceof StoreRequest.Renew renew) {
+      byte[] body = JsonReader.toBytes(JsonReader.newObject());
+      return new Request("POST", LEASES_PATH + "/" + renew.leaseId() + "/renew", body);
+    } else if (request instanceof StoreRequest.Release release) {
+      return new Request("DELETE", LEASES_PATH + "/" + release.leaseId(), null);
     }
-    throw new IllegalStateException("unknown operation " + request);
+    throw new IllegalArgumentException("unknown request " + request);
+  }
+
+  private static String path(StoreRequest.Scan scan) {
+    String after = scan.afterKey().isEmpty() ? "" : "&After=" + scan.afterKey();
+    return "/keys?Starts=" + scan.prefix() + after + "&Page=" + MAX_PAGE_ITEMS;
+  }
+
+  private static String path(StoreRequest.Watch watch) {
+    String after = "&After=" + watch.afterRevision();
+    return "/follow?Starts=" + watch.prefix() + after + "&BlockMs=" + watch.timeoutMs();
   }
 
-  private static byte[] encodeTransaction(StoreRequest.Transaction it) {
+  private static byte[] encodeTransaction(StoreRequest.Transaction transaction) {
     ObjectNode node = JsonReader.newObject();
     ArrayNode conditions = node.putArray("If");
-    for (StoreRequest.Condition condition : it.conditions()) {
-      conditions.addObject().put("Path", condition.key()).put("Stamp", condition.version());
+    for (StoreRequest.Condition condition : transaction.conditions()) {
+      conditions.addObject().put(KEY, condition.key()).put(VERSION, condition.version());
     }
     ArrayNode changes = node.putArray("Then");
-    for (StoreRequest.Change change : it.changes()) {
-      ObjectNode one = changes.addObject();
-      if (change.record() == null) {
-        one.put("Drop", change.key());
-      } else {
-        one.put("Write", change.key());
-        one.set("V", StoredRecordCodec.toJson(change.record()));
-        if (change.leaseId() != 0) {
-          one.put("Tether", change.leaseId());
-        }
-      }
-    }
+    transaction.changes().forEach(change -> putChange(changes.addObject(), change));
     return JsonReader.toBytes(node);
   }
 
+  private static void putChange(ObjectNode node, StoreRequest.Change change) {
+    if (change.record() == null) {
+      node.put(REMOVED_KEY, change.key());
+      return;
+    }
+    node.put(WRITTEN_KEY, change.key());
+    node.set(VALUE, StoredRecordCodec.toJson(change.record()));
+    if (change.leaseId() != 0) {
+      node.put(LEASE, change.leaseId());
+    }
+  }
+
   /**
-   * What the state service's answer to an operation says.
+   * Reads the store's response to a request.
    *
    * @throws MalformedMessageException where it does not follow the protocol
    */
   public static Reply decodeReply(StoreRequest request, int status, byte[] body)
       throws MalformedMessageException {
-    if (request instanceof StoreRequest.Get get && status == 404) {
-      // A 404 that is not the state service's own says nothing about the key.
-      JsonReader.integer(JsonReader.parse(body), "Ledger");
-      return new Reply.Value(null, 0);
+    if (request instanceof StoreRequest.Get && status == NOT_FOUND) {
+      return decodeMissingKey(body);
     }
-    if (request instanceof StoreRequest.Transaction && status == 409) {
-      return new Reply.Conflict(
-          CloudCodec.decodeTexts(JsonReader.array(JsonReader.parse(body), "failed")));
+    if (request instanceof StoreRequest.Transaction && status == CONFLICT) {
+      JsonNode node = JsonReader.parse(body);
+      return new Reply.Conflict(CloudCodec.decodeTexts(JsonReader.array(node, "failed")));
     }
     if (request instanceof StoreRequest.Release && status / 100 == 2) {
       return new Reply.Leased(0);
     }
-    if (status != 200) {
+    if (status != OK) {
       return new Reply.Refused(status);
     }
     if (request instanceof StoreRequest.Renew renew) {
       return new Reply.Leased(renew.leaseId());
     }
-    JsonNode node = JsonReader.parse(body);
+    return decodeOk(request, JsonReader.parse(body));
+  }
+
+  /** A 404 that is not the store's own is no information about the key. */
+  private static Reply decodeMissingKey(byte[] body) throws MalformedMessageException {
+    JsonReader.integer(JsonReader.parse(body), REVISION);
+    return new Reply.Value(null, 0);
+  }
+
+  private static Reply decodeOk(StoreRequest request, JsonNode node)
+      throws MalformedMessageException {
     if (request instanceof StoreRequest.Transaction) {
-      return new Reply.Committed(JsonReader.integer(node, "Ledger"));
+      return new Reply.Committed(JsonReader.integer(node, REVISION));
     } else if (request instanceof StoreRequest.Get get) {
-      return new Reply.Value(
-          StoredRecordCodec.fromJson(get.key(), node.path("V")), JsonReader.integer(node, "Stamp"));
+      StoredRecord record = StoredRecordCodec.fromJson(get.key(), node.path(VALUE));
+      return new Reply.Value(record, JsonReader.integer(node, VERSION));
     } else if (request instanceof StoreRequest.Scan) {
-      ImmutableList.Builder<Reply.Item> items = ImmutableList.builder();
-      for (JsonNode item : JsonReader.array(node, "Items")) {
-        String key = JsonReader.text(item, "Path");
-        items.add(
-            new Reply.Item(
-                key,
-                StoredRecordCodec.fromJson(key, item.path("V")),
-                JsonReader.integer(item, "Stamp")));
-      }
-      return new Reply.Page(
-          items.build(), JsonReader.flag(node, "HasNext"), JsonReader.integer(node, "Ledger"));
+      return decodePage(node);
     } else if (request instanceof StoreRequest.Watch) {
-      ImmutableList.Builder<Reply.Item> items = ImmutableList.builder();
-      for (JsonNode event : JsonReader.array(node, "Log")) {
-        long version = JsonReader.integer(event, "Stamp");
-        if (event.hasNonNull("Drop")) {
-          items.add(new Reply.Item(JsonReader.text(event, "Drop"), null, version));
-        } else {
-          String key = JsonReader.text(event, "Write");
-          items.add(new Reply.Item(key, StoredRecordCodec.fromJson(key, event.path("V")), version));
-        }
-      }
-      return new Reply.Changes(items.build(), JsonReader.integer(node, "Ledger"));
+      return decodeChanges(node);
     } else if (request instanceof StoreRequest.Grant) {
-      return new Reply.Leased(JsonReader.integer(node, "Tether"));
+      return new Reply.Leased(JsonReader.integer(node, LEASE));
+    }
+    throw new IllegalArgumentException("unknown request " + request);
+  }
+
+  private static Reply.Page decodePage(JsonNode node) throws MalformedMessageException {
+    ImmutableList.Builder<Reply.Item> items = ImmutableList.builder();
+    for (JsonNode item : JsonReader.array(node, "Items")) {
+      items.add(decodeItem(item, JsonReader.text(item, KEY)));
+    }
+    return new Reply.Page(
+        items.build(), JsonReader.flag(node, "HasNext"), JsonReader.integer(node, REVISION));
+  }
+
+  private static Reply.Changes decodeChanges(JsonNode node) throws MalformedMessageException {
+    ImmutableList.Builder<Reply.Item> items = ImmutableList.builder();
+    for (JsonNode event : JsonReader.array(node, "Log")) {
+      if (event.hasNonNull(REMOVED_KEY)) {
+        String key = JsonReader.text(event, REMOVED_KEY);
+        items.add(new Reply.Item(key, null, JsonReader.integer(event, VERSION)));
+      } else {
+        items.add(decodeItem(event, JsonReader.text(event, WRITTEN_KEY)));
+      }
     }
-    throw new IllegalStateException("unknown operation " + request);
+    return new Reply.Changes(items.build(), JsonReader.integer(node, REVISION));
+  }
+
+  private static Reply.Item decodeItem(JsonNode node, String key) throws MalformedMessageException {
+    StoredRecord record = StoredRecordCodec.fromJson(key, node.path(VALUE));
+    return new Reply.Item(key, record, JsonReader.integer(node, VERSION));
   }
 }
--- a/src/main/java/eiderfork/wire/StoredRecordCodec.java
+++ b/src/main/java/eiderfork/wire/StoredRecordCodec.java
@@ -2,140 +2,75 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import com.google.common.base.Splitter;
 import com.google.common.collect.ImmutableList;
-import com.google.common.primitives.Longs;
 import eiderfork.controller.message.StoreKeys;
 import eiderfork.model.JobStatus;
 import eiderfork.model.StoredRecord;
-import java.util.ArrayList;
-import java.util.Base64;
-import java.util.BitSet;
-import java.util.Comparator;
-import java.util.LinkedHashMap;
-import java.util.List;
-import java.util.Map;
-import java.util.TreeMap;
 
-/** The values under the keys of the state service. */
+/** The values under the keys of the store. */
 final class StoredRecordCodec {
   private StoredRecordCodec() {}
 
   static JsonNode toJson(StoredRecord record) {
-    ObjectNode node = JsonReader.newObject();
     if (record instanceof StoredRecord.JobSpec spec) {
       return UserCodec.toJson(spec.job());
-    } else if (record instanceof StoredRecord.Leadership it) {
-      node.put("node", it.node());
-      node.put("term", it.term());
-    } else if (record instanceof StoredRecord.TermCounter it) {
-      node.put("term", it.term());
-    } else if (record instanceof StoredRecord.Cancellation it) {
-      node.put("uid", it.uid());
     } else if (record instanceof StoredRecord.Allocation allocation) {
-      return toJson(allocation);
-    } else if (record instanceof StoredRecord.PackedAllocation it) {
-      return PackedAllocationCodec.toJson(it.alloc());
-    } else if (record instanceof StoredRecord.BitmapAllocation it) {
-      return shorter(
-          PackedAllocationCodec.toJson(it.alloc()), BitmapAllocationCodec.toJson(it.alloc()));
-    } else if (record instanceof StoredRecord.ScaleOutIntent it) {
-      node.put("charter", it.requestName());
-      node.put("type", it.type());
-      node.put("zone", it.zone());
-      node.put("spot", it.spot());
-      node.put("count", it.count());
-    } else if (record instanceof StoredRecord.ScaleInIntent machineReturn) {
-      machineReturn.machines().forEach(node.putArray("machines")::add);
-    } else if (record instanceof StoredRecord.ProxiedLeases proxiedLeases) {
-      proxiedLeases.machines().forEach(node.putArray("machines")::add);
-    } else if (record instanceof StoredRecord.ArchivedJob archived) {
-      node.put("state", ProtocolNames.JOB_STATES.inverse().get(archived.phase()));
-      node.put("done", archived.doneTasks());
-    } else if (record instanceof StoredRecord.StoredVersion it) {
-      node.put("version", it.version());
-    } else if (record instanceof StoredRecord.MachineTypes stored) {
-      node.set("types", CloudCodec.typesToJson(stored.types()));
+      return PlainAllocationCodec.toJson(allocation);
+    } else if (record instanceof StoredRecord.PackedAllocation packed) {
+      return PackedAllocationCodec.INSTANCE.toJson(packed.alloc());
+    } else if (record instanceof StoredRecord.BitmapAllocation bitmap) {
+      return shorterToJson(bitmap.alloc());
     }
+    ObjectNode node = JsonReader.newObject();
+    putFields(node, record);
     return node;
   }
 
-  private static ObjectNode shorter(ObjectNode packed, ObjectNode bitmap) {
-    int packedLength = packed.path(PackedAllocationCodec.JSON_FIELD).asText().length();
-    int bitmapLength = bitmap.path(BitmapAllocationCodec.JSON_FIELD).asText().length();
+  /** The packed or the bitmap form, whichever is shorter. */
+  private static ObjectNode shorterToJson(StoredRecord.Allocation allocation) {
+    ObjectNode packed = PackedAllocationCodec.INSTANCE.toJson(allocation);
+    ObjectNode bitmap = BitmapAllocationCodec.INSTANCE.toJson(allocation);
+    int packedLength = PackedAllocationCodec.INSTANCE.textLength(packed);
+    int bitmapLength = BitmapAllocationCodec.INSTANCE.textLength(bitmap);
     return bitmapLength < packedLength ? bitmap : packed;
   }
 
-  /**
-   * Reservations go by attempt and machine, as a text of tasks and runs of tasks, since values are
-   * small: {@code PlainAllocationSize} bounds what this takes. Finished tasks are runs too, or a
-   * bitmap where that is shorter.
-   */
-  private static ObjectNode toJson(StoredRecord.Allocation allocation) {
-    ObjectNode node = JsonReader.newObject();
-    node.put("last", allocation.lastAttempt());
-    if (allocation.done()) {
-      node.put("done", true);
-    }
-    Map<Long, Map<String, StringBuilder>> byAttempt = new TreeMap<>();
-    for (StoredRecord.ReservedRange span : allocation.reserved()) {
-      StringBuilder runs =
-          byAttempt
-              .computeIfAbsent(span.attempt(), a -> new LinkedHashMap<>())
-              .computeIfAbsent(span.machine(), m -> new StringBuilder());
-      appendRun(runs, span.from(), span.to());
-    }
-    ObjectNode by = node.putObject("by");
-    byAttempt.forEach(
-        (attempt, on) -> {
-          ObjectNode machines = by.putObject(attempt.toString());
-          on.forEach((machine, runs) -> machines.put(machine, runs.toString()));
-        });
-    StringBuilder runs = new StringBuilder();
-    BitSet bits = new BitSet();
-    for (StoredRecord.TaskRange range : allocation.finished()) {
-      appendRun(runs, range.from(), range.to());
-      bits.set(range.from(), range.to() + 1);
-    }
-    String bitmap = Base64.getEncoder().withoutPadding().encodeToString(bits.toByteArray());
-    if (bitmap.length() < runs.length()) {
-      node.put("endedBits", bitmap);
-    } else {
-      node.put("ended", runs.toString());
-    }
-    return node;
-  }
-
-  private static void appendRun(StringBuilder runs, int from, int to) {
-    if (runs.length() > 0) {
-      runs.append(',');
-    }
-    runs.append(from);
-    if (to > from) {
-      runs.append('-').append(to);
+  private static void putFields(ObjectNode node, StoredRecord record) {
+    if (record instanceof StoredRecord.Leadership leadership) {
+      node.put("node", leadership.node());
+      node.put("term", leadership.term());
+    } else if (record instanceof StoredRecord.TermCounter counter) {
+      node.put("term", counter.term());
+    } else if (record instanceof StoredRecord.Cancellation cancellation) {
+      node.put("uid", cancellation.uid());
+    } else if (record instanceof StoredRecord.ScaleOutIntent intent) {
+      putIntent(node, intent);
+    } else if (record instanceof StoredRecord.ScaleInIntent intent) {
+      intent.machines().forEach(node.putArray("machines")::add);
+    } else if (record instanceof StoredRecord.ProxiedLeases proxied) {
+      proxied.machines().forEach(node.putArray("machines")::add);
+    } else if (record instanceof StoredRecord.ArchivedJob archived) {
+      node.put("state", ProtocolNames.JOB_STATES.inverse().get(archived.phase()));
+      node.put("done", archived.doneTasks());
+    } else if (record instanceof StoredRecord.StoredVersion stored) {
+      node.put("version", stored.version());
+    } else if (record instanceof StoredRecord.MachineTypes stored) {
+      node.set("types", CloudCodec.typesToJson(stored.types()));
     }
   }
 
-  private static List<StoredRecord.TaskRange> parseRuns(String text)
-      throws MalformedMessageException {
-    List<StoredRecord.TaskRange> runs = new ArrayList<>();
-    for (String run : Splitter.on(',').omitEmptyStrings().split(text)) {
-      int dash = run.indexOf('-');
-      try {
-        int from = Integer.parseInt(dash < 0 ? run : run.substring(0, dash));
-        int to = dash < 0 ? from : Integer.parseInt(run.substring(dash + 1));
-        if (from < 0 || to < from) {
-          throw new MalformedMessageException("tasks " + run + " are no run");
-        }
-        runs.add(new StoredRecord.TaskRange(from, to));
-      } catch (NumberFormatException e) {
-        throw new MalformedMessageException("tasks " + run + " are no run");
-      }
-    }
-    return runs;
+  private static void putIntent(ObjectNode node, StoredRecord.ScaleOutIntent intent) {
+    node.put("charter", intent.requestName());
+    node.put("type", intent.type());
+    node.put("zone", intent.zone());
+    node.put("spot", intent.spot());
+    node.put("count", intent.count());
   }
 
-  /** The record under a key, or null where the key is not this version's. */
+  /**
+   * The record under a key, or null where this version does not know the key. What can't be read is
+   * {@link StoredRecord.Unreadable}, except under the keys of the election.
+   */
   static StoredRecord fromJson(String key, JsonNode node) throws MalformedMessageException {
     try {
       return decode(key, node);
@@ -151,7 +86,7 @@
     if (key.startsWith(StoreKeys.JOB_PREFIX)) {
       return new StoredRecord.JobSpec(UserCodec.decodeJob(node));
     } else if (key.startsWith(StoreKeys.ALLOC_PREFIX)) {
-      return decodeAlloc(node);
+      return decodeAllocation(node);
     } else if (key.startsWith(StoreKeys.CANCELLATION_PREFIX)) {
       return new StoredRecord.Cancellation(JsonReader.text(node, "uid"));
     } else if (key.equals(StoreKeys.LEADER)) {
@@ -160,20 +95,13 @@
     } else if (key.equals(StoreKeys.TERM)) {
       return new StoredRecord.TermCounter(JsonReader.integer(node, "term"));
     } else if (key.startsWith(StoreKeys.RENT_PREFIX)) {
-      return new StoredRecord.ScaleOutIntent(
-          JsonReader.text(node, "charter"),
-          JsonReader.text(node, "type"),
-          JsonReader.text(node, "zone"),
-          JsonReader.flag(node, "spot"),
-          (int) JsonReader.integer(node, "count"));
+      return decodeScaleOutIntent(node);
     } else if (key.startsWith(StoreKeys.RETURN_PREFIX)) {
-      return new StoredRecord.ScaleInIntent(
-          CloudCodec.decodeTexts(JsonReader.array(node, "machines")));
+      return new StoredRecord.ScaleInIntent(decodeMachines(node));
     } else if (key.startsWith(StoreKeys.LEASE_PROXY_PREFIX)) {
-      return new StoredRecord.ProxiedLeases(
-          CloudCodec.decodeTexts(JsonReader.array(node, "machines")));
+      return new StoredRecord.ProxiedLeases(decodeMachines(node));
     } else if (key.startsWith(StoreKeys.ENDED_PREFIX)) {
-      return decodeEndedJob(node);
+      return decodeArchivedJob(node);
     } else if (key.equals(StoreKeys.CLUSTER_VERSION)) {
       return new StoredRecord.StoredVersion((int) JsonReader.integer(node, "version"));
     } else if (key.equals(StoreKeys.MACHINE_TYPES)) {
@@ -182,82 +110,38 @@
     return null;
   }
 
-  private static StoredRecord.ArchivedJob decodeEndedJob(JsonNode node)
+  private static StoredRecord.ScaleOutIntent decodeScaleOutIntent(JsonNode node)
       throws MalformedMessageException {
-    JobStatus.Phase stance = JsonReader.oneOf(node, "state", ProtocolNames.JOB_STATES::get);
-    if (!stance.isFinal()) {
-      throw new MalformedMessageException("field state is not that of a job that is over");
-    }
-    return new StoredRecord.ArchivedJob(stance, (int) JsonReader.integer(node, "done"));
+    return new StoredRecord.ScaleOutIntent(
+        JsonReader.text(node, "charter"),
+        JsonReader.text(node, "type"),
+        JsonReader.text(node, "zone"),
+        JsonReader.flag(node, "spot"),
+        (int) JsonReader.integer(node, "count"));
   }
 
-  private static StoredRecord.Allocation decodeAlloc(JsonNode node)
+  private static ImmutableList<String> decodeMachines(JsonNode node)
       throws MalformedMessageException {
-    if (node.has(PackedAllocationCodec.JSON_FIELD)) {
-      return PackedAllocationCodec.fromJson(node);
-    }
-    if (node.has(BitmapAllocationCodec.JSON_FIELD)) {
-      return BitmapAllocationCodec.fromJson(node);
-    }
-    List<StoredRecord.ReservedRange> spans = new ArrayList<>();
-    ImmutableList.Builder<StoredRecord.TaskRange> finished = ImmutableList.builder();
-    if (node.has("on")) {
-      decodeFirstForm(node, spans, finished);
-    } else {
-      for (var by : node.path("by").properties()) {
-        Long attempt = Longs.tryParse(by.getKey());
-        if (attempt == null) {
-          throw new MalformedMessageException("attempt " + by.getKey() + " is no number");
-        }
-        for (var on : by.getValue().properties()) {
-          for (StoredRecord.TaskRange run : parseRuns(on.getValue().asText())) {
-            spans.add(new StoredRecord.ReservedRange(run.from(), run.to(), attempt, on.getKey()));
-          }
-        }
-      }
-      if (node.has("endedBits")) {
-        BitSet bits;
-        try {
-          bits = BitSet.valueOf(Base64.getDecoder().decode(JsonReader.text(node, "endedBits")));
-        } catch (IllegalArgumentException e) {
-          throw new MalformedMessageException("field endedBits is no bitmap");
-        }
-        for (int from = bits.nextSetBit(0); from >= 0; ) {
-          int end = bits.nextClearBit(from);
-          finished.add(new StoredRecord.TaskRange(from, end - 1));
-          from = bits.nextSetBit(end);
-        }
-      } else {
-        finished.addAll(parseRuns(JsonReader.text(node, "ended")));
-      }
+    return CloudCodec.decodeTexts(JsonReader.array(node, "machines"));
+  }
+
+  private static StoredRecord.ArchivedJob decodeArchivedJob(JsonNode node)
+      throws MalformedMessageException {
+    JobStatus.Phase phase = JsonReader.oneOf(node, "state", ProtocolNames.JOB_STATES::get);
+    if (!phase.isFinal()) {
+      throw new MalformedMessageException("field state is not that of a job that is over");
     }
-    spans.sort(Comparator.comparingInt(StoredRecord.ReservedRange::from));
-    return new StoredRecord.Allocation(
-        JsonReader.integer(node, "last"),
-        node.path("done").asBoolean(),
-        ImmutableList.copyOf(spans),
-        finished.build());
+    return new StoredRecord.ArchivedJob(phase, (int) JsonReader.integer(node, "done"));
   }
 
-  /** The form that 0.1 wrote: numbers from, to and attempt under each machine. */
-  private static void decodeFirstForm(
-      JsonNode node,
-      List<StoredRecord.ReservedRange> spans,
-      ImmutableList.Builder<StoredRecord.TaskRange> finished) {
-    for (var on : node.path("on").properties()) {
-      JsonNode runs = on.getValue();
-      for (int i = 0; i + 2 < runs.size(); i += 3) {
-        spans.add(
-            new StoredRecord.ReservedRange(
-                runs.get(i).asInt(),
-                runs.get(i + 1).asInt(),
-                runs.get(i + 2).asLong(),
-                on.getKey()));
-      }
+  private static StoredRecord.Allocation decodeAllocation(JsonNode node)
+      throws MalformedMessageException {
+    if (PackedAllocationCodec.INSTANCE.isFormOf(node)) {
+      return PackedAllocationCodec.INSTANCE.fromJson(node);
     }
-    JsonNode ranges = node.path("finished");
-    for (int i = 0; i + 1 < ranges.size(); i += 2) {
-      finished.add(new StoredRecord.TaskRange(ranges.get(i).asInt(), ranges.get(i + 1).asInt()));
+    if (BitmapAllocationCodec.INSTANCE.isFormOf(node)) {
+      return BitmapAllocationCodec.INSTANCE.fromJson(node);
     }
+    return PlainAllocationCodec.fromJson(node);
   }
 }
--- a/src/test/java/eiderfork/wire/AllocationCodecTest.java
+++ b/src/test/java/eiderfork/wire/AllocationCodecTest.java
@@ -40,10 +40,12 @@
         new StoredRecord.Allocation(last, seed % 2 == 0, spans.build(), finished.build());
     assertEquals(
         allocation,
-        StoredRecordCodec.fromJson("alloc/run-1", PackedAllocationCodec.toJson(allocation)));
+        StoredRecordCodec.fromJson(
+            "alloc/run-1", PackedAllocationCodec.INSTANCE.toJson(allocation)));
     assertEquals(
         allocation,
-        StoredRecordCodec.fromJson("alloc/run-1", BitmapAllocationCodec.toJson(allocation)));
+        StoredRecordCodec.fromJson(
+            "alloc/run-1", BitmapAllocationCodec.INSTANCE.toJson(allocation)));
   }
 
   /** What production may have left in 4 KiB fits 2 KiB with room to spare. */
@@ -56,7 +58,7 @@
     }
     StoredRecord.Allocation allocation =
         new StoredRecord.Allocation(3, false, spans.build(), ImmutableList.of());
-    int bytes = JsonReader.toBytes(PackedAllocationCodec.toJson(allocation)).length;
+    int bytes = JsonReader.toBytes(PackedAllocationCodec.INSTANCE.toJson(allocation)).length;
     assertTrue(JsonReader.toBytes(StoredRecordCodec.toJson(allocation)).length > 2048);
     assertTrue(bytes < 1700, bytes + " bytes");
   }
@@ -71,15 +73,14 @@
             ImmutableList.of(new StoredRecord.ReservedRange(100, 260, 9, "n-000001")),
             ImmutableList.of(
                 new StoredRecord.TaskRange(0, 99), new StoredRecord.TaskRange(300, 900)));
-    String text =
-        BitmapAllocationCodec.toJson(allocation).path(BitmapAllocationCodec.JSON_FIELD).asText();
+    String text = BitmapAllocationCodec.INSTANCE.toJson(allocation).path("bitmaps").asText();
     byte[] bytes = Base64.getDecoder().decode(text);
     for (int i = 0; i < bytes.length; i++) {
       for (int bit = 0; bit < Byte.SIZE; bit++) {
         byte[] spoiled = bytes.clone();
         spoiled[i] ^= (byte) (1 << bit);
         String encoded = Base64.getEncoder().withoutPadding().encodeToString(spoiled);
-        var node = JsonReader.newObject().put(BitmapAllocationCodec.JSON_FIELD, encoded);
+        var node = JsonReader.newObject().put("bitmaps", encoded);
         assertNotNull(StoredRecordCodec.fromJson("alloc/run-1", node));
       }
     }
