--- a/src/main/java/eiderfork/net/CallSender.java
+++ b/src/main/java/eiderfork/net/CallSender.java
@@ -6,8 +6,10 @@
 import eiderfork.controller.message.Input;
 import eiderfork.controller.message.Reply;
 import eiderfork.wire.CloudCodec;
+import eiderfork.wire.ForwardingCodec;
+import eiderfork.wire.MachineHintCodec;
 import eiderfork.wire.MalformedMessageException;
-import eiderfork.wire.PeerCodec;
+import eiderfork.wire.PeerStatusCodec;
 import eiderfork.wire.StoreCodec;
 import eiderfork.wire.WorkerCodec;
 import io.netty.channel.EventLoop;
@@ -106,23 +108,29 @@
 
   private void callPeer(Effect.Call effect) {
     if (effect instanceof Effect.PingPeer call) {
-      byte[] body = PeerCodec.encodeStatus(call.status());
+      byte[] body = PeerStatusCodec.encodeStatus(call.status());
       postToPeer(
           call,
           call.node(),
-          PeerCodec.PING_PATH,
+          PeerStatusCodec.PING_PATH,
           body,
-          response -> new Reply.PeerPong(PeerCodec.decodeStatus(response)));
+          response -> new Reply.PeerPong(PeerStatusCodec.decodeStatus(response)));
     } else if (effect instanceof Effect.ForwardRequest call) {
-      byte[] body = PeerCodec.encodeRequest(call.request());
-      postToPeer(call, call.node(), PeerCodec.REQUEST_PATH, body, PeerCodec::decodeAnswer);
+      byte[] body = ForwardingCodec.encodeRequest(call.request());
+      postToPeer(
+          call, call.node(), ForwardingCodec.REQUEST_PATH, body, ForwardingCodec::decodeAnswer);
     } else if (effect instanceof Effect.ForwardQueries call) {
-      byte[] body = PeerCodec.encodeQueries(call.uids());
-      postToPeer(call, call.node(), PeerCodec.QUERIES_PATH, body, PeerCodec::decodeAnswers);
+      byte[] body = ForwardingCodec.encodeQueries(call.uids());
+      postToPeer(
+          call, call.node(), ForwardingCodec.QUERIES_PATH, body, ForwardingCodec::decodeAnswers);
     } else if (effect instanceof Effect.SendHints call) {
-      byte[] body = PeerCodec.encodeHints(call.hints());
+      byte[] body = MachineHintCodec.encodeHints(call.hints());
       postToPeer(
-          call, call.node(), PeerCodec.HINTS_PATH, body, response -> new Reply.HintsAcknowledged());
+          call,
+          call.node(),
+          MachineHintCodec.HINTS_PATH,
+          body,
+          response -> new Reply.HintsAcknowledged());
     } else {
       throw new IllegalArgumentException("unknown call " + effect);
     }
--- a/src/main/java/eiderfork/net/RequestRouter.java
+++ b/src/main/java/eiderfork/net/RequestRouter.java
@@ -6,8 +6,10 @@
 import eiderfork.controller.message.PeerStatus;
 import eiderfork.model.Heartbeat;
 import eiderfork.model.Job;
+import eiderfork.wire.ForwardingCodec;
+import eiderfork.wire.MachineHintCodec;
 import eiderfork.wire.MalformedMessageException;
-import eiderfork.wire.PeerCodec;
+import eiderfork.wire.PeerStatusCodec;
 import eiderfork.wire.UserCodec;
 import eiderfork.wire.WorkerCodec;
 
@@ -116,20 +118,20 @@
   private void routePeerRequest(HttpServer.Exchange exchange) throws MalformedMessageException {
     byte[] body = exchange.body();
     switch (exchange.path()) {
-      case PeerCodec.PING_PATH -> {
-        PeerStatus status = PeerCodec.decodeStatus(body);
+      case PeerStatusCodec.PING_PATH -> {
+        PeerStatus status = PeerStatusCodec.decodeStatus(body);
         inputs.handle(new Input.PeerPing(openExchanges.open(exchange), status));
       }
-      case PeerCodec.QUERIES_PATH -> {
-        ImmutableList<String> uids = PeerCodec.decodeQueries(body);
+      case ForwardingCodec.QUERIES_PATH -> {
+        ImmutableList<String> uids = ForwardingCodec.decodeQueries(body);
         inputs.handle(new Input.PeerQueries(openExchanges.open(exchange), uids));
       }
-      case PeerCodec.HINTS_PATH -> {
-        MachineHintBatch hints = PeerCodec.decodeHints(body);
+      case MachineHintCodec.HINTS_PATH -> {
+        MachineHintBatch hints = MachineHintCodec.decodeHints(body);
         inputs.handle(new Input.PeerHints(openExchanges.open(exchange), hints));
       }
-      case PeerCodec.REQUEST_PATH -> {
-        Input request = PeerCodec.decodeRequest(body);
+      case ForwardingCodec.REQUEST_PATH -> {
+        Input request = ForwardingCodec.decodeRequest(body);
         inputs.handle(new Input.PeerRequest(openExchanges.openForwarded(exchange), request));
       }
       default -> reject(exchange, NOT_FOUND, "no such path");
--- a/src/main/java/eiderfork/net/ResponseSender.java
+++ b/src/main/java/eiderfork/net/ResponseSender.java
@@ -2,7 +2,8 @@
 
 import eiderfork.controller.message.Effect;
 import eiderfork.controller.message.UserResponse;
-import eiderfork.wire.PeerCodec;
+import eiderfork.wire.ForwardingCodec;
+import eiderfork.wire.PeerStatusCodec;
 import eiderfork.wire.UserCodec;
 import eiderfork.wire.WorkerCodec;
 
@@ -35,9 +36,9 @@
     } else if (effect instanceof Effect.RedirectWorker response) {
       respond(response, MISDIRECTED_REQUEST, WorkerCodec.encodeRedirect(response.leader()));
     } else if (effect instanceof Effect.RespondToPing response) {
-      respondToPeer(response, PeerCodec.encodeStatus(response.status()));
+      respondToPeer(response, PeerStatusCodec.encodeStatus(response.status()));
     } else if (effect instanceof Effect.RespondToQueries response) {
-      respondToPeer(response, PeerCodec.encodeAnswers(response.responses()));
+      respondToPeer(response, ForwardingCodec.encodeAnswers(response.responses()));
     } else if (effect instanceof Effect.AcknowledgeHints response) {
       respondToPeer(response, EMPTY_BODY);
     } else {
@@ -49,7 +50,7 @@
     UserResponse response = effect.response();
     HttpServer.Exchange forwarded = openExchanges.takeForwarded(effect.ticket());
     if (forwarded != null) {
-      respondToPeer(forwarded, PeerCodec.encodeAnswer(response));
+      respondToPeer(forwarded, ForwardingCodec.encodeAnswer(response));
       return;
     }
     openExchanges
--- a/src/main/java/eiderfork/wire/AvroAllocationCodec.java
+++ b/src/main/java/eiderfork/wire/AvroAllocationCodec.java
@@ -73,6 +73,6 @@
     } catch (IllegalArgumentException e) {
       throw new MalformedMessageException("field " + jsonField + " is not Base64");
     }
-    return toAllocation(AvroCodec.decode(schema, schema, bytes));
+    return toAllocation(AvroCodec.decode(schema, bytes));
   }
 }
--- a/src/main/java/eiderfork/wire/AvroCodec.java
+++ b/src/main/java/eiderfork/wire/AvroCodec.java
@@ -1,9 +1,11 @@
 package eiderfork.wire;
 
+import com.google.common.collect.ImmutableList;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.UncheckedIOException;
+import java.util.List;
 import org.apache.avro.Schema;
 import org.apache.avro.generic.GenericDatumReader;
 import org.apache.avro.generic.GenericDatumWriter;
@@ -36,7 +38,12 @@
     }
   }
 
-  /** Reads what was written with one schema as a record of another, usually the same. */
+  /** Reads a record. */
+  static GenericRecord decode(Schema schema, byte[] bytes) throws MalformedMessageException {
+    return decode(schema, schema, bytes);
+  }
+
+  /** Reads what was written with one schema as a record of another. */
   static GenericRecord decode(Schema writer, Schema schema, byte[] bytes)
       throws MalformedMessageException {
     try {
@@ -47,4 +54,9 @@
       throw new MalformedMessageException("not an Avro record of the form " + schema.getName());
     }
   }
+
+  /** The strings of a list field. */
+  static ImmutableList<String> toStrings(List<?> list) {
+    return list.stream().map(Object::toString).collect(ImmutableList.toImmutableList());
+  }
 }
--- a/src/test/java/eiderfork/controller/EffectDigest.java
+++ b/src/test/java/eiderfork/controller/EffectDigest.java
@@ -4,7 +4,9 @@
 import com.google.common.hash.Hashing;
 import eiderfork.controller.message.Effect;
 import eiderfork.wire.CloudCodec;
-import eiderfork.wire.PeerCodec;
+import eiderfork.wire.ForwardingCodec;
+import eiderfork.wire.MachineHintCodec;
+import eiderfork.wire.PeerStatusCodec;
 import eiderfork.wire.StoreCodec;
 import eiderfork.wire.UserCodec;
 import eiderfork.wire.WorkerCodec;
@@ -85,13 +87,13 @@
 
   private void addPeerCall(Effect.Call call) {
     if (call instanceof Effect.PingPeer it) {
-      message("peer ping", it.node(), PeerCodec.encodeStatus(it.status()));
+      message("peer ping", it.node(), PeerStatusCodec.encodeStatus(it.status()));
     } else if (call instanceof Effect.ForwardRequest it) {
-      message("peer request", it.node(), PeerCodec.encodeRequest(it.request()));
+      message("peer request", it.node(), ForwardingCodec.encodeRequest(it.request()));
     } else if (call instanceof Effect.ForwardQueries it) {
-      message("peer queries", it.node(), PeerCodec.encodeQueries(it.uids()));
+      message("peer queries", it.node(), ForwardingCodec.encodeQueries(it.uids()));
     } else if (call instanceof Effect.SendHints it) {
-      message("peer hints", it.node(), PeerCodec.encodeHints(it.hints()));
+      message("peer hints", it.node(), MachineHintCodec.encodeHints(it.hints()));
     } else {
       throw unknown(call);
     }
@@ -120,10 +122,10 @@
   private void addPeerAnswer(Effect.Response answer) {
     if (answer instanceof Effect.RespondToPing it) {
       text("answer ping");
-      bytes(PeerCodec.encodeStatus(it.status()));
+      bytes(PeerStatusCodec.encodeStatus(it.status()));
     } else if (answer instanceof Effect.RespondToQueries it) {
       text("answer queries");
-      bytes(PeerCodec.encodeAnswers(it.responses()));
+      bytes(ForwardingCodec.encodeAnswers(it.responses()));
     } else if (answer instanceof Effect.AcknowledgeHints) {
       text("answer hints");
     } else {
--- a/src/test/java/eiderfork/wire/ProductionCompatibilityTest.java
+++ b/src/test/java/eiderfork/wire/ProductionCompatibilityTest.java
@@ -99,35 +99,40 @@
     // A view without a version is the first version's, and says of cancellations what it says.
     assertEquals(
         new PeerStatus("roost-1", 4, true, 12, 56, 1, NEWS),
-        PeerCodec.decodeStatus(message("view")));
-    Input.Submit submit = (Input.Submit) PeerCodec.decodeRequest(message("submit"));
+        PeerStatusCodec.decodeStatus(message("view")));
+    Input.Submit submit = (Input.Submit) ForwardingCodec.decodeRequest(message("submit"));
     assertEquals("run-000412", submit.job().uid());
-    assertEquals(new Input.Query(0, "run-000412"), PeerCodec.decodeRequest(message("query")));
-    assertEquals(new Input.Abort(0, "run-000412"), PeerCodec.decodeRequest(message("abort")));
+    assertEquals(new Input.Query(0, "run-000412"), ForwardingCodec.decodeRequest(message("query")));
+    assertEquals(new Input.Abort(0, "run-000412"), ForwardingCodec.decodeRequest(message("abort")));
     UserResponse ok =
         new UserResponse(200, new JobStatus("run-000412", JobStatus.Phase.RUNNING, 4, 3), 0, null);
     UserResponse later = new UserResponse(503, null, 2, "the machine types are not known yet");
-    assertEquals(new Reply.ForwardedResponse(ok), PeerCodec.decodeAnswer(message("answer")));
-    assertEquals(List.of("run-000412", "run-000413"), PeerCodec.decodeQueries(message("queries")));
+    assertEquals(new Reply.ForwardedResponse(ok), ForwardingCodec.decodeAnswer(message("answer")));
+    assertEquals(
+        List.of("run-000412", "run-000413"), ForwardingCodec.decodeQueries(message("queries")));
     assertEquals(
         new Reply.ForwardedResponses(ImmutableList.of(ok, later)),
-        PeerCodec.decodeAnswers(message("answers")));
+        ForwardingCodec.decodeAnswers(message("answers")));
   }
 
   @Test
   void requestsAndAnswersAreSentByteForByteAsProductionDoes() throws Exception {
-    Input.Submit submit = (Input.Submit) PeerCodec.decodeRequest(message("submit"));
-    assertEquals(hex(message("submit")), hex(PeerCodec.encodeRequest(submit)));
+    Input.Submit submit = (Input.Submit) ForwardingCodec.decodeRequest(message("submit"));
+    assertEquals(hex(message("submit")), hex(ForwardingCodec.encodeRequest(submit)));
     assertEquals(
-        hex(message("query")), hex(PeerCodec.encodeRequest(new Input.Query(0, "run-000412"))));
+        hex(message("query")),
+        hex(ForwardingCodec.encodeRequest(new Input.Query(0, "run-000412"))));
     assertEquals(
-        hex(message("abort")), hex(PeerCodec.encodeRequest(new Input.Abort(0, "run-000412"))));
+        hex(message("abort")),
+        hex(ForwardingCodec.encodeRequest(new Input.Abort(0, "run-000412"))));
     Reply.ForwardedResponses answers =
-        (Reply.ForwardedResponses) PeerCodec.decodeAnswers(message("answers"));
-    assertEquals(hex(message("answers")), hex(PeerCodec.encodeAnswers(answers.responses())));
-    assertEquals(hex(message("answer")), hex(PeerCodec.encodeAnswer(answers.responses().get(0))));
+        (Reply.ForwardedResponses) ForwardingCodec.decodeAnswers(message("answers"));
+    assertEquals(hex(message("answers")), hex(ForwardingCodec.encodeAnswers(answers.responses())));
+    assertEquals(
+        hex(message("answer")), hex(ForwardingCodec.encodeAnswer(answers.responses().get(0))));
     assertEquals(
-        hex(message("queries")), hex(PeerCodec.encodeQueries(List.of("run-000412", "run-000413"))));
+        hex(message("queries")),
+        hex(ForwardingCodec.encodeQueries(List.of("run-000412", "run-000413"))));
   }
 
   private static String hex(byte[] bytes) {
@@ -138,7 +143,7 @@
   @Test
   void productionReadsThisVersionsViewWithAllThatItKnows() throws Exception {
     Schema productions = new Schema.Parser().parse(resource("peer.avpr.json")).getTypes().get(0);
-    byte[] sent = PeerCodec.encodeStatus(new PeerStatus("roost-1", 4, true, 12, 56, 2, NEWS));
+    byte[] sent = PeerStatusCodec.encodeStatus(new PeerStatus("roost-1", 4, true, 12, 56, 2, NEWS));
     var decoder = DecoderFactory.get().binaryDecoder(sent, null);
     GenericRecord read =
         new GenericDatumReader<GenericRecord>(productions, productions).read(null, decoder);
@@ -160,7 +165,7 @@
    */
   @Test
   void thePackedFormHasNoFieldThatProductionReads() throws Exception {
-    Job job = ((Input.Submit) PeerCodec.decodeRequest(message("submit"))).job();
+    Job job = ((Input.Submit) ForwardingCodec.decodeRequest(message("submit"))).job();
     StoredRecord.Allocation allocation =
         new StoredRecord.Allocation(
             1,
--- a/src/test/java/eiderfork/wire/ProtocolCodecTest.java
+++ b/src/test/java/eiderfork/wire/ProtocolCodecTest.java
@@ -247,9 +247,10 @@
   void aPeerOfTheFirstVersionSaysNothingOfCancellations() throws MalformedMessageException {
     PeerStatus status = new PeerStatus("roost-1", 4, true, 12, 56, 1, CancellationGossip.NONE);
     byte[] first = {14, 'r', 'o', 'o', 's', 't', '-', '1', 8, 1, 24, 112};
-    assertEquals(status, PeerCodec.decodeStatus(first));
+    assertEquals(status, PeerStatusCodec.decodeStatus(first));
     assertThrows(
-        MalformedMessageException.class, () -> PeerCodec.decodeStatus(Arrays.copyOf(first, 11)));
+        MalformedMessageException.class,
+        () -> PeerStatusCodec.decodeStatus(Arrays.copyOf(first, 11)));
   }
 
   @Test
@@ -257,28 +258,28 @@
     CancellationGossip gossip =
         new CancellationGossip(77, 9000, 3, ImmutableList.of("run-1", "run-2"), true, 78, 12);
     PeerStatus status = new PeerStatus("roost-1", 4, true, 12, 56, 2, gossip);
-    assertEquals(status, PeerCodec.decodeStatus(PeerCodec.encodeStatus(status)));
+    assertEquals(status, PeerStatusCodec.decodeStatus(PeerStatusCodec.encodeStatus(status)));
     Input.Submit submit =
         (Input.Submit)
-            PeerCodec.decodeRequest(
-                PeerCodec.encodeRequest(
+            ForwardingCodec.decodeRequest(
+                ForwardingCodec.encodeRequest(
                     new Input.Submit(9, UserCodec.decodeJob(bytes(JOB)), bytes(JOB))));
     assertEquals(UserCodec.decodeJob(bytes(JOB)), submit.job());
     JobStatus job = new JobStatus("run-1", JobStatus.Phase.DONE, 4, 0);
     UserResponse response = new UserResponse(200, job, 0, null);
     assertEquals(
         new Reply.ForwardedResponse(response),
-        PeerCodec.decodeAnswer(PeerCodec.encodeAnswer(response)));
+        ForwardingCodec.decodeAnswer(ForwardingCodec.encodeAnswer(response)));
     assertEquals(
         new Reply.ForwardedResponses(ImmutableList.of(response, response)),
-        PeerCodec.decodeAnswers(PeerCodec.encodeAnswers(List.of(response, response))));
+        ForwardingCodec.decodeAnswers(ForwardingCodec.encodeAnswers(List.of(response, response))));
     assertEquals(
         List.of("run-1", "run-2"),
-        PeerCodec.decodeQueries(PeerCodec.encodeQueries(List.of("run-1", "run-2"))));
+        ForwardingCodec.decodeQueries(ForwardingCodec.encodeQueries(List.of("run-1", "run-2"))));
     assertThrows(
-        MalformedMessageException.class, () -> PeerCodec.decodeQueries(new byte[] {9, 2, 3}));
+        MalformedMessageException.class, () -> ForwardingCodec.decodeQueries(new byte[] {9, 2, 3}));
     assertThrows(
-        MalformedMessageException.class, () -> PeerCodec.decodeRequest(new byte[] {1, 2, 3}));
+        MalformedMessageException.class, () -> ForwardingCodec.decodeRequest(new byte[] {1, 2, 3}));
   }
 
   @Test
@@ -291,8 +292,9 @@
                 new MachineHint(
                     "n-1", ImmutableList.of(new MachineHint.ImageHint("img", 72.5, 900))),
                 new MachineHint("n-2", ImmutableList.of())));
-    assertEquals(batch, PeerCodec.decodeHints(PeerCodec.encodeHints(batch)));
+    assertEquals(batch, MachineHintCodec.decodeHints(MachineHintCodec.encodeHints(batch)));
     assertThrows(
-        MalformedMessageException.class, () -> PeerCodec.decodeHints(new byte[] {1, 2, 3, 4, 5}));
+        MalformedMessageException.class,
+        () -> MachineHintCodec.decodeHints(new byte[] {1, 2, 3, 4, 5}));
   }
 }
