--- a/src/main/java/eiderfork/loadtest/EmulatedWorker.java
+++ b/src/main/java/eiderfork/loadtest/EmulatedWorker.java
@@ -158,14 +158,14 @@
           TimeUnit.MILLISECONDS);
       return;
     }
-    byte[] body = WorkerClientCodec.encodeReport(heartbeat());
+    byte[] body = WorkerClientCodec.encodeHeartbeat(heartbeat());
     cell.counters.reports++;
     cell.counters.reportedTasks += tasks.size();
     long ofSession = incarnation;
     client.send(
         cell.controllers().get(controllerNumber).publicAddress(),
         "POST",
-        WorkerCodec.REPORT_PATH,
+        WorkerCodec.HEARTBEAT_PATH,
         body,
         RESPONSE_TIMEOUT_MS,
         (status, responseBody) ->
@@ -239,7 +239,7 @@
       return;
     }
     if (exchange.path().equals(WorkerCodec.INSPECT_PATH)) {
-      exchange.respond(200, WorkerClientCodec.encodeReport(heartbeat()), 0);
+      exchange.respond(200, WorkerClientCodec.encodeHeartbeat(heartbeat()), 0);
       return;
     }
     try {
@@ -251,7 +251,7 @@
         observeFencingToken(commands.fencingToken());
         commands.commands().forEach(this::execute);
       }
-      exchange.respond(valid ? 200 : 409, WorkerClientCodec.encodeReport(heartbeat()), 0);
+      exchange.respond(valid ? 200 : 409, WorkerClientCodec.encodeHeartbeat(heartbeat()), 0);
       if (changed) {
         changed();
       }
--- a/src/main/java/eiderfork/net/CallSender.java
+++ b/src/main/java/eiderfork/net/CallSender.java
@@ -103,7 +103,7 @@
     if (status != OK && status != CONFLICT) {
       return new Reply.Refused(status);
     }
-    return new Reply.WorkerReply(status == OK, WorkerCodec.decodeReport(body));
+    return new Reply.WorkerReply(status == OK, WorkerCodec.decodeHeartbeat(body));
   }
 
   private void callPeer(Effect.Call effect) {
--- a/src/main/java/eiderfork/net/RequestRouter.java
+++ b/src/main/java/eiderfork/net/RequestRouter.java
@@ -45,7 +45,7 @@
 
   private void routePublicRequest(HttpServer.Exchange exchange, String path)
       throws MalformedMessageException {
-    if (path.equals(WorkerCodec.REPORT_PATH)) {
+    if (path.equals(WorkerCodec.HEARTBEAT_PATH)) {
       onHeartbeat(exchange);
     } else if (path.equals(UserCodec.HEALTH_PATH)) {
       onHealthCheck(exchange);
@@ -60,7 +60,7 @@
 
   private void onHeartbeat(HttpServer.Exchange exchange) throws MalformedMessageException {
     if (hasMethod(exchange, "POST")) {
-      Heartbeat heartbeat = WorkerCodec.decodeReport(exchange.body());
+      Heartbeat heartbeat = WorkerCodec.decodeHeartbeat(exchange.body());
       inputs.handle(new Input.WorkerReport(openExchanges.open(exchange), heartbeat));
     }
   }
--- a/src/main/java/eiderfork/net/ResponseSender.java
+++ b/src/main/java/eiderfork/net/ResponseSender.java
@@ -31,7 +31,8 @@
       byte[] body = UserCodec.encodeHealth(response.healthy(), response.reason());
       respond(response, response.healthy() ? OK : SERVICE_UNAVAILABLE, body);
     } else if (effect instanceof Effect.RespondToWorker response) {
-      byte[] body = WorkerCodec.encodeReportResponse(response.fencingToken(), response.commands());
+      byte[] body =
+          WorkerCodec.encodeHeartbeatResponse(response.fencingToken(), response.commands());
       respond(response, OK, body);
     } else if (effect instanceof Effect.RedirectWorker response) {
       respond(response, MISDIRECTED_REQUEST, WorkerCodec.encodeRedirect(response.leader()));
--- a/src/main/java/eiderfork/wire/CloudCodec.java
+++ b/src/main/java/eiderfork/wire/CloudCodec.java
@@ -12,9 +12,9 @@
 import eiderfork.model.StoredRecord;
 import java.util.List;
 
-/** What the cloud is asked and says. */
+/** The requests to the cloud and its responses. */
 public final class CloudCodec {
-  /** Where the cloud tells its machine types. */
+  /** Where the cloud lists its machine types. */
   public static final String TYPES_PATH = "/flavors";
 
   /** Where machines are rented and listed. */
@@ -36,24 +36,24 @@
   /** The body of a request to rent machines. */
   public static byte[] encodeRent(StoredRecord.ScaleOutIntent rent) {
     ObjectNode node = JsonReader.newObject();
-    node.put("Charter", rent.requestName());
-    node.put("Breed", rent.type());
-    node.put("Shore", rent.zone());
-    node.put("Driftwood", rent.spot());
-    node.put("Count", rent.count());
+    node.put(ProtocolFields.REQUEST_NAME, rent.requestName());
+    node.put(ProtocolFields.MACHINE_TYPE, rent.type());
+    node.put(ProtocolFields.ZONE, rent.zone());
+    node.put(ProtocolFields.SPOT, rent.spot());
+    node.put(ProtocolFields.COUNT, rent.count());
     return JsonReader.toBytes(node);
   }
 
   /** The body of a request to return machines. */
   public static byte[] encodeReturn(List<String> machines) {
     ObjectNode node = JsonReader.newObject();
-    ArrayNode names = node.putArray("Roosts");
+    ArrayNode names = node.putArray(ProtocolFields.MACHINES);
     machines.forEach(names::add);
     return JsonReader.toBytes(node);
   }
 
   /**
-   * Reads the answer to a question for the machine types.
+   * Reads the list of machine types.
    *
    * @throws MalformedMessageException where it does not follow the protocol
    */
@@ -61,7 +61,8 @@
     if (status != 200) {
       return new Reply.Refused(status);
     }
-    return new Reply.Types(decodeTypes(JsonReader.array(JsonReader.parse(body), "Breeds")));
+    return new Reply.Types(
+        decodeTypes(JsonReader.array(JsonReader.parse(body), ProtocolFields.MACHINE_TYPES)));
   }
 
   static ImmutableList<MachineType> decodeTypes(ArrayNode array) throws MalformedMessageException {
@@ -69,17 +70,17 @@
     for (JsonNode node : array) {
       types.add(
           new MachineType(
-              JsonReader.text(node, "Label"),
+              JsonReader.text(node, ProtocolFields.TYPE_NAME),
               new Resources(
-                  JsonReader.amount(node, "Cpus"),
-                  amountOrZero(node, "Gpus"),
-                  JsonReader.amount(node, "RamGb")),
-              JsonReader.amount(node, "LocalGb"),
-              JsonReader.amount(node, "PullGbPerS"),
-              JsonReader.amount(node, "Rate"),
-              JsonReader.amount(node, "MarketPrice"),
-              JsonReader.amount(node, "ReadyS"),
-              decodeTexts(JsonReader.array(node, "Shores"))));
+                  JsonReader.amount(node, ProtocolFields.CPUS),
+                  amountOrZero(node, ProtocolFields.GPUS),
+                  JsonReader.amount(node, ProtocolFields.RAM_GB)),
+              JsonReader.amount(node, ProtocolFields.IMAGE_CACHE_GB),
+              JsonReader.amount(node, ProtocolFields.IMAGE_FETCH_GB_PER_S),
+              JsonReader.amount(node, ProtocolFields.HOURLY_PRICE),
+              JsonReader.amount(node, ProtocolFields.SPOT_HOURLY_PRICE),
+              JsonReader.amount(node, ProtocolFields.BOOT_S),
+              decodeTexts(JsonReader.array(node, ProtocolFields.ZONES))));
     }
     return types.build();
   }
@@ -90,19 +91,19 @@
   }
 
   static ArrayNode typesToJson(List<MachineType> types) {
-    ArrayNode array = JsonReader.newObject().putArray("Breeds");
+    ArrayNode array = JsonReader.newObject().putArray(ProtocolFields.MACHINE_TYPES);
     for (MachineType type : types) {
       ObjectNode node = array.addObject();
-      node.put("Label", type.name());
-      node.put("Cpus", type.capacity().cpus());
-      node.put("Gpus", type.capacity().gpus());
-      node.put("RamGb", type.capacity().ramGb());
-      node.put("LocalGb", type.imageCacheGb());
-      node.put("PullGbPerS", type.imageFetchGbPerS());
-      node.put("Rate", type.hourlyPrice());
-      node.put("MarketPrice", type.spotHourlyPrice());
-      node.put("ReadyS", type.bootS());
-      type.zones().forEach(node.putArray("Shores")::add);
+      node.put(ProtocolFields.TYPE_NAME, type.name());
+      node.put(ProtocolFields.CPUS, type.capacity().cpus());
+      node.put(ProtocolFields.GPUS, type.capacity().gpus());
+      node.put(ProtocolFields.RAM_GB, type.capacity().ramGb());
+      node.put(ProtocolFields.IMAGE_CACHE_GB, type.imageCacheGb());
+      node.put(ProtocolFields.IMAGE_FETCH_GB_PER_S, type.imageFetchGbPerS());
+      node.put(ProtocolFields.HOURLY_PRICE, type.hourlyPrice());
+      node.put(ProtocolFields.SPOT_HOURLY_PRICE, type.spotHourlyPrice());
+      node.put(ProtocolFields.BOOT_S, type.bootS());
+      type.zones().forEach(node.putArray(ProtocolFields.ZONES)::add);
     }
     return array;
   }
@@ -119,13 +120,14 @@
   }
 
   /**
-   * Reads the answer to a rent.
+   * Reads the response to a rent.
    *
    * @throws MalformedMessageException where it does not follow the protocol
    */
   public static Reply decodeRentReply(int status, byte[] body) throws MalformedMessageException {
     if (status == 200) {
-      return new Reply.Rented(decodeTexts(JsonReader.array(JsonReader.parse(body), "Roosts")));
+      return new Reply.Rented(
+          decodeTexts(JsonReader.array(JsonReader.parse(body), ProtocolFields.MACHINES)));
     }
     if (status == 503 && "no capacity".equals(JsonReader.parse(body).path("error").asText())) {
       return new Reply.NoCapacity();
@@ -133,7 +135,7 @@
     return new Reply.Refused(status);
   }
 
-  /** What the answer to a return says. */
+  /** Reads the response to a return. */
   public static Reply decodeReturnReply(int status) {
     return status == 200 ? new Reply.Returned() : new Reply.Refused(status);
   }
@@ -149,18 +151,18 @@
     }
     JsonNode node = JsonReader.parse(body);
     ImmutableList.Builder<ListedMachine> entries = ImmutableList.builder();
-    for (JsonNode host : JsonReader.array(node, "Roosts")) {
+    for (JsonNode host : JsonReader.array(node, ProtocolFields.MACHINES)) {
       entries.add(
           new ListedMachine(
               new Machine(
-                  JsonReader.text(host, "Uid"),
-                  JsonReader.textOrNull(host, "Addr"),
-                  JsonReader.text(host, "Breed"),
-                  JsonReader.text(host, "Shore"),
-                  JsonReader.flag(host, "Driftwood")),
-              JsonReader.oneOf(host, "Stance", ProtocolNames.HOST_STATES::get),
-              JsonReader.amount(host, "AgeS")));
+                  JsonReader.text(host, ProtocolFields.UID),
+                  JsonReader.textOrNull(host, ProtocolFields.ADDRESS),
+                  JsonReader.text(host, ProtocolFields.MACHINE_TYPE),
+                  JsonReader.text(host, ProtocolFields.ZONE),
+                  JsonReader.flag(host, ProtocolFields.SPOT)),
+              JsonReader.oneOf(host, ProtocolFields.STATE, ProtocolNames.HOST_STATES::get),
+              JsonReader.amount(host, ProtocolFields.AGE_S)));
     }
-    return new Reply.Hosts(entries.build(), JsonReader.flag(node, "HasNext"));
+    return new Reply.Hosts(entries.build(), JsonReader.flag(node, ProtocolFields.HAS_MORE));
   }
 }
--- a/src/main/java/eiderfork/wire/CloudServerCodec.java
+++ b/src/main/java/eiderfork/wire/CloudServerCodec.java
@@ -9,14 +9,14 @@
 import eiderfork.model.StoredRecord;
 import java.util.List;
 
-/** The cloud's side of its protocol, for stand-ins. */
+/** The cloud's side of its protocol, for emulations. */
 public final class CloudServerCodec {
   private CloudServerCodec() {}
 
   /** The machine types. */
   public static byte[] encodeTypes(List<MachineType> types) {
     ObjectNode node = JsonReader.newObject();
-    node.set("Breeds", CloudCodec.typesToJson(types));
+    node.set(ProtocolFields.MACHINE_TYPES, CloudCodec.typesToJson(types));
     return JsonReader.toBytes(node);
   }
 
@@ -29,11 +29,11 @@
       throws MalformedMessageException {
     JsonNode node = JsonReader.parse(body);
     return new StoredRecord.ScaleOutIntent(
-        JsonReader.text(node, "Charter"),
-        JsonReader.text(node, "Breed"),
-        JsonReader.text(node, "Shore"),
-        JsonReader.flag(node, "Driftwood"),
-        (int) JsonReader.integer(node, "Count"));
+        JsonReader.text(node, ProtocolFields.REQUEST_NAME),
+        JsonReader.text(node, ProtocolFields.MACHINE_TYPE),
+        JsonReader.text(node, ProtocolFields.ZONE),
+        JsonReader.flag(node, ProtocolFields.SPOT),
+        (int) JsonReader.integer(node, ProtocolFields.COUNT));
   }
 
   /**
@@ -42,31 +42,32 @@
    * @throws MalformedMessageException where it does not follow the protocol
    */
   public static ImmutableList<String> decodeReturn(byte[] body) throws MalformedMessageException {
-    return CloudCodec.decodeTexts(JsonReader.array(JsonReader.parse(body), "Roosts"));
+    return CloudCodec.decodeTexts(
+        JsonReader.array(JsonReader.parse(body), ProtocolFields.MACHINES));
   }
 
-  /** The answer to a rent or a return: the machines that it is about. */
+  /** The response to a rent or a return: the machines that it names. */
   public static byte[] encodeMachines(List<String> names) {
     ObjectNode node = JsonReader.newObject();
-    names.forEach(node.putArray("Roosts")::add);
+    names.forEach(node.putArray(ProtocolFields.MACHINES)::add);
     return JsonReader.toBytes(node);
   }
 
   /** A page of the machine list. */
   public static byte[] encodeHosts(List<ListedMachine> entries, boolean more) {
     ObjectNode node = JsonReader.newObject();
-    ArrayNode list = node.putArray("Roosts");
+    ArrayNode list = node.putArray(ProtocolFields.MACHINES);
     for (ListedMachine entry : entries) {
       ObjectNode host = list.addObject();
-      host.put("Uid", entry.machine().name());
-      host.put("Addr", entry.machine().address());
-      host.put("Breed", entry.machine().type());
-      host.put("Shore", entry.machine().zone());
-      host.put("Driftwood", entry.machine().spot());
-      host.put("Stance", ProtocolNames.HOST_STATES.inverse().get(entry.state()));
-      host.put("AgeS", entry.ageS());
+      host.put(ProtocolFields.UID, entry.machine().name());
+      host.put(ProtocolFields.ADDRESS, entry.machine().address());
+      host.put(ProtocolFields.MACHINE_TYPE, entry.machine().type());
+      host.put(ProtocolFields.ZONE, entry.machine().zone());
+      host.put(ProtocolFields.SPOT, entry.machine().spot());
+      host.put(ProtocolFields.STATE, ProtocolNames.HOST_STATES.inverse().get(entry.state()));
+      host.put(ProtocolFields.AGE_S, entry.ageS());
     }
-    node.put("HasNext", more);
+    node.put(ProtocolFields.HAS_MORE, more);
     return JsonReader.toBytes(node);
   }
 }
--- a/src/main/java/eiderfork/wire/ProtocolNames.java
+++ b/src/main/java/eiderfork/wire/ProtocolNames.java
@@ -8,7 +8,7 @@
 import eiderfork.model.TaskStatus.Cause;
 import eiderfork.model.TaskStatus.State;
 
-/** The protocol's words for what the model has its own names for. */
+/** The values of fields in the protocol, and the constants of the model that they stand for. */
 final class ProtocolNames {
   static final ImmutableBiMap<String, JobKind> JOB_KINDS =
       ImmutableBiMap.of("array", JobKind.ARRAY, "group", JobKind.GANG, "standing", JobKind.SERVICE);
--- a/src/main/java/eiderfork/wire/StoreCodec.java
+++ b/src/main/java/eiderfork/wire/StoreCodec.java
@@ -19,14 +19,6 @@
 
   private static final String LEASES_PATH = "/leases";
 
-  private static final String KEY = "Path";
-  private static final String VALUE = "V";
-  private static final String VERSION = "Stamp";
-  private static final String REVISION = "Ledger";
-  private static final String LEASE = "Tether";
-  private static final String WRITTEN_KEY = "Write";
-  private static final String REMOVED_KEY = "Drop";
-
   private StoreCodec() {}
 
   /** A request line and body; the body is null for none. */
@@ -43,7 +35,9 @@
     } else if (request instanceof StoreRequest.Watch watch) {
       return new Request("GET", path(watch), null);
     } else if (request instanceof StoreRequest.Grant grant) {
-      byte[] body = JsonReader.toBytes(JsonReader.newObject().put("LifeMs", grant.ttlMs()));
+      byte[] body =
+          JsonReader.toBytes(
+              JsonReader.newObject().put(ProtocolFields.LEASE_TTL_MS, grant.ttlMs()));
       return new Request("POST", LEASES_PATH, body);
     } else if (request instanceof StoreRequest.Renew renew) {
       byte[] body = JsonReader.toBytes(JsonReader.newObject());
@@ -66,24 +60,27 @@
 
   private static byte[] encodeTransaction(StoreRequest.Transaction transaction) {
     ObjectNode node = JsonReader.newObject();
-    ArrayNode conditions = node.putArray("If");
+    ArrayNode conditions = node.putArray(ProtocolFields.CONDITIONS);
     for (StoreRequest.Condition condition : transaction.conditions()) {
-      conditions.addObject().put(KEY, condition.key()).put(VERSION, condition.version());
+      conditions
+          .addObject()
+          .put(ProtocolFields.KEY, condition.key())
+          .put(ProtocolFields.VERSION, condition.version());
     }
-    ArrayNode changes = node.putArray("Then");
+    ArrayNode changes = node.putArray(ProtocolFields.CHANGES);
     transaction.changes().forEach(change -> putChange(changes.addObject(), change));
     return JsonReader.toBytes(node);
   }
 
   private static void putChange(ObjectNode node, StoreRequest.Change change) {
     if (change.record() == null) {
-      node.put(REMOVED_KEY, change.key());
+      node.put(ProtocolFields.REMOVED_KEY, change.key());
       return;
     }
-    node.put(WRITTEN_KEY, change.key());
-    node.set(VALUE, StoredRecordCodec.toJson(change.record()));
+    node.put(ProtocolFields.WRITTEN_KEY, change.key());
+    node.set(ProtocolFields.VALUE, StoredRecordCodec.toJson(change.record()));
     if (change.leaseId() != 0) {
-      node.put(LEASE, change.leaseId());
+      node.put(ProtocolFields.LEASE, change.leaseId());
     }
   }
 
@@ -115,51 +112,53 @@
 
   /** A 404 that is not the store's own is no information about the key. */
   private static Reply decodeMissingKey(byte[] body) throws MalformedMessageException {
-    JsonReader.integer(JsonReader.parse(body), REVISION);
+    JsonReader.integer(JsonReader.parse(body), ProtocolFields.REVISION);
     return new Reply.Value(null, 0);
   }
 
   private static Reply decodeOk(StoreRequest request, JsonNode node)
       throws MalformedMessageException {
     if (request instanceof StoreRequest.Transaction) {
-      return new Reply.Committed(JsonReader.integer(node, REVISION));
+      return new Reply.Committed(JsonReader.integer(node, ProtocolFields.REVISION));
     } else if (request instanceof StoreRequest.Get get) {
-      StoredRecord record = StoredRecordCodec.fromJson(get.key(), node.path(VALUE));
-      return new Reply.Value(record, JsonReader.integer(node, VERSION));
+      StoredRecord record = StoredRecordCodec.fromJson(get.key(), node.path(ProtocolFields.VALUE));
+      return new Reply.Value(record, JsonReader.integer(node, ProtocolFields.VERSION));
     } else if (request instanceof StoreRequest.Scan) {
       return decodePage(node);
     } else if (request instanceof StoreRequest.Watch) {
       return decodeChanges(node);
     } else if (request instanceof StoreRequest.Grant) {
-      return new Reply.Leased(JsonReader.integer(node, LEASE));
+      return new Reply.Leased(JsonReader.integer(node, ProtocolFields.LEASE));
     }
     throw new IllegalArgumentException("unknown request " + request);
   }
 
   private static Reply.Page decodePage(JsonNode node) throws MalformedMessageException {
     ImmutableList.Builder<Reply.Item> items = ImmutableList.builder();
-    for (JsonNode item : JsonReader.array(node, "Items")) {
-      items.add(decodeItem(item, JsonReader.text(item, KEY)));
+    for (JsonNode item : JsonReader.array(node, ProtocolFields.ITEMS)) {
+      items.add(decodeItem(item, JsonReader.text(item, ProtocolFields.KEY)));
     }
     return new Reply.Page(
-        items.build(), JsonReader.flag(node, "HasNext"), JsonReader.integer(node, REVISION));
+        items.build(),
+        JsonReader.flag(node, ProtocolFields.HAS_MORE),
+        JsonReader.integer(node, ProtocolFields.REVISION));
   }
 
   private static Reply.Changes decodeChanges(JsonNode node) throws MalformedMessageException {
     ImmutableList.Builder<Reply.Item> items = ImmutableList.builder();
-    for (JsonNode event : JsonReader.array(node, "Log")) {
-      if (event.hasNonNull(REMOVED_KEY)) {
-        String key = JsonReader.text(event, REMOVED_KEY);
-        items.add(new Reply.Item(key, null, JsonReader.integer(event, VERSION)));
+    for (JsonNode event : JsonReader.array(node, ProtocolFields.WATCHED_CHANGES)) {
+      if (event.hasNonNull(ProtocolFields.REMOVED_KEY)) {
+        String key = JsonReader.text(event, ProtocolFields.REMOVED_KEY);
+        items.add(new Reply.Item(key, null, JsonReader.integer(event, ProtocolFields.VERSION)));
       } else {
-        items.add(decodeItem(event, JsonReader.text(event, WRITTEN_KEY)));
+        items.add(decodeItem(event, JsonReader.text(event, ProtocolFields.WRITTEN_KEY)));
       }
     }
-    return new Reply.Changes(items.build(), JsonReader.integer(node, REVISION));
+    return new Reply.Changes(items.build(), JsonReader.integer(node, ProtocolFields.REVISION));
   }
 
   private static Reply.Item decodeItem(JsonNode node, String key) throws MalformedMessageException {
-    StoredRecord record = StoredRecordCodec.fromJson(key, node.path(VALUE));
-    return new Reply.Item(key, record, JsonReader.integer(node, VERSION));
+    StoredRecord record = StoredRecordCodec.fromJson(key, node.path(ProtocolFields.VALUE));
+    return new Reply.Item(key, record, JsonReader.integer(node, ProtocolFields.VERSION));
   }
 }
--- a/src/main/java/eiderfork/wire/StoreServerCodec.java
+++ b/src/main/java/eiderfork/wire/StoreServerCodec.java
@@ -7,14 +7,14 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** The state service's side of its protocol, for stand-ins. Values are kept as JSON texts. */
+/** The store's side of its protocol, for emulations. Values are kept as JSON texts. */
 public final class StoreServerCodec {
   private StoreServerCodec() {}
 
   /** A change of a key; the value is null where the key is removed, and lease 0 is none. */
   public record RawChange(String key, String value, long lease) {}
 
-  /** A conditional write. */
+  /** A compare-and-swap transaction. */
   public record RawTransaction(
       ImmutableList<StoreRequest.Condition> conditions, ImmutableList<RawChange> changes) {}
 
@@ -29,29 +29,36 @@
   public static RawTransaction decodeTransaction(byte[] body) throws MalformedMessageException {
     JsonNode node = JsonReader.parse(body);
     ImmutableList.Builder<StoreRequest.Condition> conditions = ImmutableList.builder();
-    for (JsonNode it : node.path("If")) {
+    for (JsonNode condition : node.path(ProtocolFields.CONDITIONS)) {
       conditions.add(
-          new StoreRequest.Condition(JsonReader.text(it, "Path"), JsonReader.integer(it, "Stamp")));
+          new StoreRequest.Condition(
+              JsonReader.text(condition, ProtocolFields.KEY),
+              JsonReader.integer(condition, ProtocolFields.VERSION)));
     }
     ImmutableList.Builder<RawChange> changes = ImmutableList.builder();
-    for (JsonNode it : node.path("Then")) {
-      if (it.hasNonNull("Drop")) {
-        changes.add(new RawChange(JsonReader.text(it, "Drop"), null, 0));
-      } else {
-        long lease = it.hasNonNull("Tether") ? JsonReader.integer(it, "Tether") : 0;
-        changes.add(new RawChange(JsonReader.text(it, "Write"), it.path("V").toString(), lease));
-      }
+    for (JsonNode change : node.path(ProtocolFields.CHANGES)) {
+      changes.add(decodeChange(change));
     }
     return new RawTransaction(conditions.build(), changes.build());
   }
 
+  private static RawChange decodeChange(JsonNode node) throws MalformedMessageException {
+    if (node.hasNonNull(ProtocolFields.REMOVED_KEY)) {
+      return new RawChange(JsonReader.text(node, ProtocolFields.REMOVED_KEY), null, 0);
+    }
+    boolean hasLease = node.hasNonNull(ProtocolFields.LEASE);
+    long leaseId = hasLease ? JsonReader.integer(node, ProtocolFields.LEASE) : 0;
+    String key = JsonReader.text(node, ProtocolFields.WRITTEN_KEY);
+    return new RawChange(key, node.path(ProtocolFields.VALUE).toString(), leaseId);
+  }
+
   /**
    * Reads how long a lease is to last.
    *
    * @throws MalformedMessageException where the request does not follow the protocol
    */
   public static long decodeLeaseMs(byte[] body) throws MalformedMessageException {
-    return JsonReader.integer(JsonReader.parse(body), "LifeMs");
+    return JsonReader.integer(JsonReader.parse(body), ProtocolFields.LEASE_TTL_MS);
   }
 
   /** The JSON text of a record, as controllers store it. */
@@ -59,12 +66,12 @@
     return StoredRecordCodec.toJson(record).toString();
   }
 
-  /** The answer to a transaction that was applied, or to a question for a missing key. */
+  /** The response to a transaction that was applied, or to the read of a missing key. */
   public static byte[] encodeRevision(long revision) {
     return utf8Bytes("{\"Ledger\":" + revision + "}");
   }
 
-  /** The answer to a transaction of which these conditions failed. */
+  /** The response to a transaction of which these conditions failed. */
   public static byte[] encodeConflict(List<String> keys, long revision) {
     StringBuilder text = new StringBuilder("{\"failed\":[");
     for (int i = 0; i < keys.size(); i++) {
@@ -73,7 +80,7 @@
     return utf8Bytes(text.append("],\"Ledger\":").append(revision).append('}').toString());
   }
 
-  /** The answer to a question for a key. */
+  /** The response to the read of a key. */
   public static byte[] encodeItem(RawItem item) {
     return utf8Bytes(appendItem(new StringBuilder(), item).toString());
   }
@@ -98,25 +105,25 @@
     return utf8Bytes(text.append('}').toString());
   }
 
-  /** The answer to a watch. */
+  /** The response to a watch. */
   public static byte[] encodeWatchLog(List<RawItem> changes, long revision) {
     StringBuilder text = new StringBuilder("{\"Ledger\":").append(revision).append(",\"Log\":[");
     for (int i = 0; i < changes.size(); i++) {
-      RawItem it = changes.get(i);
+      RawItem item = changes.get(i);
       text.append(i == 0 ? "{\"" : ",{\"")
-          .append(it.value() == null ? "Drop" : "Write")
+          .append(item.value() == null ? "Drop" : "Write")
           .append("\":\"")
-          .append(it.key())
+          .append(item.key())
           .append('"');
-      if (it.value() != null) {
-        text.append(",\"V\":").append(it.value());
+      if (item.value() != null) {
+        text.append(",\"V\":").append(item.value());
       }
-      text.append(",\"Stamp\":").append(it.version()).append('}');
+      text.append(",\"Stamp\":").append(item.version()).append('}');
     }
     return utf8Bytes(text.append("]}").toString());
   }
 
-  /** The answer to a granted or renewed lease. */
+  /** The response to a granted or renewed lease. */
   public static byte[] encodeLease(long lease) {
     return utf8Bytes("{\"Tether\":" + lease + "}");
   }
--- a/src/main/java/eiderfork/wire/UserClientCodec.java
+++ b/src/main/java/eiderfork/wire/UserClientCodec.java
@@ -4,7 +4,7 @@
 import eiderfork.model.Job;
 import eiderfork.model.JobStatus;
 
-/** The users' side of their protocol, for stand-ins. */
+/** The users' side of their protocol, for emulations. */
 public final class UserClientCodec {
   private UserClientCodec() {}
 
@@ -14,15 +14,15 @@
   }
 
   /**
-   * Reads what a user is told of a job; the counts are only those of an answer that has them.
+   * Reads the response to a user; counts that it does not have are 0.
    *
    * @throws MalformedMessageException where it does not follow the protocol
    */
   public static JobStatus decodeStatus(byte[] body) throws MalformedMessageException {
     JsonNode node = JsonReader.parse(body);
     return new JobStatus(
-        JsonReader.text(node, "Uid"),
-        JsonReader.oneOf(node, "Stance", ProtocolNames.JOB_STATES::get),
+        JsonReader.text(node, ProtocolFields.UID),
+        JsonReader.oneOf(node, ProtocolFields.STATE, ProtocolNames.JOB_STATES::get),
         node.path("done").asInt(),
         node.path("running").asInt());
   }
--- a/src/main/java/eiderfork/wire/UserCodec.java
+++ b/src/main/java/eiderfork/wire/UserCodec.java
@@ -10,15 +10,15 @@
 import eiderfork.model.Resources;
 import java.util.regex.Pattern;
 
-/** What users send and are told. */
+/** Users' requests and their responses. */
 public final class UserCodec {
-  /** Where jobs are submitted and asked for. */
+  /** Where jobs are submitted and queried. */
   public static final String JOBS_PATH = "/v2/runs";
 
-  /** What a job's path ends with to cancel it. */
+  /** The end of the path where a job is cancelled. */
   public static final String CANCEL_SUFFIX = "/abort";
 
-  /** Where the load balancer probes. */
+  /** Where the load balancer checks the health. */
   public static final String HEALTH_PATH = "/healthz";
 
   private static final Pattern JOB_ID_PATTERN = Pattern.compile("run-[0-9]{1,18}");
@@ -40,44 +40,44 @@
   }
 
   static Job decodeJob(JsonNode node) throws MalformedMessageException {
-    String uid = JsonReader.text(node, "Uid");
+    String uid = JsonReader.text(node, ProtocolFields.UID);
     if (!isJobId(uid)) {
       throw new MalformedMessageException("field Uid is not a job id");
     }
-    long tasks = JsonReader.integer(node, "Hatchlings");
+    long tasks = JsonReader.integer(node, ProtocolFields.TASKS);
     if (tasks < 1 || tasks > Job.MAX_TASKS) {
       throw new MalformedMessageException("field Hatchlings is not from 1 to " + Job.MAX_TASKS);
     }
     return new Job(
         uid,
-        JsonReader.text(node, "Flock"),
-        JsonReader.text(node, "Crew"),
-        JsonReader.oneOf(node, "Guise", ProtocolNames.JOB_KINDS::get),
-        JsonReader.oneOf(node, "Precedence", ProtocolNames.PRIORITIES::get),
+        JsonReader.text(node, ProtocolFields.JOB_CLASS),
+        JsonReader.text(node, ProtocolFields.TEAM),
+        JsonReader.oneOf(node, ProtocolFields.JOB_KIND, ProtocolNames.JOB_KINDS::get),
+        JsonReader.oneOf(node, ProtocolFields.PRIORITY, ProtocolNames.PRIORITIES::get),
         (int) tasks,
         new Resources(
-            JsonReader.amount(node, "Cpus"),
-            JsonReader.amount(node, "Gpus"),
-            JsonReader.amount(node, "RamGb")),
+            JsonReader.amount(node, ProtocolFields.CPUS),
+            JsonReader.amount(node, ProtocolFields.GPUS),
+            JsonReader.amount(node, ProtocolFields.RAM_GB)),
         decodeTypes(node),
-        JsonReader.textOrNull(node, "Shore"),
-        JsonReader.flag(node, "Together"),
-        JsonReader.flag(node, "Scatter"),
-        JsonReader.flag(node, "Driftwood"),
-        JsonReader.text(node, "Plumage"),
-        JsonReader.amount(node, "ImageGb"),
-        JsonReader.amount(node, "ReckonS"),
-        JsonReader.amount(node, "MoultS"),
-        JsonReader.amount(node, "StowS"),
-        JsonReader.amountOrNull(node, "DueS"));
+        JsonReader.textOrNull(node, ProtocolFields.ZONE),
+        JsonReader.flag(node, ProtocolFields.SINGLE_ZONE),
+        JsonReader.flag(node, ProtocolFields.SPREAD_ZONES),
+        JsonReader.flag(node, ProtocolFields.SPOT),
+        JsonReader.text(node, ProtocolFields.IMAGE),
+        JsonReader.amount(node, ProtocolFields.IMAGE_GB),
+        JsonReader.amount(node, ProtocolFields.ESTIMATED_RUN_S),
+        JsonReader.amount(node, ProtocolFields.CHECKPOINT_INTERVAL_S),
+        JsonReader.amount(node, ProtocolFields.SAVE_DURATION_S),
+        JsonReader.amountOrNull(node, ProtocolFields.DEADLINE_S));
   }
 
   private static ImmutableSet<String> decodeTypes(JsonNode node) throws MalformedMessageException {
-    if (!node.hasNonNull("Breeds")) {
+    if (!node.hasNonNull(ProtocolFields.MACHINE_TYPES)) {
       return null;
     }
     ImmutableSet.Builder<String> types = ImmutableSet.builder();
-    for (JsonNode type : JsonReader.array(node, "Breeds")) {
+    for (JsonNode type : JsonReader.array(node, ProtocolFields.MACHINE_TYPES)) {
       if (!type.isTextual()) {
         throw new MalformedMessageException("field Breeds is not a list of texts");
       }
@@ -88,52 +88,52 @@
 
   static ObjectNode toJson(Job job) {
     ObjectNode node = JsonReader.newObject();
-    node.put("Uid", job.uid());
-    node.put("Flock", job.jobClass());
-    node.put("Crew", job.team());
-    node.put("Guise", ProtocolNames.JOB_KINDS.inverse().get(job.kind()));
-    node.put("Precedence", ProtocolNames.PRIORITIES.inverse().get(job.priority()));
-    node.put("Hatchlings", job.tasks());
-    node.put("Cpus", job.taskResources().cpus());
-    node.put("Gpus", job.taskResources().gpus());
-    node.put("RamGb", job.taskResources().ramGb());
+    node.put(ProtocolFields.UID, job.uid());
+    node.put(ProtocolFields.JOB_CLASS, job.jobClass());
+    node.put(ProtocolFields.TEAM, job.team());
+    node.put(ProtocolFields.JOB_KIND, ProtocolNames.JOB_KINDS.inverse().get(job.kind()));
+    node.put(ProtocolFields.PRIORITY, ProtocolNames.PRIORITIES.inverse().get(job.priority()));
+    node.put(ProtocolFields.TASKS, job.tasks());
+    node.put(ProtocolFields.CPUS, job.taskResources().cpus());
+    node.put(ProtocolFields.GPUS, job.taskResources().gpus());
+    node.put(ProtocolFields.RAM_GB, job.taskResources().ramGb());
     if (job.allowedTypes() != null) {
-      ArrayNode types = node.putArray("Breeds");
+      ArrayNode types = node.putArray(ProtocolFields.MACHINE_TYPES);
       job.allowedTypes().forEach(types::add);
     }
     if (job.requiredZone() != null) {
-      node.put("Shore", job.requiredZone());
+      node.put(ProtocolFields.ZONE, job.requiredZone());
     }
-    node.put("Together", job.singleZone());
-    node.put("Scatter", job.spreadZones());
-    node.put("Driftwood", job.spotAllowed());
-    node.put("Plumage", job.image());
-    node.put("ImageGb", job.imageGb());
-    node.put("ReckonS", job.estimatedRunS());
-    node.put("MoultS", job.checkpointIntervalS());
-    node.put("StowS", job.saveDurationS());
+    node.put(ProtocolFields.SINGLE_ZONE, job.singleZone());
+    node.put(ProtocolFields.SPREAD_ZONES, job.spreadZones());
+    node.put(ProtocolFields.SPOT, job.spotAllowed());
+    node.put(ProtocolFields.IMAGE, job.image());
+    node.put(ProtocolFields.IMAGE_GB, job.imageGb());
+    node.put(ProtocolFields.ESTIMATED_RUN_S, job.estimatedRunS());
+    node.put(ProtocolFields.CHECKPOINT_INTERVAL_S, job.checkpointIntervalS());
+    node.put(ProtocolFields.SAVE_DURATION_S, job.saveDurationS());
     if (job.deadlineS() != null) {
-      node.put("DueS", job.deadlineS());
+      node.put(ProtocolFields.DEADLINE_S, job.deadlineS());
     }
     return node;
   }
 
-  /** The body of an answer to a user. */
+  /** The body of the response to a user. */
   public static byte[] encodeAnswer(UserResponse response) {
     ObjectNode node = JsonReader.newObject();
     JobStatus job = response.job();
     if (job == null) {
       node.put("error", response.error());
     } else {
-      node.put("Uid", job.uid());
-      node.put("Stance", ProtocolNames.JOB_STATES.inverse().get(job.phase()));
+      node.put(ProtocolFields.UID, job.uid());
+      node.put(ProtocolFields.STATE, ProtocolNames.JOB_STATES.inverse().get(job.phase()));
       node.put("done", job.doneTasks());
       node.put("running", job.runningTasks());
     }
     return JsonReader.toBytes(node);
   }
 
-  /** The body of an answer to a health check. */
+  /** The body of the response to a health check. */
   public static byte[] encodeHealth(boolean healthy, String reason) {
     ObjectNode node = JsonReader.newObject();
     node.put("healthy", healthy);
@@ -141,7 +141,7 @@
     return JsonReader.toBytes(node);
   }
 
-  /** The body of an answer that says what is wrong. */
+  /** The body of a response to a request that is rejected. */
   public static byte[] encodeError(String error) {
     return JsonReader.toBytes(JsonReader.newObject().put("error", error));
   }
--- a/src/main/java/eiderfork/wire/WorkerCodec.java
+++ b/src/main/java/eiderfork/wire/WorkerCodec.java
@@ -14,120 +14,128 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** What workers send and are sent. */
+/** Heartbeats of workers, and the commands to them. */
 public final class WorkerCodec {
   private static final Logger LOG = LoggerFactory.getLogger(WorkerCodec.class);
 
-  /** Where workers report. */
-  public static final String REPORT_PATH = "/v1/report";
+  /** Where workers send heartbeats. */
+  public static final String HEARTBEAT_PATH = "/v1/report";
 
   /** Where a worker takes direct commands. */
   public static final String COMMANDS_PATH = "/do";
 
-  /** Where a worker tells its report. */
+  /** Where a worker returns its heartbeat on request. */
   public static final String INSPECT_PATH = "/inspect";
 
   private WorkerCodec() {}
 
   /**
-   * Reads a worker's report.
+   * Reads a worker's heartbeat.
    *
    * @throws MalformedMessageException where it does not follow the protocol
    */
-  public static Heartbeat decodeReport(byte[] body) throws MalformedMessageException {
+  public static Heartbeat decodeHeartbeat(byte[] body) throws MalformedMessageException {
     JsonNode node = JsonReader.parse(body);
-    Machine machine =
-        new Machine(
-            JsonReader.text(node, "Roost"),
-            JsonReader.text(node, "Addr"),
-            JsonReader.text(node, "Breed"),
-            JsonReader.text(node, "Shore"),
-            JsonReader.flag(node, "Driftwood"));
+    Machine machine = decodeMachine(node);
     ImmutableList.Builder<TaskStatus> tasks = ImmutableList.builder();
-    for (JsonNode task : JsonReader.array(node, "Hatchlings")) {
+    for (JsonNode task : JsonReader.array(node, ProtocolFields.TASKS)) {
       tasks.add(decodeTask(task));
     }
     return new Heartbeat(
         machine,
-        JsonReader.integer(node, "Tenure"),
-        JsonReader.integer(node, "Tally"),
-        JsonReader.integer(node, "Warrant"),
-        JsonReader.amountOrNull(node, "WarningS"),
+        JsonReader.integer(node, ProtocolFields.INCARNATION),
+        JsonReader.integer(node, ProtocolFields.SEQUENCE),
+        JsonReader.integer(node, ProtocolFields.FENCING_TOKEN),
+        JsonReader.amountOrNull(node, ProtocolFields.PREEMPTION_NOTICE_S),
         tasks.build());
   }
 
+  private static Machine decodeMachine(JsonNode node) throws MalformedMessageException {
+    return new Machine(
+        JsonReader.text(node, ProtocolFields.MACHINE),
+        JsonReader.text(node, ProtocolFields.ADDRESS),
+        JsonReader.text(node, ProtocolFields.MACHINE_TYPE),
+        JsonReader.text(node, ProtocolFields.ZONE),
+        JsonReader.flag(node, ProtocolFields.SPOT));
+  }
+
   private static TaskStatus decodeTask(JsonNode node) throws MalformedMessageException {
-    TaskId id = TaskId.parse(JsonReader.text(node, "Hatchling"));
+    TaskId id = TaskId.parse(JsonReader.text(node, ProtocolFields.TASK));
     if (id == null) {
       throw new MalformedMessageException("field Hatchling names no task");
     }
-    TaskStatus.State state = decodeState(id, JsonReader.text(node, "Stance"));
+    TaskStatus.State state = decodeState(id, JsonReader.text(node, ProtocolFields.STATE));
+    boolean hasEnded = state == TaskStatus.State.ENDED;
     TaskStatus.Cause cause =
-        state == TaskStatus.State.ENDED ? decodeCause(id, JsonReader.text(node, "Cause")) : null;
-    boolean saved = node.hasNonNull("Kept") && JsonReader.flag(node, "Kept");
-    return new TaskStatus(new Attempt(id, JsonReader.integer(node, "Try")), state, cause, saved);
+        hasEnded ? decodeCause(id, JsonReader.text(node, ProtocolFields.END_CAUSE)) : null;
+    boolean isSaved =
+        node.hasNonNull(ProtocolFields.IS_SAVED) && JsonReader.flag(node, ProtocolFields.IS_SAVED);
+    Attempt attempt = new Attempt(id, JsonReader.integer(node, ProtocolFields.ATTEMPT));
+    return new TaskStatus(attempt, state, cause, isSaved);
   }
 
-  /** A task in a state that this version does not know is on its machine all the same. */
+  /** A task in a state that this version does not know still occupies its machine. */
   private static TaskStatus.State decodeState(TaskId id, String name) {
     TaskStatus.State state = ProtocolNames.TASK_STATES.get(name);
     if (state == null) {
-      LOG.warn("{} is in a state that is not known: {}", id, name);
+      LOG.warn("unknown-task-state task={} state={}", id, name);
       return TaskStatus.State.OTHER;
     }
     return state;
   }
 
-  /** A cause that this version does not know still ends the task; it is tried again elsewhere. */
+  /** A cause that this version does not know still ends the task, which is tried again. */
   private static TaskStatus.Cause decodeCause(TaskId id, String name) {
     TaskStatus.Cause cause = ProtocolNames.END_CAUSES.get(name);
     if (cause == null) {
-      LOG.warn("{} has ended for a reason that is not known: {}", id, name);
+      LOG.warn("unknown-end-cause task={} cause={}", id, name);
       return TaskStatus.Cause.STOPPED;
     }
     return cause;
   }
 
-  /** The body of an answer to a report. */
-  public static byte[] encodeReportResponse(long token, List<WorkerCommand> commands) {
+  /** The body of the response to a heartbeat. */
+  public static byte[] encodeHeartbeatResponse(long fencingToken, List<WorkerCommand> commands) {
     ObjectNode node = JsonReader.newObject();
-    node.put("Warrant", token);
-    putCommands(node.putArray("Calls"), commands);
+    node.put(ProtocolFields.FENCING_TOKEN, fencingToken);
+    putCommands(node.putArray(ProtocolFields.COMMANDS), commands);
     return JsonReader.toBytes(node);
   }
 
   /** The body of direct commands. */
-  public static byte[] encodeCommands(long token, long session, List<WorkerCommand> commands) {
+  public static byte[] encodeCommands(
+      long fencingToken, long incarnation, List<WorkerCommand> commands) {
     ObjectNode node = JsonReader.newObject();
-    node.put("Warrant", token);
-    node.put("Tenure", session);
-    putCommands(node.putArray("Calls"), commands);
+    node.put(ProtocolFields.FENCING_TOKEN, fencingToken);
+    node.put(ProtocolFields.INCARNATION, incarnation);
+    putCommands(node.putArray(ProtocolFields.COMMANDS), commands);
     return JsonReader.toBytes(node);
   }
 
   private static void putCommands(ArrayNode calls, List<WorkerCommand> commands) {
     for (WorkerCommand command : commands) {
       ObjectNode call = calls.addObject();
-      if (command instanceof WorkerCommand.Run) {
-        call.put("Call", "run");
-      } else if (command instanceof WorkerCommand.Kill) {
-        call.put("Call", "kill");
-      } else {
-        call.put("Call", "clear");
-      }
-      call.put("Hatchling", command.attempt().task().toString());
-      call.put("Try", command.attempt().number());
+      call.put(ProtocolFields.COMMAND, commandName(command));
+      call.put(ProtocolFields.TASK, command.attempt().task().toString());
+      call.put(ProtocolFields.ATTEMPT, command.attempt().number());
       if (command instanceof WorkerCommand.Kill kill) {
-        call.put("RespiteS", kill.graceS());
+        call.put(ProtocolFields.GRACE_S, kill.graceS());
       }
     }
   }
 
-  /** The body of a redirect to the leader; {@code leader} is null where it is not known. */
+  private static String commandName(WorkerCommand command) {
+    if (command instanceof WorkerCommand.Run) {
+      return "run";
+    }
+    return command instanceof WorkerCommand.Kill ? "kill" : "clear";
+  }
+
+  /** The body of a redirect; {@code leader} is null where the leader is not known. */
   public static byte[] encodeRedirect(String leader) {
     ObjectNode node = JsonReader.newObject();
     if (leader != null) {
-      node.put("Herald", leader);
+      node.put(ProtocolFields.LEADER, leader);
     }
     return JsonReader.toBytes(node);
   }
--- a/src/test/java/eiderfork/cli/ControllerStartTest.java
+++ b/src/test/java/eiderfork/cli/ControllerStartTest.java
@@ -38,7 +38,7 @@
   }
 
   @Test
-  void badSettingsEndTheStartWithOneLine() throws Exception {
+  void invalidSettingsEndTheStartWithOneLine() throws Exception {
     Path file = Files.writeString(folder.resolve("s.toml"), "host_name = 4\n");
     Process process = start("serve", file.toString());
     assertTrue(process.waitFor(30, TimeUnit.SECONDS));
@@ -53,7 +53,7 @@
   }
 
   @Test
-  void tellsItsVersionAndHelp() throws Exception {
+  void printsHelp() throws Exception {
     Process process = start("--help");
     assertTrue(process.waitFor(30, TimeUnit.SECONDS));
     assertEquals(0, process.exitValue());
@@ -67,7 +67,7 @@
   }
 
   @Test
-  void answersEveryRequestAtOnceWithoutItsServices() throws Exception {
+  void respondsAtOnceWithoutStoreAndCloud() throws Exception {
     int port = findFreePort();
     String settings =
         """
--- a/src/test/java/eiderfork/controller/EffectDigest.java
+++ b/src/test/java/eiderfork/controller/EffectDigest.java
@@ -110,7 +110,7 @@
       bytes(UserCodec.encodeHealth(it.healthy(), it.reason()));
     } else if (answer instanceof Effect.RespondToWorker it) {
       text("answer worker");
-      bytes(WorkerCodec.encodeReportResponse(it.fencingToken(), it.commands()));
+      bytes(WorkerCodec.encodeHeartbeatResponse(it.fencingToken(), it.commands()));
     } else if (answer instanceof Effect.RedirectWorker it) {
       text("redirect worker");
       bytes(WorkerCodec.encodeRedirect(it.leader()));
--- a/src/test/java/eiderfork/controller/LateBootTest.java
+++ b/src/test/java/eiderfork/controller/LateBootTest.java
@@ -34,7 +34,7 @@
   /** Another zone is taken within a bound that follows from the boot time. */
   @ParameterizedTest
   @ValueSource(longs = {20 * 4000, NEVER_MS})
-  void replicasDoNotWaitForABootThatIsOverdue(long bootMs) {
+  void replicasDoNotWaitForOverdueBoot(long bootMs) {
     setBootTime("a", bootMs);
     setBootTime("b", 3000);
     Job job = TestFixtures.job(1, JobKind.SERVICE, 4, 4);
@@ -49,7 +49,7 @@
 
   /** While the first rent of a need is not known to be late, no second one follows. */
   @Test
-  void noMachineIsRentedTwiceBeforeItIsOverdue() {
+  void noReplacementIsRentedBeforeBootIsOverdue() {
     setBootTime("a", (long) (BOOT_S * 1.9 * 1000));
     setBootTime("b", (long) (BOOT_S * 1.9 * 1000));
     world.submit(TestFixtures.job(1, JobKind.SERVICE, 4, 4));
@@ -61,7 +61,7 @@
 
   /** All kinds are late for a while: the fleet stays bounded, and work starts when that is over. */
   @Test
-  void whereAllAreLateTheFleetStaysBounded() {
+  void fleetStaysBoundedWhereAllBootsAreLate() {
     setBootTime("a", (long) (BOOT_S * 20 * 1000));
     setBootTime("b", (long) (BOOT_S * 20 * 1000));
     Job job = TestFixtures.job(1, JobKind.SERVICE, 4, 4);
@@ -78,7 +78,7 @@
 
   /** Machines are up at once, long before any list has them; the leader ends meanwhile. */
   @Test
-  void bootsThatComeEarlyMeetTheEndOfTheLeader() {
+  void earlyBootsSurviveFailover() {
     setBootTime("a", 100);
     setBootTime("b", 100);
     world.run(2);
--- a/src/test/java/eiderfork/controller/MachineConsolidationTest.java
+++ b/src/test/java/eiderfork/controller/MachineConsolidationTest.java
@@ -40,7 +40,7 @@
 
   /** Half-empty machines of one zone once stood beside free GPUs of another. */
   @Test
-  void replicasThatMayBeAnywhereMoveToAnotherZone() {
+  void unconstrainedReplicasMoveToAnotherZone() {
     oneMachineInEachZone();
     submit(1, 2, new Resources(1, 1, 4));
     Job leaves = submit(2, 2, new Resources(1, 1, 4));
@@ -52,7 +52,7 @@
 
   /** Machines with GPUs that nobody wanted were kept for their processors' sake. */
   @Test
-  void aMachineWithGpusIsEmptiedThoughItsTasksTakeTheProcessorsOfOtherGpus() {
+  void gpuMachineIsDrainedThoughItsTasksUseCpusOfOtherGpus() {
     oneMachineInEachZone();
     submit(1, 2, new Resources(4, 1, 4));
     Job leaves = submit(2, 2, new Resources(4, 1, 4));
--- a/src/test/java/eiderfork/controller/RateLimitTest.java
+++ b/src/test/java/eiderfork/controller/RateLimitTest.java
@@ -32,7 +32,7 @@
 /** The limits on requests to the state service and the cloud are kept. */
 class RateLimitTest {
   @Test
-  void aBucketHoldsItsBurstAndFillsAtItsRate() {
+  void bucketHoldsItsBurstAndFillsAtItsRate() {
     TokenBucket bucket = new TokenBucket(10, 2, 0);
     assertTrue(bucket.tryTake(1, 0));
     assertTrue(bucket.tryTake(1, 0));
@@ -42,7 +42,7 @@
   }
 
   @Test
-  void pausesGrowWithJitterUpToTheirMost() {
+  void pausesGrowWithJitterUpToTheirMaximum() {
     Backoff backoff = new Backoff(100, 1000);
     Random random = new Random(3);
     for (int i = 0; i < 20; i++) {
@@ -53,7 +53,7 @@
   }
 
   @Test
-  void theMostUrgentWriteGoesFirstWhenTheRateIsFull() {
+  void highestPriorityWriteIsSentFirstAtTheRateLimit() {
     ControllerContext context =
         new ControllerContext(TestFixtures.settings("roost-0"), new Random(1), 0);
     StoreClient store = new StoreClient(context);
@@ -79,7 +79,7 @@
 
   /** Polls once held submissions up for seconds at nodes that could not reach the leader. */
   @Test
-  void aNodeOnItsOwnRefusesPollsItCannotServeAndTakesSubmissionsFirst() {
+  void isolatedNodeShedsQueriesAndSendsSubmissionsFirst() {
     ControllerContext context =
         new ControllerContext(TestFixtures.settings("roost-0"), new Random(1), 0);
     StoreClient store = new StoreClient(context);
@@ -129,7 +129,7 @@
   /** Sixty requests a second have to do for seven nodes that are all started anew at once. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5})
-  void sevenNodesThatRestartAtOnceKeepWithinTheRequestRate(long seed) {
+  void restartOfSevenNodesKeepsTheRequestRate(long seed) {
     Settings settings =
         TestFixtures.settings(
             "roost-0",
@@ -156,7 +156,7 @@
 
   /** Behind the starts of other arrays, ends were once written 6 to 12 s late. */
   @Test
-  void theEndOfAJobIsWrittenAtOnceHoweverManyArraysWantToStart() {
+  void endOfJobIsWrittenAtOnceWhileManyArraysStart() {
     Settings settings =
         TestFixtures.settings(
             "roost-0",
--- a/src/test/java/eiderfork/controller/ZoneBalanceTest.java
+++ b/src/test/java/eiderfork/controller/ZoneBalanceTest.java
@@ -40,7 +40,7 @@
   }
 
   @Test
-  void machinesAreRentedInAllZonesAlike() {
+  void machinesAreRentedEvenlyInAllZones() {
     SimulatedCluster world = worldOfThreeZones();
     submitSpread(world, 30);
     world.run(30);
@@ -58,7 +58,7 @@
    * hold then found room in the third.
    */
   @Test
-  void servicesThatMustBeSpreadFillThreeZones() {
+  void spreadServicesFillThreeZones() {
     SimulatedCluster world = worldOfThreeZones();
     // Nine of ten processors.
     List<Job> jobs = submitSpread(world, 65);
--- a/src/test/java/eiderfork/net/FailoverTracerTest.java
+++ b/src/test/java/eiderfork/net/FailoverTracerTest.java
@@ -26,7 +26,7 @@
   @TempDir private Path folder;
 
   @Test
-  void eachPhaseIsASpanBelowTheTakeover() throws Exception {
+  void eachPhaseIsAChildSpanOfTheFailover() throws Exception {
     Path file = folder.resolve("takeovers.jsonl");
     try (FailoverTracer tracer = FailoverTracer.of("roost-1", file.toString())) {
       tracer.trace(TAKEOVER);
@@ -53,13 +53,13 @@
   }
 
   @Test
-  void withoutAFileNothingIsTraced() {
+  void tracesNothingWithoutFile() {
     assertSame(FailoverTracer.NONE, FailoverTracer.of("roost-1", null));
   }
 
   /** Tracing never ends a controller. */
   @Test
-  void aFileThatCanNotBeWrittenIsNoFault() {
+  void unwritableFileIsIgnored() {
     try (FailoverTracer tracer =
         FailoverTracer.of("roost-1", folder.resolve("none/takeovers.jsonl").toString())) {
       tracer.trace(TAKEOVER);
--- a/src/test/java/eiderfork/net/HeapMonitorTest.java
+++ b/src/test/java/eiderfork/net/HeapMonitorTest.java
@@ -34,7 +34,7 @@
 
   /** With one limit for all deployments garbage would fill what a small machine does not have. */
   @Test
-  void garbageIsCollectedBeforeASmallMachineIsFull() {
+  void collectsBeforeSmallMachineIsFull() {
     HeapMonitor watch = new HeapMonitor(heap, 148);
     heap.aliveMb = 20;
     heap.committedMb = 24;
@@ -48,7 +48,7 @@
   }
 
   @Test
-  void aLargeMachineIsLeftAloneForLonger() {
+  void collectsLaterOnLargeMachine() {
     HeapMonitor watch = new HeapMonitor(heap, 414);
     grow(watch, 200);
     assertEquals(0, heap.collections);
@@ -56,7 +56,7 @@
 
   /** What is alive can't be collected away, and trying again each second would stop everything. */
   @Test
-  void aHeapThatIsFullOfWhatLivesIsNotCollectedAgainAndAgain() {
+  void doesNotCollectLiveHeapRepeatedly() {
     HeapMonitor watch = new HeapMonitor(heap, 148);
     heap.aliveMb = 100;
     grow(watch, 100);
--- a/src/test/java/eiderfork/net/HttpClientTest.java
+++ b/src/test/java/eiderfork/net/HttpClientTest.java
@@ -50,7 +50,7 @@
    * A watch's answer has no limit; taken for one that was lost, it was asked for again for ever.
    */
   @Test
-  void aResponseThatIsTooLargeIsToldFromNone() throws Exception {
+  void oversizedResponseIsDistinctFromNone() throws Exception {
     Endpoint server = serve(it -> it.respond(200, new byte[HttpClient.MAX_BODY_BYTES + 1], 0));
     HttpClient client = new HttpClient(loop, 16);
     assertEquals(HttpClient.STATUS_OVERSIZED, send(client, server).get(10, TimeUnit.SECONDS));
@@ -60,7 +60,7 @@
 
   /** Past four at a time, connections to the state service were opened anew for each request. */
   @Test
-  void connectionsToOneAddressAreKeptInProportionToAll() throws Exception {
+  void idleConnectionsPerEndpointAreAShareOfAll() throws Exception {
     List<HttpServer.Exchange> held = new ArrayList<>();
     Endpoint server = serve(held::add);
     Set<Channel> opened = ConcurrentHashMap.newKeySet();
--- a/src/test/java/eiderfork/wire/AllocationCodecTest.java
+++ b/src/test/java/eiderfork/wire/AllocationCodecTest.java
@@ -19,7 +19,7 @@
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void itComesBackAsItWas(long seed) throws MalformedMessageException {
+  void packedAndBitmapFormsRoundTrip(long seed) throws MalformedMessageException {
     Random random = new Random(seed);
     ImmutableList.Builder<StoredRecord.ReservedRange> spans = ImmutableList.builder();
     ImmutableList.Builder<StoredRecord.TaskRange> finished = ImmutableList.builder();
@@ -50,7 +50,7 @@
 
   /** What production may have left in 4 KiB fits 2 KiB with room to spare. */
   @Test
-  void aHundredAndEightyTasksOnMachinesOfTheirOwnTakeLittle() {
+  void tasksOnDistinctMachinesAreSmallInPackedForm() {
     ImmutableList.Builder<StoredRecord.ReservedRange> spans = ImmutableList.builder();
     Random random = new Random(1);
     for (int i = 0; i < 180; i++) {
@@ -65,7 +65,7 @@
 
   /** Whatever one byte of it becomes, it is read as some record or said to be unreadable. */
   @Test
-  void aSpoiledBitmapIsNoReasonToFail() throws MalformedMessageException {
+  void corruptBitmapDoesNotThrow() throws MalformedMessageException {
     StoredRecord.Allocation allocation =
         new StoredRecord.Allocation(
             9,
@@ -101,7 +101,7 @@
         "{\"packed2\":\"AAAA\"}",
         "{}"
       })
-  void whatCannotBeReadIsSaidToBe(String value) throws MalformedMessageException {
+  void unreadableValuesAreReported(String value) throws MalformedMessageException {
     StoredRecord record =
         StoredRecordCodec.fromJson("alloc/run-1", JsonReader.parse(value.getBytes()));
     assertInstanceOf(StoredRecord.Unreadable.class, record);
--- a/src/test/java/eiderfork/wire/ArchivedJobCodecTest.java
+++ b/src/test/java/eiderfork/wire/ArchivedJobCodecTest.java
@@ -11,7 +11,7 @@
 /** The records of archived jobs. */
 class ArchivedJobCodecTest {
   @Test
-  void aRecordComesBackAsItWas() throws MalformedMessageException {
+  void recordRoundTrips() throws MalformedMessageException {
     StoredRecord.ArchivedJob done = new StoredRecord.ArchivedJob(JobStatus.Phase.DONE, 12);
     StoredRecord.ArchivedJob cancelled = new StoredRecord.ArchivedJob(JobStatus.Phase.ABORTED, 0);
     assertEquals(done, StoredRecordCodec.fromJson("ended/run-1", StoredRecordCodec.toJson(done)));
@@ -23,7 +23,7 @@
 
   /** An answer by it would be taken back later. */
   @Test
-  void aStateThatIsNotFinalIsNotRead() throws MalformedMessageException {
+  void nonFinalStateIsUnreadable() throws MalformedMessageException {
     var node = JsonReader.parse("{\"state\":\"running\",\"done\":3}".getBytes());
     assertInstanceOf(
         StoredRecord.Unreadable.class, StoredRecordCodec.fromJson("ended/run-1", node));
--- a/src/test/java/eiderfork/wire/ProductionCompatibilityTest.java
+++ b/src/test/java/eiderfork/wire/ProductionCompatibilityTest.java
@@ -61,7 +61,7 @@
   }
 
   @Test
-  void everyStoredRecordIsReadAndWrittenByteForByteAsProductionDoes() throws Exception {
+  void storedRecordsAreReadAndWrittenByteForByte() throws Exception {
     Map<String, String> records = lines("records.txt");
     assertEquals(12, records.size());
     for (Map.Entry<String, String> entry : records.entrySet()) {
@@ -74,7 +74,7 @@
   }
 
   @Test
-  void whatProductionStoredMeansTheSame() throws Exception {
+  void storedRecordsHaveTheSameMeaning() throws Exception {
     Map<String, String> records = lines("records.txt");
     StoredRecord.JobSpec gang =
         (StoredRecord.JobSpec) stored("job/run-000413", records.get("job/run-000413"));
@@ -95,7 +95,7 @@
   }
 
   @Test
-  void messagesOfProductionAreRead() throws Exception {
+  void messagesAreDecoded() throws Exception {
     // A view without a version is the first version's, and says of cancellations what it says.
     assertEquals(
         new PeerStatus("roost-1", 4, true, 12, 56, 1, NEWS),
@@ -116,7 +116,7 @@
   }
 
   @Test
-  void requestsAndAnswersAreSentByteForByteAsProductionDoes() throws Exception {
+  void requestsAndAnswersAreEncodedByteForByte() throws Exception {
     Input.Submit submit = (Input.Submit) ForwardingCodec.decodeRequest(message("submit"));
     assertEquals(hex(message("submit")), hex(ForwardingCodec.encodeRequest(submit)));
     assertEquals(
@@ -141,7 +141,7 @@
 
   /** Production reads a view by its own schema and passes over what follows. */
   @Test
-  void productionReadsThisVersionsViewWithAllThatItKnows() throws Exception {
+  void productionDecodesTheFieldsItKnowsOfThisStatus() throws Exception {
     Schema productions = new Schema.Parser().parse(resource("peer.avpr.json")).getTypes().get(0);
     byte[] sent = PeerStatusCodec.encodeStatus(new PeerStatus("roost-1", 4, true, 12, 56, 2, NEWS));
     var decoder = DecoderFactory.get().binaryDecoder(sent, null);
@@ -164,7 +164,7 @@
    * the packed form must not look like one that it reads.
    */
   @Test
-  void thePackedFormHasNoFieldThatProductionReads() throws Exception {
+  void packedFormHasNoFieldThatProductionReads() throws Exception {
     Job job = ((Input.Submit) ForwardingCodec.decodeRequest(message("submit"))).job();
     StoredRecord.Allocation allocation =
         new StoredRecord.Allocation(
--- a/src/test/java/eiderfork/wire/ProtocolCodecTest.java
+++ b/src/test/java/eiderfork/wire/ProtocolCodecTest.java
@@ -48,7 +48,7 @@
   }
 
   @Test
-  void readsAJobAndIgnoresFieldsItDoesNotKnow() throws MalformedMessageException {
+  void decodesJobAndIgnoresUnknownFields() throws MalformedMessageException {
     Job job = UserCodec.decodeJob(bytes(JOB));
     assertEquals("run-000412", job.uid());
     assertEquals(JobKind.ARRAY, job.kind());
@@ -59,7 +59,7 @@
   }
 
   @Test
-  void storesAJobAsItWasSubmitted() throws MalformedMessageException {
+  void storedJobEqualsSubmittedJob() throws MalformedMessageException {
     Job job = UserCodec.decodeJob(bytes(JOB));
     StoredRecord read =
         StoredRecordCodec.fromJson(
@@ -85,7 +85,7 @@
         "\"DueS\":900.0|\"DueS\":\"soon\"",
         "\"DueS\":900.0|\"DueS\":-1"
       })
-  void refusesAJobWithAFieldThatIsMissingOrInvalid(String change) {
+  void rejectsJobWithMissingOrInvalidField(String change) {
     String[] parts = change.split("\\|", 2);
     String broken = JOB.replace(parts[0], parts[1]);
     assertThrows(MalformedMessageException.class, () -> UserCodec.decodeJob(bytes(broken)));
@@ -93,15 +93,15 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"\"DueS\":null,", ""})
-  void aJobWithoutADeadlineHasNone(String instead) throws MalformedMessageException {
+  void jobWithoutDeadlineHasNone(String instead) throws MalformedMessageException {
     Job job = UserCodec.decodeJob(bytes(JOB.replace("\"DueS\":900.0,", instead)));
     assertNull(job.deadlineS());
   }
 
   @Test
-  void readsAReport() throws MalformedMessageException {
+  void decodesHeartbeat() throws MalformedMessageException {
     Heartbeat heartbeat =
-        WorkerCodec.decodeReport(
+        WorkerCodec.decodeHeartbeat(
             bytes(
                 """
                 {"Roost":"n-000231","Addr":"10.1.0.232:9000","Breed":"g8","Shore":"a",
@@ -117,9 +117,9 @@
 
   /** Taken for absent, a task in a state of a later version would be started a second time. */
   @Test
-  void aTaskInAStateThatIsNotKnownIsOnItsMachineAllTheSame() throws MalformedMessageException {
+  void taskInUnknownStateStillOccupiesItsMachine() throws MalformedMessageException {
     Heartbeat heartbeat =
-        WorkerCodec.decodeReport(
+        WorkerCodec.decodeHeartbeat(
             bytes(
                 """
                 {"Roost":"n-000231","Addr":"10.1.0.232:9000","Breed":"g8","Shore":"a",
@@ -131,11 +131,11 @@
   }
 
   @Test
-  void refusesAReportThatNamesNoTask() {
+  void rejectsHeartbeatWithInvalidTaskId() {
     assertThrows(
         MalformedMessageException.class,
         () ->
-            WorkerCodec.decodeReport(
+            WorkerCodec.decodeHeartbeat(
                 bytes(
                     """
                     {"Roost":"n-1","Addr":"a:1","Breed":"g8","Shore":"a","Driftwood":true,
@@ -143,9 +143,9 @@
   }
 
   @Test
-  void writesCommandsAsTheProtocolPrintsThem() {
+  void encodesCommandsAsInTheProtocol() {
     byte[] body =
-        WorkerCodec.encodeReportResponse(
+        WorkerCodec.encodeHeartbeatResponse(
             41,
             ImmutableList.of(
                 new WorkerCommand.Run(new Attempt(new TaskId("run-000412", 4), 2)),
@@ -160,7 +160,7 @@
   }
 
   @Test
-  void tellsUsersTheStateOfAJob() {
+  void encodesJobStatusForUsers() {
     JobStatus job = new JobStatus("run-000412", JobStatus.Phase.RUNNING, 3, 13);
     assertEquals(
         "{\"Uid\":\"run-000412\",\"Stance\":\"running\",\"done\":3,\"running\":13}",
@@ -168,7 +168,7 @@
   }
 
   @Test
-  void readsWhatTheStateServiceSays() throws MalformedMessageException {
+  void decodesStoreReplies() throws MalformedMessageException {
     assertEquals(
         new Reply.Conflict(ImmutableList.of("a/b")),
         StoreCodec.decodeReply(
@@ -195,7 +195,7 @@
   }
 
   @Test
-  void a404ThatIsNotTheStateServicesOwnSaysNothing() {
+  void foreign404IsNotAMissingKey() {
     assertThrows(
         MalformedMessageException.class,
         () ->
@@ -204,7 +204,7 @@
   }
 
   @Test
-  void allocsComeBackAsTheyWere() throws MalformedMessageException {
+  void plainAllocationRoundTrips() throws MalformedMessageException {
     StoredRecord.Allocation allocation =
         new StoredRecord.Allocation(
             7,
@@ -220,7 +220,7 @@
   }
 
   @Test
-  void allocsOfTheFirstFormAreStillRead() throws MalformedMessageException {
+  void decodesAllocationsOfTheFirstForm() throws MalformedMessageException {
     StoredRecord.Allocation allocation =
         new StoredRecord.Allocation(
             7,
@@ -235,7 +235,7 @@
   }
 
   @Test
-  void tellsNoCapacityFromTrouble() throws MalformedMessageException {
+  void noCapacityIsNotARefusal() throws MalformedMessageException {
     assertEquals(
         new Reply.NoCapacity(),
         CloudCodec.decodeRentReply(503, bytes("{\"error\":\"no capacity\"}")));
@@ -244,7 +244,7 @@
   }
 
   @Test
-  void aPeerOfTheFirstVersionSaysNothingOfCancellations() throws MalformedMessageException {
+  void statusOfTheFirstVersionHasNoGossip() throws MalformedMessageException {
     PeerStatus status = new PeerStatus("roost-1", 4, true, 12, 56, 1, CancellationGossip.NONE);
     byte[] first = {14, 'r', 'o', 'o', 's', 't', '-', '1', 8, 1, 24, 112};
     assertEquals(status, PeerStatusCodec.decodeStatus(first));
@@ -254,7 +254,7 @@
   }
 
   @Test
-  void peersUnderstandEachOther() throws MalformedMessageException {
+  void peerMessagesRoundTrip() throws MalformedMessageException {
     CancellationGossip gossip =
         new CancellationGossip(77, 9000, 3, ImmutableList.of("run-1", "run-2"), true, 78, 12);
     PeerStatus status = new PeerStatus("roost-1", 4, true, 12, 56, 2, gossip);
@@ -283,7 +283,7 @@
   }
 
   @Test
-  void hintsComeAsTheyWent() throws MalformedMessageException {
+  void hintsRoundTrip() throws MalformedMessageException {
     MachineHintBatch batch =
         new MachineHintBatch(
             7,
