--- a/src/main/java/eiderfork/wire/AvroCodec.java
+++ b/src/main/java/eiderfork/wire/AvroCodec.java
@@ -1,9 +1,11 @@
 package eiderfork.wire;
 
+import com.google.common.collect.ImmutableList;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.UncheckedIOException;
+import java.util.List;
 import org.apache.avro.Schema;
 import org.apache.avro.generic.GenericDatumReader;
 import org.apache.avro.generic.GenericDatumWriter;
@@ -20,10 +22,11 @@
     try (InputStream in = AvroCodec.class.getResourceAsStream(resource)) {
       return new Schema.Parser().parse(in);
     } catch (IOException e) {
-      throw new UncheckedIOException(e);
+      throw new UncheckedIOException("schema " + resource + " can't be read", e);
     }
   }
 
+  /** Writes a record by its schema. */
   static byte[] encode(GenericRecord record) {
     try {
       ByteArrayOutputStream out = new ByteArrayOutputStream();
@@ -31,20 +34,29 @@
       new GenericDatumWriter<GenericRecord>(record.getSchema()).write(record, encoder);
       return out.toByteArray();
     } catch (IOException e) {
-      throw new UncheckedIOException(e);
+      throw new UncheckedIOException("a record can't be written", e);
     }
   }
 
-  /** Reads what was written by one schema as a record of another, usually the same. */
+  /** Reads a record. */
+  static GenericRecord decode(Schema schema, byte[] bytes) throws MalformedMessageException {
+    return decode(schema, schema, bytes);
+  }
+
+  /** Reads what was written with one schema as a record of another. */
   static GenericRecord decode(Schema writer, Schema schema, byte[] bytes)
       throws MalformedMessageException {
     try {
       var decoder = DecoderFactory.get().binaryDecoder(bytes, null);
       return new GenericDatumReader<GenericRecord>(writer, schema).read(null, decoder);
     } catch (IOException | RuntimeException e) {
-      // The decoder trusts lengths that it reads, and fails in many ways on bytes of something
-      // else.
+      // The decoder trusts the lengths that it reads, so other bytes fail in many ways.
       throw new MalformedMessageException("not an Avro record of the form " + schema.getName());
     }
   }
+
+  /** The strings of a list field. */
+  static ImmutableList<String> toStrings(List<?> list) {
+    return list.stream().map(Object::toString).collect(ImmutableList.toImmutableList());
+  }
 }
--- a/src/test/java/eiderfork/controller/ZoneBalanceTest.java
+++ b/src/test/java/eiderfork/controller/ZoneBalanceTest.java
@@ -40,7 +40,7 @@
   }
 
   @Test
-  void machinesAreRequestedInAllZonesEvenly() {
+  void machinesAreRentedEvenlyInAllZones() {
     SimulatedCluster world = clusterOfThreeZones();
     submitSpread(world, 30);
     world.run(30);
@@ -58,9 +58,9 @@
    * hold then found capacity in the third.
    */
   @Test
-  void servicesThatMustBeSpreadFillThreeZones() {
+  void spreadServicesFillThreeZones() {
     SimulatedCluster world = clusterOfThreeZones();
-    // Nine of ten CPUs.
+    // Nine of ten processors.
     List<Job> jobs = submitSpread(world, 65);
     world.run(60);
     long missing =
--- a/src/test/java/eiderfork/wire/AllocationCodecTest.java
+++ b/src/test/java/eiderfork/wire/AllocationCodecTest.java
@@ -19,7 +19,7 @@
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void itComesBackAsItWas(long seed) throws MalformedMessageException {
+  void packedAndBitmapFormsRoundTrip(long seed) throws MalformedMessageException {
     Random random = new Random(seed);
     ImmutableList.Builder<StoredRecord.ReservedRange> spans = ImmutableList.builder();
     ImmutableList.Builder<StoredRecord.TaskRange> finished = ImmutableList.builder();
@@ -40,15 +40,17 @@
         new StoredRecord.Allocation(last, seed % 2 == 0, spans.build(), finished.build());
     assertEquals(
         allocation,
-        StoredRecordCodec.fromJson("alloc/run-1", PackedAllocationCodec.toJson(allocation)));
+        StoredRecordCodec.fromJson(
+            "alloc/run-1", PackedAllocationCodec.INSTANCE.toJson(allocation)));
     assertEquals(
         allocation,
-        StoredRecordCodec.fromJson("alloc/run-1", BitmapAllocationCodec.toJson(allocation)));
+        StoredRecordCodec.fromJson(
+            "alloc/run-1", BitmapAllocationCodec.INSTANCE.toJson(allocation)));
   }
 
   /** What production may have left in 4 KiB fits 2 KiB with room to spare. */
   @Test
-  void aHundredAndEightyTasksOnMachinesOfTheirOwnTakeLittle() {
+  void tasksOnDistinctMachinesAreSmallInPackedForm() {
     ImmutableList.Builder<StoredRecord.ReservedRange> spans = ImmutableList.builder();
     Random random = new Random(1);
     for (int i = 0; i < 180; i++) {
@@ -56,14 +58,14 @@
     }
     StoredRecord.Allocation allocation =
         new StoredRecord.Allocation(3, false, spans.build(), ImmutableList.of());
-    int bytes = JsonReader.toBytes(PackedAllocationCodec.toJson(allocation)).length;
+    int bytes = JsonReader.toBytes(PackedAllocationCodec.INSTANCE.toJson(allocation)).length;
     assertTrue(JsonReader.toBytes(StoredRecordCodec.toJson(allocation)).length > 2048);
     assertTrue(bytes < 1700, bytes + " bytes");
   }
 
   /** Whatever one byte of it becomes, it is read as some record or said to be unreadable. */
   @Test
-  void aSpoiledBitmapIsNoReasonToFail() throws MalformedMessageException {
+  void corruptBitmapDoesNotThrow() throws MalformedMessageException {
     StoredRecord.Allocation allocation =
         new StoredRecord.Allocation(
             9,
@@ -71,15 +73,14 @@
             ImmutableList.of(new StoredRecord.ReservedRange(100, 260, 9, "n-000001")),
             ImmutableList.of(
                 new StoredRecord.TaskRange(0, 99), new StoredRecord.TaskRange(300, 900)));
-    String text =
-        BitmapAllocationCodec.toJson(allocation).path(BitmapAllocationCodec.JSON_FIELD).asText();
+    String text = BitmapAllocationCodec.INSTANCE.toJson(allocation).path("bitmaps").asText();
     byte[] bytes = Base64.getDecoder().decode(text);
     for (int i = 0; i < bytes.length; i++) {
       for (int bit = 0; bit < Byte.SIZE; bit++) {
         byte[] spoiled = bytes.clone();
         spoiled[i] ^= (byte) (1 << bit);
         String encoded = Base64.getEncoder().withoutPadding().encodeToString(spoiled);
-        var node = JsonReader.newObject().put(BitmapAllocationCodec.JSON_FIELD, encoded);
+        var node = JsonReader.newObject().put("bitmaps", encoded);
         assertNotNull(StoredRecordCodec.fromJson("alloc/run-1", node));
       }
     }
@@ -100,7 +101,7 @@
         "{\"packed2\":\"AAAA\"}",
         "{}"
       })
-  void whatCannotBeReadIsSaidToBe(String value) throws MalformedMessageException {
+  void unreadableValuesAreReported(String value) throws MalformedMessageException {
     StoredRecord record =
         StoredRecordCodec.fromJson("alloc/run-1", JsonReader.parse(value.getBytes()));
     assertInstanceOf(StoredRecord.Unreadable.class, record);
--- a/src/test/java/eiderfork/wire/ProductionCompatibilityTest.java
+++ b/src/test/java/eiderfork/wire/ProductionCompatibilityTest.java
@@ -61,7 +61,7 @@
   }
 
   @Test
-  void everyStoredRecordIsReadAndWrittenByteForByteAsProductionDoes() throws Exception {
+  void storedRecordsAreReadAndWrittenByteForByte() throws Exception {
     Map<String, String> records = lines("records.txt");
     assertEquals(12, records.size());
     for (Map.Entry<String, String> entry : records.entrySet()) {
@@ -74,7 +74,7 @@
   }
 
   @Test
-  void whatProductionStoredMeansTheSame() throws Exception {
+  void storedRecordsHaveTheSameMeaning() throws Exception {
     Map<String, String> records = lines("records.txt");
     StoredRecord.JobSpec gang =
         (StoredRecord.JobSpec) stored("job/run-000413", records.get("job/run-000413"));
@@ -95,36 +95,44 @@
   }
 
   @Test
-  void messagesOfProductionAreRead() throws Exception {
+  void messagesAreDecoded() throws Exception {
     // A view without a version is the first version's, and says of cancellations what it says.
     assertEquals(
-        new PeerStatus("roost-1", 4, true, 12, 56, 1, NEWS), PeerCodec.view(message("view")));
-    Input.Submit submit = (Input.Submit) PeerCodec.request(message("submit"));
+        new PeerStatus("roost-1", 4, true, 12, 56, 1, NEWS),
+        PeerStatusCodec.decodeStatus(message("view")));
+    Input.Submit submit = (Input.Submit) ForwardingCodec.decodeRequest(message("submit"));
     assertEquals("run-000412", submit.job().uid());
-    assertEquals(new Input.Query(0, "run-000412"), PeerCodec.request(message("query")));
-    assertEquals(new Input.Abort(0, "run-000412"), PeerCodec.request(message("abort")));
+    assertEquals(new Input.Query(0, "run-000412"), ForwardingCodec.decodeRequest(message("query")));
+    assertEquals(new Input.Abort(0, "run-000412"), ForwardingCodec.decodeRequest(message("abort")));
     UserResponse ok =
         new UserResponse(200, new JobStatus("run-000412", JobStatus.Phase.RUNNING, 4, 3), 0, null);
     UserResponse later = new UserResponse(503, null, 2, "the machine types are not known yet");
-    assertEquals(new Reply.ForwardedResponse(ok), PeerCodec.answer(message("answer")));
-    assertEquals(List.of("run-000412", "run-000413"), PeerCodec.queries(message("queries")));
+    assertEquals(new Reply.ForwardedResponse(ok), ForwardingCodec.decodeAnswer(message("answer")));
+    assertEquals(
+        List.of("run-000412", "run-000413"), ForwardingCodec.decodeQueries(message("queries")));
     assertEquals(
         new Reply.ForwardedResponses(ImmutableList.of(ok, later)),
-        PeerCodec.answers(message("answers")));
+        ForwardingCodec.decodeAnswers(message("answers")));
   }
 
   @Test
-  void requestsAndAnswersAreSentByteForByteAsProductionDoes() throws Exception {
-    Input.Submit submit = (Input.Submit) PeerCodec.request(message("submit"));
-    assertEquals(hex(message("submit")), hex(PeerCodec.request(submit)));
-    assertEquals(hex(message("query")), hex(PeerCodec.request(new Input.Query(0, "run-000412"))));
-    assertEquals(hex(message("abort")), hex(PeerCodec.request(new Input.Abort(0, "run-000412"))));
+  void requestsAndAnswersAreEncodedByteForByte() throws Exception {
+    Input.Submit submit = (Input.Submit) ForwardingCodec.decodeRequest(message("submit"));
+    assertEquals(hex(message("submit")), hex(ForwardingCodec.encodeRequest(submit)));
+    assertEquals(
+        hex(message("query")),
+        hex(ForwardingCodec.encodeRequest(new Input.Query(0, "run-000412"))));
+    assertEquals(
+        hex(message("abort")),
+        hex(ForwardingCodec.encodeRequest(new Input.Abort(0, "run-000412"))));
     Reply.ForwardedResponses answers =
-        (Reply.ForwardedResponses) PeerCodec.answers(message("answers"));
-    assertEquals(hex(message("answers")), hex(PeerCodec.answers(answers.responses())));
-    assertEquals(hex(message("answer")), hex(PeerCodec.answer(answers.responses().get(0))));
+        (Reply.ForwardedResponses) ForwardingCodec.decodeAnswers(message("answers"));
+    assertEquals(hex(message("answers")), hex(ForwardingCodec.encodeAnswers(answers.responses())));
+    assertEquals(
+        hex(message("answer")), hex(ForwardingCodec.encodeAnswer(answers.responses().get(0))));
     assertEquals(
-        hex(message("queries")), hex(PeerCodec.queries(List.of("run-000412", "run-000413"))));
+        hex(message("queries")),
+        hex(ForwardingCodec.encodeQueries(List.of("run-000412", "run-000413"))));
   }
 
   private static String hex(byte[] bytes) {
@@ -133,9 +141,9 @@
 
   /** Production reads a view by its own schema and passes over what follows. */
   @Test
-  void productionReadsThisVersionsViewWithAllThatItKnows() throws Exception {
+  void productionDecodesTheFieldsItKnowsOfThisStatus() throws Exception {
     Schema productions = new Schema.Parser().parse(resource("peer.avpr.json")).getTypes().get(0);
-    byte[] sent = PeerCodec.view(new PeerStatus("roost-1", 4, true, 12, 56, 2, NEWS));
+    byte[] sent = PeerStatusCodec.encodeStatus(new PeerStatus("roost-1", 4, true, 12, 56, 2, NEWS));
     var decoder = DecoderFactory.get().binaryDecoder(sent, null);
     GenericRecord read =
         new GenericDatumReader<GenericRecord>(productions, productions).read(null, decoder);
@@ -156,8 +164,8 @@
    * the packed form must not look like one that it reads.
    */
   @Test
-  void thePackedFormHasNoFieldThatProductionReads() throws Exception {
-    Job job = ((Input.Submit) PeerCodec.request(message("submit"))).job();
+  void packedFormHasNoFieldThatProductionReads() throws Exception {
+    Job job = ((Input.Submit) ForwardingCodec.decodeRequest(message("submit"))).job();
     StoredRecord.Allocation allocation =
         new StoredRecord.Allocation(
             1,
