--- a/src/main/java/eiderfork/controller/CommandBuilder.java
+++ b/src/main/java/eiderfork/controller/CommandBuilder.java
@@ -34,13 +34,19 @@
     this.reconciler = reconciler;
   }
 
+  /** The commands that stop the machine's tasks of cancelled jobs. */
+  ImmutableList<WorkerCommand> stopsOfCancelledJobs(MachineState machine) {
+    return stopsOfCancelledJobs(machine.reportedTasks(), cancellations);
+  }
+
   /**
-   * The commands that stop tasks of cancelled jobs. They are right without the store and before
-   * anything is recovered: a confirmed cancellation is final.
+   * The commands that stop those of the tasks whose job is cancelled. They are right without the
+   * store and before anything is recovered: a confirmed cancellation is final.
    */
-  ImmutableList<WorkerCommand> stopsOfCancelledJobs(MachineState machine) {
+  static ImmutableList<WorkerCommand> stopsOfCancelledJobs(
+      List<TaskStatus> tasks, CancellationTracker cancellations) {
     ImmutableList.Builder<WorkerCommand> commands = ImmutableList.builder();
-    for (TaskStatus task : machine.reportedTasks()) {
+    for (TaskStatus task : tasks) {
       if (!task.hasEnded() && cancellations.contains(task.attempt().task().jobUid())) {
         commands.add(new WorkerCommand.Kill(task.attempt(), 0));
       }
--- a/src/main/java/eiderfork/controller/Controller.java
+++ b/src/main/java/eiderfork/controller/Controller.java
@@ -275,7 +275,6 @@
     jobs.tick();
     peers.tick(this::statusFor);
     users.tick();
-    leaseProxy.retryFailed();
     leaseProxy.tick();
     heartbeatHandler.tick();
     reader.tick();
