--- a/src/main/java/eiderfork/controller/FaultDetector.java
+++ b/src/main/java/eiderfork/controller/FaultDetector.java
@@ -55,7 +55,7 @@
     boolean faulty =
         failures.failedJobCount() >= needed || failures.failedOnlyHereCount() >= FAULTY_AFTER_JOBS;
     if (faulty && !failures.isFaulty()) {
-      LOG.info("machine {} is faulty", machine.name());
+      LOG.warn("machine-faulty machine={}", machine.name());
       failures.markFaulty();
     }
   }
--- a/src/main/java/eiderfork/controller/FleetLog.java
+++ b/src/main/java/eiderfork/controller/FleetLog.java
@@ -7,7 +7,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Log lines that tell of the fleet as a whole. */
+/** Logs the state of the fleet as a whole. */
 final class FleetLog {
   private static final Logger LOG = LoggerFactory.getLogger(FleetLog.class);
 
@@ -31,49 +31,80 @@
     this.liveness = liveness;
   }
 
-  /** Says now and then how full the fleet is and who waits, so that a log can be read later. */
+  /** Logs once in a worker lease how full the fleet is and how much work waits. */
   void logIfDue(int placementExamined, int planExamined) {
     if (context.nowMs < nextLogMs) {
       return;
     }
     nextLogMs = context.nowMs + context.workerLeaseMs();
-    Map<String, int[]> kinds = new TreeMap<>();
+    logMachines();
+    logJobClasses();
+    LOG.info("store-writes {}", store.drainWriteWaits());
+    LOG.info("machines-examined placement={} plan={}", placementExamined, planExamined);
+  }
+
+  /** One line per machine type, spot machines apart. */
+  private void logMachines() {
+    Map<String, MachineCounts> countsByType = new TreeMap<>();
     for (MachineState machine : fleet.machines()) {
-      if (machine.spec() == null || machine.capacity() == null) {
-        continue;
+      if (machine.spec() != null && machine.capacity() != null) {
+        String type = "type=" + machine.spec().type() + " spot=" + machine.spec().spot();
+        countsByType.computeIfAbsent(type, key -> new MachineCounts()).add(machine);
       }
-      int[] n =
-          kinds.computeIfAbsent(
-              machine.spec().type() + (machine.spec().spot() ? " spot" : ""), k -> new int[4]);
-      n[0]++;
-      n[1] += liveness.isSchedulable(machine) ? 1 : 0;
-      n[2] += (int) (machine.freeCapacity().gpus() > 0 ? machine.freeCapacity().gpus() : 0);
-      n[3] += (int) (machine.freeCapacity().cpus() > 0 ? machine.freeCapacity().cpus() : 0);
     }
-    Map<String, int[]> classes = new TreeMap<>();
+    countsByType.forEach((type, counts) -> LOG.info("fleet-machines {} {}", type, counts));
+  }
+
+  /** One line per job class. */
+  private void logJobClasses() {
+    Map<String, TaskTotals> totalsByClass = new TreeMap<>();
     for (JobState job : jobs.activeJobs()) {
-      int[] n = classes.computeIfAbsent(job.spec.jobClass(), k -> new int[2]);
-      n[0] += job.reservations.size();
-      n[1] += job.pendingTasks.cardinality();
+      totalsByClass.computeIfAbsent(job.spec.jobClass(), key -> new TaskTotals()).add(job);
+    }
+    totalsByClass.forEach(
+        (jobClass, totals) -> LOG.info("fleet-tasks class={} {}", jobClass, totals));
+  }
+
+  /** The machines of one type. */
+  private final class MachineCounts {
+    private int machines;
+    private int schedulable;
+    private int freeGpus;
+    private int freeCpus;
+
+    private void add(MachineState machine) {
+      machines++;
+      schedulable += liveness.isSchedulable(machine) ? 1 : 0;
+      freeGpus += (int) Math.max(0, machine.freeCapacity().gpus());
+      freeCpus += (int) Math.max(0, machine.freeCapacity().cpus());
+    }
+
+    @Override
+    public String toString() {
+      return "machines="
+          + machines
+          + " schedulable="
+          + schedulable
+          + " freeGpus="
+          + freeGpus
+          + " freeCpus="
+          + freeCpus;
+    }
+  }
+
+  /** The tasks of one job class. */
+  private static final class TaskTotals {
+    private int reserved;
+    private int pending;
+
+    private void add(JobState job) {
+      reserved += job.reservations.size();
+      pending += job.pendingTasks.cardinality();
+    }
+
+    @Override
+    public String toString() {
+      return "reserved=" + reserved + " pending=" + pending;
     }
-    StringBuilder text = new StringBuilder();
-    kinds.forEach(
-        (kind, n) ->
-            text.append(kind)
-                .append(" ")
-                .append(n[0])
-                .append(" (")
-                .append(n[1])
-                .append(" usable, free gpus ")
-                .append(n[2])
-                .append(" cpus ")
-                .append(n[3])
-                .append("), "));
-    classes.forEach(
-        (name, n) ->
-            text.append(name).append(" ").append(n[0]).append("+").append(n[1]).append(" "));
-    LOG.info("fleet: {}", text);
-    LOG.info("writes that went out: {}", store.drainWriteWaits());
-    LOG.info("looked at machines {} times to place, {} to plan", placementExamined, planExamined);
   }
 }
--- a/src/main/java/eiderfork/controller/LeaseProxy.java
+++ b/src/main/java/eiderfork/controller/LeaseProxy.java
@@ -142,7 +142,7 @@
     if (active) {
       return;
     }
-    LOG.info("answering workers in place of {}, who can't be reached", election.leader());
+    LOG.info("lease-proxy-started leader={}", election.leader());
     active = true;
     lastAnswerMs = context.nowMs;
     cancellationFollower.start();
@@ -163,7 +163,7 @@
       return;
     }
     if (isUnused()) {
-      LOG.info("no worker needs to be answered in the leader's place any more");
+      LOG.info("lease-proxy-stopped");
       records.release();
       stop();
       cancellations.reset();
--- a/src/main/java/eiderfork/controller/MachineRegistry.java
+++ b/src/main/java/eiderfork/controller/MachineRegistry.java
@@ -198,7 +198,7 @@
 
   /** The machine and everything on it is gone. */
   void remove(MachineState machine, String reason) {
-    LOG.info("machine {} is gone: {}", machine.name(), reason);
+    LOG.info("machine-removed machine={} reason=\"{}\"", machine.name(), reason);
     settleReservations(machine);
     machines.remove(machine.name());
     byNumber.remove(machine.number());
--- a/src/main/java/eiderfork/controller/ReservationReconciler.java
+++ b/src/main/java/eiderfork/controller/ReservationReconciler.java
@@ -145,13 +145,24 @@
         jobs.settle(reservation, true);
       }
       case ERROR -> {
-        LOG.info("{} failed on {}", reservation.toAttempt(), machine.name());
+        Attempt attempt = reservation.toAttempt();
+        LOG.info(
+            "task-failed task={} attempt={} machine={}",
+            attempt.task(),
+            attempt.number(),
+            machine.name());
         job.failureHistory.recordFailure(reservation, job.nextAttemptNumber() - 1, context.nowMs);
         faultDetector.recordFailure(machine, job);
         jobs.settle(reservation, false);
       }
       case NO_ROOM, BUSY, UNKNOWN -> {
-        LOG.info("{} refused on {}: {}", reservation.toAttempt(), machine.name(), task.cause());
+        Attempt attempt = reservation.toAttempt();
+        LOG.info(
+            "task-refused task={} attempt={} machine={} cause={}",
+            attempt.task(),
+            attempt.number(),
+            machine.name(),
+            task.cause());
         job.failureHistory.recordRefusal(context.nowMs);
         jobs.settle(reservation, false);
       }
--- a/src/main/java/eiderfork/controller/WorkerLeaseLog.java
+++ b/src/main/java/eiderfork/controller/WorkerLeaseLog.java
@@ -8,8 +8,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Tells operators of workers' sessions and leases: what was known of them when tasks were given up
- * or started. Where a cut ends thousands of leases at once, some lines a step are written and the
+ * Logs workers' incarnations and leases: what was known of them when tasks were settled or started.
+ * Since a partition can end thousands of leases at once, the lines of a step are limited and the
  * rest is counted.
  */
 final class WorkerLeaseLog {
@@ -20,6 +20,9 @@
 
   private static final long SUMMARY_INTERVAL_MS = 60_000;
 
+  private static final String BY_COMMAND = "command";
+  private static final String BY_HEARTBEAT = "heartbeat";
+
   private final ControllerContext context;
 
   private long startedByHeartbeat;
@@ -39,7 +42,7 @@
     this.context = context;
   }
 
-  /** A term begins. */
+  /** Sets all counts to 0, as a term begins. */
   void reset() {
     startedByHeartbeat = 0;
     startedByCommand = 0;
@@ -51,26 +54,26 @@
     suppressedLines = 0;
   }
 
-  /** How many sessions were first seen by the answer to a direct command since the last line. */
+  /** How many incarnations were first seen in a command reply since the last summary. */
   long startedByCommand() {
     return startedByCommand;
   }
 
-  /** How many lapses a read said nothing of, since the lease was renewed after it was sent. */
+  /** How many expired leases were renewed after the proxy records were requested. */
   long staleReads() {
     return staleReads;
   }
 
-  /** How many lines were left out since the last count. */
+  /** How many lines were suppressed since the last summary. */
   long suppressedLines() {
     return suppressedLines;
   }
 
   /**
-   * A worker shows another session than before.
+   * A worker shows another incarnation than before.
    *
-   * @param previousLeaseStartMs from when the lease of the session before may have run
-   * @param byCommand the answer to a direct command shows it, and no report
+   * @param previousLeaseStartMs the latest time from which the previous lease may have run
+   * @param byCommand whether the reply to a direct command shows it
    */
   void incarnationStarted(
       MachineState machine,
@@ -84,11 +87,12 @@
     }
     if (canWriteLine()) {
       LOG.info(
-          "session machine={} session={} before={} by={} token={} lease_before_ms={} reserved={}",
+          "incarnation-started machine={} incarnation={} previousIncarnation={} seenBy={}"
+              + " fencingToken={} sincePreviousAckMs={} reservedTasks={}",
           machine.name(),
           machine.incarnation().number(),
           previousIncarnation,
-          byCommand ? "command" : "report",
+          byCommand ? BY_COMMAND : BY_HEARTBEAT,
           machine.lastHeartbeat().fencingToken(),
           context.nowMs - previousLeaseStartMs,
           machine.reservations().size());
@@ -96,7 +100,7 @@
   }
 
   /**
-   * A lease has surely lapsed, and what is reserved on the machine is settled with it.
+   * A lease has surely expired, and the reservations on the machine are settled.
    *
    * @param readMs how long the read of the lease proxies' records took, 0 for none
    */
@@ -110,7 +114,8 @@
     settledRunningTasks += running;
     if (canWriteLine()) {
       LOG.info(
-          "lapse machine={} session={} lease_ms={} heard_ms={} read_ms={} settled={} running={}",
+          "lease-expired machine={} incarnation={} sinceAckMs={} sinceHeartbeatMs={} proxyReadMs={}"
+              + " settledTasks={} runningTasks={}",
           machine.name(),
           machine.incarnation().number(),
           context.nowMs - machine.incarnation().leaseStartMs(),
@@ -121,32 +126,33 @@
     }
   }
 
-  /** A lapse is not settled, since a lease proxy may have renewed the lease. */
+  /** An expired lease is kept, since a lease proxy may have renewed it. */
   void keptByProxy() {
     keptByProxy++;
   }
 
-  /** A lapse is not settled, since the lease was renewed, or a session began, after the read. */
+  /** An expired lease is kept, since it was renewed or replaced after the read was sent. */
   void staleRead() {
     staleReads++;
   }
 
-  /** Commands go to a worker, by an answer to its report or directly. */
+  /** Commands are sent to a worker, in response to its heartbeat or directly. */
   void commandsSent(MachineState machine, List<WorkerCommand> commands, boolean sentDirectly) {
     if (LOG.isDebugEnabled() && !commands.isEmpty()) {
       LOG.debug(
-          "command machine={} session={} token={} by={} heard_ms={} lease_ms={} commands={}",
+          "commands-sent machine={} incarnation={} fencingToken={} sentBy={} sinceHeartbeatMs={}"
+              + " sinceAckMs={} commands={}",
           machine.name(),
           machine.incarnation().number(),
           machine.commandChannel().fencingToken(),
-          sentDirectly ? "command" : "report",
+          sentDirectly ? BY_COMMAND : BY_HEARTBEAT,
           context.nowMs - machine.incarnation().lastHeartbeatMs(),
           context.nowMs - machine.incarnation().leaseStartMs(),
           commands);
     }
   }
 
-  /** Once a minute: the counts since the last time, where anything happened. */
+  /** Logs the counts since the last summary once a minute, where anything happened. */
   void logSummaryIfDue() {
     if (context.nowMs < nextSummaryMs) {
       return;
@@ -154,8 +160,8 @@
     nextSummaryMs = context.nowMs + SUMMARY_INTERVAL_MS;
     if (startedByHeartbeat + startedByCommand + expiredLeases + keptByProxy + staleReads > 0) {
       LOG.info(
-          "sessions begun_by_report={} begun_by_command={} lapses={} settled={} settled_running={}"
-              + " kept_by_proxy={} outdated_reads={} lines_left_out={}",
+          "worker-leases startedByHeartbeat={} startedByCommand={} expired={} settledTasks={}"
+              + " settledRunningTasks={} keptByProxy={} staleReads={} suppressedLines={}",
           startedByHeartbeat,
           startedByCommand,
           expiredLeases,
--- a/src/main/java/eiderfork/controller/WorkerReachability.java
+++ b/src/main/java/eiderfork/controller/WorkerReachability.java
@@ -8,21 +8,24 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Which workers report to this node. A leader that most of them can't reach gives the lead up to a
- * peer that hears more.
+ * Which workers send heartbeats to this node. A leader that most of them can't reach resigns in
+ * favour of a peer that more of them reach.
  */
 final class WorkerReachability {
   private static final Logger LOG = LoggerFactory.getLogger(WorkerReachability.class);
 
-  /** How long a new leader waits for the first report of any machine, in steps. */
+  /** How long a new leader waits for the first heartbeat of any machine, in steps. */
   private static final int FIRST_HEARTBEATS_STEPS = 4;
 
-  /** How long workers may take to find a new leader: an answer waited for in vain, and a report. */
+  /** How long workers may take to find a new leader: a response time-out and a heartbeat. */
   private static final int RECONNECT_STEPS = 6;
 
   /** Of fewer machines all may be silent by chance. */
   private static final int MIN_MACHINES_FOR_SILENCE = 3;
 
+  /** Of fewer machines the reachable ones say nothing of the network. */
+  private static final int MIN_MACHINES_FOR_MAJORITY = 2;
+
   private final ControllerContext context;
   private final LeaderElection election;
   private final MachineRegistry fleet;
@@ -30,7 +33,7 @@
   private final PeerMonitor peers;
   private final LeaseProxy leaseProxy;
 
-  /** When each machine last reported here, whether this node leads or not. */
+  /** When each machine last sent a heartbeat here, whether this node leads or not. */
   private final Map<String, Long> lastHeartbeatMs = new HashMap<>();
 
   private long lastCountMs;
@@ -58,88 +61,115 @@
     electedMs = context.nowMs;
   }
 
-  /** A machine reports here. */
+  /** A heartbeat of the machine arrived here. */
   void recordHeartbeat(String machineName) {
     lastHeartbeatMs.put(machineName, context.nowMs);
   }
 
-  /** How many machines report here, counted once in half a step. */
+  /** How many machines send heartbeats here, counted once in half a step. */
   int reachableMachineCount() {
     if (context.nowMs - lastCountMs >= context.stepMs() / 2) {
       lastCountMs = context.nowMs;
       lastHeartbeatMs.values().removeIf(at -> context.nowMs - at > liveness.heartbeatTimeoutMs());
     }
-    // Machines that have to be answered here don't need this node to lead.
+    // Machines whose leases this node proxies don't need it to lead.
     return Math.max(0, lastHeartbeatMs.size() - leaseProxy.proxiedMachineCount());
   }
 
-  /** Workers that can't reach this leader, but can reach a peer, need that peer to lead. */
+  /** Resigns where workers can't reach this leader but reach a peer. */
   void resignIfUnreachable() {
     if (context.nowMs < nextCheckMs) {
       return;
     }
-    boolean stoodStill = context.nowMs - nextCheckMs > context.stepMs();
+    boolean wasSuspended = context.nowMs - nextCheckMs > context.stepMs();
     nextCheckMs = context.nowMs + context.stepMs() / 2;
-    if (stoodStill) {
-      // What came meanwhile is still to be read.
+    if (wasSuspended) {
+      // Heartbeats that arrived meanwhile are still unread.
       resumedMs = context.nowMs;
     }
+    MachineCounts counts = countMachines();
+    if (isCutOffFromAll(counts)) {
+      LOG.warn("workers-unreachable machines={}", counts.known);
+      election.resign(context.workerLeaseMs());
+    } else if (isBehindPeer(counts)) {
+      LOG.warn(
+          "peer-reaches-more-workers reachable={} machines={}", counts.reachable, counts.known);
+      election.resign(context.workerLeaseMs());
+    } else if (isUnknownToWorkers(counts)) {
+      LOG.warn("no-worker-connected machinesWithTasks={}", counts.withTasks);
+      election.resign(context.workerLeaseMs());
+    }
+  }
+
+  /**
+   * Machines by what this leader knows of them.
+   *
+   * @param known have sent a heartbeat in this term and are not being returned
+   * @param reachable have sent one lately
+   * @param withTasks hold reservations
+   */
+  private record MachineCounts(int known, int reachable, int withTasks) {}
+
+  private MachineCounts countMachines() {
     int known = 0;
-    int heard = 0;
-    int tasked = 0;
+    int reachable = 0;
+    int withTasks = 0;
     for (MachineState machine : fleet.machines()) {
       if (machine.lastHeartbeat() != null && !machine.lifecycle().isScalingIn()) {
         known++;
-        heard += liveness.hasRecentHeartbeat(machine) ? 1 : 0;
+        reachable += liveness.hasRecentHeartbeat(machine) ? 1 : 0;
       }
-      tasked += machine.reservations().isEmpty() ? 0 : 1;
+      withTasks += machine.reservations().isEmpty() ? 0 : 1;
     }
-    if (known >= MIN_MACHINES_FOR_SILENCE
-        && heard == 0
+    return new MachineCounts(known, reachable, withTasks);
+  }
+
+  /**
+   * All workers are silent at once, so that this node is cut off and not they. Peers need not have
+   * heartbeats yet: workers wait here for an answer before they try the next node, and half of
+   * their lease would be over by then.
+   */
+  private boolean isCutOffFromAll(MachineCounts counts) {
+    return counts.known >= MIN_MACHINES_FOR_SILENCE
+        && counts.reachable == 0
         && hasRunLongEnough()
-        && peers.isAnyServedByStore()) {
-      // All at once: it is this node that is cut off. Workers wait four seconds for an answer here
-      // before a peer could hear them, and half of their lease was over before it took the lead.
-      LOG.info("hears none of {} machines any more", known);
-      election.resign(context.workerLeaseMs());
-    } else if (known >= 2
-        && heard * 2 < known
+        && peers.isAnyServedByStore();
+  }
+
+  private boolean isBehindPeer(MachineCounts counts) {
+    return counts.known >= MIN_MACHINES_FOR_MAJORITY
+        && counts.reachable * 2 < counts.known
         && hasReconnectTimePassed()
-        && peers.hasPeerWithMoreMachines(heard)) {
-      LOG.info("hears {} of {} machines, a peer hears more", heard, known);
-      election.resign(context.workerLeaseMs());
-    } else if (known == 0
-        && tasked >= 2
+        && peers.hasPeerWithMoreMachines(counts.reachable);
+  }
+
+  /** The leader was cut off from the workers when it was elected, and knows none of them. */
+  private boolean isUnknownToWorkers(MachineCounts counts) {
+    return counts.known == 0
+        && counts.withTasks >= MIN_MACHINES_FOR_MAJORITY
         && hasFirstHeartbeatsTimePassed()
-        && peers.hasPeerWithMoreMachines(minMachinesAtPeer())) {
-      // A leader that was cut from the workers when it was elected once held the lead for 32 s.
-      LOG.info("has heard none of {} machines with tasks, a peer hears some", tasked);
-      election.resign(context.workerLeaseMs());
-    }
+        && peers.hasPeerWithMoreMachines(minMachinesAtPeer());
   }
 
   /**
-   * More machines than this have to report to a peer. After a while one is enough: where the leader
-   * before can't reach the state service, workers go round between the nodes and each of them is
-   * seldom heard at the one that could lead.
+   * More machines than this have to reach a peer. After a while one is enough: where the previous
+   * leader can't reach the store, workers try all nodes in turn, and each is seldom seen at the one
+   * that could lead.
    */
   private int minMachinesAtPeer() {
     return context.nowMs - electedMs > 2 * FIRST_HEARTBEATS_STEPS * context.stepMs() ? 0 : 1;
   }
 
   /**
-   * Whether this node has led, and run, for long enough that silence is not of its own making. A
-   * leader that takes over from one that heard nobody has no machines that it knows; where no
-   * worker reaches any node the lead moves once, and not to and fro.
+   * Whether this node has led, and run without a pause, for long enough that missing heartbeats are
+   * not of its own making. Where no worker reaches any node, this keeps the lead from moving to and
+   * fro.
    */
   private boolean hasRunLongEnough() {
     return context.nowMs - Math.max(electedMs, resumedMs) > context.workerLeaseMs();
   }
 
-  /**
-   * Whether workers that waited for an answer elsewhere have had the time to come here. A leader
-   * that took over from one that was cut from all of them once resigned before they did.
-   */
+  /** Whether workers that waited for a response elsewhere have had the time to reconnect here. */
   private boolean hasReconnectTimePassed() {
     return context.nowMs - electedMs > RECONNECT_STEPS * context.stepMs();
   }
