--- a/src/main/java/eiderfork/controller/BootTimeEstimator.java
+++ b/src/main/java/eiderfork/controller/BootTimeEstimator.java
@@ -7,21 +7,19 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** Which machines should have come up by now, and which kinds come up late. */
+/** Judges which machines should have booted by now, and which kinds boot late. */
 final class BootTimeEstimator {
-  /** A boot that takes this many times the usual is not counted on any more. */
+  /** A boot that takes this many times the usual counts as late. */
   private static final double LATE_BOOT_FACTOR = 2.0;
 
-  /** A boot that takes this many times the usual will not end. */
+  /** A boot that takes this many times the usual counts as failed. */
   private static final double FAILED_BOOT_FACTOR = 4.0;
 
   /**
-   * A machine that nobody hears is given this many leases before it is returned. What hangs or is
-   * cut off is mostly back before another would have booted, and its tasks are placed anew after
-   * the first of them whatever becomes of it. Returned at once, seven machines that hung for 20 s
-   * were missing for a boot time on top. It gets the time that another would take to boot beside
-   * that: of a zone cut off for longer than two leases all machines were once given back. One that
-   * has died is known from the cloud's list by then.
+   * How long an unreachable machine is kept beside the time that another one would take to boot, in
+   * worker leases. A machine that hangs or is cut off mostly recovers before a new one would be
+   * ready, and its tasks are placed elsewhere after the first lease. A machine that has died is
+   * missing from the cloud's list before that.
    */
   static final int UNREACHABLE_GRACE_LEASES = 2;
 
@@ -31,20 +29,19 @@
     this.context = context;
   }
 
-  /** Whether a machine is not to be counted on any more. */
+  /** Whether the machine's boot is late, so that plans don't rely on it. */
   boolean isLate(MachineState machine, MachineType type) {
     return isOverdue(machine, type, LATE_BOOT_FACTOR, 0);
   }
 
-  /** Whether a machine will not come up at all. */
+  /** Whether the machine's boot has failed. */
   boolean hasFailed(MachineState machine, MachineType type) {
     return isOverdue(machine, type, FAILED_BOOT_FACTOR, type.bootS() * 1000);
   }
 
   /**
-   * Whether a machine that has not reported in this term should have. One that is up may only not
-   * have found a new leader yet: it has some leases' time for that, whatever its age. Without this
-   * a new leader returned healthy machines in its first seconds.
+   * Whether a machine without a heartbeat in this term should have sent one. A running machine may
+   * not have found a new leader yet, and gets some leases' time for that whatever its age.
    */
   private boolean isOverdue(
       MachineState machine, MachineType type, double bootFactor, double graceMs) {
@@ -54,7 +51,7 @@
         : context.nowMs - machine.lifecycle().knownSinceMs() > type.bootS() * 1000 * bootFactor;
   }
 
-  /** The kinds of machine of which half of those rented lately should be up by now and are not. */
+  /** The kinds of which at least half of the machines requested lately are late. */
   Set<CloudProvisioner.MachineKind> lateKinds(MachineRegistry fleet) {
     Multiset<CloudProvisioner.MachineKind> recent = HashMultiset.create();
     Multiset<CloudProvisioner.MachineKind> late = HashMultiset.create();
--- a/src/main/java/eiderfork/controller/CloudProvisioner.java
+++ b/src/main/java/eiderfork/controller/CloudProvisioner.java
@@ -155,7 +155,7 @@
           if (reply instanceof Reply.Types types) {
             typesBackoff.reset();
             boolean first = fleet.types().isEmpty();
-            fleet.types(types.types());
+            fleet.updateTypes(types.types());
             nextTypesRequestMs = context.nowMs + TYPES_REFRESH_LAGS * context.cloudListLagMs();
             if (first || !areTypesStored) {
               storeTypes();
--- a/src/main/java/eiderfork/controller/DeferredHeartbeats.java
+++ b/src/main/java/eiderfork/controller/DeferredHeartbeats.java
@@ -7,9 +7,9 @@
 import java.util.Queue;
 import java.util.function.Predicate;
 
-/** Reports that can't be answered yet, in the order in which they came. */
+/** Heartbeats that can't be answered yet, in the order of their arrival. */
 final class DeferredHeartbeats {
-  /** A report that waits. */
+  /** A heartbeat that waits for its response. */
   record PendingHeartbeat(long ticket, Heartbeat heartbeat, long receivedMs) {}
 
   private final ControllerContext context;
@@ -19,19 +19,20 @@
     this.context = context;
   }
 
+  /** Defers the response to a heartbeat that has just arrived. */
   void add(long ticket, Heartbeat heartbeat) {
     pending.add(new PendingHeartbeat(ticket, heartbeat, context.nowMs));
   }
 
   /**
-   * Has each of them tried again.
+   * Tries to resolve each of them.
    *
-   * @param isResolved whether a report need not wait any more
+   * @param isResolved tries to respond, and tells whether the heartbeat need not wait any more
    */
   void retry(Predicate<PendingHeartbeat> isResolved) {
-    for (Iterator<PendingHeartbeat> all = pending.iterator(); all.hasNext(); ) {
-      if (isResolved.test(all.next())) {
-        all.remove();
+    for (Iterator<PendingHeartbeat> iterator = pending.iterator(); iterator.hasNext(); ) {
+      if (isResolved.test(iterator.next())) {
+        iterator.remove();
       }
     }
   }
--- a/src/main/java/eiderfork/controller/HeartbeatHandler.java
+++ b/src/main/java/eiderfork/controller/HeartbeatHandler.java
@@ -7,13 +7,13 @@
 import eiderfork.model.Heartbeat;
 
 /**
- * Workers' reports as they come to this node: answered where it may, sent to the leader where it
- * may not, and kept waiting for a moment where that may change.
+ * Handles heartbeats that arrive at this node: answers them where it may, redirects workers to the
+ * leader where it may not, and defers the response for a moment where that may change.
  */
 final class HeartbeatHandler {
   /**
-   * How long a worker that has lost the leader may wait here for another one, in steps. It is three
-   * quarters of what a worker waits for an answer, and less than a leader's lease.
+   * How long a worker that lost the leader may wait here for another one, in steps. It is less than
+   * a worker's response time-out and less than a leader lease.
    */
   private static final int LOST_LEADER_STEPS = 3;
 
@@ -43,7 +43,7 @@
     redirector = new WorkerRedirector(context, election);
   }
 
-  /** A report comes. */
+  /** Handles a heartbeat that has just arrived. */
   void handle(long ticket, Heartbeat heartbeat) {
     reachability.recordHeartbeat(heartbeat.machine().name());
     if (tryAnswer(ticket, heartbeat)) {
@@ -56,19 +56,19 @@
     }
   }
 
-  /** Takes parked reports once more, after an input that may have changed what becomes of them. */
+  /** Tries to respond to deferred heartbeats after an input that may allow it. */
   void retryPending(Input input) {
     if (canResolvePending(input)) {
       deferredHeartbeats.retry(this::answerOrRedirect);
     }
   }
 
-  /** Forgets long gone redirects. */
+  /** Forgets outdated redirects. */
   void tick() {
     redirector.tick();
   }
 
-  /** Answers a worker where this node may, as the leader or in its place; whether it did. */
+  /** Answers a worker where this node may, as leader or as lease proxy; whether it did. */
   private boolean tryAnswer(long ticket, Heartbeat heartbeat) {
     if (election.isLeading() && cancellations.mayRenewLeases()) {
       commander.handleHeartbeat(ticket, heartbeat);
@@ -82,11 +82,11 @@
   }
 
   /**
-   * Takes a parked report once more: after a while its worker is turned away. A worker turned away
-   * without a name tries the next node a second later, and after a crash of all nodes its lease has
-   * less than that left.
+   * Tries to answer a deferred heartbeat, and redirects its worker once it has waited long enough.
+   * A worker that is redirected without a node's name tries the next node only a second later, when
+   * its lease may be over.
    *
-   * @return whether the report need not wait any more
+   * @return whether the heartbeat need not wait any more
    */
   private boolean answerOrRedirect(DeferredHeartbeats.PendingHeartbeat pendingHeartbeat) {
     if (tryAnswer(pendingHeartbeat.ticket(), pendingHeartbeat.heartbeat())) {
@@ -100,7 +100,7 @@
     return true;
   }
 
-  /** How long a report may wait here, by what this node knows now. */
+  /** How long a heartbeat may wait here, by what this node knows now. */
   private long maxPendingMs(Heartbeat heartbeat) {
     boolean mayAnswer = leaseProxy.canAnswer(heartbeat);
     if (redirector.hasLostLeader(heartbeat) && !mayAnswer) {
@@ -113,8 +113,8 @@
   }
 
   /**
-   * Whether this node may know soon what to answer a worker: who leads or, where it leads with a
-   * sure lease, which jobs were cancelled while the state service did not serve it.
+   * Whether this node may know soon how to answer a worker: who leads or, where it leads with a
+   * valid lease, which jobs were cancelled while the store was unavailable to it.
    */
   private boolean mayAnswerSoon() {
     return election.isLeading() ? election.isLeaseValid() : election.leader() == null;
@@ -125,7 +125,7 @@
     context.emit(new Effect.RedirectWorker(ticket, redirector.target(heartbeat)));
   }
 
-  /** Whether an input can change what becomes of parked reports; most inputs can't. */
+  /** Whether an input can allow a response to deferred heartbeats; most inputs can't. */
   private static boolean canResolvePending(Input input) {
     return input instanceof Input.Tick
         || input instanceof Input.Answered
--- a/src/main/java/eiderfork/controller/ImageFetchEstimator.java
+++ b/src/main/java/eiderfork/controller/ImageFetchEstimator.java
@@ -30,7 +30,7 @@
     return others + job.imageGb() / type.imageFetchGbPerS();
   }
 
-  /** How long the fetch of an image that the machine was given still takes. */
+  /** How long the machine's fetch of this image still takes. */
   private double remainingS(MachineState machine, String image) {
     return machine.images().remainingFetchMs(image, context.nowMs) / 1000.0;
   }
--- a/src/main/java/eiderfork/controller/LeaderRecovery.java
+++ b/src/main/java/eiderfork/controller/LeaderRecovery.java
@@ -257,7 +257,7 @@
     } else if (record instanceof StoredRecord.StoredVersion stored) {
       version.recordStored(stored, item.version());
     } else if (record instanceof StoredRecord.MachineTypes types) {
-      fleet.types(types.types());
+      fleet.updateTypes(types.types());
     }
   }
 
--- a/src/main/java/eiderfork/controller/LeaseExpiry.java
+++ b/src/main/java/eiderfork/controller/LeaseExpiry.java
@@ -7,21 +7,21 @@
 import java.util.function.Consumer;
 
 /**
- * Settles the tasks of machines whose workers' leases have surely lapsed, unless a {@link
+ * Settles the reservations of machines whose worker leases have surely expired, unless a {@link
  * LeaseProxy} renewed them.
  */
 final class LeaseExpiry {
-  /** The share of a lease after which machines for the tasks of a silent one are planned. */
+  /** The share of a lease after which plans replace a silent machine. */
   private static final double SUSPECT_SHARE = 0.5;
 
-  /** The same where its whole zone can't be reached, for lease proxies take until then to begin. */
+  /** The same where its whole zone is unreachable: lease proxies take until then to start. */
   private static final double PARTITIONED_SUSPECT_SHARE = 0.75;
 
-  /** A lease that has lapsed, and from when it ran. */
+  /** A lease that has expired, and from when it ran. */
   private record ExpiredLease(MachineState machine, long leaseStartMs) {
     /**
-     * Whether it is still the machine's lease. Of one that began later, and may have lapsed by now,
-     * an older read of the records says nothing.
+     * Whether it is still the machine's lease. An earlier read of the records says nothing of a
+     * lease that began later, even if that has expired by now.
      */
     boolean isCurrent() {
       return machine.incarnation().leaseStartMs() == leaseStartMs;
@@ -39,8 +39,10 @@
   private long nextProxyReadMs;
 
   /**
-   * @param readProxiedMachines reads which machines other nodes answer in this one's place
-   * @param requestRound is called where a round has something new to place
+   * Makes an instance for all terms of this node.
+   *
+   * @param readProxiedMachines reads which machines' leases other nodes renew
+   * @param requestRound is called where a scheduling round has something new to place
    */
   LeaseExpiry(
       ControllerContext context,
@@ -59,20 +61,20 @@
     this.requestRound = requestRound;
   }
 
-  /** A term begins; an answer to what an earlier one asked is of no use. */
+  /** A term begins; a read of an earlier one is not waited for. */
   void onElected() {
     proxyReadInFlight = false;
   }
 
-  /** Whether another node answered the machine's worker in this one's place not long ago. */
+  /** Whether a lease proxy's record was seen lately that names the machine. */
   boolean isProxied(MachineState machine) {
     return machine.leaseProxySeenMs() > 0
         && context.nowMs - machine.leaseProxySeenMs() <= 2 * context.stepMs();
   }
 
   /**
-   * Whether a machine that is silent may be lost. For a while it is not where its whole zone can't
-   * be reached, and nodes there may answer for this one.
+   * Whether a silent machine may be lost. Where its whole zone is unreachable it is suspected
+   * later, since nodes there may renew its lease.
    */
   boolean isSuspected(MachineState machine) {
     double share =
@@ -81,26 +83,26 @@
         && liveness.sinceLastContactMs(machine) > context.workerLeaseMs() * share;
   }
 
-  /** Takes the tasks off machines whose leases have lapsed, unless a leaseProxy renewed them. */
+  /** Settles the reservations of machines whose leases have expired and were not proxied. */
   void settleExpired() {
     if (proxyReadInFlight || context.nowMs < nextProxyReadMs) {
       return;
     }
     List<ExpiredLease> expiredLeases = new ArrayList<>();
-    boolean silent = false;
+    boolean hasSilentMachine = false;
     long suspectMs = (long) (context.workerLeaseMs() * SUSPECT_SHARE);
     for (MachineState machine : fleet.withLeaseNotRenewedFor(suspectMs)) {
       if (!machine.reservations().isEmpty()) {
         if (hasExpired(machine)) {
           expiredLeases.add(new ExpiredLease(machine, machine.incarnation().leaseStartMs()));
         }
-        silent |=
+        hasSilentMachine |=
             machine.lastHeartbeat() != null && liveness.sinceLastContactMs(machine) > suspectMs;
       }
     }
     if (!canBeProxied()) {
       expiredLeases.forEach(expired -> settle(expired.machine, 0));
-    } else if (silent || !expiredLeases.isEmpty()) {
+    } else if (hasSilentMachine || !expiredLeases.isEmpty()) {
       proxyReadInFlight = true;
       nextProxyReadMs = context.nowMs + context.stepMs() / 2;
       long requestedMs = context.nowMs;
@@ -108,14 +110,17 @@
     }
   }
 
-  /** Only nodes of another zone than the leader's stand in for it. */
+  /** Whether another zone has nodes, since only those renew leases for the leader. */
   private boolean canBeProxied() {
     return context.settings.peerZones().values().stream()
         .anyMatch(zone -> !zone.equals(context.settings.zone()));
   }
 
   /**
-   * What was read after the leases in {@code expiredLeases} had expired as far as this node knows.
+   * Settles what a read of the proxies' records does not contradict.
+   *
+   * @param requestedMs when the read was sent, after all of the leases had expired
+   * @param machineNames the machines that the records name; null where the read failed
    */
   private void onProxiedMachinesRead(
       List<ExpiredLease> expiredLeases, long requestedMs, Set<String> machineNames) {
@@ -151,10 +156,9 @@
   }
 
   /**
-   * The worker has surely killed and forgotten everything that was started before. Where it does
-   * not show this term's token yet, an older leader may have renewed its lease for as long as there
-   * was one: a leader that took over while a zone was cut off once left the zone's replicas
-   * unplaced until the cut was over.
+   * Whether the worker has surely ended and forgotten all earlier tasks. While it has not shown a
+   * token of this term, an earlier leader may have renewed its lease until that leader's term ended
+   * for sure.
    */
   boolean hasExpired(MachineState machine) {
     if (!machine.incarnation().mayLeaseHaveExpired(context.nowMs, context.workerLeaseMs())) {
--- a/src/main/java/eiderfork/controller/MachineLiveness.java
+++ b/src/main/java/eiderfork/controller/MachineLiveness.java
@@ -3,16 +3,17 @@
 import eiderfork.controller.context.ControllerContext;
 import eiderfork.controller.election.LeaderElection;
 
-/** What the leader knows of whether machines are alive, obey it and may be given tasks. */
+/** Judges whether machines are reachable, take this leader's commands and may get tasks. */
 final class MachineLiveness {
-  /**
-   * A machine is silent after the longest time between two of its reports, which is a quarter over
-   * the interval, and this many steps more, for a report that was lost or tried another node.
-   */
+  /** The longest time between two heartbeats of a worker, in heartbeat intervals. */
   private static final double MAX_HEARTBEAT_INTERVALS = 1.25;
 
+  /** Allows for a heartbeat that was lost or went to another node first. */
   private static final double HEARTBEAT_GRACE_STEPS = 1.35;
 
+  /** This many unanswered direct commands in a row make a machine unschedulable. */
+  private static final int MAX_UNANSWERED_COMMANDS = 2;
+
   private final ControllerContext context;
   private final LeaderElection election;
 
@@ -21,45 +22,47 @@
     this.election = election;
   }
 
-  /** How long the longest time between two reports of a machine that is heard is. */
+  /** After how long without a heartbeat a machine counts as silent. */
   long heartbeatTimeoutMs() {
     return (long)
         (context.heartbeatIntervalMs() * MAX_HEARTBEAT_INTERVALS
             + context.stepMs() * HEARTBEAT_GRACE_STEPS);
   }
 
-  /** Whether the worker takes this term's commands, so that no older leader can reach it. */
+  /** Whether the worker has seen a token of this term, and so drops earlier leaders' commands. */
   boolean hasTokenOfTerm(MachineState machine) {
     return machine.lastHeartbeat() != null
         && machine.lastHeartbeat().fencingToken() >= election.firstFencingToken();
   }
 
+  /** Whether the machine's newest heartbeat is recent enough that it is not silent. */
   boolean hasRecentHeartbeat(MachineState machine) {
     return machine.incarnation().lastHeartbeatMs() > 0
         && context.nowMs - machine.incarnation().lastHeartbeatMs() <= heartbeatTimeoutMs();
   }
 
-  /** How long ago the machine last reported or was answered in this term. */
+  /** How long ago the machine last sent a heartbeat or was answered in this term. */
   long sinceLastContactMs(MachineState machine) {
     return context.nowMs
         - Math.max(machine.incarnation().lastHeartbeatMs(), machine.incarnation().leaseStartMs());
   }
 
-  /** Reports come but commands do not arrive. */
+  /** Whether heartbeats arrive from the machine but commands do not reach it. */
   boolean isUnresponsive(MachineState machine) {
     return machine.commandChannel().unresponsiveSinceMs() > 0
         && context.nowMs - machine.commandChannel().unresponsiveSinceMs() > heartbeatTimeoutMs();
   }
 
   /**
-   * Whether tasks may be placed here. A worker that is reached by direct commands alone is heard
-   * after its lease has lapsed; what started then was settled with what the lapse has ended.
+   * Whether tasks may start on the machine. The lease must be valid, too: a worker that is reached
+   * by direct commands alone still sends heartbeats after its lease has expired, and what would
+   * start then would be settled together with the tasks that the expiry has ended.
    */
   boolean isSchedulable(MachineState machine) {
     return isInService(machine)
         && hasRecentHeartbeat(machine)
         && !isUnresponsive(machine)
-        && machine.commandChannel().unansweredCommands() < 2
+        && machine.commandChannel().unansweredCommands() < MAX_UNANSWERED_COMMANDS
         && !mayLeaseHaveExpired(machine);
   }
 
@@ -68,9 +71,9 @@
   }
 
   /**
-   * Whether room that is being made here may be waited for: the machine is in service and has
-   * answered what it was told. It need not be heard: after a takeover workers report to nobody for
-   * seconds while they look for the leader.
+   * Whether capacity that is being freed on the machine may be waited for: the machine is in
+   * service and has answered all commands. It may be silent: after a failover workers send no
+   * heartbeat for seconds while they look for the leader.
    */
   boolean canHoldClaims(MachineState machine) {
     return isInService(machine) && machine.commandChannel().unansweredCommands() == 0;
--- a/src/main/java/eiderfork/controller/MachineRegistry.java
+++ b/src/main/java/eiderfork/controller/MachineRegistry.java
@@ -20,10 +20,13 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The machines of a leader. */
+/** The leader's machines, by name, by number and by the start of their leases. */
 final class MachineRegistry {
   private static final Logger LOG = LoggerFactory.getLogger(MachineRegistry.class);
 
+  /** How long a removed machine is remembered: no message is delayed for longer. */
+  private static final int REMOVED_RETENTION_LEASES = 60;
+
   private final ControllerContext context;
   private final JobRegistry jobs;
   private final Map<String, MachineState> machines = new LinkedHashMap<>();
@@ -31,23 +34,15 @@
   private final MachineIndexes indexes = new MachineIndexes();
   private int lastNumber;
 
-  /** Machines not seen in this term, and the others in the order in which their leases began. */
+  /** Machines without a heartbeat in this term. */
   private final ReferenceLinkedOpenHashSet<MachineState> unseenInTerm =
       new ReferenceLinkedOpenHashSet<>();
 
+  /** All other machines, ordered by the start of their leases. */
   private final ReferenceLinkedOpenHashSet<MachineState> byLeaseStart =
       new ReferenceLinkedOpenHashSet<>();
 
-  /**
-   * After this many leases nothing that was sent before a machine went can come any more: messages
-   * are late by minutes at most.
-   */
-  private static final int REMOVED_RETENTION_LEASES = 60;
-
-  /**
-   * Machines that surely are gone, the first one in front, and since when; their late reports and
-   * list entries mean nothing.
-   */
+  /** Removed machines, oldest first; late heartbeats and list entries of theirs are ignored. */
   private final Map<String, Long> removedAtMs = new LinkedHashMap<>();
 
   private ImmutableMap<String, MachineType> types = ImmutableMap.of();
@@ -57,6 +52,7 @@
     this.jobs = jobs;
   }
 
+  /** Forgets all machines. */
   void clear() {
     machines.clear();
     byNumber.clear();
@@ -66,7 +62,7 @@
     removedAtMs.clear();
   }
 
-  /** The longest boot of a machine that the job's tasks fit on. */
+  /** The longest boot time among the machine types that the job's tasks fit on. */
   double longestBootMs(Job job) {
     double bootS = 0;
     for (MachineType type : types.values()) {
@@ -77,12 +73,12 @@
     return bootS * 1000;
   }
 
-  /** The machines by what has to be done about them. */
+  /** The machines by what they need, and by their free capacity. */
   MachineIndexes indexes() {
     return indexes;
   }
 
-  /** The machine known next after the one with this number, or the first; there has to be one. */
+  /** The machine with the next larger number, or the first one; there must be a machine. */
   MachineState nextAfter(int number) {
     for (int i = number + 1; i <= lastNumber; i++) {
       MachineState machine = byNumber.get(i);
@@ -93,21 +89,21 @@
     return machines.values().iterator().next();
   }
 
-  /** The machine with this number. */
+  /** The machine with this number, null for none. */
   MachineState get(int number) {
     return byNumber.get(number);
   }
 
-  /** A report of the machine is answered now, which may renew its worker's lease. */
+  /** A heartbeat of the machine is answered now, which may renew its worker's lease. */
   void renewLease(MachineState machine) {
     machine.incarnation().renewLease(context.nowMs);
     moveToEndOfLeaseOrder(machine);
   }
 
   /**
-   * Takes a machine's newest report, whose session may be a new one with a lease of its own.
+   * Records a machine's newest heartbeat, which may begin an incarnation with a lease of its own.
    *
-   * @return whether it is the first that is seen of its session
+   * @return whether it is the first that arrived of its incarnation
    */
   boolean recordHeartbeat(MachineState machine, Heartbeat heartbeat) {
     boolean firstOfSession = machine.recordHeartbeat(heartbeat, context.nowMs);
@@ -122,7 +118,7 @@
     byLeaseStart.addAndMoveToLast(machine);
   }
 
-  /** The machines whose lease was not renewed for that long, or that were not seen in this term. */
+  /** The machines whose lease was not renewed for that long or not in this term, by number. */
   List<MachineState> withLeaseNotRenewedFor(long minAgeMs) {
     List<MachineState> found = new ArrayList<>(unseenInTerm);
     for (MachineState machine : byLeaseStart) {
@@ -135,39 +131,45 @@
     return found;
   }
 
+  /** All machines in the order in which they were registered. */
   Collection<MachineState> machines() {
     return machines.values();
   }
 
+  /** The machine with this name, null for none. */
   MachineState get(String name) {
     return machines.get(name);
   }
 
+  /** Whether the machine was removed lately. */
   boolean isRemoved(String name) {
     return removedAtMs.containsKey(name);
   }
 
+  /** The machine types by name, empty while they are not known. */
   ImmutableMap<String, MachineType> types() {
     return types;
   }
 
-  void types(ImmutableList<MachineType> machineTypes) {
+  /** Replaces the machine types, and so the capacity of each machine. */
+  void updateTypes(ImmutableList<MachineType> machineTypes) {
     ImmutableMap.Builder<String, MachineType> builder = ImmutableMap.builder();
     machineTypes.forEach(type -> builder.put(type.name(), type));
     types = builder.buildKeepingLast();
     machines.values().forEach(this::updateCapacity);
   }
 
-  /** The machine types as the state service holds them. */
+  /** The machine types as they are stored. */
   StoredRecord.MachineTypes typesRecord() {
     return new StoredRecord.MachineTypes(types.values().asList());
   }
 
+  /** The machine's type, null while it is not known. */
   MachineType typeOf(MachineState machine) {
     return machine.spec() == null ? null : types.get(machine.spec().type());
   }
 
-  /** The entry of a machine, made where there is none. */
+  /** The machine with this name, registered if it is new. */
   MachineState getOrRegister(String name) {
     return machines.computeIfAbsent(name, this::register);
   }
@@ -180,6 +182,7 @@
     return machine;
   }
 
+  /** The machine with these properties, registered if it is new. */
   MachineState getOrRegister(Machine machine) {
     MachineState state = getOrRegister(machine.name());
     if (state.spec() == null || state.spec().address() == null) {
@@ -196,7 +199,7 @@
     }
   }
 
-  /** The machine and everything on it is gone. */
+  /** Removes a machine that surely no longer exists, and settles its reservations. */
   void remove(MachineState machine, String reason) {
     LOG.info("machine-removed machine={} reason=\"{}\"", machine.name(), reason);
     settleReservations(machine);
@@ -208,13 +211,13 @@
     removedAtMs.put(machine.name(), context.nowMs);
   }
 
-  /** Names would gather for as long as a leader leads. */
+  /** Bounds the number of remembered names. */
   private void forgetLongRemoved() {
     long keptMs = REMOVED_RETENTION_LEASES * context.workerLeaseMs();
     removedAtMs.values().removeIf(since -> context.nowMs - since > keptMs);
   }
 
-  /** None of the tasks reserved on this machine is there any more, nor can they start. */
+  /** Settles all reservations of a machine on which none of their tasks runs or can start. */
   void settleReservations(MachineState machine) {
     for (Reservation reservation : List.copyOf(machine.reservations())) {
       jobs.settle(reservation, false);
@@ -223,31 +226,35 @@
   }
 
   /**
-   * Takes a whole machine list, asked for at {@code requestedMs}. A list may be as old as twice the
-   * lag, so a machine missing from it is gone only if it was alive before that time.
+   * Applies a complete machine list of the cloud.
+   *
+   * <p>A list may be as old as twice its lag, so a missing machine is removed only if it was last
+   * proved alive before that time.
+   *
+   * @param requestedMs when the list was requested
    */
   void applyMachineList(Map<String, ListedMachine> entries, long requestedMs) {
     forgetLongRemoved();
     long describesMs = requestedMs - 2 * context.cloudListLagMs();
     for (ListedMachine entry : entries.values()) {
-      String name = entry.machine().name();
-      if (isRemoved(name)) {
-        continue;
-      }
-      MachineState machine = getOrRegister(entry.machine());
-      boolean hasHeartbeat = machine.lastHeartbeat() != null;
-      machine.lifecycle().onListed(entry, hasHeartbeat, describesMs, context.nowMs);
-      if (entry.state() == ListedMachine.State.FAILED) {
-        if (!machine.reservations().isEmpty()) {
-          settleReservations(machine);
-        }
-        machine.failures().markFaulty();
+      if (!isRemoved(entry.machine().name())) {
+        applyListed(entry, describesMs);
       }
     }
     for (MachineState machine : List.copyOf(machines.values())) {
       if (!entries.containsKey(machine.name()) && machine.lifecycle().lastAliveMs() < describesMs) {
-        remove(machine, "the cloud lists it no more");
+        remove(machine, "missing from the cloud's list");
       }
     }
   }
+
+  private void applyListed(ListedMachine entry, long describesMs) {
+    MachineState machine = getOrRegister(entry.machine());
+    boolean hasHeartbeat = machine.lastHeartbeat() != null;
+    machine.lifecycle().onListed(entry, hasHeartbeat, describesMs, context.nowMs);
+    if (entry.state() == ListedMachine.State.FAILED) {
+      settleReservations(machine);
+      machine.failures().markFaulty();
+    }
+  }
 }
--- a/src/main/java/eiderfork/controller/WorkerRedirector.java
+++ b/src/main/java/eiderfork/controller/WorkerRedirector.java
@@ -7,15 +7,15 @@
 import java.util.Map;
 
 /**
- * Where workers are sent that this node does not answer.
+ * Chooses the node that a worker is redirected to which this node does not answer.
  *
- * <p>A worker that was with the leader and comes here has found that it can't reach it. Sent back
- * at once it waits there in vain until half of its lease is over; it is rather kept here while a
- * new leader may come, and where it comes back from the leader a second time it is sent on without
- * a name: the next node that it tries may be one that could lead.
+ * <p>A worker that was served by the leader and comes here could not reach it. Redirected back at
+ * once, it would wait there for a response until half of its lease is over. So its heartbeat is
+ * deferred while a new leader may be elected, and a worker that returns from the leader again is
+ * redirected without a node's name: the next node that it tries may be one that could lead.
  */
 final class WorkerRedirector {
-  /** What a worker was told last. */
+  /** The last redirect of a worker to the leader. */
   private record Redirect(long term, long sentMs) {}
 
   private final ControllerContext context;
@@ -27,7 +27,7 @@
     this.election = election;
   }
 
-  /** Whether a worker with tasks was with the leader of now and has left it. */
+  /** Whether a worker with tasks was served by the current leader and has left it. */
   boolean hasLostLeader(Heartbeat heartbeat) {
     return !election.isLeading()
         && election.leader() != null
@@ -36,29 +36,31 @@
         && heartbeat.fencingToken() < election.endOfFencingTokens();
   }
 
-  /** The node that a worker is sent to, or null for the next one that it knows. */
+  /** The node that a worker is redirected to, or null for the next one in its own order. */
   String target(Heartbeat heartbeat) {
     String leader = election.leader();
     if (leader == null || leader.equals(context.settings.nodeName())) {
       return null;
     }
-    String machine = heartbeat.machine().name();
+    String machineName = heartbeat.machine().name();
     Redirect previous =
-        lastRedirects.put(machine, new Redirect(election.currentTerm(), context.nowMs));
-    boolean cameBack =
+        lastRedirects.put(machineName, new Redirect(election.currentTerm(), context.nowMs));
+    boolean hasReturned =
         previous != null
             && previous.term == election.currentTerm()
             && context.nowMs - previous.sentMs < context.workerLeaseMs();
-    if (!cameBack) {
+    if (!hasReturned) {
       return leader;
     }
-    // Told once, the next time it is sent to the leader again.
-    lastRedirects.remove(machine);
+    // The next time it is redirected to the leader again.
+    lastRedirects.remove(machineName);
     return null;
   }
 
-  /** Forgets what is too long ago to matter. */
+  /** Forgets outdated redirects. */
   void tick() {
-    lastRedirects.values().removeIf(it -> context.nowMs - it.sentMs > context.workerLeaseMs());
+    lastRedirects
+        .values()
+        .removeIf(redirect -> context.nowMs - redirect.sentMs > context.workerLeaseMs());
   }
 }
--- a/src/main/java/eiderfork/model/TaskStatus.java
+++ b/src/main/java/eiderfork/model/TaskStatus.java
@@ -1,15 +1,22 @@
 package eiderfork.model;
 
-/** What a worker says of one attempt; {@code cause} is null unless it has ended. */
+/**
+ * The status of one attempt in a worker's heartbeat.
+ *
+ * @param attempt the attempt
+ * @param state what it is doing
+ * @param cause why it has ended; null unless it has
+ * @param checkpointed whether it saved its progress when it was stopped
+ */
 public record TaskStatus(Attempt attempt, State state, Cause cause, boolean checkpointed) {
   /** What an attempt is doing on its machine. */
   public enum State {
     FETCHING,
-    /** A gang's task that waits for the others. */
+    /** A task of a gang that waits for the other tasks. */
     WAITING_FOR_GANG,
     RUNNING,
     CHECKPOINTING,
-    /** On the machine, in a state that this version does not know. */
+    /** On the machine, in a state that is unknown to this version. */
     OTHER,
     ENDED
   }
@@ -24,7 +31,7 @@
     UNKNOWN,
     /** A task of the same gang was lost. */
     PEER_LOST,
-    /** The others of the gang did not come. */
+    /** The other tasks of the gang did not start in time. */
     GANG_INCOMPLETE
   }
 
--- a/src/main/java/eiderfork/model/WorkerCommand.java
+++ b/src/main/java/eiderfork/model/WorkerCommand.java
@@ -1,11 +1,11 @@
 package eiderfork.model;
 
-/** What a controller tells a worker to do with one attempt of a task. */
+/** A controller's command to a worker about one attempt of a task. */
 public sealed interface WorkerCommand {
   /** The attempt that the command is about. */
   Attempt attempt();
 
-  /** Start the attempt; without effect where the worker knows it in any state. */
+  /** Start the attempt; without effect where the worker has it in any state. */
   record Run(Attempt attempt) implements WorkerCommand {}
 
   /** Stop the attempt, which may save its progress for up to {@code graceS} seconds. */
--- a/src/test/java/eiderfork/controller/BinPackingTest.java
+++ b/src/test/java/eiderfork/controller/BinPackingTest.java
@@ -44,7 +44,7 @@
     StoreClient store = new StoreClient(context);
     MachineRegistry fleet =
         new MachineRegistry(context, new JobRegistry(context, store, null, null));
-    fleet.types(ImmutableList.copyOf(types));
+    fleet.updateTypes(ImmutableList.copyOf(types));
     CloudProvisioner cloud = new CloudProvisioner(context, null, store, fleet);
     return new BinPacking(
         context, fleet, cloud, FOUR_CPUS_A_GPU, new ArrayList<>(List.of(gpuBin)), lateKinds);
--- a/src/test/java/eiderfork/controller/CapacityIndexTest.java
+++ b/src/test/java/eiderfork/controller/CapacityIndexTest.java
@@ -35,7 +35,7 @@
   private int lastJob;
 
   CapacityIndexTest() {
-    fleet.types(
+    fleet.updateTypes(
         ImmutableList.of(
             new MachineType("g8", new Resources(64, 8, 512), 50, 2, 8, 3, 4, ZONES),
             new MachineType("c100", new Resources(100, 0, 256), 50, 2, 8, 3, 4, ZONES)));
--- a/src/test/java/eiderfork/controller/JobRegistryTest.java
+++ b/src/test/java/eiderfork/controller/JobRegistryTest.java
@@ -78,7 +78,7 @@
    */
   @Test
   void aNewLeaderKnowsWhichImagesMachinesWereGiven() {
-    fleet.types(
+    fleet.updateTypes(
         ImmutableList.of(
             new MachineType("g4", new Resources(16, 4, 64), 2, 2, 8, 3, 4, ImmutableList.of("a"))));
     MachineState machine = fleet.getOrRegister(new Machine("n-1", "n-1:1", "g4", "a", false));
--- a/src/test/java/eiderfork/controller/LargeCellTest.java
+++ b/src/test/java/eiderfork/controller/LargeCellTest.java
@@ -45,7 +45,7 @@
     ElectedLeader.win(context, election);
     context.drainEffects();
     assertTrue(election.isLeaseValid());
-    fleet.types(ImmutableList.of(TYPE));
+    fleet.updateTypes(ImmutableList.of(TYPE));
   }
 
   private <T extends Effect> List<T> effects(Class<T> kind) {
--- a/src/test/java/eiderfork/controller/LeaderAndWorkerFixture.java
+++ b/src/test/java/eiderfork/controller/LeaderAndWorkerFixture.java
@@ -89,7 +89,7 @@
     context.drainEffects();
     commander.onElected();
     commander.onRecovered();
-    fleet.types(
+    fleet.updateTypes(
         ImmutableList.of(
             new MachineType("g4", new Resources(4, 4, 64), 50, 2, 8, 3, 4, ImmutableList.of("a"))));
     job = jobs.add(TestFixtures.job(1, JobKind.ARRAY, 2, 1), 1);
--- a/src/test/java/eiderfork/controller/PreemptionTest.java
+++ b/src/test/java/eiderfork/controller/PreemptionTest.java
@@ -30,7 +30,7 @@
 
   @BeforeEach
   void typesAreKnown() {
-    fleet.types(
+    fleet.updateTypes(
         ImmutableList.of(
             new MachineType(
                 "g4", new Resources(4, 4, 16), 100, 2, 8, 3, 4, ImmutableList.of("a"))));
--- a/src/test/java/eiderfork/controller/QueueOrderTest.java
+++ b/src/test/java/eiderfork/controller/QueueOrderTest.java
@@ -31,7 +31,7 @@
   private final FairShareOrder ranking = new FairShareOrder(context, deadlines);
 
   QueueOrderTest() {
-    fleet.types(
+    fleet.updateTypes(
         ImmutableList.of(
             new MachineType(
                 "g4", new Resources(16, 4, 64), 50, 2, 8, 3, 4, ImmutableList.of("a"))));
