--- a/src/test/java/eiderfork/controller/AllocationSizeLimitTest.java
+++ b/src/test/java/eiderfork/controller/AllocationSizeLimitTest.java
@@ -24,7 +24,7 @@
   }
 
   @Test
-  void bothFormsHaveToFitWhileThePlainOneIsWritten() {
+  void plainAndPackedFormsMustFitWhileThePlainOneIsWritten() {
     int plain = reservable(2, Double.POSITIVE_INFINITY);
     int packed = reservable(Double.POSITIVE_INFINITY, 2);
     assertTrue(0 < plain && plain < packed && packed < TASKS, plain + " and " + packed);
--- a/src/test/java/eiderfork/controller/CancellationTest.java
+++ b/src/test/java/eiderfork/controller/CancellationTest.java
@@ -24,7 +24,7 @@
     assertEquals(List.of(), world.checker.breaches);
   }
 
-  private void twoServicesRun() {
+  private void startTwoServices() {
     kept = TestFixtures.job(1, JobKind.SERVICE, 3, 1);
     cancelled = TestFixtures.job(2, JobKind.SERVICE, 3, 1);
     world.submit(kept);
@@ -54,8 +54,8 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {0, 20, 50, 100, 300, 700, 1200, 1460, 1490, 1510})
-  void aCancellationConfirmedInAGapReachesTheLeaderThroughThePeers(long afterMs) {
-    twoServicesRun();
+  void cancellationConfirmedByAPeerReachesTheLeader(long afterMs) {
+    startTwoServices();
     world.refuse(world.leader(), 14_000);
     String peer = peer(0);
     world.at(afterMs, () -> world.abortAt(peer, cancelled.uid()));
@@ -73,8 +73,8 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {0, 200, 500, 700})
-  void aCancellationHeardOfDuringTheOutageIsStoppedAtOnce(long afterMs) {
-    twoServicesRun();
+  void cancellationReceivedDuringAnOutageStopsTasksAtOnce(long afterMs) {
+    startTwoServices();
     String leader = world.leader();
     world.refuse(leader, 14_000);
     for (int i = 0; i < 2; i++) {
@@ -96,8 +96,8 @@
   /** The same, and the peer that confirmed it ends, alone or with the other one. */
   @ParameterizedTest
   @ValueSource(longs = {1, 100, 300, 800, 1500, 3000, 8000})
-  void whatAPeerConfirmedBeforeItsEndIsGoneInTime(long afterMs) {
-    twoServicesRun();
+  void cancellationConfirmedBeforeAPeerCrashTakesEffectInTime(long afterMs) {
+    startTwoServices();
     world.refuse(world.leader(), 14_000);
     String peer = peer(0);
     String other = peer(1);
@@ -117,8 +117,8 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {0, 30, 200, 1000, 3000, 6000, 12_000})
-  void aLeaderThatHearsNobodyLetsGoInTime(long afterMs) {
-    twoServicesRun();
+  void isolatedLeaderReleasesItsTasksInTime(long afterMs) {
+    startTwoServices();
     String old = world.leader();
     String peer = peer(0);
     // The next leader can't reach the machines either.
@@ -140,8 +140,8 @@
    * hold ends at the last proven moment. A whole outage with all peers in reach is held through.
    */
   @Test
-  void anOutageIsHeldThroughWhileAllPeersSayWhatTheyConfirmed() {
-    twoServicesRun();
+  void tasksKeepRunningDuringAnOutageWithAllPeersReachable() {
+    startTwoServices();
     int starts = world.checker.starts;
     outage(0, 80_000);
     world.run(85);
@@ -151,8 +151,8 @@
   }
 
   @Test
-  void aPeerStartedDuringAnOutageProvesNothing() {
-    twoServicesRun();
+  void peerRestartedDuringAnOutageProvesNothing() {
+    startTwoServices();
     String peer = peer(0);
     outage(0, 80_000);
     world.at(2000, () -> world.crash(peer, 1000));
@@ -168,8 +168,8 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {14_000, 17_000, 19_000, 20_000, 21_000, 24_000})
-  void anOldLeaderThatIsServedAgainCatchesUpBeforeItAnswersWorkers(long outageMs) {
-    twoServicesRun();
+  void reconnectedLeaderCatchesUpBeforeItAnswersWorkers(long outageMs) {
+    startTwoServices();
     String old = world.leader();
     world.refuse(old, 1400 + outageMs);
     String peer = peer(0);
@@ -185,8 +185,8 @@
   /** An outage catches a new leader between two reads of its rebuilding. */
   @ParameterizedTest
   @ValueSource(longs = {0, 10, 20, 30, 40, 50, 60, 70, 80, 100, 150})
-  void aNewLeaderThatHasNotRebuiltStopsWhatPeersConfirmed(long afterMs) {
-    twoServicesRun();
+  void recoveringLeaderStopsWhatPeersConfirmed(long afterMs) {
+    startTwoServices();
     String old = world.leader();
     String peer = peer(0);
     world.crash(old, 90_000);
@@ -206,8 +206,8 @@
   /** A controller that stood still answers reports that came meanwhile with what it knew before. */
   @ParameterizedTest
   @ValueSource(longs = {3000, 9000, 15_000, 19_000, 23_000, 27_000})
-  void aLeaderThatStoodStillDoesNotSpeakFromBefore(long stillMs) {
-    twoServicesRun();
+  void pausedLeaderDoesNotAnswerFromStaleMemory(long stillMs) {
+    startTwoServices();
     String old = world.leader();
     String peer = peer(0);
     world.abortAt(peer, cancelled.uid());
--- a/src/test/java/eiderfork/controller/FailingJobsTest.java
+++ b/src/test/java/eiderfork/controller/FailingJobsTest.java
@@ -45,7 +45,7 @@
 
   /** Two such jobs came to the same machine first, and it was returned with all that ran there. */
   @Test
-  void severalThatMeetOnAMachineDoNotCondemnItBesideWorkThatGoesOn() {
+  void severalFailingJobsDoNotMarkABusyMachineFaulty() {
     world.cloud.capacity = 1;
     Job good = submit(TestFixtures.job(1, JobKind.SERVICE, 4, 1));
     world.run(20);
@@ -60,7 +60,7 @@
 
   /** Eight tasks that failed together on one machine counted as eight tries: 32 s of delay. */
   @Test
-  void aJobThatABadMachineBrokeIsNotHeldBackOnAGoodOne() {
+  void failuresOnOneFaultyMachineDoNotDelayTheJobElsewhere() {
     submit(TestFixtures.job(1, JobKind.SERVICE, 1, 4));
     world.run(20);
     String bad = world.workers().get(0).machine.name();
@@ -71,7 +71,7 @@
   }
 
   @Test
-  void theyAreTriedOneTaskAtATimeWithAGrowingDelay() {
+  void failingJobIsTriedOneTaskAtATimeWithGrowingBackoff() {
     submit(TestFixtures.job(1, JobKind.SERVICE, 8, 2));
     world.run(30);
     failing(2, 40);
@@ -83,7 +83,7 @@
   }
 
   @Test
-  void theyRentNothingBeyondTheirFirstTries() {
+  void failingJobDoesNotScaleOutAfterItsFirstTries() {
     submit(TestFixtures.job(1, JobKind.SERVICE, 1, 1));
     world.run(20);
     Job bad = failing(2, 60);
@@ -98,7 +98,7 @@
 
   /** A new leader knows nothing of the failures; it used to begin with all tasks again. */
   @Test
-  void aTakeoverDoesNotBeginWithAllOfTheirTasksAgain() {
+  void failoverDoesNotRestartAllTasksOfAFailingJob() {
     submit(TestFixtures.job(1, JobKind.SERVICE, 8, 2));
     world.run(30);
     failing(2, 40);
@@ -113,7 +113,7 @@
 
   /** The leader ends while the tasks of a try are under way or have just failed. */
   @Test
-  void aTakeoverInTheMiddleOfATryLeavesNothingBehind() {
+  void failoverDuringATryLeavesNothingRunning() {
     submit(TestFixtures.job(1, JobKind.SERVICE, 2, 1));
     world.run(20);
     Job bad = failing(2, 6);
@@ -147,7 +147,7 @@
 
   /** What looked like a mistake was the fault of two machines: the canary tells. */
   @Test
-  void aSuspectedJobThatDoesWellAfterAllGoesOnAtOnce() {
+  void suspectedJobResumesOnceATaskSucceeds() {
     submit(TestFixtures.job(1, JobKind.SERVICE, 3, 2));
     world.run(20);
     Job bad = failing(2, 24);
--- a/src/test/java/eiderfork/controller/FailureHistoryTest.java
+++ b/src/test/java/eiderfork/controller/FailureHistoryTest.java
@@ -27,7 +27,7 @@
     return new Reservation(job, index, attempt, on);
   }
 
-  private void fails(int index, long attempt, String machine, long nowMs) {
+  private void recordFailure(int index, long attempt, String machine, long nowMs) {
     history.recordFailure(reservation(index, attempt, machine), attempt, nowMs);
   }
 
@@ -38,7 +38,7 @@
   @Test
   void tasksOfOneTryCountOnce() {
     for (int index = 0; index < TASKS; index++) {
-      fails(index, 1, "n-1", 10);
+      recordFailure(index, 1, "n-1", 10);
     }
     assertFalse(history.isSuspected());
     assertEquals(0, history.notBeforeMs(), "the job may go on elsewhere");
@@ -47,11 +47,11 @@
   }
 
   @Test
-  void twoTriesOnTwoMachinesMakeASuspectWhoseDelayGrowsToABound() {
+  void failuresOnTwoMachinesMakeASuspectWithABoundedBackoff() {
     long delayMs = 0;
     for (int attempt = 1; attempt <= 12; attempt++) {
       long nowMs = attempt * 100_000L;
-      fails(0, attempt, "n-" + attempt % 4, nowMs);
+      recordFailure(0, attempt, "n-" + attempt % 4, nowMs);
       assertEquals(attempt >= 2, history.isConfirmedSuspect());
       long nextMs = Math.max(0, history.notBeforeMs() - nowMs);
       assertTrue(nextMs >= delayMs && nextMs <= 32 * STEP_MS, nextMs + " ms");
@@ -65,7 +65,7 @@
 
   /** Arrays that were stopped for others again and again look alike to a new leader. */
   @Test
-  void whatANewLeaderOnlyPresumesIsSoonDisproved() {
+  void restoredSuspicionEndsAfterAShortRun() {
     history.restore(attempts(30), TASKS);
     assertTrue(history.isSuspected());
     assertFalse(history.isConfirmedSuspect(), "machines are rented for it");
@@ -77,15 +77,15 @@
   }
 
   @Test
-  void aNewLeaderThatSeesItFailNeedsNoFurtherTry() {
+  void failureAfterRestoreConfirmsTheSuspicion() {
     history.restore(attempts(30), TASKS);
-    fails(0, 31, "n-1", 5000);
+    recordFailure(0, 31, "n-1", 5000);
     assertTrue(history.isConfirmedSuspect());
     assertTrue(history.notBeforeMs() >= 5000 + 32 * STEP_MS);
   }
 
   @Test
-  void anArrayOfWhichSomethingIsDoneIsNoSuspectToANewLeader() {
+  void arrayWithFinishedTasksIsNotSuspectedAfterRestore() {
     StoredRecord.Allocation some =
         new StoredRecord.Allocation(
             30, false, ImmutableList.of(), ImmutableList.of(new StoredRecord.TaskRange(0, 0)));
@@ -94,13 +94,13 @@
   }
 
   @Test
-  void aMachineIsAvoidedForAWhileAndNotOnceTheJobIsAtFault() {
-    fails(0, 1, "n-1", 1000);
+  void machineIsAvoidedForATimeAndNotOnceTheJobIsAtFault() {
+    recordFailure(0, 1, "n-1", 1000);
     assertTrue(history.isAvoided("n-1", 2000));
     assertFalse(history.isAvoided("n-2", 2000));
     assertFalse(history.isAvoided("n-1", 1000 + 31 * STEP_MS), "others may be full for ever");
-    fails(0, 2, "n-2", 2000);
-    fails(0, 3, "n-3", 3000);
+    recordFailure(0, 2, "n-2", 2000);
+    recordFailure(0, 3, "n-3", 3000);
     assertFalse(history.isAvoided("n-1", 3000));
     assertTrue(history.isJobAtFault());
   }
--- a/src/test/java/eiderfork/controller/FakeUsers.java
+++ b/src/test/java/eiderfork/controller/FakeUsers.java
@@ -4,124 +4,172 @@
 import eiderfork.controller.message.Input;
 import eiderfork.controller.message.UserResponse;
 import eiderfork.model.Job;
-import java.util.function.Consumer;
+import java.util.function.LongFunction;
 
-/**
- * The users of a {@link SimulatedCluster}: they repeat what gets no answer, and tell the checker
- * the rest.
- */
+/** The users of a {@link SimulatedCluster}: they retry, and report all responses to the checker. */
 final class FakeUsers {
+  private static final int TIMEOUT_MS = 5000;
+  private static final int RETRY_MS = 1000;
+  private static final int HOP_MS = 1;
+  private static final int MAX_TRIES = 60;
+
+  /** A number of earlier tries past which a request is not retried. */
+  private static final int NO_RETRY = Integer.MAX_VALUE;
+
+  /** When all nodes are queried after an answer that is new. */
+  private static final int[] PROBE_DELAYS_MS = {0, 1, 3, 10, 40, 120};
+
+  /** A request of a user, and how often it was tried before. */
+  private record Request(LongFunction<Input> input, String uid, boolean isSubmission, int tries) {
+    static Request submission(Job job, int tries) {
+      return new Request(
+          ticket -> new Input.Submit(ticket, job, new byte[0]), job.uid(), true, tries);
+    }
+
+    static Request cancellation(String uid, int tries) {
+      return new Request(ticket -> new Input.Abort(ticket, uid), uid, false, tries);
+    }
+
+    static Request query(String uid) {
+      return new Request(ticket -> new Input.Query(ticket, uid), uid, false, NO_RETRY);
+    }
+
+    Request retried() {
+      return new Request(input, uid, isSubmission, tries + 1);
+    }
+
+    /** A cancellation is retried until it is confirmed or the job is done. */
+    boolean needsRetry(UserResponse response) {
+      boolean failed =
+          response == null
+              || response.status() >= 429
+              || (!isSubmission && response.status() != 200);
+      return failed && tries < MAX_TRIES;
+    }
+  }
+
   private final SimulatedCluster world;
+  private boolean probesAfterNews;
 
   FakeUsers(SimulatedCluster world) {
     this.world = world;
   }
 
+  /** Whether all nodes are queried within moments of each answer that is new. */
+  void probeAfterNews(boolean value) {
+    probesAfterNews = value;
+  }
+
   /** Submits until the job is accepted or refused for good. */
   void submit(Job job) {
     world.addJob(job);
     world.checker.userSubmits(job);
-    user(ticket -> new Input.Submit(ticket, job, new byte[0]), job.uid(), true, 0);
+    sendToRandomNode(Request.submission(job, 0));
   }
 
-  /** A user submits to this node once. */
+  /** Submits to this node once. */
   void submitAt(String node, Job job) {
     world.addJob(job);
     world.checker.userSubmits(job);
-    user(
-        node,
-        ticket -> new Input.Submit(ticket, job, new byte[0]),
-        job.uid(),
-        true,
-        Integer.MAX_VALUE);
+    send(node, Request.submission(job, NO_RETRY));
   }
 
+  /** Cancels until that is confirmed or the job is done. */
   void abort(String uid) {
     world.checker.userAborts(uid);
-    user(ticket -> new Input.Abort(ticket, uid), uid, false, 0);
+    sendToRandomNode(Request.cancellation(uid, 0));
   }
 
-  /** Asks this node once to cancel. */
+  /** Cancels at this node once. */
   void abortAt(String node, String uid) {
     world.checker.userAborts(uid);
-    user(node, ticket -> new Input.Abort(ticket, uid), uid, false, Integer.MAX_VALUE);
+    send(node, Request.cancellation(uid, NO_RETRY));
   }
 
-  /** Asks a random live node once. */
+  /** Queries a random node once. */
   void query(String uid) {
-    user(ticket -> new Input.Query(ticket, uid), uid, false, Integer.MAX_VALUE);
+    sendToRandomNode(Request.query(uid));
   }
 
-  /** Asks all nodes at once. */
+  /** Queries all nodes at once. */
   void queryAll(String uid) {
     for (int i = 0; i < world.count; i++) {
-      String node = "roost-" + i;
-      user(node, ticket -> new Input.Query(ticket, uid), uid, false, Integer.MAX_VALUE);
+      send(nodeName(i), Request.query(uid));
     }
   }
 
-  /** Asks all nodes at once, and submits the job once more at each. */
+  /** Queries all nodes at once, and submits the job once more at each. */
   void queryAndResubmitEverywhere(String uid) {
     queryAll(uid);
     for (int i = 0; i < world.count; i++) {
-      String node = "roost-" + i;
-      Job job = world.job(uid);
-      user(
-          node, ticket -> new Input.Submit(ticket, job, new byte[0]), uid, true, Integer.MAX_VALUE);
+      send(nodeName(i), Request.submission(world.job(uid), NO_RETRY));
     }
   }
 
-  /** After each answer that says something new of a job, all nodes are asked within moments. */
-  boolean probeAfterNews;
+  private static String nodeName(int node) {
+    return "roost-" + node;
+  }
 
-  private void user(
-      java.util.function.LongFunction<Input> request, String uid, boolean submission, int tries) {
-    user("roost-" + world.random.nextInt(world.count), request, uid, submission, tries);
+  private void sendToRandomNode(Request request) {
+    send(nodeName(world.random.nextInt(world.count)), request);
   }
 
-  private void user(
-      String node,
-      java.util.function.LongFunction<Input> request,
-      String uid,
-      boolean submission,
-      int tries) {
-    boolean[] answered = {false};
-    ProtocolChecker.Known known = world.checker.known(uid);
-    Consumer<UserResponse> end =
-        response -> {
-          if (answered[0]) {
-            return;
-          }
-          answered[0] = true;
-          if (response != null) {
-            boolean news = world.checker.told(world.nowMs, uid, response, submission, known);
-            if (probeAfterNews && news) {
-              for (int ms : new int[] {0, 1, 3, 10, 40, 120}) {
-                world.at(ms, () -> queryAndResubmitEverywhere(uid));
-              }
-            }
-          }
-          // A cancellation is repeated until it is confirmed or the job is done.
-          boolean retry =
-              response == null
-                  || response.status() >= 429
-                  || (!submission && response.status() != 200);
-          if (retry && tries < 60) {
-            world.at(1000, () -> user(request, uid, submission, tries + 1));
-          }
-        };
-    world.at(5000, () -> end.accept(null));
+  private void send(String node, Request request) {
+    PendingRequest pending = new PendingRequest(request);
+    world.at(TIMEOUT_MS, pending::fail);
     if (!world.nodes.containsKey(node)) {
-      world.at(1, () -> end.accept(null));
+      world.at(HOP_MS, pending::fail);
       return;
     }
     world.at(
-        1,
+        HOP_MS,
         () ->
             world.ask(
                 node,
-                request,
-                effect ->
-                    world.at(1, () -> end.accept(((Effect.RespondToUser) effect).response()))));
+                request.input,
+                effect -> world.at(HOP_MS, () -> pending.complete((Effect.RespondToUser) effect))));
+  }
+
+  /** A request that has no response yet; the first response or the time-out ends it. */
+  private final class PendingRequest {
+    private final Request request;
+    private final ProtocolChecker.Known known;
+    private boolean isEnded;
+
+    PendingRequest(Request request) {
+      this.request = request;
+      known = world.checker.known(request.uid);
+    }
+
+    void complete(Effect.RespondToUser effect) {
+      end(effect.response());
+    }
+
+    void fail() {
+      end(null);
+    }
+
+    private void end(UserResponse response) {
+      if (isEnded) {
+        return;
+      }
+      isEnded = true;
+      if (response != null) {
+        check(response);
+      }
+      if (request.needsRetry(response)) {
+        world.at(RETRY_MS, () -> sendToRandomNode(request.retried()));
+      }
+    }
+
+    private void check(UserResponse response) {
+      boolean isNews =
+          world.checker.told(world.nowMs, request.uid, response, request.isSubmission, known);
+      if (probesAfterNews && isNews) {
+        for (int delayMs : PROBE_DELAYS_MS) {
+          world.at(delayMs, () -> queryAndResubmitEverywhere(request.uid));
+        }
+      }
+    }
   }
 }
--- a/src/test/java/eiderfork/controller/GangTest.java
+++ b/src/test/java/eiderfork/controller/GangTest.java
@@ -65,7 +65,7 @@
   }
 
   @Test
-  void aGangThatFindsNoRoomHoldsNoneAndTwoDoNotWaitForEachOther() {
+  void gangsThatDoNotFitReserveNothingAndDoNotDeadlock() {
     world.cloud.capacity = 1;
     world.cloud.types = world.cloud.types.subList(1, 2);
     submit(TestFixtures.job(1, JobKind.SERVICE, 1, 0));
@@ -85,7 +85,7 @@
 
   /** The best machine for one task may stand in a zone that has no room for the others. */
   @Test
-  void aGangOfOneZoneGoesWhereTheWholeOfItFits() {
+  void singleZoneGangIsPlacedWhereAllOfItFits() {
     for (String zone : List.of("a", "b")) {
       world.cloud.stock.put(
           new CloudProvisioner.MachineKind("g4", zone, false), zone.equals("a") ? 1 : 3);
@@ -104,7 +104,7 @@
 
   @ParameterizedTest
   @ValueSource(ints = {0, 50, 100, 200, 300, 500, 700, 900, 1200, 1600, 2500})
-  void aCrashOfTheLeaderAtAnyMomentOfTheStartChangesNothing(int afterMs) {
+  void leaderCrashDuringTheStartOfAGangChangesNothing(int afterMs) {
     startReferenceService();
     Job gang = submit(TestFixtures.gang(2, 6, 2, 8, true));
     world.at(afterMs, () -> world.crash(world.leader(), 3000));
@@ -116,7 +116,7 @@
 
   @ParameterizedTest
   @ValueSource(ints = {-1, 0, 300, 1000, 3000, 5000, 9000, 10_500, 12_000})
-  void aGangThatLosesAMachineStartsAnewFromItsCheckpoint(int crashAfterMs) {
+  void gangThatLosesAMachineRestartsFromItsCheckpoint(int crashAfterMs) {
     startReferenceService();
     Job gang = submit(TestFixtures.gang(2, 6, 4, 12, true));
     world.run(6);
@@ -136,7 +136,7 @@
    */
   @ParameterizedTest
   @ValueSource(ints = {3000, 7000, 9500, 10_500, 14_000, 25_000})
-  void aHungMemberCountsUntilItsLeaseHasLapsed(int hangMs) {
+  void hungTaskCountsUntilItsLeaseHasExpired(int hangMs) {
     startReferenceService();
     Job gang = submit(TestFixtures.gang(2, 6, 4, 12, true));
     world.run(6);
@@ -150,7 +150,7 @@
 
   /** What the leader knew of a lost member goes with it; its successor must not wait for it. */
   @Test
-  void aSuccessorStopsTheRestOfABrokenGang() {
+  void newLeaderStopsTheRestOfABrokenGang() {
     startReferenceService();
     Job gang = submit(TestFixtures.gang(2, 6, 4, 30, true));
     world.run(6);
@@ -169,7 +169,7 @@
   /** A gang that has to leave a machine saves, if all of its tasks are told in time. */
   @ParameterizedTest
   @ValueSource(ints = {-1, 0, 100, 300, 600, 1200})
-  void aGangOnAMachineWithANoticeIsSavedWhole(int crashAfterMs) {
+  void gangWithATerminationNoticeIsSavedAsAWhole(int crashAfterMs) {
     startReferenceService();
     Job gang = submit(TestFixtures.gang(2, 6, 4, 25, true, "blue", true));
     world.run(6);
@@ -189,7 +189,7 @@
 
   /** With less time than it takes to save, going on loses no more and may end before. */
   @Test
-  void aGangIsNotStoppedForANoticeThatIsTooShortToSave() {
+  void gangIsNotStoppedForANoticeTooShortToSave() {
     startReferenceService();
     Job gang = submit(TestFixtures.gang(2, 4, 4, 7, true, "blue", true));
     world.run(4);
@@ -203,7 +203,7 @@
 
   @ParameterizedTest
   @ValueSource(ints = {0, 100, 300, 600, 900, 1500, 4000, 6500, 8000})
-  void aCancelledGangIsGoneAtOnce(int afterMs) {
+  void cancelledGangStopsAtOnce(int afterMs) {
     startReferenceService();
     Job gang = submit(TestFixtures.gang(2, 6, 4, 6, true));
     world.at(afterMs, () -> world.abort(gang.uid()));
@@ -216,7 +216,7 @@
   /** One task's end is known, another's machine dies before it says so: all are done. */
   @ParameterizedTest
   @ValueSource(ints = {-1, 0, 200, 600, 1500})
-  void whereOneTaskIsDoneAllAre(int crashAfterMs) {
+  void gangIsDoneOnceOneTaskIs(int crashAfterMs) {
     startReferenceService();
     Job gang = submit(TestFixtures.gang(2, 6, 4, 6, true));
     world.run(5);
@@ -237,7 +237,7 @@
 
   /** Ten GPUs at most: a gang of six waits whole until there is quota for all of it. */
   @Test
-  void theLimitHoldsForTheWholeGangAndIsNotReservedInParts() {
+  void limitAppliesToTheWholeGang() {
     Job service =
         submit(TestFixtures.job(1, JobKind.SERVICE, 6, 1, "red", Priority.HIGH, false, false));
     world.run(25);
@@ -261,7 +261,7 @@
 
   /** Arrays are stopped for a gang only where all of it finds room that way. */
   @Test
-  void roomIsMadeForTheWholeGangOrForNoneOfIt() {
+  void preemptionMakesRoomForTheWholeGangOrNotAtAll() {
     world.cloud.capacity = 1;
     world.cloud.types = world.cloud.types.subList(1, 2);
     Job array = submit(array(1, 4, 60));
@@ -280,7 +280,7 @@
 
   /** A gang that might have been stopped for a part of another goes on. */
   @Test
-  void noGangIsStoppedForAPartOfAnother() {
+  void noGangIsPreemptedForAPartOfAnother() {
     world.cloud.capacity = 0;
     world.cloud.stock.put(new CloudProvisioner.MachineKind("c8", "a", false), 2);
     world.run(5);
@@ -301,7 +301,7 @@
   /** A gang is stopped whole for what is more urgent, and goes on from what it saved. */
   @ParameterizedTest
   @ValueSource(ints = {-1, 0, 150, 400, 900, 1600})
-  void aGangThatIsStoppedForAnUrgentServiceSavesWhole(int crashAfterMs) {
+  void gangPreemptedForAnUrgentServiceSavesAsAWhole(int crashAfterMs) {
     world.cloud.types = world.cloud.types.subList(1, 2);
     world.cloud.capacity = 0;
     world.cloud.stock.put(new CloudProvisioner.MachineKind("c8", "a", false), 2);
@@ -333,7 +333,7 @@
   /** Everything that the protocol lets go wrong, at once, while gangs come and are cancelled. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16})
-  void rulesHoldWhereTroublesMeet(long seed) {
+  void invariantsHoldUnderCombinedFaults(long seed) {
     SimulatedCluster troubled = new SimulatedCluster(seed);
     ExpectedOutcome.allServed(troubled, play(troubled, seed));
   }
@@ -367,13 +367,13 @@
     }
     for (int i = 0; i < 10; i++) {
       int kind = (int) ((i + seed) % 6);
-      troubled.at(12_000 + i * 6500L, () -> trouble(troubled, kind));
+      troubled.at(12_000 + i * 6500L, () -> injectFault(troubled, kind));
     }
     troubled.run(85);
     return gangs;
   }
 
-  private static void trouble(SimulatedCluster world, int kind) {
+  private static void injectFault(SimulatedCluster world, int kind) {
     String leader = world.leader() == null ? "roost-0" : world.leader();
     List<FakeWorker> busy =
         world.workers().stream().filter(worker -> !worker.presentTasks().isEmpty()).toList();
@@ -399,7 +399,7 @@
 
   /** Without the state service nothing is decided, and a gang that runs goes on. */
   @Test
-  void aGangOutlivesAnOutage() {
+  void gangKeepsRunningDuringAnOutage() {
     startReferenceService();
     Job gang = submit(TestFixtures.gang(2, 6, 2, 15, true));
     world.run(5);
--- a/src/test/java/eiderfork/controller/HugeArrayRecordTest.java
+++ b/src/test/java/eiderfork/controller/HugeArrayRecordTest.java
@@ -65,7 +65,7 @@
 
   private static void reserve(JobState job, List<MachineState> machines, double valueKb) {
     long attempt = job.nextAttemptNumber();
-    AllocationSizeLimit room = room(job, valueKb, true);
+    AllocationSizeLimit room = sizeLimit(job, valueKb, true);
     for (MachineState machine : machines) {
       int free = SLOTS - machine.reservations.size();
       for (int i = 0; i < free && job.hasPendingTasks(); i++) {
@@ -99,16 +99,16 @@
    */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void theAttemptsOfStragglersAreCountedAsFarAsTheyLieBehind(boolean withBitmaps) {
+  void attemptsOfStragglersAreCountedByTheirDistance(boolean withBitmaps) {
     Job job = TestFixtures.job(1, JobKind.ARRAY, 400, 1);
     JobState state = TestFixtures.jobState(job);
     double valueKb = 2;
     long newest = 1L << 40;
     int index = 0;
-    while (room(state, valueKb, withBitmaps).fits(index, 1, name(index))) {
+    while (sizeLimit(state, valueKb, withBitmaps).fits(index, 1, name(index))) {
       reserve(state, index, 1);
       index += 2;
-      if (room(state, valueKb, withBitmaps).fits(index, newest, name(index))) {
+      if (sizeLimit(state, valueKb, withBitmaps).fits(index, newest, name(index))) {
         JobState withNewest = copyOf(state);
         reserve(withNewest, index, newest);
         assertFits(withNewest, valueKb);
@@ -125,7 +125,7 @@
     return copy;
   }
 
-  private static AllocationSizeLimit room(JobState job, double valueKb, boolean withBitmaps) {
+  private static AllocationSizeLimit sizeLimit(JobState job, double valueKb, boolean withBitmaps) {
     return new AllocationSizeLimit(job, Double.POSITIVE_INFINITY, valueKb, withBitmaps);
   }
 
--- a/src/test/java/eiderfork/controller/JobArchiverTest.java
+++ b/src/test/java/eiderfork/controller/JobArchiverTest.java
@@ -92,7 +92,7 @@
   }
 
   @Test
-  void endedJobsLeaveKeysAndMemoryAndAreAnsweredForEverywhere() {
+  void archivedJobsLeaveKeysAndMemoryAndEveryNodeAnswersForThem() {
     SimulatedCluster world = world(1);
     List<Job> jobs = runJobsToTheirEnd(world);
     jobs.forEach(job -> assertArchivedCompletely(world, job));
@@ -114,7 +114,7 @@
 
   /** Processes that remember nothing answer from the archived record alone. */
   @Test
-  void processesStartedLaterKnowArchivedJobs() {
+  void restartedNodesAnswerForArchivedJobs() {
     SimulatedCluster world = world(2);
     List<Job> jobs = runJobsToTheirEnd(world);
     world.all().forEach(node -> world.crash(node, 500));
@@ -127,7 +127,7 @@
   }
 
   @Test
-  void jobsStayAsLongAsTheOperatorsSay() {
+  void jobsAreArchivedAfterTheConfiguredRetention() {
     SimulatedCluster world = new SimulatedCluster(3, TestFixtures.archivingAfter(60));
     List<Job> jobs = runJobsToTheirEnd(world);
     jobs.forEach(job -> assertFalse(isArchived(world, job)));
@@ -142,7 +142,7 @@
    */
   @ParameterizedTest
   @MethodSource("seeds")
-  void anOlderVersionsLateSubmissionBringsNothingBack(long seed) {
+  void lateSubmissionOfAnOlderVersionRestoresNothing(long seed) {
     SimulatedCluster world = world(seed);
     List<Job> jobs = runJobsToTheirEnd(world);
     int starts = world.checker.starts;
@@ -162,7 +162,7 @@
 
   /** The same where there is no room, so that no alloc write looks for the archived record. */
   @Test
-  void aJobThatCameBackIsAnsweredForFromTheArchiveWhileItWaits() {
+  void resubmittedArchivedJobIsAnsweredFromTheArchive() {
     SimulatedCluster world = world(4);
     Job job = runJobsToTheirEnd(world).get(0);
     world.cloud.isDown = true;
@@ -182,7 +182,7 @@
   /** A late cancellation of a job that never started when it was asked for, and is done now. */
   @ParameterizedTest
   @MethodSource("seeds")
-  void anOlderVersionsLateCancellationChangesNothing(long seed) {
+  void lateCancellationOfAnOlderVersionChangesNothing(long seed) {
     SimulatedCluster world = world(seed);
     Job done = runJobsToTheirEnd(world).get(0);
     world.checker.userAborts(done.uid());
@@ -207,7 +207,7 @@
 
   /** Both late writes at once, and a leader that has no reason yet to look at the job again. */
   @Test
-  void aCancelledCopyOfADoneJobIsNotTheLastWord() {
+  void cancelledCopyOfADoneJobDoesNotChangeItsStatus() {
     SimulatedCluster world = new SimulatedCluster(10, TestFixtures.archivingAfter(20));
     Job done = runJobsToTheirEnd(world).get(0);
     world.run(30);
@@ -237,7 +237,7 @@
    */
   @ParameterizedTest
   @MethodSource("seeds")
-  void nothingIsTakenBackWhateverIsLateOrLost(long seed) {
+  void answersStayConsistentWithLateWritesAndLostReplies(long seed) {
     SimulatedCluster world = world(seed);
     List<Job> jobs = play(world, seed);
     assertNoBreaches(world);
@@ -288,7 +288,7 @@
 
   /** An older version's node would deny what it does not find, so nothing leaves before. */
   @Test
-  void nothingIsArchivedWhileAMemberMayBeOld() {
+  void nothingIsArchivedWhileAMemberMayRunAnOlderVersion() {
     SimulatedCluster world = world(5);
     for (String node : world.all()) {
       world.older.add(node);
@@ -324,7 +324,7 @@
    */
   @ParameterizedTest
   @MethodSource("seeds")
-  void aLeaderWithoutRoomForAllEndedJobsArchivesThemBitByBit(long seed) {
+  void leaderWithoutMemoryForAllFinishedJobsArchivesThemInPages(long seed) {
     int most = 4;
     SimulatedCluster world = new SimulatedCluster(seed, TestFixtures.archiving(3600, most));
     for (String node : world.all()) {
@@ -369,7 +369,7 @@
 
   /** What a spoilt record says is not known, so nothing is concluded from the others. */
   @Test
-  void aFrozenJobStaysWhereItIs() {
+  void frozenJobIsNotArchived() {
     SimulatedCluster world = world(7);
     Job service = TestFixtures.job(1, JobKind.SERVICE, 2, 1);
     world.submit(service);
@@ -386,7 +386,7 @@
 
   /** A task of a cancelled job on a machine that is not heard counts until it surely is gone. */
   @Test
-  void aCancelledJobStaysUntilItsTasksAreSurelyGone() {
+  void cancelledJobIsNotArchivedBeforeItsTasksHaveSurelyEnded() {
     SimulatedCluster world = world(8);
     Job service = TestFixtures.job(1, JobKind.SERVICE, 1, 1);
     world.submit(service);
@@ -419,7 +419,7 @@
 
   /** Work has the writes first: while they are short nothing is archived. */
   @Test
-  void archivingTakesOnlyWhatTheRatesLeaveOver() {
+  void archivingUsesOnlySpareWrites() {
     ControllerContext context =
         new ControllerContext(TestFixtures.settings("roost-0"), new Random(1), 0);
     StoreClient store = new StoreClient(context);
--- a/src/test/java/eiderfork/controller/JobArchiverTransactionTest.java
+++ b/src/test/java/eiderfork/controller/JobArchiverTransactionTest.java
@@ -65,7 +65,7 @@
 
   /** Each condition stands against a write or a leader that is late; see the class itself. */
   @Test
-  void jobsMoveTogetherUnderTheConditionsThatNothingOfThemHasChanged() {
+  void batchIsMovedOnConditionThatNothingHasChanged() {
     StoreRequest.Transaction write = write(tick());
     assertEquals(
         ImmutableList.of(
@@ -108,7 +108,7 @@
   }
 
   @Test
-  void memoryAnswersUntilTheMoveIsKnownToBeCarriedOut() {
+  void jobsStayInMemoryUntilTheMoveIsKnownToBeApplied() {
     List<Effect.CallStore> first = tick();
     context.completeCall(first.get(0).callId(), new Reply.Unanswered());
     assertNotNull(jobs.get(DONE.uid()));
@@ -128,7 +128,7 @@
 
   /** Its record is not what this leader thinks, so nothing is concluded from what it thinks. */
   @Test
-  void aJobWithAnotherAllocRecordStays() {
+  void jobWithAnUnexpectedAllocationIsNotArchived() {
     List<Effect.CallStore> calls = tick();
     Reply changed = new Reply.Conflict(ImmutableList.of(StoreKeys.alloc(DONE.uid())));
     context.completeCall(calls.get(0).callId(), changed);
@@ -138,7 +138,7 @@
   }
 
   @Test
-  void theAnswerOfAnEarlierTermChangesNothing() {
+  void replyFromAnEarlierTermIsIgnored() {
     List<Effect.CallStore> calls = tick();
     archiver.reset();
     context.completeCall(calls.get(0).callId(), new Reply.Committed(20));
@@ -147,7 +147,7 @@
 
   /** A write under way may still say something else of the job, or bring a reservation. */
   @Test
-  void aJobWithSomethingOpenStays() {
+  void jobWithOpenStateIsNotArchivable() {
     assertTrue(done.isArchivable());
     done.writes().onWriteBegun(done.writes().committed(), context.nowMs);
     assertTrue(!done.isArchivable());
@@ -167,7 +167,7 @@
 
   /** A watch that was held up brings a job and its move at once, after memory has let it go. */
   @Test
-  void whatAWatchShowsAsRemovedLeavesMemory() {
+  void removalSeenByTheWatchEvictsTheJob() {
     LeaderRecovery recovery =
         new LeaderRecovery(
             context,
@@ -194,7 +194,7 @@
 
   /** Past the operators' number the oldest go, however short their stay. */
   @Test
-  void memoryHoldsNoMoreEndedJobsThanTheOperatorsSay() {
+  void oldestFinishedJobsAreArchivedPastTheConfiguredMaximum() {
     ControllerContext few =
         new ControllerContext(TestFixtures.archiving(3600, 1), new Random(1), 0);
     assertEquals(1, few.settings.operator().maxEndedJobs());
--- a/src/test/java/eiderfork/controller/JobRegistryTest.java
+++ b/src/test/java/eiderfork/controller/JobRegistryTest.java
@@ -41,7 +41,7 @@
 
   /** They would wait for `peers` or for each other until their own time-outs. */
   @Test
-  void aNewLeaderStopsWhatIsLeftOfABrokenGang() {
+  void restoringABrokenGangStopsItsRemainingTasks() {
     JobState job = restoredGang(ImmutableList.of());
     assertEquals(2, job.reservations().size());
     assertTrue(job.reservations().values().stream().noneMatch(Reservation::isDesired));
@@ -50,7 +50,7 @@
   }
 
   @Test
-  void aNewLeaderKnowsThatAllTasksOfAGangAreDoneWhereOneIs() {
+  void restoringAGangWithAFinishedTaskFinishesAll() {
     JobState job = restoredGang(ImmutableList.of(new StoredRecord.TaskRange(0, 0)));
     assertTrue(job.tasks().isAllFinished());
     assertTrue(job.writes().isDirty(), "it is written");
@@ -60,7 +60,7 @@
 
   /** A task's end ends the others' reservations at once, not when their machines say so. */
   @Test
-  void whereOneTaskOfAGangIsDoneAllAre() {
+  void settlingOneCompletedGangTaskFinishesAll() {
     MachineState machine = fleet.getOrRegister("n-1");
     JobState job = jobs.add(TestFixtures.gang(9, 4, 1, 4, true), 1);
     Reservation first = jobs.propose(job, 0, 1, machine);
@@ -77,7 +77,7 @@
    * fetch first.
    */
   @Test
-  void aNewLeaderKnowsWhichImagesMachinesWereGiven() {
+  void cachedImagesAreRestoredInTheOrderOfTheWrites() {
     fleet.types(
         ImmutableList.of(
             new MachineType("g4", new Resources(16, 4, 64), 2, 2, 8, 3, 4, ImmutableList.of("a"))));
@@ -101,7 +101,7 @@
 
   /** What is counted as jobs change is what a look at every job would count. */
   @Test
-  void talliesAgreeWithTheJobsWhateverHappens() {
+  void resourceUsageMatchesTheJobsAfterRandomTransitions() {
     Random random = new Random(3);
     List<JobState> entries = new ArrayList<>();
     List<Reservation> placed = new ArrayList<>();
@@ -164,11 +164,11 @@
           }
         }
       }
-      assertTalliesAgree();
+      assertUsageMatchesJobs();
     }
   }
 
-  private void assertTalliesAgree() {
+  private void assertUsageMatchesJobs() {
     Resources used = Resources.NONE;
     Resources stopping = Resources.NONE;
     Resources settled = Resources.NONE;
--- a/src/test/java/eiderfork/controller/MonotonicReadTest.java
+++ b/src/test/java/eiderfork/controller/MonotonicReadTest.java
@@ -35,7 +35,7 @@
   }
 
   /** Arrays of a few tasks that end one after the other, and services that are cancelled. */
-  private static List<Job> load(SimulatedCluster world, int jobs) {
+  private static List<Job> submitLoad(SimulatedCluster world, int jobs) {
     List<Job> all = new ArrayList<>();
     for (int i = 1; i <= jobs; i++) {
       Job job = TestFixtures.job(i, i % 3 == 0 ? JobKind.SERVICE : JobKind.ARRAY, 1 + i % 3, i % 2);
@@ -56,10 +56,10 @@
    */
   @ParameterizedTest
   @MethodSource("seeds")
-  void nothingOlderIsToldWithinMomentsOfAnAnswer(long seed) {
+  void noNodeAnswersWithAnOlderStatusRightAfterAnAnswer(long seed) {
     SimulatedCluster world = new SimulatedCluster(seed);
     world.lookCloselyAtNews(true);
-    List<Job> jobs = load(world, 18);
+    List<Job> jobs = submitLoad(world, 18);
     world.run(60);
     assertNoBreaches(world);
     assertAllTerminal(world, jobs);
@@ -72,7 +72,7 @@
    */
   @ParameterizedTest
   @MethodSource("seeds")
-  void whatAnotherNodeReadIsNotContradictedWhileTheWritersAnswerIsLost(long seed) {
+  void readsStayMonotonicWhileRepliesToWritesAreLost(long seed) {
     SimulatedCluster world = new SimulatedCluster(seed);
     world.lookCloselyAtNews(true);
     world.at(5_000, () -> world.lostAnswers = 0.5);
@@ -80,7 +80,7 @@
     world.at(5_000, () -> world.cut("roost-0>roost-2", 40_000));
     world.at(5_000, () -> world.cut("roost-1>roost-2", 40_000));
     world.at(5_000, () -> world.cut("roost-2>roost-0", 40_000));
-    List<Job> jobs = load(world, 18);
+    List<Job> jobs = submitLoad(world, 18);
     for (int i = 0; i < 900; i++) {
       int number = 1 + i % 18;
       world.at(8_000 + 50L * i, () -> world.queryAll("run-%06d".formatted(number)));
@@ -94,11 +94,11 @@
   /** The same with transactions that are carried out late, after newer ones. */
   @ParameterizedTest
   @MethodSource("seeds")
-  void transactionsCarriedOutLateContradictNothing(long seed) {
+  void readsStayMonotonicWithLateTransactions(long seed) {
     SimulatedCluster world = new SimulatedCluster(seed);
     world.lookCloselyAtNews(true);
     world.at(5_000, () -> world.lateWrites = 0.3);
-    List<Job> jobs = load(world, 18);
+    List<Job> jobs = submitLoad(world, 18);
     world.at(20_000, () -> world.crash(world.leader() == null ? "roost-0" : world.leader(), 3000));
     world.at(50_000, () -> world.lateWrites = 0);
     world.run(100);
@@ -113,7 +113,7 @@
   @ParameterizedTest
   @ValueSource(
       ints = {0, 50, 100, 150, 200, 250, 300, 350, 400, 450, 500, 600, 700, 800, 900, 1000, 1200})
-  void aCancellationAtTheEndOfTheLastTaskIsAnsweredOnceAndForAll(int afterMs) {
+  void cancellationRacingWithCompletionHasOneFinalStatus(int afterMs) {
     for (int i = 0; i < 9; i++) {
       String at = "roost-" + i % 3;
       SimulatedCluster world = new SimulatedCluster(7);
@@ -141,7 +141,7 @@
   /** A job is cancelled while its submission is still on its way at other nodes. */
   @ParameterizedTest
   @MethodSource("seeds")
-  void aCancellationAtOnceIsKept(long seed) {
+  void cancellationRightAfterSubmissionIsKept(long seed) {
     SimulatedCluster world = new SimulatedCluster(seed);
     world.lookCloselyAtNews(true);
     world.run(10);
@@ -162,7 +162,7 @@
 
   /** What is malformed, impossible, unknown or over is answered for what it is, at any time. */
   @Test
-  void oddRequestsAreAnsweredInTheMiddleOfATakeover() {
+  void unusualRequestsAreAnsweredDuringAFailover() {
     SimulatedCluster world = new SimulatedCluster(3);
     Job done = TestFixtures.job(1, JobKind.ARRAY, 1, 1);
     Job running = TestFixtures.job(2, JobKind.SERVICE, 1, 1);
--- a/src/test/java/eiderfork/controller/QuotaLimitTest.java
+++ b/src/test/java/eiderfork/controller/QuotaLimitTest.java
@@ -47,7 +47,7 @@
    */
   @ParameterizedTest
   @ValueSource(ints = {-1500, -700, -300, -100, 0, 50, 150, 400, 900, 2000, 4000, 8000})
-  void cancelledTasksOnMachinesThatCannotBeAskedCountAcrossATakeover(int crashAfterMs) {
+  void cancelledTasksOnUnreachableMachinesCountAcrossAFailover(int crashAfterMs) {
     for (boolean hang : new boolean[] {true, false}) {
       SimulatedCluster world = new SimulatedCluster(5);
       List<Job> jobs = fillTeamLimit(world);
@@ -76,7 +76,7 @@
   /** The same, and the machines stay away for longer than a lease, some for good. */
   @ParameterizedTest
   @ValueSource(ints = {0, 300, 1500, 6000, 12_000})
-  void theLimitIsFreeAgainOnceTheLeasesHaveLapsed(int crashAfterMs) {
+  void quotaIsReleasedOnceTheLeasesHaveExpired(int crashAfterMs) {
     SimulatedCluster world = new SimulatedCluster(6);
     List<Job> jobs = fillTeamLimit(world);
     List<FakeWorker> unheard = busyWorkers(world);
@@ -99,7 +99,7 @@
   /** A team is at its limit when the leader changes, and a cancellation falls into that spell. */
   @ParameterizedTest
   @ValueSource(ints = {0, 500, 1000, 1500, 2000, 2500, 3000, 3300, 3400, 3500, 3700, 4000, 5000})
-  void aCancellationWhileNobodyLeadsFreesTheLimitOnce(int abortAfterMs) {
+  void cancellationWithoutALeaderReleasesQuotaOnce(int abortAfterMs) {
     SimulatedCluster world = new SimulatedCluster(8);
     List<Job> jobs = fillTeamLimit(world);
     FakeWorker deaf = busyWorkers(world).get(0);
@@ -119,7 +119,7 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void endsThatAreNotCommittedYetCountForTheLimit(long seed) {
+  void uncommittedSettlementsCountForTheLimit(long seed) {
     SimulatedCluster world = new SimulatedCluster(seed);
     world.run(3);
     world.lateWrites = 0.4;
@@ -148,7 +148,7 @@
    */
   @ParameterizedTest
   @ValueSource(ints = {100, 200, 300, 400, 500, 600, 700, 800, 900, 1000, 1100, 1200, 1300, 1400})
-  void aStartThatIsUnderWayCountsUntilItCannotBeExecuted(int abortAfterMs) {
+  void startInFlightCountsUntilItCannotBeExecuted(int abortAfterMs) {
     for (int lateMs : new int[] {700, 1100, 1500, 1900}) {
       SimulatedCluster world = new SimulatedCluster(11);
       List<Job> jobs = new ArrayList<>();
@@ -177,7 +177,7 @@
   /** One-task jobs come four a second for minutes, a quarter of them cancelled. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2})
-  void shortJobsFourASecondForMinutes(long seed) {
+  void limitHoldsWithFourShortJobsASecond(long seed) {
     SimulatedCluster world = new SimulatedCluster(seed);
     world.late = 0.01;
     List<Job> jobs = new ArrayList<>();
@@ -200,7 +200,7 @@
   /** There is more work than room, urgent and not, over slow links. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void moreWorkThanRoomOverSlowLinks(long seed) {
+  void limitHoldsWithMoreWorkThanCapacityOverSlowLinks(long seed) {
     SimulatedCluster world = new SimulatedCluster(seed);
     world.cloud.capacity = 1;
     world.late = 0.2;
--- a/src/test/java/eiderfork/controller/SimulatedCluster.java
+++ b/src/test/java/eiderfork/controller/SimulatedCluster.java
@@ -437,7 +437,7 @@
 
   /** After each answer that says something new of a job, all nodes are asked within moments. */
   void lookCloselyAtNews(boolean value) {
-    users.probeAfterNews = value;
+    users.probeAfterNews(value);
   }
 
   String leader() {
--- a/src/test/java/eiderfork/controller/TestFixtures.java
+++ b/src/test/java/eiderfork/controller/TestFixtures.java
@@ -14,19 +14,19 @@
 
 /** Settings and jobs that tests have in common. */
 final class TestFixtures {
-  /** The figures of the earlier deployments, and of those of many machines. */
+  /** The timings of small deployments, and of those with many machines. */
   static final Settings.WorkerTimings SHORT_LEASES = new Settings.WorkerTimings(1, 10, 30);
 
   static final Settings.WorkerTimings LONG_LEASES = new Settings.WorkerTimings(4, 22, 42);
 
   private TestFixtures() {}
 
-  /** Three nodes stand in one zone; more are spread over the two by turns. */
+  /** Three nodes are in one zone; more are spread over two zones by turns. */
   static String zone(int node, int count) {
     return count > 3 && node % 2 == 1 ? "b" : "a";
   }
 
-  /** Settings with the figures of a fleet of many machines. */
+  /** Settings with the timings of a fleet with many machines. */
   static Settings longLeaseSettings() {
     return settings("roost-0", LONG_LEASES, new Settings.StoreLimits(200, 40, 4, 16), 0.2, 160, 3);
   }
@@ -35,7 +35,7 @@
     return settings(node, 3);
   }
 
-  /** The same with so many nodes. */
+  /** The same with this number of nodes. */
   static Settings settings(String node, int count) {
     return settings(node, SHORT_LEASES, new Settings.StoreLimits(200, 40, 8, 16), 0.2, 160, count);
   }
@@ -76,30 +76,36 @@
         OperatorSettings.DEFAULTS);
   }
 
-  /** The same settings, with limits of the state service that are to come. */
+  /** The same settings, with announced limits of the store. */
   static Settings withNextLimits(Settings base, Settings.StoreLimits next) {
-    return with(base, base.objectives(), next, base.operator());
+    return copy(base, base.teams(), base.objectives(), next, base.cloudLimits(), base.operator());
   }
 
-  /** The same settings, with these of the operators. */
+  /** The same settings, with other operator settings. */
   static Settings withOperator(Settings base, OperatorSettings operator) {
-    return with(base, base.objectives(), base.nextStoreLimits(), operator);
+    return copy(
+        base,
+        base.teams(),
+        base.objectives(),
+        base.nextStoreLimits(),
+        base.cloudLimits(),
+        operator);
   }
 
-  /** Settings by which jobs are archived that long after their end. */
+  /** Settings with which jobs are archived that long after their end. */
   static Settings archivingAfter(double seconds) {
     return archiving(seconds, OperatorSettings.DEFAULTS.maxEndedJobs());
   }
 
-  /** Settings by which jobs are archived that long after their end, or past so many of them. */
-  static Settings archiving(double seconds, int mostEndedJobs) {
+  /** Settings with which jobs are archived that long after their end, or past this number. */
+  static Settings archiving(double seconds, int maxEndedJobs) {
     OperatorSettings defaults = OperatorSettings.DEFAULTS;
     return withOperator(
         settings("roost-0"),
-        operator(seconds, mostEndedJobs, defaults.standbyCount(), defaults.isLendingEnabled()));
+        operator(seconds, maxEndedJobs, defaults.standbyCount(), defaults.isLendingEnabled()));
   }
 
-  /** The same settings, with so many nodes that stand by. */
+  /** The same settings, with this number of standbys. */
   static Settings withStandbys(Settings base, int standbys) {
     OperatorSettings own = base.operator();
     return withOperator(
@@ -107,7 +113,7 @@
         operator(own.endedJobRetentionS(), own.maxEndedJobs(), standbys, own.isLendingEnabled()));
   }
 
-  /** The same settings, with batch work that borrows and is reclaimed. */
+  /** The same settings, with or without quota borrowing. */
   static Settings withLending(Settings base, boolean lending) {
     OperatorSettings own = base.operator();
     return withOperator(
@@ -115,7 +121,7 @@
   }
 
   private static OperatorSettings operator(
-      double endedJobsStayS, int mostEndedJobs, int standbys, boolean lending) {
+      double endedJobRetentionS, int maxEndedJobs, int standbys, boolean lending) {
     OperatorSettings defaults = OperatorSettings.DEFAULTS;
     return new OperatorSettings(
         defaults.updateWindowShare(),
@@ -123,8 +129,8 @@
         defaults.headroomDeviations(),
         defaults.idleBootShare(),
         defaults.isSpotAllowed(),
-        endedJobsStayS,
-        mostEndedJobs,
+        endedJobRetentionS,
+        maxEndedJobs,
         standbys,
         lending,
         defaults.loanCooldownBoots(),
@@ -133,44 +139,39 @@
 
   /** The same settings, with other teams. */
   static Settings withTeams(Settings base, ImmutableMap<String, Team> teams) {
-    return with(base, teams, base.cloudLimits());
-  }
-
-  /** The same settings, with a cloud that takes so many calls a second. */
-  static Settings withCloudRate(Settings base, double rps) {
-    return with(base, base.teams(), new Settings.CloudLimits(rps, base.cloudLimits().listLagS()));
-  }
-
-  private static Settings with(
-      Settings base, ImmutableMap<String, Team> teams, Settings.CloudLimits cloud) {
-    return new Settings(
-        base.nodeName(),
-        base.zone(),
-        base.publicEndpoint(),
-        base.peerListenEndpoint(),
-        base.peerEndpoints(),
-        base.peerZones(),
-        base.cloudEndpoint(),
-        base.storeEndpoint(),
+    return copy(
+        base,
         teams,
         base.objectives(),
-        base.workerTimings(),
-        base.storeLimits(),
         base.nextStoreLimits(),
-        cloud,
-        base.controllerResources(),
+        base.cloudLimits(),
         base.operator());
   }
 
-  /** The same settings, with other aims of the users. */
+  /** The same settings, with another rate limit of the cloud. */
+  static Settings withCloudRate(Settings base, double rps) {
+    Settings.CloudLimits cloud = new Settings.CloudLimits(rps, base.cloudLimits().listLagS());
+    return copy(
+        base, base.teams(), base.objectives(), base.nextStoreLimits(), cloud, base.operator());
+  }
+
+  /** The same settings, with other service-level objectives. */
   static Settings withObjectives(Settings base, ImmutableList<Settings.Objective> objectives) {
-    return with(base, objectives, base.nextStoreLimits(), base.operator());
+    return copy(
+        base,
+        base.teams(),
+        objectives,
+        base.nextStoreLimits(),
+        base.cloudLimits(),
+        base.operator());
   }
 
-  private static Settings with(
+  private static Settings copy(
       Settings base,
+      ImmutableMap<String, Team> teams,
       ImmutableList<Settings.Objective> objectives,
       Settings.StoreLimits next,
+      Settings.CloudLimits cloud,
       OperatorSettings operator) {
     return new Settings(
         base.nodeName(),
@@ -181,12 +182,12 @@
         base.peerZones(),
         base.cloudEndpoint(),
         base.storeEndpoint(),
-        base.teams(),
+        teams,
         objectives,
         base.workerTimings(),
         base.storeLimits(),
         next,
-        base.cloudLimits(),
+        cloud,
         base.controllerResources(),
         operator);
   }
@@ -196,7 +197,7 @@
     return with(template, template.priority(), demand, ImmutableSet.of(type), true, runS);
   }
 
-  /** The same job, of which each task runs for so long. */
+  /** The same job with another run time of its tasks. */
   static Job withRunTime(Job template, double runS) {
     return with(
         template,
@@ -325,7 +326,7 @@
         null);
   }
 
-  /** A job as a leader holds it that has just learned of it. */
+  /** A job as a leader holds it that has just added it. */
   static JobState jobState(Job job) {
     Backoff backoff = new Backoff(1, 2);
     return new JobState(
--- a/src/test/java/eiderfork/controller/UserRequestHandlerTest.java
+++ b/src/test/java/eiderfork/controller/UserRequestHandlerTest.java
@@ -48,7 +48,7 @@
           () -> {});
   private final List<UserResponse> answers = new ArrayList<>();
 
-  private StoreRequest next(Reply replyToLast, long call) {
+  private StoreRequest nextRequest(Reply replyToLast, long call) {
     if (replyToLast != null) {
       context.completeCall(call, replyToLast);
     }
@@ -63,12 +63,14 @@
   private long lastCall;
 
   /** Asks to cancel, and goes on until the cancellation is to be written. */
-  private StoreRequest.Transaction abort(StoredRecord.Allocation allocation, long allocVersion) {
+  private StoreRequest.Transaction cancelUntilWrite(
+      StoredRecord.Allocation allocation, long allocVersion) {
     requests.handle(new Input.Abort(1, JOB.uid()), true, answers::add);
-    assertEquals(new StoreRequest.Get(StoreKeys.job(JOB.uid())), next(null, 0));
+    assertEquals(new StoreRequest.Get(StoreKeys.job(JOB.uid())), nextRequest(null, 0));
     Reply job = new Reply.Value(new StoredRecord.JobSpec(JOB), 3);
-    assertEquals(new StoreRequest.Get(StoreKeys.alloc(JOB.uid())), next(job, lastCall));
-    return (StoreRequest.Transaction) next(new Reply.Value(allocation, allocVersion), lastCall);
+    assertEquals(new StoreRequest.Get(StoreKeys.alloc(JOB.uid())), nextRequest(job, lastCall));
+    return (StoreRequest.Transaction)
+        nextRequest(new Reply.Value(allocation, allocVersion), lastCall);
   }
 
   private static StoredRecord.Allocation alloc(boolean done) {
@@ -77,8 +79,8 @@
 
   /** Without the condition on alloc a job that was told to be done could be cancelled after it. */
   @Test
-  void aCancellationIsWrittenOnlyWhereTheJobIsAsItWasRead() {
-    StoreRequest.Transaction write = abort(alloc(false), 9);
+  void cancellationIsConditionalOnTheAllocationThatWasRead() {
+    StoreRequest.Transaction write = cancelUntilWrite(alloc(false), 9);
     assertEquals(
         ImmutableList.of(
             new StoreRequest.Condition(StoreKeys.cancellation(JOB.uid()), 0),
@@ -88,22 +90,22 @@
   }
 
   @Test
-  void aJobThatIsDoneMeanwhileIsNotCancelled() {
-    abort(alloc(false), 9);
+  void jobThatCompletesMeanwhileIsNotCancelled() {
+    cancelUntilWrite(alloc(false), 9);
     Reply conflict = new Reply.Conflict(ImmutableList.of(StoreKeys.alloc(JOB.uid())));
-    assertEquals(new StoreRequest.Get(StoreKeys.alloc(JOB.uid())), next(conflict, lastCall));
+    assertEquals(new StoreRequest.Get(StoreKeys.alloc(JOB.uid())), nextRequest(conflict, lastCall));
     context.completeCall(lastCall, new Reply.Value(alloc(true), 10));
     assertEquals(JobStatus.Phase.DONE, answers.get(0).job().phase());
   }
 
   /** An older version's late writes may have brought job and cancellation of a done job back. */
   @Test
-  void aCancellationThatFindsTheJobArchivedIsAnsweredWithItsEnd() {
-    abort(StoredRecord.Allocation.EMPTY, 0);
+  void cancellationOfAnArchivedJobIsAnsweredWithItsFinalStatus() {
+    cancelUntilWrite(StoredRecord.Allocation.EMPTY, 0);
     Reply conflict =
         new Reply.Conflict(
             ImmutableList.of(StoreKeys.cancellation(JOB.uid()), StoreKeys.ended(JOB.uid())));
-    assertEquals(new StoreRequest.Get(StoreKeys.ended(JOB.uid())), next(conflict, lastCall));
+    assertEquals(new StoreRequest.Get(StoreKeys.ended(JOB.uid())), nextRequest(conflict, lastCall));
     StoredRecord ended = new StoredRecord.ArchivedJob(JobStatus.Phase.DONE, 2);
     context.completeCall(lastCall, new Reply.Value(ended, 12));
     assertEquals(JobStatus.Phase.DONE, answers.get(0).job().phase());
@@ -114,19 +116,19 @@
   /** A gang comes to this node, which can't reach a leader; goes on until the version is read. */
   private void submitGang() {
     requests.handle(new Input.Submit(1, GANG, new byte[0]), true, answers::add);
-    assertEquals(new StoreRequest.Get(StoreKeys.job(GANG.uid())), next(null, 0));
+    assertEquals(new StoreRequest.Get(StoreKeys.job(GANG.uid())), nextRequest(null, 0));
     Reply none = new Reply.Value(null, 0);
-    assertEquals(new StoreRequest.Get(StoreKeys.ended(GANG.uid())), next(none, lastCall));
-    assertEquals(new StoreRequest.Get(StoreKeys.MACHINE_TYPES), next(none, lastCall));
+    assertEquals(new StoreRequest.Get(StoreKeys.ended(GANG.uid())), nextRequest(none, lastCall));
+    assertEquals(new StoreRequest.Get(StoreKeys.MACHINE_TYPES), nextRequest(none, lastCall));
     MachineType type =
         new MachineType("g4", new Resources(16, 4, 64), 9, 2, 8, 3, 4, ImmutableList.of("a"));
     Reply types = new Reply.Value(new StoredRecord.MachineTypes(ImmutableList.of(type)), 2);
-    assertEquals(new StoreRequest.Get(StoreKeys.CLUSTER_VERSION), next(types, lastCall));
+    assertEquals(new StoreRequest.Get(StoreKeys.CLUSTER_VERSION), nextRequest(types, lastCall));
   }
 
   /** An old leader would take it, and carry it out by older rules. */
   @Test
-  void aGangIsNotPassedOnWhileTheLeaderMayBeOld() {
+  void gangIsNotForwardedWhileTheLeaderMayRunAnOlderVersion() {
     election.observeLeader("roost-1", 4);
     assertEquals("roost-1", election.leader());
     submitGang();
@@ -136,10 +138,10 @@
   }
 
   @Test
-  void aNodeWithoutProofReadsWhichVersionIsStored() {
+  void nodeWithoutConfirmedVersionReadsTheStoredOne() {
     submitGang();
     Reply current = new Reply.Value(new StoredRecord.StoredVersion(ClusterVersion.CURRENT), 8);
-    StoreRequest.Transaction write = (StoreRequest.Transaction) next(current, lastCall);
+    StoreRequest.Transaction write = (StoreRequest.Transaction) nextRequest(current, lastCall);
     assertEquals(
         StoreRequest.Change.put(StoreKeys.job(GANG.uid()), new StoredRecord.JobSpec(GANG)),
         write.changes().get(0));
@@ -147,25 +149,28 @@
 
   /** A peer may have taken the job before the limits fell: then it is known, and not refused. */
   @Test
-  void aSubmissionThatIsTooLargeIsLookedUpBeforeItIsRefused() {
+  void oversizedSubmissionIsLookedUpBeforeItIsRefused() {
     submitGang();
-    next(new Reply.Value(new StoredRecord.StoredVersion(ClusterVersion.CURRENT), 8), lastCall);
+    nextRequest(
+        new Reply.Value(new StoredRecord.StoredVersion(ClusterVersion.CURRENT), 8), lastCall);
     assertEquals(
-        new StoreRequest.Get(StoreKeys.job(GANG.uid())), next(new Reply.Refused(400), lastCall));
+        new StoreRequest.Get(StoreKeys.job(GANG.uid())),
+        nextRequest(new Reply.Refused(400), lastCall));
     Reply there = new Reply.Value(new StoredRecord.JobSpec(GANG), 7);
-    assertEquals(new StoreRequest.Get(StoreKeys.cancellation(GANG.uid())), next(there, lastCall));
-    next(new Reply.Value(null, 0), lastCall);
+    assertEquals(
+        new StoreRequest.Get(StoreKeys.cancellation(GANG.uid())), nextRequest(there, lastCall));
+    nextRequest(new Reply.Value(null, 0), lastCall);
     // Without an alloc record the job may have been archived between the reads.
     assertEquals(
         new StoreRequest.Get(StoreKeys.ended(GANG.uid())),
-        next(new Reply.Value(null, 0), lastCall));
+        nextRequest(new Reply.Value(null, 0), lastCall));
     context.completeCall(lastCall, new Reply.Value(null, 0));
     assertEquals(200, answers.get(0).status());
   }
 
   @Test
-  void anUnansweredCancellationIsNotConfirmed() {
-    abort(alloc(false), 9);
+  void cancellationWithoutReplyIsNotConfirmed() {
+    cancelUntilWrite(alloc(false), 9);
     context.completeCall(lastCall, new Reply.Unanswered());
     assertEquals(503, answers.get(0).status());
     assertTrue(context.drainEffects().isEmpty());
