--- a/src/main/java/eiderfork/controller/JobCanceller.java
+++ b/src/main/java/eiderfork/controller/JobCanceller.java
@@ -116,19 +116,27 @@
                 StoreRequest.Change.put(
                     StoreKeys.cancellation(uid), new StoredRecord.Cancellation(uid)))),
         RequestPriority.ABORT,
-        reply -> {
-          if (reply instanceof Reply.Committed) {
-            onCancelled(uid, stored.allocation(), onComplete);
-          } else if (!(reply instanceof Reply.Conflict conflict)) {
-            onFailed(uid, onComplete);
-          } else if (conflict.failedKeys().contains(StoreKeys.ended(uid))) {
-            respondWithArchivedStatus(uid, UserResponse.unavailable(), onComplete);
-          } else if (conflict.failedKeys().contains(StoreKeys.cancellation(uid))) {
-            onCancelled(uid, stored.allocation(), onComplete);
-          } else {
-            tryCancel(job, attempt + 1, onComplete);
-          }
-        });
+        reply -> onCancellationReply(job, stored, attempt, reply, onComplete));
+  }
+
+  private void onCancellationReply(
+      Job job,
+      StoredJobReader.StoredAllocation stored,
+      int attempt,
+      Reply reply,
+      Consumer<UserResponse> onComplete) {
+    String uid = job.uid();
+    if (reply instanceof Reply.Committed) {
+      onCancelled(uid, stored.allocation(), onComplete);
+    } else if (!(reply instanceof Reply.Conflict conflict)) {
+      onFailed(uid, onComplete);
+    } else if (conflict.failedKeys().contains(StoreKeys.ended(uid))) {
+      respondWithArchivedStatus(uid, UserResponse.unavailable(), onComplete);
+    } else if (conflict.failedKeys().contains(StoreKeys.cancellation(uid))) {
+      onCancelled(uid, stored.allocation(), onComplete);
+    } else {
+      tryCancel(job, attempt + 1, onComplete);
+    }
   }
 
   private void onCancelled(
--- a/src/test/java/eiderfork/controller/AllocationSizeTest.java
+++ b/src/test/java/eiderfork/controller/AllocationSizeTest.java
@@ -82,18 +82,7 @@
     long attempt = 0;
     while (!state.tasks().isAllFinished()) {
       attempt++;
-      AllocationSize size = sizeOf.apply(state);
-      for (int index = state.tasks().nextPending(0);
-          index >= 0;
-          index = state.tasks().nextPending(index + 1)) {
-        MachineState machine =
-            new MachineState("n-%06d".formatted(random.nextInt(250)), 0, new MachineIndexes(), 0);
-        if (!size.fits(index, attempt, machine.name, valueKb)) {
-          break;
-        }
-        size.add(index, attempt, machine.name);
-        state.propose(index, attempt, machine);
-      }
+      reserveWhatFits(state, attempt, sizeOf.apply(state), valueKb, random);
       assertFits(state, valueKb, form);
       most = Math.max(most, state.reservations().size());
       List<Reservation> ending = new ArrayList<>(state.reservations().values());
@@ -111,6 +100,22 @@
     assertTrue(most >= atLeastAtOnce, most + " at once");
   }
 
+  /** Reserves pending tasks in order, until one does not fit. */
+  private static void reserveWhatFits(
+      JobState state, long attempt, AllocationSize size, double valueKb, Random random) {
+    for (int index = state.tasks().nextPending(0);
+        index >= 0;
+        index = state.tasks().nextPending(index + 1)) {
+      MachineState machine =
+          new MachineState("n-%06d".formatted(random.nextInt(250)), 0, new MachineIndexes(), 0);
+      if (!size.fits(index, attempt, machine.name, valueKb)) {
+        return;
+      }
+      size.add(index, attempt, machine.name);
+      state.propose(index, attempt, machine);
+    }
+  }
+
   private static void assertFits(
       JobState job, double valueKb, Function<StoredRecord.Allocation, StoredRecord> form) {
     int bytes =
--- a/src/test/java/eiderfork/controller/JobArchiverTest.java
+++ b/src/test/java/eiderfork/controller/JobArchiverTest.java
@@ -318,6 +318,19 @@
     assertNoBreaches(world);
   }
 
+  /** Thirty jobs, half of them cancelled right after their submission and the others later. */
+  private static List<Job> submitJobsAndCancelThem(SimulatedCluster world) {
+    List<Job> jobs = new ArrayList<>();
+    for (int i = 1; i <= 30; i++) {
+      JobKind kind = i % 5 == 0 ? JobKind.SERVICE : JobKind.ARRAY;
+      Job job = TestFixtures.job(i, kind, 1, 1);
+      jobs.add(job);
+      world.at(1000 + 200L * i, () -> world.submit(job));
+      world.at(1300 + 200L * i + (i % 2) * 20_000, () -> world.abort(job.uid()));
+    }
+    return jobs;
+  }
+
   /**
    * A cluster that has run without an archive for long: its first new leader has no room for all
    * ended jobs. Memory once held every one of them, and no leader got through its rebuilding.
@@ -331,15 +344,7 @@
       world.older.add(node);
       world.boot(node);
     }
-    List<Job> jobs = new ArrayList<>();
-    for (int i = 1; i <= 30; i++) {
-      JobKind kind = i % 5 == 0 ? JobKind.SERVICE : JobKind.ARRAY;
-      Job job = TestFixtures.job(i, kind, 1, 1);
-      jobs.add(job);
-      world.at(1000 + 200L * i, () -> world.submit(job));
-      // Some before they have started.
-      world.at(1300 + 200L * i + (i % 2) * 20_000, () -> world.abort(job.uid()));
-    }
+    List<Job> jobs = submitJobsAndCancelThem(world);
     Job alive = TestFixtures.job(40, JobKind.SERVICE, 2, 1);
     world.submit(alive);
     world.run(60);
--- a/src/test/java/eiderfork/controller/JobRegistryTest.java
+++ b/src/test/java/eiderfork/controller/JobRegistryTest.java
@@ -17,9 +17,10 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Random;
+import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** What a leader keeps of jobs beside their state. */
+/** The indexes of a leader's jobs, and the transitions of reservations. */
 class JobRegistryTest {
   private final ControllerContext context =
       new ControllerContext(TestFixtures.settings("roost-0"), new Random(1), 0);
@@ -27,7 +28,7 @@
   private final JobRegistry jobs = new JobRegistry(context, store, null, null);
   private final MachineRegistry fleet = new MachineRegistry(context, jobs);
 
-  /** A gang of four of which an older leader has written this. */
+  /** A gang of four, of which an earlier leader has written these finished tasks. */
   private JobState restoredGang(ImmutableList<StoredRecord.TaskRange> finished) {
     JobState job = jobs.add(TestFixtures.gang(9, 4, 1, 4, true), 1);
     ImmutableList<StoredRecord.ReservedRange> reserved =
@@ -99,113 +100,140 @@
     assertEquals(List.of("img-2", "img-1"), List.copyOf(machine.cachedImagesGb.keySet()));
   }
 
-  /** What is counted as jobs change is what a look at every job would count. */
+  /** The usage that is kept as jobs change is the sum over all jobs. */
   @Test
   void resourceUsageMatchesTheJobsAfterRandomTransitions() {
-    Random random = new Random(3);
-    List<JobState> entries = new ArrayList<>();
-    List<Reservation> placed = new ArrayList<>();
-    MachineState machine = fleet.getOrRegister("n-1");
+    RandomTransitions transitions = new RandomTransitions();
     for (int step = 0; step < 3000; step++) {
-      JobState job = entries.isEmpty() ? null : entries.get(random.nextInt(entries.size()));
-      Reservation reservation = placed.isEmpty() ? null : placed.get(random.nextInt(placed.size()));
-      switch (random.nextInt(11)) {
-        case 0 -> {
-          JobKind kind = random.nextBoolean() ? JobKind.SERVICE : JobKind.GANG;
-          double gpus = random.nextInt(3) * 0.7;
-          entries.add(jobs.add(TestFixtures.job(step, kind, 4, gpus), step));
-        }
-        case 1, 2, 3 -> {
-          int index = job == null ? -1 : job.tasks().nextPending(0);
-          if (index >= 0 && (job.gang == null || job.gang.canStartAttempt())) {
-            placed.add(jobs.propose(job, index, step, machine));
-          }
-        }
-        case 4, 5 -> {
-          if (reservation != null) {
-            placed.remove(reservation);
-            jobs.settle(reservation, random.nextBoolean());
-          }
-        }
-        case 6 -> {
-          if (reservation != null
-              && reservation.job.tasks().holds(reservation)
-              && !reservation.job.isCancelled()) {
-            placed.remove(reservation);
-            jobs.withdrawProposal(reservation);
-          }
-        }
-        case 8 -> {
-          if (reservation != null && reservation.job.tasks().holds(reservation)) {
-            jobs.requestStop(reservation);
-          }
-        }
-        case 9 -> {
-          if (reservation != null
-              && reservation.job.tasks().holds(reservation)
-              && reservation.job.gang == null) {
-            jobs.revokeStop(reservation);
-          }
-        }
-        case 7 -> {
-          if (job != null && random.nextInt(4) == 0) {
-            jobs.markCancelled(job.spec.uid());
-          }
-        }
-        default -> {
-          if (job != null && random.nextInt(10) == 0) {
-            jobs.freeze(job.spec.uid());
-          } else if (job != null && random.nextInt(10) == 0) {
-            jobs.evict(job);
-            entries.remove(job);
-          } else if (job != null) {
-            job.tasks().onSettlementsCommitted(List.copyOf(job.tasks().uncommittedSettlements()));
-            jobs.refreshIndexes(job);
-          }
-        }
+      transitions.apply(step);
+      assertTeamUsageMatchesJobs();
+      assertCpusPerGpuMatchesJobs();
+      assertJobsWithWorkMatchJobs();
+    }
+  }
+
+  /** Changes jobs and reservations in every way that the registry allows. */
+  private final class RandomTransitions {
+    private final Random random = new Random(3);
+    private final List<JobState> known = new ArrayList<>();
+    private final List<Reservation> reserved = new ArrayList<>();
+    private final MachineState machine = fleet.getOrRegister("n-1");
+
+    private <T> T pick(List<T> list) {
+      return list.isEmpty() ? null : list.get(random.nextInt(list.size()));
+    }
+
+    void apply(int step) {
+      JobState job = pick(known);
+      Reservation reservation = pick(reserved);
+      int transition = random.nextInt(11);
+      if (transition == 0) {
+        addJob(step);
+      } else if (transition <= 3) {
+        propose(job, step);
+      } else if (transition == 7) {
+        cancel(job);
+      } else if (transition == 10) {
+        freezeEvictOrCommit(job);
+      } else if (reservation != null) {
+        change(reservation, transition);
+      }
+    }
+
+    private void addJob(int step) {
+      JobKind kind = random.nextBoolean() ? JobKind.SERVICE : JobKind.GANG;
+      double gpus = random.nextInt(3) * 0.7;
+      known.add(jobs.add(TestFixtures.job(step, kind, 4, gpus), step));
+    }
+
+    private void propose(JobState job, int step) {
+      int index = job == null ? -1 : job.tasks().nextPending(0);
+      if (index >= 0 && (job.gang == null || job.gang.canStartAttempt())) {
+        reserved.add(jobs.propose(job, index, step, machine));
+      }
+    }
+
+    private void cancel(JobState job) {
+      if (job != null && random.nextInt(4) == 0) {
+        jobs.markCancelled(job.spec.uid());
+      }
+    }
+
+    private void change(Reservation reservation, int transition) {
+      boolean isHeld = reservation.job.tasks().holds(reservation);
+      if (transition <= 5) {
+        reserved.remove(reservation);
+        jobs.settle(reservation, random.nextBoolean());
+      } else if (transition == 6 && isHeld && !reservation.job.isCancelled()) {
+        reserved.remove(reservation);
+        jobs.withdrawProposal(reservation);
+      } else if (transition == 8 && isHeld) {
+        jobs.requestStop(reservation);
+      } else if (transition == 9 && isHeld && reservation.job.gang == null) {
+        jobs.revokeStop(reservation);
+      }
+    }
+
+    private void freezeEvictOrCommit(JobState job) {
+      if (job != null && random.nextInt(10) == 0) {
+        jobs.freeze(job.spec.uid());
+      } else if (job != null && random.nextInt(10) == 0) {
+        jobs.evict(job);
+        known.remove(job);
+      } else if (job != null) {
+        job.tasks().onSettlementsCommitted(List.copyOf(job.tasks().uncommittedSettlements()));
+        jobs.refreshIndexes(job);
       }
-      assertUsageMatchesJobs();
     }
   }
 
-  private void assertUsageMatchesJobs() {
+  private void assertTeamUsageMatchesJobs() {
     Resources used = Resources.NONE;
     Resources stopping = Resources.NONE;
     Resources settled = Resources.NONE;
-    double cpusOnGpus = 0;
-    double gpus = 0;
-    List<JobState> withWork = new ArrayList<>();
     for (JobState job : jobs.activeJobs()) {
       Resources demand = job.spec.taskResources();
-      used = used.plus(demand.times(job.quotaTaskCount()));
       boolean frozen = jobs.isFrozen(job.spec.uid());
-      long ending =
+      long undesired =
           job.reservations().values().stream()
               .filter(reservation -> !reservation.isDesired())
               .count();
-      stopping = stopping.plus(demand.times(frozen ? job.spec.tasks() : ending));
-      settled =
-          settled.plus(demand.times(frozen ? 0 : job.tasks().uncommittedSettlements().size()));
+      int uncommitted = job.tasks().uncommittedSettlements().size();
+      used = used.plus(demand.times(job.quotaTaskCount()));
+      stopping = stopping.plus(demand.times(frozen ? job.spec.tasks() : undesired));
+      settled = settled.plus(demand.times(frozen ? 0 : uncommitted));
+    }
+    ResourceUsage usage = jobs.resourceUsage();
+    assertAboutEqual(used.cpus(), usage.used("blue").cpus());
+    assertAboutEqual(used.gpus(), usage.used("blue").gpus());
+    assertAboutEqual(stopping.cpus(), usage.stopping("blue").cpus());
+    assertAboutEqual(settled.cpus(), usage.settled("blue").cpus());
+  }
+
+  private void assertCpusPerGpuMatchesJobs() {
+    double cpus = 0;
+    double gpus = 0;
+    for (JobState job : jobs.activeJobs()) {
+      Resources demand = job.spec.taskResources();
       if (demand.gpus() > 0) {
-        cpusOnGpus += demand.cpus() * job.spec.tasks();
+        cpus += demand.cpus() * job.spec.tasks();
         gpus += demand.gpus() * job.spec.tasks();
       }
+    }
+    assertAboutEqual(gpus > 0 ? cpus / gpus : 0, jobs.resourceUsage().cpusPerGpu().cpusPerGpu());
+  }
+
+  private void assertJobsWithWorkMatchJobs() {
+    Set<JobState> withWork = new HashSet<>();
+    for (JobState job : jobs.activeJobs()) {
       if (job.hasPendingTasks() || job.writes().isDirty()) {
         withWork.add(job);
       }
     }
-    Resources tallied = jobs.resourceUsage().used("blue");
-    assertEquals(used.cpus(), tallied.cpus(), Resources.ROUNDING_TOLERANCE);
-    assertEquals(used.gpus(), tallied.gpus(), Resources.ROUNDING_TOLERANCE);
-    assertEquals(
-        stopping.cpus(),
-        jobs.resourceUsage().stopping("blue").cpus(),
-        Resources.ROUNDING_TOLERANCE);
-    assertEquals(
-        settled.cpus(), jobs.resourceUsage().settled("blue").cpus(), Resources.ROUNDING_TOLERANCE);
-    double perGpu = gpus > 0 ? cpusOnGpus / gpus : 0;
-    assertEquals(
-        perGpu, jobs.resourceUsage().cpusPerGpu().cpusPerGpu(), Resources.ROUNDING_TOLERANCE);
-    assertEquals(new HashSet<>(withWork), new HashSet<>(jobs.jobsWithWork()));
+    assertEquals(withWork, new HashSet<>(jobs.jobsWithWork()));
+  }
+
+  private static void assertAboutEqual(double expected, double actual) {
+    assertEquals(expected, actual, Resources.ROUNDING_TOLERANCE);
   }
 }
