--- a/src/test/java/eiderfork/controller/AllocationSizeTest.java
+++ b/src/test/java/eiderfork/controller/AllocationSizeTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A record that was let grow never outgrows a value, however the tasks end. */
+/** A record within its bound never outgrows a value, however the tasks end. */
 class AllocationSizeTest {
   private static final double VALUE_KB = 4;
   private static final double SMALL_VALUE_KB = 2;
--- a/src/test/java/eiderfork/controller/CancellationTest.java
+++ b/src/test/java/eiderfork/controller/CancellationTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What is confirmed as cancelled is gone in time, whatever the leader could hear of it. */
+/** A confirmed cancellation takes effect in time, whatever reaches the leader of it. */
 class CancellationTest {
   private final SimulatedCluster world = new SimulatedCluster(7);
   private Job kept;
@@ -50,7 +50,7 @@
   /**
    * The state service refuses the leader alone, a peer confirms a cancellation, and then it is out
    * for all while workers report to the old leader. Guarded by {@link CancellationTracker}: the
-   * peer tells what it confirmed with its pings, and the leader stops it without the state service.
+   * peer sends what it confirmed with its pings, and the leader stops it without the state service.
    */
   @ParameterizedTest
   @ValueSource(longs = {0, 20, 50, 100, 300, 700, 1200, 1460, 1490, 1510})
@@ -69,7 +69,7 @@
   }
 
   /**
-   * The leader hears of it only once its own lease is not sure any more, and stops it all the same.
+   * The leader receives it only once its own lease has run out, and stops the tasks all the same.
    */
   @ParameterizedTest
   @ValueSource(longs = {0, 200, 500, 700})
@@ -112,8 +112,8 @@
   }
 
   /**
-   * A leader cut from the state service and from its peers, not from workers or users, can't hear
-   * of anything; it holds its workers' tasks no longer than what it knew at the cut allows.
+   * A leader cut from the state service and from its peers, not from workers or users, receives
+   * nothing; it keeps its workers' tasks no longer than its knowledge at the cut allows.
    */
   @ParameterizedTest
   @ValueSource(longs = {0, 30, 200, 1000, 3000, 6000, 12_000})
@@ -203,7 +203,7 @@
     assertEquals(3, world.checker.running(kept.uid()));
   }
 
-  /** A controller that stood still answers reports that came meanwhile with what it knew before. */
+  /** A paused controller answers heartbeats that arrived meanwhile from its older state. */
   @ParameterizedTest
   @ValueSource(longs = {3000, 9000, 15_000, 19_000, 23_000, 27_000})
   void pausedLeaderDoesNotAnswerFromStaleMemory(long stillMs) {
--- a/src/test/java/eiderfork/controller/FailingJobsTest.java
+++ b/src/test/java/eiderfork/controller/FailingJobsTest.java
@@ -145,7 +145,7 @@
     assertTrue(world.checker.isDone(array.uid()));
   }
 
-  /** What looked like a mistake was the fault of two machines: the canary tells. */
+  /** What looked like a mistake was the fault of two machines, as the trial task shows. */
   @Test
   void suspectedJobResumesOnceATaskSucceeds() {
     submit(TestFixtures.job(1, JobKind.SERVICE, 3, 2));
--- a/src/test/java/eiderfork/controller/GangTest.java
+++ b/src/test/java/eiderfork/controller/GangTest.java
@@ -83,7 +83,7 @@
     assertEquals(4, world.gangs.starts, "none was broken off");
   }
 
-  /** The best machine for one task may stand in a zone that has no room for the others. */
+  /** The best machine for one task may be in a zone without capacity for the others. */
   @Test
   void singleZoneGangIsPlacedWhereAllOfItFits() {
     for (String zone : List.of("a", "b")) {
@@ -132,7 +132,7 @@
   }
 
   /**
-   * While a hung machine may go on, no task of the next attempt starts, here or in another zone.
+   * While a hung machine may resume, no task of the next attempt starts, here or in another zone.
    */
   @ParameterizedTest
   @ValueSource(ints = {3000, 7000, 9500, 10_500, 14_000, 25_000})
@@ -166,7 +166,7 @@
     assertAllServed();
   }
 
-  /** A gang that has to leave a machine saves, if all of its tasks are told in time. */
+  /** A gang that has to leave a machine saves, if all of its tasks receive that in time. */
   @ParameterizedTest
   @ValueSource(ints = {-1, 0, 100, 300, 600, 1200})
   void gangWithATerminationNoticeIsSavedAsAWhole(int crashAfterMs) {
@@ -213,7 +213,7 @@
     assertAllServed();
   }
 
-  /** One task's end is known, another's machine dies before it says so: all are done. */
+  /** One task's end is known, another's machine dies before it reports it: all are done. */
   @ParameterizedTest
   @ValueSource(ints = {-1, 0, 200, 600, 1500})
   void gangIsDoneOnceOneTaskIs(int crashAfterMs) {
@@ -259,7 +259,7 @@
     assertTrue(world.checker.wasRefused(gang.uid()));
   }
 
-  /** Arrays are stopped for a gang only where all of it finds room that way. */
+  /** Arrays are preempted for a gang only where all of it fits then. */
   @Test
   void preemptionMakesRoomForTheWholeGangOrNotAtAll() {
     world.cloud.capacity = 1;
@@ -278,7 +278,7 @@
     assertTrue(world.checker.isDone(gang.uid()));
   }
 
-  /** A gang that might have been stopped for a part of another goes on. */
+  /** A gang that could be preempted for a part of another keeps running. */
   @Test
   void noGangIsPreemptedForAPartOfAnother() {
     world.cloud.capacity = 0;
@@ -298,7 +298,7 @@
     assertEquals(1, world.gangs.starts);
   }
 
-  /** A gang is stopped whole for what is more urgent, and goes on from what it saved. */
+  /** A gang is preempted as a whole for more urgent work, and resumes from its checkpoint. */
   @ParameterizedTest
   @ValueSource(ints = {-1, 0, 150, 400, 900, 1600})
   void gangPreemptedForAnUrgentServiceSavesAsAWhole(int crashAfterMs) {
@@ -338,7 +338,7 @@
     ExpectedOutcome.allServed(troubled, play(troubled, seed));
   }
 
-  /** Plays the history of gangs under troubles of this seed, and tells the gangs. */
+  /** Plays this seed's history of gangs under faults, and returns the gangs. */
   static List<Job> play(SimulatedCluster troubled, long seed) {
     List<Job> gangs = new ArrayList<>();
     troubled.loss = 0.01;
@@ -397,7 +397,7 @@
     }
   }
 
-  /** Without the state service nothing is decided, and a gang that runs goes on. */
+  /** Without the store nothing is decided, and a running gang keeps running. */
   @Test
   void gangKeepsRunningDuringAnOutage() {
     startReferenceService();
--- a/src/test/java/eiderfork/controller/JobArchiverTest.java
+++ b/src/test/java/eiderfork/controller/JobArchiverTest.java
@@ -160,7 +160,7 @@
     jobs.forEach(job -> assertArchivedCompletely(world, job));
   }
 
-  /** The same where there is no room, so that no alloc write looks for the archived record. */
+  /** The same without capacity, so that no allocation write checks for the archived record. */
   @Test
   void resubmittedArchivedJobIsAnsweredFromTheArchive() {
     SimulatedCluster world = world(4);
@@ -170,7 +170,7 @@
     world.run(60);
     submitLateAsOlderVersion(world, job);
     world.run(3);
-    // Only processes that have not told the job's end go by more than their own memory of it.
+    // A process that has answered with the final status would answer from its cache.
     world.all().forEach(node -> world.crash(node, 500));
     for (int ms = 3000; ms < 9000; ms += 70) {
       world.at(ms, () -> world.queryAll(job.uid()));
@@ -179,7 +179,7 @@
     assertNoBreaches(world);
   }
 
-  /** A late cancellation of a job that never started when it was asked for, and is done now. */
+  /** A late cancellation of a job that had not started when it was requested, and is done now. */
   @ParameterizedTest
   @MethodSource("seeds")
   void lateCancellationOfAnOlderVersionChangesNothing(long seed) {
@@ -191,7 +191,7 @@
       submitLateAsOlderVersion(world, done);
     }
     world.all().forEach(node -> world.crash(node, 200 + seed * 50));
-    // Asked early, the nodes would remember the right answer for later questions.
+    // Queried early, the nodes would answer later queries from their cache.
     int firstAskedMs = seed % 3 == 0 ? 0 : 7000;
     for (int ms = firstAskedMs; ms < 9000; ms += 70) {
       world.at(ms, () -> world.queryAll(done.uid()));
@@ -205,7 +205,7 @@
         world.state.get(StoreKeys.ended(done.uid())));
   }
 
-  /** Both late writes at once, and a leader that has no reason yet to look at the job again. */
+  /** Both late writes at once, and a leader with no reason yet to check the job again. */
   @Test
   void cancelledCopyOfADoneJobDoesNotChangeItsStatus() {
     SimulatedCluster world = new SimulatedCluster(10, TestFixtures.archivingAfter(20));
@@ -251,7 +251,7 @@
     assertEquals(0, world.nodes.get(world.leader()).jobsInMemory());
   }
 
-  /** Plays the history of moves to the archive of this seed to its quiet end; tells the jobs. */
+  /** Plays this seed's history of archive moves to its quiet end, and returns the jobs. */
   static List<Job> play(SimulatedCluster world, long seed) {
     Random script = new Random(seed);
     world.lookCloselyAtNews(true);
@@ -306,9 +306,7 @@
     assertNoBreaches(world);
   }
 
-  /**
-   * All members have answered as new, but the version is not stored: one may still be taken back.
-   */
+  /** All members run the new version, but it is not stored: one may still be downgraded. */
   @Test
   void nothingIsArchivedBeforeTheVersionIsStored() {
     SimulatedCluster world = world(6);
@@ -372,7 +370,7 @@
     assertEquals(2, world.checker.running(alive.uid()));
   }
 
-  /** What a spoilt record says is not known, so nothing is concluded from the others. */
+  /** The content of an unreadable record is unknown, so nothing is concluded from the others. */
   @Test
   void frozenJobIsNotArchived() {
     SimulatedCluster world = world(7);
@@ -389,7 +387,7 @@
     assertNoBreaches(world);
   }
 
-  /** A task of a cancelled job on a machine that is not heard counts until it surely is gone. */
+  /** A task of a cancelled job on an unreachable machine counts until it has surely ended. */
   @Test
   void cancelledJobIsNotArchivedBeforeItsTasksHaveSurelyEnded() {
     SimulatedCluster world = world(8);
--- a/src/test/java/eiderfork/controller/JobArchiverTransactionTest.java
+++ b/src/test/java/eiderfork/controller/JobArchiverTransactionTest.java
@@ -145,7 +145,7 @@
     assertNotNull(jobs.get(DONE.uid()));
   }
 
-  /** A write under way may still say something else of the job, or bring a reservation. */
+  /** A write in flight may still change the job, or commit a reservation. */
   @Test
   void jobWithOpenStateIsNotArchivable() {
     assertTrue(done.isArchivable());
@@ -165,7 +165,7 @@
     assertTrue(!done.isArchivable());
   }
 
-  /** A watch that was held up brings a job and its move at once, after memory has let it go. */
+  /** A delayed watch shows a job and its archival together, after memory has evicted it. */
   @Test
   void removalSeenByTheWatchEvictsTheJob() {
     LeaderRecovery recovery =
--- a/src/test/java/eiderfork/controller/JobRegistryTest.java
+++ b/src/test/java/eiderfork/controller/JobRegistryTest.java
@@ -59,7 +59,7 @@
     assertTrue(jobs.mustRetainAttempt(job, 3, 1), "and are not cleared");
   }
 
-  /** A task's end ends the others' reservations at once, not when their machines say so. */
+  /** The others' reservations are settled at once, before their machines report the end. */
   @Test
   void settlingOneCompletedGangTaskFinishesAll() {
     MachineState machine = fleet.getOrRegister("n-1");
--- a/src/test/java/eiderfork/controller/MonotonicReadTest.java
+++ b/src/test/java/eiderfork/controller/MonotonicReadTest.java
@@ -16,13 +16,13 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** No node answers a user with something older than what any node has told. */
+/** No node answers a user with an older status than any node has answered before. */
 class MonotonicReadTest {
   private static LongStream seeds() {
     return LongStream.rangeClosed(1, 20);
   }
 
-  /** Users poll once more: every job is over, and every node says so. */
+  /** Users poll once more: every job is terminal at every node. */
   private static void assertAllTerminal(SimulatedCluster world, List<Job> jobs) {
     jobs.forEach(job -> world.queryAll(job.uid()));
     world.run(3);
@@ -49,10 +49,9 @@
   }
 
   /**
-   * All nodes are asked, and the submission is repeated at each, within milliseconds of every
-   * answer that says something new. Guards: {@link ReadBarrier} for cancellations that a peer
-   * wrote, the state service alone for what is not in memory, {@link FinalStatusCache} for what is
-   * over.
+   * All nodes are queried, and the submission is repeated at each, within milliseconds of every
+   * answer that is new. Guards: {@link ReadBarrier} for cancellations that a peer wrote, the state
+   * service alone for what is not in memory, {@link FinalStatusCache} for what is over.
    */
   @ParameterizedTest
   @MethodSource("seeds")
@@ -67,7 +66,7 @@
 
   /**
    * A transaction is carried out at once and only its answer is lost, while other nodes read what
-   * it wrote: the leader's own write of a job's end among them, which another node tells as done
+   * it wrote: the leader's own write of a job's end among them, which another node reports as done
    * while the leader does not know yet. Until that settles it does not answer from memory.
    */
   @ParameterizedTest
@@ -107,8 +106,9 @@
   }
 
   /**
-   * A cancellation, a question or a repeated submission meets the end of a job's last task. The
-   * write of the end asks for no cancellation, and that of the cancellation for an unchanged alloc.
+   * A cancellation, a query or a repeated submission races with the end of a job's last task. The
+   * write of the end is conditional on no cancellation, and that of the cancellation on an
+   * unchanged allocation.
    */
   @ParameterizedTest
   @ValueSource(
@@ -160,7 +160,7 @@
     }
   }
 
-  /** What is malformed, impossible, unknown or over is answered for what it is, at any time. */
+  /** Malformed, impossible, unknown and terminal jobs are answered as such, at any time. */
   @Test
   void unusualRequestsAreAnsweredDuringAFailover() {
     SimulatedCluster world = new SimulatedCluster(3);
--- a/src/test/java/eiderfork/controller/QuotaLimitTest.java
+++ b/src/test/java/eiderfork/controller/QuotaLimitTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A team's limit holds whatever can't be asked, and what is free under it is used. */
+/** A team's limit holds whatever is unreachable, and all quota under it is used. */
 class QuotaLimitTest {
   /** The red team may use ten GPUs. */
   private static Job red(int number, JobKind kind, int tasks, double gpus) {
@@ -42,7 +42,7 @@
 
   /**
    * A team is at its limit, jobs of it are cancelled whose machines hang or are cut off, and the
-   * leader changes. The cancelled tasks count until their machines are heard or surely lapsed: a
+   * leader changes. The cancelled tasks count until their machines report or their leases expire: a
    * new leader takes that over from the alloc records.
    */
   @ParameterizedTest
@@ -197,7 +197,7 @@
     ExpectedOutcome.allServed(world, jobs);
   }
 
-  /** There is more work than room, urgent and not, over slow links. */
+  /** There is more work than capacity, urgent and not, over slow links. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void limitHoldsWithMoreWorkThanCapacityOverSlowLinks(long seed) {
--- a/src/test/java/eiderfork/controller/UserRequestHandlerTest.java
+++ b/src/test/java/eiderfork/controller/UserRequestHandlerTest.java
@@ -62,7 +62,7 @@
 
   private long lastCall;
 
-  /** Asks to cancel, and goes on until the cancellation is to be written. */
+  /** Cancels, and replies to reads until the cancellation is to be written. */
   private StoreRequest.Transaction cancelUntilWrite(
       StoredRecord.Allocation allocation, long allocVersion) {
     requests.handle(new Input.Abort(1, JOB.uid()), true, answers::add);
@@ -77,7 +77,7 @@
     return new StoredRecord.Allocation(1, done, ImmutableList.of(), ImmutableList.of());
   }
 
-  /** Without the condition on alloc a job that was told to be done could be cancelled after it. */
+  /** Without the condition on the allocation a job that was reported as done could be cancelled. */
   @Test
   void cancellationIsConditionalOnTheAllocationThatWasRead() {
     StoreRequest.Transaction write = cancelUntilWrite(alloc(false), 9);
@@ -113,7 +113,9 @@
 
   private static final Job GANG = TestFixtures.gang(2, 3, 1, 4, true);
 
-  /** A gang comes to this node, which can't reach a leader; goes on until the version is read. */
+  /**
+   * Submits a gang to this node, which can't reach a leader, and replies until the version is read.
+   */
   private void submitGang() {
     requests.handle(new Input.Submit(1, GANG, new byte[0]), true, answers::add);
     assertEquals(new StoreRequest.Get(StoreKeys.job(GANG.uid())), nextRequest(null, 0));
