--- a/src/test/java/eiderfork/controller/CancellationTest.java
+++ b/src/test/java/eiderfork/controller/CancellationTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What is confirmed as cancelled is gone in time, whatever the leader could hear of it. */
+/** A confirmed cancellation takes effect in time, whatever reaches the leader of it. */
 class CancellationTest {
   private final SimulatedCluster world = new SimulatedCluster(7);
   private Job kept;
@@ -24,7 +24,7 @@
     assertEquals(List.of(), world.checker.breaches);
   }
 
-  private void twoServicesRun() {
+  private void startTwoServices() {
     kept = TestFixtures.job(1, JobKind.SERVICE, 3, 1);
     cancelled = TestFixtures.job(2, JobKind.SERVICE, 3, 1);
     world.submit(kept);
@@ -50,12 +50,12 @@
   /**
    * The state service refuses the leader alone, a peer confirms a cancellation, and then it is out
    * for all while workers report to the old leader. Guarded by {@link CancellationTracker}: the
-   * peer tells what it confirmed with its pings, and the leader stops it without the state service.
+   * peer sends what it confirmed with its pings, and the leader stops it without the state service.
    */
   @ParameterizedTest
   @ValueSource(longs = {0, 20, 50, 100, 300, 700, 1200, 1460, 1490, 1510})
-  void aCancellationConfirmedInAGapReachesTheLeaderThroughThePeers(long afterMs) {
-    twoServicesRun();
+  void cancellationConfirmedByAPeerReachesTheLeader(long afterMs) {
+    startTwoServices();
     world.refuse(world.leader(), 14_000);
     String peer = peer(0);
     world.at(afterMs, () -> world.abortAt(peer, cancelled.uid()));
@@ -69,12 +69,12 @@
   }
 
   /**
-   * The leader hears of it only once its own lease is not sure any more, and stops it all the same.
+   * The leader receives it only once its own lease has run out, and stops the tasks all the same.
    */
   @ParameterizedTest
   @ValueSource(longs = {0, 200, 500, 700})
-  void aCancellationHeardOfDuringTheOutageIsStoppedAtOnce(long afterMs) {
-    twoServicesRun();
+  void cancellationReceivedDuringAnOutageStopsTasksAtOnce(long afterMs) {
+    startTwoServices();
     String leader = world.leader();
     world.refuse(leader, 14_000);
     for (int i = 0; i < 2; i++) {
@@ -96,8 +96,8 @@
   /** The same, and the peer that confirmed it ends, alone or with the other one. */
   @ParameterizedTest
   @ValueSource(longs = {1, 100, 300, 800, 1500, 3000, 8000})
-  void whatAPeerConfirmedBeforeItsEndIsGoneInTime(long afterMs) {
-    twoServicesRun();
+  void cancellationConfirmedBeforeAPeerCrashTakesEffectInTime(long afterMs) {
+    startTwoServices();
     world.refuse(world.leader(), 14_000);
     String peer = peer(0);
     String other = peer(1);
@@ -112,13 +112,13 @@
   }
 
   /**
-   * A leader cut from the state service and from its peers, not from workers or users, can't hear
-   * of anything; it holds its workers' tasks no longer than what it knew at the cut allows.
+   * A leader cut from the state service and from its peers, not from workers or users, receives
+   * nothing; it keeps its workers' tasks no longer than its knowledge at the cut allows.
    */
   @ParameterizedTest
   @ValueSource(longs = {0, 30, 200, 1000, 3000, 6000, 12_000})
-  void aLeaderThatHearsNobodyLetsGoInTime(long afterMs) {
-    twoServicesRun();
+  void isolatedLeaderReleasesItsTasksInTime(long afterMs) {
+    startTwoServices();
     String old = world.leader();
     String peer = peer(0);
     // The next leader can't reach the machines either.
@@ -140,8 +140,8 @@
    * hold ends at the last proven moment. A whole outage with all peers in reach is held through.
    */
   @Test
-  void anOutageIsHeldThroughWhileAllPeersSayWhatTheyConfirmed() {
-    twoServicesRun();
+  void tasksKeepRunningDuringAnOutageWithAllPeersReachable() {
+    startTwoServices();
     int starts = world.checker.starts;
     outage(0, 80_000);
     world.run(85);
@@ -151,8 +151,8 @@
   }
 
   @Test
-  void aPeerStartedDuringAnOutageProvesNothing() {
-    twoServicesRun();
+  void peerRestartedDuringAnOutageProvesNothing() {
+    startTwoServices();
     String peer = peer(0);
     outage(0, 80_000);
     world.at(2000, () -> world.crash(peer, 1000));
@@ -168,8 +168,8 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {14_000, 17_000, 19_000, 20_000, 21_000, 24_000})
-  void anOldLeaderThatIsServedAgainCatchesUpBeforeItAnswersWorkers(long outageMs) {
-    twoServicesRun();
+  void reconnectedLeaderCatchesUpBeforeItAnswersWorkers(long outageMs) {
+    startTwoServices();
     String old = world.leader();
     world.refuse(old, 1400 + outageMs);
     String peer = peer(0);
@@ -185,8 +185,8 @@
   /** An outage catches a new leader between two reads of its rebuilding. */
   @ParameterizedTest
   @ValueSource(longs = {0, 10, 20, 30, 40, 50, 60, 70, 80, 100, 150})
-  void aNewLeaderThatHasNotRebuiltStopsWhatPeersConfirmed(long afterMs) {
-    twoServicesRun();
+  void recoveringLeaderStopsWhatPeersConfirmed(long afterMs) {
+    startTwoServices();
     String old = world.leader();
     String peer = peer(0);
     world.crash(old, 90_000);
@@ -203,11 +203,11 @@
     assertEquals(3, world.checker.running(kept.uid()));
   }
 
-  /** A controller that stood still answers reports that came meanwhile with what it knew before. */
+  /** A paused controller answers heartbeats that arrived meanwhile from its older state. */
   @ParameterizedTest
   @ValueSource(longs = {3000, 9000, 15_000, 19_000, 23_000, 27_000})
-  void aLeaderThatStoodStillDoesNotSpeakFromBefore(long stillMs) {
-    twoServicesRun();
+  void pausedLeaderDoesNotAnswerFromStaleMemory(long stillMs) {
+    startTwoServices();
     String old = world.leader();
     String peer = peer(0);
     world.abortAt(peer, cancelled.uid());
--- a/src/test/java/eiderfork/controller/GangTest.java
+++ b/src/test/java/eiderfork/controller/GangTest.java
@@ -65,7 +65,7 @@
   }
 
   @Test
-  void aGangThatFindsNoRoomHoldsNoneAndTwoDoNotWaitForEachOther() {
+  void gangsThatDoNotFitReserveNothingAndDoNotDeadlock() {
     world.cloud.capacity = 1;
     world.cloud.types = world.cloud.types.subList(1, 2);
     submit(TestFixtures.job(1, JobKind.SERVICE, 1, 0));
@@ -83,9 +83,9 @@
     assertEquals(4, world.gangs.starts, "none was broken off");
   }
 
-  /** The best machine for one task may stand in a zone that has no room for the others. */
+  /** The best machine for one task may be in a zone without capacity for the others. */
   @Test
-  void aGangOfOneZoneGoesWhereTheWholeOfItFits() {
+  void singleZoneGangIsPlacedWhereAllOfItFits() {
     for (String zone : List.of("a", "b")) {
       world.cloud.stock.put(
           new CloudProvisioner.MachineKind("g4", zone, false), zone.equals("a") ? 1 : 3);
@@ -104,7 +104,7 @@
 
   @ParameterizedTest
   @ValueSource(ints = {0, 50, 100, 200, 300, 500, 700, 900, 1200, 1600, 2500})
-  void aCrashOfTheLeaderAtAnyMomentOfTheStartChangesNothing(int afterMs) {
+  void leaderCrashDuringTheStartOfAGangChangesNothing(int afterMs) {
     startReferenceService();
     Job gang = submit(TestFixtures.gang(2, 6, 2, 8, true));
     world.at(afterMs, () -> world.crash(world.leader(), 3000));
@@ -116,7 +116,7 @@
 
   @ParameterizedTest
   @ValueSource(ints = {-1, 0, 300, 1000, 3000, 5000, 9000, 10_500, 12_000})
-  void aGangThatLosesAMachineStartsAnewFromItsCheckpoint(int crashAfterMs) {
+  void gangThatLosesAMachineRestartsFromItsCheckpoint(int crashAfterMs) {
     startReferenceService();
     Job gang = submit(TestFixtures.gang(2, 6, 4, 12, true));
     world.run(6);
@@ -132,11 +132,11 @@
   }
 
   /**
-   * While a hung machine may go on, no task of the next attempt starts, here or in another zone.
+   * While a hung machine may resume, no task of the next attempt starts, here or in another zone.
    */
   @ParameterizedTest
   @ValueSource(ints = {3000, 7000, 9500, 10_500, 14_000, 25_000})
-  void aHungMemberCountsUntilItsLeaseHasLapsed(int hangMs) {
+  void hungTaskCountsUntilItsLeaseHasExpired(int hangMs) {
     startReferenceService();
     Job gang = submit(TestFixtures.gang(2, 6, 4, 12, true));
     world.run(6);
@@ -150,7 +150,7 @@
 
   /** What the leader knew of a lost member goes with it; its successor must not wait for it. */
   @Test
-  void aSuccessorStopsTheRestOfABrokenGang() {
+  void newLeaderStopsTheRestOfABrokenGang() {
     startReferenceService();
     Job gang = submit(TestFixtures.gang(2, 6, 4, 30, true));
     world.run(6);
@@ -166,10 +166,10 @@
     assertAllServed();
   }
 
-  /** A gang that has to leave a machine saves, if all of its tasks are told in time. */
+  /** A gang that has to leave a machine saves, if all of its tasks receive that in time. */
   @ParameterizedTest
   @ValueSource(ints = {-1, 0, 100, 300, 600, 1200})
-  void aGangOnAMachineWithANoticeIsSavedWhole(int crashAfterMs) {
+  void gangWithATerminationNoticeIsSavedAsAWhole(int crashAfterMs) {
     startReferenceService();
     Job gang = submit(TestFixtures.gang(2, 6, 4, 25, true, "blue", true));
     world.run(6);
@@ -189,7 +189,7 @@
 
   /** With less time than it takes to save, going on loses no more and may end before. */
   @Test
-  void aGangIsNotStoppedForANoticeThatIsTooShortToSave() {
+  void gangIsNotStoppedForANoticeTooShortToSave() {
     startReferenceService();
     Job gang = submit(TestFixtures.gang(2, 4, 4, 7, true, "blue", true));
     world.run(4);
@@ -203,7 +203,7 @@
 
   @ParameterizedTest
   @ValueSource(ints = {0, 100, 300, 600, 900, 1500, 4000, 6500, 8000})
-  void aCancelledGangIsGoneAtOnce(int afterMs) {
+  void cancelledGangStopsAtOnce(int afterMs) {
     startReferenceService();
     Job gang = submit(TestFixtures.gang(2, 6, 4, 6, true));
     world.at(afterMs, () -> world.abort(gang.uid()));
@@ -213,10 +213,10 @@
     assertAllServed();
   }
 
-  /** One task's end is known, another's machine dies before it says so: all are done. */
+  /** One task's end is known, another's machine dies before it reports it: all are done. */
   @ParameterizedTest
   @ValueSource(ints = {-1, 0, 200, 600, 1500})
-  void whereOneTaskIsDoneAllAre(int crashAfterMs) {
+  void gangIsDoneOnceOneTaskIs(int crashAfterMs) {
     startReferenceService();
     Job gang = submit(TestFixtures.gang(2, 6, 4, 6, true));
     world.run(5);
@@ -237,7 +237,7 @@
 
   /** Ten GPUs at most: a gang of six waits whole until there is quota for all of it. */
   @Test
-  void theLimitHoldsForTheWholeGangAndIsNotReservedInParts() {
+  void limitAppliesToTheWholeGang() {
     Job service =
         submit(TestFixtures.job(1, JobKind.SERVICE, 6, 1, "red", Priority.HIGH, false, false));
     world.run(25);
@@ -259,9 +259,9 @@
     assertTrue(world.checker.wasRefused(gang.uid()));
   }
 
-  /** Arrays are stopped for a gang only where all of it finds room that way. */
+  /** Arrays are preempted for a gang only where all of it fits then. */
   @Test
-  void roomIsMadeForTheWholeGangOrForNoneOfIt() {
+  void preemptionMakesRoomForTheWholeGangOrNotAtAll() {
     world.cloud.capacity = 1;
     world.cloud.types = world.cloud.types.subList(1, 2);
     Job array = submit(array(1, 4, 60));
@@ -278,9 +278,9 @@
     assertTrue(world.checker.isDone(gang.uid()));
   }
 
-  /** A gang that might have been stopped for a part of another goes on. */
+  /** A gang that could be preempted for a part of another keeps running. */
   @Test
-  void noGangIsStoppedForAPartOfAnother() {
+  void noGangIsPreemptedForAPartOfAnother() {
     world.cloud.capacity = 0;
     world.cloud.stock.put(new CloudProvisioner.MachineKind("c8", "a", false), 2);
     world.run(5);
@@ -298,10 +298,10 @@
     assertEquals(1, world.gangs.starts);
   }
 
-  /** A gang is stopped whole for what is more urgent, and goes on from what it saved. */
+  /** A gang is preempted as a whole for more urgent work, and resumes from its checkpoint. */
   @ParameterizedTest
   @ValueSource(ints = {-1, 0, 150, 400, 900, 1600})
-  void aGangThatIsStoppedForAnUrgentServiceSavesWhole(int crashAfterMs) {
+  void gangPreemptedForAnUrgentServiceSavesAsAWhole(int crashAfterMs) {
     world.cloud.types = world.cloud.types.subList(1, 2);
     world.cloud.capacity = 0;
     world.cloud.stock.put(new CloudProvisioner.MachineKind("c8", "a", false), 2);
@@ -333,12 +333,12 @@
   /** Everything that the protocol lets go wrong, at once, while gangs come and are cancelled. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16})
-  void rulesHoldWhereTroublesMeet(long seed) {
+  void invariantsHoldUnderCombinedFaults(long seed) {
     SimulatedCluster troubled = new SimulatedCluster(seed);
     ExpectedOutcome.allServed(troubled, play(troubled, seed));
   }
 
-  /** Plays the history of gangs under troubles of this seed, and tells the gangs. */
+  /** Plays this seed's history of gangs under faults, and returns the gangs. */
   static List<Job> play(SimulatedCluster troubled, long seed) {
     List<Job> gangs = new ArrayList<>();
     troubled.loss = 0.01;
@@ -367,13 +367,13 @@
     }
     for (int i = 0; i < 10; i++) {
       int kind = (int) ((i + seed) % 6);
-      troubled.at(12_000 + i * 6500L, () -> trouble(troubled, kind));
+      troubled.at(12_000 + i * 6500L, () -> injectFault(troubled, kind));
     }
     troubled.run(85);
     return gangs;
   }
 
-  private static void trouble(SimulatedCluster world, int kind) {
+  private static void injectFault(SimulatedCluster world, int kind) {
     String leader = world.leader() == null ? "roost-0" : world.leader();
     List<FakeWorker> busy =
         world.workers().stream().filter(worker -> !worker.presentTasks().isEmpty()).toList();
@@ -397,9 +397,9 @@
     }
   }
 
-  /** Without the state service nothing is decided, and a gang that runs goes on. */
+  /** Without the store nothing is decided, and a running gang keeps running. */
   @Test
-  void aGangOutlivesAnOutage() {
+  void gangKeepsRunningDuringAnOutage() {
     startReferenceService();
     Job gang = submit(TestFixtures.gang(2, 6, 2, 15, true));
     world.run(5);
--- a/src/test/java/eiderfork/controller/JobArchiverTest.java
+++ b/src/test/java/eiderfork/controller/JobArchiverTest.java
@@ -92,7 +92,7 @@
   }
 
   @Test
-  void endedJobsLeaveKeysAndMemoryAndAreAnsweredForEverywhere() {
+  void archivedJobsLeaveKeysAndMemoryAndEveryNodeAnswersForThem() {
     SimulatedCluster world = world(1);
     List<Job> jobs = runJobsToTheirEnd(world);
     jobs.forEach(job -> assertArchivedCompletely(world, job));
@@ -114,7 +114,7 @@
 
   /** Processes that remember nothing answer from the archived record alone. */
   @Test
-  void processesStartedLaterKnowArchivedJobs() {
+  void restartedNodesAnswerForArchivedJobs() {
     SimulatedCluster world = world(2);
     List<Job> jobs = runJobsToTheirEnd(world);
     world.all().forEach(node -> world.crash(node, 500));
@@ -127,7 +127,7 @@
   }
 
   @Test
-  void jobsStayAsLongAsTheOperatorsSay() {
+  void jobsAreArchivedAfterTheConfiguredRetention() {
     SimulatedCluster world = new SimulatedCluster(3, TestFixtures.archivingAfter(60));
     List<Job> jobs = runJobsToTheirEnd(world);
     jobs.forEach(job -> assertFalse(isArchived(world, job)));
@@ -142,7 +142,7 @@
    */
   @ParameterizedTest
   @MethodSource("seeds")
-  void anOlderVersionsLateSubmissionBringsNothingBack(long seed) {
+  void lateSubmissionOfAnOlderVersionRestoresNothing(long seed) {
     SimulatedCluster world = world(seed);
     List<Job> jobs = runJobsToTheirEnd(world);
     int starts = world.checker.starts;
@@ -160,9 +160,9 @@
     jobs.forEach(job -> assertArchivedCompletely(world, job));
   }
 
-  /** The same where there is no room, so that no alloc write looks for the archived record. */
+  /** The same without capacity, so that no allocation write checks for the archived record. */
   @Test
-  void aJobThatCameBackIsAnsweredForFromTheArchiveWhileItWaits() {
+  void resubmittedArchivedJobIsAnsweredFromTheArchive() {
     SimulatedCluster world = world(4);
     Job job = runJobsToTheirEnd(world).get(0);
     world.cloud.isDown = true;
@@ -170,7 +170,7 @@
     world.run(60);
     submitLateAsOlderVersion(world, job);
     world.run(3);
-    // Only processes that have not told the job's end go by more than their own memory of it.
+    // A process that has answered with the final status would answer from its cache.
     world.all().forEach(node -> world.crash(node, 500));
     for (int ms = 3000; ms < 9000; ms += 70) {
       world.at(ms, () -> world.queryAll(job.uid()));
@@ -179,10 +179,10 @@
     assertNoBreaches(world);
   }
 
-  /** A late cancellation of a job that never started when it was asked for, and is done now. */
+  /** A late cancellation of a job that had not started when it was requested, and is done now. */
   @ParameterizedTest
   @MethodSource("seeds")
-  void anOlderVersionsLateCancellationChangesNothing(long seed) {
+  void lateCancellationOfAnOlderVersionChangesNothing(long seed) {
     SimulatedCluster world = world(seed);
     Job done = runJobsToTheirEnd(world).get(0);
     world.checker.userAborts(done.uid());
@@ -191,7 +191,7 @@
       submitLateAsOlderVersion(world, done);
     }
     world.all().forEach(node -> world.crash(node, 200 + seed * 50));
-    // Asked early, the nodes would remember the right answer for later questions.
+    // Queried early, the nodes would answer later queries from their cache.
     int firstAskedMs = seed % 3 == 0 ? 0 : 7000;
     for (int ms = firstAskedMs; ms < 9000; ms += 70) {
       world.at(ms, () -> world.queryAll(done.uid()));
@@ -205,9 +205,9 @@
         world.state.get(StoreKeys.ended(done.uid())));
   }
 
-  /** Both late writes at once, and a leader that has no reason yet to look at the job again. */
+  /** Both late writes at once, and a leader with no reason yet to check the job again. */
   @Test
-  void aCancelledCopyOfADoneJobIsNotTheLastWord() {
+  void cancelledCopyOfADoneJobDoesNotChangeItsStatus() {
     SimulatedCluster world = new SimulatedCluster(10, TestFixtures.archivingAfter(20));
     Job done = runJobsToTheirEnd(world).get(0);
     world.run(30);
@@ -237,7 +237,7 @@
    */
   @ParameterizedTest
   @MethodSource("seeds")
-  void nothingIsTakenBackWhateverIsLateOrLost(long seed) {
+  void answersStayConsistentWithLateWritesAndLostReplies(long seed) {
     SimulatedCluster world = world(seed);
     List<Job> jobs = play(world, seed);
     assertNoBreaches(world);
@@ -251,7 +251,7 @@
     assertEquals(0, world.nodes.get(world.leader()).jobsInMemory());
   }
 
-  /** Plays the history of moves to the archive of this seed to its quiet end; tells the jobs. */
+  /** Plays this seed's history of archive moves to its quiet end, and returns the jobs. */
   static List<Job> play(SimulatedCluster world, long seed) {
     Random script = new Random(seed);
     world.lookCloselyAtNews(true);
@@ -288,7 +288,7 @@
 
   /** An older version's node would deny what it does not find, so nothing leaves before. */
   @Test
-  void nothingIsArchivedWhileAMemberMayBeOld() {
+  void nothingIsArchivedWhileAMemberMayRunAnOlderVersion() {
     SimulatedCluster world = world(5);
     for (String node : world.all()) {
       world.older.add(node);
@@ -306,9 +306,7 @@
     assertNoBreaches(world);
   }
 
-  /**
-   * All members have answered as new, but the version is not stored: one may still be taken back.
-   */
+  /** All members run the new version, but it is not stored: one may still be downgraded. */
   @Test
   void nothingIsArchivedBeforeTheVersionIsStored() {
     SimulatedCluster world = world(6);
@@ -318,28 +316,33 @@
     assertNoBreaches(world);
   }
 
+  /** Thirty jobs, half of them cancelled right after their submission and the others later. */
+  private static List<Job> submitJobsAndCancelThem(SimulatedCluster world) {
+    List<Job> jobs = new ArrayList<>();
+    for (int i = 1; i <= 30; i++) {
+      JobKind kind = i % 5 == 0 ? JobKind.SERVICE : JobKind.ARRAY;
+      Job job = TestFixtures.job(i, kind, 1, 1);
+      jobs.add(job);
+      world.at(1000 + 200L * i, () -> world.submit(job));
+      world.at(1300 + 200L * i + (i % 2) * 20_000, () -> world.abort(job.uid()));
+    }
+    return jobs;
+  }
+
   /**
    * A cluster that has run without an archive for long: its first new leader has no room for all
    * ended jobs. Memory once held every one of them, and no leader got through its rebuilding.
    */
   @ParameterizedTest
   @MethodSource("seeds")
-  void aLeaderWithoutRoomForAllEndedJobsArchivesThemBitByBit(long seed) {
+  void leaderWithoutMemoryForAllFinishedJobsArchivesThemInPages(long seed) {
     int most = 4;
     SimulatedCluster world = new SimulatedCluster(seed, TestFixtures.archiving(3600, most));
     for (String node : world.all()) {
       world.older.add(node);
       world.boot(node);
     }
-    List<Job> jobs = new ArrayList<>();
-    for (int i = 1; i <= 30; i++) {
-      JobKind kind = i % 5 == 0 ? JobKind.SERVICE : JobKind.ARRAY;
-      Job job = TestFixtures.job(i, kind, 1, 1);
-      jobs.add(job);
-      world.at(1000 + 200L * i, () -> world.submit(job));
-      // Some before they have started.
-      world.at(1300 + 200L * i + (i % 2) * 20_000, () -> world.abort(job.uid()));
-    }
+    List<Job> jobs = submitJobsAndCancelThem(world);
     Job alive = TestFixtures.job(40, JobKind.SERVICE, 2, 1);
     world.submit(alive);
     world.run(60);
@@ -367,9 +370,9 @@
     assertEquals(2, world.checker.running(alive.uid()));
   }
 
-  /** What a spoilt record says is not known, so nothing is concluded from the others. */
+  /** The content of an unreadable record is unknown, so nothing is concluded from the others. */
   @Test
-  void aFrozenJobStaysWhereItIs() {
+  void frozenJobIsNotArchived() {
     SimulatedCluster world = world(7);
     Job service = TestFixtures.job(1, JobKind.SERVICE, 2, 1);
     world.submit(service);
@@ -384,9 +387,9 @@
     assertNoBreaches(world);
   }
 
-  /** A task of a cancelled job on a machine that is not heard counts until it surely is gone. */
+  /** A task of a cancelled job on an unreachable machine counts until it has surely ended. */
   @Test
-  void aCancelledJobStaysUntilItsTasksAreSurelyGone() {
+  void cancelledJobIsNotArchivedBeforeItsTasksHaveSurelyEnded() {
     SimulatedCluster world = world(8);
     Job service = TestFixtures.job(1, JobKind.SERVICE, 1, 1);
     world.submit(service);
@@ -419,7 +422,7 @@
 
   /** Work has the writes first: while they are short nothing is archived. */
   @Test
-  void archivingTakesOnlyWhatTheRatesLeaveOver() {
+  void archivingUsesOnlySpareWrites() {
     ControllerContext context =
         new ControllerContext(TestFixtures.settings("roost-0"), new Random(1), 0);
     StoreClient store = new StoreClient(context);
--- a/src/test/java/eiderfork/controller/MonotonicReadTest.java
+++ b/src/test/java/eiderfork/controller/MonotonicReadTest.java
@@ -16,13 +16,13 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** No node answers a user with something older than what any node has told. */
+/** No node answers a user with an older status than any node has answered before. */
 class MonotonicReadTest {
   private static LongStream seeds() {
     return LongStream.rangeClosed(1, 20);
   }
 
-  /** Users poll once more: every job is over, and every node says so. */
+  /** Users poll once more: every job is terminal at every node. */
   private static void assertAllTerminal(SimulatedCluster world, List<Job> jobs) {
     jobs.forEach(job -> world.queryAll(job.uid()));
     world.run(3);
@@ -35,7 +35,7 @@
   }
 
   /** Arrays of a few tasks that end one after the other, and services that are cancelled. */
-  private static List<Job> load(SimulatedCluster world, int jobs) {
+  private static List<Job> submitLoad(SimulatedCluster world, int jobs) {
     List<Job> all = new ArrayList<>();
     for (int i = 1; i <= jobs; i++) {
       Job job = TestFixtures.job(i, i % 3 == 0 ? JobKind.SERVICE : JobKind.ARRAY, 1 + i % 3, i % 2);
@@ -49,17 +49,16 @@
   }
 
   /**
-   * All nodes are asked, and the submission is repeated at each, within milliseconds of every
-   * answer that says something new. Guards: {@link ReadBarrier} for cancellations that a peer
-   * wrote, the state service alone for what is not in memory, {@link FinalStatusCache} for what is
-   * over.
+   * All nodes are queried, and the submission is repeated at each, within milliseconds of every
+   * answer that is new. Guards: {@link ReadBarrier} for cancellations that a peer wrote, the state
+   * service alone for what is not in memory, {@link FinalStatusCache} for what is over.
    */
   @ParameterizedTest
   @MethodSource("seeds")
-  void nothingOlderIsToldWithinMomentsOfAnAnswer(long seed) {
+  void noNodeAnswersWithAnOlderStatusRightAfterAnAnswer(long seed) {
     SimulatedCluster world = new SimulatedCluster(seed);
     world.lookCloselyAtNews(true);
-    List<Job> jobs = load(world, 18);
+    List<Job> jobs = submitLoad(world, 18);
     world.run(60);
     assertNoBreaches(world);
     assertAllTerminal(world, jobs);
@@ -67,12 +66,12 @@
 
   /**
    * A transaction is carried out at once and only its answer is lost, while other nodes read what
-   * it wrote: the leader's own write of a job's end among them, which another node tells as done
+   * it wrote: the leader's own write of a job's end among them, which another node reports as done
    * while the leader does not know yet. Until that settles it does not answer from memory.
    */
   @ParameterizedTest
   @MethodSource("seeds")
-  void whatAnotherNodeReadIsNotContradictedWhileTheWritersAnswerIsLost(long seed) {
+  void readsStayMonotonicWhileRepliesToWritesAreLost(long seed) {
     SimulatedCluster world = new SimulatedCluster(seed);
     world.lookCloselyAtNews(true);
     world.at(5_000, () -> world.lostAnswers = 0.5);
@@ -80,7 +79,7 @@
     world.at(5_000, () -> world.cut("roost-0>roost-2", 40_000));
     world.at(5_000, () -> world.cut("roost-1>roost-2", 40_000));
     world.at(5_000, () -> world.cut("roost-2>roost-0", 40_000));
-    List<Job> jobs = load(world, 18);
+    List<Job> jobs = submitLoad(world, 18);
     for (int i = 0; i < 900; i++) {
       int number = 1 + i % 18;
       world.at(8_000 + 50L * i, () -> world.queryAll("run-%06d".formatted(number)));
@@ -94,11 +93,11 @@
   /** The same with transactions that are carried out late, after newer ones. */
   @ParameterizedTest
   @MethodSource("seeds")
-  void transactionsCarriedOutLateContradictNothing(long seed) {
+  void readsStayMonotonicWithLateTransactions(long seed) {
     SimulatedCluster world = new SimulatedCluster(seed);
     world.lookCloselyAtNews(true);
     world.at(5_000, () -> world.lateWrites = 0.3);
-    List<Job> jobs = load(world, 18);
+    List<Job> jobs = submitLoad(world, 18);
     world.at(20_000, () -> world.crash(world.leader() == null ? "roost-0" : world.leader(), 3000));
     world.at(50_000, () -> world.lateWrites = 0);
     world.run(100);
@@ -107,13 +106,14 @@
   }
 
   /**
-   * A cancellation, a question or a repeated submission meets the end of a job's last task. The
-   * write of the end asks for no cancellation, and that of the cancellation for an unchanged alloc.
+   * A cancellation, a query or a repeated submission races with the end of a job's last task. The
+   * write of the end is conditional on no cancellation, and that of the cancellation on an
+   * unchanged allocation.
    */
   @ParameterizedTest
   @ValueSource(
       ints = {0, 50, 100, 150, 200, 250, 300, 350, 400, 450, 500, 600, 700, 800, 900, 1000, 1200})
-  void aCancellationAtTheEndOfTheLastTaskIsAnsweredOnceAndForAll(int afterMs) {
+  void cancellationRacingWithCompletionHasOneFinalStatus(int afterMs) {
     for (int i = 0; i < 9; i++) {
       String at = "roost-" + i % 3;
       SimulatedCluster world = new SimulatedCluster(7);
@@ -141,7 +141,7 @@
   /** A job is cancelled while its submission is still on its way at other nodes. */
   @ParameterizedTest
   @MethodSource("seeds")
-  void aCancellationAtOnceIsKept(long seed) {
+  void cancellationRightAfterSubmissionIsKept(long seed) {
     SimulatedCluster world = new SimulatedCluster(seed);
     world.lookCloselyAtNews(true);
     world.run(10);
@@ -160,9 +160,9 @@
     }
   }
 
-  /** What is malformed, impossible, unknown or over is answered for what it is, at any time. */
+  /** Malformed, impossible, unknown and terminal jobs are answered as such, at any time. */
   @Test
-  void oddRequestsAreAnsweredInTheMiddleOfATakeover() {
+  void unusualRequestsAreAnsweredDuringAFailover() {
     SimulatedCluster world = new SimulatedCluster(3);
     Job done = TestFixtures.job(1, JobKind.ARRAY, 1, 1);
     Job running = TestFixtures.job(2, JobKind.SERVICE, 1, 1);
