--- a/src/main/java/eiderfork/controller/CapacityClaims.java
+++ b/src/main/java/eiderfork/controller/CapacityClaims.java
@@ -28,12 +28,14 @@
     return Collections.unmodifiableList(claims);
   }
 
+  /** Ends all claims. */
   void clear() {
     revision++;
     claims.clear();
     claimedByMachine.clear();
   }
 
+  /** Makes a claim. */
   void add(CapacityClaim claim) {
     revision++;
     claims.add(claim);
--- a/src/main/java/eiderfork/controller/DispatchEligibility.java
+++ b/src/main/java/eiderfork/controller/DispatchEligibility.java
@@ -48,7 +48,10 @@
         && context.nowMs - job.lastWriteMs < batchingDelayMs();
   }
 
-  /** Whether a suspected job waits for the outcome of the one task that it may try. */
+  /**
+   * Whether a suspected job waits for the outcome of the one task that it may try. A task that has
+   * outlived the failures clears the suspicion.
+   */
   private boolean isAwaitingTrialTask(JobState job) {
     if (!job.failureHistory.isSuspected()) {
       return false;
--- a/src/main/java/eiderfork/controller/Scheduler.java
+++ b/src/main/java/eiderfork/controller/Scheduler.java
@@ -12,7 +12,7 @@
   /** A low estimate of how many machines a core examines for a job in a second. */
   private static final double MACHINES_EXAMINED_PER_CORE_SECOND = 1_000_000;
 
-  /** The share of a step that the searches of a round may take before they turn to samples. */
+  /** The share of a step that the searches of a round may take before they examine samples only. */
   private static final double SEARCH_CPU_SHARE = 0.1;
 
   private final ControllerContext context;
