--- a/src/main/java/eiderfork/controller/Controller.java
+++ b/src/main/java/eiderfork/controller/Controller.java
@@ -110,17 +110,7 @@
             leaseLog,
             reader::readProxiedMachines,
             rounds::request);
-    commander =
-        new WorkerCommander(
-            context,
-            election,
-            jobs,
-            fleet,
-            cancellations,
-            liveness,
-            leaseExpiry,
-            leaseLog,
-            rounds::request);
+    commander = newCommander(liveness, leaseExpiry, leaseLog);
     heartbeats =
         new HeartbeatHandler(context, election, commander, cancellations, leaseProxy, reachability);
 
@@ -157,22 +147,40 @@
 
     standby = new Standby(context, election, new StandbyReplica(context, store));
     election.setYieldRule(standby);
-    recovery =
-        new LeaderRecovery(
-            election,
-            standby,
-            new ReplicaRecovery(reader, restorer, cancellations, sweeper),
-            new FullReadRecovery(context, reader, jobPages, restorer, cancellations, sweeper),
-            new CommittedChangeWatcher(context, store, reader, readBarrier, cancellations, changes),
-            readBarrier,
-            jobs,
-            fleet,
-            rounds,
-            this::onRecovered);
+    recovery = newRecovery(restorer, changes, jobPages);
     hintPublisher = new MachineHintPublisher(context, election, store, fleet, standby);
     failoverTimer = new FailoverTimer(context, election);
   }
 
+  private WorkerCommander newCommander(
+      MachineLiveness liveness, LeaseExpiry leaseExpiry, WorkerLeaseLog leaseLog) {
+    return new WorkerCommander(
+        context,
+        election,
+        jobs,
+        fleet,
+        cancellations,
+        liveness,
+        leaseExpiry,
+        leaseLog,
+        rounds::request);
+  }
+
+  private LeaderRecovery newRecovery(
+      StoredRecordRestorer restorer, CommittedChangeApplier changes, JobPageReader jobPages) {
+    return new LeaderRecovery(
+        election,
+        standby,
+        new ReplicaRecovery(reader, restorer, cancellations, sweeper),
+        new FullReadRecovery(context, reader, jobPages, restorer, cancellations, sweeper),
+        new CommittedChangeWatcher(context, store, reader, readBarrier, cancellations, changes),
+        readBarrier,
+        jobs,
+        fleet,
+        rounds,
+        this::onRecovered);
+  }
+
   /** Handles one input at {@code nowMs} of a steady clock, and returns what follows from it. */
   public List<Effect> handle(long nowMs, Input input) {
     context.nowMs = Math.max(context.nowMs, nowMs);
