--- a/src/main/java/eiderfork/controller/CommittedChangeApplier.java
+++ b/src/main/java/eiderfork/controller/CommittedChangeApplier.java
@@ -13,6 +13,7 @@
   private final Autoscaler autoscaler;
   private final RoundTrigger rounds;
 
+  /** Makes an applier to these parts of the leader's memory. */
   CommittedChangeApplier(
       StoredRecordRestorer restorer,
       JobRegistry jobs,
--- a/src/main/java/eiderfork/controller/CommittedChangeWatcher.java
+++ b/src/main/java/eiderfork/controller/CommittedChangeWatcher.java
@@ -21,6 +21,7 @@
   private final CancellationTracker cancellations;
   private final CommittedChangeApplier applier;
 
+  /** Makes a watcher; it begins with {@link #watchFrom}. */
   CommittedChangeWatcher(
       ControllerContext context,
       StoreClient store,
--- a/src/main/java/eiderfork/controller/FailoverTimer.java
+++ b/src/main/java/eiderfork/controller/FailoverTimer.java
@@ -21,6 +21,7 @@
   private boolean fromReplica;
   private boolean running;
 
+  /** Makes a timer that does not run. */
   FailoverTimer(ControllerContext context, LeaderElection election) {
     this.context = context;
     this.election = election;
--- a/src/main/java/eiderfork/controller/ForwardedQueryHandler.java
+++ b/src/main/java/eiderfork/controller/ForwardedQueryHandler.java
@@ -6,14 +6,15 @@
 import eiderfork.controller.message.Input;
 import eiderfork.controller.message.UserResponse;
 
-/** Answers the queries that a peer forwards in one request, once the last of them is answered. */
+/** Responds to the queries that a peer forwards in one request, to all of them at once. */
 final class ForwardedQueryHandler {
-  /** Queries within a request are answered together, so that they carry no ticket of their own. */
+  /** Queries of one request get one response, so that they carry no ticket of their own. */
   private static final long NO_TICKET = 0;
 
   private final ControllerContext context;
   private final UserRequestHandler users;
 
+  /** Makes a handler that answers queries as {@code users} does. */
   ForwardedQueryHandler(ControllerContext context, UserRequestHandler users) {
     this.context = context;
     this.users = users;
--- a/src/main/java/eiderfork/controller/FullReadRecovery.java
+++ b/src/main/java/eiderfork/controller/FullReadRecovery.java
@@ -27,6 +27,7 @@
   private final CancellationTracker cancellations;
   private final FinishedJobSweeper sweeper;
 
+  /** Makes the recovery; it begins with {@link #read}. */
   FullReadRecovery(
       ControllerContext context,
       RangeReader reader,
--- a/src/main/java/eiderfork/controller/HealthCheckHandler.java
+++ b/src/main/java/eiderfork/controller/HealthCheckHandler.java
@@ -17,6 +17,7 @@
   private final StoreClient store;
   private final PeerMonitor peers;
 
+  /** Makes a handler, which keeps no state. */
   HealthCheckHandler(ControllerContext context, StoreClient store, PeerMonitor peers) {
     this.context = context;
     this.store = store;
--- a/src/main/java/eiderfork/controller/LeaderRecovery.java
+++ b/src/main/java/eiderfork/controller/LeaderRecovery.java
@@ -32,6 +32,7 @@
   private final RoundTrigger rounds;
   private final Listener listener;
 
+  /** Makes the recovery of a node; it begins with {@link #recover}. */
   LeaderRecovery(
       LeaderElection election,
       Standby standby,
--- a/src/main/java/eiderfork/controller/LoadShedder.java
+++ b/src/main/java/eiderfork/controller/LoadShedder.java
@@ -11,6 +11,7 @@
 
   private final ControllerContext context;
 
+  /** Makes a load shedder, which keeps no state. */
   LoadShedder(ControllerContext context) {
     this.context = context;
   }
--- a/src/main/java/eiderfork/controller/MachineHintPublisher.java
+++ b/src/main/java/eiderfork/controller/MachineHintPublisher.java
@@ -46,6 +46,7 @@
   /** The number of the machine that was published last. */
   private int lastMachineNumber;
 
+  /** Makes a publisher that begins with the first machine. */
   MachineHintPublisher(
       ControllerContext context,
       LeaderElection election,
--- a/src/main/java/eiderfork/controller/PeerMonitor.java
+++ b/src/main/java/eiderfork/controller/PeerMonitor.java
@@ -25,13 +25,14 @@
   private final Map<String, Boolean> pingPending = new LinkedHashMap<>();
 
   /**
-   * When each peer first answered a ping of this node's {@link #acknowledgedTerm} with that term.
+   * When each peer first replied to a ping of this node's {@link #acknowledgedTerm} with that term.
    */
   private final Map<String, Long> termAcknowledgedMs = new LinkedHashMap<>();
 
   private long acknowledgedTerm;
   private long nextPingMs;
 
+  /** Makes a monitor without the status of any peer. */
   PeerMonitor(
       ControllerContext context,
       LeaderElection election,
--- a/src/main/java/eiderfork/controller/ReplicaRecovery.java
+++ b/src/main/java/eiderfork/controller/ReplicaRecovery.java
@@ -21,6 +21,7 @@
   private final CancellationTracker cancellations;
   private final FinishedJobSweeper sweeper;
 
+  /** Makes the recovery; it begins with {@link #restore}. */
   ReplicaRecovery(
       RangeReader reader,
       StoredRecordRestorer restorer,
--- a/src/main/java/eiderfork/controller/RequestForwarder.java
+++ b/src/main/java/eiderfork/controller/RequestForwarder.java
@@ -27,6 +27,7 @@
   private final ControllerContext context;
   private final Queue<QueuedQuery> queue = new ArrayDeque<>();
 
+  /** Makes a forwarder with nothing to forward. */
   RequestForwarder(ControllerContext context) {
     this.context = context;
   }
--- a/src/main/java/eiderfork/controller/StoredRecordRestorer.java
+++ b/src/main/java/eiderfork/controller/StoredRecordRestorer.java
@@ -17,6 +17,7 @@
   private final CancellationTracker cancellations;
   private final ClusterVersion version;
 
+  /** Makes a restorer into these parts of the leader's memory. */
   StoredRecordRestorer(
       JobRegistry jobs,
       MachineRegistry fleet,
--- a/src/main/java/eiderfork/controller/election/CandidacyPolicy.java
+++ b/src/main/java/eiderfork/controller/election/CandidacyPolicy.java
@@ -8,8 +8,8 @@
  */
 final class CandidacyPolicy {
   /**
-   * How long a node that others should rather lead waits for one of them, in steps: far more than a
-   * slow store takes over an election, and less than workers' leases leave.
+   * How long a node waits for the nodes that are preferred to it, in steps: far more than a slow
+   * store takes over an election, and less than workers' leases leave.
    */
   private static final double YIELD_STEPS = 1;
 
@@ -17,7 +17,7 @@
 
   private final ControllerContext context;
 
-  /** Whether the order of nodes has others lead rather than this one. */
+  /** Whether the order of nodes prefers others as leaders. */
   private final boolean yieldsByNodeOrder;
 
   /** The node that workers try after this one. */
@@ -34,6 +34,7 @@
 
   private long pausedUntilMs;
 
+  /** Makes the policy of a node that has seen no leader. */
   CandidacyPolicy(ControllerContext context) {
     this.context = context;
     CandidateOrder order = CandidateOrder.of(context.settings);
@@ -41,10 +42,12 @@
     nextNode = order.nextNode();
   }
 
+  /** Has this decide which peers can be reached. */
   void setReachability(LeaderElection.PeerReachability peerReachability) {
     reachability = peerReachability;
   }
 
+  /** Has this rule decide in place of the order of nodes alone. */
   void setYieldRule(LeaderElection.YieldRule rule) {
     yieldRule = rule;
   }
--- a/src/main/java/eiderfork/controller/election/LeaderElection.java
+++ b/src/main/java/eiderfork/controller/election/LeaderElection.java
@@ -32,7 +32,7 @@
 
   /** Which peers can be reached, for guesses at who should lead. */
   public interface PeerReachability {
-    /** Of a node that has heard of no peer. */
+    /** What is known before any peer has sent its status. */
     PeerReachability UNKNOWN =
         new PeerReachability() {
           @Override
@@ -56,9 +56,9 @@
   /** Decides whether a vacant leadership is left to other nodes for a while. */
   public interface YieldRule {
     /**
-     * Whether others should rather lead.
+     * Whether other nodes are preferred as leaders.
      *
-     * @param byNodeOrder what the order and the reachability of the nodes say
+     * @param byNodeOrder what follows from the order and the reachability of the nodes
      */
     boolean yieldsToOthers(boolean byNodeOrder);
   }
@@ -112,7 +112,7 @@
     candidacy.setYieldRule(rule);
   }
 
-  /** Has this say which peers can be reached. */
+  /** Has this decide which peers can be reached. */
   public void setPeerReachability(PeerReachability reachability) {
     candidacy.setReachability(reachability);
   }
--- a/src/main/java/eiderfork/controller/standby/DelayedActions.java
+++ b/src/main/java/eiderfork/controller/standby/DelayedActions.java
@@ -11,6 +11,7 @@
   private final ControllerContext context;
   private final List<DelayedAction> scheduled = new ArrayList<>();
 
+  /** Makes a schedule without actions. */
   DelayedActions(ControllerContext context) {
     this.context = context;
   }
--- a/src/main/java/eiderfork/controller/standby/ReplicaInvalidException.java
+++ b/src/main/java/eiderfork/controller/standby/ReplicaInvalidException.java
@@ -4,6 +4,7 @@
 final class ReplicaInvalidException extends Exception {
   private static final long serialVersionUID = 1;
 
+  /** Makes an exception with the reason that the log shows. */
   ReplicaInvalidException(String reason) {
     super(reason);
   }
--- a/src/main/java/eiderfork/controller/standby/ReplicatedRange.java
+++ b/src/main/java/eiderfork/controller/standby/ReplicatedRange.java
@@ -16,6 +16,7 @@
   private long caughtUpMs;
   private long bytes;
 
+  /** Makes a range of which nothing is read. */
   ReplicatedRange(String prefix) {
     this.prefix = prefix;
   }
