--- /dev/null
+++ b/src/main/java/eiderfork/controller/MachineTypePoller.java
@@ -0,0 +1,92 @@
+package eiderfork.controller;
+
+import com.google.common.collect.ImmutableList;
+import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.election.LeaderElection;
+import eiderfork.controller.message.Effect;
+import eiderfork.controller.message.Reply;
+import eiderfork.controller.message.StoreKeys;
+import eiderfork.controller.message.StoreRequest;
+import eiderfork.controller.ratelimit.Backoff;
+import eiderfork.controller.ratelimit.TokenBucket;
+import eiderfork.controller.store.RequestPriority;
+import eiderfork.controller.store.StoreClient;
+
+/** Reads the cloud's machine types now and then, as prices change, and stores them. */
+final class MachineTypePoller {
+  /** The interval, in lags of the cloud's list of machines. */
+  private static final int REFRESH_LAGS = 8;
+
+  private final ControllerContext context;
+  private final LeaderElection election;
+  private final StoreClient store;
+  private final MachineRegistry fleet;
+  private final TokenBucket callBudget;
+  private final Backoff backoff;
+  private long nextRequestMs;
+  private boolean isInFlight;
+  private boolean isStored;
+
+  MachineTypePoller(
+      ControllerContext context,
+      LeaderElection election,
+      StoreClient store,
+      MachineRegistry fleet,
+      TokenBucket callBudget) {
+    this.context = context;
+    this.election = election;
+    this.store = store;
+    this.fleet = fleet;
+    this.callBudget = callBudget;
+    backoff = new Backoff(context.stepMs(), context.cloudListLagMs());
+  }
+
+  /** Begins anew, for a new term. */
+  void reset() {
+    isInFlight = false;
+    isStored = false;
+    nextRequestMs = 0;
+  }
+
+  /** Requests the types where that is due and the budget allows it. */
+  void requestIfDue() {
+    if (!isInFlight && context.nowMs >= nextRequestMs && callBudget.tryTake(1, context.nowMs)) {
+      request();
+    }
+  }
+
+  private void request() {
+    isInFlight = true;
+    context.call(
+        callId -> new Effect.ListMachineTypes(callId, CloudProvisioner.callTimeoutMs(context)),
+        reply -> {
+          isInFlight = false;
+          if (reply instanceof Reply.Types types) {
+            onTypes(types);
+          } else {
+            nextRequestMs = context.nowMs + backoff.nextPauseMs(context.random);
+          }
+        });
+  }
+
+  private void onTypes(Reply.Types types) {
+    backoff.reset();
+    boolean isFirst = fleet.types().isEmpty();
+    fleet.types(types.types());
+    nextRequestMs = context.nowMs + REFRESH_LAGS * context.cloudListLagMs();
+    if (isFirst || !isStored) {
+      storeTypes();
+    }
+  }
+
+  private void storeTypes() {
+    isStored = true;
+    store.send(
+        new StoreRequest.Transaction(
+            ImmutableList.of(election.leaderCondition()),
+            ImmutableList.of(
+                StoreRequest.Change.put(StoreKeys.MACHINE_TYPES, fleet.typesRecord()))),
+        RequestPriority.CLEANUP,
+        reply -> isStored = reply instanceof Reply.Committed);
+  }
+}
--- a/src/main/java/eiderfork/controller/ProvisioningIntents.java
+++ b/src/main/java/eiderfork/controller/ProvisioningIntents.java
@@ -10,7 +10,7 @@
 import eiderfork.model.StoredRecord;
 import java.util.function.BooleanSupplier;
 
-/** The records that stand in the state service before the cloud is asked for anything. */
+/** The records that are stored before the cloud is called, so that a later leader finds them. */
 final class ProvisioningIntents {
   private final LeaderElection election;
   private final StoreClient store;
@@ -21,9 +21,9 @@
   }
 
   /**
-   * Writes a reservation; one that is left unanswered is repeated, since it may still apply.
+   * Stores an intent. A write without an answer is repeated, since it may have been applied.
    *
-   * @param isStillWanted whether it is still wanted
+   * @param isStillWanted whether the outcome still matters when it is known
    */
   void reserve(
       String key,
@@ -40,15 +40,10 @@
           if (!isStillWanted.getAsBoolean() || !election.isLeading()) {
             return;
           }
-          if (reply instanceof Reply.Committed) {
+          if (reply instanceof Reply.Committed || isOwnEarlierWrite(reply)) {
             onCommitted.run();
-          } else if (reply instanceof Reply.Conflict conflict) {
-            if (conflict.failedKeys().contains(StoreKeys.LEADER)) {
-              election.leaderConditionFailed();
-            } else {
-              // The key is this term's own: an earlier copy of this write has been applied.
-              onCommitted.run();
-            }
+          } else if (reply instanceof Reply.Conflict) {
+            election.leaderConditionFailed();
           } else if (reply instanceof Reply.Unanswered) {
             reserve(key, record, isStillWanted, onCommitted, onFailed);
           } else {
@@ -57,7 +52,13 @@
         });
   }
 
-  /** Removes a reservation that is settled. */
+  /** No other term writes the key, so where it exists an earlier try of the write was applied. */
+  private static boolean isOwnEarlierWrite(Reply reply) {
+    return reply instanceof Reply.Conflict conflict
+        && !conflict.failedKeys().contains(StoreKeys.LEADER);
+  }
+
+  /** Removes an intent that is settled. */
   void remove(String key) {
     store.send(
         new StoreRequest.Transaction(
--- a/src/main/java/eiderfork/net/ClassDataTraining.java
+++ b/src/main/java/eiderfork/net/ClassDataTraining.java
@@ -1,49 +1,114 @@
 package eiderfork.net;
 
+import eiderfork.config.InvalidSettingsException;
 import eiderfork.config.OperatorSettings;
+import eiderfork.config.Settings;
 import eiderfork.config.Settings.Endpoint;
 import eiderfork.config.SettingsParser;
+import io.netty.channel.Channel;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
 import java.io.IOException;
 import java.net.InetSocketAddress;
+import java.net.ServerSocket;
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Runs a controller for a moment against stand-ins that say the least that moves it through its
- * ordinary paths. The build records the classes that this loads, since on a sliver of a core
- * loading them is most of a start.
+ * Runs a controller for a moment against stubs, through its ordinary paths. The build puts the
+ * classes that this loads into the class-data archive, since loading them is most of a start on a
+ * small share of a core.
  */
 public final class ClassDataTraining {
-  /** One controller asks, over a handful of connections. */
   private static final int STUB_BACKLOG = 16;
-
-  private static final long ROUNDS = 8;
+  private static final int ROUNDS = 8;
   private static final long ROUND_PAUSE_MS = 150;
   private static final int MAX_ATTEMPTS = 5;
+  private static final long REQUEST_TIMEOUT_MS = 1000;
+  private static final long AWAIT_S = 2;
+
+  /** A job is cancelled this many rounds after its submission. */
+  private static final int CANCEL_AFTER_ROUNDS = 3;
+
+  private static final String HOST = "127.0.0.1";
+
+  private static final String SETTINGS =
+      """
+      host_name = "roost-0"
+      zone = "a"
+      public_addr = "127.0.0.1:%1$d"
+      peer_listen = "127.0.0.1:%2$d"
+      [[others]]
+      host_name = "roost-1"
+      zone = "a"
+      endpoint = "127.0.0.1:%2$d"
+      [endpoints]
+      cloud = "127.0.0.1:%3$d"
+      state = "127.0.0.1:%3$d"
+      [deployment]
+      [[deployment.teams]]
+      name = "team"
+      [[deployment.objectives]]
+      kind = "wait"
+      class = "class"
+      within_s = 2.0
+      share = 0.9
+      [deployment.workers]
+      report_s = 0.2
+      lease_s = 2.0
+      cancel_s = 6.0
+      [deployment.state]
+      rps = 1000.0
+      write_rps = 1000.0
+      value_kb = 8.0
+      txn_ops = 16
+      [deployment.cloud]
+      rps = 100.0
+      list_lag_s = 0.1
+      [deployment.resources]
+      cpu_share = 0.2
+      sockets = 600
+      """;
+
+  private static final String HEARTBEAT =
+      """
+      {"Roost":"n-1","Addr":"127.0.0.1:%d","Breed":"t","Shore":"a","Driftwood":false,
+      "Tenure":1,"Tally":%d,"Warrant":%d,"WarningS":null,
+      "Hatchlings":[{"Hatchling":"run-1/1","Try":1,"Stance":"ended","Cause":"done"}]}""";
+
+  private static final String JOB =
+      """
+      {"Uid":"run-%d","Flock":"class","Crew":"team","Guise":"standing","Precedence":"high",
+      "Hatchlings":2,"Cpus":1.0,"Gpus":0.0,"RamGb":1.0,"Breeds":["t"],"Shore":null,
+      "Together":false,"Scatter":false,"Driftwood":false,"Plumage":"i","ImageGb":1.0,
+      "ReckonS":0.0,"MoultS":0.0,"StowS":0.0,"DueS":null}""";
 
-  private final AtomicLong revision = new AtomicLong(1);
   private final MultiThreadIoEventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+  private final HttpClient client = new HttpClient(group.next(), 1);
+  private final int stubPort;
+  private final int publicPort;
 
-  private ClassDataTraining() {}
+  private ClassDataTraining() throws IOException, InterruptedException {
+    HttpServer stubs = new HttpServer(new TrainingStubs()::handle, STUB_BACKLOG);
+    stubPort = localPort(stubs.listen(group, new Endpoint(HOST, 0)));
+    publicPort = findFreePort();
+  }
 
   /**
-   * Runs the training run once.
+   * Runs the training.
    *
-   * @throws Exception where the controller or a stand-in fails
+   * @throws Exception where the controller or a stub fails
    */
   public static void run() throws Exception {
-    for (int left = MAX_ATTEMPTS; ; left--) {
+    for (int attempt = 1; ; attempt++) {
       try {
         new ClassDataTraining().runOnce();
         return;
       } catch (IOException e) {
-        // Another program took a port between the look for a free one and its use.
-        if (left <= 1) {
+        // Another program may have taken a free port before its use here.
+        if (attempt >= MAX_ATTEMPTS) {
           throw e;
         }
       }
@@ -51,136 +116,57 @@
   }
 
   private void runOnce() throws Exception {
-    Endpoint any = new Endpoint("127.0.0.1", 0);
-    int services = localPort(new HttpServer(this::respondAsStub, STUB_BACKLOG).listen(group, any));
-    int publicPort = findFreePort();
-    int peerPort = findFreePort();
-    String settings =
-        """
-        host_name = "roost-0"
-        zone = "a"
-        public_addr = "127.0.0.1:%1$d"
-        peer_listen = "127.0.0.1:%2$d"
-        [[others]]
-        host_name = "roost-1"
-        zone = "a"
-        endpoint = "127.0.0.1:%2$d"
-        [endpoints]
-        cloud = "127.0.0.1:%3$d"
-        state = "127.0.0.1:%3$d"
-        [deployment]
-        [[deployment.teams]]
-        name = "team"
-        [[deployment.objectives]]
-        kind = "wait"
-        class = "class"
-        within_s = 2.0
-        share = 0.9
-        [deployment.workers]
-        report_s = 0.2
-        lease_s = 2.0
-        cancel_s = 6.0
-        [deployment.state]
-        rps = 1000.0
-        write_rps = 1000.0
-        value_kb = 8.0
-        txn_ops = 16
-        [deployment.cloud]
-        rps = 100.0
-        list_lag_s = 0.1
-        [deployment.resources]
-        cpu_share = 0.2
-        sockets = 600
-        """
-            .formatted(publicPort, peerPort, services);
-    ControllerNode node =
-        new ControllerNode(
-            SettingsParser.parse("training-run", settings, OperatorSettings.DEFAULTS));
-    node.start();
-    HttpClient client = new HttpClient(group.next(), 1);
-    Endpoint endpoint = new Endpoint("127.0.0.1", publicPort);
-    for (int i = 1; i <= ROUNDS; i++) {
-      Thread.sleep(ROUND_PAUSE_MS);
-      String report =
-          """
-          {"Roost":"n-1","Addr":"127.0.0.1:%d","Breed":"t","Shore":"a","Driftwood":false,
-          "Tenure":1,"Tally":%d,"Warrant":%d,"WarningS":null,
-          "Hatchlings":[{"Hatchling":"run-1/1","Try":1,"Stance":"ended","Cause":"done"}]}"""
-              .formatted(services, i, (1L << 24) + 1);
-      sendAndAwait(client, endpoint, "POST", "/v1/report", report);
-      String job =
-          """
-          {"Uid":"run-%d","Flock":"class","Crew":"team","Guise":"standing","Precedence":"high",
-          "Hatchlings":2,"Cpus":1.0,"Gpus":0.0,"RamGb":1.0,"Breeds":["t"],"Shore":null,
-          "Together":false,"Scatter":false,"Driftwood":false,"Plumage":"i","ImageGb":1.0,
-          "ReckonS":0.0,"MoultS":0.0,"StowS":0.0,"DueS":null}"""
-              .formatted(i);
-      sendAndAwait(client, endpoint, "POST", "/v2/runs", job);
-      sendAndAwait(client, endpoint, "GET", "/v2/runs/run-" + i, null);
-      sendAndAwait(client, endpoint, "GET", "/healthz", null);
-      sendAndAwait(client, endpoint, "POST", "/v2/runs/run-" + Math.max(1, i - 3) + "/abort", "{}");
+    try (ControllerNode node = new ControllerNode(settings())) {
+      node.start();
+      for (int round = 1; round <= ROUNDS; round++) {
+        Thread.sleep(ROUND_PAUSE_MS);
+        playRound(round);
+      }
+    } finally {
+      group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
-    node.close();
-    group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
   }
 
-  private static void sendAndAwait(
-      HttpClient client, Endpoint endpoint, String method, String path, String body)
-      throws InterruptedException {
+  private Settings settings() throws IOException, InvalidSettingsException {
+    String text = SETTINGS.formatted(publicPort, findFreePort(), stubPort);
+    return SettingsParser.parse("training-run", text, OperatorSettings.DEFAULTS);
+  }
+
+  private void playRound(int round) throws InterruptedException {
+    post("/v1/report", HEARTBEAT.formatted(stubPort, round, TrainingStubs.FENCING_TOKEN));
+    post("/v2/runs", JOB.formatted(round));
+    get("/v2/runs/run-" + round);
+    get("/healthz");
+    post("/v2/runs/run-" + Math.max(1, round - CANCEL_AFTER_ROUNDS) + "/abort", "{}");
+  }
+
+  private void post(String path, String body) throws InterruptedException {
+    sendAndAwait("POST", path, body.getBytes(StandardCharsets.UTF_8));
+  }
+
+  private void get(String path) throws InterruptedException {
+    sendAndAwait("GET", path, null);
+  }
+
+  private void sendAndAwait(String method, String path, byte[] body) throws InterruptedException {
     CountDownLatch done = new CountDownLatch(1);
-    byte[] bytes = body == null ? null : body.getBytes(StandardCharsets.UTF_8);
-    client.send(endpoint, method, path, bytes, 1000, (status, responseBody) -> done.countDown());
-    done.await(2, TimeUnit.SECONDS);
+    client.send(
+        new Endpoint(HOST, publicPort),
+        method,
+        path,
+        body,
+        REQUEST_TIMEOUT_MS,
+        (status, responseBody) -> done.countDown());
+    done.await(AWAIT_S, TimeUnit.SECONDS);
   }
 
-  private static int localPort(io.netty.channel.Channel channel) {
+  private static int localPort(Channel channel) {
     return ((InetSocketAddress) channel.localAddress()).getPort();
   }
 
   private static int findFreePort() throws IOException {
-    try (var socket = new java.net.ServerSocket(0)) {
+    try (ServerSocket socket = new ServerSocket(0)) {
       return socket.getLocalPort();
     }
   }
-
-  private void respondAsStub(HttpServer.Exchange exchange) {
-    String path = exchange.path();
-    int status = 200;
-    String body;
-    if (path.startsWith("/keys/")) {
-      status = 404;
-      body = "{\"Ledger\":%d}".formatted(revision.get());
-    } else if (path.startsWith("/keys?")) {
-      body = "{\"Items\":[],\"HasNext\":false,\"Ledger\":%d}".formatted(revision.get());
-    } else if (path.startsWith("/follow")) {
-      // Left open, as a watch without changes is.
-      return;
-    } else if (path.startsWith("/leases")) {
-      body = "{\"Tether\":1}";
-    } else if (path.startsWith("/multi")) {
-      body = "{\"Ledger\":%d}".formatted(revision.incrementAndGet());
-    } else if (path.startsWith("/flavors")) {
-      body =
-          """
-          {"Breeds":[{"Label":"t","Cpus":8,"Gpus":0,"RamGb":8,"LocalGb":10,"PullGbPerS":1.0,
-          "Rate":1.0,"MarketPrice":0.5,"ReadyS":1,"Shores":["a"]}]}""";
-    } else if (path.startsWith("/hosts/return")) {
-      body = "{}";
-    } else if (path.startsWith("/hosts?")) {
-      body =
-          """
-          {"Roosts":[{"Uid":"n-1","Addr":"127.0.0.1:1","Breed":"t","Shore":"a",
-          "Driftwood":false,"Stance":"running","AgeS":1.5}],"HasNext":false}""";
-    } else if (path.startsWith("/hosts")) {
-      status = 503;
-      body = "{\"error\":\"no capacity\"}";
-    } else {
-      body =
-          """
-          {"Roost":"n-1","Addr":"127.0.0.1:1","Breed":"t","Shore":"a","Driftwood":false,
-          "Tenure":1,"Tally":%d,"Warrant":%d,"Hatchlings":[]}"""
-              .formatted(1000 + revision.incrementAndGet(), (1L << 24) + 1);
-    }
-    exchange.respond(status, body.getBytes(StandardCharsets.UTF_8), 0);
-  }
 }
--- a/src/main/java/eiderfork/net/FailoverSpanTracer.java
+++ b/src/main/java/eiderfork/net/FailoverSpanTracer.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** Traces takeovers as spans: one for the whole, and one below it for each phase. */
+/** Traces failovers as spans: one for the whole, with a child span for each phase. */
 final class FailoverSpanTracer implements FailoverTracer {
   private static final String NAME = "eiderfork";
 
@@ -32,7 +32,7 @@
   @Override
   public void trace(Effect.FailoverCompleted takeover) {
     List<Effect.Phase> phases = takeover.phases();
-    // The steady time counts from anywhere; spans want the time of day.
+    // Phases are in steady time, spans in wall-clock time.
     long offsetMs = System.currentTimeMillis() - System.nanoTime() / 1_000_000;
     Span whole =
         tracer
--- a/src/main/java/eiderfork/net/FailoverTracer.java
+++ b/src/main/java/eiderfork/net/FailoverTracer.java
@@ -2,7 +2,7 @@
 
 import eiderfork.controller.message.Effect;
 
-/** Traces takeovers where the operators' settings name a file for that; does nothing elsewhere. */
+/** Traces failovers, where the operators' settings name a file for that. */
 interface FailoverTracer extends AutoCloseable {
   /** The tracer of a node that traces nothing. */
   FailoverTracer NONE =
@@ -23,7 +23,7 @@
     return file == null ? NONE : new FailoverSpanTracer(node, file);
   }
 
-  /** Traces a takeover with its phases. */
+  /** Traces a failover with its phases. */
   void trace(Effect.FailoverCompleted takeover);
 
   @Override
--- a/src/main/java/eiderfork/net/HeapMonitor.java
+++ b/src/main/java/eiderfork/net/HeapMonitor.java
@@ -4,31 +4,28 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps the Java heap within what the machine's memory leaves beside it. The heap's limit in the
- * command line is one for all deployments and has to hold the largest; the serial collector would
- * fill it with garbage before it collects the old generation. So this collects it earlier, where
- * the heap comes near to what this machine has, and lets it grow where it is needed.
+ * Keeps the Java heap within what the machine's memory leaves for it. The limit in the command line
+ * is the same for all deployments and so has to suit the largest; up to that limit the serial
+ * collector would let garbage fill the heap before it collects the old generation.
  */
 final class HeapMonitor {
   private static final Logger LOG = LoggerFactory.getLogger(HeapMonitor.class);
 
-  /**
-   * What a controller takes beside its heap: code, classes, buffers, stacks, the machine itself.
-   */
+  /** What is used besides the heap: code, classes, buffers, stacks, the operating system. */
   private static final double NON_HEAP_MB = 72;
 
-  /** The share of what there is for the heap at which it is first collected. */
+  /** The share of the heap's limit at which it is first collected. */
   private static final double INITIAL_THRESHOLD_SHARE = 0.75;
 
-  /** By how much the heap may grow past what a collection left before the next one. */
+  /** How much larger than after a collection the heap may be before the next one. */
   private static final double GROWTH_FACTOR = 1.25;
 
-  /** The heap as this needs it. */
+  /** A heap that can be collected. */
   interface Heap {
-    /** The memory that the heap holds, used or not. */
+    /** The memory that the heap has from the operating system. */
     double committedMb();
 
-    /** Collects all garbage, and gives back what is free then. */
+    /** Collects all garbage and returns free memory. */
     void collect();
   }
 
@@ -53,7 +50,7 @@
   private double thresholdMb;
 
   /**
-   * @param machineMb what the machine gives the process
+   * @param machineMb the memory of the machine
    */
   HeapMonitor(Heap heap, double machineMb) {
     this.heap = heap;
@@ -61,7 +58,7 @@
     thresholdMb = maxHeapMb * INITIAL_THRESHOLD_SHARE;
   }
 
-  /** Collects where it is due; to be called about once a second. */
+  /** Collects the heap where it is above the threshold; to be called about once a second. */
   void collectIfNeeded() {
     double beforeMb = heap.committedMb();
     if (beforeMb <= thresholdMb) {
--- a/src/main/java/eiderfork/net/JsonLinesSpanExporter.java
+++ b/src/main/java/eiderfork/net/JsonLinesSpanExporter.java
@@ -37,8 +37,8 @@
           StandardOpenOption.APPEND);
       return CompletableResultCode.ofSuccess();
     } catch (IOException e) {
-      // Tracing never ends a controller.
-      LOG.warn("{} can't be written: {}", file, e.toString());
+      // A controller works without its trace.
+      LOG.warn("trace-write-failed file={} cause=\"{}\"", file, e.toString());
       return CompletableResultCode.ofFailure();
     }
   }
