--- a/src/test/java/eiderfork/controller/FakeHeartbeats.java
+++ b/src/test/java/eiderfork/controller/FakeHeartbeats.java
@@ -8,7 +8,7 @@
 import java.util.List;
 
 /**
- * The reports of a {@link SimulatedCluster}'s workers on their way: lost, late, doubled, or kept
+ * The heartbeats of a {@link SimulatedCluster}'s workers on their way: lost, late, doubled, or kept
  * for later.
  */
 final class FakeHeartbeats {
@@ -54,10 +54,11 @@
     worker.changed = false;
     worker.awaitingResponse = true;
     worker.lastHeartbeatMs = world.nowMs;
-    long reportMs = (long) (world.settings.workerTimings().heartbeatS() * 1000);
-    worker.nextHeartbeatMs = world.nowMs + reportMs * 3 / 4 + world.random.nextLong(reportMs / 2);
+    long intervalMs = (long) (world.settings.workerTimings().heartbeatS() * 1000);
+    worker.nextHeartbeatMs =
+        world.nowMs + intervalMs * 3 / 4 + world.random.nextLong(intervalMs / 2);
     long sentMs = world.nowMs;
-    long session = worker.incarnation();
+    long incarnation = worker.incarnation();
     var heartbeat = worker.nextHeartbeat();
     String node = "roost-" + worker.nodeIndex;
     boolean[] over = {false};
@@ -99,7 +100,8 @@
                   effect -> {
                     long back = world.isCut(node, "*") ? -1 : world.delay(node, name);
                     if (back >= 0) {
-                      world.at(back, () -> deliverResponse(worker, over, sentMs, session, effect));
+                      world.at(
+                          back, () -> deliverResponse(worker, over, sentMs, incarnation, effect));
                     }
                   }));
     }
@@ -111,14 +113,14 @@
   }
 
   private void deliverResponse(
-      FakeWorker worker, boolean[] over, long sentMs, long session, Effect effect) {
+      FakeWorker worker, boolean[] over, long sentMs, long incarnation, Effect effect) {
     if (over[0] || worker.dead || worker.hanging) {
       return;
     }
     over[0] = true;
     worker.awaitingResponse = false;
     if (effect instanceof Effect.RespondToWorker it) {
-      worker.handleResponse(sentMs, session, it.fencingToken(), it.commands());
+      worker.handleResponse(sentMs, incarnation, it.fencingToken(), it.commands());
     } else if (effect instanceof Effect.RedirectWorker it) {
       if (it.leader() != null && !it.leader().equals("roost-" + worker.nodeIndex)) {
         worker.nodeIndex = it.leader().charAt(it.leader().length() - 1) - '0';
--- a/src/test/java/eiderfork/controller/FakeWorker.java
+++ b/src/test/java/eiderfork/controller/FakeWorker.java
@@ -28,7 +28,7 @@
     /** Its progress was saved when it was stopped. */
     boolean saved;
 
-    /** When it began to run, and when it was told to save. */
+    /** When it began to run, and when it was stopped and began to checkpoint. */
     long runningSinceMs;
 
     long savingSinceMs;
@@ -83,7 +83,7 @@
     return incarnation;
   }
 
-  /** The answer to the report sent at {@code sentMs} in {@code ofIncarnation}. */
+  /** The response to the heartbeat sent at {@code sentMs} in {@code ofIncarnation}. */
   void handleResponse(
       long sentMs, long ofIncarnation, long givenToken, List<WorkerCommand> commands) {
     if (ofIncarnation != incarnation || givenToken < fencingToken) {
--- a/src/test/java/eiderfork/controller/IncarnationLeaseExpiryTest.java
+++ b/src/test/java/eiderfork/controller/IncarnationLeaseExpiryTest.java
@@ -21,14 +21,15 @@
 
 /**
  * A task ran in two places. Its worker had been cut off for a lease, had lost its tasks and begun a
- * new session, of which the leader knew by the answer to a direct command alone. The leader started
- * the task anew there, but counted the lease from its last answer to a report of the session
- * before; when that was over it took the running task for lost and started it on another machine.
+ * new incarnation, of which the leader knew by the reply to a direct command alone. The leader
+ * started the task anew there, but counted the lease from its last answer to a heartbeat of the
+ * incarnation before; when that was over it took the running task for lost and started it on
+ * another machine.
  *
  * <p>In the records the first machine was not heard from second 57 to 65 and 69 to 74, its task was
  * written anew at 69.10 (revision 589), no lease proxy had a record (0 items up to 71.83), and the
  * second start was carried out at 76.45: a lease of 10 s and its margin after the machine was heard
- * at 65, while a session that began at 66 or later still had its lease.
+ * at 65, while an incarnation that began at 66 or later still had its lease.
  */
 class IncarnationLeaseExpiryTest extends LeaderAndWorkerFixture {
   private static final long NEXT_INCARNATION = INCARNATION + 1;
@@ -66,7 +67,7 @@
     }
   }
 
-  /** The leader finds that the lease has lapsed and reads the lease proxies' records. */
+  /** The leader finds that the lease has expired and reads the lease proxies' records. */
   private Consumer<Set<String>> beginToExpire() {
     elapse(context.workerLeaseMs());
     while (!leaseExpiry.hasExpired(machine) || proxyReads.isEmpty()) {
@@ -78,24 +79,25 @@
     return proxyReads.remove();
   }
 
-  /** Answers the one direct command that is under way with what the worker then reports. */
-  private Effect.SendCommands answerDirectly(boolean executed, long session, TaskStatus... tasks) {
+  /** Answers the one direct command that is in flight with what the worker then reports. */
+  private Effect.SendCommands answerDirectly(
+      boolean executed, long incarnation, TaskStatus... tasks) {
     List<Effect.SendCommands> sent = effects(Effect.SendCommands.class);
     assertEquals(1, sent.size());
     Effect.SendCommands it = sent.get(0);
     context.completeCall(
         it.callId(),
         new Reply.WorkerReply(
-            executed, heartbeat(session, ++sequenceNumber, it.fencingToken(), tasks)));
+            executed, heartbeat(incarnation, ++sequenceNumber, it.fencingToken(), tasks)));
     return it;
   }
 
   /** A direct command that only raises the token, and its answer. */
-  private void commandDirectly(boolean executed, long session, TaskStatus... tasks) {
+  private void commandDirectly(boolean executed, long incarnation, TaskStatus... tasks) {
     machine.commandChannel().raiseTokenAbove(0);
     machine.requestCommand();
     commander.tick();
-    answerDirectly(executed, session, tasks);
+    answerDirectly(executed, incarnation, tasks);
   }
 
   /** Time passes while the leader hears the machine by the answers to direct commands alone. */
@@ -108,7 +110,7 @@
     elapse(endMs - context.nowMs);
   }
 
-  /** Reserves the task anew and starts it by a direct command in the next session. */
+  /** Reserves the task anew and starts it by a direct command in the next incarnation. */
   private Reservation startInNextIncarnation() {
     Reservation task = reserveTask();
     machine.requestCommand();
@@ -122,11 +124,11 @@
 
   /**
    * The last answer lies so many milliseconds before the lease is over in the worker's eyes: a
-   * report that had been held back is answered when its worker has long given it up.
+   * heartbeat that had been held back is answered when its worker has long given it up.
    */
   @ParameterizedTest
   @ValueSource(ints = {10_000, 9900, 9500, 9000, 6000, 3000, 1000, 500, 100})
-  void aTaskOfANewSessionOutlivesTheLeaseOfTheOneBefore(int answeredBeforeMs) {
+  void taskOfANewIncarnationOutlivesThePreviousLease(int answeredBeforeMs) {
     Reservation first = startTask();
     elapseUnderCommands(context.workerLeaseMs() - answeredBeforeMs, first);
     sendHeartbeat(
@@ -136,20 +138,20 @@
         runningStatus(first));
     elapseUnderCommands(answeredBeforeMs + TICK_MS, first);
     commandDirectly(false, NEXT_INCARNATION);
-    assertNull(job.reservations.get(0), "the session before is over");
+    assertNull(job.reservations.get(0), "the previous incarnation is over");
     assertEquals(1, leaseLog.startedByCommand());
     long seenMs = context.nowMs;
     Reservation task = startInNextIncarnation();
 
     elapse(seenMs + context.workerLeaseMs() - context.nowMs);
-    assertSame(task, job.reservations.get(0), "the new session's lease is not over");
+    assertSame(task, job.reservations.get(0), "the new incarnation's lease is not over");
     elapse(JUDGED_MS);
-    assertNull(job.reservations.get(0), "the new session's lease is surely over");
+    assertNull(job.reservations.get(0), "the new incarnation's lease is surely over");
   }
 
-  /** What was read before a lease was over says nothing of who has renewed it since. */
+  /** A read from before a lease expired does not show who has renewed it since. */
   @Test
-  void aReadFromBeforeANewSessionSettlesNothingOfIt() {
+  void readFromBeforeANewIncarnationSettlesNothingOfIt() {
     startTask();
     Consumer<Set<String>> read = beginToExpire();
     sendHeartbeat(INCARNATION, ++sequenceNumber, machine.commandChannel().fencingToken());
@@ -162,9 +164,9 @@
     assertEquals(1, leaseLog.staleReads());
   }
 
-  /** The same where a report of the session that was taken for lapsed is answered. */
+  /** The same where a heartbeat of the incarnation that was taken for expired is answered. */
   @Test
-  void aReadFromBeforeTheLastAnswerSettlesNothing() {
+  void readFromBeforeTheLastAcknowledgementSettlesNothing() {
     Reservation task = startTask();
     Consumer<Set<String>> read = beginToExpire();
     sendHeartbeat(
@@ -180,7 +182,7 @@
 
   /** What would start there is settled with the rest before it is seen to run. */
   @Test
-  void nothingIsStartedWhereALeaseHasLapsed() {
+  void nothingIsStartedWhereALeaseHasExpired() {
     Reservation task = startTask();
     elapseUnderCommands(context.workerLeaseMs() + context.stepMs(), task);
     assertTrue(liveness.hasRecentHeartbeat(machine));
@@ -195,7 +197,7 @@
   }
 
   @Test
-  void aLeaseIsSettledOnceItIsSurelyOver() {
+  void reservationsAreSettledOnceTheLeaseHasSurelyExpired() {
     Reservation task = startTask();
     elapse(context.workerLeaseMs());
     assertSame(task, job.reservations.get(0));
@@ -205,20 +207,20 @@
 
   /** The clocks may drift, and half a step is kept to spare. */
   @Test
-  void aLeaseLapsesWithDriftAndMargin() {
-    long lapseMs =
+  void leaseExpiresAfterClockDriftAndMargin() {
+    long expiryMs =
         context.nowMs
             + ControllerContext.withClockDrift(context.workerLeaseMs())
             + context.stepMs() / 2;
-    context.nowMs = lapseMs;
+    context.nowMs = expiryMs;
     assertFalse(leaseExpiry.hasExpired(machine));
-    context.nowMs = lapseMs + 1;
+    context.nowMs = expiryMs + 1;
     assertTrue(leaseExpiry.hasExpired(machine));
   }
 
-  /** A cut that ends thousands of sessions at once does not flood the log. */
+  /** A partition that ends thousands of incarnations at once does not flood the log. */
   @Test
-  void someLinesAStepAreWrittenAndTheRestIsCounted() {
+  void linesPerStepAreLimitedAndTheRestIsCounted() {
     for (int i = 0; i < 100; i++) {
       leaseLog.incarnationStarted(machine, INCARNATION, context.nowMs, true);
     }
--- a/src/test/java/eiderfork/controller/LeaderAndWorkerFixture.java
+++ b/src/test/java/eiderfork/controller/LeaderAndWorkerFixture.java
@@ -115,7 +115,7 @@
     context.drainEffects();
   }
 
-  /** Answers the one call to the state service that is open. */
+  /** Answers the one call to the store that is open. */
   void answerStore(Reply reply) {
     ElectedLeader.answer(context, reply);
   }
@@ -150,7 +150,7 @@
     return task;
   }
 
-  /** A reserved task that was started and is seen to run, by report 2. */
+  /** A reserved task that was started and is seen to run, by heartbeat 3. */
   Reservation startTask() {
     Reservation task = reserveTask();
     sendHeartbeat(INCARNATION, 2, firstToken);
--- a/src/test/java/eiderfork/controller/WorkerCommanderTest.java
+++ b/src/test/java/eiderfork/controller/WorkerCommanderTest.java
@@ -32,7 +32,7 @@
   }
 
   @Test
-  void aStartIsSentOnlyAfterItsReservationIsCommitted() {
+  void startIsSentOnlyAfterItsReservationIsCommitted() {
     Reservation task = jobs.propose(job, 0, 1, machine);
     jobs.write(job, RequestPriority.START);
     long call = effects(Effect.CallStore.class).get(0).callId();
@@ -43,9 +43,9 @@
         sendHeartbeat(INCARNATION, 3, firstToken));
   }
 
-  /** Most reports say what the one before said; memory holds their tasks once. */
+  /** Most heartbeats have the tasks of the previous one; memory holds their tasks once. */
   @Test
-  void theSameTasksOnceMoreAreOnlyASignOfLife() {
+  void unchangedTasksOnlyRenewTheLease() {
     Reservation task = startTask();
     ImmutableList<TaskStatus> tasks = machine.lastHeartbeat().tasks();
     context.nowMs += 3000;
@@ -57,7 +57,7 @@
   }
 
   @Test
-  void theSameTasksAreLookedAtAgainOnceSomethingElseIsWanted() {
+  void unchangedTasksAreReconciledOnceReservationsChange() {
     Reservation task = startTask();
     sendHeartbeat(INCARNATION, 4, firstToken, runningStatus(task));
     assertTrue(machine.isReconciled());
@@ -78,7 +78,7 @@
   }
 
   @Test
-  void theSameTasksAreStoppedOnceTheyAreSettledOrToBeMoved() {
+  void unchangedTasksAreStoppedOnceTheyAreSettledOrMigrated() {
     Reservation task = startTask();
     sendHeartbeat(INCARNATION, 4, firstToken, runningStatus(task));
     task.requestStop();
@@ -95,9 +95,9 @@
         sendHeartbeat(INCARNATION, 7, firstToken, runningStatus(task)));
   }
 
-  /** A start that was lost is sent again, though the machine says the same as before. */
+  /** A start that was lost is sent again, though the heartbeat is unchanged. */
   @Test
-  void theSameTasksAreLookedAtWhileOneThatIsReservedIsMissing() {
+  void unchangedTasksAreReconciledWhileAReservedOneIsMissing() {
     Reservation task = startTask();
     Reservation second = jobs.propose(job, 1, 2, machine);
     jobs.write(job, RequestPriority.START);
@@ -109,7 +109,7 @@
 
   /** Before memory holds the jobs, only what machines show tells where a cancelled one runs. */
   @Test
-  void aCancellationBeforeMemoryIsRebuiltReachesTheMachinesThatShowTheJob() {
+  void cancellationBeforeRecoveryReachesMachinesThatReportTheJob() {
     Reservation task = startTask();
     commander.onElected();
     sendHeartbeat(INCARNATION, 4, firstToken, runningStatus(task));
@@ -120,9 +120,9 @@
     assertTrue(machine.commandChannel().isCommandDue());
   }
 
-  /** Searches knew nothing of a machine that was silent, though it had room. */
+  /** Searches skipped the machine while it was silent, though it had free capacity. */
   @Test
-  void aMachineThatASearchPassedOverContradictsItOnceItIsUsable() {
+  void skippedMachineContradictsTheSearchOnceItIsSchedulable() {
     Job waits = TestFixtures.job(2, JobKind.SERVICE, 1, 1);
     FailedSearchCache proved = fleet.indexes().capacityIndex().failedSearches();
     proved.recordFailure(waits, "a");
@@ -134,9 +134,9 @@
     assertFalse(machine.isSkippedBySearch());
   }
 
-  /** Whose lease may have lapsed is looked for from the front of this order. */
+  /** Leases that may have expired are searched from the front of this order. */
   @Test
-  void machinesStandInTheOrderOfTheirLeases() {
+  void machinesAreOrderedByLeaseStart() {
     MachineState other = fleet.getOrRegister(new Machine("n-2", "n-2:1", "g4", "a", false));
     fleet.renewLease(machine);
     context.nowMs += 1000;
@@ -150,10 +150,10 @@
 
   /**
    * The first of this order whose lease was renewed lately ends the search, so a machine that
-   * begins a session goes behind all others; in front it would hide their lapses.
+   * begins an incarnation goes behind all others; in front it would hide their expiry.
    */
   @Test
-  void aMachineThatBeginsASessionStandsLast() {
+  void machineThatStartsAnIncarnationIsLast() {
     MachineState other = fleet.getOrRegister(new Machine("n-2", "n-2:1", "g4", "a", false));
     fleet.renewLease(machine);
     context.nowMs += 1000;
@@ -165,7 +165,7 @@
 
   /** It was passed over since its lease might have been over, and is usable with this answer. */
   @Test
-  void aSearchThatPassedOverALapsedMachineIsContradictedWithTheAnswerThatRenewsIt() {
+  void skippedMachineWithExpiredLeaseContradictsTheSearchOnceItsLeaseIsRenewed() {
     context.nowMs += context.workerLeaseMs() + context.stepMs();
     assertFalse(liveness.isSchedulable(machine));
     machine.onSkippedBySearch();
@@ -174,9 +174,9 @@
     assertFalse(machine.isSkippedBySearch());
   }
 
-  /** Tasks of another session are other runs, though they look alike. */
+  /** Tasks of another incarnation are other runs, though they look alike. */
   @Test
-  void theSameTasksInALaterSessionAreLookedAt() {
+  void unchangedTasksOfALaterIncarnationAreReconciled() {
     Reservation task = startTask();
     sendHeartbeat(INCARNATION, 4, firstToken, runningStatus(task));
     sendHeartbeat(INCARNATION + 1, 1, firstToken);
@@ -184,17 +184,17 @@
   }
 
   @Test
-  void anOlderReportThatComesLaterChangesNothing() {
+  void olderHeartbeatThatArrivesLaterIsIgnored() {
     Reservation task = startTask();
     sendHeartbeat(INCARNATION, 2, firstToken + 100);
     assertEquals(task, job.reservations.get(0), "an older sequence number");
     sendHeartbeat(INCARNATION + 1, 1, firstToken, runningStatus(task));
     sendHeartbeat(INCARNATION, 9, firstToken + 100);
-    assertEquals(task, job.reservations.get(0), "an older session");
+    assertEquals(task, job.reservations.get(0), "an older incarnation");
   }
 
   @Test
-  void aTaskThatIsMissingIsBelievedGoneOnlyWhereItsStartCanNotFollow() {
+  void missingTaskIsSettledOnlyOnceItsStartIsOutdated() {
     Reservation task = startTask();
     sendHeartbeat(INCARNATION, 4, firstToken);
     assertEquals(task, job.reservations.get(0), "the start may still be under way");
@@ -206,7 +206,7 @@
   }
 
   @Test
-  void aTaskThatIsMissingInALaterSessionIsGone() {
+  void missingTaskOfALaterIncarnationIsSettled() {
     startTask();
     sendHeartbeat(INCARNATION + 1, 1, firstToken);
     assertNull(job.reservations.get(0));
@@ -214,7 +214,7 @@
 
   /** A leader that takes over before the write would start the task again. */
   @Test
-  void anEndCountsForTheQuotaUntilItIsWritten() {
+  void endedTaskCountsForTheQuotaUntilItsEndIsWritten() {
     Reservation task = startTask();
     sendHeartbeat(INCARNATION, 4, firstToken, doneStatus(task));
     assertNull(job.reservations.get(0));
@@ -227,7 +227,7 @@
 
   /** Once cleared, a late copy of its start would run the task again. */
   @Test
-  void anEndIsClearedOnlyAfterItIsWritten() {
+  void endedTaskIsClearedOnlyAfterItsEndIsWritten() {
     Reservation task = startTask();
     Attempt attempt = task.toAttempt();
     assertEquals(List.of(), sendHeartbeat(INCARNATION, 4, firstToken, doneStatus(task)));
@@ -241,30 +241,30 @@
   }
 
   /**
-   * The leader before told one task of a gang to save. If the others are not told soon, the save
-   * fails and all fall back to their checkpoint.
+   * An earlier leader stopped one task of a gang. If the others are not stopped soon, the
+   * checkpoint fails and all fall back to their checkpoint.
    */
   @Test
-  void aSaveThatAnOlderLeaderBeganIsGoneOnWith() {
+  void checkpointThatAnEarlierLeaderBeganIsContinued() {
     job = jobs.add(TestFixtures.gang(2, 2, 1, 30, true), 2);
-    Reservation told = jobs.propose(job, 0, 1, machine);
+    Reservation stopped = jobs.propose(job, 0, 1, machine);
     Reservation other = jobs.propose(job, 1, 1, machine);
     jobs.write(job, RequestPriority.START);
     answerStore(new Reply.Committed(5));
     sendHeartbeat(INCARNATION, 2, firstToken);
     TaskStatus saving =
-        new TaskStatus(told.toAttempt(), TaskStatus.State.CHECKPOINTING, null, false);
+        new TaskStatus(stopped.toAttempt(), TaskStatus.State.CHECKPOINTING, null, false);
     double graceS = job.spec.saveDurationS();
     assertEquals(
         List.of(
-            new WorkerCommand.Kill(told.toAttempt(), graceS),
+            new WorkerCommand.Kill(stopped.toAttempt(), graceS),
             new WorkerCommand.Kill(other.toAttempt(), graceS)),
         sendHeartbeat(INCARNATION, 3, firstToken, saving, runningStatus(other)));
   }
 
   /** The write went out twice; the first copy was applied before the limits fell. */
   @Test
-  void aWriteThatIsTooLargeMayHaveBeenAppliedBefore() {
+  void writeThatIsTooLargeMayHaveBeenAppliedBefore() {
     Reservation task = jobs.propose(job, 0, 1, machine);
     StoredRecord.Allocation record = job.toAllocation();
     jobs.write(job, RequestPriority.START);
@@ -280,7 +280,7 @@
 
   /** 400 is final: what was to be reserved waits for its turn again. */
   @Test
-  void aWriteThatIsTooLargeIsNotRepeated() {
+  void writeThatIsTooLargeIsNotRepeated() {
     jobs.propose(job, 0, 1, machine);
     jobs.write(job, RequestPriority.START);
     answerStore(new Reply.Refused(400));
@@ -294,13 +294,13 @@
   }
 
   @Test
-  void aTokenOfALaterTermEndsThisOne() {
+  void tokenOfALaterTermEndsThisOne() {
     sendHeartbeat(INCARNATION, 2, election.endOfFencingTokens());
     assertFalse(election.isLeading());
   }
 
   @Test
-  void anUnansweredCommandIsOutdatedByAHigherToken() {
+  void unansweredCommandIsOutdatedByAHigherToken() {
     Reservation task = reserveTask();
     machine.requestCommand();
     commander.tick();
@@ -312,7 +312,7 @@
 
   /** Without any one of them a leader that is deposed, late or cancelled against would write. */
   @Test
-  void aReservationIsWrittenUnderTheLeadItsOwnVersionAndNoCancellation() {
+  void reservationIsWrittenUnderLeadershipItsVersionAndNoCancellation() {
     reserveTask();
     jobs.propose(job, 1, 2, machine);
     jobs.write(job, RequestPriority.START);
--- a/src/test/java/eiderfork/controller/WorkerReachabilityTest.java
+++ b/src/test/java/eiderfork/controller/WorkerReachabilityTest.java
@@ -54,7 +54,7 @@
     return new Heartbeat(machine, 1, sequenceNumber, 0, null, ImmutableList.of());
   }
 
-  /** Half a step later; one machine and a peer that hears all machines are heard. */
+  /** Half a step passes; one machine and a peer that all machines reach are heard from. */
   private void advanceHalfStep() {
     context.nowMs += context.stepMs() / 2;
     fleet.recordHeartbeat(fleet.get("n-0"), heartbeat("n-0", ++sequenceNumber));
@@ -66,7 +66,7 @@
 
   /** Workers that waited four seconds for the leader before need time to come. */
   @Test
-  void aNewLeaderIsNotJudgedBeforeWorkersCouldCome() {
+  void newLeaderKeepsTheLeadBeforeWorkersCouldReconnect() {
     long electedMs = context.nowMs;
     while (context.nowMs - electedMs < 6 * context.stepMs()) {
       advanceHalfStep();
@@ -75,7 +75,7 @@
   }
 
   @Test
-  void oneThatGoesOnHearingFewerThanAPeerResigns() {
+  void leaderThatFewerWorkersReachThanAPeerResigns() {
     long electedMs = context.nowMs;
     while (context.nowMs - electedMs < 8 * context.stepMs()) {
       advanceHalfStep();
