--- a/src/main/java/eiderfork/controller/AllocationRestorer.java
+++ b/src/main/java/eiderfork/controller/AllocationRestorer.java
@@ -11,6 +11,7 @@
     this.fleet = fleet;
   }
 
+  /** Restores the allocation, which the store holds under this version. */
   void restore(JobState job, StoredRecord.Allocation allocation, long version) {
     job.onAllocationRestored(allocation, version);
     allocation.finished().forEach(job.tasks()::restoreFinished);
--- a/src/main/java/eiderfork/controller/AllocationWriteState.java
+++ b/src/main/java/eiderfork/controller/AllocationWriteState.java
@@ -16,13 +16,7 @@
   private boolean dirty;
 
   private boolean inFlight;
-
-  /**
-   * The write in flight completes the job. It may have been applied and read by another node, so
-   * until it is settled the job's status must not be answered from memory.
-   */
   private boolean completionInFlight;
-
   private long lastWriteMs;
   private long retryAtMs;
   private long blockedUntilMs;
@@ -46,14 +40,20 @@
     return version;
   }
 
+  /** Whether memory differs from what is committed or being written. */
   boolean isDirty() {
     return dirty;
   }
 
+  /** Whether a write is in flight. */
   boolean isInFlight() {
     return inFlight;
   }
 
+  /**
+   * Whether the write in flight completes the job. It may have been applied and read by another
+   * node, so until its result is known the job's status must not be answered from memory.
+   */
   boolean isCompletionInFlight() {
     return completionInFlight;
   }
@@ -79,6 +79,7 @@
     dirty = true;
   }
 
+  /** A write of this allocation is handed over to the store. */
   void onWriteBegun(StoredRecord.Allocation allocation, long nowMs) {
     dirty = false;
     inFlight = true;
@@ -86,6 +87,7 @@
     lastWriteMs = nowMs;
   }
 
+  /** The write in flight was applied, which gave the key this version. */
   void onApplied(StoredRecord.Allocation allocation, long version) {
     onNotApplied();
     retryBackoff.reset();
@@ -110,6 +112,7 @@
     retryAtMs = nowMs + retryBackoff.nextPauseMs(random);
   }
 
+  /** Whether the pause before the retry is over. */
   boolean isRetryDue(long nowMs) {
     return nowMs >= retryAtMs;
   }
--- a/src/main/java/eiderfork/controller/FinishedJobs.java
+++ b/src/main/java/eiderfork/controller/FinishedJobs.java
@@ -11,22 +11,27 @@
 
   private final Map<String, FinishedJob> jobs = new LinkedHashMap<>();
 
+  /** Adds a job that has just finished; one that is known keeps its time. */
   void add(JobState job, long nowMs) {
     jobs.putIfAbsent(job.spec.uid(), new FinishedJob(job, nowMs));
   }
 
+  /** Removes a job that is archived, evicted or active again. */
   void remove(String uid) {
     jobs.remove(uid);
   }
 
+  /** Forgets all jobs. */
   void clear() {
     jobs.clear();
   }
 
+  /** Whether the job is known to have finished. */
   boolean contains(JobState job) {
     return jobs.containsKey(job.spec.uid());
   }
 
+  /** How many finished jobs are in memory. */
   int size() {
     return jobs.size();
   }
--- a/src/main/java/eiderfork/controller/JobQueryHandler.java
+++ b/src/main/java/eiderfork/controller/JobQueryHandler.java
@@ -42,6 +42,7 @@
     this.canAnswerFromMemory = canAnswerFromMemory;
   }
 
+  /** Answers with a job's status, no older than what any node has answered before. */
   void query(String uid, Consumer<UserResponse> onComplete) {
     JobState job = canAnswerFromMemory.getAsBoolean() ? jobs.get(uid) : null;
     if (job == null) {
--- a/src/main/java/eiderfork/controller/JobRegistry.java
+++ b/src/main/java/eiderfork/controller/JobRegistry.java
@@ -56,6 +56,7 @@
     writer = new AllocationWriter(context, store, election, version, this);
   }
 
+  /** Forgets all jobs, when a term begins or ends. */
   void clear() {
     jobs.clear();
     activeJobs.clear();
@@ -151,6 +152,7 @@
     return Collections.unmodifiableCollection(jobs.values());
   }
 
+  /** How many jobs are in memory. */
   int size() {
     return jobs.size();
   }
--- a/src/main/java/eiderfork/controller/JobState.java
+++ b/src/main/java/eiderfork/controller/JobState.java
@@ -88,6 +88,7 @@
     return tasks.pendingCount();
   }
 
+  /** Whether any task is neither reserved nor finished. */
   boolean hasPendingTasks() {
     return tasks.hasPending();
   }
@@ -122,6 +123,7 @@
     return cancelled || writes.committed().done();
   }
 
+  /** Whether a cancellation of the job is committed. */
   boolean isCancelled() {
     return cancelled;
   }
@@ -131,10 +133,12 @@
     return cancelling;
   }
 
+  /** A cancellation is about to be written. */
   void onCancellationBegun() {
     cancelling = true;
   }
 
+  /** The cancellation was not written, or that is not known. */
   void onCancellationFailed() {
     cancelling = false;
   }
@@ -150,10 +154,12 @@
     return active;
   }
 
+  /** The job has something to do; called by {@link JobRegistry} alone. */
   void activate() {
     active = true;
   }
 
+  /** The job has nothing to do any more; called by {@link JobRegistry} alone. */
   void deactivate() {
     active = false;
   }
@@ -196,6 +202,7 @@
     return cachedImageSearched;
   }
 
+  /** Machines that have the job's image were searched. */
   void onCachedImageSearched() {
     cachedImageSearched = true;
   }
@@ -225,6 +232,7 @@
     return accountedTasks;
   }
 
+  /** {@link ResourceUsage} has counted these tasks. */
   void onTasksAccounted(TaskCounts counts) {
     accountedTasks = counts;
   }
@@ -234,6 +242,7 @@
     return accountedActive;
   }
 
+  /** {@link ResourceUsage} has counted the job as active, or as inactive, as it is now. */
   void onActivityAccounted() {
     accountedActive = active;
   }
--- a/src/main/java/eiderfork/controller/JobTasks.java
+++ b/src/main/java/eiderfork/controller/JobTasks.java
@@ -33,6 +33,7 @@
     pending.set(0, taskCount);
   }
 
+  /** How many tasks the job has. */
   int taskCount() {
     return taskCount;
   }
@@ -42,10 +43,12 @@
     return pending.cardinality();
   }
 
+  /** Whether any task is neither reserved nor finished. */
   boolean hasPending() {
     return !pending.isEmpty();
   }
 
+  /** Whether this task is neither reserved nor finished. */
   boolean isPending(int index) {
     return pending.get(index);
   }
@@ -55,10 +58,12 @@
     return pending.nextSetBit(fromIndex);
   }
 
+  /** Whether any task has finished. */
   boolean hasFinished() {
     return !finished.isEmpty();
   }
 
+  /** Whether every task has finished. */
   boolean isAllFinished() {
     return finished.cardinality() == taskCount;
   }
@@ -75,6 +80,7 @@
     return ranges.build();
   }
 
+  /** How many ranges the finished tasks make. */
   int finishedRangeCount() {
     int count = 0;
     int from = finished.nextSetBit(0);
@@ -120,10 +126,12 @@
     return false;
   }
 
+  /** A reserved task is to be stopped. */
   void onStopRequested() {
     stoppingCount++;
   }
 
+  /** A reserved task is not to be stopped after all. */
   void onStopRevoked() {
     stoppingCount--;
   }
@@ -134,6 +142,7 @@
     pending.clear(range.from(), range.to() + 1);
   }
 
+  /** Reserves a task on the reservation's machine. */
   void reserve(Reservation reservation) {
     reservations.put(reservation.taskIndex, reservation);
     pending.clear(reservation.taskIndex);
@@ -167,6 +176,7 @@
     pending.clear();
   }
 
+  /** The settlements of these reservations are committed. */
   void onSettlementsCommitted(Collection<Reservation> settled) {
     settled.forEach(uncommittedSettlements::remove);
   }
@@ -193,6 +203,7 @@
     }
   }
 
+  /** Releases the reservations that are not committed; their tasks are not pending again. */
   void releaseUncommitted() {
     for (Reservation reservation : List.copyOf(reservations.values())) {
       if (!reservation.isCommitted()) {
@@ -201,6 +212,7 @@
     }
   }
 
+  /** Releases all reservations; their tasks are not pending again. */
   void releaseAll() {
     List.copyOf(reservations.values()).forEach(this::release);
   }
--- a/src/main/java/eiderfork/controller/PlacementProfile.java
+++ b/src/main/java/eiderfork/controller/PlacementProfile.java
@@ -10,6 +10,7 @@
  */
 record PlacementProfile(
     Resources taskResources, ImmutableSet<String> allowedTypes, boolean spotAllowed, String image) {
+  /** The profile of a job's tasks. */
   static PlacementProfile of(Job job) {
     return new PlacementProfile(
         job.taskResources(), job.allowedTypes(), job.spotAllowed(), job.image());
--- a/src/main/java/eiderfork/controller/Reservation.java
+++ b/src/main/java/eiderfork/controller/Reservation.java
@@ -47,6 +47,7 @@
     return reportedState;
   }
 
+  /** The machine reports this state of the task. */
   void onStateReported(TaskStatus.State state) {
     reportedState = state;
   }
@@ -86,6 +87,7 @@
     return startIncarnation;
   }
 
+  /** The task's start is sent to this incarnation of the worker. */
   void onStartSent(long fencingToken, long incarnation) {
     startToken = fencingToken;
     startIncarnation = incarnation;
--- a/src/main/java/eiderfork/controller/ResourceUsage.java
+++ b/src/main/java/eiderfork/controller/ResourceUsage.java
@@ -21,6 +21,7 @@
   /** Null while it has to be recomputed. */
   private CpusPerGpu cpusPerGpu;
 
+  /** Forgets all usage. */
   void clear() {
     used.clear();
     stopping.clear();
--- a/src/main/java/eiderfork/controller/TaskSizeCounter.java
+++ b/src/main/java/eiderfork/controller/TaskSizeCounter.java
@@ -14,6 +14,7 @@
   private final Map<String, Object2IntMap<Resources>> tasksByTeam = new HashMap<>();
   private final Map<String, Resources> sumByTeam = new HashMap<>();
 
+  /** Forgets all tasks. */
   void clear() {
     tasksByTeam.clear();
     sumByTeam.clear();
@@ -27,6 +28,7 @@
     sumByTeam.remove(team);
   }
 
+  /** Adds tasks of this size to a count, or removes them where the change is negative. */
   static void add(Object2IntMap<Resources> tasks, Resources demand, int change) {
     int now = tasks.getInt(demand) + change;
     if (now == 0) {
@@ -41,6 +43,7 @@
     return sumByTeam.computeIfAbsent(team, name -> sum(tasksByTeam.get(name)));
   }
 
+  /** The resources of all counted tasks; none where there is no count. */
   static Resources sum(Object2IntMap<Resources> tasks) {
     Resources sum = Resources.NONE;
     if (tasks != null) {
