--- a/src/main/java/eiderfork/controller/ReservationReconciler.java
+++ b/src/main/java/eiderfork/controller/ReservationReconciler.java
@@ -145,24 +145,13 @@
         jobs.settle(reservation, true);
       }
       case ERROR -> {
-        Attempt attempt = reservation.toAttempt();
-        LOG.info(
-            "task-failed task={} attempt={} machine={}",
-            attempt.task(),
-            attempt.number(),
-            machine.name());
+        logFailure(machine, reservation.toAttempt());
         job.failureHistory.recordFailure(reservation, job.nextAttemptNumber() - 1, context.nowMs);
         faultDetector.recordFailure(machine, job);
         jobs.settle(reservation, false);
       }
       case NO_ROOM, BUSY, UNKNOWN -> {
-        Attempt attempt = reservation.toAttempt();
-        LOG.info(
-            "task-refused task={} attempt={} machine={} cause={}",
-            attempt.task(),
-            attempt.number(),
-            machine.name(),
-            task.cause());
+        logRefusal(machine, task);
         job.failureHistory.recordRefusal(context.nowMs);
         jobs.settle(reservation, false);
       }
@@ -171,6 +160,23 @@
     requestRound.run();
   }
 
+  private static void logFailure(MachineState machine, Attempt attempt) {
+    LOG.info(
+        "task-failed task={} attempt={} machine={}",
+        attempt.task(),
+        attempt.number(),
+        machine.name());
+  }
+
+  private static void logRefusal(MachineState machine, TaskStatus task) {
+    LOG.info(
+        "task-refused task={} attempt={} machine={} cause={}",
+        task.attempt().task(),
+        task.attempt().number(),
+        machine.name(),
+        task.cause());
+  }
+
   /** Raises the fencing token, so that no unanswered command is executed any more. */
   void raiseFencingToken(MachineState machine) {
     machine.commandChannel().raiseTokenAbove(election.firstFencingToken());
--- a/src/test/java/eiderfork/controller/LeaseProxyTest.java
+++ b/src/test/java/eiderfork/controller/LeaseProxyTest.java
@@ -18,8 +18,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Two zones can't reach each other while both reach the state service: nodes of the other zone
- * answer workers in the leader's place ({@link LeaseProxy}).
+ * Two zones can't reach each other while both reach the store: nodes of the other zone answer
+ * workers in the leader's place ({@link LeaseProxy}).
  */
 class LeaseProxyTest {
   private static LongStream seeds() {
@@ -86,8 +86,8 @@
   /**
    * A node that stood in for the leader stopped, and stood in anew in the seconds after. It did not
    * ask for a lease for its records until that of the records of before would have had to be
-   * renewed; by then the leases of half the fleet had lapsed. In 10 of these 12 histories 4 or 8 of
-   * 16 tasks were started anew where the zones lost each other again after 7 s, in none from 9 s
+   * renewed; by then the leases of half the fleet had expired. In 10 of these 12 histories 4 or 8
+   * of 16 tasks were started anew where the zones lost each other again after 7 s, in none from 9 s
    * on.
    */
   @ParameterizedTest
@@ -102,7 +102,7 @@
     tasksOutliveASecondSplit(4, gapMs);
   }
 
-  /** A node that has just been elected may leave the lead to one that more machines report to. */
+  /** A node that has just been elected may leave the lead to one that more machines reach. */
   private static final int MAX_ELECTIONS = 6;
 
   /** Ends all other nodes until this one leads, and waits until all is as it was. */
@@ -120,7 +120,7 @@
 
   /**
    * A worker tries the nodes in their order, 5 s each. Behind the last of seven comes the first, in
-   * the same zone, and no node of the other zone is asked before the lease has lapsed: with that
+   * the same zone, and no node of the other zone is asked before the lease has expired: with that
    * one leading, a split once cost all tasks of the other zone.
    */
   @ParameterizedTest
@@ -179,7 +179,7 @@
     ExpectedOutcome.allServed(world, jobs);
   }
 
-  /** Deputies end, the leader ends, all end, and the state service is out, during a split. */
+  /** Lease proxies end, the leader ends, all end, and the store is out, during a split. */
   @ParameterizedTest
   @MethodSource("seeds")
   void rulesHoldWhateverEndsDuringASplit(long seed) {
@@ -243,7 +243,7 @@
   /** All nodes of the other zone stand still, and go on where leases and records are over. */
   @ParameterizedTest
   @ValueSource(ints = {0, 2000, 4000, 5000, 5500, 6000, 7000, 9000, 14_000, 20_000})
-  void rulesHoldWhereDeputiesStandStill(int afterMs) {
+  void rulesHoldWhereLeaseProxiesAreSuspended(int afterMs) {
     SimulatedCluster world = world(6);
     List<Job> jobs = runSpreadServices(world, 4);
     List<String> others = nodesIn(world, otherZone(world));
@@ -254,10 +254,10 @@
     ExpectedOutcome.allServed(world, jobs);
   }
 
-  /** The state service refuses the nodes of the other zone, before and after they stand in. */
+  /** The store refuses the nodes of the other zone, before and after they become proxies. */
   @ParameterizedTest
   @ValueSource(ints = {0, 2000, 4000, 5000, 5500, 6000, 7000, 9000, 14_000, 20_000})
-  void rulesHoldWhereTheStateServiceRefusesDeputies(int afterMs) {
+  void rulesHoldWhereTheStoreRefusesLeaseProxies(int afterMs) {
     SimulatedCluster world = world(8);
     List<Job> jobs = runSpreadServices(world, 4);
     List<String> others = nodesIn(world, otherZone(world));
@@ -284,10 +284,10 @@
     ExpectedOutcome.allServed(world, jobs);
   }
 
-  /** Answers of the state service are lost, or its transactions late, under a split. */
+  /** Replies of the store are lost, or its transactions late, during a split. */
   @ParameterizedTest
   @MethodSource("seeds")
-  void rulesHoldWhereRecordsOfDeputiesAreWrittenLateOrUnanswered(long seed) {
+  void rulesHoldWhereProxyRecordsAreWrittenLateOrUnanswered(long seed) {
     SimulatedCluster world = world(seed);
     List<Job> jobs = runSpreadServices(world, 4);
     world.lateWrites = seed % 2 == 0 ? 0.4 : 0;
@@ -302,7 +302,7 @@
     ExpectedOutcome.allServed(world, jobs);
   }
 
-  /** A split that comes and goes: leases renewed by either side are never counted as lapsed. */
+  /** A split that comes and goes: leases renewed by either side are never counted as expired. */
   @ParameterizedTest
   @MethodSource("seeds")
   void rulesHoldWhereASplitComesAndGoes(long seed) {
@@ -322,7 +322,7 @@
 
   /** Where connections between controllers are refused, workers still go to the leader. */
   @Test
-  void noNodeStandsInForALeaderThatWorkersReach() {
+  void noNodeProxiesForALeaderThatWorkersReach() {
     SimulatedCluster world = world(5);
     List<Job> jobs = runSpreadServices(world, 3);
     for (String from : world.all()) {
