--- a/src/main/java/eiderfork/controller/FirstFitTree.java
+++ b/src/main/java/eiderfork/controller/FirstFitTree.java
@@ -145,7 +145,7 @@
   /**
    * The index of the first bin that takes the task, or -1.
    *
-   * @param kindMask the kinds to visit; where kinds share a bit, {@code accepts} tells them apart
+   * @param kindMask the kinds to visit; where kinds share a bit, {@code accepts} distinguishes them
    * @param sparesGpus only bins whose free GPUs keep the processors that they need
    */
   int findFirst(Resources demand, long kindMask, boolean sparesGpus, Predicate<Bin> accepts) {
--- a/src/main/java/eiderfork/net/CallSender.java
+++ b/src/main/java/eiderfork/net/CallSender.java
@@ -7,6 +7,7 @@
 import eiderfork.controller.message.Reply;
 import eiderfork.wire.CloudCodec;
 import eiderfork.wire.ForwardingCodec;
+import eiderfork.wire.HttpStatus;
 import eiderfork.wire.MachineHintCodec;
 import eiderfork.wire.MalformedMessageException;
 import eiderfork.wire.PeerStatusCodec;
@@ -20,9 +21,6 @@
 final class CallSender {
   private static final Logger LOG = LoggerFactory.getLogger(CallSender.class);
 
-  private static final int OK = 200;
-  private static final int CONFLICT = 409;
-
   private final Settings settings;
   private final EventLoop loop;
   private final HttpClient client;
@@ -100,10 +98,10 @@
 
   /** Workers answer 409 where they refuse commands, and report all the same. */
   private static Reply decodeWorkerReply(int status, byte[] body) throws MalformedMessageException {
-    if (status != OK && status != CONFLICT) {
+    if (status != HttpStatus.OK && status != HttpStatus.CONFLICT) {
       return new Reply.Refused(status);
     }
-    return new Reply.WorkerReply(status == OK, WorkerCodec.decodeHeartbeat(body));
+    return new Reply.WorkerReply(status == HttpStatus.OK, WorkerCodec.decodeHeartbeat(body));
   }
 
   private void callPeer(Effect.Call effect) {
@@ -149,7 +147,8 @@
         "POST",
         path,
         body,
-        (status, response) -> status == OK ? decoder.decode(response) : new Reply.Refused(status));
+        (status, response) ->
+            status == HttpStatus.OK ? decoder.decode(response) : new Reply.Refused(status));
   }
 
   /**
--- a/src/main/java/eiderfork/net/HttpServer.java
+++ b/src/main/java/eiderfork/net/HttpServer.java
@@ -1,6 +1,7 @@
 package eiderfork.net;
 
 import eiderfork.config.Settings.Endpoint;
+import eiderfork.wire.HttpStatus;
 import eiderfork.wire.UserCodec;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBufUtil;
@@ -33,8 +34,6 @@
   /** The protocol's limit on a request body. */
   private static final int MAX_BODY_BYTES = 64 * 1024;
 
-  private static final int BAD_REQUEST = 400;
-
   /** A request, and the connection that its response goes to. */
   public static final class Exchange {
     private final String method;
@@ -137,7 +136,8 @@
 
     @Override
     protected void handleOversizedMessage(ChannelHandlerContext context, HttpMessage message) {
-      writeResponse(context, BAD_REQUEST, UserCodec.encodeError("over 64 KiB"), 0, false);
+      writeResponse(
+          context, HttpStatus.BAD_REQUEST, UserCodec.encodeError("over 64 KiB"), 0, false);
     }
   }
 
@@ -145,7 +145,7 @@
     @Override
     protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
       if (!request.decoderResult().isSuccess()) {
-        writeResponse(context, BAD_REQUEST, UserCodec.encodeError("not HTTP"), 0, false);
+        writeResponse(context, HttpStatus.BAD_REQUEST, UserCodec.encodeError("not HTTP"), 0, false);
         return;
       }
       requestHandler.accept(new Exchange(context, request));
--- a/src/main/java/eiderfork/net/RequestRouter.java
+++ b/src/main/java/eiderfork/net/RequestRouter.java
@@ -7,6 +7,7 @@
 import eiderfork.model.Heartbeat;
 import eiderfork.model.Job;
 import eiderfork.wire.ForwardingCodec;
+import eiderfork.wire.HttpStatus;
 import eiderfork.wire.MachineHintCodec;
 import eiderfork.wire.MalformedMessageException;
 import eiderfork.wire.PeerStatusCodec;
@@ -15,10 +16,6 @@
 
 /** Turns the requests to this node into inputs, and rejects those that are none. */
 final class RequestRouter {
-  private static final int BAD_REQUEST = 400;
-  private static final int NOT_FOUND = 404;
-  private static final int METHOD_NOT_ALLOWED = 405;
-
   private final OpenExchanges openExchanges;
   private final EventLoopMetrics metrics;
   private final InputHandler inputs;
@@ -34,7 +31,7 @@
     try {
       routePublicRequest(exchange, pathWithoutQuery(exchange.path()));
     } catch (MalformedMessageException e) {
-      reject(exchange, BAD_REQUEST, e.getMessage());
+      reject(exchange, HttpStatus.BAD_REQUEST, e.getMessage());
     }
   }
 
@@ -54,7 +51,7 @@
     } else if (path.startsWith(UserCodec.JOBS_PATH + "/")) {
       onJobRequest(exchange, path.substring(UserCodec.JOBS_PATH.length() + 1));
     } else {
-      reject(exchange, NOT_FOUND, "no such path");
+      reject(exchange, HttpStatus.NOT_FOUND, "no such path");
     }
   }
 
@@ -84,10 +81,10 @@
     String uid =
         isCancellation ? rest.substring(0, rest.length() - UserCodec.CANCEL_SUFFIX.length()) : rest;
     if (uid.contains("/")) {
-      reject(exchange, NOT_FOUND, "no such path");
+      reject(exchange, HttpStatus.NOT_FOUND, "no such path");
     } else if (hasMethod(exchange, isCancellation ? "POST" : "GET")) {
       if (!UserCodec.isJobId(uid)) {
-        reject(exchange, NOT_FOUND, "no such job");
+        reject(exchange, HttpStatus.NOT_FOUND, "no such job");
       } else if (isCancellation) {
         inputs.handle(new Input.Abort(openExchanges.open(exchange), uid));
       } else {
@@ -101,7 +98,7 @@
     if (exchange.method().equals(expected)) {
       return true;
     }
-    reject(exchange, METHOD_NOT_ALLOWED, "the method is " + expected);
+    reject(exchange, HttpStatus.METHOD_NOT_ALLOWED, "the method is " + expected);
     return false;
   }
 
@@ -111,7 +108,7 @@
     try {
       routePeerRequest(exchange);
     } catch (MalformedMessageException e) {
-      reject(exchange, BAD_REQUEST, e.getMessage());
+      reject(exchange, HttpStatus.BAD_REQUEST, e.getMessage());
     }
   }
 
@@ -134,7 +131,7 @@
         Input request = ForwardingCodec.decodeRequest(body);
         inputs.handle(new Input.PeerRequest(openExchanges.openForwarded(exchange), request));
       }
-      default -> reject(exchange, NOT_FOUND, "no such path");
+      default -> reject(exchange, HttpStatus.NOT_FOUND, "no such path");
     }
   }
 
--- a/src/main/java/eiderfork/net/ResponseSender.java
+++ b/src/main/java/eiderfork/net/ResponseSender.java
@@ -3,16 +3,13 @@
 import eiderfork.controller.message.Effect;
 import eiderfork.controller.message.UserResponse;
 import eiderfork.wire.ForwardingCodec;
+import eiderfork.wire.HttpStatus;
 import eiderfork.wire.PeerStatusCodec;
 import eiderfork.wire.UserCodec;
 import eiderfork.wire.WorkerCodec;
 
 /** Answers requests to this node as the controller's effects say. */
 final class ResponseSender {
-  private static final int OK = 200;
-  private static final int MISDIRECTED_REQUEST = 421;
-  private static final int SERVICE_UNAVAILABLE = 503;
-
   private static final byte[] EMPTY_BODY = new byte[0];
 
   private final OpenExchanges openExchanges;
@@ -29,13 +26,14 @@
       respondToUser(response);
     } else if (effect instanceof Effect.RespondToHealthCheck response) {
       byte[] body = UserCodec.encodeHealth(response.healthy(), response.reason());
-      respond(response, response.healthy() ? OK : SERVICE_UNAVAILABLE, body);
+      respond(response, response.healthy() ? HttpStatus.OK : HttpStatus.SERVICE_UNAVAILABLE, body);
     } else if (effect instanceof Effect.RespondToWorker response) {
       byte[] body =
           WorkerCodec.encodeHeartbeatResponse(response.fencingToken(), response.commands());
-      respond(response, OK, body);
+      respond(response, HttpStatus.OK, body);
     } else if (effect instanceof Effect.RedirectWorker response) {
-      respond(response, MISDIRECTED_REQUEST, WorkerCodec.encodeRedirect(response.leader()));
+      respond(
+          response, HttpStatus.MISDIRECTED_REQUEST, WorkerCodec.encodeRedirect(response.leader()));
     } else if (effect instanceof Effect.RespondToPing response) {
       respondToPeer(response, PeerStatusCodec.encodeStatus(response.status()));
     } else if (effect instanceof Effect.RespondToQueries response) {
@@ -69,6 +67,6 @@
 
   private void respondToPeer(HttpServer.Exchange peer, byte[] body) {
     metrics.recordPeerResponse(body.length);
-    peer.respond(OK, body, 0);
+    peer.respond(HttpStatus.OK, body, 0);
   }
 }
--- a/src/main/java/eiderfork/net/TrainingStubs.java
+++ b/src/main/java/eiderfork/net/TrainingStubs.java
@@ -1,5 +1,6 @@
 package eiderfork.net;
 
+import eiderfork.wire.HttpStatus;
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.atomic.AtomicLong;
 
@@ -8,10 +9,6 @@
   /** A fencing token of the first term. */
   static final long FENCING_TOKEN = (1L << 24) + 1;
 
-  private static final int OK = 200;
-  private static final int NOT_FOUND = 404;
-  private static final int SERVICE_UNAVAILABLE = 503;
-
   private static final String TYPES =
       """
       {"Breeds":[{"Label":"t","Cpus":8,"Gpus":0,"RamGb":8,"LocalGb":10,"PullGbPerS":1.0,
@@ -41,33 +38,33 @@
       respondAsCloud(exchange, path);
     } else if (!path.startsWith("/follow")) {
       long sequence = FIRST_SEQUENCE + revision.incrementAndGet();
-      respond(exchange, OK, HEARTBEAT.formatted(sequence, FENCING_TOKEN));
+      respond(exchange, HttpStatus.OK, HEARTBEAT.formatted(sequence, FENCING_TOKEN));
     }
     // A watch stays open, as one without changes does.
   }
 
   private void respondAsStore(HttpServer.Exchange exchange, String path) {
     if (path.startsWith("/keys/")) {
-      respond(exchange, NOT_FOUND, "{\"Ledger\":%d}".formatted(revision.get()));
+      respond(exchange, HttpStatus.NOT_FOUND, "{\"Ledger\":%d}".formatted(revision.get()));
     } else if (path.startsWith("/keys")) {
       String page = "{\"Items\":[],\"HasNext\":false,\"Ledger\":%d}";
-      respond(exchange, OK, page.formatted(revision.get()));
+      respond(exchange, HttpStatus.OK, page.formatted(revision.get()));
     } else if (path.startsWith("/leases")) {
-      respond(exchange, OK, "{\"Tether\":1}");
+      respond(exchange, HttpStatus.OK, "{\"Tether\":1}");
     } else {
-      respond(exchange, OK, "{\"Ledger\":%d}".formatted(revision.incrementAndGet()));
+      respond(exchange, HttpStatus.OK, "{\"Ledger\":%d}".formatted(revision.incrementAndGet()));
     }
   }
 
   private static void respondAsCloud(HttpServer.Exchange exchange, String path) {
     if (path.startsWith("/flavors")) {
-      respond(exchange, OK, TYPES);
+      respond(exchange, HttpStatus.OK, TYPES);
     } else if (path.startsWith("/hosts/return")) {
-      respond(exchange, OK, "{}");
+      respond(exchange, HttpStatus.OK, "{}");
     } else if (path.startsWith("/hosts?")) {
-      respond(exchange, OK, MACHINES);
+      respond(exchange, HttpStatus.OK, MACHINES);
     } else {
-      respond(exchange, SERVICE_UNAVAILABLE, "{\"error\":\"no capacity\"}");
+      respond(exchange, HttpStatus.SERVICE_UNAVAILABLE, "{\"error\":\"no capacity\"}");
     }
   }
 
--- a/src/main/java/eiderfork/wire/AvroAllocationCodec.java
+++ b/src/main/java/eiderfork/wire/AvroAllocationCodec.java
@@ -18,7 +18,7 @@
   private final Schema seriesSchema;
 
   /**
-   * @param jsonField the field by which this form is told from the others
+   * @param jsonField the field that only this form has
    */
   AvroAllocationCodec(String jsonField, String schemaResource) {
     this.jsonField = jsonField;
--- a/src/main/java/eiderfork/wire/CloudCodec.java
+++ b/src/main/java/eiderfork/wire/CloudCodec.java
@@ -58,7 +58,7 @@
    * @throws MalformedMessageException where it does not follow the protocol
    */
   public static Reply decodeTypes(int status, byte[] body) throws MalformedMessageException {
-    if (status != 200) {
+    if (status != HttpStatus.OK) {
       return new Reply.Refused(status);
     }
     return new Reply.Types(
@@ -125,11 +125,12 @@
    * @throws MalformedMessageException where it does not follow the protocol
    */
   public static Reply decodeRentReply(int status, byte[] body) throws MalformedMessageException {
-    if (status == 200) {
+    if (status == HttpStatus.OK) {
       return new Reply.Rented(
           decodeTexts(JsonReader.array(JsonReader.parse(body), ProtocolFields.MACHINES)));
     }
-    if (status == 503 && "no capacity".equals(JsonReader.parse(body).path("error").asText())) {
+    if (status == HttpStatus.SERVICE_UNAVAILABLE
+        && "no capacity".equals(JsonReader.parse(body).path("error").asText())) {
       return new Reply.NoCapacity();
     }
     return new Reply.Refused(status);
@@ -137,7 +138,7 @@
 
   /** Reads the response to a return. */
   public static Reply decodeReturnReply(int status) {
-    return status == 200 ? new Reply.Returned() : new Reply.Refused(status);
+    return status == HttpStatus.OK ? new Reply.Returned() : new Reply.Refused(status);
   }
 
   /**
@@ -146,7 +147,7 @@
    * @throws MalformedMessageException where it does not follow the protocol
    */
   public static Reply decodeHosts(int status, byte[] body) throws MalformedMessageException {
-    if (status != 200) {
+    if (status != HttpStatus.OK) {
       return new Reply.Refused(status);
     }
     JsonNode node = JsonReader.parse(body);
--- a/src/main/java/eiderfork/wire/CompressedBitmap.java
+++ b/src/main/java/eiderfork/wire/CompressedBitmap.java
@@ -34,7 +34,7 @@
     }
   }
 
-  /** Reads the tasks back; no task lies beyond the largest job. */
+  /** Reads the tasks, none of which is beyond the largest job. */
   static BitSet decode(ByteBuffer buffer) throws MalformedMessageException {
     byte[] bytes = new byte[buffer.remaining()];
     buffer.get(bytes);
--- a/src/main/java/eiderfork/wire/JsonReader.java
+++ b/src/main/java/eiderfork/wire/JsonReader.java
@@ -26,7 +26,7 @@
     }
   }
 
-  /** The object that the bytes hold, nothing behind it. */
+  /** The object that the bytes hold, with nothing after it. */
   static ObjectNode parse(byte[] bytes) throws MalformedMessageException {
     try (var parser = MAPPER.getFactory().createParser(bytes)) {
       JsonNode node = MAPPER.readTree(parser);
--- a/src/main/java/eiderfork/wire/MachineNameColumns.java
+++ b/src/main/java/eiderfork/wire/MachineNameColumns.java
@@ -9,7 +9,7 @@
 
 /**
  * The columns {@code series}, {@code seriesIndex} and {@code number} of an Avro record, which hold
- * a list of machine names in little space.
+ * a list of machine names in a compact form.
  */
 final class MachineNameColumns {
   private final List<NumberedName.Series> series = new ArrayList<>();
@@ -30,7 +30,7 @@
 
   /** Puts the columns into a record whose list of series has elements of this schema. */
   void writeTo(GenericRecord record, Schema seriesSchema) {
-    record.put("series", series.stream().map(it -> seriesRecord(it, seriesSchema)).toList());
+    record.put("series", series.stream().map(each -> seriesRecord(each, seriesSchema)).toList());
     record.put("seriesIndex", seriesIndexes);
     record.put("number", numbers);
   }
@@ -42,7 +42,7 @@
     return record;
   }
 
-  /** Reads the names back; there have to be so many. */
+  /** Reads the names; there have to be as many as {@code size}. */
   static List<String> readNames(GenericRecord record, int size) throws MalformedMessageException {
     List<?> series = (List<?>) record.get("series");
     List<?> seriesIndexes = readColumn(record, "seriesIndex", size);
--- a/src/main/java/eiderfork/wire/MalformedMessageException.java
+++ b/src/main/java/eiderfork/wire/MalformedMessageException.java
@@ -1,8 +1,8 @@
 package eiderfork.wire;
 
-/** A message that does not follow the protocol; the text says where. */
+/** A message that does not follow the protocol. */
 public final class MalformedMessageException extends Exception {
-  /** Says what is wrong, and where. */
+  /** Names the field and what is wrong with it. */
   public MalformedMessageException(String message) {
     super(message);
   }
--- a/src/main/java/eiderfork/wire/RunColumns.java
+++ b/src/main/java/eiderfork/wire/RunColumns.java
@@ -33,7 +33,7 @@
     record.put("attempt", attempts);
   }
 
-  /** Reads the runs back; there have to be so many. */
+  /** Reads the runs; there have to be as many as {@code size}. */
   static List<Run> readRuns(GenericRecord record, long lastAttempt, int size)
       throws MalformedMessageException {
     List<?> attempts = MachineNameColumns.readColumn(record, "attempt", size);
--- a/src/main/java/eiderfork/wire/StoreCodec.java
+++ b/src/main/java/eiderfork/wire/StoreCodec.java
@@ -13,10 +13,6 @@
   /** The most items in a page. */
   private static final int MAX_PAGE_ITEMS = 1000;
 
-  private static final int OK = 200;
-  private static final int NOT_FOUND = 404;
-  private static final int CONFLICT = 409;
-
   private static final String LEASES_PATH = "/leases";
 
   private StoreCodec() {}
@@ -91,17 +87,17 @@
    */
   public static Reply decodeReply(StoreRequest request, int status, byte[] body)
       throws MalformedMessageException {
-    if (request instanceof StoreRequest.Get && status == NOT_FOUND) {
+    if (request instanceof StoreRequest.Get && status == HttpStatus.NOT_FOUND) {
       return decodeMissingKey(body);
     }
-    if (request instanceof StoreRequest.Transaction && status == CONFLICT) {
+    if (request instanceof StoreRequest.Transaction && status == HttpStatus.CONFLICT) {
       JsonNode node = JsonReader.parse(body);
       return new Reply.Conflict(CloudCodec.decodeTexts(JsonReader.array(node, "failed")));
     }
     if (request instanceof StoreRequest.Release && status / 100 == 2) {
       return new Reply.Leased(0);
     }
-    if (status != OK) {
+    if (status != HttpStatus.OK) {
       return new Reply.Refused(status);
     }
     if (request instanceof StoreRequest.Renew renew) {
