--- a/src/main/java/eiderfork/controller/AllocationRecordBuilder.java
+++ b/src/main/java/eiderfork/controller/AllocationRecordBuilder.java
@@ -25,7 +25,7 @@
       if (open != null && continues(open, reservation)) {
         open =
             new StoredRecord.ReservedRange(
-                open.from(), reservation.taskIndex, open.attempt(), open.machine());
+                open.from(), reservation.taskIndex(), open.attempt(), open.machine());
         continue;
       }
       if (open != null) {
@@ -33,10 +33,10 @@
       }
       open =
           new StoredRecord.ReservedRange(
-              reservation.taskIndex,
-              reservation.taskIndex,
-              reservation.attempt,
-              reservation.machine.name());
+              reservation.taskIndex(),
+              reservation.taskIndex(),
+              reservation.attempt(),
+              reservation.machine().name());
     }
     if (open != null) {
       ranges.add(open);
@@ -45,9 +45,9 @@
   }
 
   private static boolean continues(StoredRecord.ReservedRange range, Reservation reservation) {
-    return range.to() == reservation.taskIndex - 1
-        && range.attempt() == reservation.attempt
-        && range.machine().equals(reservation.machine.name());
+    return range.to() == reservation.taskIndex() - 1
+        && range.attempt() == reservation.attempt()
+        && range.machine().equals(reservation.machine().name());
   }
 
   /** The bound on the plain form, with all current reservations. */
@@ -70,7 +70,7 @@
 
   private static void addReservations(JobTasks tasks, AllocationSize size) {
     for (Reservation reservation : tasks.reservations().values()) {
-      size.add(reservation.taskIndex, reservation.attempt, reservation.machine.name());
+      size.add(reservation.taskIndex(), reservation.attempt(), reservation.machine().name());
     }
   }
 
@@ -78,7 +78,8 @@
   static BitmapAllocationSize bitmapSize(JobState job) {
     BitmapAllocationSize size = job.tasks().newBitmapSize();
     for (Reservation reservation : job.tasks().reservations().values()) {
-      size.addExisting(reservation.taskIndex, reservation.attempt, reservation.machine.name());
+      size.addExisting(
+          reservation.taskIndex(), reservation.attempt(), reservation.machine().name());
     }
     return size;
   }
--- a/src/main/java/eiderfork/controller/AllocationRestorer.java
+++ b/src/main/java/eiderfork/controller/AllocationRestorer.java
@@ -18,8 +18,8 @@
     for (StoredRecord.ReservedRange range : allocation.reserved()) {
       restoreReservations(job, range);
     }
-    if (job.spec.kind() == JobKind.ARRAY) {
-      job.failureHistory.restore(allocation, job.spec.tasks());
+    if (job.spec().kind() == JobKind.ARRAY) {
+      job.failureHistory().restore(allocation, job.spec().tasks());
     }
     restoreGang(job);
   }
@@ -38,13 +38,13 @@
 
   /** An older leader may have seen a part of a gang end, and ended before it acted on it. */
   private static void restoreGang(JobState job) {
-    if (job.gang == null || job.isTerminal()) {
+    if (job.gang() == null || job.isTerminal()) {
       return;
     }
     if (job.tasks().hasFinished()) {
       job.finishGang();
     } else if (job.tasks().hasPending()) {
-      job.gang.onTaskLost();
+      job.gang().onTaskLost();
     }
   }
 }
--- a/src/main/java/eiderfork/controller/AllocationWriter.java
+++ b/src/main/java/eiderfork/controller/AllocationWriter.java
@@ -30,7 +30,7 @@
       ImmutableList<Reservation> settled,
       RequestPriority priority) {
     String uid() {
-      return job.spec.uid();
+      return job.spec().uid();
     }
   }
 
@@ -65,7 +65,7 @@
     List<Retry> waiting = List.copyOf(retries);
     retries.clear();
     for (Retry retry : waiting) {
-      if (retry.job.writes().isRetryDue(context.nowMs)) {
+      if (retry.job.writes().isRetryDue(context.nowMs())) {
         retry.request.run();
       } else {
         retries.add(retry);
@@ -81,17 +81,17 @@
             .filter(reservation -> !reservation.isCommitted())
             .collect(ImmutableList.toImmutableList());
     ImmutableList<Reservation> settled = ImmutableList.copyOf(job.tasks().uncommittedSettlements());
-    job.writes().onWriteBegun(allocation, context.nowMs);
+    job.writes().onWriteBegun(allocation, context.nowMs());
     send(new PendingWrite(job, allocation, proposed, settled, priority));
   }
 
   /** Removes the record that a late copy of an archived job's submission has left. */
   void removeStaleSpec(JobState job) {
-    String key = StoreKeys.job(job.spec.uid());
+    String key = StoreKeys.job(job.spec().uid());
     store.send(
         new StoreRequest.Transaction(
             ImmutableList.of(
-                election.leaderCondition(), new StoreRequest.Condition(key, job.specVersion)),
+                election.leaderCondition(), new StoreRequest.Condition(key, job.specVersion())),
             ImmutableList.of(StoreRequest.Change.remove(key))),
         RequestPriority.CLEANUP,
         reply -> {});
@@ -114,7 +114,7 @@
   }
 
   private boolean isInMemory(JobState job) {
-    return jobs.get(job.spec.uid()) == job;
+    return jobs.get(job.spec().uid()) == job;
   }
 
   /** The record in the shortest form that every member reads. */
@@ -128,7 +128,7 @@
   }
 
   private ImmutableList<StoreRequest.Condition> conditions(JobState job) {
-    String uid = job.spec.uid();
+    String uid = job.spec().uid();
     long committedVersion = job.writes().version();
     ImmutableList.Builder<StoreRequest.Condition> conditions = ImmutableList.builder();
     conditions.add(election.leaderCondition());
@@ -158,7 +158,7 @@
   }
 
   private void retryLater(JobState job, Runnable request) {
-    job.writes().scheduleRetry(context.nowMs, context.random);
+    job.writes().scheduleRetry(context.nowMs(), context.random);
     retries.add(new Retry(job, request));
   }
 
@@ -168,7 +168,7 @@
     for (Reservation reservation : write.proposed) {
       reservation.onCommitted();
       if (job.tasks().holds(reservation)) {
-        reservation.machine.requestCommand();
+        reservation.machine().requestCommand();
       }
     }
     job.tasks().onSettlementsCommitted(write.settled);
@@ -217,7 +217,7 @@
 
   private void onCancelled(JobState job) {
     job.writes().onNotApplied();
-    jobs.markCancelled(job.spec.uid());
+    jobs.markCancelled(job.spec().uid());
     jobs.dropUncommittedReservations(job);
     jobs.retireIfTerminal(job);
   }
@@ -269,7 +269,7 @@
   private void onNotApplied(PendingWrite write) {
     JobState job = write.job;
     LOG.info("allocation-too-large job={}", write.uid());
-    job.writes().onTooLarge(context.nowMs, context.random);
+    job.writes().onTooLarge(context.nowMs(), context.random);
     for (Reservation reservation : write.proposed) {
       if (job.tasks().holds(reservation) && !job.isCancelled()) {
         jobs.withdrawProposal(reservation);
--- a/src/main/java/eiderfork/controller/ArrayParallelism.java
+++ b/src/main/java/eiderfork/controller/ArrayParallelism.java
@@ -42,7 +42,7 @@
   }
 
   private int maxTasks(JobState job, double factor) {
-    Job spec = job.spec;
+    Job spec = job.spec();
     int pending = job.pendingTaskCount();
     double plannedS = objectiveS(spec) * OBJECTIVE_SHARE;
     double taskS = spec.estimatedRunS() + TURNAROUND_STEPS * context.stepS();
--- a/src/main/java/eiderfork/controller/ArrivalForecast.java
+++ b/src/main/java/eiderfork/controller/ArrivalForecast.java
@@ -55,14 +55,14 @@
   /** Begins anew, for a new term. */
   void reset() {
     arrivalsByClass.clear();
-    observedSinceMs = context.nowMs;
+    observedSinceMs = context.nowMs();
   }
 
   /** A job was submitted. */
   void recordArrival(Job job) {
     ClassArrivals arrivals =
         arrivalsByClass.computeIfAbsent(job.jobClass(), k -> new ClassArrivals());
-    arrivals.decay(context.nowMs, fleet.longestBootMs(job) * MEMORY_BOOTS);
+    arrivals.decay(context.nowMs(), fleet.longestBootMs(job) * MEMORY_BOOTS);
     arrivals.add(job);
   }
 
@@ -84,8 +84,8 @@
       return 0;
     }
     double memoryMs = bootMs * MEMORY_BOOTS;
-    arrivals.decay(context.nowMs, memoryMs);
-    double observedMs = Math.max(bootMs, context.nowMs - observedSinceMs);
+    arrivals.decay(context.nowMs(), memoryMs);
+    double observedMs = Math.max(bootMs, context.nowMs() - observedSinceMs);
     double weightMs = memoryMs * (1 - Math.exp(-observedMs / memoryMs));
     double variance = arrivals.squaredTasks / weightMs * bootMs;
     double deviations = context.settings.operator().headroomDeviations();
--- a/src/main/java/eiderfork/controller/Autoscaler.java
+++ b/src/main/java/eiderfork/controller/Autoscaler.java
@@ -1,9 +1,9 @@
 package eiderfork.controller;
 
-import eiderfork.controller.CloudProvisioner.MachineKind;
 import eiderfork.controller.context.ControllerContext;
 import eiderfork.controller.store.StoreClient;
 import eiderfork.model.Job;
+import eiderfork.model.MachineKind;
 import eiderfork.model.Resources;
 import eiderfork.model.Team;
 import java.util.ArrayList;
@@ -95,7 +95,7 @@
             context,
             fleet,
             cloud,
-            scheduler.gpuBalance(),
+            scheduler.cpusPerGpu(),
             plannableMachines.toBins(),
             bootTimes.lateKinds(fleet));
     packQueue(queue, packing);
@@ -109,7 +109,7 @@
     for (JobState job : queue) {
       if (!job.isCancelled()
           && !job.isCancelling()
-          && context.nowMs >= job.failureHistory.notBeforeMs()) {
+          && context.nowMs() >= job.failureHistory().notBeforeMs()) {
         packWaitingTasks(job, packing, usedByTeam);
       }
     }
@@ -117,7 +117,7 @@
 
   private void packWaitingTasks(
       JobState job, BinPacking packing, Map<String, Resources> usedByTeam) {
-    Job spec = job.spec;
+    Job spec = job.spec();
     Team team = context.settings.teams().get(spec.team());
     if (team == null) {
       return;
@@ -136,10 +136,10 @@
    * capacity; a machine is rented for one task of it only after it found none for long.
    */
   private int wantedTasks(JobState job) {
-    if (!job.failureHistory.isConfirmedSuspect()) {
+    if (!job.failureHistory().isConfirmedSuspect()) {
       return arrayParallelism.tasksToPlanFor(job);
     }
-    long waitedMs = context.nowMs - job.failureHistory.notBeforeMs();
+    long waitedMs = context.nowMs() - job.failureHistory().notBeforeMs();
     boolean hasWaitedLong = waitedMs > SUSPECT_JOB_WAIT_LEASES * context.workerLeaseMs();
     return job.reservations().isEmpty() && hasWaitedLong ? 1 : 0;
   }
@@ -174,9 +174,9 @@
   }
 
   private static void packReplacement(Reservation reservation, BinPacking packing) {
-    Job spec = reservation.job.spec;
-    Map<String, Integer> tasksByZone = PlacementConstraints.countTasksByZone(reservation.job);
-    tasksByZone.merge(reservation.machine.zone(), -1, Integer::sum);
+    Job spec = reservation.job().spec();
+    Map<String, Integer> tasksByZone = PlacementConstraints.countTasksByZone(reservation.job());
+    tasksByZone.merge(reservation.machine().zone(), -1, Integer::sum);
     packing.place(spec, 1, tasksByZone, spec.maxTasksPerZone());
   }
 
@@ -187,7 +187,7 @@
 
   private void scaleOut(List<Bin> binsToRent) {
     // While rents wait for the rate limit, further demand is collected into fewer, larger ones.
-    if (!cloud.hasCompleteListing() || cloud.rents().hasUnsentRents()) {
+    if (!cloud.hasCompleteListing() || cloud.scaleOut().hasUnsentRents()) {
       return;
     }
     Map<MachineKind, Integer> countByKind = new LinkedHashMap<>();
@@ -198,8 +198,8 @@
   /** Rents so many machines of a kind, as far as rents of it may be open at once. */
   private void scaleOut(MachineKind kind, int count) {
     int remaining = count;
-    for (int i = 0; i < cloud.rents().maxConcurrentRents(kind) && remaining > 0; i++) {
-      cloud.rents().rent(kind, Math.min(remaining, MAX_RENT_COUNT));
+    for (int i = 0; i < cloud.scaleOut().maxConcurrentRents(kind) && remaining > 0; i++) {
+      cloud.scaleOut().rent(kind, Math.min(remaining, MAX_RENT_COUNT));
       remaining -= MAX_RENT_COUNT;
     }
   }
--- a/src/main/java/eiderfork/controller/Bin.java
+++ b/src/main/java/eiderfork/controller/Bin.java
@@ -1,6 +1,6 @@
 package eiderfork.controller;
 
-import eiderfork.controller.CloudProvisioner.MachineKind;
+import eiderfork.model.MachineKind;
 import eiderfork.model.MachineType;
 import eiderfork.model.Resources;
 
--- a/src/main/java/eiderfork/controller/BinPacking.java
+++ b/src/main/java/eiderfork/controller/BinPacking.java
@@ -1,8 +1,8 @@
 package eiderfork.controller;
 
-import eiderfork.controller.CloudProvisioner.MachineKind;
 import eiderfork.controller.context.ControllerContext;
 import eiderfork.model.Job;
+import eiderfork.model.MachineKind;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
--- a/src/main/java/eiderfork/controller/BootTimeEstimator.java
+++ b/src/main/java/eiderfork/controller/BootTimeEstimator.java
@@ -3,6 +3,7 @@
 import com.google.common.collect.HashMultiset;
 import com.google.common.collect.Multiset;
 import eiderfork.controller.context.ControllerContext;
+import eiderfork.model.MachineKind;
 import eiderfork.model.MachineType;
 import java.util.HashSet;
 import java.util.Set;
@@ -46,35 +47,34 @@
   private boolean isOverdue(
       MachineState machine, MachineType type, double bootFactor, double graceMs) {
     return machine.lifecycle().firstRunningMs() > 0
-        ? context.nowMs - machine.lifecycle().firstRunningMs()
+        ? context.nowMs() - machine.lifecycle().firstRunningMs()
             > UNREACHABLE_GRACE_LEASES * context.workerLeaseMs() + graceMs
-        : context.nowMs - machine.lifecycle().knownSinceMs() > type.bootS() * 1000 * bootFactor;
+        : context.nowMs() - machine.lifecycle().knownSinceMs() > type.bootS() * 1000 * bootFactor;
   }
 
   /** The kinds of which at least half of the machines requested lately are late. */
-  Set<CloudProvisioner.MachineKind> lateKinds(MachineRegistry fleet) {
-    Multiset<CloudProvisioner.MachineKind> recent = HashMultiset.create();
-    Multiset<CloudProvisioner.MachineKind> late = HashMultiset.create();
+  Set<MachineKind> lateKinds(MachineRegistry fleet) {
+    Multiset<MachineKind> recent = HashMultiset.create();
+    Multiset<MachineKind> late = HashMultiset.create();
     for (MachineState machine : fleet.machines()) {
       MachineType type = fleet.typeOf(machine);
       if (machine.lifecycle().isScalingIn() || type == null || isPastBootWindow(machine, type)) {
         continue;
       }
-      CloudProvisioner.MachineKind kind =
-          new CloudProvisioner.MachineKind(
-              machine.spec().type(), machine.spec().zone(), machine.spec().spot());
+      MachineKind kind =
+          new MachineKind(machine.spec().type(), machine.spec().zone(), machine.spec().spot());
       recent.add(kind);
       if (machine.lastHeartbeat() == null && isLate(machine, type)) {
         late.add(kind);
       }
     }
-    Set<CloudProvisioner.MachineKind> kinds = new HashSet<>(late.elementSet());
+    Set<MachineKind> kinds = new HashSet<>(late.elementSet());
     kinds.removeIf(kind -> late.count(kind) * 2 < recent.count(kind));
     return kinds;
   }
 
   private boolean isPastBootWindow(MachineState machine, MachineType type) {
-    return context.nowMs - machine.lifecycle().knownSinceMs()
+    return context.nowMs() - machine.lifecycle().knownSinceMs()
         > FAILED_BOOT_FACTOR * type.bootS() * 1000;
   }
 }
--- a/src/main/java/eiderfork/controller/BorrowedCapacity.java
+++ b/src/main/java/eiderfork/controller/BorrowedCapacity.java
@@ -33,17 +33,17 @@
 
   /** Forgets reversals that are long past. */
   void tick() {
-    cooldowns.decay(context.nowMs);
+    cooldowns.decay(context.nowMs());
   }
 
   /** Whether the job's next task, or its whole gang, would exceed its team's guarantee. */
   boolean isBorrowing(JobState job) {
-    Job spec = job.spec;
+    Job spec = job.spec();
     if (!isEnabled || spec.kind() == JobKind.SERVICE) {
       return false;
     }
     Team team = context.settings.teams().get(spec.team());
-    int tasks = job.gang == null ? 1 : spec.tasks();
+    int tasks = job.gang() == null ? 1 : spec.tasks();
     Resources used = jobs.resourceUsage().held(spec.team());
     return team == null || !team.isWithinGuarantee(used.plus(spec.taskResources().times(tasks)));
   }
@@ -53,34 +53,34 @@
    * the job itself is not, or it could not use what was freed for it.
    */
   Resources withheldFrom(JobState borrower, MachineState machine) {
-    String borrowerUid = borrower.spec.uid();
+    String borrowerUid = borrower.spec().uid();
     return cooldowns.withheld(
         machine.name(),
-        context.nowMs,
+        context.nowMs(),
         uid -> uid.equals(borrowerUid) || hasReservation(uid, machine));
   }
 
   private static boolean hasReservation(String uid, MachineState machine) {
     return machine.reservations().stream()
-        .anyMatch(reservation -> reservation.job.spec.uid().equals(uid));
+        .anyMatch(reservation -> reservation.job().spec().uid().equals(uid));
   }
 
   /** Records that a task was reclaimed for another job. */
   void recordReclaim(Reservation victim, Job preemptor) {
-    MachineState machine = victim.machine;
+    MachineState machine = victim.machine();
     MachineType type = fleet.typeOf(machine);
     if (type == null) {
       return;
     }
-    long startAndSaveMs = startAndSaveMs(victim.job.spec, type);
+    long startAndSaveMs = startAndSaveMs(victim.job().spec(), type);
     boolean isShortLoan =
-        victim.isStartObserved() && context.nowMs - victim.runningSinceMs() < startAndSaveMs;
+        victim.isStartObserved() && context.nowMs() - victim.runningSinceMs() < startAndSaveMs;
     long firstCooldownMs = Math.max(startAndSaveMs, cooldownMs(type.bootS()));
     cooldowns.recordReclaim(
         machine.name(),
         preemptor.uid(),
         preemptor.taskResources(),
-        context.nowMs,
+        context.nowMs(),
         firstCooldownMs,
         isShortLoan);
   }
@@ -103,9 +103,9 @@
     if (reclaims == 0 || !isBorrowing(gang)) {
       return false;
     }
-    long firstCooldownMs = cooldownMs(fleet.longestBootMs(gang.spec) / 1000);
+    long firstCooldownMs = cooldownMs(fleet.longestBootMs(gang.spec()) / 1000);
     long cooldownMs = ReclaimCooldowns.cooldownMs(reclaims, firstCooldownMs);
-    return context.nowMs - gang.reclaims().lastReclaimedMs() < cooldownMs;
+    return context.nowMs() - gang.reclaims().lastReclaimedMs() < cooldownMs;
   }
 
   /**
--- a/src/main/java/eiderfork/controller/CachedImageRestorer.java
+++ b/src/main/java/eiderfork/controller/CachedImageRestorer.java
@@ -24,11 +24,11 @@
     List<JobState> byVersion = new ArrayList<>(jobs);
     byVersion.sort(Comparator.comparingLong(job -> job.writes().version()));
     for (JobState job : byVersion) {
-      if (job.spec.image() == null) {
+      if (job.spec().image() == null) {
         continue;
       }
       for (StoredRecord.ReservedRange range : job.writes().committed().reserved()) {
-        recordImageUse(fleet.get(range.machine()), job.spec);
+        recordImageUse(fleet.get(range.machine()), job.spec());
       }
     }
   }
--- a/src/main/java/eiderfork/controller/CancellationFollower.java
+++ b/src/main/java/eiderfork/controller/CancellationFollower.java
@@ -52,7 +52,7 @@
   }
 
   private void readAll(long ofGeneration) {
-    readPage(ofGeneration, "", context.nowMs, NO_REVISION);
+    readPage(ofGeneration, "", context.nowMs(), NO_REVISION);
   }
 
   /**
@@ -92,7 +92,7 @@
   }
 
   private void follow(long ofGeneration, long revision) {
-    long requestedMs = context.nowMs;
+    long requestedMs = context.nowMs();
     store.send(
         new StoreRequest.Watch(
             StoreKeys.CANCELLATION_PREFIX, revision, WATCH_STEPS * context.stepMs()),
--- a/src/main/java/eiderfork/controller/CancellationTracker.java
+++ b/src/main/java/eiderfork/controller/CancellationTracker.java
@@ -89,7 +89,7 @@
     this.context = context;
     this.onLearned = onLearned;
     processId = context.random.nextLong() | 1;
-    startedMs = context.nowMs;
+    startedMs = context.nowMs();
     context.settings.peerEndpoints().keySet().forEach(node -> peers.put(node, new PeerState()));
   }
 
@@ -118,7 +118,7 @@
   /** This node is about to confirm to a user that the job is cancelled. */
   void confirm(String uid) {
     if (confirmedUids.add(uid)) {
-      confirmed.add(new Confirmation(++lastNumber, uid, context.nowMs));
+      confirmed.add(new Confirmation(++lastNumber, uid, context.nowMs()));
       if (confirmed.size() > MAX_REMEMBERED) {
         evictOldest();
       }
@@ -129,10 +129,10 @@
   private void evictOldest() {
     Confirmation oldest = confirmed.remove();
     confirmedUids.remove(oldest.uid);
-    lastEvictedMs = context.nowMs;
+    lastEvictedMs = context.nowMs();
     for (PeerState peer : peers.values()) {
       if (peer.acknowledgedNumber < oldest.number) {
-        peer.evictedMs = context.nowMs;
+        peer.evictedMs = context.nowMs();
       }
     }
   }
@@ -170,12 +170,12 @@
             .limit(MAX_JOBS_PER_MESSAGE)
             .map(Confirmation::uid)
             .collect(ImmutableList.toImmutableList());
-    boolean evicted = context.nowMs - peer.evictedMs <= retentionMs();
+    boolean evicted = context.nowMs() - peer.evictedMs <= retentionMs();
     // What was dropped because its time is over matters to nobody.
     long afterNumber = unacknowledged.isEmpty() ? lastNumber : unacknowledged.peek().number - 1;
     return new CancellationGossip(
         processId,
-        context.nowMs - startedMs,
+        context.nowMs() - startedMs,
         afterNumber,
         uids,
         !evicted && uids.size() == unacknowledged.size(),
@@ -184,7 +184,7 @@
   }
 
   private void dropExpired() {
-    while (!confirmed.isEmpty() && context.nowMs - confirmed.peek().confirmedMs > retentionMs()) {
+    while (!confirmed.isEmpty() && context.nowMs() - confirmed.peek().confirmedMs > retentionMs()) {
       confirmedUids.remove(confirmed.remove().uid);
     }
   }
@@ -228,7 +228,7 @@
     receive(node, gossip);
     PeerState peer = peers.get(node);
     long peerStartedMs =
-        context.nowMs - (long) (gossip.uptimeMs() * (1 - ControllerContext.MAX_CLOCK_DRIFT));
+        context.nowMs() - (long) (gossip.uptimeMs() * (1 - ControllerContext.MAX_CLOCK_DRIFT));
     if (peer != null && gossip.complete() && peerStartedMs < caughtUpMs) {
       peer.completeUpToMs = Math.max(peer.completeUpToMs, requestedMs);
     }
@@ -239,7 +239,7 @@
     if (caughtUpMs == NEVER) {
       return NEVER;
     }
-    long allPeersMs = context.nowMs;
+    long allPeersMs = context.nowMs();
     for (PeerState peer : peers.values()) {
       allPeersMs = Math.min(allPeersMs, peer.completeUpToMs);
     }
@@ -251,7 +251,7 @@
    * to end within the cancellation timeout of whatever may have been cancelled without being known.
    */
   boolean mayRenewLeases() {
-    long sinceMs = ControllerContext.withClockDrift(context.nowMs - completeUpToMs());
+    long sinceMs = ControllerContext.withClockDrift(context.nowMs() - completeUpToMs());
     return sinceMs
             + ControllerContext.withClockDrift(context.workerLeaseMs())
             + context.stepMs() / 2
--- a/src/main/java/eiderfork/controller/CapacityClaims.java
+++ b/src/main/java/eiderfork/controller/CapacityClaims.java
@@ -83,7 +83,7 @@
   }
 
   private static Resources demand(CapacityClaim claim) {
-    return claim.job().spec.taskResources();
+    return claim.job().spec().taskResources();
   }
 
   /** What claims take of a machine, or null. */
--- a/src/main/java/eiderfork/controller/CapacityIndex.java
+++ b/src/main/java/eiderfork/controller/CapacityIndex.java
@@ -1,6 +1,7 @@
 package eiderfork.controller;
 
 import eiderfork.model.Job;
+import eiderfork.model.MachineKind;
 import eiderfork.model.Resources;
 import java.util.Collection;
 import java.util.LinkedHashMap;
@@ -21,12 +22,12 @@
 
   /** The machines of one kind. */
   private static final class MachineGroup {
-    private final CloudProvisioner.MachineKind kind;
+    private final MachineKind kind;
     private final RoaringBitmap[] byFreeCpus = new RoaringBitmap[LEVEL_COUNT];
     private final RoaringBitmap[] byFreeGpus = new RoaringBitmap[LEVEL_COUNT];
     private int machineCount;
 
-    MachineGroup(CloudProvisioner.MachineKind kind) {
+    MachineGroup(MachineKind kind) {
       this.kind = kind;
     }
 
@@ -49,7 +50,7 @@
     }
   }
 
-  private final Map<CloudProvisioner.MachineKind, MachineGroup> groups = new LinkedHashMap<>();
+  private final Map<MachineKind, MachineGroup> groups = new LinkedHashMap<>();
   private final FailedSearchCache failedSearches = new FailedSearchCache();
   private int size;
 
@@ -126,9 +127,8 @@
   }
 
   private MachineGroup groupOf(MachineState machine) {
-    CloudProvisioner.MachineKind kind =
-        new CloudProvisioner.MachineKind(
-            machine.spec().type(), machine.spec().zone(), machine.spec().spot());
+    MachineKind kind =
+        new MachineKind(machine.spec().type(), machine.spec().zone(), machine.spec().spot());
     return groups.computeIfAbsent(kind, MachineGroup::new);
   }
 
@@ -155,8 +155,7 @@
     }
   }
 
-  private static boolean isEligible(
-      CloudProvisioner.MachineKind kind, Job spec, Collection<String> eligibleZones) {
+  private static boolean isEligible(MachineKind kind, Job spec, Collection<String> eligibleZones) {
     return eligibleZones.contains(kind.zone())
         && spec.allowsType(kind.type())
         && (spec.spotAllowed() || !kind.spot());
--- a/src/main/java/eiderfork/controller/CloudProvisioner.java
+++ b/src/main/java/eiderfork/controller/CloudProvisioner.java
@@ -4,7 +4,6 @@
 import eiderfork.controller.election.LeaderElection;
 import eiderfork.controller.ratelimit.TokenBucket;
 import eiderfork.controller.store.StoreClient;
-import eiderfork.model.Machine;
 
 /** The leader's calls to the cloud, all within one rate limit. */
 final class CloudProvisioner {
@@ -17,14 +16,6 @@
   /** How long the cloud may take over a call, in steps. */
   private static final int CALL_TIMEOUT_STEPS = 5;
 
-  /** Machines that are in or out of stock together. */
-  record MachineKind(String type, String zone, boolean spot) {
-    /** The kind that a machine is of. */
-    static MachineKind of(Machine machine) {
-      return new MachineKind(machine.type(), machine.zone(), machine.spot());
-    }
-  }
-
   private final MachineRegistry fleet;
   private final ScaleOutRequests scaleOut;
   private final ScaleInRequests scaleIn;
@@ -39,7 +30,7 @@
     this.fleet = fleet;
     double callsPerS = context.settings.cloudLimits().requestsPerS() * CALL_RATE_SHARE;
     TokenBucket callBudget =
-        new TokenBucket(callsPerS, Math.max(1, callsPerS * BURST_S), context.nowMs);
+        new TokenBucket(callsPerS, Math.max(1, callsPerS * BURST_S), context.nowMs());
     ProvisioningIntents intents = new ProvisioningIntents(election, store);
     scaleOut = new ScaleOutRequests(context, election, fleet, intents, callBudget);
     scaleIn = new ScaleInRequests(context, election, fleet, intents, callBudget);
@@ -61,12 +52,12 @@
   }
 
   /** The calls that rent machines. */
-  ScaleOutRequests rents() {
+  ScaleOutRequests scaleOut() {
     return scaleOut;
   }
 
   /** The calls that return machines. */
-  ScaleInRequests returns() {
+  ScaleInRequests scaleIn() {
     return scaleIn;
   }
 
--- a/src/main/java/eiderfork/controller/ClusterVersion.java
+++ b/src/main/java/eiderfork/controller/ClusterVersion.java
@@ -126,14 +126,14 @@
   /** Stores the current version once all members run it; only a recovered leader does. */
   void tick() {
     boolean needed = ownVersion >= CURRENT && storedVersion < CURRENT && allPeersRun(CURRENT);
-    if (needed && !storePending && context.nowMs >= nextStoreMs) {
+    if (needed && !storePending && context.nowMs() >= nextStoreMs) {
       storeCurrentVersion();
     }
   }
 
   private void storeCurrentVersion() {
     storePending = true;
-    nextStoreMs = context.nowMs + context.stepMs();
+    nextStoreMs = context.nowMs() + context.stepMs();
     StoredRecord.StoredVersion record = new StoredRecord.StoredVersion(CURRENT);
     store.send(
         new StoreRequest.Transaction(
--- a/src/main/java/eiderfork/controller/CommandBuilder.java
+++ b/src/main/java/eiderfork/controller/CommandBuilder.java
@@ -102,7 +102,7 @@
 
   /** Whether the task is as its reservation wants it; gangs are compared at every heartbeat. */
   private static boolean isAsReserved(TaskStatus task, Reservation reservation) {
-    return reservation.isDesired() && reservation.job.gang == null && isActive(task);
+    return reservation.isDesired() && reservation.job().gang() == null && isActive(task);
   }
 
   private static boolean isActive(TaskStatus task) {
@@ -131,13 +131,13 @@
   /** A checkpoint that hangs is given up: its GPUs are needed, and the task would never end. */
   private boolean isCheckpointOverdue(Reservation reservation) {
     return context.settings.operator().isLendingEnabled()
-        && reservation.job.gang == null
-        && reservation.isSaveOverdue(context.nowMs, CHECKPOINT_MARGIN_STEPS * context.stepMs());
+        && reservation.job().gang() == null
+        && reservation.isSaveOverdue(context.nowMs(), CHECKPOINT_MARGIN_STEPS * context.stepMs());
   }
 
   private void addStarts(MachineState machine, List<WorkerCommand> commands) {
     for (Reservation reservation : machine.reservations()) {
-      if (reservation.canStart() && !reservation.job.isCancelling()) {
+      if (reservation.canStart() && !reservation.job().isCancelling()) {
         commands.add(new WorkerCommand.Run(reservation.toAttempt()));
         reservation.onStartSent(
             machine.commandChannel().fencingToken(), machine.incarnation().number());
--- a/src/main/java/eiderfork/controller/CommittedChangeWatcher.java
+++ b/src/main/java/eiderfork/controller/CommittedChangeWatcher.java
@@ -44,7 +44,7 @@
   }
 
   private void watch(String prefix, long leadingTerm, long revision) {
-    long requestedMs = context.nowMs;
+    long requestedMs = context.nowMs();
     store.send(
         new StoreRequest.Watch(prefix, revision, WATCH_STEPS * context.stepMs()),
         RequestPriority.SUBMIT,
--- a/src/main/java/eiderfork/controller/Controller.java
+++ b/src/main/java/eiderfork/controller/Controller.java
@@ -182,7 +182,7 @@
 
   /** Handles one input at {@code nowMs} of a steady clock, and returns what follows from it. */
   public List<Effect> handle(long nowMs, Input input) {
-    context.nowMs = Math.max(context.nowMs, nowMs);
+    context.advanceTo(nowMs);
     dispatch(input);
     heartbeats.retryPending(input);
     store.sendQueued();
@@ -262,7 +262,7 @@
   }
 
   private void handleHints(Input.PeerHints hints) {
-    standby.hints().receive(hints.hints(), context.nowMs);
+    standby.hints().receive(hints.hints(), context.nowMs());
     context.emit(new Effect.AcknowledgeHints(hints.ticket()));
   }
 
--- a/src/main/java/eiderfork/controller/DeadlineEstimator.java
+++ b/src/main/java/eiderfork/controller/DeadlineEstimator.java
@@ -32,13 +32,13 @@
    * can; empty where it has none, or can't meet any.
    */
   OptionalLong latestStartMs(JobState job) {
-    Job spec = job.spec;
+    Job spec = job.spec();
     if (spec.deadlineS() == null) {
       return OptionalLong.empty();
     }
     for (double factor : deadlineFactors(spec)) {
       long latestMs = deadlineMs(job, factor) - toMs(spec.estimatedRunS() + longestFetchS(spec));
-      if (latestMs >= context.nowMs) {
+      if (latestMs >= context.nowMs()) {
         return OptionalLong.of(latestMs);
       }
     }
@@ -52,19 +52,19 @@
   boolean hasNoTimeForRerun(JobState job) {
     OptionalLong latestMs = latestStartMs(job);
     return latestMs.isPresent()
-        && latestMs.getAsLong() - context.nowMs < toMs(job.spec.estimatedRunS());
+        && latestMs.getAsLong() - context.nowMs() < toMs(job.spec().estimatedRunS());
   }
 
   /** Whether a running task meets a deadline, and would not if it were run again from now. */
   boolean isLateIfRerun(Reservation reservation) {
-    Job spec = reservation.job.spec;
+    Job spec = reservation.job().spec();
     if (spec.deadlineS() == null) {
       return false;
     }
     for (double factor : deadlineFactors(spec)) {
-      long latestStartMs = deadlineMs(reservation.job, factor) - toMs(spec.estimatedRunS());
+      long latestStartMs = deadlineMs(reservation.job(), factor) - toMs(spec.estimatedRunS());
       if (reservation.runningSinceMs() <= latestStartMs) {
-        return context.nowMs > latestStartMs;
+        return context.nowMs() > latestStartMs;
       }
     }
     return false;
@@ -76,7 +76,7 @@
   }
 
   private static long deadlineMs(JobState job, double factor) {
-    return job.firstSeenMs + toMs(factor * job.spec.deadlineS());
+    return job.firstSeenMs() + toMs(factor * job.spec().deadlineS());
   }
 
   /** How long the image fetch takes on the slowest machine type that the job may use. */
--- a/src/main/java/eiderfork/controller/DeferredHeartbeats.java
+++ b/src/main/java/eiderfork/controller/DeferredHeartbeats.java
@@ -21,7 +21,7 @@
 
   /** Defers the response to a heartbeat that has just arrived. */
   void add(long ticket, Heartbeat heartbeat) {
-    pending.add(new PendingHeartbeat(ticket, heartbeat, context.nowMs));
+    pending.add(new PendingHeartbeat(ticket, heartbeat, context.nowMs()));
   }
 
   /**
--- a/src/main/java/eiderfork/controller/DeferredPreemptions.java
+++ b/src/main/java/eiderfork/controller/DeferredPreemptions.java
@@ -39,7 +39,7 @@
   /** Has a task preempted for a job once it has written its next checkpoint. */
   void preemptAfterCheckpoint(Reservation victim, JobState preemptor, double checkpointDelayS) {
     revision++;
-    long dueMs = context.nowMs + Math.round(checkpointDelayS * 1000);
+    long dueMs = context.nowMs() + Math.round(checkpointDelayS * 1000);
     pendingByVictim.put(victim, new Pending(preemptor, dueMs));
   }
 
@@ -63,7 +63,7 @@
   QuotaAmount pendingAmountOf(TeamId team) {
     QuotaAmount sum = QuotaAmount.NONE;
     for (Reservation victim : pendingByVictim.keySet()) {
-      if (victim.job.spec.team().equals(team.name())) {
+      if (victim.job().spec().team().equals(team.name())) {
         sum = sum.plus(amountFreedBy(victim));
       }
     }
@@ -72,8 +72,8 @@
 
   /** What ends with a task: itself, or its whole gang. */
   static QuotaAmount amountFreedBy(Reservation victim) {
-    int tasks = victim.job.gang == null ? 1 : victim.job.reservations().size();
-    return QuotaAmount.of(victim.job.spec.taskResources()).times(tasks);
+    int tasks = victim.job().gang() == null ? 1 : victim.job().reservations().size();
+    return QuotaAmount.of(victim.job().spec().taskResources()).times(tasks);
   }
 
   /** Preempts the tasks whose checkpoint is due, and drops what no job waits for any more. */
@@ -86,7 +86,7 @@
       if (!isNeeded(victim, pending.preemptor)) {
         entries.remove();
         revision++;
-      } else if (context.nowMs >= pending.dueMs) {
+      } else if (context.nowMs() >= pending.dueMs) {
         entries.remove();
         revision++;
         preemptNow(victim, pending.preemptor);
@@ -96,24 +96,24 @@
 
   private boolean isNeeded(Reservation victim, JobState preemptor) {
     boolean isCurrent =
-        victim.job.reservations().get(victim.taskIndex) == victim && victim.isDesired();
-    return isCurrent && !preemptor.isTerminal() && capacity.hasClaim(preemptor, victim.machine);
+        victim.job().reservations().get(victim.taskIndex()) == victim && victim.isDesired();
+    return isCurrent && !preemptor.isTerminal() && capacity.hasClaim(preemptor, victim.machine());
   }
 
   private void preemptNow(Reservation victim, JobState preemptor) {
     LOG.info(
         "deferred-preemption victim={} attempt={} machine={} preemptor={}",
         victim.toAttempt().task(),
-        victim.attempt,
-        victim.machine.name(),
-        preemptor.spec.uid());
-    if (victim.job.gang == null) {
+        victim.attempt(),
+        victim.machine().name(),
+        preemptor.spec().uid());
+    if (victim.job().gang() == null) {
       victim.skipSave();
       victim.requestStop();
     } else {
-      victim.job.gang.stopAfterCheckpoint();
+      victim.job().gang().stopAfterCheckpoint();
     }
-    victim.machine.requestCommand();
-    jobs.refreshIndexes(victim.job);
+    victim.machine().requestCommand();
+    jobs.refreshIndexes(victim.job());
   }
 }
--- a/src/main/java/eiderfork/controller/DirectCommandSender.java
+++ b/src/main/java/eiderfork/controller/DirectCommandSender.java
@@ -46,7 +46,7 @@
 
   /** A term begins. */
   void onElected() {
-    electedMs = context.nowMs;
+    electedMs = context.nowMs();
   }
 
   /**
@@ -63,7 +63,7 @@
       }
       MachineState machine = fleet.get(number);
       if (machine.address() == null
-          || !machine.commandChannel().canSendDirectCommand(context.nowMs)) {
+          || !machine.commandChannel().canSendDirectCommand(context.nowMs())) {
         continue;
       }
       contactIfDue(machine, freeConnections > reservedForCommands);
@@ -75,7 +75,7 @@
     if (!liveness.hasTokenOfTerm(machine)) {
       if (canIntroduce
           && !machine.lifecycle().isBooting()
-          && context.nowMs - electedMs > context.stepMs()) {
+          && context.nowMs() - electedMs > context.stepMs()) {
         introduceTerm(machine);
       }
     } else if (machine.commandChannel().isCommandDue() && liveness.hasRecentHeartbeat(machine)) {
@@ -154,12 +154,12 @@
 
   private void onWorkerReply(MachineState machine, Reply.WorkerReply reply) {
     machine.commandChannel().onReply();
-    long shownToken = reply.report().fencingToken();
+    long shownToken = reply.heartbeat().fencingToken();
     if (shownToken >= election.endOfFencingTokens()) {
       election.observeTerm(shownToken >> LeaderElection.TOKEN_SEQUENCE_BITS);
       return;
     }
-    heartbeatRecorder.record(machine, reply.report(), true);
+    heartbeatRecorder.record(machine, reply.heartbeat(), true);
     machine.commandChannel().issueFirstToken(election.firstFencingToken() + 1);
     if (!reply.executed()) {
       machine.requestCommand();
@@ -173,6 +173,6 @@
       machine.commandChannel().clearCommandDue();
     }
     long pauseMs = context.stepMs() + context.random.nextLong(context.stepMs());
-    machine.commandChannel().onNoReply(context.nowMs + pauseMs);
+    machine.commandChannel().onNoReply(context.nowMs() + pauseMs);
   }
 }
--- a/src/main/java/eiderfork/controller/DispatchEligibility.java
+++ b/src/main/java/eiderfork/controller/DispatchEligibility.java
@@ -25,13 +25,13 @@
 
   /** Whether a write of the job may begin. */
   boolean canWrite(JobState job) {
-    return job.canWrite(context.nowMs);
+    return job.canWrite(context.nowMs());
   }
 
   /** Whether tasks of the job may be placed. */
   boolean canPlace(JobState job) {
     return job.hasPendingTasks()
-        && context.nowMs >= job.failureHistory.notBeforeMs()
+        && context.nowMs() >= job.failureHistory().notBeforeMs()
         && !isBatchingStarts(job)
         && !isAwaitingTrialTask(job)
         && store.writeWaitMs(startPriority(job)) <= context.stepMs();
@@ -43,9 +43,9 @@
    * in the job's record.
    */
   boolean isBatchingStarts(JobState job) {
-    return job.spec.kind() == JobKind.ARRAY
+    return job.spec().kind() == JobKind.ARRAY
         && job.lastAttempt() > 0
-        && context.nowMs - job.writes().lastWriteMs() < batchingDelayMs();
+        && context.nowMs() - job.writes().lastWriteMs() < batchingDelayMs();
   }
 
   /**
@@ -53,12 +53,12 @@
    * outlived the failures clears the suspicion.
    */
   private boolean isAwaitingTrialTask(JobState job) {
-    if (!job.failureHistory.isSuspected()) {
+    if (!job.failureHistory().isSuspected()) {
       return false;
     }
     for (Reservation reservation : job.reservations().values()) {
-      if (job.failureHistory.hasOutlivedFailures(reservation, context.nowMs)) {
-        job.failureHistory.recordSuccess();
+      if (job.failureHistory().hasOutlivedFailures(reservation, context.nowMs())) {
+        job.failureHistory().recordSuccess();
         return false;
       }
     }
@@ -67,7 +67,7 @@
 
   /** The priority of a write that starts tasks of the job. */
   static RequestPriority startPriority(JobState job) {
-    return job.spec.kind() == JobKind.ARRAY ? RequestPriority.BATCH : RequestPriority.START;
+    return job.spec().kind() == JobKind.ARRAY ? RequestPriority.BATCH : RequestPriority.START;
   }
 
   /** Writes completions once they were collected for long enough; whether some are left. */
@@ -90,7 +90,7 @@
    * completion is written.
    */
   private boolean canWritePartialCompletions(JobState job) {
-    long sinceWrittenMs = context.nowMs - job.writes().lastWriteMs();
+    long sinceWrittenMs = context.nowMs() - job.writes().lastWriteMs();
     long waitMs = store.writeWaitMs(RequestPriority.BATCH);
     return sinceWrittenMs >= batchingDelayMs() && waitMs <= IDLE_WRITE_WAIT_SHARE * context.stepMs()
         || sinceWrittenMs >= MAX_PARTIAL_COMPLETION_DELAY_STEPS * context.stepMs()
--- a/src/main/java/eiderfork/controller/FailoverTimer.java
+++ b/src/main/java/eiderfork/controller/FailoverTimer.java
@@ -29,7 +29,7 @@
 
   /** A failover begins: this node leads. */
   void onElected() {
-    electedMs = context.nowMs;
+    electedMs = context.nowMs();
     vacantSinceMs = election.vacancySeenMs() < 0 ? electedMs : election.vacancySeenMs();
     recoveredMs = 0;
     firstResponseMs = 0;
@@ -44,7 +44,7 @@
 
   /** Memory holds what is committed, from the replica or from a full read. */
   void recordRecovery(boolean usedReplica) {
-    recoveredMs = context.nowMs;
+    recoveredMs = context.nowMs();
     fromReplica = usedReplica;
   }
 
@@ -60,7 +60,7 @@
     }
     for (Effect effect : effects) {
       if (firstResponseMs == 0 && effect instanceof Effect.RespondToWorker) {
-        firstResponseMs = context.nowMs;
+        firstResponseMs = context.nowMs();
       }
       if (recoveredMs > 0 && hasCommands(effect)) {
         finish();
@@ -77,7 +77,7 @@
   private void finish() {
     running = false;
     if (firstResponseMs == 0) {
-      firstResponseMs = context.nowMs;
+      firstResponseMs = context.nowMs();
     }
     LOG.info(
         "failover-completed term={} fromReplica={} vacantMs={} recoveryMs={} firstResponseMs={}"
@@ -87,7 +87,7 @@
         electedMs - vacantSinceMs,
         recoveredMs - electedMs,
         firstResponseMs - vacantSinceMs,
-        context.nowMs - vacantSinceMs);
+        context.nowMs() - vacantSinceMs);
     context.emit(
         new Effect.FailoverCompleted(
             election.currentTerm(),
@@ -95,6 +95,6 @@
                 new Effect.Phase("election", vacantSinceMs, electedMs),
                 new Effect.Phase(fromReplica ? "copy" : "read", electedMs, recoveredMs),
                 new Effect.Phase("first answer", vacantSinceMs, firstResponseMs),
-                new Effect.Phase("first command", recoveredMs, context.nowMs))));
+                new Effect.Phase("first command", recoveredMs, context.nowMs()))));
   }
 }
--- a/src/main/java/eiderfork/controller/FailureHistory.java
+++ b/src/main/java/eiderfork/controller/FailureHistory.java
@@ -66,14 +66,14 @@
    * @param lastAttempt the newest attempt of the job: what was reserved by now is of the same try
    */
   void recordFailure(Reservation reservation, long lastAttempt, long nowMs) {
-    failedMachines.add(reservation.machine.name());
+    failedMachines.add(reservation.machine().name());
     lastFailureMs = nowMs;
-    int failures = failuresByTask.addTo(reservation.taskIndex, 1) + 1;
-    retryAtMs.put(reservation.taskIndex, nowMs + delayMs(failures));
+    int failures = failuresByTask.addTo(reservation.taskIndex(), 1) + 1;
+    retryAtMs.put(reservation.taskIndex(), nowMs + delayMs(failures));
     if (reservation.runningSinceMs() > 0) {
       longestRunMs = Math.max(longestRunMs, nowMs - reservation.runningSinceMs());
     }
-    if (reservation.attempt > lastCountedAttempt) {
+    if (reservation.attempt() > lastCountedAttempt) {
       consecutiveFailedTries++;
       lastCountedAttempt = lastAttempt;
     }
--- a/src/main/java/eiderfork/controller/FairShareOrder.java
+++ b/src/main/java/eiderfork/controller/FairShareOrder.java
@@ -25,12 +25,14 @@
       if (isWithinGuarantee != other.isWithinGuarantee) {
         return isWithinGuarantee ? -1 : 1;
       }
-      int byPriority = job.spec.priority().compareTo(other.job.spec.priority());
+      int byPriority = job.spec().priority().compareTo(other.job.spec().priority());
       if (byPriority != 0) {
         return byPriority;
       }
       int byQueueTime = Long.compare(queueTimeMs, other.queueTimeMs);
-      return byQueueTime != 0 ? byQueueTime : Long.compare(job.specVersion, other.job.specVersion);
+      return byQueueTime != 0
+          ? byQueueTime
+          : Long.compare(job.specVersion(), other.job.specVersion());
     }
   }
 
@@ -62,7 +64,7 @@
   private Set<JobState> jobsWithinGuarantee(List<JobState> work, ResourceUsage usage) {
     List<JobState> byUrgency = new ArrayList<>();
     for (JobState job : work) {
-      Team team = context.settings.teams().get(job.spec.team());
+      Team team = context.settings.teams().get(job.spec().team());
       if (team != null && team.hasGuarantee()) {
         byUrgency.add(job);
       }
@@ -71,7 +73,7 @@
     Set<JobState> guaranteed = new ReferenceOpenHashSet<>();
     Map<String, Resources> requestedByTeam = new HashMap<>();
     for (JobState job : byUrgency) {
-      Job spec = job.spec;
+      Job spec = job.spec();
       Resources pending = spec.taskResources().times(job.pendingTaskCount());
       Resources requested = requestedByTeam.merge(spec.team(), pending, Resources::plus);
       Team team = context.settings.teams().get(spec.team());
@@ -91,15 +93,15 @@
   }
 
   private static int compareUrgency(JobState first, JobState second) {
-    int byPriority = first.spec.priority().compareTo(second.spec.priority());
-    return byPriority != 0 ? byPriority : Long.compare(first.specVersion, second.specVersion);
+    int byPriority = first.spec().priority().compareTo(second.spec().priority());
+    return byPriority != 0 ? byPriority : Long.compare(first.specVersion(), second.specVersion());
   }
 
   /** The most pending tasks of any array. */
   private static int maxWaitingArrayTasks(List<JobState> work) {
     int maxTasks = 1;
     for (JobState job : work) {
-      if (job.spec.kind() == JobKind.ARRAY) {
+      if (job.spec().kind() == JobKind.ARRAY) {
         maxTasks = Math.max(maxTasks, job.pendingTaskCount());
       }
     }
--- a/src/main/java/eiderfork/controller/FaultDetector.java
+++ b/src/main/java/eiderfork/controller/FaultDetector.java
@@ -22,24 +22,24 @@
 
   /** A task of the job failed on the machine: counts it against the machine or the job. */
   void recordFailure(MachineState machine, JobState job) {
-    if (job.failureHistory.isJobAtFault()) {
+    if (job.failureHistory().isJobAtFault()) {
       discardFailures(job);
       return;
     }
-    machine.failures().recordFailure(job.spec.uid());
+    machine.failures().recordFailure(job.spec().uid());
     markIfFaulty(machine);
   }
 
   /** A task of the job succeeded on the machine: machines where the job failed are suspects. */
   void recordSuccess(MachineState machine, JobState job) {
     machine.failures().recordSuccess();
-    if (job.failureHistory.isJobAtFault() || job.failureHistory.isSuspected()) {
+    if (job.failureHistory().isJobAtFault() || job.failureHistory().isSuspected()) {
       return;
     }
-    for (String name : job.failureHistory.failedMachines()) {
+    for (String name : job.failureHistory().failedMachines()) {
       MachineState failed = fleet.get(name);
-      if (failed != null && failed != machine && failed.failures().hasFailed(job.spec.uid())) {
-        failed.failures().recordSuccessElsewhere(job.spec.uid());
+      if (failed != null && failed != machine && failed.failures().hasFailed(job.spec().uid())) {
+        failed.failures().recordSuccessElsewhere(job.spec().uid());
         markIfFaulty(failed);
       }
     }
@@ -63,7 +63,7 @@
   private static boolean hasOtherRunningTasks(MachineState machine) {
     for (Reservation reservation : machine.reservations()) {
       if (reservation.reportedState() == TaskStatus.State.RUNNING
-          && !machine.failures().hasFailed(reservation.job.spec.uid())) {
+          && !machine.failures().hasFailed(reservation.job().spec().uid())) {
         return true;
       }
     }
@@ -72,10 +72,10 @@
 
   /** The job fails everywhere, so that none of the machines where it failed is to blame. */
   private void discardFailures(JobState job) {
-    for (String name : job.failureHistory.failedMachines()) {
+    for (String name : job.failureHistory().failedMachines()) {
       MachineState machine = fleet.get(name);
       if (machine != null) {
-        machine.failures().discardFailure(job.spec.uid());
+        machine.failures().discardFailure(job.spec().uid());
       }
     }
   }
--- a/src/main/java/eiderfork/controller/FinishedJobs.java
+++ b/src/main/java/eiderfork/controller/FinishedJobs.java
@@ -13,7 +13,7 @@
 
   /** Adds a job that has just finished; one that is known keeps its time. */
   void add(JobState job, long nowMs) {
-    jobs.putIfAbsent(job.spec.uid(), new FinishedJob(job, nowMs));
+    jobs.putIfAbsent(job.spec().uid(), new FinishedJob(job, nowMs));
   }
 
   /** Removes a job that is archived, evicted or active again. */
@@ -28,7 +28,7 @@
 
   /** Whether the job is known to have finished. */
   boolean contains(JobState job) {
-    return jobs.containsKey(job.spec.uid());
+    return jobs.containsKey(job.spec().uid());
   }
 
   /** How many finished jobs are in memory. */
--- a/src/main/java/eiderfork/controller/FirstFitTree.java
+++ b/src/main/java/eiderfork/controller/FirstFitTree.java
@@ -1,6 +1,6 @@
 package eiderfork.controller;
 
-import eiderfork.controller.CloudProvisioner.MachineKind;
+import eiderfork.model.MachineKind;
 import eiderfork.model.Resources;
 import it.unimi.dsi.fastutil.objects.Object2IntMap;
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap;
--- a/src/main/java/eiderfork/controller/FleetLog.java
+++ b/src/main/java/eiderfork/controller/FleetLog.java
@@ -33,10 +33,10 @@
 
   /** Logs once in a worker lease how full the fleet is and how much work waits. */
   void logIfDue(int placementExamined, int planExamined) {
-    if (context.nowMs < nextLogMs) {
+    if (context.nowMs() < nextLogMs) {
       return;
     }
-    nextLogMs = context.nowMs + context.workerLeaseMs();
+    nextLogMs = context.nowMs() + context.workerLeaseMs();
     logMachines();
     logJobClasses();
     LOG.info("store-writes {}", store.drainWriteWaits());
@@ -59,7 +59,7 @@
   private void logJobClasses() {
     Map<String, TaskTotals> totalsByClass = new TreeMap<>();
     for (JobState job : jobs.activeJobs()) {
-      totalsByClass.computeIfAbsent(job.spec.jobClass(), key -> new TaskTotals()).add(job);
+      totalsByClass.computeIfAbsent(job.spec().jobClass(), key -> new TaskTotals()).add(job);
     }
     totalsByClass.forEach(
         (jobClass, totals) -> LOG.info("fleet-tasks class={} {}", jobClass, totals));
--- a/src/main/java/eiderfork/controller/FreeCapacity.java
+++ b/src/main/java/eiderfork/controller/FreeCapacity.java
@@ -190,7 +190,7 @@
 
   /** The zones that may take one more task of a job. */
   Set<String> eligibleZones(JobState job, Map<String, Integer> tasksByZone) {
-    Job spec = job.spec;
+    Job spec = job.spec();
     Set<String> zones = new LinkedHashSet<>();
     for (String zone : index().zones()) {
       if (spec.allowsZone(zone)
@@ -203,7 +203,7 @@
 
   /** Whether the job may have one more task on this machine, if it fits. */
   boolean isAllowed(JobState job, MachineState machine, Map<String, Integer> tasksByZone) {
-    Job spec = job.spec;
+    Job spec = job.spec();
     return PlacementConstraints.isMachineAllowed(spec, machine)
         && !isAvoided(job, machine)
         && PlacementConstraints.canZoneAccept(
@@ -212,7 +212,7 @@
 
   /** Whether the job failed on this machine, and has others to run on. */
   private boolean isAvoided(JobState job, MachineState machine) {
-    return job.failureHistory.isAvoided(machine.name(), nowMs)
-        && job.failureHistory.failedMachines().size() < index().size();
+    return job.failureHistory().isAvoided(machine.name(), nowMs)
+        && job.failureHistory().failedMachines().size() < index().size();
   }
 }
--- a/src/main/java/eiderfork/controller/FullReadRecovery.java
+++ b/src/main/java/eiderfork/controller/FullReadRecovery.java
@@ -65,7 +65,7 @@
       ImmutableList<String> prefixes, long leadingTerm, LongConsumer onComplete) {
     String prefix = prefixes.get(0);
     ImmutableList<String> others = prefixes.subList(1, prefixes.size());
-    long requestedMs = context.nowMs;
+    long requestedMs = context.nowMs();
     reader.scan(
         prefix,
         FIRST_PAGE,
--- a/src/main/java/eiderfork/controller/Gang.java
+++ b/src/main/java/eiderfork/controller/Gang.java
@@ -42,7 +42,7 @@
   void onTaskLost() {
     if (!job.reservations().isEmpty()) {
       LOG.info(
-          "gang-task-lost job={} remainingTasks={}", job.spec.uid(), job.reservations().size());
+          "gang-task-lost job={} remainingTasks={}", job.spec().uid(), job.reservations().size());
     }
     stop(StopMode.IMMEDIATE);
   }
@@ -50,7 +50,7 @@
   /** Has all tasks save and stop, unless they are being stopped already. */
   void requestSave() {
     if (stopMode == StopMode.NONE) {
-      LOG.info("gang-save-requested job={}", job.spec.uid());
+      LOG.info("gang-save-requested job={}", job.spec().uid());
       stop(StopMode.SAVING);
     }
   }
@@ -58,7 +58,7 @@
   /** Stops a gang that has just written a checkpoint, without another save. */
   void stopAfterCheckpoint() {
     if (stopMode == StopMode.NONE) {
-      LOG.info("gang-stopped-after-checkpoint job={}", job.spec.uid());
+      LOG.info("gang-stopped-after-checkpoint job={}", job.spec().uid());
       stop(StopMode.IMMEDIATE);
     }
   }
@@ -74,7 +74,7 @@
    * there is time for it; otherwise the gang goes on, since it may be done before.
    */
   void onTerminationNotice(double noticeS) {
-    if (job.spec.checkpointIntervalS() > 0 && noticeS > job.spec.saveDurationS()) {
+    if (job.spec().checkpointIntervalS() > 0 && noticeS > job.spec().saveDurationS()) {
       requestSave();
     }
   }
@@ -83,12 +83,12 @@
     stopMode = mode;
     for (Reservation reservation : job.reservations().values()) {
       reservation.requestStop();
-      reservation.machine.requestCommand();
+      reservation.machine().requestCommand();
     }
   }
 
   /** The time that a task gets to save when it is stopped. */
   double stopGraceS() {
-    return stopMode == StopMode.SAVING ? job.spec.saveDurationS() : 0;
+    return stopMode == StopMode.SAVING ? job.spec().saveDurationS() : 0;
   }
 }
--- a/src/main/java/eiderfork/controller/GangScheduler.java
+++ b/src/main/java/eiderfork/controller/GangScheduler.java
@@ -40,9 +40,9 @@
 
   /** Proposes reservations for the whole gang, or has capacity preempted for the whole of it. */
   void place(JobState job, PreemptionPlanner preemption, SearchConstraints constraints) {
-    Job spec = job.spec;
+    Job spec = job.spec();
     Resources usedWithGang = usage.used(spec.team()).plus(spec.taskResources().times(spec.tasks()));
-    if (!job.gang.canStartAttempt()
+    if (!job.gang().canStartAttempt()
         || borrowing.isGangCoolingDown(job)
         || !usage.isWithinLimit(spec.team(), usedWithGang)) {
       return;
@@ -83,7 +83,7 @@
    */
   private List<Map<String, Integer>> zoneCandidates(JobState job) {
     List<Map<String, Integer>> candidates = new ArrayList<>();
-    if (!job.spec.singleZone()) {
+    if (!job.spec().singleZone()) {
       candidates.add(new HashMap<>());
       return candidates;
     }
@@ -98,7 +98,7 @@
   /** Whether the machines hold every task, before any of them is scored. */
   private boolean hasCapacityForAll(
       JobState job, Map<String, Integer> tasksByZone, SearchConstraints constraints) {
-    Job spec = job.spec;
+    Job spec = job.spec();
     Map<String, Integer> fittingByZone = new HashMap<>();
     for (MachineState machine :
         capacity.candidates(spec, capacity.eligibleZones(job, tasksByZone))) {
@@ -126,7 +126,7 @@
     long attempt = job.nextAttemptNumber();
     List<Reservation> proposed = new ArrayList<>();
     MachineSearch search = searches.create(job, tasksByZone, false, constraints);
-    for (int index = 0; index < job.spec.tasks(); index++) {
+    for (int index = 0; index < job.spec().tasks(); index++) {
       MachineState machine = search.bestMachine();
       if (machine == null || !sizeLimit.fits(index, attempt, machine.name())) {
         proposed.forEach(jobs::withdrawProposal);
@@ -138,7 +138,10 @@
       search.taskPlaced();
     }
     LOG.debug(
-        "gang-placed job={} jobClass={} attempt={}", job.spec.uid(), job.spec.jobClass(), attempt);
+        "gang-placed job={} jobClass={} attempt={}",
+        job.spec().uid(),
+        job.spec().jobClass(),
+        attempt);
     return true;
   }
 }
--- a/src/main/java/eiderfork/controller/GpuHeadroom.java
+++ b/src/main/java/eiderfork/controller/GpuHeadroom.java
@@ -19,7 +19,7 @@
   }
 
   private static boolean isWaitingForGpus(JobState job) {
-    return job.hasPendingTasks() && job.spec.taskResources().gpus() > 0;
+    return job.hasPendingTasks() && job.spec().taskResources().gpus() > 0;
   }
 
   /**
@@ -29,9 +29,9 @@
    */
   boolean appliesTo(JobState job) {
     long maxWaitMs = QueueOrder.OVERDUE_MS * (job.lastAttempt() == 0 ? 1 : 2);
-    boolean isOverdue = context.nowMs - job.firstSeenMs > maxWaitMs;
+    boolean isOverdue = context.nowMs() - job.firstSeenMs() > maxWaitMs;
     boolean isArrayWithoutGpus =
-        job.spec.kind() == JobKind.ARRAY && job.spec.taskResources().gpus() <= 0;
+        job.spec().kind() == JobKind.ARRAY && job.spec().taskResources().gpus() <= 0;
     return isGpuWorkPending && isArrayWithoutGpus && !isOverdue;
   }
 }
--- a/src/main/java/eiderfork/controller/HeartbeatHandler.java
+++ b/src/main/java/eiderfork/controller/HeartbeatHandler.java
@@ -92,7 +92,7 @@
     if (tryAnswer(pendingHeartbeat.ticket(), pendingHeartbeat.heartbeat())) {
       return true;
     }
-    if (context.nowMs - pendingHeartbeat.receivedMs()
+    if (context.nowMs() - pendingHeartbeat.receivedMs()
         < maxPendingMs(pendingHeartbeat.heartbeat())) {
       return false;
     }
--- a/src/main/java/eiderfork/controller/HeartbeatRecorder.java
+++ b/src/main/java/eiderfork/controller/HeartbeatRecorder.java
@@ -45,8 +45,8 @@
     boolean unchanged = isUnchanged(machine, heartbeat);
     recordIncarnation(
         machine, unchanged ? heartbeat.withTasks(previous.tasks()) : heartbeat, isCommandReply);
-    machine.lifecycle().onHeartbeat(context.nowMs);
-    machine.commandChannel().onHeartbeat(heartbeat.fencingToken(), context.nowMs);
+    machine.lifecycle().onHeartbeat(context.nowMs());
+    machine.commandChannel().onHeartbeat(heartbeat.fencingToken(), context.nowMs());
     recordTokenOfTerm(machine, previous);
     if (permission.isRecovered() && !unchanged) {
       machine.recordReconciliation(false);
--- a/src/main/java/eiderfork/controller/ImageCache.java
+++ b/src/main/java/eiderfork/controller/ImageCache.java
@@ -26,7 +26,7 @@
   }
 
   /** The images, least recently used first. */
-  Set<String> images() {
+  Set<String> names() {
     return sizesGb().keySet();
   }
 
--- a/src/main/java/eiderfork/controller/ImageFetchEstimator.java
+++ b/src/main/java/eiderfork/controller/ImageFetchEstimator.java
@@ -24,7 +24,7 @@
       return remainingS(machine, job.image());
     }
     double others = 0;
-    for (String image : machine.images().images()) {
+    for (String image : machine.images().names()) {
       others += remainingS(machine, image);
     }
     return others + job.imageGb() / type.imageFetchGbPerS();
@@ -32,6 +32,6 @@
 
   /** How long the machine's fetch of this image still takes. */
   private double remainingS(MachineState machine, String image) {
-    return machine.images().remainingFetchMs(image, context.nowMs) / 1000.0;
+    return machine.images().remainingFetchMs(image, context.nowMs()) / 1000.0;
   }
 }
--- a/src/main/java/eiderfork/controller/InfeasiblePreemptions.java
+++ b/src/main/java/eiderfork/controller/InfeasiblePreemptions.java
@@ -65,7 +65,7 @@
   }
 
   private Key key(PreemptionRequest request, String zone) {
-    Job spec = request.job().spec;
+    Job spec = request.job().spec();
     return new Key(
         spec.taskResources(),
         spec.priority(),
--- a/src/main/java/eiderfork/controller/JobArchiver.java
+++ b/src/main/java/eiderfork/controller/JobArchiver.java
@@ -79,7 +79,7 @@
       return;
     }
     logCounts();
-    if (context.nowMs >= nextMoveMs) {
+    if (context.nowMs() >= nextMoveMs) {
       moveNextBatch();
     }
   }
@@ -90,7 +90,7 @@
     }
     List<JobState> batch = dueJobs();
     if (batch.isEmpty()) {
-      nextMoveMs = context.nowMs + context.stepMs() / 5;
+      nextMoveMs = context.nowMs() + context.stepMs() / 5;
     } else {
       moveBatch(batch);
     }
@@ -107,7 +107,7 @@
     int excess = jobs.finishedJobs().size() - maxFinished;
     List<JobState> batch = new ArrayList<>();
     for (FinishedJobs.FinishedJob finished : jobs.finishedJobs().oldestFirst()) {
-      boolean isDue = excess-- > 0 || context.nowMs - finished.finishedMs() >= retentionMs;
+      boolean isDue = excess-- > 0 || context.nowMs() - finished.finishedMs() >= retentionMs;
       if (!isDue || batch.size() >= maxJobsPerBatch) {
         break;
       }
@@ -137,7 +137,7 @@
     ImmutableList.Builder<StoreRequest.Change> changes = ImmutableList.builder();
     conditions.add(election.leaderCondition());
     for (JobState job : batch) {
-      String uid = job.spec.uid();
+      String uid = job.spec().uid();
       conditions.add(new StoreRequest.Condition(StoreKeys.alloc(uid), job.writes().version()));
       conditions.add(new StoreRequest.Condition(StoreKeys.ended(uid), 0));
       changes.add(StoreRequest.Change.put(StoreKeys.ended(uid), toArchivedJob(job)));
@@ -165,7 +165,7 @@
       onConflict(batch, conflict);
     } else {
       // It may still be applied: then the next move finds the archived records.
-      nextMoveMs = context.nowMs + context.stepMs();
+      nextMoveMs = context.nowMs() + context.stepMs();
       if (reply instanceof Reply.Refused refused && refused.isMalformed()) {
         maxJobsPerBatch = Math.max(1, maxJobsPerBatch / 2);
       }
@@ -178,7 +178,7 @@
       return;
     }
     for (JobState job : batch) {
-      String uid = job.spec.uid();
+      String uid = job.spec().uid();
       if (conflict.failedKeys().contains(StoreKeys.ended(uid))) {
         // An earlier move was applied without a reply, or this job is a late copy.
         onArchived(job);
@@ -193,14 +193,14 @@
   private void onArchived(JobState job) {
     archivedSinceLog++;
     jobs.evict(job);
-    cancellations.jobArchived(job.spec.uid());
+    cancellations.jobArchived(job.spec().uid());
   }
 
   private void logCounts() {
-    if (context.nowMs - lastLoggedMs < LOG_INTERVAL_MS) {
+    if (context.nowMs() - lastLoggedMs < LOG_INTERVAL_MS) {
       return;
     }
-    lastLoggedMs = context.nowMs;
+    lastLoggedMs = context.nowMs();
     LOG.info(
         "job-counts active={} finishedInMemory={} archivedSinceLast={}",
         jobs.activeJobs().size(),
--- a/src/main/java/eiderfork/controller/JobQueryHandler.java
+++ b/src/main/java/eiderfork/controller/JobQueryHandler.java
@@ -59,7 +59,7 @@
   }
 
   private void onBarrierPassed(JobState job, boolean caughtUp, Consumer<UserResponse> onComplete) {
-    String uid = job.spec.uid();
+    String uid = job.spec().uid();
     if (caughtUp
         && canAnswerFromMemory.getAsBoolean()
         && jobs.get(uid) == job
@@ -80,7 +80,7 @@
     if (loadShedder.rejects(store.readWaitMs(), onComplete)) {
       return;
     }
-    String uid = job.spec.uid();
+    String uid = job.spec().uid();
     storedJobs.readArchivedStatus(
         uid,
         RequestPriority.READ,
--- a/src/main/java/eiderfork/controller/JobRegistry.java
+++ b/src/main/java/eiderfork/controller/JobRegistry.java
@@ -116,13 +116,13 @@
 
   private void activate(JobState job) {
     job.activate();
-    activeJobs.put(job.spec.uid(), job);
+    activeJobs.put(job.spec().uid(), job);
     refreshIndexes(job);
   }
 
   private void deactivate(JobState job) {
     job.deactivate();
-    activeJobs.remove(job.spec.uid(), job);
+    activeJobs.remove(job.spec().uid(), job);
     backlog.remove(job);
     resourceUsage.update(job);
   }
@@ -134,7 +134,7 @@
 
   /** Removes a job from memory, with all of its reservations. */
   void evict(JobState job) {
-    String uid = job.spec.uid();
+    String uid = job.spec().uid();
     if (jobs.remove(uid, job)) {
       deactivate(job);
       finishedJobs.remove(uid);
@@ -175,7 +175,7 @@
         job,
         profileInterner.intern(PlacementProfile.of(job)),
         specVersion,
-        context.nowMs,
+        context.nowMs(),
         new Backoff(stepMs / FIRST_WRITE_RETRIES_PER_STEP, stepMs * MAX_WRITE_BACKOFF_STEPS),
         new Backoff(stepMs, context.workerLeaseMs()),
         new FailureHistory(stepMs));
@@ -191,7 +191,7 @@
       // A cancellation read during the recovery may have retired the job before its reservations
       // were read; they count for the quota until they are settled.
       activate(job);
-      finishedJobs.remove(job.spec.uid());
+      finishedJobs.remove(job.spec().uid());
       retireIfTerminal(job);
     }
   }
@@ -216,12 +216,12 @@
 
   private void retire(JobState job) {
     deactivate(job);
-    finishedJobs.add(job, context.nowMs);
+    finishedJobs.add(job, context.nowMs());
   }
 
   /** Settles a reservation: its task has ended, or surely is not on its machine any more. */
   void settle(Reservation reservation, boolean completed) {
-    JobState job = reservation.job;
+    JobState job = reservation.job();
     if (!job.tasks().holds(reservation)) {
       return;
     }
@@ -234,28 +234,28 @@
 
   /** Stops a task; a gang is stopped as a whole and saves if it can. */
   void requestStop(Reservation reservation) {
-    if (reservation.job.gang == null) {
+    if (reservation.job().gang() == null) {
       reservation.requestStop();
     } else {
-      reservation.job.gang.requestSave();
+      reservation.job().gang().requestSave();
     }
-    refreshIndexes(reservation.job);
+    refreshIndexes(reservation.job());
   }
 
   /** Takes back a decision to stop of which nothing was sent yet. */
   void revokeStop(Reservation reservation) {
-    if (reservation.job.gang == null) {
+    if (reservation.job().gang() == null) {
       reservation.revokeStop();
     } else {
-      reservation.job.gang.revokeStop();
+      reservation.job().gang().revokeStop();
     }
-    refreshIndexes(reservation.job);
+    refreshIndexes(reservation.job());
   }
 
   /** Takes back a reservation that was not committed. */
   void withdrawProposal(Reservation reservation) {
-    reservation.job.tasks().withdraw(reservation);
-    refreshIndexes(reservation.job);
+    reservation.job().tasks().withdraw(reservation);
+    refreshIndexes(reservation.job());
   }
 
   /**
--- a/src/main/java/eiderfork/controller/JobState.java
+++ b/src/main/java/eiderfork/controller/JobState.java
@@ -12,21 +12,17 @@
  * what is committed is in {@link AllocationWriteState}, the tasks are in {@link JobTasks}.
  */
 final class JobState {
-  final Job spec;
+  private final Job spec;
 
-  /** The same object for all jobs of this profile. */
-  final PlacementProfile profile;
+  private final PlacementProfile profile;
 
-  /** The version of the job's key; jobs of equal rank are served in this order. */
-  final long specVersion;
+  private final long specVersion;
 
-  /** Since when this leader knows the job. */
-  final long firstSeenMs;
+  private final long firstSeenMs;
 
-  /** What the tasks of a gang have in common; null for other jobs. */
-  final Gang gang;
+  private final Gang gang;
 
-  final FailureHistory failureHistory;
+  private final FailureHistory failureHistory;
 
   private final JobTasks tasks;
   private final AllocationWriteState writes;
@@ -63,6 +59,36 @@
     reclaims = new ReclaimHistory(isGang);
   }
 
+  /** The job as its user submitted it. */
+  Job spec() {
+    return spec;
+  }
+
+  /** The placement profile; one object for all jobs with an equal one. */
+  PlacementProfile profile() {
+    return profile;
+  }
+
+  /** The version of the job's key; jobs of equal rank are served in this order. */
+  long specVersion() {
+    return specVersion;
+  }
+
+  /** Since when this leader knows the job. */
+  long firstSeenMs() {
+    return firstSeenMs;
+  }
+
+  /** What the tasks of a gang have in common; null for other jobs. */
+  Gang gang() {
+    return gang;
+  }
+
+  /** How the job's tasks have failed. */
+  FailureHistory failureHistory() {
+    return failureHistory;
+  }
+
   /** Which tasks are pending, reserved or finished. */
   JobTasks tasks() {
     return tasks;
--- a/src/main/java/eiderfork/controller/JobTasks.java
+++ b/src/main/java/eiderfork/controller/JobTasks.java
@@ -103,7 +103,7 @@
 
   /** Whether this is the task's reservation now. */
   boolean holds(Reservation reservation) {
-    return reservations.get(reservation.taskIndex) == reservation;
+    return reservations.get(reservation.taskIndex()) == reservation;
   }
 
   /** How many reserved tasks are being stopped. */
@@ -119,7 +119,7 @@
   /** Whether this attempt is settled and its settlement is not committed yet. */
   boolean isSettlementUncommitted(int index, long attempt) {
     for (Reservation reservation : uncommittedSettlements) {
-      if (reservation.taskIndex == index && reservation.attempt == attempt) {
+      if (reservation.taskIndex() == index && reservation.attempt() == attempt) {
         return true;
       }
     }
@@ -144,24 +144,24 @@
 
   /** Reserves a task on the reservation's machine. */
   void reserve(Reservation reservation) {
-    reservations.put(reservation.taskIndex, reservation);
-    pending.clear(reservation.taskIndex);
-    reservation.machine.addReservation(reservation);
+    reservations.put(reservation.taskIndex(), reservation);
+    pending.clear(reservation.taskIndex());
+    reservation.machine().addReservation(reservation);
   }
 
   /** Takes a proposed reservation back, so that its task is pending again. */
   void withdraw(Reservation reservation) {
     release(reservation);
-    pending.set(reservation.taskIndex);
+    pending.set(reservation.taskIndex());
   }
 
   /** The task of a reservation has ended, or surely is not on its machine any more. */
   void settle(Reservation reservation, boolean completed) {
     release(reservation);
     if (completed) {
-      finished.set(reservation.taskIndex);
+      finished.set(reservation.taskIndex());
     } else {
-      pending.set(reservation.taskIndex);
+      pending.set(reservation.taskIndex());
     }
     uncommittedSettlements.add(reservation);
   }
@@ -196,7 +196,7 @@
     uncommittedSettlements.clear();
     for (Reservation reservation : List.copyOf(reservations.values())) {
       if (reservation.isCommitted()) {
-        reservation.machine.requestCommand();
+        reservation.machine().requestCommand();
       } else if (!writeInFlight) {
         release(reservation);
       }
@@ -219,9 +219,9 @@
 
   /** Takes a reservation off the job and its machine; its task is in no state until it is set. */
   void release(Reservation reservation) {
-    if (reservations.remove(reservation.taskIndex) == reservation && reservation.isStopping()) {
+    if (reservations.remove(reservation.taskIndex()) == reservation && reservation.isStopping()) {
       stoppingCount--;
     }
-    reservation.machine.removeReservation(reservation);
+    reservation.machine().removeReservation(reservation);
   }
 }
--- a/src/main/java/eiderfork/controller/LeaseExpiry.java
+++ b/src/main/java/eiderfork/controller/LeaseExpiry.java
@@ -69,7 +69,7 @@
   /** Whether a lease proxy's record was seen lately that names the machine. */
   boolean isProxied(MachineState machine) {
     return machine.leaseProxySeenMs() > 0
-        && context.nowMs - machine.leaseProxySeenMs() <= 2 * context.stepMs();
+        && context.nowMs() - machine.leaseProxySeenMs() <= 2 * context.stepMs();
   }
 
   /**
@@ -85,7 +85,7 @@
 
   /** Settles the reservations of machines whose leases have expired and were not proxied. */
   void settleExpired() {
-    if (proxyReadInFlight || context.nowMs < nextProxyReadMs) {
+    if (proxyReadInFlight || context.nowMs() < nextProxyReadMs) {
       return;
     }
     List<ExpiredLease> expiredLeases = new ArrayList<>();
@@ -104,8 +104,8 @@
       expiredLeases.forEach(expired -> settle(expired.machine, 0));
     } else if (hasSilentMachine || !expiredLeases.isEmpty()) {
       proxyReadInFlight = true;
-      nextProxyReadMs = context.nowMs + context.stepMs() / 2;
-      long requestedMs = context.nowMs;
+      nextProxyReadMs = context.nowMs() + context.stepMs() / 2;
+      long requestedMs = context.nowMs();
       readProxiedMachines.accept(names -> onProxiedMachinesRead(expiredLeases, requestedMs, names));
     }
   }
@@ -131,7 +131,7 @@
     for (String name : machineNames) {
       MachineState machine = fleet.get(name);
       if (machine != null) {
-        machine.onLeaseProxySeen(context.nowMs);
+        machine.onLeaseProxySeen(context.nowMs());
       }
     }
     for (ExpiredLease expired : expiredLeases) {
@@ -144,7 +144,7 @@
       } else if (!expired.isCurrent()) {
         leaseLog.staleRead();
       } else {
-        settle(machine, context.nowMs - requestedMs);
+        settle(machine, context.nowMs() - requestedMs);
       }
     }
   }
@@ -161,7 +161,7 @@
    * for sure.
    */
   boolean hasExpired(MachineState machine) {
-    if (!machine.incarnation().mayLeaseHaveExpired(context.nowMs, context.workerLeaseMs())) {
+    if (!machine.incarnation().mayLeaseHaveExpired(context.nowMs(), context.workerLeaseMs())) {
       return false;
     }
     long olderTermsMs = liveness.hasTokenOfTerm(machine) ? 0 : peers.earlierTermsEndedMs();
@@ -171,6 +171,6 @@
     return machine
         .incarnation()
         .hasLeaseSurelyExpired(
-            context.nowMs, context.workerLeaseMs(), olderTermsMs, context.stepMs() / 2);
+            context.nowMs(), context.workerLeaseMs(), olderTermsMs, context.stepMs() / 2);
   }
 }
--- a/src/main/java/eiderfork/controller/LeaseProxy.java
+++ b/src/main/java/eiderfork/controller/LeaseProxy.java
@@ -103,14 +103,14 @@
   private boolean hasReturnedFromLeader(String machineName) {
     Long sentMs = redirectedMs.get(machineName);
     return sentMs != null
-        && context.nowMs - sentMs > context.stepMs()
-        && context.nowMs - sentMs < context.workerLeaseMs();
+        && context.nowMs() - sentMs > context.stepMs()
+        && context.nowMs() - sentMs < context.workerLeaseMs();
   }
 
   /** Whether a worker for which {@link #canAnswer} holds may be answered now. */
   boolean canAnswerNow(Heartbeat heartbeat) {
     long leaseEndMs =
-        context.nowMs
+        context.nowMs()
             + ControllerContext.withClockDrift(context.workerLeaseMs())
             + context.stepMs() / 2;
     return records.isRecorded(heartbeat.machine().name())
@@ -120,7 +120,7 @@
 
   /** Renews the worker's lease under the token that it shows, and stops cancelled jobs. */
   void answer(long ticket, Heartbeat heartbeat) {
-    lastAnswerMs = context.nowMs;
+    lastAnswerMs = context.nowMs();
     ImmutableList<WorkerCommand> stops =
         CommandBuilder.stopsOfCancelledJobs(heartbeat.tasks(), cancellations);
     context.emit(new Effect.RespondToWorker(ticket, heartbeat.fencingToken(), stops));
@@ -129,7 +129,7 @@
   /** A worker was redirected to the leader. */
   void recordRedirect(Heartbeat heartbeat) {
     if (!heartbeat.tasks().isEmpty()) {
-      redirectedMs.put(heartbeat.machine().name(), context.nowMs);
+      redirectedMs.put(heartbeat.machine().name(), context.nowMs());
     }
   }
 
@@ -144,7 +144,7 @@
     }
     LOG.info("lease-proxy-started leader={}", election.leader());
     active = true;
-    lastAnswerMs = context.nowMs;
+    lastAnswerMs = context.nowMs();
     cancellationFollower.start();
   }
 
@@ -158,7 +158,7 @@
   /** Keeps the records and the cancellations current, and stops where no worker needs a proxy. */
   void tick() {
     cancellationFollower.retryFailed();
-    redirectedMs.values().removeIf(sentMs -> context.nowMs - sentMs > context.workerLeaseMs());
+    redirectedMs.values().removeIf(sentMs -> context.nowMs() - sentMs > context.workerLeaseMs());
     if (!active) {
       return;
     }
@@ -175,6 +175,6 @@
   /** Whether every lease that this node renewed has expired. */
   private boolean isUnused() {
     long leaseMs = ControllerContext.withClockDrift(context.workerLeaseMs());
-    return context.nowMs - lastAnswerMs > leaseMs + context.stepMs();
+    return context.nowMs() - lastAnswerMs > leaseMs + context.stepMs();
   }
 }
--- a/src/main/java/eiderfork/controller/LeaseProxyRecords.java
+++ b/src/main/java/eiderfork/controller/LeaseProxyRecords.java
@@ -93,13 +93,13 @@
 
   /** Renews the store lease and writes the next record where that is due. */
   void tick() {
-    if (!leaseRequestInFlight && context.nowMs >= nextRenewMs) {
+    if (!leaseRequestInFlight && context.nowMs() >= nextRenewMs) {
       renewLease();
     }
     if (storeLease != NO_LEASE
         && !writeInFlight
         && !pendingMachines.isEmpty()
-        && context.nowMs >= nextWriteMs) {
+        && context.nowMs() >= nextWriteMs) {
       writeRecord();
     }
   }
@@ -126,7 +126,7 @@
 
   private void renewLease() {
     leaseRequestInFlight = true;
-    long requestedMs = context.nowMs;
+    long requestedMs = context.nowMs();
     long renewedLease = storeLease;
     long ofGeneration = generation;
     store.send(
@@ -152,7 +152,7 @@
         && refused.status() == STATUS_LEASE_NOT_FOUND) {
       onLeaseLost();
     } else {
-      nextRenewMs = context.nowMs + context.stepMs() / 2;
+      nextRenewMs = context.nowMs() + context.stepMs() / 2;
     }
   }
 
@@ -166,7 +166,7 @@
 
   private void writeRecord() {
     writeInFlight = true;
-    nextWriteMs = context.nowMs + context.stepMs() / 2;
+    nextWriteMs = context.nowMs() + context.stepMs() / 2;
     ImmutableList<String> batch = nextBatch();
     long underLease = storeLease;
     long ofGeneration = generation;
@@ -205,7 +205,7 @@
       recordedMachines.addAll(batch);
       batch.forEach(pendingMachines::remove);
     } else if (reply instanceof Reply.Refused refused && refused.status() == STATUS_LEASE_INVALID) {
-      nextRenewMs = context.nowMs;
+      nextRenewMs = context.nowMs();
       onLeaseLost();
     }
   }
--- a/src/main/java/eiderfork/controller/MachineConsolidation.java
+++ b/src/main/java/eiderfork/controller/MachineConsolidation.java
@@ -75,7 +75,7 @@
   private void cancelStuckDrains() {
     for (MachineState machine : fleet.machines()) {
       if (machine.lifecycle().isDraining()
-          && context.nowMs - machine.lifecycle().drainingSinceMs()
+          && context.nowMs() - machine.lifecycle().drainingSinceMs()
               > MAX_DRAIN_STEPS * context.stepMs()) {
         machine.lifecycle().abandonDraining();
       }
@@ -111,7 +111,7 @@
       if (!drainable.contains(machine)) {
         machine.lifecycle().clearDrainable();
       } else {
-        machine.lifecycle().markDrainable(context.nowMs);
+        machine.lifecycle().markDrainable(context.nowMs());
       }
     }
   }
@@ -120,7 +120,7 @@
     double bootMs = fleet.typeOf(machine).bootS() * MS_PER_S;
     double keptMs = bootMs * context.settings.operator().idleBootShare();
     return machine.lifecycle().drainableSinceMs() > 0
-        && context.nowMs - machine.lifecycle().drainableSinceMs() >= keptMs;
+        && context.nowMs() - machine.lifecycle().drainableSinceMs() >= keptMs;
   }
 
   /** The machines that may be drained, those first that save most. */
@@ -145,18 +145,18 @@
     return !machine.reservations().isEmpty()
         && fleet.typeOf(machine) != null
         && liveness.isSchedulable(machine)
-        && context.nowMs - machine.lifecycle().knownSinceMs() >= ScaleInPolicy.MIN_CHARGE_MS
+        && context.nowMs() - machine.lifecycle().knownSinceMs() >= ScaleInPolicy.MIN_CHARGE_MS
         && bin.free().equals(machine.freeCapacity())
         && bin.freeShare() >= 1 - MAX_USED_SHARE
         && machine.reservations().stream().allMatch(this::isSettledReplica);
   }
 
   private boolean isSettledReplica(Reservation reservation) {
-    return reservation.job.spec.kind() == JobKind.SERVICE
+    return reservation.job().spec().kind() == JobKind.SERVICE
         && reservation.isCommitted()
         && reservation.isDesired()
         && reservation.reportedState() == TaskStatus.State.RUNNING
-        && context.nowMs - reservation.runningSinceMs() > MIN_RUNNING_MS;
+        && context.nowMs() - reservation.runningSinceMs() > MIN_RUNNING_MS;
   }
 
   /** The machines of which all tasks fit elsewhere, all of them together. */
@@ -199,11 +199,11 @@
 
   private void drain(MachineState machine) {
     LOG.info("drain-started machine={} tasks={}", machine.name(), machine.reservations().size());
-    machine.lifecycle().beginDraining(context.nowMs);
+    machine.lifecycle().beginDraining(context.nowMs());
     machine.requestCommand();
     for (Reservation reservation : machine.reservations()) {
       reservation.requestStop();
-      jobs.refreshIndexes(reservation.job);
+      jobs.refreshIndexes(reservation.job());
     }
   }
 }
--- a/src/main/java/eiderfork/controller/MachineHintPublisher.java
+++ b/src/main/java/eiderfork/controller/MachineHintPublisher.java
@@ -69,10 +69,10 @@
 
   /** Sends the next batch where one is due; only a recovered leader does. */
   void tick() {
-    if (context.settings.operator().standbyCount() == 0 || context.nowMs < nextSendMs) {
+    if (context.settings.operator().standbyCount() == 0 || context.nowMs() < nextSendMs) {
       return;
     }
-    nextSendMs = context.nowMs + context.stepMs();
+    nextSendMs = context.nowMs() + context.stepMs();
     if (store.writeWaitMs(RequestPriority.BATCH) > context.stepMs() || fleet.machines().isEmpty()) {
       return;
     }
@@ -124,7 +124,7 @@
   private MachineHint hint(MachineState machine) {
     List<MachineHint.ImageHint> images = new ArrayList<>();
     for (Map.Entry<String, Double> image : machine.images().sizesGb().entrySet()) {
-      long readyInMs = machine.images().remainingFetchMs(image.getKey(), context.nowMs);
+      long readyInMs = machine.images().remainingFetchMs(image.getKey(), context.nowMs());
       images.add(new MachineHint.ImageHint(image.getKey(), image.getValue(), readyInMs));
     }
     int from = Math.max(0, images.size() - MAX_IMAGES_PER_MACHINE);
--- a/src/main/java/eiderfork/controller/MachineKindSelector.java
+++ b/src/main/java/eiderfork/controller/MachineKindSelector.java
@@ -1,9 +1,9 @@
 package eiderfork.controller;
 
 import eiderfork.config.Settings.Objective;
-import eiderfork.controller.CloudProvisioner.MachineKind;
 import eiderfork.controller.context.ControllerContext;
 import eiderfork.model.Job;
+import eiderfork.model.MachineKind;
 import eiderfork.model.MachineType;
 import it.unimi.dsi.fastutil.objects.Object2IntMap;
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap;
@@ -100,7 +100,7 @@
 
   private boolean canRent(MachineKind kind) {
     return (!kind.spot() || context.settings.operator().isSpotAllowed())
-        && cloud.rents().isInStock(kind);
+        && cloud.scaleOut().isInStock(kind);
   }
 
   /** The price of one task on a full machine, with factors for slow fetches and late boots. */
--- a/src/main/java/eiderfork/controller/MachineListPoller.java
+++ b/src/main/java/eiderfork/controller/MachineListPoller.java
@@ -74,14 +74,14 @@
 
   /** Requests the next page where that is due and the budget allows it. */
   void requestIfDue() {
-    if (!isInFlight && context.nowMs >= nextRequestMs && callBudget.tryTake(1, context.nowMs)) {
+    if (!isInFlight && context.nowMs() >= nextRequestMs && callBudget.tryTake(1, context.nowMs())) {
       requestPage();
     }
   }
 
   private void requestPage() {
     if (listing == null || isOutdated(listing)) {
-      listing = new Listing(context.nowMs);
+      listing = new Listing(context.nowMs());
     }
     Listing current = listing;
     long timeoutMs = CloudProvisioner.callTimeoutMs(context);
@@ -97,13 +97,13 @@
   }
 
   private boolean isOutdated(Listing current) {
-    return context.nowMs - current.startedMs > MAX_LISTING_LAGS * context.cloudListLagMs();
+    return context.nowMs() - current.startedMs > MAX_LISTING_LAGS * context.cloudListLagMs();
   }
 
   private void onReply(Listing current, Reply reply) {
     if (!(reply instanceof Reply.Hosts page)) {
       // The pages that were read stay valid.
-      nextRequestMs = context.nowMs + backoff.nextPauseMs(context.random);
+      nextRequestMs = context.nowMs() + backoff.nextPauseMs(context.random);
       return;
     }
     boolean hasAdvanced = current.add(page);
@@ -115,7 +115,7 @@
   private void complete(Listing current) {
     listing = null;
     backoff.reset();
-    nextRequestMs = context.nowMs + context.cloudListLagMs() / 2;
+    nextRequestMs = context.nowMs() + context.cloudListLagMs() / 2;
     fleet.applyMachineList(current.entriesByName, current.startedMs);
     onListed.run();
     hasCompleteListing = true;
--- a/src/main/java/eiderfork/controller/MachineLiveness.java
+++ b/src/main/java/eiderfork/controller/MachineLiveness.java
@@ -38,19 +38,19 @@
   /** Whether the machine's newest heartbeat is recent enough that it is not silent. */
   boolean hasRecentHeartbeat(MachineState machine) {
     return machine.incarnation().lastHeartbeatMs() > 0
-        && context.nowMs - machine.incarnation().lastHeartbeatMs() <= heartbeatTimeoutMs();
+        && context.nowMs() - machine.incarnation().lastHeartbeatMs() <= heartbeatTimeoutMs();
   }
 
   /** How long ago the machine last sent a heartbeat or was answered in this term. */
   long sinceLastContactMs(MachineState machine) {
-    return context.nowMs
+    return context.nowMs()
         - Math.max(machine.incarnation().lastHeartbeatMs(), machine.incarnation().leaseStartMs());
   }
 
   /** Whether heartbeats arrive from the machine but commands do not reach it. */
   boolean isUnresponsive(MachineState machine) {
     return machine.commandChannel().unresponsiveSinceMs() > 0
-        && context.nowMs - machine.commandChannel().unresponsiveSinceMs() > heartbeatTimeoutMs();
+        && context.nowMs() - machine.commandChannel().unresponsiveSinceMs() > heartbeatTimeoutMs();
   }
 
   /**
@@ -67,7 +67,7 @@
   }
 
   private boolean mayLeaseHaveExpired(MachineState machine) {
-    return machine.incarnation().mayLeaseHaveExpired(context.nowMs, context.workerLeaseMs());
+    return machine.incarnation().mayLeaseHaveExpired(context.nowMs(), context.workerLeaseMs());
   }
 
   /**
--- a/src/main/java/eiderfork/controller/MachineRegistry.java
+++ b/src/main/java/eiderfork/controller/MachineRegistry.java
@@ -96,7 +96,7 @@
 
   /** A heartbeat of the machine is answered now, which may renew its worker's lease. */
   void renewLease(MachineState machine) {
-    machine.incarnation().renewLease(context.nowMs);
+    machine.incarnation().renewLease(context.nowMs());
     moveToEndOfLeaseOrder(machine);
   }
 
@@ -106,7 +106,7 @@
    * @return whether it is the first that arrived of its incarnation
    */
   boolean recordHeartbeat(MachineState machine, Heartbeat heartbeat) {
-    boolean firstOfSession = machine.recordHeartbeat(heartbeat, context.nowMs);
+    boolean firstOfSession = machine.recordHeartbeat(heartbeat, context.nowMs());
     if (firstOfSession) {
       moveToEndOfLeaseOrder(machine);
     }
@@ -122,7 +122,7 @@
   List<MachineState> withLeaseNotRenewedFor(long minAgeMs) {
     List<MachineState> found = new ArrayList<>(unseenInTerm);
     for (MachineState machine : byLeaseStart) {
-      if (context.nowMs - machine.incarnation().leaseStartMs() <= minAgeMs) {
+      if (context.nowMs() - machine.incarnation().leaseStartMs() <= minAgeMs) {
         break;
       }
       found.add(machine);
@@ -175,7 +175,7 @@
   }
 
   private MachineState register(String name) {
-    MachineState machine = new MachineState(name, ++lastNumber, indexes, context.nowMs);
+    MachineState machine = new MachineState(name, ++lastNumber, indexes, context.nowMs());
     byNumber.put(machine.number(), machine);
     indexes.add(machine);
     unseenInTerm.add(machine);
@@ -208,13 +208,13 @@
     indexes.remove(machine);
     unseenInTerm.remove(machine);
     byLeaseStart.remove(machine);
-    removedAtMs.put(machine.name(), context.nowMs);
+    removedAtMs.put(machine.name(), context.nowMs());
   }
 
   /** Bounds the number of remembered names. */
   private void forgetLongRemoved() {
     long keptMs = REMOVED_RETENTION_LEASES * context.workerLeaseMs();
-    removedAtMs.values().removeIf(since -> context.nowMs - since > keptMs);
+    removedAtMs.values().removeIf(since -> context.nowMs() - since > keptMs);
   }
 
   /** Settles all reservations of a machine on which none of their tasks runs or can start. */
@@ -251,7 +251,7 @@
   private void applyListed(ListedMachine entry, long describesMs) {
     MachineState machine = getOrRegister(entry.machine());
     boolean hasHeartbeat = machine.lastHeartbeat() != null;
-    machine.lifecycle().onListed(entry, hasHeartbeat, describesMs, context.nowMs);
+    machine.lifecycle().onListed(entry, hasHeartbeat, describesMs, context.nowMs());
     if (entry.state() == ListedMachine.State.FAILED) {
       settleReservations(machine);
       machine.failures().markFaulty();
--- a/src/main/java/eiderfork/controller/MachineScorer.java
+++ b/src/main/java/eiderfork/controller/MachineScorer.java
@@ -33,7 +33,7 @@
       JobState job) {
     this.imageFetch = imageFetch;
     this.cpusPerGpu = cpusPerGpu;
-    spec = job.spec;
+    spec = job.spec();
     avoidsSpot = deadlines.hasNoTimeForRerun(job);
     double objectiveS = context.settings.shortestObjectiveS(Objective.Kind.WAIT, spec.jobClass());
     imageStepS = Math.min(context.stepS(), objectiveS * IMAGE_STEP_SHARE);
--- a/src/main/java/eiderfork/controller/MachineSearch.java
+++ b/src/main/java/eiderfork/controller/MachineSearch.java
@@ -68,7 +68,7 @@
       isSampled = false;
       return;
     }
-    List<MachineState> machines = capacity.candidates(job.spec, zones);
+    List<MachineState> machines = capacity.candidates(job.spec(), zones);
     int sampleSize = SAMPLED_MACHINES_PER_TASK * job.pendingTaskCount();
     isSampled = capacity.examinedMachines() > maxExaminations && machines.size() > sampleSize;
     if (isSampled) {
@@ -80,10 +80,10 @@
   }
 
   private void removeFailedZones(Set<String> zones) {
-    zones.removeIf(zone -> capacity.failedSearches().isRuledOut(job.spec, zone));
+    zones.removeIf(zone -> capacity.failedSearches().isRuledOut(job.spec(), zone));
     if (constraints.isRestricted()) {
       FailedSearchCache restricted = capacity.failedRestrictedSearches(constraints);
-      zones.removeIf(zone -> restricted.isRuledOut(job.spec, zone));
+      zones.removeIf(zone -> restricted.isRuledOut(job.spec(), zone));
     }
   }
 
@@ -98,20 +98,20 @@
   private void recordFailures(Set<String> zones) {
     for (String zone : zones) {
       if (!zonesWithCapacity.contains(zone)) {
-        capacity.failedSearches().recordFailure(job.spec, zone);
+        capacity.failedSearches().recordFailure(job.spec(), zone);
       }
     }
     if (constraints.isRestricted() && candidates.isEmpty()) {
       FailedSearchCache restricted = capacity.failedRestrictedSearches(constraints);
-      zones.forEach(zone -> restricted.recordFailure(job.spec, zone));
+      zones.forEach(zone -> restricted.recordFailure(job.spec(), zone));
     }
   }
 
   private void examine(MachineState machine) {
     capacity.countExamined();
     Resources free = capacity.freeOn(machine);
-    if (!job.spec.taskResources().fitsIn(free)
-        || !PlacementConstraints.isMachineAllowed(job.spec, machine)) {
+    if (!job.spec().taskResources().fitsIn(free)
+        || !PlacementConstraints.isMachineAllowed(job.spec(), machine)) {
       return;
     }
     if (!capacity.isUsable(machine)) {
@@ -131,7 +131,7 @@
 
   private boolean fitsIn(MachineState machine) {
     Resources free = capacity.freeOn(machine, job, constraints.excludesReclaimed());
-    return job.spec.taskResources().fitsIn(free);
+    return job.spec().taskResources().fitsIn(free);
   }
 
   /**
--- a/src/main/java/eiderfork/controller/MachineState.java
+++ b/src/main/java/eiderfork/controller/MachineState.java
@@ -3,6 +3,7 @@
 import com.google.common.collect.ImmutableList;
 import eiderfork.model.Heartbeat;
 import eiderfork.model.Machine;
+import eiderfork.model.MachineKind;
 import eiderfork.model.MachineType;
 import eiderfork.model.Resources;
 import eiderfork.model.TaskStatus;
@@ -173,7 +174,7 @@
   }
 
   /** Records what the provisioning request says; the address follows with a heartbeat or list. */
-  void onProvisioned(CloudProvisioner.MachineKind kind, MachineType type) {
+  void onProvisioned(MachineKind kind, MachineType type) {
     spec = new Machine(name, null, kind.type(), kind.zone(), kind.spot());
     updateCapacity(type == null ? null : type.capacity());
   }
@@ -214,7 +215,7 @@
   /** Reserves capacity for a task. */
   void addReservation(Reservation reservation) {
     if (reservations.add(reservation)) {
-      reservedCapacity = reservedCapacity.plus(reservation.job.spec.taskResources());
+      reservedCapacity = reservedCapacity.plus(reservation.job().spec().taskResources());
       updateFreeCapacity();
     }
   }
@@ -226,7 +227,7 @@
       reservedCapacity =
           reservations.isEmpty()
               ? Resources.NONE
-              : reservedCapacity.minus(reservation.job.spec.taskResources());
+              : reservedCapacity.minus(reservation.job().spec().taskResources());
       updateFreeCapacity();
       indexes.capacityIndex().capacityIncreased(this);
     }
--- a/src/main/java/eiderfork/controller/MachineTypePoller.java
+++ b/src/main/java/eiderfork/controller/MachineTypePoller.java
@@ -50,7 +50,7 @@
 
   /** Requests the types where that is due and the budget allows it. */
   void requestIfDue() {
-    if (!isInFlight && context.nowMs >= nextRequestMs && callBudget.tryTake(1, context.nowMs)) {
+    if (!isInFlight && context.nowMs() >= nextRequestMs && callBudget.tryTake(1, context.nowMs())) {
       request();
     }
   }
@@ -64,7 +64,7 @@
           if (reply instanceof Reply.Types types) {
             onTypes(types);
           } else {
-            nextRequestMs = context.nowMs + backoff.nextPauseMs(context.random);
+            nextRequestMs = context.nowMs() + backoff.nextPauseMs(context.random);
           }
         });
   }
@@ -73,7 +73,7 @@
     backoff.reset();
     boolean isFirst = fleet.types().isEmpty();
     fleet.updateTypes(types.types());
-    nextRequestMs = context.nowMs + REFRESH_LAGS * context.cloudListLagMs();
+    nextRequestMs = context.nowMs() + REFRESH_LAGS * context.cloudListLagMs();
     if (isFirst || !isStored) {
       storeTypes();
     }
--- a/src/main/java/eiderfork/controller/PackingDemand.java
+++ b/src/main/java/eiderfork/controller/PackingDemand.java
@@ -1,7 +1,7 @@
 package eiderfork.controller;
 
-import eiderfork.controller.CloudProvisioner.MachineKind;
 import eiderfork.model.Job;
+import eiderfork.model.MachineKind;
 import eiderfork.model.Resources;
 import java.util.Map;
 
--- a/src/main/java/eiderfork/controller/PeerMonitor.java
+++ b/src/main/java/eiderfork/controller/PeerMonitor.java
@@ -44,15 +44,15 @@
     this.version = version;
     // The first ping loads Avro, which is slow on a small core: election and first replies go
     // first.
-    nextPingMs = context.nowMs + context.stepMs() * 5 / 2;
+    nextPingMs = context.nowMs() + context.stepMs() * 5 / 2;
   }
 
   /** Pings every peer that has replied to the last ping, with the status that is for it. */
   void tick(Function<String, PeerStatus> statusFor) {
-    if (context.nowMs < nextPingMs) {
+    if (context.nowMs() < nextPingMs) {
       return;
     }
-    nextPingMs = context.nowMs + context.stepMs();
+    nextPingMs = context.nowMs() + context.stepMs();
     for (String node : context.settings.peerEndpoints().keySet()) {
       if (!pingPending.getOrDefault(node, false)) {
         ping(node, statusFor.apply(node));
@@ -62,7 +62,7 @@
 
   private void ping(String node, PeerStatus ownStatus) {
     pingPending.put(node, true);
-    long requestedMs = context.nowMs;
+    long requestedMs = context.nowMs();
     context.call(
         callId -> new Effect.PingPeer(callId, node, ownStatus, context.stepMs()),
         reply -> {
@@ -88,7 +88,7 @@
     if (!settings.peerEndpoints().containsKey(status.node())) {
       return;
     }
-    lastStatuses.put(status.node(), new ReceivedStatus(status, context.nowMs));
+    lastStatuses.put(status.node(), new ReceivedStatus(status, context.nowMs()));
     cancellations.receive(status.node(), status.cancellations());
     version.recordUnsolicited(status.node(), status.version());
     if (status.leading()) {
@@ -105,7 +105,7 @@
       termAcknowledgedMs.clear();
     }
     if (status.node().equals(node) && status.term() >= acknowledgedTerm) {
-      termAcknowledgedMs.putIfAbsent(node, context.nowMs);
+      termAcknowledgedMs.putIfAbsent(node, context.nowMs());
     }
   }
 
@@ -124,7 +124,7 @@
 
   private boolean isFresh(ReceivedStatus received) {
     return received != null
-        && context.nowMs - received.receivedMs <= context.stepMs() * MAX_STATUS_AGE_STEPS;
+        && context.nowMs() - received.receivedMs <= context.stepMs() * MAX_STATUS_AGE_STEPS;
   }
 
   @Override
--- a/src/main/java/eiderfork/controller/PlacementConstraints.java
+++ b/src/main/java/eiderfork/controller/PlacementConstraints.java
@@ -15,7 +15,7 @@
   static Map<String, Integer> countTasksByZone(JobState job) {
     Map<String, Integer> tasksByZone = new HashMap<>();
     for (Reservation reservation : job.reservations().values()) {
-      tasksByZone.merge(reservation.machine.zone(), 1, Integer::sum);
+      tasksByZone.merge(reservation.machine().zone(), 1, Integer::sum);
     }
     return tasksByZone;
   }
--- a/src/main/java/eiderfork/controller/PlannableMachines.java
+++ b/src/main/java/eiderfork/controller/PlannableMachines.java
@@ -1,6 +1,6 @@
 package eiderfork.controller;
 
-import eiderfork.controller.CloudProvisioner.MachineKind;
+import eiderfork.model.MachineKind;
 import eiderfork.model.MachineType;
 import eiderfork.model.StoredRecord;
 import java.util.ArrayList;
@@ -55,7 +55,7 @@
   }
 
   private void addOpenRents(List<Bin> bins) {
-    for (StoredRecord.ScaleOutIntent rent : cloud.rents().openRents()) {
+    for (StoredRecord.ScaleOutIntent rent : cloud.scaleOut().openRents()) {
       MachineType type = fleet.types().get(rent.type());
       if (type == null) {
         continue;
--- a/src/main/java/eiderfork/controller/PreemptionBudget.java
+++ b/src/main/java/eiderfork/controller/PreemptionBudget.java
@@ -18,13 +18,13 @@
 
   /** Whether victims may be searched for now. */
   boolean isAvailable() {
-    return context.nowMs >= notBeforeMs;
+    return context.nowMs() >= notBeforeMs;
   }
 
   /** Accounts for the machines that a round has examined for victims. */
   void charge(int examinedMachines) {
     long pauseMs = (long) (examinedMachines / maxExaminationsPerStep * context.stepMs());
-    notBeforeMs = Math.max(notBeforeMs, context.nowMs + pauseMs);
+    notBeforeMs = Math.max(notBeforeMs, context.nowMs() + pauseMs);
   }
 
   /** Forgets the searches of a term that is over. */
--- a/src/main/java/eiderfork/controller/PreemptionCosts.java
+++ b/src/main/java/eiderfork/controller/PreemptionCosts.java
@@ -29,12 +29,14 @@
 
   /** How long the task has run; 0 where it was not seen running. */
   double runS(Reservation task) {
-    return task.runningSinceMs() == 0 ? 0 : (context.nowMs - task.runningSinceMs()) / 1000.0;
+    return task.runningSinceMs() == 0 ? 0 : (context.nowMs() - task.runningSinceMs()) / 1000.0;
   }
 
   /** What it costs if the job misses a deadline because the task has to run again; else 0. */
   double missedDeadlineS(Reservation task) {
-    return deadlines.isLateIfRerun(task) ? task.job.spec.estimatedRunS() * MISSED_DEADLINE_RUNS : 0;
+    return deadlines.isLateIfRerun(task)
+        ? task.job().spec().estimatedRunS() * MISSED_DEADLINE_RUNS
+        : 0;
   }
 
   /**
@@ -48,8 +50,8 @@
 
   private static double gangTasksPerTaskOnMachine(Reservation task) {
     long onMachine =
-        task.machine.reservations().stream().filter(other -> other.job == task.job).count();
-    return task.job.spec.tasks() / (double) onMachine;
+        task.machine().reservations().stream().filter(other -> other.job() == task.job()).count();
+    return task.job().spec().tasks() / (double) onMachine;
   }
 
   /** The size by which the cost of a job's task is weighted. */
--- a/src/main/java/eiderfork/controller/PreemptionOptionFinder.java
+++ b/src/main/java/eiderfork/controller/PreemptionOptionFinder.java
@@ -37,7 +37,7 @@
   /** The cheapest option on a machine, or null where no task of the job can be made to fit. */
   PreemptionOption find(PreemptionRequest request, MachineState machine) {
     JobState job = request.job();
-    Resources demand = job.spec.taskResources();
+    Resources demand = job.spec().taskResources();
     examinedMachines++;
     capacity.countExamined();
     migrations.beginOption();
@@ -49,7 +49,7 @@
         break;
       }
       if (include(request, candidate)) {
-        free = free.plus(candidate.reservation().job.spec.taskResources());
+        free = free.plus(candidate.reservation().job().spec().taskResources());
         victims.add(candidate);
       }
     }
@@ -57,7 +57,7 @@
       return null;
     }
     dropUnneeded(demand, victims, free);
-    return new PreemptionOption(machine, victims, cost(job.spec, machine, victims));
+    return new PreemptionOption(machine, victims, cost(job.spec(), machine, victims));
   }
 
   /** The free capacity once all has ended that is being stopped already. */
@@ -66,7 +66,7 @@
     Resources free = capacity.freeOn(machine, job, policy.isBorrowing(job));
     for (Reservation reservation : machine.reservations()) {
       if (policy.isFreeingCapacity(reservation)) {
-        free = free.plus(reservation.job.spec.taskResources());
+        free = free.plus(reservation.job().spec().taskResources());
       }
     }
     return free;
@@ -97,7 +97,7 @@
             : null;
     double cost =
         choice == null
-            ? migrations.cost(job.spec, reservation, !request.canPreemptTasks())
+            ? migrations.cost(job.spec(), reservation, !request.canPreemptTasks())
             : choice.cost();
     return new Victim(reservation, choice, cost);
   }
@@ -112,7 +112,7 @@
   private static void dropUnneeded(Resources demand, List<Victim> victims, Resources free) {
     Resources left = free;
     for (Victim victim : List.copyOf(victims)) {
-      Resources without = left.minus(victim.reservation().job.spec.taskResources());
+      Resources without = left.minus(victim.reservation().job().spec().taskResources());
       if (demand.fitsIn(without)) {
         left = without;
         victims.remove(victim);
--- a/src/main/java/eiderfork/controller/PreemptionPlanner.java
+++ b/src/main/java/eiderfork/controller/PreemptionPlanner.java
@@ -85,7 +85,7 @@
    * @return whether capacity is being freed for all tasks
    */
   boolean preemptForGang(JobState job, Map<String, Integer> tasksByZone) {
-    int wanted = job.spec.tasks();
+    int wanted = job.spec().tasks();
     InfeasiblePreemptions.Snapshot infeasibleBefore = infeasible.snapshot();
     if (preemptUnconfirmed(job, wanted, tasksByZone, PreemptionRequest.ANY_IMAGE_WAIT_S)
         == wanted) {
@@ -112,7 +112,7 @@
 
   private int preemptUnconfirmed(
       JobState job, int wanted, Map<String, Integer> tasksByZone, double maxImageWaitS) {
-    if (job.spec.kind() == JobKind.ARRAY && !policy.canPreemptForArray(job)) {
+    if (job.spec().kind() == JobKind.ARRAY && !policy.canPreemptForArray(job)) {
       return 0;
     }
     int maxTasks = policy.maxTasks(job, wanted);
@@ -155,7 +155,7 @@
     for (MachineState machine : capacity.usableMachines()) {
       if (zones.contains(machine.zone())
           && capacity.isAllowed(job, machine, tasksByZone)
-          && imageFetch.waitS(job.spec, machine) <= request.maxImageWaitS()) {
+          && imageFetch.waitS(job.spec(), machine) <= request.maxImageWaitS()) {
         addIfPresent(options, finder.find(request, machine));
       }
     }
@@ -195,16 +195,16 @@
       LOG.info(
           "replica-migration task={} attempt={} machine={} preemptor={}",
           replica.toAttempt().task(),
-          replica.attempt,
+          replica.attempt(),
           machine.name(),
-          job.spec.uid());
+          job.spec().uid());
       jobs.requestStop(replica);
       machine.requestCommand();
       unconfirmedMigrations.add(replica);
     }
     policy.preempt(job, machine, option.preemptedTasks());
     long untilMs =
-        context.nowMs
+        context.nowMs()
             + CLAIM_DURATION_STEPS * context.stepMs()
             + Math.round(option.delayS() * 1000);
     capacity.addClaim(new CapacityClaim(job, machine, untilMs));
@@ -215,7 +215,7 @@
       PreemptionRequest request, Set<String> zones, Map<String, Integer> tasksByZone) {
     JobState job = request.job();
     // A job that avoids machines on which it failed proves nothing about other jobs.
-    if (job.failureHistory.failedMachines().isEmpty()) {
+    if (job.failureHistory().failedMachines().isEmpty()) {
       zones.retainAll(capacity.eligibleZones(job, tasksByZone));
       zones.forEach(zone -> infeasible.add(request, zone));
     }
--- a/src/main/java/eiderfork/controller/PriorityPreemptionPolicy.java
+++ b/src/main/java/eiderfork/controller/PriorityPreemptionPolicy.java
@@ -65,9 +65,10 @@
   @Override
   public Choice evaluate(
       JobState preemptor, Reservation reservation, VictimPreference maxPreference) {
-    Job spec = reservation.job.spec;
+    Job spec = reservation.job().spec();
     boolean isPreemptible =
-        spec.kind() != JobKind.SERVICE && spec.priority().compareTo(preemptor.spec.priority()) > 0;
+        spec.kind() != JobKind.SERVICE
+            && spec.priority().compareTo(preemptor.spec().priority()) > 0;
     if (!isPreemptible) {
       return null;
     }
@@ -77,21 +78,21 @@
   }
 
   private double lostWorkS(Reservation reservation) {
-    if (reservation.job.gang != null) {
+    if (reservation.job().gang() != null) {
       return gangLostWorkS(reservation);
     }
     if (!PreemptionCosts.isKnownRunning(reservation)) {
       return 0;
     }
     double runS = costs.runS(reservation);
-    double checkpointIntervalS = reservation.job.spec.checkpointIntervalS();
+    double checkpointIntervalS = reservation.job().spec().checkpointIntervalS();
     double sinceCheckpointS = checkpointIntervalS > 0 ? Math.min(runS, checkpointIntervalS) : runS;
     return sinceCheckpointS + costs.missedDeadlineS(reservation);
   }
 
   /** A gang saves first if it can; one that can't save loses all that it did. */
   private double gangLostWorkS(Reservation reservation) {
-    Job spec = reservation.job.spec;
+    Job spec = reservation.job().spec();
     double lostS = spec.checkpointIntervalS() > 0 ? spec.saveDurationS() : costs.runS(reservation);
     return costs.gangShareS(reservation, lostS);
   }
@@ -104,7 +105,7 @@
   @Override
   public void preempt(JobState preemptor, MachineState machine, List<Choice> choices) {
     for (Choice choice : choices) {
-      PreemptionLog.logVictim(preemptor.spec, choice);
+      PreemptionLog.logVictim(preemptor.spec(), choice);
       jobs.requestStop(choice.task());
       machine.requestCommand();
       unconfirmed.add(choice.task());
--- a/src/main/java/eiderfork/controller/ProvisioningRequests.java
+++ b/src/main/java/eiderfork/controller/ProvisioningRequests.java
@@ -101,7 +101,7 @@
   /** Makes the calls that are due, as far as the budget goes. */
   final void sendDue() {
     for (R request : openRequests()) {
-      if (request.isDue(context.nowMs) && callBudget.tryTake(1, context.nowMs)) {
+      if (request.isDue(context.nowMs()) && callBudget.tryTake(1, context.nowMs())) {
         send(request);
       }
     }
--- a/src/main/java/eiderfork/controller/QueueOrder.java
+++ b/src/main/java/eiderfork/controller/QueueOrder.java
@@ -42,11 +42,11 @@
    * @param maxWaitingTasks the most pending tasks of any array
    */
   long queueTimeMs(JobState job, int maxWaitingTasks) {
-    if (job.spec.kind() == JobKind.SERVICE) {
-      return job.firstSeenMs;
+    if (job.spec().kind() == JobKind.SERVICE) {
+      return job.firstSeenMs();
     }
-    if (job.spec.deadlineS() == null) {
-      return job.firstSeenMs + yieldMs(job, maxWaitingTasks);
+    if (job.spec().deadlineS() == null) {
+      return job.firstSeenMs() + yieldMs(job, maxWaitingTasks);
     }
     OptionalLong latestStartMs = deadlines.latestStartMs(job);
     return latestStartMs.isPresent() ? latestStartMs.getAsLong() : lateQueueTimeMs(job);
@@ -54,11 +54,11 @@
 
   /** How long an array yields to smaller ones, which are done sooner and delay it less. */
   private long yieldMs(JobState job, int maxWaitingTasks) {
-    if (job.spec.kind() != JobKind.ARRAY) {
+    if (job.spec().kind() != JobKind.ARRAY) {
       return 0;
     }
     double objectiveS =
-        context.settings.shortestObjectiveS(Objective.Kind.FINISHED, job.spec.jobClass());
+        context.settings.shortestObjectiveS(Objective.Kind.FINISHED, job.spec().jobClass());
     double yieldS = objectiveS == Double.MAX_VALUE ? 0 : objectiveS * SMALLER_ARRAYS_FIRST_SHARE;
     double size = job.pendingTaskCount() / (double) maxWaitingTasks;
     return toMs(yieldS * size);
@@ -68,8 +68,8 @@
   private long lateQueueTimeMs(JobState job) {
     boolean hasBegun = job.lastAttempt() > 0;
     double maxWaitMs = MAX_START_DELAY_MS * (hasBegun ? 1 : OVERDUE_SHARE);
-    boolean isOverdue = context.nowMs - job.firstSeenMs >= maxWaitMs;
-    return job.firstSeenMs + (isOverdue ? 0 : LAST_IN_RANK_OFFSET_MS);
+    boolean isOverdue = context.nowMs() - job.firstSeenMs() >= maxWaitMs;
+    return job.firstSeenMs() + (isOverdue ? 0 : LAST_IN_RANK_OFFSET_MS);
   }
 
   private static long toMs(double seconds) {
--- a/src/main/java/eiderfork/controller/QuotaBorrowing.java
+++ b/src/main/java/eiderfork/controller/QuotaBorrowing.java
@@ -81,10 +81,10 @@
     if (canReclaim) {
       return;
     }
-    firstTickMs = firstTickMs == 0 ? context.nowMs : firstTickMs;
+    firstTickMs = firstTickMs == 0 ? context.nowMs() : firstTickMs;
     boolean isAnyUnseen =
         fleet.indexes().anyAwaitingToken(number -> !fleet.get(number).reservations().isEmpty());
-    canReclaim = !isAnyUnseen || context.nowMs - firstTickMs > liveness.heartbeatTimeoutMs();
+    canReclaim = !isAnyUnseen || context.nowMs() - firstTickMs > liveness.heartbeatTimeoutMs();
   }
 
   /** Whether the job's next task, or its whole gang, would exceed its team's guarantee. */
--- a/src/main/java/eiderfork/controller/QuotaPreemptionPlans.java
+++ b/src/main/java/eiderfork/controller/QuotaPreemptionPlans.java
@@ -24,7 +24,7 @@
 
   /** The cheapest way to preempt a task for a job that may wait this long for a checkpoint. */
   PreemptionPlan planFor(Reservation task, double maxCheckpointWaitS) {
-    Job spec = task.job.spec;
+    Job spec = task.job().spec();
     if (spec.kind() == JobKind.SERVICE) {
       // It does not serve until a machine was booted for it, whether it serves already or not.
       return new PreemptionPlan(PreemptionMode.AT_ONCE, 0, fleet.longestBootMs(spec) / 1000);
@@ -43,9 +43,11 @@
   /** The cost of a plan; it grows with each reclaim of the task, so that reclaims are spread. */
   double costOf(Reservation task, PreemptionPlan plan) {
     double costS = plan.costS() + costs.missedDeadlineS(task);
-    if (task.job.gang != null) {
+    if (task.job().gang() != null) {
       costS = costs.gangShareS(task, costS);
     }
-    return costS * costs.weight(task.job.spec) * (1 + task.job.reclaims().count(task.taskIndex));
+    return costS
+        * costs.weight(task.job().spec())
+        * (1 + task.job().reclaims().count(task.taskIndex()));
   }
 }
--- a/src/main/java/eiderfork/controller/QuotaPreemptionPolicy.java
+++ b/src/main/java/eiderfork/controller/QuotaPreemptionPolicy.java
@@ -85,7 +85,7 @@
   /** No more than the team's limit leaves beside the capacity that is claimed for it already. */
   @Override
   public int maxTasks(JobState job, int wanted) {
-    Job spec = job.spec;
+    Job spec = job.spec();
     Team team = context.settings.teams().get(spec.team());
     if (team == null || !canReclaim) {
       return 0;
@@ -131,8 +131,8 @@
     }
     long marginMs = CommandBuilder.CHECKPOINT_MARGIN_STEPS * context.stepMs();
     return !reservation.isDesired()
-        && borrowedCapacity.isResponsive(reservation.machine)
-        && !reservation.isSaveOverdue(context.nowMs, marginMs);
+        && borrowedCapacity.isResponsive(reservation.machine())
+        && !reservation.isSaveOverdue(context.nowMs(), marginMs);
   }
 
   @Override
@@ -142,7 +142,7 @@
 
   @Override
   public Choice evaluate(JobState job, Reservation reservation, VictimPreference maxPreference) {
-    boolean isReplica = reservation.job.spec.kind() == JobKind.SERVICE;
+    boolean isReplica = reservation.job().spec().kind() == JobKind.SERVICE;
     if (isReplica && maxPreference != VictimPreference.BORROWED_REPLICA) {
       return null;
     }
@@ -172,7 +172,7 @@
   }
 
   private static PreemptionVictim victimOf(Reservation reservation) {
-    Job spec = reservation.job.spec;
+    Job spec = reservation.job().spec();
     return new PreemptionVictim(
         new TeamId(spec.team()),
         spec.kind(),
@@ -183,7 +183,7 @@
   @Override
   public boolean include(JobState job, Choice choice, VictimPreference maxPreference) {
     Reservation reservation = choice.task();
-    if (trialLedger.includesGang(reservation.job)) {
+    if (trialLedger.includesGang(reservation.job())) {
       return true;
     }
     // The first victim was evaluated with the same ledger already.
@@ -214,7 +214,7 @@
       deferredPreemptions.preemptAfterCheckpoint(reservation, job, plan.delayS());
       return;
     }
-    if (reservation.job.gang == null && plan.mode() == PreemptionMode.AT_ONCE) {
+    if (reservation.job().gang() == null && plan.mode() == PreemptionMode.AT_ONCE) {
       reservation.skipSave();
     }
     jobs.requestStop(reservation);
@@ -225,10 +225,10 @@
   public void confirm(JobState job) {
     for (Choice choice : unconfirmed) {
       Reservation reservation = choice.task();
-      reservation.job.reclaims().record(reservation.taskIndex, context.nowMs);
-      borrowedCapacity.recordReclaim(reservation, job.spec);
+      reservation.job().reclaims().record(reservation.taskIndex(), context.nowMs());
+      borrowedCapacity.recordReclaim(reservation, job.spec());
       usageLog.countPreemption();
-      PreemptionLog.logVictim(job.spec, choice);
+      PreemptionLog.logVictim(job.spec(), choice);
     }
     unconfirmed.clear();
   }
--- a/src/main/java/eiderfork/controller/QuotaUsageLog.java
+++ b/src/main/java/eiderfork/controller/QuotaUsageLog.java
@@ -46,10 +46,10 @@
 
   /** Logs the usage of teams and the counts, once the interval is over. */
   void logIfDue(Supplier<List<TeamUsage>> usages) {
-    if (context.nowMs < nextLogMs) {
+    if (context.nowMs() < nextLogMs) {
       return;
     }
-    nextLogMs = context.nowMs + LOG_INTERVAL_MS;
+    nextLogMs = context.nowMs() + LOG_INTERVAL_MS;
     usages.get().forEach(QuotaUsageLog::logUsage);
     LOG.info("quota-preemptions count={} refusals={}", preemptions, refusals);
     clear();
--- a/src/main/java/eiderfork/controller/ReplicaMigration.java
+++ b/src/main/java/eiderfork/controller/ReplicaMigration.java
@@ -88,12 +88,12 @@
    * @param forImage whether the job has capacity elsewhere, where its image comes too late
    */
   double cost(Job job, Reservation replica, boolean forImage) {
-    Job spec = replica.job.spec;
+    Job spec = replica.job().spec();
     boolean isMovable =
         spec.kind() == JobKind.SERVICE
             && (spec.taskResources().gpus() <= 0 || forImage && isGpuReplicaMovable(job, replica))
             && replica.reportedState() == TaskStatus.State.RUNNING
-            && isSmaller(spec, job, replica.machine)
+            && isSmaller(spec, job, replica.machine())
             && runMs(replica) > MIN_RUN_STEPS * context.stepMs();
     return isMovable
         ? MIGRATION_STEPS * context.stepS() * cpusPerGpu.gpuWeight(spec.taskResources())
@@ -101,7 +101,7 @@
   }
 
   private boolean isGpuReplicaMovable(Job job, Reservation replica) {
-    return replica.job.spec.priority().compareTo(job.priority()) > 0
+    return replica.job().spec().priority().compareTo(job.priority()) > 0
         && runMs(replica) > MachineConsolidation.MIN_RUNNING_MS;
   }
 
@@ -111,12 +111,12 @@
   }
 
   private long runMs(Reservation replica) {
-    return context.nowMs - replica.runningSinceMs();
+    return context.nowMs() - replica.runningSinceMs();
   }
 
   /** Proposes a machine for a replica to migrate to; whether there is one. */
   boolean reserveTarget(Reservation replica) {
-    Job spec = replica.job.spec;
+    Job spec = replica.job().spec();
     MigrationTargets zoneTargets = targetsFor(replica);
     for (int i = zoneTargets.firstNotFull; i < zoneTargets.machines.size(); i++) {
       MachineState machine = zoneTargets.machines.get(i);
@@ -131,7 +131,7 @@
         continue;
       }
       Resources proposed = proposedMigrations.getOrDefault(machine, Resources.NONE);
-      if (machine != replica.machine && canAccept(spec, free.minus(proposed))) {
+      if (machine != replica.machine() && canAccept(spec, free.minus(proposed))) {
         proposedMigrations.merge(machine, spec.taskResources(), Resources::plus);
         return true;
       }
@@ -141,10 +141,10 @@
 
   private MigrationTargets targetsFor(Reservation replica) {
     return targets
-        .computeIfAbsent(replica.job.profile, profile -> new HashMap<>())
+        .computeIfAbsent(replica.job().profile(), profile -> new HashMap<>())
         .computeIfAbsent(
-            replica.machine.zone(),
-            zone -> new MigrationTargets(capacity.candidates(replica.job.spec, Set.of(zone))));
+            replica.machine().zone(),
+            zone -> new MigrationTargets(capacity.candidates(replica.job().spec(), Set.of(zone))));
   }
 
   private boolean isTarget(Job spec, MachineState machine, Resources free) {
--- a/src/main/java/eiderfork/controller/Reservation.java
+++ b/src/main/java/eiderfork/controller/Reservation.java
@@ -6,10 +6,10 @@
 
 /** A task's reservation on a machine, from the round that proposes it until it is settled. */
 final class Reservation {
-  final JobState job;
-  final int taskIndex;
-  final long attempt;
-  final MachineState machine;
+  private final JobState job;
+  private final int taskIndex;
+  private final long attempt;
+  private final MachineState machine;
 
   private boolean committed;
   private boolean stopping;
@@ -27,9 +27,29 @@
     this.machine = machine;
   }
 
+  /** The job of the reserved task. */
+  JobState job() {
+    return job;
+  }
+
+  /** The task's number in its job. */
+  int taskIndex() {
+    return taskIndex;
+  }
+
+  /** The number of the attempt. */
+  long attempt() {
+    return attempt;
+  }
+
+  /** The machine that the task is reserved on. */
+  MachineState machine() {
+    return machine;
+  }
+
   /** The attempt as workers know it. */
   Attempt toAttempt() {
-    return new Attempt(new TaskId(job.spec.uid(), taskIndex), attempt);
+    return new Attempt(new TaskId(job.spec().uid(), taskIndex), attempt);
   }
 
   /** Whether the reservation is in the store; no command is sent before. */
@@ -60,7 +80,7 @@
     if (reportedState == null || reportedState == TaskStatus.State.ENDED) {
       return false;
     }
-    return job.gang == null
+    return job.gang() == null
         || reportedState != TaskStatus.State.FETCHING
             && reportedState != TaskStatus.State.WAITING_FOR_GANG;
   }
@@ -149,7 +169,7 @@
 
   /** Whether the task has been saving for longer than it should take, and this much longer. */
   boolean isSaveOverdue(long nowMs, long marginMs) {
-    long saveMs = (long) (job.spec.saveDurationS() * 1000);
+    long saveMs = (long) (job.spec().saveDurationS() * 1000);
     return savingSinceMs > 0 && nowMs - savingSinceMs > saveMs + marginMs;
   }
 }
--- a/src/main/java/eiderfork/controller/ReservationReconciler.java
+++ b/src/main/java/eiderfork/controller/ReservationReconciler.java
@@ -61,7 +61,7 @@
   private void reconcileLiveTask(MachineState machine, Reservation reservation, TaskStatus task) {
     reconcileImage(machine, reservation, task);
     reservation.onStateReported(task.state());
-    if (reservation.job.gang != null) {
+    if (reservation.job().gang() != null) {
       reconcileGang(machine, reservation);
     } else if (reservation.reportedState() == TaskStatus.State.CHECKPOINTING
         && context.settings.operator().isLendingEnabled()) {
@@ -71,11 +71,11 @@
 
   /** A new leader learns from the tasks which images a machine has. */
   private void reconcileImage(MachineState machine, Reservation reservation, TaskStatus task) {
-    String image = reservation.job.spec.image();
+    String image = reservation.job().spec().image();
     if (task.state() == TaskStatus.State.RUNNING && reservation.runningSinceMs() == 0) {
-      reservation.onRunningReported(context.nowMs);
+      reservation.onRunningReported(context.nowMs());
       recordImageUse(machine, reservation);
-      machine.images().recordReadyTime(image, context.nowMs);
+      machine.images().recordReadyTime(image, context.nowMs());
     }
     if (task.state() == TaskStatus.State.FETCHING && !machine.images().hasReadyTime(image)) {
       machine.images().remove(image);
@@ -88,10 +88,10 @@
    * must not count it as one that goes on, or it would preempt another one in its place.
    */
   private void reconcileCheckpoint(Reservation reservation) {
-    reservation.onSavingReported(context.nowMs);
+    reservation.onSavingReported(context.nowMs());
     if (reservation.isDesired()) {
       reservation.requestStop();
-      jobs.refreshIndexes(reservation.job);
+      jobs.refreshIndexes(reservation.job());
     }
   }
 
@@ -103,12 +103,12 @@
     if (reservation.reportedState() == TaskStatus.State.CHECKPOINTING) {
       // An earlier leader has begun to stop the gang; a task that is not stopped in time fails the
       // checkpoint of all.
-      reservation.job.gang.requestSave();
-      jobs.refreshIndexes(reservation.job);
+      reservation.job().gang().requestSave();
+      jobs.refreshIndexes(reservation.job());
     } else if (terminationNoticeS != null
         && reservation.reportedState() == TaskStatus.State.RUNNING) {
-      reservation.job.gang.onTerminationNotice(terminationNoticeS);
-      jobs.refreshIndexes(reservation.job);
+      reservation.job().gang().onTerminationNotice(terminationNoticeS);
+      jobs.refreshIndexes(reservation.job());
     }
   }
 
@@ -139,7 +139,7 @@
   }
 
   private void reconcileEndedTask(MachineState machine, Reservation reservation, TaskStatus task) {
-    JobState job = reservation.job;
+    JobState job = reservation.job();
     switch (task.cause()) {
       case DONE -> {
         faultDetector.recordSuccess(machine, job);
@@ -147,13 +147,14 @@
       }
       case ERROR -> {
         logFailure(machine, reservation.toAttempt());
-        job.failureHistory.recordFailure(reservation, job.nextAttemptNumber() - 1, context.nowMs);
+        job.failureHistory()
+            .recordFailure(reservation, job.nextAttemptNumber() - 1, context.nowMs());
         faultDetector.recordFailure(machine, job);
         jobs.settle(reservation, false);
       }
       case NO_ROOM, BUSY, UNKNOWN -> {
         logRefusal(machine, task);
-        job.failureHistory.recordRefusal(context.nowMs);
+        job.failureHistory().recordRefusal(context.nowMs());
         jobs.settle(reservation, false);
       }
       case STOPPED, PEER_LOST, GANG_INCOMPLETE -> jobs.settle(reservation, false);
@@ -187,14 +188,14 @@
   /** The machine is given this task's image, or shows that it has it. */
   void recordImageUse(MachineState machine, Reservation reservation) {
     MachineType type = fleet.typeOf(machine);
-    String image = reservation.job.spec.image();
+    String image = reservation.job().spec().image();
     if (type == null || image == null) {
       return;
     }
-    double sizeGb = reservation.job.spec.imageGb();
+    double sizeGb = reservation.job().spec().imageGb();
     if (!machine.images().contains(image)) {
       long fetchMs = (long) (1000 * sizeGb / type.imageFetchGbPerS());
-      machine.images().recordReadyTime(image, context.nowMs + fetchMs);
+      machine.images().recordReadyTime(image, context.nowMs() + fetchMs);
     }
     machine.images().recordUse(image, sizeGb, type.imageCacheGb());
   }
--- a/src/main/java/eiderfork/controller/ResourceUsage.java
+++ b/src/main/java/eiderfork/controller/ResourceUsage.java
@@ -37,11 +37,11 @@
     TaskCounts now = job.isActive() ? job.taskCounts() : TaskCounts.NONE;
     if (!now.equals(before)) {
       job.onTasksAccounted(now);
-      addTasks(job.spec, before, now);
+      addTasks(job.spec(), before, now);
     }
     if (job.isActive() != job.isAccountedActive()) {
       job.onActivityAccounted();
-      addGpuTasks(job.spec, job.isActive() ? job.spec.tasks() : -job.spec.tasks());
+      addGpuTasks(job.spec(), job.isActive() ? job.spec().tasks() : -job.spec().tasks());
     }
   }
 
--- a/src/main/java/eiderfork/controller/ScaleInPolicy.java
+++ b/src/main/java/eiderfork/controller/ScaleInPolicy.java
@@ -80,13 +80,13 @@
   /** Returns a machine that is faulty or lost; whether it is one, or has not come up yet. */
   private boolean returnIfUnusable(MachineState machine, boolean areHeartbeatsConclusive) {
     if (machine.failures().isFaulty()) {
-      cloud.returns().returnMachine(machine, ScaleInReason.FAULTY);
+      cloud.scaleIn().returnMachine(machine, ScaleInReason.FAULTY);
     } else if (machine.lastHeartbeat() == null) {
       returnIfBootFailed(machine);
     } else if (areHeartbeatsConclusive && isLost(machine)) {
-      cloud.returns().returnSilent(machine, ScaleInReason.SILENT);
+      cloud.scaleIn().returnSilent(machine, ScaleInReason.SILENT);
     } else if (areHeartbeatsConclusive && isUnresponsiveForLong(machine)) {
-      cloud.returns().returnMachine(machine, ScaleInReason.COMMANDS_LOST);
+      cloud.scaleIn().returnMachine(machine, ScaleInReason.COMMANDS_LOST);
     } else {
       return false;
     }
@@ -96,7 +96,7 @@
   private void returnIfBootFailed(MachineState machine) {
     MachineType type = fleet.typeOf(machine);
     if (type != null && bootTimes.hasFailed(machine, type)) {
-      cloud.returns().returnSilent(machine, ScaleInReason.BOOT_FAILED);
+      cloud.scaleIn().returnSilent(machine, ScaleInReason.BOOT_FAILED);
     }
   }
 
@@ -110,7 +110,8 @@
   private boolean isUnresponsiveForLong(MachineState machine) {
     return liveness.hasRecentHeartbeat(machine)
         && liveness.isUnresponsive(machine)
-        && context.nowMs - machine.commandChannel().unresponsiveSinceMs() > context.workerLeaseMs();
+        && context.nowMs() - machine.commandChannel().unresponsiveSinceMs()
+            > context.workerLeaseMs();
   }
 
   /**
@@ -122,20 +123,20 @@
     if (!machine.reservations().isEmpty() || !machine.reportedTasks().isEmpty()) {
       machine.lifecycle().clearIdle();
     } else if (machine.lifecycle().isDraining()) {
-      cloud.returns().returnMachine(machine, ScaleInReason.DRAINED);
+      cloud.scaleIn().returnMachine(machine, ScaleInReason.DRAINED);
     } else if (bin != null && !bin.isUnused()) {
       machine.lifecycle().clearIdle();
     } else if (machine.lifecycle().idleSinceMs() == 0) {
-      machine.lifecycle().beginIdle(context.nowMs);
+      machine.lifecycle().beginIdle(context.nowMs());
     } else if (isIdleForLong(machine)) {
-      cloud.returns().returnMachine(machine, ScaleInReason.IDLE);
+      cloud.scaleIn().returnMachine(machine, ScaleInReason.IDLE);
     }
   }
 
   private boolean isIdleForLong(MachineState machine) {
     double keptMs = bootMs(machine) * context.settings.operator().idleBootShare();
-    return context.nowMs - machine.lifecycle().idleSinceMs() > keptMs
-        && context.nowMs - machine.lifecycle().knownSinceMs() > MIN_CHARGE_MS;
+    return context.nowMs() - machine.lifecycle().idleSinceMs() > keptMs
+        && context.nowMs() - machine.lifecycle().knownSinceMs() > MIN_CHARGE_MS;
   }
 
   private double bootMs(MachineState machine) {
--- a/src/main/java/eiderfork/controller/ScaleInRequests.java
+++ b/src/main/java/eiderfork/controller/ScaleInRequests.java
@@ -97,7 +97,7 @@
 
   /** Returns a machine that sends no heartbeats; it is kept if it recovers before the call. */
   void returnSilent(MachineState machine, ScaleInReason reason) {
-    machine.lifecycle().recordUnreachableScaleIn(context.nowMs);
+    machine.lifecycle().recordUnreachableScaleIn(context.nowMs());
     returnMachine(machine, reason);
   }
 
@@ -166,7 +166,7 @@
   void onReply(Return request, Reply reply) {
     if (!(reply instanceof Reply.Returned)) {
       request.possiblyApplied |= reply instanceof Reply.Unanswered;
-      request.scheduleRetry(context.nowMs, context.random);
+      request.scheduleRetry(context.nowMs(), context.random);
       return;
     }
     for (String name : request.machineNames) {
--- a/src/main/java/eiderfork/controller/ScaleOutRequests.java
+++ b/src/main/java/eiderfork/controller/ScaleOutRequests.java
@@ -8,6 +8,7 @@
 import eiderfork.controller.message.StoreKeys;
 import eiderfork.controller.ratelimit.Backoff;
 import eiderfork.controller.ratelimit.TokenBucket;
+import eiderfork.model.MachineKind;
 import eiderfork.model.StoredRecord;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -25,11 +26,11 @@
 
   private static final int MAX_OUT_OF_STOCK_LAGS = 8;
 
-  private final Map<CloudProvisioner.MachineKind, Long> outOfStockUntilMs = new HashMap<>();
-  private final Map<CloudProvisioner.MachineKind, Backoff> outOfStockBackoffs = new HashMap<>();
+  private final Map<MachineKind, Long> outOfStockUntilMs = new HashMap<>();
+  private final Map<MachineKind, Backoff> outOfStockBackoffs = new HashMap<>();
 
   /** How many rents of a kind the cloud has filled since it was last short of it. */
-  private final Map<CloudProvisioner.MachineKind, Integer> filledRents = new HashMap<>();
+  private final Map<MachineKind, Integer> filledRents = new HashMap<>();
 
   ScaleOutRequests(
       ControllerContext context,
@@ -52,8 +53,8 @@
       this.intent = intent;
     }
 
-    private CloudProvisioner.MachineKind kind() {
-      return new CloudProvisioner.MachineKind(intent.type(), intent.zone(), intent.spot());
+    private MachineKind kind() {
+      return new MachineKind(intent.type(), intent.zone(), intent.spot());
     }
 
     private boolean isAnswered() {
@@ -101,12 +102,12 @@
   }
 
   /** Whether the cloud may have machines of this kind. */
-  boolean isInStock(CloudProvisioner.MachineKind kind) {
-    return outOfStockUntilMs.getOrDefault(kind, 0L) <= context.nowMs;
+  boolean isInStock(MachineKind kind) {
+    return outOfStockUntilMs.getOrDefault(kind, 0L) <= context.nowMs();
   }
 
   /** Rents so many machines of a kind. */
-  void rent(CloudProvisioner.MachineKind kind, int count) {
+  void rent(MachineKind kind, int count) {
     StoredRecord.ScaleOutIntent intent =
         new StoredRecord.ScaleOutIntent(
             nextRequestName(), kind.type(), kind.zone(), kind.spot(), count);
@@ -138,7 +139,7 @@
       markOutOfStock(rent.kind());
       close(rent);
     } else {
-      rent.scheduleRetry(context.nowMs, context.random);
+      rent.scheduleRetry(context.nowMs(), context.random);
     }
   }
 
@@ -161,12 +162,12 @@
     }
   }
 
-  private void register(String name, CloudProvisioner.MachineKind kind) {
+  private void register(String name, MachineKind kind) {
     if (fleet.isRemoved(name)) {
       return;
     }
     MachineState machine = fleet.getOrRegister(name);
-    machine.lifecycle().onProvisioned(machine.lastHeartbeat() != null, context.nowMs);
+    machine.lifecycle().onProvisioned(machine.lastHeartbeat() != null, context.nowMs());
     if (machine.spec() == null) {
       machine.onProvisioned(kind, fleet.types().get(kind.type()));
     }
@@ -177,16 +178,16 @@
    * filled, since calls for what is out of stock use up the rate; never more than the rate allows
    * in a step.
    */
-  int maxConcurrentRents(CloudProvisioner.MachineKind kind) {
+  int maxConcurrentRents(MachineKind kind) {
     double callsPerStep = context.settings.cloudLimits().requestsPerS() * context.stepS();
     int max = (int) Math.max(1, callsPerStep);
     return Math.min(max, 1 + filledRents.getOrDefault(kind, 0));
   }
 
-  private void markOutOfStock(CloudProvisioner.MachineKind kind) {
+  private void markOutOfStock(MachineKind kind) {
     filledRents.remove(kind);
     Backoff backoff = outOfStockBackoffs.computeIfAbsent(kind, k -> newOutOfStockBackoff());
-    outOfStockUntilMs.put(kind, context.nowMs + backoff.nextPauseMs(context.random));
+    outOfStockUntilMs.put(kind, context.nowMs() + backoff.nextPauseMs(context.random));
   }
 
   private Backoff newOutOfStockBackoff() {
--- a/src/main/java/eiderfork/controller/Scheduler.java
+++ b/src/main/java/eiderfork/controller/Scheduler.java
@@ -82,7 +82,7 @@
   }
 
   /** The ratio of CPUs to GPUs that the jobs ask for. */
-  CpusPerGpu gpuBalance() {
+  CpusPerGpu cpusPerGpu() {
     return jobs.resourceUsage().cpusPerGpu();
   }
 
@@ -104,7 +104,7 @@
    */
   boolean runRound() {
     List<JobState> queue = queuedJobs();
-    capacity.beginRound(context.nowMs);
+    capacity.beginRound(context.nowMs());
     boolean isBatchingStarts = queue.stream().anyMatch(eligibility::isBatchingStarts);
     boolean isWriteDeferred =
         queue.stream().anyMatch(eligibility::canPlace)
@@ -123,10 +123,10 @@
 
   private boolean placeAndWrite(List<JobState> queue) {
     gpuHeadroom.beginRound(queue);
-    PreemptionPolicy policy = borrowing.preemptionPolicy(gpuBalance());
+    PreemptionPolicy policy = borrowing.preemptionPolicy(cpusPerGpu());
     PreemptionPlanner preemption =
         new PreemptionPlanner(
-            context, jobs, capacity, imageFetch, gpuBalance(), policy, maxFullSearchExaminations);
+            context, jobs, capacity, imageFetch, cpusPerGpu(), policy, maxFullSearchExaminations);
     boolean isWriteDeferred = false;
     for (JobState job : queue) {
       int reservedBefore = job.reservations().size();
@@ -145,7 +145,7 @@
 
   private void place(JobState job, PreemptionPlanner preemption, PreemptionPolicy policy) {
     boolean excludesReclaimed = borrowing.isBorrowing(job);
-    if (job.gang == null) {
+    if (job.gang() == null) {
       SearchConstraints constraints =
           new SearchConstraints(gpuHeadroom.appliesTo(job), excludesReclaimed);
       taskScheduler.place(job, preemption, constraints, policy.canPreemptForArray(job));
--- a/src/main/java/eiderfork/controller/SchedulingLoop.java
+++ b/src/main/java/eiderfork/controller/SchedulingLoop.java
@@ -38,8 +38,8 @@
 
   /** Plans the fleet once a step, as soon as the machine types are known. */
   void planIfDue() {
-    if (context.nowMs >= nextPlanMs && !fleet.types().isEmpty()) {
-      nextPlanMs = context.nowMs + context.stepMs();
+    if (context.nowMs() >= nextPlanMs && !fleet.types().isEmpty()) {
+      nextPlanMs = context.nowMs() + context.stepMs();
       autoscaler.plan();
       trigger.request();
     }
@@ -47,8 +47,8 @@
 
   /** Runs a round where one is requested, and sends the commands that follow from it. */
   void runRoundIfDue() {
-    if (trigger.isRequested() && context.nowMs >= nextRoundMs) {
-      nextRoundMs = context.nowMs + roundIntervalMs;
+    if (trigger.isRequested() && context.nowMs() >= nextRoundMs) {
+      nextRoundMs = context.nowMs() + roundIntervalMs;
       trigger.recordRound(scheduler.runRound());
       commander.tick();
     }
--- a/src/main/java/eiderfork/controller/StoredRecordRestorer.java
+++ b/src/main/java/eiderfork/controller/StoredRecordRestorer.java
@@ -43,9 +43,9 @@
     } else if (record instanceof StoredRecord.Cancellation cancellation) {
       cancellations.recordStored(cancellation.uid());
     } else if (record instanceof StoredRecord.ScaleOutIntent intent) {
-      cloud.rents().restore(intent);
+      cloud.scaleOut().restore(intent);
     } else if (record instanceof StoredRecord.ScaleInIntent intent) {
-      cloud.returns().restore(item.key(), intent);
+      cloud.scaleIn().restore(item.key(), intent);
     } else if (record instanceof StoredRecord.StoredVersion stored) {
       version.recordStored(stored, item.version());
     } else if (record instanceof StoredRecord.MachineTypes types) {
--- a/src/main/java/eiderfork/controller/TaskRelocation.java
+++ b/src/main/java/eiderfork/controller/TaskRelocation.java
@@ -61,7 +61,7 @@
 
   private boolean fitsElsewhere(Bin source, Map<Bin, Resources> free, Set<MachineState> excluded) {
     for (Reservation reservation : source.machine().reservations()) {
-      Job job = reservation.job.spec;
+      Job job = reservation.job().spec();
       Bin target = findFullestTarget(job, source, free, excluded);
       if (target == null) {
         return false;
@@ -110,7 +110,7 @@
 
   private boolean strandsGpus(Job job, Bin source, Resources free) {
     return source.capacity().gpus() <= 0
-        && scheduler.gpuBalance().strandedGpusBy(job.taskResources(), free) > 0;
+        && scheduler.cpusPerGpu().strandedGpusBy(job.taskResources(), free) > 0;
   }
 
   /** Only to a machine that is fuller and in use, and where the image is there in time. */
--- a/src/main/java/eiderfork/controller/TaskScheduler.java
+++ b/src/main/java/eiderfork/controller/TaskScheduler.java
@@ -67,9 +67,9 @@
    * now. It spares thousands of jobs that wait for machines to boot a search in each round.
    */
   private boolean isKnownUnschedulable(JobState job, boolean canPreemptForArray) {
-    boolean canPreempt = job.spec.kind() != JobKind.ARRAY || canPreemptForArray;
+    boolean canPreempt = job.spec().kind() != JobKind.ARRAY || canPreemptForArray;
     boolean canPreemptNow = canPreempt && preemptionBudget.isAvailable();
-    return !canPreemptNow && !capacity.hasClaims(job) && capacity.isKnownFull(job.spec);
+    return !canPreemptNow && !capacity.hasClaims(job) && capacity.isKnownFull(job.spec());
   }
 
   /** The placement of one job's tasks in one round. */
@@ -92,7 +92,7 @@
     Placement(JobState job, PreemptionPlanner preemption, SearchConstraints constraints) {
       this.job = job;
       this.preemption = preemption;
-      spec = job.spec;
+      spec = job.spec();
       tasksByZone = PlacementConstraints.countTasksByZone(job);
       used = usage.used(spec.team());
       claims = capacity.releaseClaims(job);
@@ -103,16 +103,16 @@
     }
 
     void placeAll() {
-      int index = job.firstSchedulableTask(context.nowMs);
+      int index = job.firstSchedulableTask(context.nowMs());
       while (index >= 0 && place(index)) {
-        index = job.nextSchedulableTask(index, context.nowMs);
+        index = job.nextSchedulableTask(index, context.nowMs());
       }
       usage.record(spec.team(), used);
       int kept = keepClaims();
       // Only a confirmed suspicion counts: a new leader may suspect an array that was preempted
       // again and again.
-      if (isOutOfCapacity && !job.failureHistory.isConfirmedSuspect()) {
-        int maxTasks = job.failureHistory.isSuspected() ? 1 : startable;
+      if (isOutOfCapacity && !job.failureHistory().isConfirmedSuspect()) {
+        int maxTasks = job.failureHistory().isSuspected() ? 1 : startable;
         int wanted = Math.min(job.pendingTaskCount(), maxTasks) - kept;
         preempt(wanted, PreemptionRequest.ANY_IMAGE_WAIT_S);
       }
--- a/src/main/java/eiderfork/controller/TeamUsageTracker.java
+++ b/src/main/java/eiderfork/controller/TeamUsageTracker.java
@@ -66,7 +66,7 @@
   Resources usedWithClaims(String team) {
     Resources used = jobs.resourceUsage().used(team);
     for (CapacityClaim claim : capacity.claims()) {
-      Job spec = claim.job().spec;
+      Job spec = claim.job().spec();
       if (spec.team().equals(team)) {
         used = used.plus(spec.taskResources());
       }
@@ -79,8 +79,8 @@
     Map<String, QuotaAmount> requestedByTeam = new HashMap<>();
     for (JobState job : jobs.jobsWithWork()) {
       QuotaAmount requested =
-          QuotaAmount.of(job.spec.taskResources()).times(job.pendingTaskCount());
-      requestedByTeam.merge(job.spec.team(), requested, QuotaAmount::plus);
+          QuotaAmount.of(job.spec().taskResources()).times(job.pendingTaskCount());
+      requestedByTeam.merge(job.spec().team(), requested, QuotaAmount::plus);
     }
     return usages(requestedByTeam);
   }
@@ -108,7 +108,7 @@
   private Map<String, QuotaAmount> promisedByTeam() {
     Map<String, QuotaAmount> promisedByTeam = new HashMap<>();
     for (CapacityClaim claim : capacity.claims()) {
-      Job spec = claim.job().spec;
+      Job spec = claim.job().spec();
       promisedByTeam.merge(spec.team(), QuotaAmount.of(spec.taskResources()), QuotaAmount::plus);
     }
     return promisedByTeam;
@@ -116,24 +116,24 @@
 
   /** The job as a preemptor. */
   Preemptor preemptorOf(JobState job) {
-    Job spec = job.spec;
+    Job spec = job.spec();
     TeamId team = new TeamId(spec.team());
     TeamUsage usage = ledger().usage(team);
     QuotaAmount demand =
-        QuotaAmount.of(spec.taskResources()).times(job.gang == null ? 1 : unclaimedTasks(job));
+        QuotaAmount.of(spec.taskResources()).times(job.gang() == null ? 1 : unclaimedTasks(job));
     return new Preemptor(
         team,
         spec.kind(),
         spec.priority(),
         usage != null && usage.canCover(demand),
         maxCheckpointWaitS(spec),
-        context.nowMs - job.firstSeenMs >= fleet.longestBootMs(spec));
+        context.nowMs() - job.firstSeenMs() >= fleet.longestBootMs(spec));
   }
 
   /** How many of a gang's tasks have no capacity claimed for them yet. */
   private long unclaimedTasks(JobState job) {
     long claimed = capacity.claims().stream().filter(claim -> claim.job() == job).count();
-    return Math.max(0, job.spec.tasks() - claimed);
+    return Math.max(0, job.spec().tasks() - claimed);
   }
 
   private double maxCheckpointWaitS(Job spec) {
--- a/src/main/java/eiderfork/controller/TrialLedger.java
+++ b/src/main/java/eiderfork/controller/TrialLedger.java
@@ -43,9 +43,9 @@
   void include(Reservation victim) {
     ledger = ledger().copy();
     ledger.addStopping(
-        new TeamId(victim.job.spec.team()), DeferredPreemptions.amountFreedBy(victim));
-    if (victim.job.gang != null) {
-      gangs.add(victim.job);
+        new TeamId(victim.job().spec().team()), DeferredPreemptions.amountFreedBy(victim));
+    if (victim.job().gang() != null) {
+      gangs.add(victim.job());
     }
   }
 }
--- a/src/main/java/eiderfork/controller/WorkerLeaseLog.java
+++ b/src/main/java/eiderfork/controller/WorkerLeaseLog.java
@@ -94,7 +94,7 @@
           previousIncarnation,
           byCommand ? BY_COMMAND : BY_HEARTBEAT,
           machine.lastHeartbeat().fencingToken(),
-          context.nowMs - previousLeaseStartMs,
+          context.nowMs() - previousLeaseStartMs,
           machine.reservations().size());
     }
   }
@@ -118,8 +118,8 @@
               + " settledTasks={} runningTasks={}",
           machine.name(),
           machine.incarnation().number(),
-          context.nowMs - machine.incarnation().leaseStartMs(),
-          context.nowMs - machine.incarnation().lastHeartbeatMs(),
+          context.nowMs() - machine.incarnation().leaseStartMs(),
+          context.nowMs() - machine.incarnation().lastHeartbeatMs(),
           readMs,
           machine.reservations().size(),
           running);
@@ -146,18 +146,18 @@
           machine.incarnation().number(),
           machine.commandChannel().fencingToken(),
           sentDirectly ? BY_COMMAND : BY_HEARTBEAT,
-          context.nowMs - machine.incarnation().lastHeartbeatMs(),
-          context.nowMs - machine.incarnation().leaseStartMs(),
+          context.nowMs() - machine.incarnation().lastHeartbeatMs(),
+          context.nowMs() - machine.incarnation().leaseStartMs(),
           commands);
     }
   }
 
   /** Logs the counts since the last summary once a minute, where anything happened. */
   void logSummaryIfDue() {
-    if (context.nowMs < nextSummaryMs) {
+    if (context.nowMs() < nextSummaryMs) {
       return;
     }
-    nextSummaryMs = context.nowMs + SUMMARY_INTERVAL_MS;
+    nextSummaryMs = context.nowMs() + SUMMARY_INTERVAL_MS;
     if (startedByHeartbeat + startedByCommand + expiredLeases + keptByProxy + staleReads > 0) {
       LOG.info(
           "worker-leases startedByHeartbeat={} startedByCommand={} expired={} settledTasks={}"
@@ -175,8 +175,8 @@
   }
 
   private boolean canWriteLine() {
-    if (context.nowMs >= stepEndsMs) {
-      stepEndsMs = context.nowMs + context.stepMs();
+    if (context.nowMs() >= stepEndsMs) {
+      stepEndsMs = context.nowMs() + context.stepMs();
       linesInStep = 0;
     }
     if (linesInStep >= MAX_LINES_PER_STEP) {
--- a/src/main/java/eiderfork/controller/WorkerReachability.java
+++ b/src/main/java/eiderfork/controller/WorkerReachability.java
@@ -58,19 +58,19 @@
 
   /** This node leads now. */
   void onElected() {
-    electedMs = context.nowMs;
+    electedMs = context.nowMs();
   }
 
   /** A heartbeat of the machine arrived here. */
   void recordHeartbeat(String machineName) {
-    lastHeartbeatMs.put(machineName, context.nowMs);
+    lastHeartbeatMs.put(machineName, context.nowMs());
   }
 
   /** How many machines send heartbeats here, counted once in half a step. */
   int reachableMachineCount() {
-    if (context.nowMs - lastCountMs >= context.stepMs() / 2) {
-      lastCountMs = context.nowMs;
-      lastHeartbeatMs.values().removeIf(at -> context.nowMs - at > liveness.heartbeatTimeoutMs());
+    if (context.nowMs() - lastCountMs >= context.stepMs() / 2) {
+      lastCountMs = context.nowMs();
+      lastHeartbeatMs.values().removeIf(at -> context.nowMs() - at > liveness.heartbeatTimeoutMs());
     }
     // Machines whose leases this node proxies don't need it to lead.
     return Math.max(0, lastHeartbeatMs.size() - leaseProxy.proxiedMachineCount());
@@ -78,14 +78,14 @@
 
   /** Resigns where workers can't reach this leader but reach a peer. */
   void resignIfUnreachable() {
-    if (context.nowMs < nextCheckMs) {
+    if (context.nowMs() < nextCheckMs) {
       return;
     }
-    boolean wasSuspended = context.nowMs - nextCheckMs > context.stepMs();
-    nextCheckMs = context.nowMs + context.stepMs() / 2;
+    boolean wasSuspended = context.nowMs() - nextCheckMs > context.stepMs();
+    nextCheckMs = context.nowMs() + context.stepMs() / 2;
     if (wasSuspended) {
       // Heartbeats that arrived meanwhile are still unread.
-      resumedMs = context.nowMs;
+      resumedMs = context.nowMs();
     }
     MachineCounts counts = countMachines();
     if (isCutOffFromAll(counts)) {
@@ -157,7 +157,7 @@
    * that could lead.
    */
   private int minMachinesAtPeer() {
-    return context.nowMs - electedMs > 2 * FIRST_HEARTBEATS_STEPS * context.stepMs() ? 0 : 1;
+    return context.nowMs() - electedMs > 2 * FIRST_HEARTBEATS_STEPS * context.stepMs() ? 0 : 1;
   }
 
   /**
@@ -166,16 +166,16 @@
    * fro.
    */
   private boolean hasRunLongEnough() {
-    return context.nowMs - Math.max(electedMs, resumedMs) > context.workerLeaseMs();
+    return context.nowMs() - Math.max(electedMs, resumedMs) > context.workerLeaseMs();
   }
 
   /** Whether workers that waited for a response elsewhere have had the time to reconnect here. */
   private boolean hasReconnectTimePassed() {
-    return context.nowMs - electedMs > RECONNECT_STEPS * context.stepMs();
+    return context.nowMs() - electedMs > RECONNECT_STEPS * context.stepMs();
   }
 
   /** Whether workers that can reach this node have had the time to find it. */
   private boolean hasFirstHeartbeatsTimePassed() {
-    return context.nowMs - electedMs > FIRST_HEARTBEATS_STEPS * context.stepMs();
+    return context.nowMs() - electedMs > FIRST_HEARTBEATS_STEPS * context.stepMs();
   }
 }
--- a/src/main/java/eiderfork/controller/WorkerRedirector.java
+++ b/src/main/java/eiderfork/controller/WorkerRedirector.java
@@ -44,11 +44,11 @@
     }
     String machineName = heartbeat.machine().name();
     Redirect previous =
-        lastRedirects.put(machineName, new Redirect(election.currentTerm(), context.nowMs));
+        lastRedirects.put(machineName, new Redirect(election.currentTerm(), context.nowMs()));
     boolean hasReturned =
         previous != null
             && previous.term == election.currentTerm()
-            && context.nowMs - previous.sentMs < context.workerLeaseMs();
+            && context.nowMs() - previous.sentMs < context.workerLeaseMs();
     if (!hasReturned) {
       return leader;
     }
@@ -61,6 +61,6 @@
   void tick() {
     lastRedirects
         .values()
-        .removeIf(redirect -> context.nowMs - redirect.sentMs > context.workerLeaseMs());
+        .removeIf(redirect -> context.nowMs() - redirect.sentMs > context.workerLeaseMs());
   }
 }
--- a/src/main/java/eiderfork/controller/context/ControllerContext.java
+++ b/src/main/java/eiderfork/controller/context/ControllerContext.java
@@ -30,7 +30,7 @@
   public final RandomGenerator random;
 
   /** The steady time of the input that is being handled. */
-  public long nowMs;
+  private long nowMs;
 
   private final Long2ObjectOpenHashMap<Consumer<Reply>> pendingCalls =
       new Long2ObjectOpenHashMap<>();
@@ -44,6 +44,21 @@
     this.nowMs = nowMs;
   }
 
+  /** The steady time of the input that is being handled. */
+  public long nowMs() {
+    return nowMs;
+  }
+
+  /** Moves the time to that of an input; it never goes back. */
+  public void advanceTo(long inputMs) {
+    nowMs = Math.max(nowMs, inputMs);
+  }
+
+  /** Moves the time on. */
+  public void advanceBy(long durationMs) {
+    nowMs += durationMs;
+  }
+
   /** Adds an effect to those of this input. */
   public void emit(Effect effect) {
     effects.add(effect);
--- a/src/main/java/eiderfork/controller/election/CandidacyPolicy.java
+++ b/src/main/java/eiderfork/controller/election/CandidacyPolicy.java
@@ -60,19 +60,19 @@
 
   /** This node gave the leadership up and stands for no election for a while. */
   void pause(long pauseMs) {
-    pausedUntilMs = context.nowMs + pauseMs;
+    pausedUntilMs = context.nowMs() + pauseMs;
   }
 
   /** Whether this node does not stand for election now, although the leader key is missing. */
   boolean isLeftToOthers() {
-    if (context.nowMs < pausedUntilMs) {
+    if (context.nowMs() < pausedUntilMs) {
       return true;
     }
     if (keyMissingSinceMs < 0) {
-      keyMissingSinceMs = context.nowMs;
+      keyMissingSinceMs = context.nowMs();
     }
     return yieldRule.yieldsToOthers(yieldsByNodeOrder || isNextNodeUnreachable())
-        && context.nowMs - keyMissingSinceMs < YIELD_STEPS * context.stepMs();
+        && context.nowMs() - keyMissingSinceMs < YIELD_STEPS * context.stepMs();
   }
 
   /**
--- a/src/main/java/eiderfork/controller/election/LeaderElection.java
+++ b/src/main/java/eiderfork/controller/election/LeaderElection.java
@@ -104,7 +104,7 @@
     backoff = new Backoff(leaseMs / 20, leaseMs / 4);
     lease = new LeaderLease(context, store, leaseMs, backoff);
     candidacy = new CandidacyPolicy(context);
-    nextAttemptMs = context.nowMs;
+    nextAttemptMs = context.nowMs();
   }
 
   /** Has this rule decide whether a vacant leadership is left to others for a while. */
@@ -166,7 +166,7 @@
   public void tick() {
     if (isLeading()) {
       lease.renewIfDue(this::onLeaseGone);
-    } else if (role == Role.FOLLOWER && !requestPending && context.nowMs >= nextAttemptMs) {
+    } else if (role == Role.FOLLOWER && !requestPending && context.nowMs() >= nextAttemptMs) {
       readLeaderKey();
     }
   }
@@ -216,7 +216,7 @@
     role = Role.FOLLOWER;
     leader = null;
     lease.giveUp();
-    nextAttemptMs = context.nowMs;
+    nextAttemptMs = context.nowMs();
     store.actAsFollower();
     listener.onLeadershipLost();
   }
@@ -224,7 +224,7 @@
   private void retryAfterBackoff() {
     requestPending = false;
     role = Role.FOLLOWER;
-    nextAttemptMs = context.nowMs + backoff.nextPauseMs(context.random);
+    nextAttemptMs = context.nowMs() + backoff.nextPauseMs(context.random);
   }
 
   private void readLeaderKey() {
@@ -268,12 +268,12 @@
         RequestPriority.LEASE,
         reply -> {
           requestPending = false;
-          nextAttemptMs = context.nowMs;
+          nextAttemptMs = context.nowMs();
           if (!(reply instanceof Reply.Changes changes)) {
             retryAfterBackoff();
           } else if (!changes.items().isEmpty()) {
             leader = null;
-            vacancySeenMs = context.nowMs;
+            vacancySeenMs = context.nowMs();
           }
         });
   }
--- a/src/main/java/eiderfork/controller/election/LeaderLease.java
+++ b/src/main/java/eiderfork/controller/election/LeaderLease.java
@@ -63,7 +63,7 @@
     leaseId = grantedLeaseId;
     validUntilMs = requestedMs + usableMs();
     renewalPending = false;
-    nextRenewalMs = context.nowMs;
+    nextRenewalMs = context.nowMs();
   }
 
   /** Counts on the lease no longer; it is left to expire unless it is released. */
@@ -79,19 +79,19 @@
 
   /** Whether the lease surely holds. */
   boolean isValid() {
-    return held && context.nowMs < validUntilMs;
+    return held && context.nowMs() < validUntilMs;
   }
 
   /** Renews the lease in time; {@code onLost} is run where the store does not have it any more. */
   void renewIfDue(Runnable onLost) {
-    if (!renewalPending && context.nowMs >= nextRenewalMs) {
+    if (!renewalPending && context.nowMs() >= nextRenewalMs) {
       renew(onLost);
     }
   }
 
   private void renew(Runnable onLost) {
     renewalPending = true;
-    long sentMs = context.nowMs;
+    long sentMs = context.nowMs();
     nextRenewalMs = sentMs + durationMs / RENEWALS_PER_LEASE;
     long renewedLeaseId = leaseId;
     store.send(
@@ -112,7 +112,7 @@
     } else if (reply instanceof Reply.Refused refused && refused.isNotFound()) {
       onLost.run();
     } else {
-      nextRenewalMs = context.nowMs + backoff.nextPauseMs(context.random);
+      nextRenewalMs = context.nowMs() + backoff.nextPauseMs(context.random);
     }
   }
 
--- a/src/main/java/eiderfork/controller/election/LeadershipClaim.java
+++ b/src/main/java/eiderfork/controller/election/LeadershipClaim.java
@@ -65,7 +65,7 @@
   }
 
   private void requestLease(long newTerm, long termKeyVersion) {
-    long requestedMs = context.nowMs;
+    long requestedMs = context.nowMs();
     store.send(
         new StoreRequest.Grant(leaseMs),
         RequestPriority.LEASE,
--- a/src/main/java/eiderfork/controller/message/Reply.java
+++ b/src/main/java/eiderfork/controller/message/Reply.java
@@ -79,7 +79,7 @@
   record Hosts(ImmutableList<ListedMachine> entries, boolean hasMore) implements Reply {}
 
   /** A worker's heartbeat, sent after commands ({@code executed}) or instead of executing them. */
-  record WorkerReply(boolean executed, Heartbeat report) implements Reply {}
+  record WorkerReply(boolean executed, Heartbeat heartbeat) implements Reply {}
 
   /** A peer's status, in reply to a ping. */
   record PeerPong(PeerStatus status) implements Reply {}
--- a/src/main/java/eiderfork/controller/standby/DelayedActions.java
+++ b/src/main/java/eiderfork/controller/standby/DelayedActions.java
@@ -18,7 +18,7 @@
 
   /** Has an action run at the first tick after the delay. */
   void schedule(long delayMs, Runnable action) {
-    scheduled.add(new DelayedAction(context.nowMs + delayMs, action));
+    scheduled.add(new DelayedAction(context.nowMs() + delayMs, action));
   }
 
   /** Runs what is due; what that schedules is run at a later tick. */
@@ -27,7 +27,7 @@
       return;
     }
     List<DelayedAction> due = new ArrayList<>();
-    scheduled.removeIf(delayed -> delayed.dueMs <= context.nowMs && due.add(delayed));
+    scheduled.removeIf(delayed -> delayed.dueMs <= context.nowMs() && due.add(delayed));
     due.forEach(delayed -> delayed.action.run());
   }
 
--- a/src/main/java/eiderfork/controller/standby/Standby.java
+++ b/src/main/java/eiderfork/controller/standby/Standby.java
@@ -83,8 +83,8 @@
   }
 
   private void logState() {
-    if (context.nowMs >= nextLogMs) {
-      nextLogMs = context.nowMs + LOG_INTERVAL_MS;
+    if (context.nowMs() >= nextLogMs) {
+      nextLogMs = context.nowMs() + LOG_INTERVAL_MS;
       LOG.info(
           "standing-by leader={} hintedMachines={} {}",
           lastLeader,
--- a/src/main/java/eiderfork/controller/standby/StandbyReplica.java
+++ b/src/main/java/eiderfork/controller/standby/StandbyReplica.java
@@ -114,7 +114,7 @@
 
   /** Begins to read where nothing is held and the pause after a failure is over. */
   public void startIfDue() {
-    if (phase == Phase.NONE && context.nowMs >= nextReadMs) {
+    if (phase == Phase.NONE && context.nowMs() >= nextReadMs) {
       LOG.info("replica-read-started");
       generation++;
       phase = Phase.READING;
@@ -138,7 +138,7 @@
   /** The replica can't be proved right; it is read again after a while. */
   private void invalidate(ReplicaInvalidException cause) {
     clear(cause.getMessage());
-    nextReadMs = context.nowMs + RETRY_LEASES * context.workerLeaseMs();
+    nextReadMs = context.nowMs() + RETRY_LEASES * context.workerLeaseMs();
   }
 
   /** Sends the requests whose pause is over. */
@@ -166,7 +166,7 @@
 
   private void readPage(int rangeIndex, String afterKey, long startedGeneration) {
     ReplicatedRange range = ranges.get(PREFIXES.get(rangeIndex));
-    long requestedMs = context.nowMs;
+    long requestedMs = context.nowMs();
     store.send(
         new StoreRequest.Scan(range.prefix(), afterKey),
         RequestPriority.CLEANUP,
@@ -209,7 +209,7 @@
   // Following.
 
   private void follow(ReplicatedRange range, long startedGeneration) {
-    long requestedMs = context.nowMs;
+    long requestedMs = context.nowMs();
     long afterRevision = range.revision();
     store.send(
         new StoreRequest.Watch(range.prefix(), afterRevision, WATCH_STEPS * context.stepMs()),
@@ -280,7 +280,7 @@
   }
 
   private void catchUp(ReplicatedRange range, CatchUp attempt) {
-    long requestedMs = context.nowMs;
+    long requestedMs = context.nowMs();
     long afterRevision = range.revision();
     store.send(
         new StoreRequest.Watch(range.prefix(), afterRevision, 0),
@@ -344,7 +344,7 @@
         "replica=following keys=%d revision=%d behindS=%.1f memoryMb=%.1f",
         keys,
         revision(),
-        (context.nowMs - oldestMs) / 1000.0,
+        (context.nowMs() - oldestMs) / 1000.0,
         memoryMb());
   }
 }
--- a/src/main/java/eiderfork/controller/store/ReadBarrier.java
+++ b/src/main/java/eiderfork/controller/store/ReadBarrier.java
@@ -70,7 +70,7 @@
   private void readChanges() {
     readPending = true;
     long sentGeneration = generation;
-    long requestedMs = context.nowMs;
+    long requestedMs = context.nowMs();
     List<Consumer<Boolean>> served = waiters;
     waiters = new ArrayList<>();
     store.send(
--- a/src/main/java/eiderfork/controller/store/StoreBudget.java
+++ b/src/main/java/eiderfork/controller/store/StoreBudget.java
@@ -34,8 +34,8 @@
   /** Makes the budget of a follower. */
   StoreBudget(ControllerContext context) {
     this.context = context;
-    requests = new TokenBucket(1, 1, context.nowMs);
-    writes = new TokenBucket(1, 1, context.nowMs);
+    requests = new TokenBucket(1, 1, context.nowMs());
+    writes = new TokenBucket(1, 1, context.nowMs());
     setLeading(false);
   }
 
@@ -74,23 +74,23 @@
 
   /** Whether a request may be sent now. */
   boolean hasRequest() {
-    return requests.hasTokens(1, context.nowMs);
+    return requests.hasTokens(1, context.nowMs());
   }
 
   /** Counts a request, as far as the budget has one. */
   void takeRequest() {
-    requests.tryTake(1, context.nowMs);
+    requests.tryTake(1, context.nowMs());
   }
 
   /** Counts so many changes of keys; false where the budget doesn't have them yet. */
   boolean tryTakeWrites(int changes) {
-    return writes.tryTake(changes, context.nowMs);
+    return writes.tryTake(changes, context.nowMs());
   }
 
   /** Whether so many changes would leave at least half of what may be written at once. */
   boolean hasSpareWrites(int changes) {
     double reserve = writes.burst() / 2;
-    return writes.hasTokens(Math.min(changes + reserve, writes.burst()), context.nowMs);
+    return writes.hasTokens(Math.min(changes + reserve, writes.burst()), context.nowMs());
   }
 
   /** Adapts to what a reply shows of the store's limits. */
@@ -100,8 +100,8 @@
     }
     detectLoweredLimits(request, refused);
     if (refused.isOverLimit()) {
-      requests.drain(context.nowMs);
-      writes.drain(context.nowMs);
+      requests.drain(context.nowMs());
+      writes.drain(context.nowMs());
     }
   }
 
--- a/src/main/java/eiderfork/controller/store/StoreClient.java
+++ b/src/main/java/eiderfork/controller/store/StoreClient.java
@@ -42,7 +42,7 @@
       queues.put(priority, new ArrayDeque<>());
       writeWaits.put(priority, new LongSummaryStatistics());
     }
-    lastServedAtMs = context.nowMs;
+    lastServedAtMs = context.nowMs();
   }
 
   /** Takes the leader's share of the limits. */
@@ -73,7 +73,7 @@
   public void send(StoreRequest request, RequestPriority priority, Consumer<Reply> callback) {
     int writes =
         request instanceof StoreRequest.Transaction transaction ? transaction.changes().size() : 0;
-    queues.get(priority).add(new QueuedRequest(request, writes, context.nowMs, callback));
+    queues.get(priority).add(new QueuedRequest(request, writes, context.nowMs(), callback));
     queuedWrites[priority.ordinal()] += writes;
     sendQueued();
   }
@@ -127,7 +127,7 @@
 
   /** How long ago the store last replied with anything but a refusal. */
   public long sinceServedMs() {
-    return context.nowMs - lastServedAtMs;
+    return context.nowMs() - lastServedAtMs;
   }
 
   /** Sends what is queued, as far as the limits allow now. */
@@ -154,7 +154,7 @@
     QueuedRequest first = queue.remove();
     queuedWrites[priority.ordinal()] -= first.writes;
     if (first.writes > 0) {
-      writeWaits.get(priority).accept(context.nowMs - first.queuedAtMs);
+      writeWaits.get(priority).accept(context.nowMs() - first.queuedAtMs);
     }
     long timeoutMs = timeoutMs(first.request);
     context.call(
@@ -176,7 +176,7 @@
         reply instanceof Reply.Refused refusal
             && (refusal.isUnavailable() || refusal.isOverLimit());
     if (!refused && !(reply instanceof Reply.Unanswered)) {
-      lastServedAtMs = context.nowMs;
+      lastServedAtMs = context.nowMs();
     }
   }
 }
--- a/src/test/java/eiderfork/controller/BinPackingTest.java
+++ b/src/test/java/eiderfork/controller/BinPackingTest.java
@@ -4,11 +4,11 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.google.common.collect.ImmutableList;
-import eiderfork.controller.CloudProvisioner.MachineKind;
 import eiderfork.controller.context.ControllerContext;
 import eiderfork.controller.store.StoreClient;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
+import eiderfork.model.MachineKind;
 import eiderfork.model.MachineType;
 import eiderfork.model.Priority;
 import eiderfork.model.Resources;
--- a/src/test/java/eiderfork/controller/CancellationTrackerTest.java
+++ b/src/test/java/eiderfork/controller/CancellationTrackerTest.java
@@ -32,14 +32,14 @@
   }
 
   private void advanceTo(long nowMs) {
-    leaderContext.nowMs = nowMs;
-    peerContext.nowMs = nowMs;
-    otherContext.nowMs = nowMs;
+    leaderContext.advanceTo(nowMs);
+    peerContext.advanceTo(nowMs);
+    otherContext.advanceTo(nowMs);
   }
 
   /** The leader pings, and the reply arrives a while after the request. */
   private void ping(String node, CancellationTracker to, long tookMs) {
-    long requestedMs = leaderContext.nowMs;
+    long requestedMs = leaderContext.nowMs();
     to.receive("roost-0", leader.gossipFor(node));
     CancellationGossip gossip = to.gossipFor("roost-0");
     advanceTo(requestedMs + tookMs);
--- a/src/test/java/eiderfork/controller/CapacityIndexTest.java
+++ b/src/test/java/eiderfork/controller/CapacityIndexTest.java
@@ -173,6 +173,6 @@
             capacity, scorer, random, 1000, job, new HashMap<>(), true, SearchConstraints.NONE);
     assertEquals(null, search.bestMachine());
     assertTrue(machine.isSkippedBySearch());
-    assertTrue(index.failedSearches().isRuledOut(job.spec, "a"));
+    assertTrue(index.failedSearches().isRuledOut(job.spec(), "a"));
   }
 }
--- a/src/test/java/eiderfork/controller/ControllerTest.java
+++ b/src/test/java/eiderfork/controller/ControllerTest.java
@@ -127,7 +127,7 @@
       fleet.getOrRegister(new Machine("n-" + i, "n-" + i + ":1", "g4", "a", false));
     }
     commander.onElected();
-    context.nowMs = 5000;
+    context.advanceTo(5000);
     commander.tick();
     int outbound = context.settings.controllerResources().maxOutboundConnections();
     assertEquals(outbound - outbound / 2, context.drainEffects().size());
--- a/src/test/java/eiderfork/controller/FailoverTest.java
+++ b/src/test/java/eiderfork/controller/FailoverTest.java
@@ -6,6 +6,7 @@
 import com.google.common.collect.ImmutableSet;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
+import eiderfork.model.MachineKind;
 import eiderfork.model.Priority;
 import eiderfork.model.Resources;
 import java.util.ArrayList;
@@ -178,7 +179,7 @@
   void tasksThatEndFarApart(int afterMs) {
     SimulatedCluster world = new SimulatedCluster(6);
     world.cloud.capacity = 1;
-    world.cloud.stock.put(new CloudProvisioner.MachineKind("g4", "b", false), 0);
+    world.cloud.stock.put(new MachineKind("g4", "b", false), 0);
     List<Job> jobs = new ArrayList<>();
     for (int i = 1; i <= 4; i++) {
       jobs.add(TestFixtures.job(i, JobKind.ARRAY, 3, 2));
--- a/src/test/java/eiderfork/controller/FakeCloud.java
+++ b/src/test/java/eiderfork/controller/FakeCloud.java
@@ -4,6 +4,7 @@
 import eiderfork.controller.message.Reply;
 import eiderfork.model.ListedMachine;
 import eiderfork.model.Machine;
+import eiderfork.model.MachineKind;
 import eiderfork.model.MachineType;
 import eiderfork.model.Resources;
 import eiderfork.model.StoredRecord;
@@ -36,7 +37,7 @@
   long bootMs;
 
   /** How long machines of a kind boot where that is not {@link #bootMs}. */
-  final Map<CloudProvisioner.MachineKind, Long> bootMsByKind = new HashMap<>();
+  final Map<MachineKind, Long> bootMsByKind = new HashMap<>();
 
   /** The cloud refuses every request. */
   boolean isDown;
@@ -47,7 +48,7 @@
   /** What the cloud has, and how much of each kind where that is not {@link #capacity}. */
   ImmutableList<MachineType> types = SMALL_TYPES;
 
-  final Map<CloudProvisioner.MachineKind, Integer> stock = new HashMap<>();
+  final Map<MachineKind, Integer> stock = new HashMap<>();
 
   private static final ImmutableList<MachineType> SMALL_TYPES =
       ImmutableList.of(
@@ -95,8 +96,7 @@
                         && h.machine.zone().equals(rent.zone())
                         && h.machine.spot() == rent.spot())
             .count();
-    CloudProvisioner.MachineKind kind =
-        new CloudProvisioner.MachineKind(rent.type(), rent.zone(), rent.spot());
+    MachineKind kind = new MachineKind(rent.type(), rent.zone(), rent.spot());
     int count = (int) Math.min(rent.count(), stock.getOrDefault(kind, capacity) - same);
     for (int i = 0; i < count; i++) {
       long slowMs = 2000 + random.nextLong(6000);
--- a/src/test/java/eiderfork/controller/FakeHeartbeats.java
+++ b/src/test/java/eiderfork/controller/FakeHeartbeats.java
@@ -80,7 +80,7 @@
       long leaseMs = (long) (world.settings.workerTimings().leaseS() * 1000);
       world.at(2000 + world.random.nextLong(leaseMs * 3 / 2), () -> deliverAgain(node, heartbeat));
     }
-    if (world.random.nextDouble() < world.reportsForNext) {
+    if (world.random.nextDouble() < world.heartbeatsForNextLeader) {
       keptForNextLeader.add(heartbeat);
     }
     int copies = world.random.nextDouble() < world.doubled ? 2 : 1;
--- a/src/test/java/eiderfork/controller/FirstFitTreeTest.java
+++ b/src/test/java/eiderfork/controller/FirstFitTreeTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import eiderfork.controller.CloudProvisioner.MachineKind;
+import eiderfork.model.MachineKind;
 import eiderfork.model.Resources;
 import java.util.ArrayList;
 import java.util.List;
--- a/src/test/java/eiderfork/controller/GangTest.java
+++ b/src/test/java/eiderfork/controller/GangTest.java
@@ -7,6 +7,7 @@
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
 import eiderfork.model.JobStatus.Phase;
+import eiderfork.model.MachineKind;
 import eiderfork.model.Priority;
 import eiderfork.model.Resources;
 import eiderfork.model.TaskStatus;
@@ -87,11 +88,10 @@
   @Test
   void singleZoneGangIsPlacedWhereAllOfItFits() {
     for (String zone : List.of("a", "b")) {
-      world.cloud.stock.put(
-          new CloudProvisioner.MachineKind("g4", zone, false), zone.equals("a") ? 1 : 3);
-      world.cloud.stock.put(new CloudProvisioner.MachineKind("g4", zone, true), 0);
-      world.cloud.stock.put(new CloudProvisioner.MachineKind("c8", zone, false), 0);
-      world.cloud.stock.put(new CloudProvisioner.MachineKind("c8", zone, true), 0);
+      world.cloud.stock.put(new MachineKind("g4", zone, false), zone.equals("a") ? 1 : 3);
+      world.cloud.stock.put(new MachineKind("g4", zone, true), 0);
+      world.cloud.stock.put(new MachineKind("c8", zone, false), 0);
+      world.cloud.stock.put(new MachineKind("c8", zone, true), 0);
     }
     submit(TestFixtures.job(1, JobKind.SERVICE, 4, 3));
     world.run(25);
@@ -282,7 +282,7 @@
   @Test
   void noGangIsPreemptedForAPartOfAnother() {
     world.cloud.capacity = 0;
-    world.cloud.stock.put(new CloudProvisioner.MachineKind("c8", "a", false), 2);
+    world.cloud.stock.put(new MachineKind("c8", "a", false), 2);
     world.run(5);
     Job low = TestFixtures.gang(1, 4, 4, 60, true);
     submit(TestFixtures.withPriority(low, Priority.LOW));
@@ -304,7 +304,7 @@
   void gangPreemptedForAnUrgentServiceSavesAsAWhole(int crashAfterMs) {
     world.cloud.types = world.cloud.types.subList(1, 2);
     world.cloud.capacity = 0;
-    world.cloud.stock.put(new CloudProvisioner.MachineKind("c8", "a", false), 2);
+    world.cloud.stock.put(new MachineKind("c8", "a", false), 2);
     world.run(5);
     Job gang = submit(TestFixtures.gang(1, 4, 4, 25, true));
     world.run(20);
@@ -346,7 +346,7 @@
     troubled.lateWrites = 0.05;
     troubled.lostAnswers = 0.05;
     troubled.lateReports = 0.1;
-    troubled.reportsForNext = 0.1;
+    troubled.heartbeatsForNextLeader = 0.1;
     troubled.commandsLateMs = seed % 3 * 900;
     for (int i = 1; i <= 14; i++) {
       boolean red = i % 5 == 0;
--- a/src/test/java/eiderfork/controller/GpuHeadroomTest.java
+++ b/src/test/java/eiderfork/controller/GpuHeadroomTest.java
@@ -5,6 +5,7 @@
 
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
+import eiderfork.model.MachineKind;
 import eiderfork.model.Priority;
 import eiderfork.model.Resources;
 import java.util.List;
@@ -15,10 +16,10 @@
   /** The cloud has this many machines of type {@code g4}, all of one zone and none of them spot. */
   private static SimulatedCluster clusterWithGpuMachines(long seed, int machines) {
     SimulatedCluster world = new SimulatedCluster(seed);
-    world.cloud.stock.put(new CloudProvisioner.MachineKind("g4", "a", false), machines);
-    world.cloud.stock.put(new CloudProvisioner.MachineKind("g4", "b", false), 0);
-    world.cloud.stock.put(new CloudProvisioner.MachineKind("g4", "a", true), 0);
-    world.cloud.stock.put(new CloudProvisioner.MachineKind("g4", "b", true), 0);
+    world.cloud.stock.put(new MachineKind("g4", "a", false), machines);
+    world.cloud.stock.put(new MachineKind("g4", "b", false), 0);
+    world.cloud.stock.put(new MachineKind("g4", "a", true), 0);
+    world.cloud.stock.put(new MachineKind("g4", "b", true), 0);
     return world;
   }
 
--- a/src/test/java/eiderfork/controller/HugeArrayRecordTest.java
+++ b/src/test/java/eiderfork/controller/HugeArrayRecordTest.java
@@ -52,7 +52,7 @@
         ends = ending.size();
       }
       for (Reservation reservation : ending.subList(0, ends)) {
-        boolean straggles = reservation.taskIndex % 1000 < STRAGGLERS && state.hasPendingTasks();
+        boolean straggles = reservation.taskIndex() % 1000 < STRAGGLERS && state.hasPendingTasks();
         if (!straggles) {
           state.settle(reservation, random.nextInt(50) > 0);
         }
@@ -118,9 +118,9 @@
   }
 
   private static JobState copyOf(JobState job) {
-    JobState copy = TestFixtures.jobState(job.spec);
+    JobState copy = TestFixtures.jobState(job.spec());
     for (Reservation reservation : job.reservations().values()) {
-      reserve(copy, reservation.taskIndex, reservation.attempt);
+      reserve(copy, reservation.taskIndex(), reservation.attempt());
     }
     return copy;
   }
--- a/src/test/java/eiderfork/controller/IncarnationLeaseExpiryTest.java
+++ b/src/test/java/eiderfork/controller/IncarnationLeaseExpiryTest.java
@@ -52,16 +52,16 @@
 
   /** Time passes by ticks; reads of the lease proxies' records find none. */
   private void elapse(long ms) {
-    long endMs = context.nowMs + ms;
+    long endMs = context.nowMs() + ms;
     long readMs = Long.MAX_VALUE;
-    while (context.nowMs < endMs) {
-      advance(Math.min(TICK_MS, endMs - context.nowMs));
+    while (context.nowMs() < endMs) {
+      advance(Math.min(TICK_MS, endMs - context.nowMs()));
       commander.tick();
       if (proxyReads.isEmpty()) {
         readMs = Long.MAX_VALUE;
       } else if (readMs == Long.MAX_VALUE) {
-        readMs = context.nowMs + READ_MS;
-      } else if (context.nowMs >= readMs) {
+        readMs = context.nowMs() + READ_MS;
+      } else if (context.nowMs() >= readMs) {
         proxyReads.remove().accept(Set.of());
       }
     }
@@ -102,12 +102,12 @@
 
   /** Time passes while the leader hears the machine by the answers to direct commands alone. */
   private void elapseUnderCommands(long ms, Reservation task) {
-    long endMs = context.nowMs + ms;
-    while (context.nowMs + COMMAND_MS < endMs) {
+    long endMs = context.nowMs() + ms;
+    while (context.nowMs() + COMMAND_MS < endMs) {
       elapse(COMMAND_MS);
       commandDirectly(true, INCARNATION, runningStatus(task));
     }
-    elapse(endMs - context.nowMs);
+    elapse(endMs - context.nowMs());
   }
 
   /** Reserves the task anew and starts it by a direct command in the next incarnation. */
@@ -140,10 +140,10 @@
     commandDirectly(false, NEXT_INCARNATION);
     assertNull(job.reservations().get(0), "the previous incarnation is over");
     assertEquals(1, leaseLog.startedByCommand());
-    long seenMs = context.nowMs;
+    long seenMs = context.nowMs();
     Reservation task = startInNextIncarnation();
 
-    elapse(seenMs + context.workerLeaseMs() - context.nowMs);
+    elapse(seenMs + context.workerLeaseMs() - context.nowMs());
     assertSame(task, job.reservations().get(0), "the new incarnation's lease is not over");
     elapse(JUDGED_MS);
     assertNull(job.reservations().get(0), "the new incarnation's lease is surely over");
@@ -158,7 +158,7 @@
     advance(TICK_MS);
     commandDirectly(false, NEXT_INCARNATION);
     Reservation task = startInNextIncarnation();
-    context.nowMs += context.workerLeaseMs() + JUDGED_MS;
+    context.advanceBy(context.workerLeaseMs() + JUDGED_MS);
     read.accept(Set.of());
     assertSame(task, job.reservations().get(0));
     assertEquals(1, leaseLog.staleReads());
@@ -174,7 +174,7 @@
         ++sequenceNumber,
         machine.commandChannel().fencingToken(),
         runningStatus(task));
-    context.nowMs += context.workerLeaseMs() + JUDGED_MS;
+    context.advanceBy(context.workerLeaseMs() + JUDGED_MS);
     read.accept(Set.of());
     assertSame(task, job.reservations().get(0));
     assertEquals(1, leaseLog.staleReads());
@@ -209,12 +209,12 @@
   @Test
   void leaseExpiresAfterClockDriftAndMargin() {
     long expiryMs =
-        context.nowMs
+        context.nowMs()
             + ControllerContext.withClockDrift(context.workerLeaseMs())
             + context.stepMs() / 2;
-    context.nowMs = expiryMs;
+    context.advanceTo(expiryMs);
     assertFalse(leaseExpiry.hasExpired(machine));
-    context.nowMs = expiryMs + 1;
+    context.advanceTo(expiryMs + 1);
     assertTrue(leaseExpiry.hasExpired(machine));
   }
 
@@ -222,12 +222,12 @@
   @Test
   void linesPerStepAreLimitedAndTheRestIsCounted() {
     for (int i = 0; i < 100; i++) {
-      leaseLog.incarnationStarted(machine, INCARNATION, context.nowMs, true);
+      leaseLog.incarnationStarted(machine, INCARNATION, context.nowMs(), true);
     }
     assertEquals(100, leaseLog.startedByCommand());
     assertEquals(80, leaseLog.suppressedLines());
-    context.nowMs += context.stepMs();
-    leaseLog.incarnationStarted(machine, INCARNATION, context.nowMs, true);
+    context.advanceBy(context.stepMs());
+    leaseLog.incarnationStarted(machine, INCARNATION, context.nowMs(), true);
     assertEquals(80, leaseLog.suppressedLines());
   }
 }
--- a/src/test/java/eiderfork/controller/JobArchiverTest.java
+++ b/src/test/java/eiderfork/controller/JobArchiverTest.java
@@ -427,7 +427,7 @@
         new ControllerContext(TestFixtures.settings("roost-0"), new Random(1), 0);
     StoreClient store = new StoreClient(context);
     store.actAsLeader();
-    context.nowMs += 1000;
+    context.advanceBy(1000);
     assertTrue(store.hasSpareWriteCapacity(8));
     // 0.85 of 40 writes a second may be written at once.
     ImmutableList.Builder<StoreRequest.Change> changes = ImmutableList.builder();
@@ -439,7 +439,7 @@
         RequestPriority.START,
         reply -> {});
     assertFalse(store.hasSpareWriteCapacity(8));
-    context.nowMs += 1000;
+    context.advanceBy(1000);
     assertTrue(store.hasSpareWriteCapacity(8));
   }
 }
--- a/src/test/java/eiderfork/controller/JobArchiverTransactionTest.java
+++ b/src/test/java/eiderfork/controller/JobArchiverTransactionTest.java
@@ -53,7 +53,7 @@
 
   /** The calls that the next tick after some time makes. */
   private List<Effect.CallStore> tick() {
-    context.nowMs += 2000;
+    context.advanceBy(2000);
     archiver.tick();
     return context.drainEffects().stream().map(Effect.CallStore.class::cast).toList();
   }
@@ -149,11 +149,11 @@
   @Test
   void jobWithOpenStateIsNotArchivable() {
     assertTrue(done.isArchivable());
-    done.writes().onWriteBegun(done.writes().committed(), context.nowMs);
+    done.writes().onWriteBegun(done.writes().committed(), context.nowMs());
     assertTrue(!done.isArchivable());
     done.writes().onNotApplied();
     assertTrue(done.isArchivable());
-    MachineState machine = new MachineState("n-1", 0, new MachineIndexes(), context.nowMs);
+    MachineState machine = new MachineState("n-1", 0, new MachineIndexes(), context.nowMs());
     Reservation open = new Reservation(done, 0, 1, machine);
     done.tasks().reserve(open);
     assertTrue(!done.isArchivable());
@@ -184,7 +184,7 @@
     ControllerContext few =
         new ControllerContext(TestFixtures.archiving(3600, 1), new Random(1), 0);
     assertEquals(1, few.settings.operator().maxEndedJobs());
-    context.nowMs += 2000;
+    context.advanceBy(2000);
     JobArchiver limited =
         new JobArchiver(few, store, election, version, jobs, cancellations, sweeper);
     limited.tick();
--- a/src/test/java/eiderfork/controller/JobRegistryTest.java
+++ b/src/test/java/eiderfork/controller/JobRegistryTest.java
@@ -47,7 +47,7 @@
     assertEquals(2, job.reservations().size());
     assertTrue(job.reservations().values().stream().noneMatch(Reservation::isDesired));
     assertEquals(0, job.stopGraceS());
-    assertFalse(job.gang.canStartAttempt());
+    assertFalse(job.gang().canStartAttempt());
   }
 
   @Test
@@ -97,7 +97,7 @@
     }
     new CachedImageRestorer(fleet).restore(jobs.all());
     // The cache of this type holds two, and the record of the third job is the oldest.
-    assertEquals(List.of("img-2", "img-1"), List.copyOf(machine.images().images()));
+    assertEquals(List.of("img-2", "img-1"), List.copyOf(machine.images().names()));
   }
 
   /** The usage that is kept as jobs change is the sum over all jobs. */
@@ -148,35 +148,35 @@
 
     private void propose(JobState job, int step) {
       int index = job == null ? -1 : job.tasks().nextPending(0);
-      if (index >= 0 && (job.gang == null || job.gang.canStartAttempt())) {
+      if (index >= 0 && (job.gang() == null || job.gang().canStartAttempt())) {
         reserved.add(jobs.propose(job, index, step, machine));
       }
     }
 
     private void cancel(JobState job) {
       if (job != null && random.nextInt(4) == 0) {
-        jobs.markCancelled(job.spec.uid());
+        jobs.markCancelled(job.spec().uid());
       }
     }
 
     private void change(Reservation reservation, int transition) {
-      boolean isHeld = reservation.job.tasks().holds(reservation);
+      boolean isHeld = reservation.job().tasks().holds(reservation);
       if (transition <= 5) {
         reserved.remove(reservation);
         jobs.settle(reservation, random.nextBoolean());
-      } else if (transition == 6 && isHeld && !reservation.job.isCancelled()) {
+      } else if (transition == 6 && isHeld && !reservation.job().isCancelled()) {
         reserved.remove(reservation);
         jobs.withdrawProposal(reservation);
       } else if (transition == 8 && isHeld) {
         jobs.requestStop(reservation);
-      } else if (transition == 9 && isHeld && reservation.job.gang == null) {
+      } else if (transition == 9 && isHeld && reservation.job().gang() == null) {
         jobs.revokeStop(reservation);
       }
     }
 
     private void freezeEvictOrCommit(JobState job) {
       if (job != null && random.nextInt(10) == 0) {
-        jobs.freeze(job.spec.uid());
+        jobs.freeze(job.spec().uid());
       } else if (job != null && random.nextInt(10) == 0) {
         jobs.evict(job);
         known.remove(job);
@@ -192,15 +192,15 @@
     Resources stopping = Resources.NONE;
     Resources settled = Resources.NONE;
     for (JobState job : jobs.activeJobs()) {
-      Resources demand = job.spec.taskResources();
-      boolean frozen = jobs.isFrozen(job.spec.uid());
+      Resources demand = job.spec().taskResources();
+      boolean frozen = jobs.isFrozen(job.spec().uid());
       long undesired =
           job.reservations().values().stream()
               .filter(reservation -> !reservation.isDesired())
               .count();
       int uncommitted = job.tasks().uncommittedSettlements().size();
       used = used.plus(demand.times(job.quotaTaskCount()));
-      stopping = stopping.plus(demand.times(frozen ? job.spec.tasks() : undesired));
+      stopping = stopping.plus(demand.times(frozen ? job.spec().tasks() : undesired));
       settled = settled.plus(demand.times(frozen ? 0 : uncommitted));
     }
     ResourceUsage usage = jobs.resourceUsage();
@@ -214,10 +214,10 @@
     double cpus = 0;
     double gpus = 0;
     for (JobState job : jobs.activeJobs()) {
-      Resources demand = job.spec.taskResources();
+      Resources demand = job.spec().taskResources();
       if (demand.gpus() > 0) {
-        cpus += demand.cpus() * job.spec.tasks();
-        gpus += demand.gpus() * job.spec.tasks();
+        cpus += demand.cpus() * job.spec().tasks();
+        gpus += demand.gpus() * job.spec().tasks();
       }
     }
     assertAboutEqual(gpus > 0 ? cpus / gpus : 0, jobs.resourceUsage().cpusPerGpu().cpusPerGpu());
--- a/src/test/java/eiderfork/controller/LargeCellTest.java
+++ b/src/test/java/eiderfork/controller/LargeCellTest.java
@@ -15,6 +15,7 @@
 import eiderfork.model.JobKind;
 import eiderfork.model.ListedMachine;
 import eiderfork.model.Machine;
+import eiderfork.model.MachineKind;
 import eiderfork.model.MachineType;
 import eiderfork.model.Priority;
 import eiderfork.model.Resources;
@@ -77,11 +78,11 @@
   @Test
   void aWholeListIsReadWithinTheRateOfCalls() {
     double rps = context.settings.cloudLimits().requestsPerS();
-    long beganMs = context.nowMs;
+    long beganMs = context.nowMs();
     int calls = 0;
     boolean refusedOne = false;
     while (!cloud.hasCompleteListing()) {
-      context.nowMs += 50;
+      context.advanceBy(50);
       cloud.tick();
       for (Effect effect : context.drainEffects()) {
         if (effect instanceof Effect.ListHosts it) {
@@ -95,7 +96,7 @@
           context.completeCall(it.callId(), new Reply.Types(ImmutableList.of(TYPE)));
         }
       }
-      double seconds = (context.nowMs - beganMs) / 1000.0;
+      double seconds = (context.nowMs() - beganMs) / 1000.0;
       assertTrue(calls <= 2 * rps + rps * seconds, calls + " calls in " + seconds + " s");
       assertTrue(seconds < 30, "no list in its time");
     }
@@ -109,23 +110,23 @@
     for (int i = 0; i < MACHINES; i++) {
       fleet.remove(fleet.getOrRegister(name(i)), "it died");
     }
-    fleet.applyMachineList(java.util.Map.of(), context.nowMs);
+    fleet.applyMachineList(java.util.Map.of(), context.nowMs());
     assertTrue(fleet.isRemoved(name(1)));
-    context.nowMs += 60 * context.workerLeaseMs() + 1;
-    fleet.applyMachineList(java.util.Map.of(), context.nowMs);
+    context.advanceBy(60 * context.workerLeaseMs() + 1);
+    fleet.applyMachineList(java.util.Map.of(), context.nowMs());
     assertFalse(fleet.isRemoved(name(1)));
   }
 
   /** One rent of fifty for a kind and plan took two minutes for six thousand machines. */
   @Test
   void rentsOfAKindThatIsFilledAreAskedForTogether() {
-    ScaleOutRequests scaleOut = cloud.rents();
-    CloudProvisioner.MachineKind kind = new CloudProvisioner.MachineKind("c8", "a", false);
+    ScaleOutRequests scaleOut = cloud.scaleOut();
+    MachineKind kind = new MachineKind("c8", "a", false);
     assertEquals(1, scaleOut.maxConcurrentRents(kind), "what the cloud has is not known");
     int last = 0;
     for (int i = 0; i < 4; i++) {
       scaleOut.rent(kind, 50);
-      context.nowMs += 1000;
+      context.advanceBy(1000);
       store.sendQueued();
       answerState(new Reply.Committed(10 + i));
       scaleOut.tick();
@@ -142,7 +143,7 @@
         scaleOut.maxConcurrentRents(kind),
         "the rate bounds it");
     scaleOut.rent(kind, 50);
-    context.nowMs += 1000;
+    context.advanceBy(1000);
     store.sendQueued();
     answerState(new Reply.Committed(20));
     scaleOut.tick();
--- a/src/test/java/eiderfork/controller/LateBootTest.java
+++ b/src/test/java/eiderfork/controller/LateBootTest.java
@@ -5,6 +5,7 @@
 
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
+import eiderfork.model.MachineKind;
 import java.util.List;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
@@ -27,7 +28,7 @@
 
   private void setBootTime(String zone, long bootMs) {
     for (boolean spot : new boolean[] {false, true}) {
-      world.cloud.bootMsByKind.put(new CloudProvisioner.MachineKind("g4", zone, spot), bootMs);
+      world.cloud.bootMsByKind.put(new MachineKind("g4", zone, spot), bootMs);
     }
   }
 
--- a/src/test/java/eiderfork/controller/LeaderAndWorkerFixture.java
+++ b/src/test/java/eiderfork/controller/LeaderAndWorkerFixture.java
@@ -84,7 +84,7 @@
   void lead() {
     ElectedLeader.win(context, election);
     // The leader's share of the rates fills up.
-    context.nowMs += 500;
+    context.advanceBy(500);
     assertTrue(election.isLeaseValid());
     context.drainEffects();
     commander.onElected();
@@ -104,7 +104,7 @@
 
   /** Time passes, a tick's worth or less, and the leader's own lease is renewed. */
   void advance(long ms) {
-    context.nowMs += ms;
+    context.advanceBy(ms);
     election.tick();
     store.sendQueued();
     for (Effect.CallStore storeCall : effects(Effect.CallStore.class)) {
--- a/src/test/java/eiderfork/controller/LeaderLeaseTest.java
+++ b/src/test/java/eiderfork/controller/LeaderLeaseTest.java
@@ -41,7 +41,7 @@
   }
 
   private void advance(long ms) {
-    context.nowMs += ms;
+    context.advanceBy(ms);
     store.sendQueued();
   }
 
@@ -63,7 +63,7 @@
   @ValueSource(longs = {0, 500, 1000, 2000, 2900, 3200})
   void leaseCountsFromItsRequest(long pauseMs) {
     Effect.CallStore grant = electUpToGrant();
-    long grantedMs = context.nowMs;
+    long grantedMs = context.nowMs();
     advance(pauseMs);
     reply(grant, new Reply.Leased(7));
     Effect.CallStore claim = pendingStoreCall();
@@ -71,7 +71,7 @@
     reply(claim, new Reply.Committed(11));
     assertTrue(election.isLeading());
     for (long ms = pauseMs; ms <= 2 * LEASE_MS; ms += 50) {
-      context.nowMs = grantedMs + ms;
+      context.advanceTo(grantedMs + ms);
       assertFalse(election.isLeaseValid() && ms >= LEASE_MS, "sure " + ms + " ms after the grant");
     }
   }
@@ -83,14 +83,14 @@
     reply(electUpToGrant(), new Reply.Leased(7));
     reply(pendingStoreCall(), new Reply.Committed(11));
     advance(50);
-    long renewedMs = context.nowMs;
+    long renewedMs = context.nowMs();
     election.tick();
     Effect.CallStore renewal = pendingStoreCall();
     assertEquals(new StoreRequest.Renew(7), renewal.request());
     advance(pauseMs);
     reply(renewal, new Reply.Leased(7));
     assertEquals(pauseMs < LEASE_MS * 9 / 10, election.isLeaseValid());
-    context.nowMs = Math.max(context.nowMs, renewedMs + LEASE_MS);
+    context.advanceTo(Math.max(context.nowMs(), renewedMs + LEASE_MS));
     assertFalse(election.isLeaseValid());
   }
 
--- a/src/test/java/eiderfork/controller/MachineConsolidationTest.java
+++ b/src/test/java/eiderfork/controller/MachineConsolidationTest.java
@@ -4,6 +4,7 @@
 
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
+import eiderfork.model.MachineKind;
 import eiderfork.model.Resources;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -18,8 +19,8 @@
   /** One ordinary machine with GPUs in each zone, and no others. */
   private void oneMachineInEachZone() {
     world.cloud.capacity = 0;
-    world.cloud.stock.put(new CloudProvisioner.MachineKind("g4", "a", false), 1);
-    world.cloud.stock.put(new CloudProvisioner.MachineKind("g4", "b", false), 1);
+    world.cloud.stock.put(new MachineKind("g4", "a", false), 1);
+    world.cloud.stock.put(new MachineKind("g4", "b", false), 1);
   }
 
   private Job submit(int number, int tasks, Resources demand) {
--- a/src/test/java/eiderfork/controller/PreemptionTest.java
+++ b/src/test/java/eiderfork/controller/PreemptionTest.java
@@ -51,7 +51,7 @@
       Reservation task = jobs.propose(array, index, 1, state);
       task.onCommitted();
       task.onStateReported(TaskStatus.State.RUNNING);
-      task.onRunningReported(context.nowMs - ranMs);
+      task.onRunningReported(context.nowMs() - ranMs);
     }
     return state;
   }
@@ -60,7 +60,7 @@
     FreeCapacity capacity =
         new FreeCapacity(
             fleet, machine -> true, machine -> true, new BorrowedCapacity(context, jobs, fleet));
-    capacity.beginRound(context.nowMs);
+    capacity.beginRound(context.nowMs());
     CpusPerGpu cpusPerGpu = new CpusPerGpu(1);
     PreemptionPlanner preemption =
         new PreemptionPlanner(
--- a/src/test/java/eiderfork/controller/QueueOrderTest.java
+++ b/src/test/java/eiderfork/controller/QueueOrderTest.java
@@ -97,7 +97,7 @@
   void aMissedDeadlineLeavesTheNextObjective() {
     JobState other = array(1, 4, 50, 200.0);
     JobState first = array(2, 4, 50, 100.0);
-    context.nowMs = START_MS + 60_000;
+    context.advanceTo(START_MS + 60_000);
     // The deadline itself could be met by a start up to 40 s, 1.5 times it up to 90 s.
     assertEquals(List.of(first, other), sorted());
   }
@@ -106,7 +106,7 @@
   @Test
   void aLateJobThatNeverStartedGoesFirstInTimeToBeginWithinFourMinutes() {
     JobState late = array(1, 4, 50, 40.0);
-    context.nowMs = START_MS + 150_000;
+    context.advanceTo(START_MS + 150_000);
     JobState fresh = array(2, 4, 50, 70.0);
     assertEquals(List.of(late, fresh), sorted());
   }
@@ -116,7 +116,7 @@
     List<JobState> arrays = new ArrayList<>();
     for (int i = 1; i <= 3; i++) {
       arrays.add(array(i, 4, 50, null));
-      context.nowMs += 1000;
+      context.advanceBy(1000);
     }
     assertEquals(arrays, sorted());
     JobState urgent = array(4, 4, 50, 61.0);
@@ -132,7 +132,7 @@
     assertFalse(deadlines.hasNoTimeForRerun(patient));
     assertTrue(deadlines.hasNoTimeForRerun(tight));
     assertFalse(deadlines.hasNoTimeForRerun(free));
-    context.nowMs = START_MS + 120_000;
+    context.advanceTo(START_MS + 120_000);
     assertTrue(deadlines.hasNoTimeForRerun(patient));
   }
 
@@ -141,9 +141,9 @@
     JobState job = array(1, 1, 50, 100.0);
     Reservation first = new Reservation(job, 0, 1, fleet.getOrRegister("n-1"));
     first.onRunningReported(START_MS + 20_000);
-    context.nowMs = START_MS + 40_000;
+    context.advanceTo(START_MS + 40_000);
     assertFalse(deadlines.isLateIfRerun(first), "a run from now ends at 90 s");
-    context.nowMs = START_MS + 60_000;
+    context.advanceTo(START_MS + 60_000);
     assertTrue(deadlines.isLateIfRerun(first), "a run from now ends at 110 s");
     Reservation second = new Reservation(job, 0, 2, fleet.getOrRegister("n-1"));
     second.onRunningReported(START_MS + 55_000);
--- a/src/test/java/eiderfork/controller/QuotaCluster.java
+++ b/src/test/java/eiderfork/controller/QuotaCluster.java
@@ -5,6 +5,7 @@
 import eiderfork.config.Settings;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
+import eiderfork.model.MachineKind;
 import eiderfork.model.MachineType;
 import eiderfork.model.Priority;
 import eiderfork.model.Resources;
@@ -37,7 +38,7 @@
     this.world = world;
     world.cloud.types = world.cloud.types.subList(0, 1);
     world.cloud.capacity = 0;
-    world.cloud.stock.put(new CloudProvisioner.MachineKind("g4", "a", false), MACHINES);
+    world.cloud.stock.put(new MachineKind("g4", "a", false), MACHINES);
     guarantees = new GuaranteeChecker(world);
   }
 
--- a/src/test/java/eiderfork/controller/QuotaDay.java
+++ b/src/test/java/eiderfork/controller/QuotaDay.java
@@ -5,6 +5,7 @@
 import eiderfork.config.Settings;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
+import eiderfork.model.MachineKind;
 import eiderfork.model.MachineType;
 import eiderfork.model.Priority;
 import eiderfork.model.Resources;
@@ -78,7 +79,7 @@
     world.cloud.bootMs = (long) (BOOT_S * 1000);
     world.cloud.capacity = 0;
     for (String zone : List.of("a", "b")) {
-      world.cloud.stock.put(new CloudProvisioner.MachineKind("g4", zone, false), MACHINES_PER_ZONE);
+      world.cloud.stock.put(new MachineKind("g4", zone, false), MACHINES_PER_ZONE);
     }
     beganMs = world.nowMs;
     fromMs = (long) fromHour * HOUR_MS;
--- a/src/test/java/eiderfork/controller/QuotaReclaimFailureTest.java
+++ b/src/test/java/eiderfork/controller/QuotaReclaimFailureTest.java
@@ -58,7 +58,7 @@
     REPORTS_HELD_FOR_THE_NEXT_LEADER(
         false,
         scenario -> {
-          scenario.world.reportsForNext = 1;
+          scenario.world.heartbeatsForNextLeader = 1;
           scenario.world.holdNextReports(2500);
           scenario.world.at(200, () -> scenario.world.crash(scenario.leader(), 2000));
         }),
--- a/src/test/java/eiderfork/controller/RandomHistoryTest.java
+++ b/src/test/java/eiderfork/controller/RandomHistoryTest.java
@@ -43,7 +43,7 @@
     world.lateWrites = 0.08;
     world.lostAnswers = 0.08;
     world.lateReports = 0.1;
-    world.reportsForNext = 0.1;
+    world.heartbeatsForNextLeader = 0.1;
     if (seed % 2 == 0) {
       world.lookCloselyAtNews(true);
     }
--- a/src/test/java/eiderfork/controller/RateLimitTest.java
+++ b/src/test/java/eiderfork/controller/RateLimitTest.java
@@ -65,7 +65,7 @@
     assertTrue(burst < 200, "the rate holds some back");
     sendWrite(store, "abort/1", RequestPriority.ABORT);
     assertTrue(context.drainEffects().isEmpty());
-    context.nowMs += 100;
+    context.advanceBy(100);
     store.sendQueued();
     List<String> keys = new ArrayList<>();
     for (Effect effect : context.drainEffects()) {
@@ -111,7 +111,7 @@
             1, TestFixtures.job(999, eiderfork.model.JobKind.SERVICE, 1, 1), new byte[0]),
         true,
         refused::add);
-    context.nowMs += 100;
+    context.advanceBy(100);
     store.sendQueued();
     Effect.CallStore first = (Effect.CallStore) context.drainEffects().get(0);
     assertEquals(new StoreRequest.Get("job/run-000999"), first.request());
