--- a/src/test/java/eiderfork/controller/ReadBarrierTest.java
+++ b/src/test/java/eiderfork/controller/ReadBarrierTest.java
@@ -32,7 +32,7 @@
           caughtUp::add);
 
   private Effect.CallStore nextStoreCall() {
-    context.nowMs += 1000;
+    context.advanceBy(1000);
     readBarrier.tick();
     store.sendQueued();
     List<Effect> effects = context.drainEffects();
@@ -51,8 +51,8 @@
     readBarrier.awaitCaughtUp(ok -> outcomes.add("third " + ok + aborted));
     readBarrier.tick();
     assertTrue(context.drainEffects().isEmpty(), "a read is pending");
-    long requestedMs = context.nowMs;
-    context.nowMs += 400;
+    long requestedMs = context.nowMs();
+    context.advanceBy(400);
     context.completeCall(read.callId(), new Reply.Changes(ImmutableList.of(), 6));
     assertEquals(List.of("first true[]"), outcomes);
     assertEquals(List.of(requestedMs), caughtUp, "the time of the request, not of the reply");
--- a/src/test/java/eiderfork/controller/RollingUpgradeTest.java
+++ b/src/test/java/eiderfork/controller/RollingUpgradeTest.java
@@ -193,7 +193,7 @@
     world.lateWrites = 0.06;
     world.lostAnswers = 0.06;
     world.lateReports = 0.1;
-    world.reportsForNext = 0.1;
+    world.heartbeatsForNextLeader = 0.1;
     List<Job> jobs = new ArrayList<>();
     for (int i = 1; i <= 20; i++) {
       int tasks = 1 + script.nextInt(5);
--- a/src/test/java/eiderfork/controller/SilentWorkerHistoryTest.java
+++ b/src/test/java/eiderfork/controller/SilentWorkerHistoryTest.java
@@ -6,6 +6,7 @@
 import eiderfork.config.Settings;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
+import eiderfork.model.MachineKind;
 import eiderfork.model.Priority;
 import eiderfork.model.TaskId;
 import java.util.ArrayList;
@@ -70,8 +71,8 @@
   void tasksThatStartedAnewAfterALapseAreInOnePlace(int heldMs) {
     SimulatedCluster world = world(5);
     world.cloud.capacity = 0;
-    world.cloud.stock.put(new CloudProvisioner.MachineKind("g4", "a", false), 1);
-    world.cloud.stock.put(new CloudProvisioner.MachineKind("g4", "b", false), 1);
+    world.cloud.stock.put(new MachineKind("g4", "a", false), 1);
+    world.cloud.stock.put(new MachineKind("g4", "b", false), 1);
     for (int i = 1; i <= 6; i++) {
       world.submit(replica(i));
     }
--- a/src/test/java/eiderfork/controller/SimulatedCluster.java
+++ b/src/test/java/eiderfork/controller/SimulatedCluster.java
@@ -79,7 +79,7 @@
   double lateReports;
 
   /** The chance that a copy of a report is kept until a new leader begins, for every node. */
-  double reportsForNext;
+  double heartbeatsForNextLeader;
 
   /** Machines keep the images that they have fetched, so that tasks start there at once. */
   boolean imagesStay;
@@ -351,7 +351,7 @@
     lateWrites = 0;
     lostAnswers = 0;
     lateReports = 0;
-    reportsForNext = 0;
+    heartbeatsForNextLeader = 0;
     commandsLateMs = 0;
     stateDelayMs = 0;
     cuts.clear();
--- a/src/test/java/eiderfork/controller/StaleMessageTest.java
+++ b/src/test/java/eiderfork/controller/StaleMessageTest.java
@@ -60,7 +60,7 @@
   @MethodSource("seeds")
   void oldReportsAtANewLeader(long seed) {
     SimulatedCluster world = new SimulatedCluster(seed);
-    world.reportsForNext = 0.4;
+    world.heartbeatsForNextLeader = 0.4;
     List<Job> jobs = submitChurn(world, seed);
     for (int i = 0; i < 5; i++) {
       world.at(
--- a/src/test/java/eiderfork/controller/UserRequestHandlerTest.java
+++ b/src/test/java/eiderfork/controller/UserRequestHandlerTest.java
@@ -52,7 +52,7 @@
     if (replyToLast != null) {
       context.completeCall(call, replyToLast);
     }
-    context.nowMs += 1000;
+    context.advanceBy(1000);
     store.sendQueued();
     List<Effect> effects = context.drainEffects();
     assertEquals(1, effects.size());
--- a/src/test/java/eiderfork/controller/WorkerCommanderTest.java
+++ b/src/test/java/eiderfork/controller/WorkerCommanderTest.java
@@ -48,12 +48,12 @@
   void unchangedTasksOnlyRenewTheLease() {
     Reservation task = startTask();
     ImmutableList<TaskStatus> tasks = machine.lastHeartbeat().tasks();
-    context.nowMs += 3000;
+    context.advanceBy(3000);
     assertEquals(List.of(), sendHeartbeat(INCARNATION, 4, firstToken, runningStatus(task)));
     assertSame(tasks, machine.lastHeartbeat().tasks());
     assertEquals(4, machine.lastHeartbeat().sequenceNumber());
-    assertEquals(context.nowMs, machine.incarnation().lastHeartbeatMs());
-    assertEquals(context.nowMs, machine.incarnation().leaseStartMs());
+    assertEquals(context.nowMs(), machine.incarnation().lastHeartbeatMs());
+    assertEquals(context.nowMs(), machine.incarnation().leaseStartMs());
   }
 
   @Test
@@ -69,7 +69,7 @@
         sendHeartbeat(INCARNATION, 5, firstToken, runningStatus(task)));
     sendHeartbeat(INCARNATION, 6, firstToken, runningStatus(task), runningStatus(second));
     assertTrue(machine.isReconciled());
-    jobs.markCancelled(job.spec.uid());
+    jobs.markCancelled(job.spec().uid());
     assertEquals(
         List.of(
             new WorkerCommand.Kill(task.toAttempt(), 0),
@@ -116,7 +116,7 @@
     machine.commandChannel().clearCommandDue();
     commander.onJobCancelled("run-of-another-job");
     assertFalse(machine.commandChannel().isCommandDue());
-    commander.onJobCancelled(job.spec.uid());
+    commander.onJobCancelled(job.spec().uid());
     assertTrue(machine.commandChannel().isCommandDue());
   }
 
@@ -139,11 +139,11 @@
   void machinesAreOrderedByLeaseStart() {
     MachineState other = fleet.getOrRegister(new Machine("n-2", "n-2:1", "g4", "a", false));
     fleet.renewLease(machine);
-    context.nowMs += 1000;
+    context.advanceBy(1000);
     fleet.renewLease(other);
-    context.nowMs += 20_000;
+    context.advanceBy(20_000);
     fleet.renewLease(machine);
-    context.nowMs += 5000;
+    context.advanceBy(5000);
     assertEquals(List.of(other), fleet.withLeaseNotRenewedFor(10_000));
     assertEquals(List.of(machine, other), fleet.withLeaseNotRenewedFor(1000));
   }
@@ -156,9 +156,9 @@
   void machineThatStartsAnIncarnationIsLast() {
     MachineState other = fleet.getOrRegister(new Machine("n-2", "n-2:1", "g4", "a", false));
     fleet.renewLease(machine);
-    context.nowMs += 1000;
+    context.advanceBy(1000);
     fleet.renewLease(other);
-    context.nowMs += 20_000;
+    context.advanceBy(20_000);
     fleet.recordHeartbeat(machine, heartbeat(INCARNATION + 1, 1, firstToken));
     assertEquals(List.of(other), fleet.withLeaseNotRenewedFor(10_000));
   }
@@ -166,7 +166,7 @@
   /** It was passed over since its lease might have been over, and is usable with this answer. */
   @Test
   void skippedMachineWithExpiredLeaseContradictsTheSearchOnceItsLeaseIsRenewed() {
-    context.nowMs += context.workerLeaseMs() + context.stepMs();
+    context.advanceBy(context.workerLeaseMs() + context.stepMs());
     assertFalse(liveness.isSchedulable(machine));
     machine.onSkippedBySearch();
     sendHeartbeat(INCARNATION, 2, firstToken);
@@ -254,7 +254,7 @@
     sendHeartbeat(INCARNATION, 2, firstToken);
     TaskStatus saving =
         new TaskStatus(stopped.toAttempt(), TaskStatus.State.CHECKPOINTING, null, false);
-    double graceS = job.spec.saveDurationS();
+    double graceS = job.spec().saveDurationS();
     assertEquals(
         List.of(
             new WorkerCommand.Kill(stopped.toAttempt(), graceS),
@@ -269,7 +269,7 @@
     StoredRecord.Allocation record = AllocationRecordBuilder.build(job);
     jobs.write(job, RequestPriority.START);
     answerStore(new Reply.Unanswered());
-    context.nowMs += 1000;
+    context.advanceBy(1000);
     jobs.tick();
     store.sendQueued();
     answerStore(new Reply.Refused(400));
@@ -288,7 +288,7 @@
     assertTrue(job.reservations().isEmpty());
     assertTrue(job.tasks().isPending(0));
     assertFalse(job.writes().isInFlight());
-    assertFalse(job.canWrite(context.nowMs), "not at once");
+    assertFalse(job.canWrite(context.nowMs()), "not at once");
     jobs.tick();
     assertTrue(effects(Effect.CallStore.class).isEmpty());
   }
@@ -318,7 +318,7 @@
     jobs.write(job, RequestPriority.START);
     StoreRequest.Transaction write =
         (StoreRequest.Transaction) effects(Effect.CallStore.class).get(0).request();
-    String uid = job.spec.uid();
+    String uid = job.spec().uid();
     assertEquals(
         ImmutableList.of(
             election.leaderCondition(),
--- a/src/test/java/eiderfork/controller/WorkerReachabilityTest.java
+++ b/src/test/java/eiderfork/controller/WorkerReachabilityTest.java
@@ -56,7 +56,7 @@
 
   /** Half a step passes; one machine and a peer that all machines reach are heard from. */
   private void advanceHalfStep() {
-    context.nowMs += context.stepMs() / 2;
+    context.advanceBy(context.stepMs() / 2);
     fleet.recordHeartbeat(fleet.get("n-0"), heartbeat("n-0", ++sequenceNumber));
     CancellationGossip none = cancellations.gossipFor("roost-1");
     peers.receiveStatus(
@@ -67,17 +67,17 @@
   /** Workers that waited four seconds for the leader before need time to come. */
   @Test
   void newLeaderKeepsTheLeadBeforeWorkersCouldReconnect() {
-    long electedMs = context.nowMs;
-    while (context.nowMs - electedMs < 6 * context.stepMs()) {
+    long electedMs = context.nowMs();
+    while (context.nowMs() - electedMs < 6 * context.stepMs()) {
       advanceHalfStep();
-      assertTrue(election.isLeading(), () -> "after " + (context.nowMs - electedMs) + " ms");
+      assertTrue(election.isLeading(), () -> "after " + (context.nowMs() - electedMs) + " ms");
     }
   }
 
   @Test
   void leaderThatFewerWorkersReachThanAPeerResigns() {
-    long electedMs = context.nowMs;
-    while (context.nowMs - electedMs < 8 * context.stepMs()) {
+    long electedMs = context.nowMs();
+    while (context.nowMs() - electedMs < 8 * context.stepMs()) {
       advanceHalfStep();
     }
     assertFalse(election.isLeading());
--- a/src/test/java/eiderfork/controller/standby/StandbyReplicaTest.java
+++ b/src/test/java/eiderfork/controller/standby/StandbyReplicaTest.java
@@ -36,7 +36,7 @@
 
   private void advance(long ms) {
     for (long i = 0; i < ms; i += 50) {
-      context.nowMs += 50;
+      context.advanceBy(50);
       replica.tick();
       store.sendQueued();
       collectStoreCalls();
@@ -258,7 +258,7 @@
   /** A cancellation that was confirmed while the answer was under way is not in it. */
   @Test
   void replicaIsProvedUpToTheTimeOfTheRequest() {
-    long requestedMs = context.nowMs;
+    long requestedMs = context.nowMs();
     catchUp(30);
     advance(700);
     replyToWatch(StoreKeys.CANCELLATION_PREFIX, 31);
