--- a/src/main/java/eiderfork/controller/SchedulingLoop.java
+++ b/src/main/java/eiderfork/controller/SchedulingLoop.java
@@ -1,6 +1,11 @@
 package eiderfork.controller;
 
+import eiderfork.controller.autoscaling.Autoscaler;
 import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.registry.MachineRegistry;
+import eiderfork.controller.scheduling.RoundTrigger;
+import eiderfork.controller.scheduling.Scheduler;
+import eiderfork.controller.workers.WorkerCommander;
 
 /** When a leader plans its fleet and runs scheduling rounds. */
 final class SchedulingLoop {
--- a/src/main/java/eiderfork/controller/ArrivalForecast.java
+++ b/src/main/java/eiderfork/controller/autoscaling/ArrivalForecast.java
@@ -1,6 +1,7 @@
-package eiderfork.controller;
+package eiderfork.controller.autoscaling;
 
 import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.registry.MachineRegistry;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
 import java.util.LinkedHashMap;
--- a/src/main/java/eiderfork/controller/Autoscaler.java
+++ b/src/main/java/eiderfork/controller/autoscaling/Autoscaler.java
@@ -1,7 +1,17 @@
-package eiderfork.controller;
+package eiderfork.controller.autoscaling;
 
 import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.registry.JobRegistry;
+import eiderfork.controller.registry.JobState;
+import eiderfork.controller.registry.MachineRegistry;
+import eiderfork.controller.registry.MachineState;
+import eiderfork.controller.registry.Reservation;
+import eiderfork.controller.scheduling.ArrayParallelism;
+import eiderfork.controller.scheduling.PlacementConstraints;
+import eiderfork.controller.scheduling.Scheduler;
 import eiderfork.controller.store.StoreClient;
+import eiderfork.controller.workers.LeaseExpiry;
+import eiderfork.controller.workers.MachineLiveness;
 import eiderfork.model.Job;
 import eiderfork.model.MachineKind;
 import eiderfork.model.Resources;
@@ -17,7 +27,7 @@
  * that are in service or on their way, scales out for what is left over, and scales in what nothing
  * was packed on.
  */
-final class Autoscaler {
+public final class Autoscaler {
   /** The most machines that the protocol lets one rent ask for. */
   private static final int MAX_RENT_COUNT = 50;
 
@@ -39,7 +49,8 @@
   private final FleetLog log;
   private int examinedBins;
 
-  Autoscaler(
+  /** Makes an autoscaler that has seen no arrivals. */
+  public Autoscaler(
       ControllerContext context,
       StoreClient store,
       JobRegistry jobs,
@@ -64,22 +75,22 @@
   }
 
   /** Forgets what was observed in a term that is over. */
-  void reset() {
+  public void reset() {
     arrivals.reset();
   }
 
   /** A job was submitted. */
-  void recordArrival(Job job) {
+  public void recordArrival(Job job) {
     arrivals.recordArrival(job);
   }
 
   /** How many bins the last plan examined. */
-  int examinedBins() {
+  public int examinedBins() {
     return examinedBins;
   }
 
   /** Plans anew and carries the plan out. */
-  void plan() {
+  public void plan() {
     BinPacking packing = pack();
     examinedBins = packing.examinedBins();
     log.logIfDue(scheduler.examinedMachines(), examinedBins);
--- a/src/main/java/eiderfork/controller/Bin.java
+++ b/src/main/java/eiderfork/controller/autoscaling/Bin.java
@@ -1,5 +1,6 @@
-package eiderfork.controller;
+package eiderfork.controller.autoscaling;
 
+import eiderfork.controller.registry.MachineState;
 import eiderfork.model.MachineKind;
 import eiderfork.model.MachineType;
 import eiderfork.model.Resources;
--- a/src/main/java/eiderfork/controller/BinPacking.java
+++ b/src/main/java/eiderfork/controller/autoscaling/BinPacking.java
@@ -1,6 +1,8 @@
-package eiderfork.controller;
+package eiderfork.controller.autoscaling;
 
 import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.registry.CpusPerGpu;
+import eiderfork.controller.registry.MachineRegistry;
 import eiderfork.model.Job;
 import eiderfork.model.MachineKind;
 import java.util.List;
--- a/src/main/java/eiderfork/controller/BootTimeEstimator.java
+++ b/src/main/java/eiderfork/controller/autoscaling/BootTimeEstimator.java
@@ -1,8 +1,10 @@
-package eiderfork.controller;
+package eiderfork.controller.autoscaling;
 
 import com.google.common.collect.HashMultiset;
 import com.google.common.collect.Multiset;
 import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.registry.MachineRegistry;
+import eiderfork.controller.registry.MachineState;
 import eiderfork.model.MachineKind;
 import eiderfork.model.MachineType;
 import java.util.HashSet;
--- a/src/main/java/eiderfork/controller/CloudProvisioner.java
+++ b/src/main/java/eiderfork/controller/autoscaling/CloudProvisioner.java
@@ -1,12 +1,13 @@
-package eiderfork.controller;
+package eiderfork.controller.autoscaling;
 
 import eiderfork.controller.context.ControllerContext;
 import eiderfork.controller.election.LeaderElection;
 import eiderfork.controller.ratelimit.TokenBucket;
+import eiderfork.controller.registry.MachineRegistry;
 import eiderfork.controller.store.StoreClient;
 
 /** The leader's calls to the cloud, all within one rate limit. */
-final class CloudProvisioner {
+public final class CloudProvisioner {
   /** The share of the cloud's rate limit that is used, as clocks may differ. */
   private static final double CALL_RATE_SHARE = 0.9;
 
@@ -22,7 +23,8 @@
   private final MachineTypePoller types;
   private final MachineListPoller machineList;
 
-  CloudProvisioner(
+  /** Makes a provisioner without open requests. */
+  public CloudProvisioner(
       ControllerContext context,
       LeaderElection election,
       StoreClient store,
@@ -39,7 +41,7 @@
   }
 
   /** Begins anew, for a new term. */
-  void reset() {
+  public void reset() {
     scaleOut.reset();
     scaleIn.reset();
     types.reset();
@@ -47,22 +49,22 @@
   }
 
   /** Whether a complete list of machines was read in this term. */
-  boolean hasCompleteListing() {
+  public boolean hasCompleteListing() {
     return machineList.hasCompleteListing();
   }
 
   /** The calls that rent machines. */
-  ScaleOutRequests scaleOut() {
+  public ScaleOutRequests scaleOut() {
     return scaleOut;
   }
 
   /** The calls that return machines. */
-  ScaleInRequests scaleIn() {
+  public ScaleInRequests scaleIn() {
     return scaleIn;
   }
 
   /** Makes the calls that are due: returns first, and a list before types are read again. */
-  void tick() {
+  public void tick() {
     scaleIn.tick();
     if (fleet.types().isEmpty()) {
       types.requestIfDue();
--- a/src/main/java/eiderfork/controller/FirstFitTree.java
+++ b/src/main/java/eiderfork/controller/autoscaling/FirstFitTree.java
@@ -1,5 +1,6 @@
-package eiderfork.controller;
+package eiderfork.controller.autoscaling;
 
+import eiderfork.controller.registry.CpusPerGpu;
 import eiderfork.model.MachineKind;
 import eiderfork.model.Resources;
 import it.unimi.dsi.fastutil.objects.Object2IntMap;
--- a/src/main/java/eiderfork/controller/FleetLog.java
+++ b/src/main/java/eiderfork/controller/autoscaling/FleetLog.java
@@ -1,7 +1,12 @@
-package eiderfork.controller;
+package eiderfork.controller.autoscaling;
 
 import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.registry.JobRegistry;
+import eiderfork.controller.registry.JobState;
+import eiderfork.controller.registry.MachineRegistry;
+import eiderfork.controller.registry.MachineState;
 import eiderfork.controller.store.StoreClient;
+import eiderfork.controller.workers.MachineLiveness;
 import java.util.Map;
 import java.util.TreeMap;
 import org.slf4j.Logger;
@@ -52,6 +57,9 @@
         countsByType.computeIfAbsent(type, key -> new MachineCounts()).add(machine);
       }
     }
+    if (countsByType.isEmpty()) {
+      LOG.info("fleet-machines machines=0");
+    }
     countsByType.forEach((type, counts) -> LOG.info("fleet-machines {} {}", type, counts));
   }
 
--- a/src/main/java/eiderfork/controller/MachineConsolidation.java
+++ b/src/main/java/eiderfork/controller/autoscaling/MachineConsolidation.java
@@ -1,6 +1,13 @@
-package eiderfork.controller;
+package eiderfork.controller.autoscaling;
 
 import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.registry.JobRegistry;
+import eiderfork.controller.registry.MachineRegistry;
+import eiderfork.controller.registry.MachineState;
+import eiderfork.controller.registry.Reservation;
+import eiderfork.controller.scheduling.ReplicaMigration;
+import eiderfork.controller.scheduling.Scheduler;
+import eiderfork.controller.workers.MachineLiveness;
 import eiderfork.model.JobKind;
 import eiderfork.model.MachineType;
 import eiderfork.model.TaskStatus;
@@ -25,9 +32,6 @@
   /** The largest share of a machine that may be in use for it to be drained. */
   private static final double MAX_USED_SHARE = 0.6;
 
-  /** By the protocol, a start that is undone before this time does not count. */
-  static final long MIN_RUNNING_MS = 30_000;
-
   /** For each of these machines one more may be drained at the same time. */
   private static final int MACHINES_PER_DRAIN = 1000;
 
@@ -156,7 +160,7 @@
         && reservation.isCommitted()
         && reservation.isDesired()
         && reservation.reportedState() == TaskStatus.State.RUNNING
-        && context.nowMs() - reservation.runningSinceMs() > MIN_RUNNING_MS;
+        && context.nowMs() - reservation.runningSinceMs() > ReplicaMigration.MIN_RUNNING_MS;
   }
 
   /** The machines of which all tasks fit elsewhere, all of them together. */
--- a/src/main/java/eiderfork/controller/MachineKindSelector.java
+++ b/src/main/java/eiderfork/controller/autoscaling/MachineKindSelector.java
@@ -1,7 +1,8 @@
-package eiderfork.controller;
+package eiderfork.controller.autoscaling;
 
 import eiderfork.config.Settings.Objective;
 import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.registry.MachineRegistry;
 import eiderfork.model.Job;
 import eiderfork.model.MachineKind;
 import eiderfork.model.MachineType;
--- a/src/main/java/eiderfork/controller/MachineListPoller.java
+++ b/src/main/java/eiderfork/controller/autoscaling/MachineListPoller.java
@@ -1,10 +1,11 @@
-package eiderfork.controller;
+package eiderfork.controller.autoscaling;
 
 import eiderfork.controller.context.ControllerContext;
 import eiderfork.controller.message.Effect;
 import eiderfork.controller.message.Reply;
 import eiderfork.controller.ratelimit.Backoff;
 import eiderfork.controller.ratelimit.TokenBucket;
+import eiderfork.controller.registry.MachineRegistry;
 import eiderfork.model.ListedMachine;
 import java.util.LinkedHashMap;
 import java.util.Map;
--- a/src/main/java/eiderfork/controller/MachineTypePoller.java
+++ b/src/main/java/eiderfork/controller/autoscaling/MachineTypePoller.java
@@ -1,4 +1,4 @@
-package eiderfork.controller;
+package eiderfork.controller.autoscaling;
 
 import com.google.common.collect.ImmutableList;
 import eiderfork.controller.context.ControllerContext;
@@ -9,6 +9,7 @@
 import eiderfork.controller.message.StoreRequest;
 import eiderfork.controller.ratelimit.Backoff;
 import eiderfork.controller.ratelimit.TokenBucket;
+import eiderfork.controller.registry.MachineRegistry;
 import eiderfork.controller.store.RequestPriority;
 import eiderfork.controller.store.StoreClient;
 
--- a/src/main/java/eiderfork/controller/PackingDemand.java
+++ b/src/main/java/eiderfork/controller/autoscaling/PackingDemand.java
@@ -1,5 +1,6 @@
-package eiderfork.controller;
+package eiderfork.controller.autoscaling;
 
+import eiderfork.controller.scheduling.PlacementConstraints;
 import eiderfork.model.Job;
 import eiderfork.model.MachineKind;
 import eiderfork.model.Resources;
--- a/src/main/java/eiderfork/controller/PlannableMachines.java
+++ b/src/main/java/eiderfork/controller/autoscaling/PlannableMachines.java
@@ -1,5 +1,8 @@
-package eiderfork.controller;
+package eiderfork.controller.autoscaling;
 
+import eiderfork.controller.registry.MachineRegistry;
+import eiderfork.controller.registry.MachineState;
+import eiderfork.controller.workers.MachineLiveness;
 import eiderfork.model.MachineKind;
 import eiderfork.model.MachineType;
 import eiderfork.model.StoredRecord;
--- a/src/main/java/eiderfork/controller/ProvisioningRequest.java
+++ b/src/main/java/eiderfork/controller/autoscaling/ProvisioningRequest.java
@@ -1,4 +1,4 @@
-package eiderfork.controller;
+package eiderfork.controller.autoscaling;
 
 import eiderfork.controller.ratelimit.Backoff;
 import java.util.random.RandomGenerator;
--- a/src/main/java/eiderfork/controller/ProvisioningRequests.java
+++ b/src/main/java/eiderfork/controller/autoscaling/ProvisioningRequests.java
@@ -1,4 +1,4 @@
-package eiderfork.controller;
+package eiderfork.controller.autoscaling;
 
 import eiderfork.controller.context.ControllerContext;
 import eiderfork.controller.election.LeaderElection;
@@ -6,6 +6,7 @@
 import eiderfork.controller.message.Reply;
 import eiderfork.controller.ratelimit.Backoff;
 import eiderfork.controller.ratelimit.TokenBucket;
+import eiderfork.controller.registry.MachineRegistry;
 import eiderfork.model.StoredRecord;
 import java.util.LinkedHashMap;
 import java.util.List;
--- a/src/main/java/eiderfork/controller/ScaleInPolicy.java
+++ b/src/main/java/eiderfork/controller/autoscaling/ScaleInPolicy.java
@@ -1,7 +1,11 @@
-package eiderfork.controller;
+package eiderfork.controller.autoscaling;
 
 import com.google.common.collect.ImmutableList;
 import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.registry.MachineRegistry;
+import eiderfork.controller.registry.MachineState;
+import eiderfork.controller.workers.LeaseExpiry;
+import eiderfork.controller.workers.MachineLiveness;
 import eiderfork.model.MachineType;
 import it.unimi.dsi.fastutil.objects.Reference2ObjectOpenHashMap;
 import java.util.List;
--- a/src/main/java/eiderfork/controller/ScaleInReason.java
+++ b/src/main/java/eiderfork/controller/autoscaling/ScaleInReason.java
@@ -1,4 +1,4 @@
-package eiderfork.controller;
+package eiderfork.controller.autoscaling;
 
 /** Why a machine is returned to the cloud. */
 enum ScaleInReason {
--- a/src/main/java/eiderfork/controller/ScaleInRequests.java
+++ b/src/main/java/eiderfork/controller/autoscaling/ScaleInRequests.java
@@ -1,4 +1,4 @@
-package eiderfork.controller;
+package eiderfork.controller.autoscaling;
 
 import com.google.common.collect.ImmutableList;
 import eiderfork.controller.context.ControllerContext;
@@ -8,6 +8,8 @@
 import eiderfork.controller.message.StoreKeys;
 import eiderfork.controller.ratelimit.Backoff;
 import eiderfork.controller.ratelimit.TokenBucket;
+import eiderfork.controller.registry.MachineRegistry;
+import eiderfork.controller.registry.MachineState;
 import eiderfork.model.StoredRecord;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -17,7 +19,7 @@
 import org.slf4j.LoggerFactory;
 
 /** The machines to return to the cloud, and the calls that return them. */
-final class ScaleInRequests extends ProvisioningRequests<ScaleInRequests.Return> {
+public final class ScaleInRequests extends ProvisioningRequests<ScaleInRequests.Return> {
   private static final Logger LOG = LoggerFactory.getLogger(ScaleInRequests.class);
 
   /** The most machines that the protocol lets one call return. */
@@ -67,7 +69,7 @@
   }
 
   /** Takes up a return whose intent an earlier leader stored, and which it may have called for. */
-  void restore(String key, StoredRecord.ScaleInIntent intent) {
+  public void restore(String key, StoredRecord.ScaleInIntent intent) {
     Return request = new Return(key, intent.machines(), newBackoff());
     request.possiblyApplied = true;
     restore(request);
--- a/src/main/java/eiderfork/controller/ScaleOutRequests.java
+++ b/src/main/java/eiderfork/controller/autoscaling/ScaleOutRequests.java
@@ -1,4 +1,4 @@
-package eiderfork.controller;
+package eiderfork.controller.autoscaling;
 
 import com.google.common.collect.ImmutableList;
 import eiderfork.controller.context.ControllerContext;
@@ -8,6 +8,8 @@
 import eiderfork.controller.message.StoreKeys;
 import eiderfork.controller.ratelimit.Backoff;
 import eiderfork.controller.ratelimit.TokenBucket;
+import eiderfork.controller.registry.MachineRegistry;
+import eiderfork.controller.registry.MachineState;
 import eiderfork.model.MachineKind;
 import eiderfork.model.StoredRecord;
 import java.util.ArrayList;
@@ -18,7 +20,7 @@
 import org.slf4j.LoggerFactory;
 
 /** The calls that rent machines, and which kinds of machine the cloud is short of. */
-final class ScaleOutRequests extends ProvisioningRequests<ScaleOutRequests.Rent> {
+public final class ScaleOutRequests extends ProvisioningRequests<ScaleOutRequests.Rent> {
   private static final Logger LOG = LoggerFactory.getLogger(ScaleOutRequests.class);
 
   /** The pauses after a kind was found out of stock, in lags of the cloud's list. */
@@ -76,12 +78,12 @@
   }
 
   /** Takes up a rent whose intent an earlier leader stored. */
-  void restore(StoredRecord.ScaleOutIntent intent) {
+  public void restore(StoredRecord.ScaleOutIntent intent) {
     restore(new Rent(intent, newBackoff()));
   }
 
   /** Makes the calls that are due. */
-  void tick() {
+  public void tick() {
     sendDue();
   }
 
@@ -107,7 +109,7 @@
   }
 
   /** Rents so many machines of a kind. */
-  void rent(MachineKind kind, int count) {
+  public void rent(MachineKind kind, int count) {
     StoredRecord.ScaleOutIntent intent =
         new StoredRecord.ScaleOutIntent(
             nextRequestName(), kind.type(), kind.zone(), kind.spot(), count);
@@ -178,7 +180,7 @@
    * filled, since calls for what is out of stock use up the rate; never more than the rate allows
    * in a step.
    */
-  int maxConcurrentRents(MachineKind kind) {
+  public int maxConcurrentRents(MachineKind kind) {
     double callsPerStep = context.settings.cloudLimits().requestsPerS() * context.stepS();
     int max = (int) Math.max(1, callsPerStep);
     return Math.min(max, 1 + filledRents.getOrDefault(kind, 0));
--- a/src/main/java/eiderfork/controller/TaskRelocation.java
+++ b/src/main/java/eiderfork/controller/autoscaling/TaskRelocation.java
@@ -1,6 +1,10 @@
-package eiderfork.controller;
+package eiderfork.controller.autoscaling;
 
 import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.registry.MachineState;
+import eiderfork.controller.registry.Reservation;
+import eiderfork.controller.scheduling.Scheduler;
+import eiderfork.controller.workers.MachineLiveness;
 import eiderfork.model.Job;
 import eiderfork.model.Resources;
 import it.unimi.dsi.fastutil.objects.Reference2ObjectOpenHashMap;
--- a/src/main/java/eiderfork/controller/CancellationTracker.java
+++ b/src/main/java/eiderfork/controller/cluster/CancellationTracker.java
@@ -1,4 +1,4 @@
-package eiderfork.controller;
+package eiderfork.controller.cluster;
 
 import com.github.benmanes.caffeine.cache.Cache;
 import com.github.benmanes.caffeine.cache.Caffeine;
@@ -23,7 +23,7 @@
  * far as it is proven that it knows every cancellation confirmed before: from the store, or from
  * all peers.
  */
-final class CancellationTracker {
+public final class CancellationTracker {
   private static final long NEVER = Long.MIN_VALUE / 4;
 
   /** The most jobs that one message names; with the longest ids it stays far below 64 KiB. */
@@ -85,7 +85,7 @@
   /**
    * @param onLearned takes each job that turns out to be cancelled, once or more often
    */
-  CancellationTracker(ControllerContext context, Consumer<String> onLearned) {
+  public CancellationTracker(ControllerContext context, Consumer<String> onLearned) {
     this.context = context;
     this.onLearned = onLearned;
     processId = context.random.nextLong() | 1;
@@ -94,29 +94,29 @@
   }
 
   /** A term begins or ends: what memory held of it is gone, and proofs with it. */
-  void reset() {
+  public void reset() {
     storedUids.clear();
     caughtUpMs = NEVER;
     peers.values().forEach(peer -> peer.completeUpToMs = NEVER);
   }
 
   /** Whether the job is known to be cancelled; that never changes. */
-  boolean contains(String uid) {
+  public boolean contains(String uid) {
     return storedUids.contains(uid) || confirmedAnywhere.getIfPresent(uid) != null;
   }
 
   /** Whether some node has confirmed to a user that the job is cancelled. */
-  boolean wasConfirmed(String uid) {
+  public boolean wasConfirmed(String uid) {
     return confirmedAnywhere.getIfPresent(uid) != null;
   }
 
   /** The job is archived, so that nothing of it runs; its cancellation is not read any more. */
-  void jobArchived(String uid) {
+  public void jobArchived(String uid) {
     storedUids.remove(uid);
   }
 
   /** This node is about to confirm to a user that the job is cancelled. */
-  void confirm(String uid) {
+  public void confirm(String uid) {
     if (confirmedUids.add(uid)) {
       confirmed.add(new Confirmation(++lastNumber, uid, context.nowMs()));
       if (confirmed.size() > MAX_REMEMBERED) {
@@ -145,14 +145,14 @@
   }
 
   /** The store holds this cancellation. */
-  void recordStored(String uid) {
+  public void recordStored(String uid) {
     if (storedUids.add(uid)) {
       onLearned.accept(uid);
     }
   }
 
   /** Everything that the store held at this moment is known. */
-  void recordCaughtUp(long requestedMs) {
+  public void recordCaughtUp(long requestedMs) {
     caughtUpMs = Math.max(caughtUpMs, requestedMs);
   }
 
@@ -161,7 +161,7 @@
   }
 
   /** The message that this node sends a peer now. */
-  CancellationGossip gossipFor(String node) {
+  public CancellationGossip gossipFor(String node) {
     dropExpired();
     PeerState peer = peers.getOrDefault(node, new PeerState());
     Deque<Confirmation> unacknowledged = unacknowledgedBy(peer);
@@ -250,7 +250,7 @@
    * Whether a worker's lease may be renewed now. It runs from when the heartbeat was sent, and has
    * to end within the cancellation timeout of whatever may have been cancelled without being known.
    */
-  boolean mayRenewLeases() {
+  public boolean mayRenewLeases() {
     long sinceMs = ControllerContext.withClockDrift(context.nowMs() - completeUpToMs());
     return sinceMs
             + ControllerContext.withClockDrift(context.workerLeaseMs())
--- a/src/main/java/eiderfork/controller/ClusterVersion.java
+++ b/src/main/java/eiderfork/controller/cluster/ClusterVersion.java
@@ -1,4 +1,4 @@
-package eiderfork.controller;
+package eiderfork.controller.cluster;
 
 import com.google.common.collect.ImmutableList;
 import eiderfork.controller.context.ControllerContext;
@@ -22,23 +22,23 @@
  * the current version stores it, so that no later leader needs the proof again; from then on no
  * member may be rolled back to an older version.
  */
-final class ClusterVersion {
+public final class ClusterVersion {
   private static final Logger LOG = LoggerFactory.getLogger(ClusterVersion.class);
 
   /** The version of a member that does not send its version. */
-  static final int FIRST = 1;
+  public static final int FIRST = 1;
 
   /** The first version that reads packed allocations and runs gangs. */
-  static final int PACKED_ALLOCS = 2;
+  public static final int PACKED_ALLOCS = 2;
 
   /** The first version that looks for archived jobs before it treats one as unknown. */
-  static final int ARCHIVED_JOBS = 3;
+  public static final int ARCHIVED_JOBS = 3;
 
   /** The first version that reads bitmap allocations. */
-  static final int BITMAP_ALLOCS = 4;
+  public static final int BITMAP_ALLOCS = 4;
 
   /** The version of this program. It counts up with each form that the one before can't read. */
-  static final int CURRENT = BITMAP_ALLOCS;
+  public static final int CURRENT = BITMAP_ALLOCS;
 
   private final ControllerContext context;
   private final StoreClient store;
@@ -55,7 +55,7 @@
    *
    * @param ownVersion the version of this node, which tests set to an earlier one
    */
-  ClusterVersion(
+  public ClusterVersion(
       ControllerContext context, StoreClient store, LeaderElection election, int ownVersion) {
     this.ownVersion = ownVersion;
     this.context = context;
@@ -64,17 +64,17 @@
   }
 
   /** Makes the version of a cluster in which this node runs the current version. */
-  ClusterVersion(ControllerContext context, StoreClient store, LeaderElection election) {
+  public ClusterVersion(ControllerContext context, StoreClient store, LeaderElection election) {
     this(context, store, election, CURRENT);
   }
 
   /** The version that this node runs. */
-  int ownVersion() {
+  public int ownVersion() {
     return ownVersion;
   }
 
   /** Whether every member is known to run this version or a later one. */
-  boolean isSupportedByAll(int required) {
+  public boolean isSupportedByAll(int required) {
     return ownVersion >= required && (storedVersion >= required || allPeersRun(required));
   }
 
@@ -82,7 +82,7 @@
    * Whether no member may be rolled back to a version before this one. Until then one that was
    * rolled back would deny a job that it does not find where it was.
    */
-  boolean isMinimumVersion(int required) {
+  public boolean isMinimumVersion(int required) {
     return ownVersion >= required && storedVersion >= required;
   }
 
@@ -104,13 +104,13 @@
   }
 
   /** The store holds this version. */
-  void recordStored(StoredRecord.StoredVersion record, long keyVersion) {
+  public void recordStored(StoredRecord.StoredVersion record, long keyVersion) {
     storedVersion = Math.max(storedVersion, record.version());
     storedKeyVersion = Math.max(storedKeyVersion, keyVersion);
   }
 
   /** Reads the stored version, for a node that has no proof of its own. */
-  void loadStored(Runnable onComplete) {
+  public void loadStored(Runnable onComplete) {
     store.send(
         new StoreRequest.Get(StoreKeys.CLUSTER_VERSION),
         RequestPriority.SUBMIT,
@@ -124,7 +124,7 @@
   }
 
   /** Stores the current version once all members run it; only a recovered leader does. */
-  void tick() {
+  public void tick() {
     boolean needed = ownVersion >= CURRENT && storedVersion < CURRENT && allPeersRun(CURRENT);
     if (needed && !storePending && context.nowMs() >= nextStoreMs) {
       storeCurrentVersion();
--- a/src/main/java/eiderfork/controller/HealthCheckHandler.java
+++ b/src/main/java/eiderfork/controller/cluster/HealthCheckHandler.java
@@ -1,4 +1,4 @@
-package eiderfork.controller;
+package eiderfork.controller.cluster;
 
 import eiderfork.controller.context.ControllerContext;
 import eiderfork.controller.message.Effect;
@@ -9,7 +9,7 @@
  * Answers the load balancer's health checks. A node that neither the store nor any peer replies to
  * is cut off, and of no use to users.
  */
-final class HealthCheckHandler {
+public final class HealthCheckHandler {
   /** How long ago the store may have served this node, in steps. */
   private static final int MAX_UNSERVED_STEPS = 2;
 
@@ -18,14 +18,14 @@
   private final PeerMonitor peers;
 
   /** Makes a handler, which keeps no state. */
-  HealthCheckHandler(ControllerContext context, StoreClient store, PeerMonitor peers) {
+  public HealthCheckHandler(ControllerContext context, StoreClient store, PeerMonitor peers) {
     this.context = context;
     this.store = store;
     this.peers = peers;
   }
 
   /** Answers a health check with what this node can reach. */
-  void handle(Input.HealthCheck check) {
+  public void handle(Input.HealthCheck check) {
     boolean served = store.sinceServedMs() <= MAX_UNSERVED_STEPS * context.stepMs();
     if (served) {
       respond(check, true, "serving");
--- a/src/main/java/eiderfork/controller/PeerMonitor.java
+++ b/src/main/java/eiderfork/controller/cluster/PeerMonitor.java
@@ -1,4 +1,4 @@
-package eiderfork.controller;
+package eiderfork.controller.cluster;
 
 import eiderfork.config.Settings;
 import eiderfork.controller.context.ControllerContext;
@@ -11,7 +11,7 @@
 import java.util.function.Function;
 
 /** Exchanges status with the peers by pings, and knows which of them can be reached. */
-final class PeerMonitor implements LeaderElection.PeerReachability {
+public final class PeerMonitor implements LeaderElection.PeerReachability {
   /** A peer is pinged each step, and counts as out of reach after this many without a status. */
   private static final double MAX_STATUS_AGE_STEPS = 3;
 
@@ -33,7 +33,7 @@
   private long nextPingMs;
 
   /** Makes a monitor without the status of any peer. */
-  PeerMonitor(
+  public PeerMonitor(
       ControllerContext context,
       LeaderElection election,
       CancellationTracker cancellations,
@@ -48,7 +48,7 @@
   }
 
   /** Pings every peer that has replied to the last ping, with the status that is for it. */
-  void tick(Function<String, PeerStatus> statusFor) {
+  public void tick(Function<String, PeerStatus> statusFor) {
     if (context.nowMs() < nextPingMs) {
       return;
     }
@@ -83,7 +83,7 @@
   }
 
   /** Takes the status that a peer sent, on its own or in reply. */
-  void receiveStatus(PeerStatus status) {
+  public void receiveStatus(PeerStatus status) {
     Settings settings = context.settings;
     if (!settings.peerEndpoints().containsKey(status.node())) {
       return;
@@ -114,7 +114,7 @@
    * which ends any leadership of an earlier one, and a process started later never had one. {@link
    * Long#MAX_VALUE} while a peer has not acknowledged it.
    */
-  long earlierTermsEndedMs() {
+  public long earlierTermsEndedMs() {
     if (acknowledgedTerm != election.currentTerm()
         || termAcknowledgedMs.size() < context.settings.peerEndpoints().size()) {
       return Long.MAX_VALUE;
@@ -140,7 +140,7 @@
   }
 
   /** Whether this peer can be reached. */
-  boolean isReachable(String node) {
+  public boolean isReachable(String node) {
     return isFresh(lastStatuses.get(node));
   }
 
@@ -148,7 +148,7 @@
    * Whether another zone seems out of reach as a whole: none of its nodes can be reached, and one
    * of this zone can.
    */
-  boolean isZoneUnreachable(String zone) {
+  public boolean isZoneUnreachable(String zone) {
     boolean ownZoneReachable = false;
     for (Map.Entry<String, String> peer : context.settings.peerZones().entrySet()) {
       boolean reachable = isReachable(peer.getKey());
@@ -166,7 +166,7 @@
   }
 
   /** Whether a peer can be reached that is served by the store. */
-  boolean isAnyServedByStore() {
+  public boolean isAnyServedByStore() {
     return lastStatuses.values().stream().anyMatch(this::isServedByStore);
   }
 
@@ -176,7 +176,7 @@
   }
 
   /** Whether a peer that is served by the store gets heartbeats of more machines than this. */
-  boolean hasPeerWithMoreMachines(int count) {
+  public boolean hasPeerWithMoreMachines(int count) {
     return lastStatuses.values().stream()
         .anyMatch(
             received -> isServedByStore(received) && received.status.reportingMachines() > count);
--- a/src/main/java/eiderfork/controller/FinalStatusCache.java
+++ b/src/main/java/eiderfork/controller/jobs/FinalStatusCache.java
@@ -1,4 +1,4 @@
-package eiderfork.controller;
+package eiderfork.controller.jobs;
 
 import com.github.benmanes.caffeine.cache.Cache;
 import com.github.benmanes.caffeine.cache.Caffeine;
--- a/src/main/java/eiderfork/controller/ForwardedQueryHandler.java
+++ b/src/main/java/eiderfork/controller/jobs/ForwardedQueryHandler.java
@@ -1,4 +1,4 @@
-package eiderfork.controller;
+package eiderfork.controller.jobs;
 
 import com.google.common.collect.ImmutableList;
 import eiderfork.controller.context.ControllerContext;
@@ -7,7 +7,7 @@
 import eiderfork.controller.message.UserResponse;
 
 /** Responds to the queries that a peer forwards in one request, to all of them at once. */
-final class ForwardedQueryHandler {
+public final class ForwardedQueryHandler {
   /** Queries of one request get one response, so that they carry no ticket of their own. */
   private static final long NO_TICKET = 0;
 
@@ -15,13 +15,13 @@
   private final UserRequestHandler users;
 
   /** Makes a handler that answers queries as {@code users} does. */
-  ForwardedQueryHandler(ControllerContext context, UserRequestHandler users) {
+  public ForwardedQueryHandler(ControllerContext context, UserRequestHandler users) {
     this.context = context;
     this.users = users;
   }
 
   /** Answers all queries of a request, in their order. */
-  void handle(Input.PeerQueries request) {
+  public void handle(Input.PeerQueries request) {
     if (request.uids().isEmpty()) {
       respond(request, new UserResponse[0]);
       return;
--- a/src/main/java/eiderfork/controller/JobAdmission.java
+++ b/src/main/java/eiderfork/controller/jobs/JobAdmission.java
@@ -1,12 +1,14 @@
-package eiderfork.controller;
+package eiderfork.controller.jobs;
 
 import com.google.common.collect.ImmutableList;
 import com.google.common.collect.ImmutableMap;
+import eiderfork.controller.cluster.ClusterVersion;
 import eiderfork.controller.context.ControllerContext;
 import eiderfork.controller.message.Reply;
 import eiderfork.controller.message.StoreKeys;
 import eiderfork.controller.message.StoreRequest;
 import eiderfork.controller.message.UserResponse;
+import eiderfork.controller.registry.MachineRegistry;
 import eiderfork.controller.store.RequestPriority;
 import eiderfork.controller.store.StoreClient;
 import eiderfork.model.Job;
--- a/src/main/java/eiderfork/controller/JobArchiver.java
+++ b/src/main/java/eiderfork/controller/jobs/JobArchiver.java
@@ -1,11 +1,17 @@
-package eiderfork.controller;
+package eiderfork.controller.jobs;
 
 import com.google.common.collect.ImmutableList;
+import eiderfork.controller.cluster.CancellationTracker;
+import eiderfork.controller.cluster.ClusterVersion;
 import eiderfork.controller.context.ControllerContext;
 import eiderfork.controller.election.LeaderElection;
 import eiderfork.controller.message.Reply;
 import eiderfork.controller.message.StoreKeys;
 import eiderfork.controller.message.StoreRequest;
+import eiderfork.controller.recovery.FinishedJobSweeper;
+import eiderfork.controller.registry.FinishedJobs;
+import eiderfork.controller.registry.JobRegistry;
+import eiderfork.controller.registry.JobState;
 import eiderfork.controller.store.RequestPriority;
 import eiderfork.controller.store.StoreClient;
 import eiderfork.model.JobStatus;
@@ -24,7 +30,7 @@
  * never removed, and every write that could bring the job back, applied however late, is
  * conditional on its absence.
  */
-final class JobArchiver {
+public final class JobArchiver {
   private static final Logger LOG = LoggerFactory.getLogger(JobArchiver.class);
 
   /** One put of the archived record; removals of the spec, the allocation and the cancellation. */
@@ -47,7 +53,8 @@
   private long archivedSinceLog;
   private long generation;
 
-  JobArchiver(
+  /** Makes an archiver; {@code sweeper} brings it the jobs that memory does not hold. */
+  public JobArchiver(
       ControllerContext context,
       StoreClient store,
       LeaderElection election,
@@ -66,14 +73,14 @@
   }
 
   /** Forgets moves in flight; called when a term begins or ends. */
-  void reset() {
+  public void reset() {
     generation++;
     moveInFlight = false;
     nextMoveMs = 0;
   }
 
   /** Moves a batch if one is due and the write rate has room; called on a recovered leader only. */
-  void tick() {
+  public void tick() {
     // A member of an older version would answer 404 for an archived job.
     if (!version.isMinimumVersion(ClusterVersion.ARCHIVED_JOBS)) {
       return;
--- a/src/main/java/eiderfork/controller/JobCanceller.java
+++ b/src/main/java/eiderfork/controller/jobs/JobCanceller.java
@@ -1,10 +1,12 @@
-package eiderfork.controller;
+package eiderfork.controller.jobs;
 
 import com.google.common.collect.ImmutableList;
 import eiderfork.controller.message.Reply;
 import eiderfork.controller.message.StoreKeys;
 import eiderfork.controller.message.StoreRequest;
 import eiderfork.controller.message.UserResponse;
+import eiderfork.controller.registry.JobRegistry;
+import eiderfork.controller.registry.JobState;
 import eiderfork.controller.store.RequestPriority;
 import eiderfork.controller.store.StoreClient;
 import eiderfork.model.Job;
--- a/src/main/java/eiderfork/controller/JobLookup.java
+++ b/src/main/java/eiderfork/controller/jobs/JobLookup.java
@@ -1,4 +1,4 @@
-package eiderfork.controller;
+package eiderfork.controller.jobs;
 
 import eiderfork.controller.message.UserResponse;
 import eiderfork.model.JobStatus;
--- a/src/main/java/eiderfork/controller/JobQueryHandler.java
+++ b/src/main/java/eiderfork/controller/jobs/JobQueryHandler.java
@@ -1,6 +1,9 @@
-package eiderfork.controller;
+package eiderfork.controller.jobs;
 
+import eiderfork.controller.cluster.ClusterVersion;
 import eiderfork.controller.message.UserResponse;
+import eiderfork.controller.registry.JobRegistry;
+import eiderfork.controller.registry.JobState;
 import eiderfork.controller.store.ReadBarrier;
 import eiderfork.controller.store.RequestPriority;
 import eiderfork.controller.store.StoreClient;
--- a/src/main/java/eiderfork/controller/RequestForwarder.java
+++ b/src/main/java/eiderfork/controller/jobs/RequestForwarder.java
@@ -1,4 +1,4 @@
-package eiderfork.controller;
+package eiderfork.controller.jobs;
 
 import com.google.common.collect.ImmutableList;
 import eiderfork.controller.context.ControllerContext;
--- a/src/main/java/eiderfork/controller/StoredJobReader.java
+++ b/src/main/java/eiderfork/controller/jobs/StoredJobReader.java
@@ -1,4 +1,4 @@
-package eiderfork.controller;
+package eiderfork.controller.jobs;
 
 import eiderfork.controller.message.Reply;
 import eiderfork.controller.message.StoreKeys;
--- a/src/main/java/eiderfork/controller/UserRequestHandler.java
+++ b/src/main/java/eiderfork/controller/jobs/UserRequestHandler.java
@@ -1,11 +1,17 @@
-package eiderfork.controller;
+package eiderfork.controller.jobs;
 
+import eiderfork.controller.autoscaling.Autoscaler;
+import eiderfork.controller.cluster.CancellationTracker;
+import eiderfork.controller.cluster.ClusterVersion;
 import eiderfork.controller.context.ControllerContext;
 import eiderfork.controller.election.LeaderElection;
 import eiderfork.controller.message.Effect;
 import eiderfork.controller.message.Input;
 import eiderfork.controller.message.Reply;
 import eiderfork.controller.message.UserResponse;
+import eiderfork.controller.registry.JobRegistry;
+import eiderfork.controller.registry.JobState;
+import eiderfork.controller.registry.MachineRegistry;
 import eiderfork.controller.store.ReadBarrier;
 import eiderfork.controller.store.StoreClient;
 import eiderfork.model.Job;
@@ -18,7 +24,7 @@
  * Handles the requests of users. The leader answers from memory while its lease is valid; any other
  * node forwards the request to the leader, and acts on the store itself where that fails.
  */
-final class UserRequestHandler {
+public final class UserRequestHandler {
   private static final Logger LOG = LoggerFactory.getLogger(UserRequestHandler.class);
 
   /** When to retry for a job with an unreadable record: an operator has to act first. */
@@ -41,7 +47,8 @@
   private final FinalStatusCache finalStatuses = new FinalStatusCache();
   private boolean isRecovered;
 
-  UserRequestHandler(
+  /** Makes a handler that answers from memory only once it is set as recovered. */
+  public UserRequestHandler(
       ControllerContext context,
       LeaderElection election,
       StoreClient store,
@@ -71,7 +78,7 @@
   }
 
   /** Memory holds all that is committed from now on, or no longer. */
-  void setRecovered(boolean isRecovered) {
+  public void setRecovered(boolean isRecovered) {
     this.isRecovered = isRecovered;
   }
 
@@ -80,13 +87,13 @@
   }
 
   /** Sends the requests queued since the last tick. */
-  void tick() {
+  public void tick() {
     readBarrier.tick();
     forwarder.sendQueued(isPeer(election.leader()) ? election.leader() : null);
   }
 
   /** Handles a user's request, or one that a peer forwarded, which is not forwarded again. */
-  void handle(Input request, boolean canForward, Consumer<UserResponse> requester) {
+  public void handle(Input request, boolean canForward, Consumer<UserResponse> requester) {
     JobStatus finalStatus = findFinalStatus(uid(request));
     if (finalStatus != null) {
       requester.accept(UserResponse.ok(finalStatus));
--- a/src/main/java/eiderfork/controller/CommittedChangeApplier.java
+++ b/src/main/java/eiderfork/controller/recovery/CommittedChangeApplier.java
@@ -1,12 +1,16 @@
-package eiderfork.controller;
+package eiderfork.controller.recovery;
 
+import eiderfork.controller.autoscaling.Autoscaler;
+import eiderfork.controller.cluster.CancellationTracker;
 import eiderfork.controller.message.Reply;
 import eiderfork.controller.message.StoreKeys;
+import eiderfork.controller.registry.JobRegistry;
+import eiderfork.controller.scheduling.RoundTrigger;
 import eiderfork.model.Job;
 import eiderfork.model.StoredRecord;
 
 /** Applies what other nodes commit to a leader's memory: submissions and cancellations. */
-final class CommittedChangeApplier {
+public final class CommittedChangeApplier {
   private final StoredRecordRestorer restorer;
   private final JobRegistry jobs;
   private final CancellationTracker cancellations;
@@ -14,7 +18,7 @@
   private final RoundTrigger rounds;
 
   /** Makes an applier to these parts of the leader's memory. */
-  CommittedChangeApplier(
+  public CommittedChangeApplier(
       StoredRecordRestorer restorer,
       JobRegistry jobs,
       CancellationTracker cancellations,
@@ -28,7 +32,7 @@
   }
 
   /** Applies one change; what memory holds already changes nothing. */
-  void apply(Reply.Item change) {
+  public void apply(Reply.Item change) {
     if (change.record() == null) {
       applyRemoval(change.key());
     } else if (change.record() instanceof StoredRecord.Unreadable unreadable) {
--- a/src/main/java/eiderfork/controller/CommittedChangeWatcher.java
+++ b/src/main/java/eiderfork/controller/recovery/CommittedChangeWatcher.java
@@ -1,16 +1,16 @@
-package eiderfork.controller;
+package eiderfork.controller.recovery;
 
+import eiderfork.controller.cluster.CancellationTracker;
 import eiderfork.controller.context.ControllerContext;
 import eiderfork.controller.message.Reply;
 import eiderfork.controller.message.StoreKeys;
 import eiderfork.controller.message.StoreRequest;
-import eiderfork.controller.recovery.RangeReader;
 import eiderfork.controller.store.ReadBarrier;
 import eiderfork.controller.store.RequestPriority;
 import eiderfork.controller.store.StoreClient;
 
 /** Watches what other nodes commit while this node leads: submissions and cancellations. */
-final class CommittedChangeWatcher {
+public final class CommittedChangeWatcher {
   /** How long a watch waits, in steps: short, so that a lost reply is soon made up for. */
   private static final int WATCH_STEPS = 2;
 
@@ -22,7 +22,7 @@
   private final CommittedChangeApplier applier;
 
   /** Makes a watcher; it begins with {@link #watchFrom}. */
-  CommittedChangeWatcher(
+  public CommittedChangeWatcher(
       ControllerContext context,
       StoreClient store,
       RangeReader reader,
--- a/src/main/java/eiderfork/controller/FailoverTimer.java
+++ b/src/main/java/eiderfork/controller/recovery/FailoverTimer.java
@@ -1,4 +1,4 @@
-package eiderfork.controller;
+package eiderfork.controller.recovery;
 
 import com.google.common.collect.ImmutableList;
 import eiderfork.controller.context.ControllerContext;
@@ -9,7 +9,7 @@
 import org.slf4j.LoggerFactory;
 
 /** Measures the phases of a failover, up to the first command that is sent to a worker. */
-final class FailoverTimer {
+public final class FailoverTimer {
   private static final Logger LOG = LoggerFactory.getLogger(FailoverTimer.class);
 
   private final ControllerContext context;
@@ -22,13 +22,13 @@
   private boolean running;
 
   /** Makes a timer that does not run. */
-  FailoverTimer(ControllerContext context, LeaderElection election) {
+  public FailoverTimer(ControllerContext context, LeaderElection election) {
     this.context = context;
     this.election = election;
   }
 
   /** A failover begins: this node leads. */
-  void onElected() {
+  public void onElected() {
     electedMs = context.nowMs();
     vacantSinceMs = election.vacancySeenMs() < 0 ? electedMs : election.vacancySeenMs();
     recoveredMs = 0;
@@ -38,23 +38,23 @@
   }
 
   /** The leadership is over, and a failover that was still under way with it. */
-  void onLeadershipLost() {
+  public void onLeadershipLost() {
     running = false;
   }
 
   /** Memory holds what is committed, from the replica or from a full read. */
-  void recordRecovery(boolean usedReplica) {
+  public void recordRecovery(boolean usedReplica) {
     recoveredMs = context.nowMs();
     fromReplica = usedReplica;
   }
 
   /** Whether the state of this term came from the replica. */
-  boolean isFromReplica() {
+  public boolean isFromReplica() {
     return fromReplica;
   }
 
   /** Notes the first response and the first command among the effects of an input. */
-  void observeEffects(List<Effect> effects) {
+  public void observeEffects(List<Effect> effects) {
     if (!running) {
       return;
     }
--- a/src/main/java/eiderfork/controller/FinishedJobSweeper.java
+++ b/src/main/java/eiderfork/controller/recovery/FinishedJobSweeper.java
@@ -1,10 +1,13 @@
-package eiderfork.controller;
+package eiderfork.controller.recovery;
 
+import eiderfork.controller.cluster.CancellationTracker;
 import eiderfork.controller.context.ControllerContext;
 import eiderfork.controller.election.LeaderElection;
 import eiderfork.controller.message.Reply;
 import eiderfork.controller.message.StoreKeys;
-import eiderfork.controller.recovery.JobPageReader;
+import eiderfork.controller.registry.JobRegistry;
+import eiderfork.controller.registry.JobState;
+import eiderfork.controller.registry.MachineRegistry;
 import eiderfork.controller.store.RequestPriority;
 import eiderfork.model.Job;
 import eiderfork.model.StoredRecord;
@@ -15,7 +18,7 @@
  * Loads finished jobs that a new leader's memory had no space for, a page at a time, so that they
  * are archived, too. Meanwhile queries for them are answered from their records.
  */
-final class FinishedJobSweeper {
+public final class FinishedJobSweeper {
   private final ControllerContext context;
   private final LeaderElection election;
   private final JobRegistry jobs;
@@ -29,7 +32,8 @@
   private boolean readInFlight;
   private long generation;
 
-  FinishedJobSweeper(
+  /** Makes a sweeper that has nothing left to read. */
+  public FinishedJobSweeper(
       ControllerContext context,
       LeaderElection election,
       JobRegistry jobs,
@@ -45,14 +49,14 @@
   }
 
   /** Forgets reads in flight; called when a term begins or ends. */
-  void reset() {
+  public void reset() {
     generation++;
     nextAfterUid = null;
     readInFlight = false;
   }
 
   /** Whether some finished jobs are not in memory. */
-  boolean isIncomplete() {
+  public boolean isIncomplete() {
     return nextAfterUid != null;
   }
 
@@ -81,7 +85,7 @@
   }
 
   /** Reads the next page once the archiver has made space; called on a recovered leader only. */
-  void tick() {
+  public void tick() {
     boolean hasSpace = jobs.finishedJobs().size() <= context.settings.operator().maxEndedJobs() / 2;
     if (nextAfterUid == null || readInFlight || !hasSpace) {
       return;
--- a/src/main/java/eiderfork/controller/FullReadRecovery.java
+++ b/src/main/java/eiderfork/controller/recovery/FullReadRecovery.java
@@ -1,15 +1,14 @@
-package eiderfork.controller;
+package eiderfork.controller.recovery;
 
 import com.google.common.collect.ImmutableList;
+import eiderfork.controller.cluster.CancellationTracker;
 import eiderfork.controller.context.ControllerContext;
 import eiderfork.controller.message.StoreKeys;
-import eiderfork.controller.recovery.JobPageReader;
-import eiderfork.controller.recovery.RangeReader;
 import eiderfork.controller.store.RequestPriority;
 import java.util.function.LongConsumer;
 
 /** Brings a new leader's memory up to what is committed by reading it all from the store. */
-final class FullReadRecovery {
+public final class FullReadRecovery {
   /** Cancellations come first: no worker's lease is renewed before they are known. */
   private static final ImmutableList<String> BEFORE_JOBS =
       ImmutableList.of(
@@ -28,7 +27,7 @@
   private final FinishedJobSweeper sweeper;
 
   /** Makes the recovery; it begins with {@link #read}. */
-  FullReadRecovery(
+  public FullReadRecovery(
       ControllerContext context,
       RangeReader reader,
       JobPageReader jobPageReader,
--- a/src/main/java/eiderfork/controller/LeaderRecovery.java
+++ b/src/main/java/eiderfork/controller/recovery/LeaderRecovery.java
@@ -1,6 +1,10 @@
-package eiderfork.controller;
+package eiderfork.controller.recovery;
 
 import eiderfork.controller.election.LeaderElection;
+import eiderfork.controller.registry.CachedImageRestorer;
+import eiderfork.controller.registry.JobRegistry;
+import eiderfork.controller.registry.MachineRegistry;
+import eiderfork.controller.scheduling.RoundTrigger;
 import eiderfork.controller.standby.Standby;
 import eiderfork.controller.standby.StandbyReplica;
 import eiderfork.controller.store.ReadBarrier;
@@ -12,11 +16,11 @@
  * replica that it kept as a standby where that is proved complete ({@link ReplicaRecovery}), or by
  * reading everything ({@link FullReadRecovery}). Then it watches what other nodes commit.
  */
-final class LeaderRecovery {
+public final class LeaderRecovery {
   private static final Logger LOG = LoggerFactory.getLogger(LeaderRecovery.class);
 
   /** What follows a recovery. */
-  interface Listener {
+  public interface Listener {
     /** Memory holds all that was committed, from a replica or from a full read. */
     void onRecovered(boolean fromReplica);
   }
@@ -33,7 +37,7 @@
   private final Listener listener;
 
   /** Makes the recovery of a node; it begins with {@link #recover}. */
-  LeaderRecovery(
+  public LeaderRecovery(
       LeaderElection election,
       Standby standby,
       ReplicaRecovery replicaRecovery,
@@ -57,7 +61,7 @@
   }
 
   /** Begins the recovery of the term in which this node leads. */
-  void recover() {
+  public void recover() {
     long leadingTerm = election.currentTerm();
     StandbyReplica replica = standby.replica();
     if (!replica.isFollowing()) {
--- a/src/main/java/eiderfork/controller/MachineHintPublisher.java
+++ b/src/main/java/eiderfork/controller/recovery/MachineHintPublisher.java
@@ -1,4 +1,4 @@
-package eiderfork.controller;
+package eiderfork.controller.recovery;
 
 import com.google.common.collect.ImmutableList;
 import eiderfork.controller.context.ControllerContext;
@@ -6,6 +6,8 @@
 import eiderfork.controller.message.Effect;
 import eiderfork.controller.message.MachineHint;
 import eiderfork.controller.message.MachineHintBatch;
+import eiderfork.controller.registry.MachineRegistry;
+import eiderfork.controller.registry.MachineState;
 import eiderfork.controller.standby.MachineHintStore;
 import eiderfork.controller.standby.Standby;
 import eiderfork.controller.store.RequestPriority;
@@ -21,7 +23,7 @@
  * Publishes to the standbys which images the machines have: some machines with each batch, so that
  * all are published within a lease, and none while writes wait, which are worth more.
  */
-final class MachineHintPublisher {
+public final class MachineHintPublisher {
   /** The images published of a machine, those used last. */
   private static final int MAX_IMAGES_PER_MACHINE = 8;
 
@@ -47,7 +49,7 @@
   private int lastMachineNumber;
 
   /** Makes a publisher that begins with the first machine. */
-  MachineHintPublisher(
+  public MachineHintPublisher(
       ControllerContext context,
       LeaderElection election,
       StoreClient store,
@@ -61,14 +63,14 @@
   }
 
   /** A term begins, and with it a new sequence of batches. */
-  void onElected() {
+  public void onElected() {
     unacknowledged.clear();
     sequence = 0;
     lastMachineNumber = 0;
   }
 
   /** Sends the next batch where one is due; only a recovered leader does. */
-  void tick() {
+  public void tick() {
     if (context.settings.operator().standbyCount() == 0 || context.nowMs() < nextSendMs) {
       return;
     }
@@ -133,7 +135,7 @@
   }
 
   /** Applies the hints of an earlier leader to the machines that this one has. */
-  void apply(MachineHintStore hints) {
+  public void apply(MachineHintStore hints) {
     hints.forEach(
         (hint, receivedMs) -> {
           MachineState machine = fleet.get(hint.machine());
--- a/src/main/java/eiderfork/controller/ReplicaRecovery.java
+++ b/src/main/java/eiderfork/controller/recovery/ReplicaRecovery.java
@@ -1,15 +1,15 @@
-package eiderfork.controller;
+package eiderfork.controller.recovery;
 
 import com.google.common.collect.ImmutableList;
+import eiderfork.controller.cluster.CancellationTracker;
 import eiderfork.controller.message.Reply;
 import eiderfork.controller.message.StoreKeys;
-import eiderfork.controller.recovery.RangeReader;
 import eiderfork.controller.standby.StandbyReplica;
 import eiderfork.model.StoredRecord;
 import java.util.function.LongConsumer;
 
 /** Brings a new leader's memory up to what is committed from its replica of the store. */
-final class ReplicaRecovery {
+public final class ReplicaRecovery {
   /** Few enough that workers, who wait for replies meanwhile, keep their leases on a slow core. */
   private static final int JOBS_PER_TICK = 1500;
 
@@ -22,7 +22,7 @@
   private final FinishedJobSweeper sweeper;
 
   /** Makes the recovery; it begins with {@link #restore}. */
-  ReplicaRecovery(
+  public ReplicaRecovery(
       RangeReader reader,
       StoredRecordRestorer restorer,
       CancellationTracker cancellations,
--- a/src/main/java/eiderfork/controller/StoredRecordRestorer.java
+++ b/src/main/java/eiderfork/controller/recovery/StoredRecordRestorer.java
@@ -1,14 +1,20 @@
-package eiderfork.controller;
+package eiderfork.controller.recovery;
 
+import eiderfork.controller.autoscaling.CloudProvisioner;
+import eiderfork.controller.cluster.CancellationTracker;
+import eiderfork.controller.cluster.ClusterVersion;
 import eiderfork.controller.message.Reply;
 import eiderfork.controller.message.StoreKeys;
+import eiderfork.controller.registry.JobRegistry;
+import eiderfork.controller.registry.JobState;
+import eiderfork.controller.registry.MachineRegistry;
 import eiderfork.model.Job;
 import eiderfork.model.StoredRecord;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Puts committed records into a leader's memory, each where it belongs. */
-final class StoredRecordRestorer {
+public final class StoredRecordRestorer {
   private static final Logger LOG = LoggerFactory.getLogger(StoredRecordRestorer.class);
 
   private final JobRegistry jobs;
@@ -18,7 +24,7 @@
   private final ClusterVersion version;
 
   /** Makes a restorer into these parts of the leader's memory. */
-  StoredRecordRestorer(
+  public StoredRecordRestorer(
       JobRegistry jobs,
       MachineRegistry fleet,
       CloudProvisioner cloud,
--- a/src/main/java/eiderfork/controller/recovery/package-info.java
+++ b/src/main/java/eiderfork/controller/recovery/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Paged reads of the ranges of keys from which a new leader rebuilds its memory. The reads end when
- * the node loses the leadership.
+ * A new leader's recovery: it rebuilds the registry from the store or from a standby's replica, and
+ * then follows what other nodes commit. It ends when the node loses the leadership.
  */
 package eiderfork.controller.recovery;
--- a/src/main/java/eiderfork/controller/AllocationRecordBuilder.java
+++ b/src/main/java/eiderfork/controller/registry/AllocationRecordBuilder.java
@@ -1,4 +1,4 @@
-package eiderfork.controller;
+package eiderfork.controller.registry;
 
 import com.google.common.collect.ImmutableList;
 import eiderfork.model.AllocationSize;
@@ -8,11 +8,11 @@
 import eiderfork.model.StoredRecord;
 
 /** Builds a job's allocation record from memory, and the bounds on its size in each stored form. */
-final class AllocationRecordBuilder {
+public final class AllocationRecordBuilder {
   private AllocationRecordBuilder() {}
 
   /** The allocation that memory holds now. */
-  static StoredRecord.Allocation build(JobState job) {
+  public static StoredRecord.Allocation build(JobState job) {
     JobTasks tasks = job.tasks();
     return new StoredRecord.Allocation(
         job.lastAttempt(), tasks.isAllFinished(), reservedRanges(tasks), tasks.finishedRanges());
--- a/src/main/java/eiderfork/controller/AllocationRestorer.java
+++ b/src/main/java/eiderfork/controller/registry/AllocationRestorer.java
@@ -1,4 +1,4 @@
-package eiderfork.controller;
+package eiderfork.controller.registry;
 
 import eiderfork.model.JobKind;
 import eiderfork.model.StoredRecord;
--- a/src/main/java/eiderfork/controller/AllocationSizeLimit.java
+++ b/src/main/java/eiderfork/controller/registry/AllocationSizeLimit.java
@@ -1,4 +1,4 @@
-package eiderfork.controller;
+package eiderfork.controller.registry;
 
 import eiderfork.model.BitmapAllocationSize;
 import eiderfork.model.PackedAllocationSize;
@@ -9,7 +9,7 @@
  * written, under the current value limit and the announced one. Until all members read the packed
  * form it must also fit in the plain one, under the current limit.
  */
-final class AllocationSizeLimit {
+public final class AllocationSizeLimit {
   private final PlainAllocationSize plain;
   private final PackedAllocationSize packed;
 
@@ -28,7 +28,7 @@
    *     is, whichever is shorter. Neither bound grows when tasks end, so one that held at the last
    *     reservation holds until the next.
    */
-  AllocationSizeLimit(
+  public AllocationSizeLimit(
       JobState job, double plainLimitKb, double compactLimitKb, boolean withBitmaps) {
     plain = AllocationRecordBuilder.plainSize(job);
     packed = AllocationRecordBuilder.packedSize(job);
@@ -38,7 +38,7 @@
   }
 
   /** Counts one more reservation. */
-  void add(int index, long attempt, String machine) {
+  public void add(int index, long attempt, String machine) {
     plain.add(index, attempt, machine);
     packed.add(index, attempt, machine);
     if (bitmap != null) {
@@ -47,7 +47,7 @@
   }
 
   /** Whether a record with one more reservation can be written. */
-  boolean fits(int index, long attempt, String machine) {
+  public boolean fits(int index, long attempt, String machine) {
     return plain.fits(index, attempt, machine, plainLimitKb)
         && (packed.fits(index, attempt, machine, compactLimitKb)
             || bitmap != null && bitmap.fits(index, attempt, machine, compactLimitKb));
--- a/src/main/java/eiderfork/controller/AllocationWriteState.java
+++ b/src/main/java/eiderfork/controller/registry/AllocationWriteState.java
@@ -1,11 +1,11 @@
-package eiderfork.controller;
+package eiderfork.controller.registry;
 
 import eiderfork.controller.ratelimit.Backoff;
 import eiderfork.model.StoredRecord;
 import java.util.random.RandomGenerator;
 
 /** What is committed of a job's allocation, and how the write of a newer one stands. */
-final class AllocationWriteState {
+public final class AllocationWriteState {
   private final Backoff retryBackoff;
   private final Backoff oversizeBackoff;
 
@@ -31,22 +31,22 @@
   }
 
   /** The committed allocation. */
-  StoredRecord.Allocation committed() {
+  public StoredRecord.Allocation committed() {
     return committed;
   }
 
   /** The version of the committed allocation; 0 where there is none. */
-  long version() {
+  public long version() {
     return version;
   }
 
   /** Whether memory differs from what is committed or being written. */
-  boolean isDirty() {
+  public boolean isDirty() {
     return dirty;
   }
 
   /** Whether a write is in flight. */
-  boolean isInFlight() {
+  public boolean isInFlight() {
     return inFlight;
   }
 
@@ -54,12 +54,12 @@
    * Whether the write in flight completes the job. It may have been applied and read by another
    * node, so until its result is known the job's status must not be answered from memory.
    */
-  boolean isCompletionInFlight() {
+  public boolean isCompletionInFlight() {
     return completionInFlight;
   }
 
   /** When the last write was handed over; 0 for never. */
-  long lastWriteMs() {
+  public long lastWriteMs() {
     return lastWriteMs;
   }
 
@@ -80,7 +80,7 @@
   }
 
   /** A write of this allocation is handed over to the store. */
-  void onWriteBegun(StoredRecord.Allocation allocation, long nowMs) {
+  public void onWriteBegun(StoredRecord.Allocation allocation, long nowMs) {
     dirty = false;
     inFlight = true;
     completionInFlight = allocation.done();
@@ -96,7 +96,7 @@
   }
 
   /** The write in flight surely was not applied. */
-  void onNotApplied() {
+  public void onNotApplied() {
     inFlight = false;
     completionInFlight = false;
   }
--- a/src/main/java/eiderfork/controller/AllocationWriter.java
+++ b/src/main/java/eiderfork/controller/registry/AllocationWriter.java
@@ -1,6 +1,7 @@
-package eiderfork.controller;
+package eiderfork.controller.registry;
 
 import com.google.common.collect.ImmutableList;
+import eiderfork.controller.cluster.ClusterVersion;
 import eiderfork.controller.context.ControllerContext;
 import eiderfork.controller.election.LeaderElection;
 import eiderfork.controller.message.Reply;
--- a/src/main/java/eiderfork/controller/CachedImageRestorer.java
+++ b/src/main/java/eiderfork/controller/registry/CachedImageRestorer.java
@@ -1,4 +1,4 @@
-package eiderfork.controller;
+package eiderfork.controller.registry;
 
 import eiderfork.model.Job;
 import eiderfork.model.MachineType;
@@ -12,15 +12,16 @@
  * Restores which images the machines have cached, from the allocations that earlier leaders wrote.
  * That of a cancelled service keeps its reservations, so they show more than what runs now.
  */
-final class CachedImageRestorer {
+public final class CachedImageRestorer {
   private final MachineRegistry fleet;
 
-  CachedImageRestorer(MachineRegistry fleet) {
+  /** Makes a restorer for the machines of this registry. */
+  public CachedImageRestorer(MachineRegistry fleet) {
     this.fleet = fleet;
   }
 
   /** Records the images of all reservations, in the order in which the jobs were last written. */
-  void restore(Collection<JobState> jobs) {
+  public void restore(Collection<JobState> jobs) {
     List<JobState> byVersion = new ArrayList<>(jobs);
     byVersion.sort(Comparator.comparingLong(job -> job.writes().version()));
     for (JobState job : byVersion) {
--- a/src/main/java/eiderfork/controller/CapacityIndex.java
+++ b/src/main/java/eiderfork/controller/registry/CapacityIndex.java
@@ -1,4 +1,4 @@
-package eiderfork.controller;
+package eiderfork.controller.registry;
 
 import eiderfork.model.Job;
 import eiderfork.model.MachineKind;
@@ -16,7 +16,7 @@
  * those on which a task may fit. Each candidate still has to be checked: levels are whole CPUs and
  * GPUs, and a machine may be silent or about to be deleted.
  */
-final class CapacityIndex {
+public final class CapacityIndex {
   /** Levels of free CPUs and of free GPUs; the last one holds all larger amounts. */
   private static final int LEVEL_COUNT = 65;
 
@@ -62,24 +62,24 @@
   }
 
   /** The searches that have failed, and would fail now. */
-  FailedSearchCache failedSearches() {
+  public FailedSearchCache failedSearches() {
     return failedSearches;
   }
 
   /** Takes note that a machine has more free capacity than before, or may be used again. */
-  void capacityIncreased(MachineState machine) {
+  public void capacityIncreased(MachineState machine) {
     if (machine.indexPosition() != null) {
       failedSearches.capacityIncreased(machine);
     }
   }
 
   /** How many machines there are. */
-  int size() {
+  public int size() {
     return size;
   }
 
   /** The zones that have machines. */
-  Set<String> zones() {
+  public Set<String> zones() {
     Set<String> zones = new LinkedHashSet<>();
     for (MachineGroup group : groups.values()) {
       if (group.machineCount > 0) {
@@ -138,7 +138,7 @@
   }
 
   /** Passes the number of every machine in these zones on which a task of the job may fit. */
-  void forEachCandidate(Job spec, Collection<String> eligibleZones, IntConsumer consumer) {
+  public void forEachCandidate(Job spec, Collection<String> eligibleZones, IntConsumer consumer) {
     Resources demand = spec.taskResources();
     boolean byGpus = demand.gpus() > 0;
     int minLevel = levelOf(byGpus ? demand.gpus() : demand.cpus());
--- a/src/main/java/eiderfork/controller/CommandChannel.java
+++ b/src/main/java/eiderfork/controller/registry/CommandChannel.java
@@ -1,7 +1,7 @@
-package eiderfork.controller;
+package eiderfork.controller.registry;
 
 /** The leader's command channel to one worker: its fencing token and its direct commands. */
-final class CommandChannel {
+public final class CommandChannel {
   private final MachineState machine;
   private final MachineIndexes indexes;
 
@@ -23,19 +23,19 @@
   }
 
   /** The token that commands are sent with now; 0 until one was issued in this term. */
-  long fencingToken() {
+  public long fencingToken() {
     return fencingToken;
   }
 
   /** Issues the worker's first token of a term unless it has one. */
-  void issueFirstToken(long firstToken) {
+  public void issueFirstToken(long firstToken) {
     if (fencingToken == 0) {
       fencingToken = firstToken;
     }
   }
 
   /** Raises the token to at least {@code minToken}. */
-  void raiseTokenTo(long minToken) {
+  public void raiseTokenTo(long minToken) {
     fencingToken = Math.max(fencingToken, minToken);
   }
 
@@ -43,24 +43,24 @@
    * Raises the token above all that was sent and above {@code minToken}, so that no unanswered
    * command is executed any more.
    */
-  void raiseTokenAbove(long minToken) {
+  public void raiseTokenAbove(long minToken) {
     fencingToken = Math.max(fencingToken, minToken) + 1;
   }
 
   /** Raises the token above that of direct starts: a late copy would repeat them. */
-  void outdateDirectStarts() {
+  public void outdateDirectStarts() {
     if (fencingToken <= directStartToken) {
       fencingToken = directStartToken + 1;
     }
   }
 
   /** A start is sent in direct commands under the current token. */
-  void recordDirectStart() {
+  public void recordDirectStart() {
     directStartToken = fencingToken;
   }
 
   /** Whether commands should be sent without waiting for the next heartbeat. */
-  boolean isCommandDue() {
+  public boolean isCommandDue() {
     return commandDue;
   }
 
@@ -71,51 +71,51 @@
   }
 
   /** The commands that were due are sent, or wait for the next heartbeat. */
-  void clearCommandDue() {
+  public void clearCommandDue() {
     commandDue = false;
     indexes.removeCommandDue(machine);
   }
 
   /** Whether a direct command awaits its reply. */
-  boolean isCommandInFlight() {
+  public boolean isCommandInFlight() {
     return commandInFlight;
   }
 
   /** A direct command is sent. */
-  void onDirectCommandSent() {
+  public void onDirectCommandSent() {
     commandInFlight = true;
     indexes.addCommandInFlight(machine);
   }
 
   /** A direct command was answered or has timed out. */
-  void onDirectCommandEnded() {
+  public void onDirectCommandEnded() {
     commandInFlight = false;
     indexes.removeCommandInFlight(machine);
   }
 
   /** The worker replied to a direct command. */
-  void onReply() {
+  public void onReply() {
     unansweredCommands = 0;
   }
 
   /** A direct command got no reply; the next one is sent at {@code retryMs} at the earliest. */
-  void onNoReply(long retryMs) {
+  public void onNoReply(long retryMs) {
     unansweredCommands++;
     nextCommandMs = retryMs;
   }
 
   /** How many direct commands in a row got no reply. */
-  int unansweredCommands() {
+  public int unansweredCommands() {
     return unansweredCommands;
   }
 
   /** Whether a direct command may be sent now. */
-  boolean canSendDirectCommand(long nowMs) {
+  public boolean canSendDirectCommand(long nowMs) {
     return !commandInFlight && nowMs >= nextCommandMs;
   }
 
   /** A heartbeat shows the largest token that the worker has seen. */
-  void onHeartbeat(long shownToken, long nowMs) {
+  public void onHeartbeat(long shownToken, long nowMs) {
     if (shownToken >= fencingToken) {
       unresponsiveSinceMs = 0;
       unansweredCommands = 0;
@@ -125,7 +125,7 @@
   }
 
   /** Since when heartbeats fail to show the token that was sent; 0 while they show it. */
-  long unresponsiveSinceMs() {
+  public long unresponsiveSinceMs() {
     return unresponsiveSinceMs;
   }
 }
--- a/src/main/java/eiderfork/controller/CpusPerGpu.java
+++ b/src/main/java/eiderfork/controller/registry/CpusPerGpu.java
@@ -1,4 +1,4 @@
-package eiderfork.controller;
+package eiderfork.controller.registry;
 
 import eiderfork.model.Resources;
 
@@ -8,12 +8,12 @@
  *
  * @param cpusPerGpu 0 while there is no GPU work
  */
-record CpusPerGpu(double cpusPerGpu) {
+public record CpusPerGpu(double cpusPerGpu) {
   /** The ratio without GPU work, by which no GPU counts as stranded. */
-  static final CpusPerGpu NONE = new CpusPerGpu(0);
+  public static final CpusPerGpu NONE = new CpusPerGpu(0);
 
   /** The size of a task, in GPUs or in as many CPUs as go with one. */
-  double gpuWeight(Resources demand) {
+  public double gpuWeight(Resources demand) {
     double cpusAsGpus = cpusPerGpu > 0 ? demand.cpus() / cpusPerGpu : 1;
     return Math.max(demand.gpus(), cpusAsGpus);
   }
@@ -24,12 +24,12 @@
   }
 
   /** The CPUs that can be used without stranding free GPUs. */
-  double spareCpus(Resources free) {
+  public double spareCpus(Resources free) {
     return free.cpus() - free.gpus() * cpusPerGpu;
   }
 
   /** How many more GPUs would be stranded if {@code demand} were used of {@code free}. */
-  double strandedGpusBy(Resources demand, Resources free) {
+  public double strandedGpusBy(Resources demand, Resources free) {
     return strandedGpus(free.minus(demand)) - strandedGpus(free);
   }
 }
--- a/src/main/java/eiderfork/controller/FailedSearchCache.java
+++ b/src/main/java/eiderfork/controller/registry/FailedSearchCache.java
@@ -1,4 +1,4 @@
-package eiderfork.controller;
+package eiderfork.controller.registry;
 
 import com.google.common.collect.ImmutableSet;
 import eiderfork.model.Job;
@@ -13,7 +13,7 @@
  * a task that takes as much or more on the same kinds of machine fits nowhere either and needs no
  * search: hundreds of jobs of a few sizes wait for a full fleet.
  */
-final class FailedSearchCache {
+public final class FailedSearchCache {
   /** The machines that were searched. */
   private record SearchScope(ImmutableSet<String> types, boolean spot, String zone) {
     static SearchScope of(Job spec, String zone) {
@@ -40,7 +40,7 @@
   }
 
   /** Records that a task of this job fits on none of the machines that it may use in the zone. */
-  void recordFailure(Job spec, String zone) {
+  public void recordFailure(Job spec, String zone) {
     List<Resources> sizes =
         smallestFailed.computeIfAbsent(SearchScope.of(spec, zone), scope -> new ArrayList<>());
     sizes.removeIf(size -> spec.taskResources().fitsIn(size));
@@ -48,7 +48,7 @@
   }
 
   /** Whether it is known that a task of this job fits nowhere in the zone. */
-  boolean isRuledOut(Job spec, String zone) {
+  public boolean isRuledOut(Job spec, String zone) {
     List<Resources> sizes = smallestFailed.get(SearchScope.of(spec, zone));
     if (sizes == null) {
       return false;
--- a/src/main/java/eiderfork/controller/FailureHistory.java
+++ b/src/main/java/eiderfork/controller/registry/FailureHistory.java
@@ -1,4 +1,4 @@
-package eiderfork.controller;
+package eiderfork.controller.registry;
 
 import eiderfork.model.StoredRecord;
 import it.unimi.dsi.fastutil.ints.Int2IntOpenHashMap;
@@ -14,7 +14,7 @@
  * and of which no task succeeded since, is suspected to fail everywhere: it is tried with one task
  * at a time, after a delay that grows with the tries, until one of them succeeds.
  */
-final class FailureHistory {
+public final class FailureHistory {
   /** A job that fails on this many machines in a row is suspected. */
   private static final int SUSPECT_MACHINES = 2;
 
@@ -56,7 +56,8 @@
 
   private long notBeforeMs;
 
-  FailureHistory(long stepMs) {
+  /** Makes an empty history; retry delays are multiples of {@code stepMs}. */
+  public FailureHistory(long stepMs) {
     this.stepMs = stepMs;
   }
 
@@ -65,7 +66,7 @@
    *
    * @param lastAttempt the newest attempt of the job: what was reserved by now is of the same try
    */
-  void recordFailure(Reservation reservation, long lastAttempt, long nowMs) {
+  public void recordFailure(Reservation reservation, long lastAttempt, long nowMs) {
     failedMachines.add(reservation.machine().name());
     lastFailureMs = nowMs;
     int failures = failuresByTask.addTo(reservation.taskIndex(), 1) + 1;
@@ -86,12 +87,12 @@
   }
 
   /** Records that a machine refused a task; the job waits for a step. */
-  void recordRefusal(long nowMs) {
+  public void recordRefusal(long nowMs) {
     notBeforeMs = Math.max(notBeforeMs, nowMs + stepMs);
   }
 
   /** Records that a task of the job succeeds, so that the job as a whole is not at fault. */
-  void recordSuccess() {
+  public void recordSuccess() {
     consecutiveFailedTries = 0;
     inherited = false;
     if (suspected) {
@@ -121,7 +122,7 @@
   }
 
   /** Whether the job seems to fail everywhere, and is tried with one task at a time. */
-  boolean isSuspected() {
+  public boolean isSuspected() {
     return suspected;
   }
 
@@ -129,7 +130,7 @@
    * Whether a running task has outlived those that failed. A new leader has seen none of them fail,
    * and an array that was preempted often looks like one that fails, so a short run is enough.
    */
-  boolean hasOutlivedFailures(Reservation reservation, long nowMs) {
+  public boolean hasOutlivedFailures(Reservation reservation, long nowMs) {
     long failedMs = longestRunMs > 0 ? longestRunMs : INHERITED_RUN_STEPS * stepMs;
     return reservation.runningSinceMs() > 0
         && nowMs - reservation.runningSinceMs() > SURVIVAL_FACTOR * Math.max(failedMs, stepMs);
@@ -139,12 +140,12 @@
    * Whether failures that this leader has seen make the job a suspect, so that no machines are
    * added for it.
    */
-  boolean isConfirmedSuspect() {
+  public boolean isConfirmedSuspect() {
     return suspected && !inherited;
   }
 
   /** The time before which no task of the job is tried. */
-  long notBeforeMs() {
+  public long notBeforeMs() {
     return notBeforeMs;
   }
 
@@ -159,7 +160,7 @@
   }
 
   /** Whether the job failed on so many machines that it is at fault, not the machines. */
-  boolean isJobAtFault() {
+  public boolean isJobAtFault() {
     return failedMachines.size() >= JOB_FAULT_MACHINES;
   }
 
@@ -167,14 +168,14 @@
    * Whether the job should rather run on another machine. This ends after a time, since the
    * autoscaler counts on the free capacity here while the other machines are full.
    */
-  boolean isAvoided(String machine, long nowMs) {
+  public boolean isAvoided(String machine, long nowMs) {
     return failedMachines.contains(machine)
         && !isJobAtFault()
         && nowMs - lastFailureMs < AVOID_STEPS * stepMs;
   }
 
   /** The machines on which a task of the job failed. */
-  Set<String> failedMachines() {
+  public Set<String> failedMachines() {
     return Collections.unmodifiableSet(failedMachines);
   }
 }
--- a/src/main/java/eiderfork/controller/FinishedJobs.java
+++ b/src/main/java/eiderfork/controller/registry/FinishedJobs.java
@@ -1,13 +1,13 @@
-package eiderfork.controller;
+package eiderfork.controller.registry;
 
 import com.google.common.collect.Iterables;
 import java.util.LinkedHashMap;
 import java.util.Map;
 
 /** The terminal jobs in a leader's memory of which nothing is reserved, oldest first. */
-final class FinishedJobs {
+public final class FinishedJobs {
   /** A job, and since when this leader knows that nothing of it is reserved. */
-  record FinishedJob(JobState job, long finishedMs) {}
+  public record FinishedJob(JobState job, long finishedMs) {}
 
   private final Map<String, FinishedJob> jobs = new LinkedHashMap<>();
 
@@ -17,7 +17,7 @@
   }
 
   /** Removes a job that is archived, evicted or active again. */
-  void remove(String uid) {
+  public void remove(String uid) {
     jobs.remove(uid);
   }
 
@@ -27,17 +27,17 @@
   }
 
   /** Whether the job is known to have finished. */
-  boolean contains(JobState job) {
+  public boolean contains(JobState job) {
     return jobs.containsKey(job.spec().uid());
   }
 
   /** How many finished jobs are in memory. */
-  int size() {
+  public int size() {
     return jobs.size();
   }
 
   /** All of them, the one that finished first in front. */
-  Iterable<FinishedJob> oldestFirst() {
+  public Iterable<FinishedJob> oldestFirst() {
     return Iterables.unmodifiableIterable(jobs.values());
   }
 }
--- a/src/main/java/eiderfork/controller/Gang.java
+++ b/src/main/java/eiderfork/controller/registry/Gang.java
@@ -1,4 +1,4 @@
-package eiderfork.controller;
+package eiderfork.controller.registry;
 
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -7,7 +7,7 @@
  * What the tasks of a gang have in common. They are reserved together as one attempt and stop
  * together, and no task starts again before every task of the previous attempt has surely ended.
  */
-final class Gang {
+public final class Gang {
   /** How the current attempt is being stopped. */
   private enum StopMode {
     NONE,
@@ -26,7 +26,7 @@
   }
 
   /** Whether nothing of an earlier attempt is left, so that a new one may be reserved. */
-  boolean canStartAttempt() {
+  public boolean canStartAttempt() {
     return job.reservations().isEmpty();
   }
 
@@ -48,7 +48,7 @@
   }
 
   /** Has all tasks save and stop, unless they are being stopped already. */
-  void requestSave() {
+  public void requestSave() {
     if (stopMode == StopMode.NONE) {
       LOG.info("gang-save-requested job={}", job.spec().uid());
       stop(StopMode.SAVING);
@@ -56,7 +56,7 @@
   }
 
   /** Stops a gang that has just written a checkpoint, without another save. */
-  void stopAfterCheckpoint() {
+  public void stopAfterCheckpoint() {
     if (stopMode == StopMode.NONE) {
       LOG.info("gang-stopped-after-checkpoint job={}", job.spec().uid());
       stop(StopMode.IMMEDIATE);
@@ -73,7 +73,7 @@
    * The cloud terminates one of the gang's machines in {@code noticeS}. The progress is saved where
    * there is time for it; otherwise the gang goes on, since it may be done before.
    */
-  void onTerminationNotice(double noticeS) {
+  public void onTerminationNotice(double noticeS) {
     if (job.spec().checkpointIntervalS() > 0 && noticeS > job.spec().saveDurationS()) {
       requestSave();
     }
--- a/src/main/java/eiderfork/controller/JobRegistry.java
+++ b/src/main/java/eiderfork/controller/registry/JobRegistry.java
@@ -1,7 +1,8 @@
-package eiderfork.controller;
+package eiderfork.controller.registry;
 
 import com.google.common.collect.Interner;
 import com.google.common.collect.Interners;
+import eiderfork.controller.cluster.ClusterVersion;
 import eiderfork.controller.context.ControllerContext;
 import eiderfork.controller.election.LeaderElection;
 import eiderfork.controller.ratelimit.Backoff;
@@ -23,7 +24,7 @@
  * The jobs in a leader's memory, with indexes of those that are active, have work or have finished.
  * Every change of a job's tasks goes through here, so that the indexes are kept up to date.
  */
-final class JobRegistry {
+public final class JobRegistry {
   private static final int FIRST_WRITE_RETRIES_PER_STEP = 5;
   private static final int MAX_WRITE_BACKOFF_STEPS = 2;
 
@@ -47,7 +48,8 @@
   /** Jobs with a stored record that can't be read. */
   private final Set<String> frozen = new HashSet<>();
 
-  JobRegistry(
+  /** Makes an empty registry. */
+  public JobRegistry(
       ControllerContext context,
       StoreClient store,
       LeaderElection election,
@@ -57,7 +59,7 @@
   }
 
   /** Forgets all jobs, when a term begins or ends. */
-  void clear() {
+  public void clear() {
     jobs.clear();
     activeJobs.clear();
     backlog.clear();
@@ -70,7 +72,7 @@
    * Freezes a job with an unreadable record: nothing of it is started, stopped or answered for,
    * since any of that could contradict the record.
    */
-  void freeze(String uid) {
+  public void freeze(String uid) {
     frozen.add(uid);
     JobState job = jobs.get(uid);
     if (job != null) {
@@ -80,34 +82,34 @@
   }
 
   /** Whether a job is frozen; a cancellation that was read still ends it. */
-  boolean isFrozen(String uid) {
+  public boolean isFrozen(String uid) {
     JobState job = jobs.get(uid);
     return frozen.contains(uid) && !(job != null && job.isCancelled());
   }
 
   /** The job of this uid; null where memory does not hold it. */
-  JobState get(String uid) {
+  public JobState get(String uid) {
     return jobs.get(uid);
   }
 
   /** The jobs that are not terminal, or of which something is still reserved. */
-  Collection<JobState> activeJobs() {
+  public Collection<JobState> activeJobs() {
     return activeJobs.values();
   }
 
   /** The active jobs that have something to schedule or to write. */
-  List<JobState> jobsWithWork() {
+  public List<JobState> jobsWithWork() {
     backlog.removeIf(job -> !job.hasPendingWork());
     return new ArrayList<>(backlog);
   }
 
   /** The resources that the tasks of active jobs use. */
-  ResourceUsage resourceUsage() {
+  public ResourceUsage resourceUsage() {
     return resourceUsage;
   }
 
   /** Brings the indexes up to date after a change of the job's tasks or of its work. */
-  void refreshIndexes(JobState job) {
+  public void refreshIndexes(JobState job) {
     resourceUsage.update(job);
     if (job.isActive() && job.hasPendingWork()) {
       backlog.add(job);
@@ -128,12 +130,12 @@
   }
 
   /** The terminal jobs of which nothing is reserved. */
-  FinishedJobs finishedJobs() {
+  public FinishedJobs finishedJobs() {
     return finishedJobs;
   }
 
   /** Removes a job from memory, with all of its reservations. */
-  void evict(JobState job) {
+  public void evict(JobState job) {
     String uid = job.spec().uid();
     if (jobs.remove(uid, job)) {
       deactivate(job);
@@ -143,22 +145,22 @@
   }
 
   /** Removes the record that a late copy of an archived job's submission has left. */
-  void removeStaleSpec(JobState job) {
+  public void removeStaleSpec(JobState job) {
     writer.removeStaleSpec(job);
   }
 
   /** All jobs in memory. */
-  Collection<JobState> all() {
+  public Collection<JobState> all() {
     return Collections.unmodifiableCollection(jobs.values());
   }
 
   /** How many jobs are in memory. */
-  int size() {
+  public int size() {
     return jobs.size();
   }
 
   /** Adds a job that the store holds; one that is in memory stays as it is. */
-  JobState add(Job job, long specVersion) {
+  public JobState add(Job job, long specVersion) {
     JobState known = jobs.get(job.uid());
     if (known != null) {
       return known;
@@ -182,7 +184,7 @@
   }
 
   /** Restores the allocation of a job that an earlier leader has committed. */
-  void restoreAllocation(
+  public void restoreAllocation(
       JobState job, StoredRecord.Allocation allocation, long version, MachineRegistry fleet) {
     new AllocationRestorer(fleet).restore(job, allocation, version);
     if (allocation.done()) {
@@ -197,7 +199,7 @@
   }
 
   /** A cancellation of the job is committed. */
-  void markCancelled(String uid) {
+  public void markCancelled(String uid) {
     JobState job = jobs.get(uid);
     if (job == null || job.isCancelled()) {
       return;
@@ -220,7 +222,7 @@
   }
 
   /** Settles a reservation: its task has ended, or surely is not on its machine any more. */
-  void settle(Reservation reservation, boolean completed) {
+  public void settle(Reservation reservation, boolean completed) {
     JobState job = reservation.job();
     if (!job.tasks().holds(reservation)) {
       return;
@@ -233,7 +235,7 @@
   }
 
   /** Stops a task; a gang is stopped as a whole and saves if it can. */
-  void requestStop(Reservation reservation) {
+  public void requestStop(Reservation reservation) {
     if (reservation.job().gang() == null) {
       reservation.requestStop();
     } else {
@@ -243,7 +245,7 @@
   }
 
   /** Takes back a decision to stop of which nothing was sent yet. */
-  void revokeStop(Reservation reservation) {
+  public void revokeStop(Reservation reservation) {
     if (reservation.job().gang() == null) {
       reservation.revokeStop();
     } else {
@@ -253,7 +255,7 @@
   }
 
   /** Takes back a reservation that was not committed. */
-  void withdrawProposal(Reservation reservation) {
+  public void withdrawProposal(Reservation reservation) {
     reservation.job().tasks().withdraw(reservation);
     refreshIndexes(reservation.job());
   }
@@ -262,24 +264,24 @@
    * Whether a worker must keep this attempt in its heartbeats, because the store does not show yet
    * how it ended. A cleared attempt would start anew on a late copy of its command.
    */
-  boolean mustRetainAttempt(JobState job, long attempt, int taskIndex) {
+  public boolean mustRetainAttempt(JobState job, long attempt, int taskIndex) {
     return job.tasks().isSettlementUncommitted(taskIndex, attempt);
   }
 
   /** Reserves a pending task on a machine. */
-  Reservation propose(JobState job, int taskIndex, long attempt, MachineState machine) {
+  public Reservation propose(JobState job, int taskIndex, long attempt, MachineState machine) {
     Reservation reservation = job.propose(taskIndex, attempt, machine);
     refreshIndexes(job);
     return reservation;
   }
 
   /** Writes all that has changed of a job, in one transaction. */
-  void write(JobState job, RequestPriority priority) {
+  public void write(JobState job, RequestPriority priority) {
     writer.write(job, priority);
   }
 
   /** Sends the writes whose retry is due. */
-  void tick() {
+  public void tick() {
     writer.tick();
   }
 
--- a/src/main/java/eiderfork/controller/JobState.java
+++ b/src/main/java/eiderfork/controller/registry/JobState.java
@@ -1,4 +1,4 @@
-package eiderfork.controller;
+package eiderfork.controller.registry;
 
 import eiderfork.controller.ratelimit.Backoff;
 import eiderfork.model.Job;
@@ -11,7 +11,7 @@
  * A job as the leader holds it. {@link JobRegistry} changes it and keeps its indexes up to date;
  * what is committed is in {@link AllocationWriteState}, the tasks are in {@link JobTasks}.
  */
-final class JobState {
+public final class JobState {
   private final Job spec;
 
   private final PlacementProfile profile;
@@ -38,7 +38,8 @@
   private TaskCounts accountedTasks = TaskCounts.NONE;
   private boolean accountedActive;
 
-  JobState(
+  /** Makes the state of a job of which all tasks are pending. */
+  public JobState(
       Job spec,
       PlacementProfile profile,
       long specVersion,
@@ -60,72 +61,72 @@
   }
 
   /** The job as its user submitted it. */
-  Job spec() {
+  public Job spec() {
     return spec;
   }
 
   /** The placement profile; one object for all jobs with an equal one. */
-  PlacementProfile profile() {
+  public PlacementProfile profile() {
     return profile;
   }
 
   /** The version of the job's key; jobs of equal rank are served in this order. */
-  long specVersion() {
+  public long specVersion() {
     return specVersion;
   }
 
   /** Since when this leader knows the job. */
-  long firstSeenMs() {
+  public long firstSeenMs() {
     return firstSeenMs;
   }
 
   /** What the tasks of a gang have in common; null for other jobs. */
-  Gang gang() {
+  public Gang gang() {
     return gang;
   }
 
   /** How the job's tasks have failed. */
-  FailureHistory failureHistory() {
+  public FailureHistory failureHistory() {
     return failureHistory;
   }
 
   /** Which tasks are pending, reserved or finished. */
-  JobTasks tasks() {
+  public JobTasks tasks() {
     return tasks;
   }
 
   /** What is committed of the job, and how the write of its newer state stands. */
-  AllocationWriteState writes() {
+  public AllocationWriteState writes() {
     return writes;
   }
 
   /** How often its tasks were reclaimed for other teams. */
-  ReclaimHistory reclaims() {
+  public ReclaimHistory reclaims() {
     return reclaims;
   }
 
   /** The reservations by task index, in ascending order; a read-only view. */
-  Int2ObjectSortedMap<Reservation> reservations() {
+  public Int2ObjectSortedMap<Reservation> reservations() {
     return tasks.reservations();
   }
 
   /** How many tasks are neither reserved nor finished. */
-  int pendingTaskCount() {
+  public int pendingTaskCount() {
     return tasks.pendingCount();
   }
 
   /** Whether any task is neither reserved nor finished. */
-  boolean hasPendingTasks() {
+  public boolean hasPendingTasks() {
     return tasks.hasPending();
   }
 
   /** The first task that may be tried now, or -1. */
-  int firstSchedulableTask(long nowMs) {
+  public int firstSchedulableTask(long nowMs) {
     return schedulableTasks.first(nowMs);
   }
 
   /** The task that may be tried after this one, or -1. */
-  int nextSchedulableTask(int after, long nowMs) {
+  public int nextSchedulableTask(int after, long nowMs) {
     return schedulableTasks.next(after, nowMs);
   }
 
@@ -135,37 +136,37 @@
   }
 
   /** The largest attempt number that was ever reserved; 0 for none. */
-  long lastAttempt() {
+  public long lastAttempt() {
     return lastAttempt;
   }
 
   /** The number that the next attempts get, larger than that of any before. */
-  long nextAttemptNumber() {
+  public long nextAttemptNumber() {
     return Math.max(lastAttempt, writes.committed().lastAttempt()) + 1;
   }
 
   /** Whether the job is done or cancelled. */
-  boolean isTerminal() {
+  public boolean isTerminal() {
     return cancelled || writes.committed().done();
   }
 
   /** Whether a cancellation of the job is committed. */
-  boolean isCancelled() {
+  public boolean isCancelled() {
     return cancelled;
   }
 
   /** Whether a cancellation is being written; nothing new starts meanwhile. */
-  boolean isCancelling() {
+  public boolean isCancelling() {
     return cancelling;
   }
 
   /** A cancellation is about to be written. */
-  void onCancellationBegun() {
+  public void onCancellationBegun() {
     cancelling = true;
   }
 
   /** The cancellation was not written, or that is not known. */
-  void onCancellationFailed() {
+  public void onCancellationFailed() {
     cancelling = false;
   }
 
@@ -191,13 +192,13 @@
   }
 
   /** A stored record of the job can't be read: nothing of it starts. */
-  void freeze() {
+  public void freeze() {
     frozen = true;
     tasks.clearPending();
   }
 
   /** A read or a conditional write has shown that the job is not archived. */
-  void confirmNotArchived() {
+  public void confirmNotArchived() {
     confirmedNotArchived = true;
   }
 
@@ -205,12 +206,12 @@
    * Whether the job surely is not archived. A submission of an older version that is applied after
    * the job was archived brings its record back; such a job has no allocation.
    */
-  boolean isKnownNotArchived() {
+  public boolean isKnownNotArchived() {
     return confirmedNotArchived || writes.version() > 0;
   }
 
   /** Whether nothing that is still open could change what is known of the job. */
-  boolean isArchivable() {
+  public boolean isArchivable() {
     return isTerminal()
         && tasks.reservations().isEmpty()
         && tasks.uncommittedSettlements().isEmpty()
@@ -219,17 +220,17 @@
   }
 
   /** Whether a write of its allocation may begin now. */
-  boolean canWrite(long nowMs) {
+  public boolean canWrite(long nowMs) {
     return writes.canBegin(nowMs) && !cancelled && !cancelling;
   }
 
   /** Whether machines that have the job's image were searched before others; once is enough. */
-  boolean isCachedImageSearched() {
+  public boolean isCachedImageSearched() {
     return cachedImageSearched;
   }
 
   /** Machines that have the job's image were searched. */
-  void onCachedImageSearched() {
+  public void onCachedImageSearched() {
     cachedImageSearched = true;
   }
 
@@ -237,7 +238,7 @@
    * How many tasks count for the team's quota. A settled reservation counts until its settlement is
    * committed, since a new leader would start its task again.
    */
-  int quotaTaskCount() {
+  public int quotaTaskCount() {
     // Any task of a frozen job may be running.
     return frozen
         ? spec.tasks()
@@ -283,7 +284,7 @@
   }
 
   /** The status as users see it. */
-  JobStatus status() {
+  public JobStatus status() {
     StoredRecord.Allocation committed = writes.committed();
     return cancelled
         ? JobStatus.cancelled(spec.uid(), committed.finishedTaskCount())
--- a/src/main/java/eiderfork/controller/JobTasks.java
+++ b/src/main/java/eiderfork/controller/registry/JobTasks.java
@@ -1,4 +1,4 @@
-package eiderfork.controller;
+package eiderfork.controller.registry;
 
 import com.google.common.collect.ImmutableList;
 import eiderfork.model.BitmapAllocationSize;
@@ -17,7 +17,7 @@
  * The tasks of a job. Each is pending, reserved or finished; a task that was settled is pending or
  * finished at once, and its settlement stays uncommitted until it is written.
  */
-final class JobTasks {
+public final class JobTasks {
   private final int taskCount;
   private final BitSet pending = new BitSet();
   private final BitSet finished = new BitSet();
@@ -49,7 +49,7 @@
   }
 
   /** Whether this task is neither reserved nor finished. */
-  boolean isPending(int index) {
+  public boolean isPending(int index) {
     return pending.get(index);
   }
 
@@ -64,7 +64,7 @@
   }
 
   /** Whether every task has finished. */
-  boolean isAllFinished() {
+  public boolean isAllFinished() {
     return finished.cardinality() == taskCount;
   }
 
@@ -143,7 +143,7 @@
   }
 
   /** Reserves a task on the reservation's machine. */
-  void reserve(Reservation reservation) {
+  public void reserve(Reservation reservation) {
     reservations.put(reservation.taskIndex(), reservation);
     pending.clear(reservation.taskIndex());
     reservation.machine().addReservation(reservation);
@@ -156,7 +156,7 @@
   }
 
   /** The task of a reservation has ended, or surely is not on its machine any more. */
-  void settle(Reservation reservation, boolean completed) {
+  public void settle(Reservation reservation, boolean completed) {
     release(reservation);
     if (completed) {
       finished.set(reservation.taskIndex());
@@ -177,7 +177,7 @@
   }
 
   /** The settlements of these reservations are committed. */
-  void onSettlementsCommitted(Collection<Reservation> settled) {
+  public void onSettlementsCommitted(Collection<Reservation> settled) {
     settled.forEach(uncommittedSettlements::remove);
   }
 
--- a/src/main/java/eiderfork/controller/MachineFailures.java
+++ b/src/main/java/eiderfork/controller/registry/MachineFailures.java
@@ -1,10 +1,10 @@
-package eiderfork.controller;
+package eiderfork.controller.registry;
 
 import java.util.HashSet;
 import java.util.Set;
 
 /** The jobs that failed on a machine, and whether the machine is considered faulty. */
-final class MachineFailures {
+public final class MachineFailures {
   /** Jobs whose task ended here with an error since a task last succeeded here. */
   private final Set<String> failedJobs = new HashSet<>();
 
@@ -14,49 +14,49 @@
   private boolean faulty;
 
   /** Whether the machine gets no further tasks and is to be returned. */
-  boolean isFaulty() {
+  public boolean isFaulty() {
     return faulty;
   }
 
   /** The machine is considered faulty for good. */
-  void markFaulty() {
+  public void markFaulty() {
     faulty = true;
   }
 
   /** A task of this job ended here with an error. */
-  void recordFailure(String jobUid) {
+  public void recordFailure(String jobUid) {
     failedJobs.add(jobUid);
   }
 
   /** Whether a task of this job failed here since a task last succeeded here. */
-  boolean hasFailed(String jobUid) {
+  public boolean hasFailed(String jobUid) {
     return failedJobs.contains(jobUid);
   }
 
   /** A job that failed here succeeded on another machine. */
-  void recordSuccessElsewhere(String jobUid) {
+  public void recordSuccessElsewhere(String jobUid) {
     jobsFailedOnlyHere.add(jobUid);
   }
 
   /** A task succeeded here, so that earlier failures say nothing of the machine. */
-  void recordSuccess() {
+  public void recordSuccess() {
     failedJobs.clear();
     jobsFailedOnlyHere.clear();
   }
 
   /** The job itself is at fault, so that its failure says nothing of the machine. */
-  void discardFailure(String jobUid) {
+  public void discardFailure(String jobUid) {
     failedJobs.remove(jobUid);
     jobsFailedOnlyHere.remove(jobUid);
   }
 
   /** How many jobs failed here. */
-  int failedJobCount() {
+  public int failedJobCount() {
     return failedJobs.size();
   }
 
   /** How many of the jobs that failed here succeeded elsewhere. */
-  int failedOnlyHereCount() {
+  public int failedOnlyHereCount() {
     return jobsFailedOnlyHere.size();
   }
 }
--- a/src/main/java/eiderfork/controller/MachineIndexes.java
+++ b/src/main/java/eiderfork/controller/registry/MachineIndexes.java
@@ -1,4 +1,4 @@
-package eiderfork.controller;
+package eiderfork.controller.registry;
 
 import java.util.function.IntPredicate;
 import org.roaringbitmap.RoaringBitmap;
@@ -7,7 +7,7 @@
  * Sets of a leader's machines, by their numbers, that are updated as machines change, so that
  * nothing has to iterate over all machines to find the few that need something.
  */
-final class MachineIndexes {
+public final class MachineIndexes {
   /** Machines to which a command should be sent now. */
   private final RoaringBitmap commandDue = new RoaringBitmap();
 
@@ -41,7 +41,7 @@
   }
 
   /** The machine's worker has shown a fencing token of this term. */
-  void recordTokenOfTerm(MachineState machine) {
+  public void recordTokenOfTerm(MachineState machine) {
     awaitingToken.remove(machine.number());
   }
 
@@ -66,12 +66,12 @@
   }
 
   /** How many direct commands await their reply. */
-  int commandsInFlight() {
+  public int commandsInFlight() {
     return commandInFlight.getCardinality();
   }
 
   /** The numbers of the machines that may have to be contacted directly, in ascending order. */
-  int[] machinesToContact() {
+  public int[] machinesToContact() {
     if (awaitingToken.isEmpty()) {
       return commandDue.toArray();
     }
@@ -79,7 +79,7 @@
   }
 
   /** Whether a machine that holds reservations has not shown a fencing token of this term. */
-  boolean anyAwaitingToken(IntPredicate holdsReservations) {
+  public boolean anyAwaitingToken(IntPredicate holdsReservations) {
     for (int number : awaitingToken.toArray()) {
       if (holdsReservations.test(number)) {
         return true;
@@ -89,7 +89,7 @@
   }
 
   /** The machines by their free capacity. */
-  CapacityIndex capacityIndex() {
+  public CapacityIndex capacityIndex() {
     return capacityIndex;
   }
 }
--- a/src/main/java/eiderfork/controller/MachineLifecycle.java
+++ b/src/main/java/eiderfork/controller/registry/MachineLifecycle.java
@@ -1,9 +1,9 @@
-package eiderfork.controller;
+package eiderfork.controller.registry;
 
 import eiderfork.model.ListedMachine;
 
 /** Where a machine stands between its request from the cloud and its return. */
-final class MachineLifecycle {
+public final class MachineLifecycle {
   private long lastAliveMs;
   private long knownSinceMs;
   private boolean booting;
@@ -27,63 +27,63 @@
   }
 
   /** When the machine was requested or first known. */
-  long knownSinceMs() {
+  public long knownSinceMs() {
     return knownSinceMs;
   }
 
   /** Whether the machine has just been rented, or the cloud's list says that it boots. */
-  boolean isBooting() {
+  public boolean isBooting() {
     return booting;
   }
 
   /** When the cloud's list first called the machine running in this term; 0 for not yet. */
-  long firstRunningMs() {
+  public long firstRunningMs() {
     return firstRunningMs;
   }
 
   /** Whether the cloud has listed the machine in this term. */
-  boolean isListedByCloud() {
+  public boolean isListedByCloud() {
     return listedByCloud;
   }
 
   /** Whether its return is decided, so that nothing starts here any more. */
-  boolean isScalingIn() {
+  public boolean isScalingIn() {
     return scalingIn;
   }
 
   /** When its return was decided because it was unreachable; 0 for other reasons. */
-  long scaledInUnreachableMs() {
+  public long scaledInUnreachableMs() {
     return scaledInUnreachableMs;
   }
 
   /** Whether its replicas are being migrated away, so that nothing starts here. */
-  boolean isDraining() {
+  public boolean isDraining() {
     return draining;
   }
 
   /** Since when it is draining. */
-  long drainingSinceMs() {
+  public long drainingSinceMs() {
     return drainingSinceMs;
   }
 
   /** Since when all of its tasks would fit elsewhere; 0 while they would not. */
-  long drainableSinceMs() {
+  public long drainableSinceMs() {
     return drainableSinceMs;
   }
 
   /** Since when the machine holds nothing; 0 while it holds something. */
-  long idleSinceMs() {
+  public long idleSinceMs() {
     return idleSinceMs;
   }
 
   /** The cloud has just provisioned the machine. */
-  void onProvisioned(boolean hasHeartbeat, long nowMs) {
+  public void onProvisioned(boolean hasHeartbeat, long nowMs) {
     booting = !hasHeartbeat;
     lastAliveMs = nowMs;
   }
 
   /** A heartbeat of the machine's worker arrived. */
-  void onHeartbeat(long nowMs) {
+  public void onHeartbeat(long nowMs) {
     lastAliveMs = nowMs;
     booting = false;
   }
@@ -104,51 +104,51 @@
   }
 
   /** The machine is to be returned to the cloud. */
-  void beginScaleIn() {
+  public void beginScaleIn() {
     scalingIn = true;
   }
 
   /** The machine is to be returned to the cloud because it is unreachable. */
-  void recordUnreachableScaleIn(long nowMs) {
+  public void recordUnreachableScaleIn(long nowMs) {
     scaledInUnreachableMs = nowMs;
   }
 
   /** The machine is kept: it became reachable before the cloud was asked to take it back. */
-  void cancelScaleIn() {
+  public void cancelScaleIn() {
     scalingIn = false;
     scaledInUnreachableMs = 0;
   }
 
   /** The machine's tasks are to be migrated away. */
-  void beginDraining(long nowMs) {
+  public void beginDraining(long nowMs) {
     draining = true;
     drainingSinceMs = nowMs;
   }
 
   /** Draining took too long; the machine is used again unless it is being returned. */
-  void abandonDraining() {
+  public void abandonDraining() {
     draining = scalingIn;
   }
 
   /** All of the machine's tasks would fit elsewhere. */
-  void markDrainable(long nowMs) {
+  public void markDrainable(long nowMs) {
     if (drainableSinceMs == 0) {
       drainableSinceMs = nowMs;
     }
   }
 
   /** The machine's tasks would not fit elsewhere. */
-  void clearDrainable() {
+  public void clearDrainable() {
     drainableSinceMs = 0;
   }
 
   /** The machine holds nothing and is not needed. */
-  void beginIdle(long nowMs) {
+  public void beginIdle(long nowMs) {
     idleSinceMs = nowMs;
   }
 
   /** The machine holds something or is needed. */
-  void clearIdle() {
+  public void clearIdle() {
     idleSinceMs = 0;
   }
 }
--- a/src/main/java/eiderfork/controller/MachineRegistry.java
+++ b/src/main/java/eiderfork/controller/registry/MachineRegistry.java
@@ -1,4 +1,4 @@
-package eiderfork.controller;
+package eiderfork.controller.registry;
 
 import com.google.common.collect.ImmutableList;
 import com.google.common.collect.ImmutableMap;
@@ -21,7 +21,7 @@
 import org.slf4j.LoggerFactory;
 
 /** The leader's machines, by name, by number and by the start of their leases. */
-final class MachineRegistry {
+public final class MachineRegistry {
   private static final Logger LOG = LoggerFactory.getLogger(MachineRegistry.class);
 
   /** How long a removed machine is remembered: no message is delayed for longer. */
@@ -47,13 +47,14 @@
 
   private ImmutableMap<String, MachineType> types = ImmutableMap.of();
 
-  MachineRegistry(ControllerContext context, JobRegistry jobs) {
+  /** Makes an empty registry. */
+  public MachineRegistry(ControllerContext context, JobRegistry jobs) {
     this.context = context;
     this.jobs = jobs;
   }
 
   /** Forgets all machines. */
-  void clear() {
+  public void clear() {
     machines.clear();
     byNumber.clear();
     indexes.clear();
@@ -63,7 +64,7 @@
   }
 
   /** The longest boot time among the machine types that the job's tasks fit on. */
-  double longestBootMs(Job job) {
+  public double longestBootMs(Job job) {
     double bootS = 0;
     for (MachineType type : types.values()) {
       if (job.allowsType(type.name()) && job.taskResources().fitsIn(type.capacity())) {
@@ -74,12 +75,12 @@
   }
 
   /** The machines by what they need, and by their free capacity. */
-  MachineIndexes indexes() {
+  public MachineIndexes indexes() {
     return indexes;
   }
 
   /** The machine with the next larger number, or the first one; there must be a machine. */
-  MachineState nextAfter(int number) {
+  public MachineState nextAfter(int number) {
     for (int i = number + 1; i <= lastNumber; i++) {
       MachineState machine = byNumber.get(i);
       if (machine != null) {
@@ -90,12 +91,12 @@
   }
 
   /** The machine with this number, null for none. */
-  MachineState get(int number) {
+  public MachineState get(int number) {
     return byNumber.get(number);
   }
 
   /** A heartbeat of the machine is answered now, which may renew its worker's lease. */
-  void renewLease(MachineState machine) {
+  public void renewLease(MachineState machine) {
     machine.incarnation().renewLease(context.nowMs());
     moveToEndOfLeaseOrder(machine);
   }
@@ -105,7 +106,7 @@
    *
    * @return whether it is the first that arrived of its incarnation
    */
-  boolean recordHeartbeat(MachineState machine, Heartbeat heartbeat) {
+  public boolean recordHeartbeat(MachineState machine, Heartbeat heartbeat) {
     boolean firstOfSession = machine.recordHeartbeat(heartbeat, context.nowMs());
     if (firstOfSession) {
       moveToEndOfLeaseOrder(machine);
@@ -119,7 +120,7 @@
   }
 
   /** The machines whose lease was not renewed for that long or not in this term, by number. */
-  List<MachineState> withLeaseNotRenewedFor(long minAgeMs) {
+  public List<MachineState> withLeaseNotRenewedFor(long minAgeMs) {
     List<MachineState> found = new ArrayList<>(unseenInTerm);
     for (MachineState machine : byLeaseStart) {
       if (context.nowMs() - machine.incarnation().leaseStartMs() <= minAgeMs) {
@@ -132,27 +133,27 @@
   }
 
   /** All machines in the order in which they were registered. */
-  Collection<MachineState> machines() {
+  public Collection<MachineState> machines() {
     return machines.values();
   }
 
   /** The machine with this name, null for none. */
-  MachineState get(String name) {
+  public MachineState get(String name) {
     return machines.get(name);
   }
 
   /** Whether the machine was removed lately. */
-  boolean isRemoved(String name) {
+  public boolean isRemoved(String name) {
     return removedAtMs.containsKey(name);
   }
 
   /** The machine types by name, empty while they are not known. */
-  ImmutableMap<String, MachineType> types() {
+  public ImmutableMap<String, MachineType> types() {
     return types;
   }
 
   /** Replaces the machine types, and so the capacity of each machine. */
-  void updateTypes(ImmutableList<MachineType> machineTypes) {
+  public void updateTypes(ImmutableList<MachineType> machineTypes) {
     ImmutableMap.Builder<String, MachineType> builder = ImmutableMap.builder();
     machineTypes.forEach(type -> builder.put(type.name(), type));
     types = builder.buildKeepingLast();
@@ -160,17 +161,17 @@
   }
 
   /** The machine types as they are stored. */
-  StoredRecord.MachineTypes typesRecord() {
+  public StoredRecord.MachineTypes typesRecord() {
     return new StoredRecord.MachineTypes(types.values().asList());
   }
 
   /** The machine's type, null while it is not known. */
-  MachineType typeOf(MachineState machine) {
+  public MachineType typeOf(MachineState machine) {
     return machine.spec() == null ? null : types.get(machine.spec().type());
   }
 
   /** The machine with this name, registered if it is new. */
-  MachineState getOrRegister(String name) {
+  public MachineState getOrRegister(String name) {
     return machines.computeIfAbsent(name, this::register);
   }
 
@@ -183,7 +184,7 @@
   }
 
   /** The machine with these properties, registered if it is new. */
-  MachineState getOrRegister(Machine machine) {
+  public MachineState getOrRegister(Machine machine) {
     MachineState state = getOrRegister(machine.name());
     if (state.spec() == null || state.spec().address() == null) {
       state.onIdentified(machine);
@@ -200,7 +201,7 @@
   }
 
   /** Removes a machine that surely no longer exists, and settles its reservations. */
-  void remove(MachineState machine, String reason) {
+  public void remove(MachineState machine, String reason) {
     LOG.info("machine-removed machine={} reason=\"{}\"", machine.name(), reason);
     settleReservations(machine);
     machines.remove(machine.name());
@@ -218,7 +219,7 @@
   }
 
   /** Settles all reservations of a machine on which none of their tasks runs or can start. */
-  void settleReservations(MachineState machine) {
+  public void settleReservations(MachineState machine) {
     for (Reservation reservation : List.copyOf(machine.reservations())) {
       jobs.settle(reservation, false);
       machine.removeReservation(reservation);
@@ -233,7 +234,7 @@
    *
    * @param requestedMs when the list was requested
    */
-  void applyMachineList(Map<String, ListedMachine> entries, long requestedMs) {
+  public void applyMachineList(Map<String, ListedMachine> entries, long requestedMs) {
     forgetLongRemoved();
     long describesMs = requestedMs - 2 * context.cloudListLagMs();
     for (ListedMachine entry : entries.values()) {
--- a/src/main/java/eiderfork/controller/MachineState.java
+++ b/src/main/java/eiderfork/controller/registry/MachineState.java
@@ -1,4 +1,4 @@
-package eiderfork.controller;
+package eiderfork.controller.registry;
 
 import com.google.common.collect.ImmutableList;
 import eiderfork.model.Heartbeat;
@@ -12,7 +12,7 @@
 import java.util.Set;
 
 /** The leader's state of one machine: its reservations, its worker and its lifecycle. */
-final class MachineState {
+public final class MachineState {
   private final String name;
   private final int number;
   private final MachineIndexes indexes;
@@ -36,7 +36,8 @@
   private boolean reconciled;
   private long leaseProxySeenMs;
 
-  MachineState(String name, int number, MachineIndexes indexes, long nowMs) {
+  /** Makes the state of a machine of which only the name is known. */
+  public MachineState(String name, int number, MachineIndexes indexes, long nowMs) {
     this.name = name;
     this.number = number;
     this.indexes = indexes;
@@ -45,77 +46,77 @@
   }
 
   /** The machine's name, unique for all time. */
-  String name() {
+  public String name() {
     return name;
   }
 
   /** A number that ascends in the order in which the leader learned of its machines. */
-  int number() {
+  public int number() {
     return number;
   }
 
   /** The machine's address, type and zone; null while only its name is known. */
-  Machine spec() {
+  public Machine spec() {
     return spec;
   }
 
   /** The machine's zone, empty while it is not known. */
-  String zone() {
+  public String zone() {
     return spec == null ? "" : spec.zone();
   }
 
   /** The worker's address, null while it is not known. */
-  String address() {
+  public String address() {
     return spec == null ? null : spec.address();
   }
 
   /** The machine's place between its provisioning and its return. */
-  MachineLifecycle lifecycle() {
+  public MachineLifecycle lifecycle() {
     return lifecycle;
   }
 
   /** The commands to the machine's worker. */
-  CommandChannel commandChannel() {
+  public CommandChannel commandChannel() {
     return commandChannel;
   }
 
   /** The worker's newest incarnation and its lease. */
-  WorkerIncarnation incarnation() {
+  public WorkerIncarnation incarnation() {
     return incarnation;
   }
 
   /** The images that the machine holds. */
-  ImageCache images() {
+  public ImageCache images() {
     return images;
   }
 
   /** The jobs that failed on the machine. */
-  MachineFailures failures() {
+  public MachineFailures failures() {
     return failures;
   }
 
   /** What the machine's type offers; null while the type is not known. */
-  Resources capacity() {
+  public Resources capacity() {
     return capacity;
   }
 
   /** What no reservation takes, whether its task has started or not; null without a capacity. */
-  Resources freeCapacity() {
+  public Resources freeCapacity() {
     return freeCapacity;
   }
 
   /** The reservations on the machine, oldest first. */
-  Set<Reservation> reservations() {
+  public Set<Reservation> reservations() {
     return reservationsView;
   }
 
   /** The newest heartbeat of this term, null before the first. */
-  Heartbeat lastHeartbeat() {
+  public Heartbeat lastHeartbeat() {
     return incarnation.lastHeartbeat();
   }
 
   /** The tasks of the newest heartbeat. */
-  ImmutableList<TaskStatus> reportedTasks() {
+  public ImmutableList<TaskStatus> reportedTasks() {
     return lastHeartbeat() == null ? ImmutableList.of() : lastHeartbeat().tasks();
   }
 
@@ -123,38 +124,38 @@
    * Whether the newest heartbeat agrees with the reservations in every task, so that an equal list
    * of tasks in the next one needs no reconciliation.
    */
-  boolean isReconciled() {
+  public boolean isReconciled() {
     return reconciled;
   }
 
   /** Records whether the newest heartbeat agrees with the reservations. */
-  void recordReconciliation(boolean agrees) {
+  public void recordReconciliation(boolean agrees) {
     reconciled = agrees;
   }
 
   /** Whether a search skipped the machine's free capacity since no task could start here then. */
-  boolean isSkippedBySearch() {
+  public boolean isSkippedBySearch() {
     return skippedBySearch;
   }
 
   /** A search skipped the machine's free capacity since no task can start here now. */
-  void onSkippedBySearch() {
+  public void onSkippedBySearch() {
     skippedBySearch = true;
   }
 
   /** The machine takes tasks again, which contradicts searches that skipped it. */
-  void onSchedulableAgain() {
+  public void onSchedulableAgain() {
     skippedBySearch = false;
     indexes.capacityIndex().capacityIncreased(this);
   }
 
   /** When a lease proxy's record was last seen that names the machine; 0 for never. */
-  long leaseProxySeenMs() {
+  public long leaseProxySeenMs() {
     return leaseProxySeenMs;
   }
 
   /** A lease proxy's record names the machine. */
-  void onLeaseProxySeen(long nowMs) {
+  public void onLeaseProxySeen(long nowMs) {
     leaseProxySeenMs = nowMs;
   }
 
@@ -174,7 +175,7 @@
   }
 
   /** Records what the provisioning request says; the address follows with a heartbeat or list. */
-  void onProvisioned(MachineKind kind, MachineType type) {
+  public void onProvisioned(MachineKind kind, MachineType type) {
     spec = new Machine(name, null, kind.type(), kind.zone(), kind.spot());
     updateCapacity(type == null ? null : type.capacity());
   }
@@ -196,7 +197,7 @@
    *
    * @return whether it is the first that arrived of its incarnation
    */
-  boolean recordHeartbeat(Heartbeat heartbeat, long nowMs) {
+  public boolean recordHeartbeat(Heartbeat heartbeat, long nowMs) {
     boolean firstOfTerm = lastHeartbeat() == null;
     boolean firstOfIncarnation = incarnation.recordHeartbeat(heartbeat, nowMs);
     if (firstOfTerm) {
@@ -207,7 +208,7 @@
   }
 
   /** The worker should get commands without waiting for its next heartbeat. */
-  void requestCommand() {
+  public void requestCommand() {
     reconciled = false;
     commandChannel.markCommandDue();
   }
--- a/src/main/java/eiderfork/controller/PlacementProfile.java
+++ b/src/main/java/eiderfork/controller/registry/PlacementProfile.java
@@ -1,4 +1,4 @@
-package eiderfork.controller;
+package eiderfork.controller.registry;
 
 import com.google.common.collect.ImmutableSet;
 import eiderfork.model.Job;
@@ -8,10 +8,10 @@
  * What decides which machines suit the tasks of a job: jobs with equal profiles share the results
  * of searches. {@link JobRegistry} interns profiles, so that they are compared by identity.
  */
-record PlacementProfile(
+public record PlacementProfile(
     Resources taskResources, ImmutableSet<String> allowedTypes, boolean spotAllowed, String image) {
   /** The profile of a job's tasks. */
-  static PlacementProfile of(Job job) {
+  public static PlacementProfile of(Job job) {
     return new PlacementProfile(
         job.taskResources(), job.allowedTypes(), job.spotAllowed(), job.image());
   }
--- a/src/main/java/eiderfork/controller/ReclaimHistory.java
+++ b/src/main/java/eiderfork/controller/registry/ReclaimHistory.java
@@ -1,4 +1,4 @@
-package eiderfork.controller;
+package eiderfork.controller.registry;
 
 import it.unimi.dsi.fastutil.ints.Int2IntOpenHashMap;
 
@@ -6,7 +6,7 @@
  * How often the tasks of a job were reclaimed under this leader. It is a hint that a change of
  * leader loses. The tasks of a gang are reclaimed together, and counted as one.
  */
-final class ReclaimHistory {
+public final class ReclaimHistory {
   private static final int WHOLE_GANG = 0;
 
   private final boolean isGang;
@@ -18,18 +18,18 @@
   }
 
   /** A task, or the whole gang, was reclaimed. */
-  void record(int taskIndex, long nowMs) {
+  public void record(int taskIndex, long nowMs) {
     counts.addTo(keyOf(taskIndex), 1);
     lastReclaimedMs = nowMs;
   }
 
   /** When a task, or the whole gang, was last reclaimed; 0 for never. */
-  long lastReclaimedMs() {
+  public long lastReclaimedMs() {
     return lastReclaimedMs;
   }
 
   /** How often this task, or the whole gang, was reclaimed. */
-  int count(int taskIndex) {
+  public int count(int taskIndex) {
     return counts.get(keyOf(taskIndex));
   }
 
--- a/src/main/java/eiderfork/controller/Reservation.java
+++ b/src/main/java/eiderfork/controller/registry/Reservation.java
@@ -1,11 +1,11 @@
-package eiderfork.controller;
+package eiderfork.controller.registry;
 
 import eiderfork.model.Attempt;
 import eiderfork.model.TaskId;
 import eiderfork.model.TaskStatus;
 
 /** A task's reservation on a machine, from the round that proposes it until it is settled. */
-final class Reservation {
+public final class Reservation {
   private final JobState job;
   private final int taskIndex;
   private final long attempt;
@@ -20,7 +20,8 @@
   private long runningSinceMs;
   private long savingSinceMs;
 
-  Reservation(JobState job, int taskIndex, long attempt, MachineState machine) {
+  /** Makes a proposed reservation; neither the job nor the machine has it yet. */
+  public Reservation(JobState job, int taskIndex, long attempt, MachineState machine) {
     this.job = job;
     this.taskIndex = taskIndex;
     this.attempt = attempt;
@@ -28,47 +29,47 @@
   }
 
   /** The job of the reserved task. */
-  JobState job() {
+  public JobState job() {
     return job;
   }
 
   /** The task's number in its job. */
-  int taskIndex() {
+  public int taskIndex() {
     return taskIndex;
   }
 
   /** The number of the attempt. */
-  long attempt() {
+  public long attempt() {
     return attempt;
   }
 
   /** The machine that the task is reserved on. */
-  MachineState machine() {
+  public MachineState machine() {
     return machine;
   }
 
   /** The attempt as workers know it. */
-  Attempt toAttempt() {
+  public Attempt toAttempt() {
     return new Attempt(new TaskId(job.spec().uid(), taskIndex), attempt);
   }
 
   /** Whether the reservation is in the store; no command is sent before. */
-  boolean isCommitted() {
+  public boolean isCommitted() {
     return committed;
   }
 
   /** The reservation was written to the store, or read from it. */
-  void onCommitted() {
+  public void onCommitted() {
     committed = true;
   }
 
   /** The last state that the machine reported of the task, null for none. */
-  TaskStatus.State reportedState() {
+  public TaskStatus.State reportedState() {
     return reportedState;
   }
 
   /** The machine reports this state of the task. */
-  void onStateReported(TaskStatus.State state) {
+  public void onStateReported(TaskStatus.State state) {
     reportedState = state;
   }
 
@@ -86,55 +87,55 @@
   }
 
   /** When the task was first reported as running, 0 for not yet. */
-  long runningSinceMs() {
+  public long runningSinceMs() {
     return runningSinceMs;
   }
 
   /** The machine reports that the task is running; the first such report counts. */
-  void onRunningReported(long nowMs) {
+  public void onRunningReported(long nowMs) {
     if (runningSinceMs == 0) {
       runningSinceMs = nowMs;
     }
   }
 
   /** The largest fencing token that the task's start was sent with; 0 for never in this term. */
-  long startToken() {
+  public long startToken() {
     return startToken;
   }
 
   /** The worker incarnation that the task's start was sent to; 0 for never in this term. */
-  long startIncarnation() {
+  public long startIncarnation() {
     return startIncarnation;
   }
 
   /** The task's start is sent to this incarnation of the worker. */
-  void onStartSent(long fencingToken, long incarnation) {
+  public void onStartSent(long fencingToken, long incarnation) {
     startToken = fencingToken;
     startIncarnation = incarnation;
   }
 
   /** Whether this leader has seen the task start, so that it knows for how long it has run. */
-  boolean isStartObserved() {
+  public boolean isStartObserved() {
     return startToken > 0 && runningSinceMs > 0;
   }
 
   /** Whether the task may be started. */
-  boolean canStart() {
+  public boolean canStart() {
     return committed && isDesired() && reportedState == null;
   }
 
   /** Whether the task should run where it is. */
-  boolean isDesired() {
+  public boolean isDesired() {
     return !stopping && !job.isCancelled();
   }
 
   /** Whether the task is to be stopped; it is not started again under this reservation. */
-  boolean isStopping() {
+  public boolean isStopping() {
     return stopping;
   }
 
   /** Has the task stopped. The caller refreshes the job's indexes. */
-  void requestStop() {
+  public void requestStop() {
     if (!stopping) {
       stopping = true;
       job.tasks().onStopRequested();
@@ -142,7 +143,7 @@
   }
 
   /** Takes back a decision to stop of which nothing was sent yet. */
-  void revokeStop() {
+  public void revokeStop() {
     if (stopping) {
       stopping = false;
       job.tasks().onStopRevoked();
@@ -151,24 +152,24 @@
   }
 
   /** The task ends at once when it is stopped, or while it saves. */
-  void skipSave() {
+  public void skipSave() {
     withoutSave = true;
   }
 
   /** The time that the task gets to save when it is stopped. */
-  double stopGraceS() {
+  public double stopGraceS() {
     return withoutSave ? 0 : job.stopGraceS();
   }
 
   /** The machine reports that the task is saving; the first such report counts. */
-  void onSavingReported(long nowMs) {
+  public void onSavingReported(long nowMs) {
     if (savingSinceMs == 0) {
       savingSinceMs = nowMs;
     }
   }
 
   /** Whether the task has been saving for longer than it should take, and this much longer. */
-  boolean isSaveOverdue(long nowMs, long marginMs) {
+  public boolean isSaveOverdue(long nowMs, long marginMs) {
     long saveMs = (long) (job.spec().saveDurationS() * 1000);
     return savingSinceMs > 0 && nowMs - savingSinceMs > saveMs + marginMs;
   }
--- a/src/main/java/eiderfork/controller/ResourceUsage.java
+++ b/src/main/java/eiderfork/controller/registry/ResourceUsage.java
@@ -1,4 +1,4 @@
-package eiderfork.controller;
+package eiderfork.controller.registry;
 
 import eiderfork.model.Job;
 import eiderfork.model.Resources;
@@ -9,7 +9,7 @@
  * The resources that the tasks of active jobs use, by team, and the processors that GPU work takes
  * beside each GPU; kept up to date as jobs change.
  */
-final class ResourceUsage {
+public final class ResourceUsage {
   private final TaskSizeCounter used = new TaskSizeCounter();
   private final TaskSizeCounter stopping = new TaskSizeCounter();
   private final TaskSizeCounter settled = new TaskSizeCounter();
@@ -60,12 +60,12 @@
   }
 
   /** The resources that count for a team's quota. */
-  Resources used(String team) {
+  public Resources used(String team) {
     return used.sum(team);
   }
 
   /** The part of it that belongs to tasks that are stopping or cancelled. */
-  Resources stopping(String team) {
+  public Resources stopping(String team) {
     return stopping.sum(team);
   }
 
@@ -75,17 +75,17 @@
   }
 
   /** The resources that the team's tasks hold on machines: all but what is settled. */
-  Resources held(String team) {
+  public Resources held(String team) {
     return used(team).minus(settled(team));
   }
 
   /** Unchanged for as long as the usage is. */
-  long changeCount() {
+  public long changeCount() {
     return changeCount;
   }
 
   /** How many processors the current GPU work takes beside each GPU. */
-  CpusPerGpu cpusPerGpu() {
+  public CpusPerGpu cpusPerGpu() {
     if (cpusPerGpu == null) {
       Resources sum = TaskSizeCounter.sum(gpuTasks);
       cpusPerGpu = new CpusPerGpu(sum.gpus() > 0 ? sum.cpus() / sum.gpus() : 0);
--- a/src/main/java/eiderfork/controller/SchedulableTasks.java
+++ b/src/main/java/eiderfork/controller/registry/SchedulableTasks.java
@@ -1,4 +1,4 @@
-package eiderfork.controller;
+package eiderfork.controller.registry;
 
 /**
  * The pending tasks of a job that may be tried now, as far as its own failures go. Of a suspected
--- a/src/main/java/eiderfork/controller/TaskCounts.java
+++ b/src/main/java/eiderfork/controller/registry/TaskCounts.java
@@ -1,4 +1,4 @@
-package eiderfork.controller;
+package eiderfork.controller.registry;
 
 /**
  * How many tasks of a job count for its team.
--- a/src/main/java/eiderfork/controller/TaskSizeCounter.java
+++ b/src/main/java/eiderfork/controller/registry/TaskSizeCounter.java
@@ -1,4 +1,4 @@
-package eiderfork.controller;
+package eiderfork.controller.registry;
 
 import eiderfork.model.Resources;
 import it.unimi.dsi.fastutil.objects.Object2IntMap;
--- a/src/main/java/eiderfork/controller/WorkerIncarnation.java
+++ b/src/main/java/eiderfork/controller/registry/WorkerIncarnation.java
@@ -1,4 +1,4 @@
-package eiderfork.controller;
+package eiderfork.controller.registry;
 
 import eiderfork.controller.context.ControllerContext;
 import eiderfork.model.Heartbeat;
@@ -8,7 +8,7 @@
  * lease belongs to one incarnation: when it expires, the worker forgets its tasks and begins the
  * next incarnation, which has a lease of its own from then on.
  */
-final class WorkerIncarnation {
+public final class WorkerIncarnation {
   private Heartbeat lastHeartbeat;
   private long lastHeartbeatMs;
   private long leaseStartMs;
@@ -19,14 +19,14 @@
   }
 
   /** The incarnation's number, 0 before the first heartbeat. */
-  long number() {
+  public long number() {
     return lastHeartbeat == null ? 0 : lastHeartbeat.incarnation();
   }
 
   /**
    * When the newest heartbeat arrived, by itself or in a command reply; 0 for none in this term.
    */
-  long lastHeartbeatMs() {
+  public long lastHeartbeatMs() {
     return lastHeartbeatMs;
   }
 
@@ -34,12 +34,12 @@
    * The latest time from which the lease may run: when a heartbeat was last answered or, if that is
    * later, when the incarnation was first seen. 0 for never in this term.
    */
-  long leaseStartMs() {
+  public long leaseStartMs() {
     return leaseStartMs;
   }
 
   /** Whether the heartbeat is newer than all that is known of the worker. */
-  boolean isNewer(Heartbeat heartbeat) {
+  public boolean isNewer(Heartbeat heartbeat) {
     return lastHeartbeat == null
         || heartbeat.isNewerThan(lastHeartbeat.incarnation(), lastHeartbeat.sequenceNumber());
   }
@@ -66,7 +66,7 @@
   }
 
   /** Whether the lease may have expired, so that nothing should start in this incarnation. */
-  boolean mayLeaseHaveExpired(long nowMs, long leaseMs) {
+  public boolean mayLeaseHaveExpired(long nowMs, long leaseMs) {
     return nowMs - leaseStartMs > leaseMs;
   }
 
@@ -75,7 +75,8 @@
    *
    * @param renewedByOthersMs until when another node may have renewed it
    */
-  boolean hasLeaseSurelyExpired(long nowMs, long leaseMs, long renewedByOthersMs, long marginMs) {
+  public boolean hasLeaseSurelyExpired(
+      long nowMs, long leaseMs, long renewedByOthersMs, long marginMs) {
     long fromMs = Math.max(leaseStartMs, renewedByOthersMs);
     return nowMs - fromMs > ControllerContext.withClockDrift(leaseMs) + marginMs;
   }
--- a/src/main/java/eiderfork/controller/AllocationSizeLimitFactory.java
+++ b/src/main/java/eiderfork/controller/scheduling/AllocationSizeLimitFactory.java
@@ -1,6 +1,9 @@
-package eiderfork.controller;
+package eiderfork.controller.scheduling;
 
+import eiderfork.controller.cluster.ClusterVersion;
 import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.registry.AllocationSizeLimit;
+import eiderfork.controller.registry.JobState;
 import eiderfork.controller.store.StoreClient;
 
 /** Creates the size limits of allocation records, by the forms that all members can read now. */
--- a/src/main/java/eiderfork/controller/ArrayParallelism.java
+++ b/src/main/java/eiderfork/controller/scheduling/ArrayParallelism.java
@@ -1,7 +1,8 @@
-package eiderfork.controller;
+package eiderfork.controller.scheduling;
 
 import eiderfork.config.Settings.Objective;
 import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.registry.JobState;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
 
@@ -9,7 +10,7 @@
  * How many of an array's pending tasks get capacity at once. An array whose tasks are short beside
  * its objective runs in waves, or the machines booted for all of its tasks would stand idle soon.
  */
-final class ArrayParallelism {
+public final class ArrayParallelism {
   /** The share of its objective within which an array is planned to be done. */
   private static final double OBJECTIVE_SHARE = 0.25;
 
@@ -24,12 +25,13 @@
 
   private final ControllerContext context;
 
-  ArrayParallelism(ControllerContext context) {
+  /** Makes an estimate from the settings of this context. */
+  public ArrayParallelism(ControllerContext context) {
     this.context = context;
   }
 
   /** How many pending tasks of a job need capacity at once. */
-  int tasksToPlanFor(JobState job) {
+  public int tasksToPlanFor(JobState job) {
     return maxTasks(job, 1);
   }
 
--- a/src/main/java/eiderfork/controller/BorrowedCapacity.java
+++ b/src/main/java/eiderfork/controller/scheduling/BorrowedCapacity.java
@@ -1,7 +1,12 @@
-package eiderfork.controller;
+package eiderfork.controller.scheduling;
 
 import eiderfork.controller.context.ControllerContext;
 import eiderfork.controller.quota.ReclaimCooldowns;
+import eiderfork.controller.registry.JobRegistry;
+import eiderfork.controller.registry.JobState;
+import eiderfork.controller.registry.MachineRegistry;
+import eiderfork.controller.registry.MachineState;
+import eiderfork.controller.registry.Reservation;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
 import eiderfork.model.MachineType;
--- a/src/main/java/eiderfork/controller/CapacityClaim.java
+++ b/src/main/java/eiderfork/controller/scheduling/CapacityClaim.java
@@ -1,4 +1,7 @@
-package eiderfork.controller;
+package eiderfork.controller.scheduling;
+
+import eiderfork.controller.registry.JobState;
+import eiderfork.controller.registry.MachineState;
 
 /**
  * Capacity for one task that is being freed on a machine for a job; no other job may use it.
--- a/src/main/java/eiderfork/controller/CapacityClaims.java
+++ b/src/main/java/eiderfork/controller/scheduling/CapacityClaims.java
@@ -1,5 +1,7 @@
-package eiderfork.controller;
+package eiderfork.controller.scheduling;
 
+import eiderfork.controller.registry.JobState;
+import eiderfork.controller.registry.MachineState;
 import eiderfork.model.Resources;
 import it.unimi.dsi.fastutil.objects.Reference2ObjectOpenHashMap;
 import java.util.ArrayList;
--- a/src/main/java/eiderfork/controller/DeadlineEstimator.java
+++ b/src/main/java/eiderfork/controller/scheduling/DeadlineEstimator.java
@@ -1,6 +1,9 @@
-package eiderfork.controller;
+package eiderfork.controller.scheduling;
 
 import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.registry.JobState;
+import eiderfork.controller.registry.MachineRegistry;
+import eiderfork.controller.registry.Reservation;
 import eiderfork.model.Job;
 import eiderfork.model.MachineType;
 import java.util.HashMap;
--- a/src/main/java/eiderfork/controller/DeferredPreemptions.java
+++ b/src/main/java/eiderfork/controller/scheduling/DeferredPreemptions.java
@@ -1,8 +1,11 @@
-package eiderfork.controller;
+package eiderfork.controller.scheduling;
 
 import eiderfork.controller.context.ControllerContext;
 import eiderfork.controller.quota.QuotaAmount;
 import eiderfork.controller.quota.TeamId;
+import eiderfork.controller.registry.JobRegistry;
+import eiderfork.controller.registry.JobState;
+import eiderfork.controller.registry.Reservation;
 import java.util.Iterator;
 import java.util.LinkedHashMap;
 import java.util.Map;
--- a/src/main/java/eiderfork/controller/DispatchEligibility.java
+++ b/src/main/java/eiderfork/controller/scheduling/DispatchEligibility.java
@@ -1,6 +1,9 @@
-package eiderfork.controller;
+package eiderfork.controller.scheduling;
 
 import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.registry.JobRegistry;
+import eiderfork.controller.registry.JobState;
+import eiderfork.controller.registry.Reservation;
 import eiderfork.controller.store.RequestPriority;
 import eiderfork.controller.store.StoreClient;
 import eiderfork.model.JobKind;
--- a/src/main/java/eiderfork/controller/FairShareOrder.java
+++ b/src/main/java/eiderfork/controller/scheduling/FairShareOrder.java
@@ -1,6 +1,9 @@
-package eiderfork.controller;
+package eiderfork.controller.scheduling;
 
 import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.registry.JobRegistry;
+import eiderfork.controller.registry.JobState;
+import eiderfork.controller.registry.ResourceUsage;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
 import eiderfork.model.Resources;
--- a/src/main/java/eiderfork/controller/FreeCapacity.java
+++ b/src/main/java/eiderfork/controller/scheduling/FreeCapacity.java
@@ -1,5 +1,10 @@
-package eiderfork.controller;
+package eiderfork.controller.scheduling;
 
+import eiderfork.controller.registry.CapacityIndex;
+import eiderfork.controller.registry.FailedSearchCache;
+import eiderfork.controller.registry.JobState;
+import eiderfork.controller.registry.MachineRegistry;
+import eiderfork.controller.registry.MachineState;
 import eiderfork.model.Job;
 import eiderfork.model.Resources;
 import java.util.ArrayList;
--- a/src/main/java/eiderfork/controller/GangScheduler.java
+++ b/src/main/java/eiderfork/controller/scheduling/GangScheduler.java
@@ -1,5 +1,10 @@
-package eiderfork.controller;
+package eiderfork.controller.scheduling;
 
+import eiderfork.controller.registry.AllocationSizeLimit;
+import eiderfork.controller.registry.JobRegistry;
+import eiderfork.controller.registry.JobState;
+import eiderfork.controller.registry.MachineState;
+import eiderfork.controller.registry.Reservation;
 import eiderfork.model.Job;
 import eiderfork.model.Resources;
 import java.util.ArrayList;
--- a/src/main/java/eiderfork/controller/GpuHeadroom.java
+++ b/src/main/java/eiderfork/controller/scheduling/GpuHeadroom.java
@@ -1,6 +1,7 @@
-package eiderfork.controller;
+package eiderfork.controller.scheduling;
 
 import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.registry.JobState;
 import eiderfork.model.JobKind;
 import java.util.List;
 
--- a/src/main/java/eiderfork/controller/ImageFetchEstimator.java
+++ b/src/main/java/eiderfork/controller/scheduling/ImageFetchEstimator.java
@@ -1,11 +1,13 @@
-package eiderfork.controller;
+package eiderfork.controller.scheduling;
 
 import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.registry.MachineRegistry;
+import eiderfork.controller.registry.MachineState;
 import eiderfork.model.Job;
 import eiderfork.model.MachineType;
 
 /** Estimates how long tasks wait for their images, by what machines were given before. */
-final class ImageFetchEstimator {
+public final class ImageFetchEstimator {
   private final ControllerContext context;
   private final MachineRegistry fleet;
 
@@ -15,7 +17,7 @@
   }
 
   /** How long a task of this job would wait for its image here. */
-  double waitS(Job job, MachineState machine) {
+  public double waitS(Job job, MachineState machine) {
     MachineType type = fleet.typeOf(machine);
     if (job.image() == null || type == null) {
       return 0;
--- a/src/main/java/eiderfork/controller/InfeasiblePreemptions.java
+++ b/src/main/java/eiderfork/controller/scheduling/InfeasiblePreemptions.java
@@ -1,4 +1,4 @@
-package eiderfork.controller;
+package eiderfork.controller.scheduling;
 
 import com.google.common.collect.ImmutableSet;
 import eiderfork.controller.quota.VictimPreference;
--- a/src/main/java/eiderfork/controller/MachineScorer.java
+++ b/src/main/java/eiderfork/controller/scheduling/MachineScorer.java
@@ -1,7 +1,10 @@
-package eiderfork.controller;
+package eiderfork.controller.scheduling;
 
 import eiderfork.config.Settings.Objective;
 import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.registry.CpusPerGpu;
+import eiderfork.controller.registry.JobState;
+import eiderfork.controller.registry.MachineState;
 import eiderfork.model.Job;
 import eiderfork.model.Resources;
 
--- a/src/main/java/eiderfork/controller/MachineSearch.java
+++ b/src/main/java/eiderfork/controller/scheduling/MachineSearch.java
@@ -1,5 +1,8 @@
-package eiderfork.controller;
+package eiderfork.controller.scheduling;
 
+import eiderfork.controller.registry.FailedSearchCache;
+import eiderfork.controller.registry.JobState;
+import eiderfork.controller.registry.MachineState;
 import eiderfork.model.Resources;
 import java.util.Collections;
 import java.util.Comparator;
--- a/src/main/java/eiderfork/controller/MachineSearchFactory.java
+++ b/src/main/java/eiderfork/controller/scheduling/MachineSearchFactory.java
@@ -1,6 +1,9 @@
-package eiderfork.controller;
+package eiderfork.controller.scheduling;
 
 import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.registry.CpusPerGpu;
+import eiderfork.controller.registry.JobRegistry;
+import eiderfork.controller.registry.JobState;
 import java.util.Map;
 
 /** Creates the searches of scheduling rounds, with a scorer for the job that is placed. */
--- a/src/main/java/eiderfork/controller/PreemptionCosts.java
+++ b/src/main/java/eiderfork/controller/scheduling/PreemptionCosts.java
@@ -1,6 +1,8 @@
-package eiderfork.controller;
+package eiderfork.controller.scheduling;
 
 import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.registry.CpusPerGpu;
+import eiderfork.controller.registry.Reservation;
 import eiderfork.model.Job;
 import eiderfork.model.TaskStatus;
 
--- a/src/main/java/eiderfork/controller/PreemptionLog.java
+++ b/src/main/java/eiderfork/controller/scheduling/PreemptionLog.java
@@ -1,5 +1,6 @@
-package eiderfork.controller;
+package eiderfork.controller.scheduling;
 
+import eiderfork.controller.registry.Reservation;
 import eiderfork.model.Job;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
--- a/src/main/java/eiderfork/controller/PreemptionOption.java
+++ b/src/main/java/eiderfork/controller/scheduling/PreemptionOption.java
@@ -1,5 +1,7 @@
-package eiderfork.controller;
+package eiderfork.controller.scheduling;
 
+import eiderfork.controller.registry.MachineState;
+import eiderfork.controller.registry.Reservation;
 import java.util.Comparator;
 import java.util.List;
 
--- a/src/main/java/eiderfork/controller/PreemptionOptionFinder.java
+++ b/src/main/java/eiderfork/controller/scheduling/PreemptionOptionFinder.java
@@ -1,6 +1,10 @@
-package eiderfork.controller;
+package eiderfork.controller.scheduling;
 
-import eiderfork.controller.PreemptionOption.Victim;
+import eiderfork.controller.registry.CpusPerGpu;
+import eiderfork.controller.registry.JobState;
+import eiderfork.controller.registry.MachineState;
+import eiderfork.controller.registry.Reservation;
+import eiderfork.controller.scheduling.PreemptionOption.Victim;
 import eiderfork.model.Job;
 import eiderfork.model.Resources;
 import java.util.ArrayList;
--- a/src/main/java/eiderfork/controller/PreemptionPlanner.java
+++ b/src/main/java/eiderfork/controller/scheduling/PreemptionPlanner.java
@@ -1,7 +1,12 @@
-package eiderfork.controller;
+package eiderfork.controller.scheduling;
 
 import eiderfork.controller.context.ControllerContext;
 import eiderfork.controller.quota.VictimPreference;
+import eiderfork.controller.registry.CpusPerGpu;
+import eiderfork.controller.registry.JobRegistry;
+import eiderfork.controller.registry.JobState;
+import eiderfork.controller.registry.MachineState;
+import eiderfork.controller.registry.Reservation;
 import eiderfork.model.JobKind;
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/eiderfork/controller/PreemptionPolicy.java
+++ b/src/main/java/eiderfork/controller/scheduling/PreemptionPolicy.java
@@ -1,8 +1,11 @@
-package eiderfork.controller;
+package eiderfork.controller.scheduling;
 
 import eiderfork.controller.quota.PreemptionPlan;
 import eiderfork.controller.quota.PreemptionReason;
 import eiderfork.controller.quota.VictimPreference;
+import eiderfork.controller.registry.JobState;
+import eiderfork.controller.registry.MachineState;
+import eiderfork.controller.registry.Reservation;
 import java.util.List;
 
 /**
--- a/src/main/java/eiderfork/controller/PreemptionRequest.java
+++ b/src/main/java/eiderfork/controller/scheduling/PreemptionRequest.java
@@ -1,6 +1,7 @@
-package eiderfork.controller;
+package eiderfork.controller.scheduling;
 
 import eiderfork.controller.quota.VictimPreference;
+import eiderfork.controller.registry.JobState;
 
 /**
  * What a search for preemption victims looks for.
--- a/src/main/java/eiderfork/controller/PriorityPreemptionPolicy.java
+++ b/src/main/java/eiderfork/controller/scheduling/PriorityPreemptionPolicy.java
@@ -1,9 +1,13 @@
-package eiderfork.controller;
+package eiderfork.controller.scheduling;
 
 import eiderfork.controller.quota.PreemptionMode;
 import eiderfork.controller.quota.PreemptionPlan;
 import eiderfork.controller.quota.PreemptionReason;
 import eiderfork.controller.quota.VictimPreference;
+import eiderfork.controller.registry.JobRegistry;
+import eiderfork.controller.registry.JobState;
+import eiderfork.controller.registry.MachineState;
+import eiderfork.controller.registry.Reservation;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
 import java.util.ArrayList;
--- a/src/main/java/eiderfork/controller/QueueOrder.java
+++ b/src/main/java/eiderfork/controller/scheduling/QueueOrder.java
@@ -1,7 +1,8 @@
-package eiderfork.controller;
+package eiderfork.controller.scheduling;
 
 import eiderfork.config.Settings.Objective;
 import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.registry.JobState;
 import eiderfork.model.JobKind;
 import java.util.OptionalLong;
 
--- a/src/main/java/eiderfork/controller/QuotaBorrowing.java
+++ b/src/main/java/eiderfork/controller/scheduling/QuotaBorrowing.java
@@ -1,6 +1,11 @@
-package eiderfork.controller;
+package eiderfork.controller.scheduling;
 
 import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.registry.CpusPerGpu;
+import eiderfork.controller.registry.JobRegistry;
+import eiderfork.controller.registry.JobState;
+import eiderfork.controller.registry.MachineRegistry;
+import eiderfork.controller.workers.MachineLiveness;
 
 /**
  * Quota that teams borrow, for one leader: connects its state with the rules of {@code
--- a/src/main/java/eiderfork/controller/QuotaPreemptionPlans.java
+++ b/src/main/java/eiderfork/controller/scheduling/QuotaPreemptionPlans.java
@@ -1,9 +1,11 @@
-package eiderfork.controller;
+package eiderfork.controller.scheduling;
 
 import eiderfork.controller.context.ControllerContext;
 import eiderfork.controller.quota.CheckpointPolicy;
 import eiderfork.controller.quota.PreemptionMode;
 import eiderfork.controller.quota.PreemptionPlan;
+import eiderfork.controller.registry.MachineRegistry;
+import eiderfork.controller.registry.Reservation;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
 
--- a/src/main/java/eiderfork/controller/QuotaPreemptionPolicy.java
+++ b/src/main/java/eiderfork/controller/scheduling/QuotaPreemptionPolicy.java
@@ -1,4 +1,4 @@
-package eiderfork.controller;
+package eiderfork.controller.scheduling;
 
 import eiderfork.controller.context.ControllerContext;
 import eiderfork.controller.quota.PreemptionDecision;
@@ -10,6 +10,11 @@
 import eiderfork.controller.quota.QuotaPreemptionRules;
 import eiderfork.controller.quota.TeamId;
 import eiderfork.controller.quota.VictimPreference;
+import eiderfork.controller.registry.JobRegistry;
+import eiderfork.controller.registry.JobState;
+import eiderfork.controller.registry.MachineState;
+import eiderfork.controller.registry.Reservation;
+import eiderfork.controller.workers.CommandBuilder;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
 import eiderfork.model.Resources;
--- a/src/main/java/eiderfork/controller/QuotaUsageLog.java
+++ b/src/main/java/eiderfork/controller/scheduling/QuotaUsageLog.java
@@ -1,4 +1,4 @@
-package eiderfork.controller;
+package eiderfork.controller.scheduling;
 
 import eiderfork.controller.context.ControllerContext;
 import eiderfork.controller.quota.PreemptionDecision;
--- a/src/main/java/eiderfork/controller/ReplicaMigration.java
+++ b/src/main/java/eiderfork/controller/scheduling/ReplicaMigration.java
@@ -1,6 +1,10 @@
-package eiderfork.controller;
+package eiderfork.controller.scheduling;
 
 import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.registry.CpusPerGpu;
+import eiderfork.controller.registry.MachineState;
+import eiderfork.controller.registry.PlacementProfile;
+import eiderfork.controller.registry.Reservation;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
 import eiderfork.model.Resources;
@@ -12,7 +16,10 @@
 import java.util.Set;
 
 /** Finds replicas that may migrate for a job, and the machines that they migrate to. */
-final class ReplicaMigration {
+public final class ReplicaMigration {
+  /** By the protocol, a start that is undone before this time does not count. */
+  public static final long MIN_RUNNING_MS = 30_000;
+
   /** The cost of a migration that is not allowed. */
   static final double IMPOSSIBLE = Double.MAX_VALUE;
 
@@ -102,7 +109,7 @@
 
   private boolean isGpuReplicaMovable(Job job, Reservation replica) {
     return replica.job().spec().priority().compareTo(job.priority()) > 0
-        && runMs(replica) > MachineConsolidation.MIN_RUNNING_MS;
+        && runMs(replica) > MIN_RUNNING_MS;
   }
 
   private static boolean isSmaller(Job spec, Job than, MachineState machine) {
--- a/src/main/java/eiderfork/controller/RoundUsage.java
+++ b/src/main/java/eiderfork/controller/scheduling/RoundUsage.java
@@ -1,6 +1,7 @@
-package eiderfork.controller;
+package eiderfork.controller.scheduling;
 
 import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.registry.JobRegistry;
 import eiderfork.model.Resources;
 import eiderfork.model.Team;
 import java.util.HashMap;
--- a/src/main/java/eiderfork/controller/Scheduler.java
+++ b/src/main/java/eiderfork/controller/scheduling/Scheduler.java
@@ -1,14 +1,20 @@
-package eiderfork.controller;
+package eiderfork.controller.scheduling;
 
+import eiderfork.controller.cluster.ClusterVersion;
 import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.registry.CpusPerGpu;
+import eiderfork.controller.registry.JobRegistry;
+import eiderfork.controller.registry.JobState;
+import eiderfork.controller.registry.MachineRegistry;
 import eiderfork.controller.store.StoreClient;
+import eiderfork.controller.workers.MachineLiveness;
 import java.util.List;
 
 /**
  * Decides which task runs on which machine, in scheduling rounds: jobs in queue order, each task on
  * the machine that scores best.
  */
-final class Scheduler {
+public final class Scheduler {
   /** A low estimate of how many machines a core examines for a job in a second. */
   private static final double MACHINES_EXAMINED_PER_CORE_SECOND = 1_000_000;
 
@@ -29,7 +35,8 @@
   private final TaskScheduler taskScheduler;
   private final GangScheduler gangScheduler;
 
-  Scheduler(
+  /** Makes a scheduler without claims. */
+  public Scheduler(
       ControllerContext context,
       StoreClient store,
       JobRegistry jobs,
@@ -82,17 +89,17 @@
   }
 
   /** The ratio of CPUs to GPUs that the jobs ask for. */
-  CpusPerGpu cpusPerGpu() {
+  public CpusPerGpu cpusPerGpu() {
     return jobs.resourceUsage().cpusPerGpu();
   }
 
   /** How long tasks wait for their images. */
-  ImageFetchEstimator imageFetch() {
+  public ImageFetchEstimator imageFetch() {
     return imageFetch;
   }
 
   /** How often the last round examined a machine for a job. */
-  int examinedMachines() {
+  public int examinedMachines() {
     return capacity.examinedMachines();
   }
 
@@ -102,7 +109,7 @@
    *
    * @return whether something was left for a later round
    */
-  boolean runRound() {
+  public boolean runRound() {
     List<JobState> queue = queuedJobs();
     capacity.beginRound(context.nowMs());
     boolean isBatchingStarts = queue.stream().anyMatch(eligibility::isBatchingStarts);
@@ -155,20 +162,20 @@
   }
 
   /** The jobs with something to place or to write, in queue order. */
-  List<JobState> queuedJobs() {
+  public List<JobState> queuedJobs() {
     usage.reset();
     return fairShareOrder.sort(jobs);
   }
 
   /** Forgets what belongs to a term that is over. */
-  void clear() {
+  public void clear() {
     capacity.clear();
     borrowing.clear();
     preemptionBudget.clear();
   }
 
   /** Does what is due between rounds. */
-  void tick() {
+  public void tick() {
     borrowing.tick();
   }
 }
--- a/src/main/java/eiderfork/controller/SearchConstraints.java
+++ b/src/main/java/eiderfork/controller/scheduling/SearchConstraints.java
@@ -1,4 +1,4 @@
-package eiderfork.controller;
+package eiderfork.controller.scheduling;
 
 /**
  * Which free capacity a search does not use.
--- a/src/main/java/eiderfork/controller/TaskScheduler.java
+++ b/src/main/java/eiderfork/controller/scheduling/TaskScheduler.java
@@ -1,7 +1,11 @@
-package eiderfork.controller;
+package eiderfork.controller.scheduling;
 
 import eiderfork.config.Settings.Objective;
 import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.registry.AllocationSizeLimit;
+import eiderfork.controller.registry.JobRegistry;
+import eiderfork.controller.registry.JobState;
+import eiderfork.controller.registry.MachineState;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
 import eiderfork.model.Resources;
--- a/src/main/java/eiderfork/controller/TeamUsageTracker.java
+++ b/src/main/java/eiderfork/controller/scheduling/TeamUsageTracker.java
@@ -1,4 +1,4 @@
-package eiderfork.controller;
+package eiderfork.controller.scheduling;
 
 import eiderfork.config.Settings.Objective;
 import eiderfork.controller.context.ControllerContext;
@@ -8,6 +8,9 @@
 import eiderfork.controller.quota.QuotaLedger;
 import eiderfork.controller.quota.TeamId;
 import eiderfork.controller.quota.TeamUsage;
+import eiderfork.controller.registry.JobRegistry;
+import eiderfork.controller.registry.JobState;
+import eiderfork.controller.registry.MachineRegistry;
 import eiderfork.model.Job;
 import eiderfork.model.Resources;
 import eiderfork.model.Team;
--- a/src/main/java/eiderfork/controller/TrialLedger.java
+++ b/src/main/java/eiderfork/controller/scheduling/TrialLedger.java
@@ -1,7 +1,9 @@
-package eiderfork.controller;
+package eiderfork.controller.scheduling;
 
 import eiderfork.controller.quota.QuotaLedger;
 import eiderfork.controller.quota.TeamId;
+import eiderfork.controller.registry.JobState;
+import eiderfork.controller.registry.Reservation;
 import java.util.HashSet;
 import java.util.Set;
 
--- a/src/main/java/eiderfork/controller/CancellationFollower.java
+++ b/src/main/java/eiderfork/controller/workers/CancellationFollower.java
@@ -1,5 +1,6 @@
-package eiderfork.controller;
+package eiderfork.controller.workers;
 
+import eiderfork.controller.cluster.CancellationTracker;
 import eiderfork.controller.context.ControllerContext;
 import eiderfork.controller.message.Reply;
 import eiderfork.controller.message.StoreKeys;
--- a/src/main/java/eiderfork/controller/CommandBuilder.java
+++ b/src/main/java/eiderfork/controller/workers/CommandBuilder.java
@@ -1,7 +1,12 @@
-package eiderfork.controller;
+package eiderfork.controller.workers;
 
 import com.google.common.collect.ImmutableList;
+import eiderfork.controller.cluster.CancellationTracker;
 import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.registry.JobRegistry;
+import eiderfork.controller.registry.JobState;
+import eiderfork.controller.registry.MachineState;
+import eiderfork.controller.registry.Reservation;
 import eiderfork.model.Attempt;
 import eiderfork.model.TaskStatus;
 import eiderfork.model.WorkerCommand;
@@ -11,9 +16,9 @@
 import java.util.Set;
 
 /** Derives a worker's commands from its newest heartbeat and the reservations on its machine. */
-final class CommandBuilder {
+public final class CommandBuilder {
   /** How much longer than it should a checkpoint may take before it is given up, in steps. */
-  static final int CHECKPOINT_MARGIN_STEPS = 3;
+  public static final int CHECKPOINT_MARGIN_STEPS = 3;
 
   private final ControllerContext context;
   private final JobRegistry jobs;
--- a/src/main/java/eiderfork/controller/CommandPermission.java
+++ b/src/main/java/eiderfork/controller/workers/CommandPermission.java
@@ -1,4 +1,4 @@
-package eiderfork.controller;
+package eiderfork.controller.workers;
 
 import eiderfork.controller.election.LeaderElection;
 
--- a/src/main/java/eiderfork/controller/DirectCommandSender.java
+++ b/src/main/java/eiderfork/controller/workers/DirectCommandSender.java
@@ -1,10 +1,12 @@
-package eiderfork.controller;
+package eiderfork.controller.workers;
 
 import com.google.common.collect.ImmutableList;
 import eiderfork.controller.context.ControllerContext;
 import eiderfork.controller.election.LeaderElection;
 import eiderfork.controller.message.Effect;
 import eiderfork.controller.message.Reply;
+import eiderfork.controller.registry.MachineRegistry;
+import eiderfork.controller.registry.MachineState;
 import eiderfork.model.WorkerCommand;
 
 /** Sends commands to workers' own addresses where the next heartbeat would be too late. */
--- a/src/main/java/eiderfork/controller/FaultDetector.java
+++ b/src/main/java/eiderfork/controller/workers/FaultDetector.java
@@ -1,5 +1,10 @@
-package eiderfork.controller;
+package eiderfork.controller.workers;
 
+import eiderfork.controller.registry.JobState;
+import eiderfork.controller.registry.MachineFailures;
+import eiderfork.controller.registry.MachineRegistry;
+import eiderfork.controller.registry.MachineState;
+import eiderfork.controller.registry.Reservation;
 import eiderfork.model.TaskStatus;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
--- a/src/main/java/eiderfork/controller/HeartbeatHandler.java
+++ b/src/main/java/eiderfork/controller/workers/HeartbeatHandler.java
@@ -1,5 +1,6 @@
-package eiderfork.controller;
+package eiderfork.controller.workers;
 
+import eiderfork.controller.cluster.CancellationTracker;
 import eiderfork.controller.context.ControllerContext;
 import eiderfork.controller.election.LeaderElection;
 import eiderfork.controller.message.Effect;
@@ -10,7 +11,7 @@
  * Handles heartbeats that arrive at this node: answers them where it may, redirects workers to the
  * leader where it may not, and defers the response for a moment where that may change.
  */
-final class HeartbeatHandler {
+public final class HeartbeatHandler {
   /**
    * How long a worker that lost the leader may wait here for another one, in steps. It is less than
    * a worker's response time-out and less than a leader lease.
@@ -26,7 +27,8 @@
   private final DeferredHeartbeats deferredHeartbeats;
   private final WorkerRedirector redirector;
 
-  HeartbeatHandler(
+  /** Makes a handler without pending heartbeats. */
+  public HeartbeatHandler(
       ControllerContext context,
       LeaderElection election,
       WorkerCommander commander,
@@ -44,7 +46,7 @@
   }
 
   /** Handles a heartbeat that has just arrived. */
-  void handle(long ticket, Heartbeat heartbeat) {
+  public void handle(long ticket, Heartbeat heartbeat) {
     reachability.recordHeartbeat(heartbeat.machine().name());
     if (tryAnswer(ticket, heartbeat)) {
       return;
@@ -57,14 +59,14 @@
   }
 
   /** Tries to respond to deferred heartbeats after an input that may allow it. */
-  void retryPending(Input input) {
+  public void retryPending(Input input) {
     if (canResolvePending(input)) {
       deferredHeartbeats.retry(this::answerOrRedirect);
     }
   }
 
   /** Forgets outdated redirects. */
-  void tick() {
+  public void tick() {
     redirector.tick();
   }
 
--- a/src/main/java/eiderfork/controller/HeartbeatRecorder.java
+++ b/src/main/java/eiderfork/controller/workers/HeartbeatRecorder.java
@@ -1,7 +1,9 @@
-package eiderfork.controller;
+package eiderfork.controller.workers;
 
 import eiderfork.controller.context.ControllerContext;
 import eiderfork.controller.election.LeaderElection;
+import eiderfork.controller.registry.MachineRegistry;
+import eiderfork.controller.registry.MachineState;
 import eiderfork.model.Heartbeat;
 
 /** Applies heartbeats to the leader's state, whether a worker sent them or replied with them. */
--- a/src/main/java/eiderfork/controller/LeaseExpiry.java
+++ b/src/main/java/eiderfork/controller/workers/LeaseExpiry.java
@@ -1,6 +1,9 @@
-package eiderfork.controller;
+package eiderfork.controller.workers;
 
+import eiderfork.controller.cluster.PeerMonitor;
 import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.registry.MachineRegistry;
+import eiderfork.controller.registry.MachineState;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
@@ -10,7 +13,7 @@
  * Settles the reservations of machines whose worker leases have surely expired, unless a {@link
  * LeaseProxy} renewed them.
  */
-final class LeaseExpiry {
+public final class LeaseExpiry {
   /** The share of a lease after which plans replace a silent machine. */
   private static final double SUSPECT_SHARE = 0.5;
 
@@ -44,7 +47,7 @@
    * @param readProxiedMachines reads which machines' leases other nodes renew
    * @param requestRound is called where a scheduling round has something new to place
    */
-  LeaseExpiry(
+  public LeaseExpiry(
       ControllerContext context,
       MachineRegistry fleet,
       PeerMonitor peers,
@@ -62,12 +65,12 @@
   }
 
   /** A term begins; a read of an earlier one is not waited for. */
-  void onElected() {
+  public void onElected() {
     proxyReadInFlight = false;
   }
 
   /** Whether a lease proxy's record was seen lately that names the machine. */
-  boolean isProxied(MachineState machine) {
+  public boolean isProxied(MachineState machine) {
     return machine.leaseProxySeenMs() > 0
         && context.nowMs() - machine.leaseProxySeenMs() <= 2 * context.stepMs();
   }
@@ -76,7 +79,7 @@
    * Whether a silent machine may be lost. Where its whole zone is unreachable it is suspected
    * later, since nodes there may renew its lease.
    */
-  boolean isSuspected(MachineState machine) {
+  public boolean isSuspected(MachineState machine) {
     double share =
         peers.isZoneUnreachable(machine.zone()) ? PARTITIONED_SUSPECT_SHARE : SUSPECT_SHARE;
     return !isProxied(machine)
@@ -160,7 +163,7 @@
    * token of this term, an earlier leader may have renewed its lease until that leader's term ended
    * for sure.
    */
-  boolean hasExpired(MachineState machine) {
+  public boolean hasExpired(MachineState machine) {
     if (!machine.incarnation().mayLeaseHaveExpired(context.nowMs(), context.workerLeaseMs())) {
       return false;
     }
--- a/src/main/java/eiderfork/controller/LeaseProxy.java
+++ b/src/main/java/eiderfork/controller/workers/LeaseProxy.java
@@ -1,6 +1,8 @@
-package eiderfork.controller;
+package eiderfork.controller.workers;
 
 import com.google.common.collect.ImmutableList;
+import eiderfork.controller.cluster.CancellationTracker;
+import eiderfork.controller.cluster.PeerMonitor;
 import eiderfork.controller.context.ControllerContext;
 import eiderfork.controller.election.LeaderElection;
 import eiderfork.controller.message.Effect;
@@ -23,7 +25,7 @@
  * expiry, that no such record names the machine. So either it sees the record, or the proxy's first
  * answer comes after the expiry and renews an incarnation that has lost all earlier tasks.
  */
-final class LeaseProxy {
+public final class LeaseProxy {
   private static final Logger LOG = LoggerFactory.getLogger(LeaseProxy.class);
 
   private final ControllerContext context;
@@ -39,7 +41,8 @@
   private boolean active;
   private long lastAnswerMs;
 
-  LeaseProxy(
+  /** Makes a proxy that renews no lease yet. */
+  public LeaseProxy(
       ControllerContext context,
       StoreClient store,
       LeaderElection election,
@@ -149,14 +152,14 @@
   }
 
   /** Answers no worker any more; the records stand until their lease expires. */
-  void stop() {
+  public void stop() {
     active = false;
     cancellationFollower.stop();
     records.reset();
   }
 
   /** Keeps the records and the cancellations current, and stops where no worker needs a proxy. */
-  void tick() {
+  public void tick() {
     cancellationFollower.retryFailed();
     redirectedMs.values().removeIf(sentMs -> context.nowMs() - sentMs > context.workerLeaseMs());
     if (!active) {
--- a/src/main/java/eiderfork/controller/MachineLiveness.java
+++ b/src/main/java/eiderfork/controller/workers/MachineLiveness.java
@@ -1,10 +1,11 @@
-package eiderfork.controller;
+package eiderfork.controller.workers;
 
 import eiderfork.controller.context.ControllerContext;
 import eiderfork.controller.election.LeaderElection;
+import eiderfork.controller.registry.MachineState;
 
 /** Judges whether machines are reachable, take this leader's commands and may get tasks. */
-final class MachineLiveness {
+public final class MachineLiveness {
   /** The longest time between two heartbeats of a worker, in heartbeat intervals. */
   private static final double MAX_HEARTBEAT_INTERVALS = 1.25;
 
@@ -17,13 +18,14 @@
   private final ControllerContext context;
   private final LeaderElection election;
 
-  MachineLiveness(ControllerContext context, LeaderElection election) {
+  /** Judges machines by the terms of this election. */
+  public MachineLiveness(ControllerContext context, LeaderElection election) {
     this.context = context;
     this.election = election;
   }
 
   /** After how long without a heartbeat a machine counts as silent. */
-  long heartbeatTimeoutMs() {
+  public long heartbeatTimeoutMs() {
     return (long)
         (context.heartbeatIntervalMs() * MAX_HEARTBEAT_INTERVALS
             + context.stepMs() * HEARTBEAT_GRACE_STEPS);
@@ -36,19 +38,19 @@
   }
 
   /** Whether the machine's newest heartbeat is recent enough that it is not silent. */
-  boolean hasRecentHeartbeat(MachineState machine) {
+  public boolean hasRecentHeartbeat(MachineState machine) {
     return machine.incarnation().lastHeartbeatMs() > 0
         && context.nowMs() - machine.incarnation().lastHeartbeatMs() <= heartbeatTimeoutMs();
   }
 
   /** How long ago the machine last sent a heartbeat or was answered in this term. */
-  long sinceLastContactMs(MachineState machine) {
+  public long sinceLastContactMs(MachineState machine) {
     return context.nowMs()
         - Math.max(machine.incarnation().lastHeartbeatMs(), machine.incarnation().leaseStartMs());
   }
 
   /** Whether heartbeats arrive from the machine but commands do not reach it. */
-  boolean isUnresponsive(MachineState machine) {
+  public boolean isUnresponsive(MachineState machine) {
     return machine.commandChannel().unresponsiveSinceMs() > 0
         && context.nowMs() - machine.commandChannel().unresponsiveSinceMs() > heartbeatTimeoutMs();
   }
@@ -58,7 +60,7 @@
    * by direct commands alone still sends heartbeats after its lease has expired, and what would
    * start then would be settled together with the tasks that the expiry has ended.
    */
-  boolean isSchedulable(MachineState machine) {
+  public boolean isSchedulable(MachineState machine) {
     return isInService(machine)
         && hasRecentHeartbeat(machine)
         && !isUnresponsive(machine)
@@ -75,7 +77,7 @@
    * service and has answered all commands. It may be silent: after a failover workers send no
    * heartbeat for seconds while they look for the leader.
    */
-  boolean canHoldClaims(MachineState machine) {
+  public boolean canHoldClaims(MachineState machine) {
     return isInService(machine) && machine.commandChannel().unansweredCommands() == 0;
   }
 
--- a/src/main/java/eiderfork/controller/ReservationReconciler.java
+++ b/src/main/java/eiderfork/controller/workers/ReservationReconciler.java
@@ -1,7 +1,12 @@
-package eiderfork.controller;
+package eiderfork.controller.workers;
 
 import eiderfork.controller.context.ControllerContext;
 import eiderfork.controller.election.LeaderElection;
+import eiderfork.controller.registry.JobRegistry;
+import eiderfork.controller.registry.JobState;
+import eiderfork.controller.registry.MachineRegistry;
+import eiderfork.controller.registry.MachineState;
+import eiderfork.controller.registry.Reservation;
 import eiderfork.model.Attempt;
 import eiderfork.model.Heartbeat;
 import eiderfork.model.MachineType;
--- a/src/main/java/eiderfork/controller/WorkerCommander.java
+++ b/src/main/java/eiderfork/controller/workers/WorkerCommander.java
@@ -1,9 +1,14 @@
-package eiderfork.controller;
+package eiderfork.controller.workers;
 
 import com.google.common.collect.ImmutableList;
+import eiderfork.controller.cluster.CancellationTracker;
 import eiderfork.controller.context.ControllerContext;
 import eiderfork.controller.election.LeaderElection;
 import eiderfork.controller.message.Effect;
+import eiderfork.controller.registry.CommandChannel;
+import eiderfork.controller.registry.JobRegistry;
+import eiderfork.controller.registry.MachineRegistry;
+import eiderfork.controller.registry.MachineState;
 import eiderfork.model.Heartbeat;
 import eiderfork.model.TaskStatus;
 import eiderfork.model.WorkerCommand;
@@ -12,7 +17,7 @@
  * The leader's side of the worker protocol: answers heartbeats, and brings what workers run and
  * what is reserved on their machines together.
  */
-final class WorkerCommander {
+public final class WorkerCommander {
   private final ControllerContext context;
   private final LeaderElection election;
   private final JobRegistry jobs;
@@ -30,7 +35,7 @@
    *
    * @param requestRound is called where a scheduling round has something new to place
    */
-  WorkerCommander(
+  public WorkerCommander(
       ControllerContext context,
       LeaderElection election,
       JobRegistry jobs,
@@ -65,7 +70,7 @@
   }
 
   /** This node is elected leader; its state is not recovered yet. */
-  void onElected() {
+  public void onElected() {
     permission.onElected();
     leaseExpiry.onElected();
     leaseLog.reset();
@@ -73,17 +78,17 @@
   }
 
   /** The leader's state is recovered from the store. */
-  void onRecovered() {
+  public void onRecovered() {
     permission.onRecovered();
   }
 
   /** Updates the reservations on a machine from its newest heartbeat. */
-  void reconcile(MachineState machine) {
+  public void reconcile(MachineState machine) {
     reconciler.reconcile(machine);
   }
 
   /** Handles a heartbeat that a worker sent to this node, which leads. */
-  void handleHeartbeat(long ticket, Heartbeat heartbeat) {
+  public void handleHeartbeat(long ticket, Heartbeat heartbeat) {
     if (heartbeat.fencingToken() >= election.endOfFencingTokens()) {
       // A later leader commands this worker, so this one's term is over.
       election.observeTerm(heartbeat.fencingToken() >> LeaderElection.TOKEN_SEQUENCE_BITS);
@@ -119,7 +124,7 @@
    * the job in memory stops them by their reservations instead, and tasks without one at the next
    * heartbeat.
    */
-  void onJobCancelled(String uid) {
+  public void onJobCancelled(String uid) {
     if (permission.isRecovered() && jobs.get(uid) != null) {
       return;
     }
@@ -133,7 +138,7 @@
   }
 
   /** Settles expired leases and sends the direct commands that are due. */
-  void tick() {
+  public void tick() {
     if (permission.isRecovered()) {
       leaseExpiry.settleExpired();
     }
--- a/src/main/java/eiderfork/controller/WorkerLeaseLog.java
+++ b/src/main/java/eiderfork/controller/workers/WorkerLeaseLog.java
@@ -1,6 +1,8 @@
-package eiderfork.controller;
+package eiderfork.controller.workers;
 
 import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.registry.MachineState;
+import eiderfork.controller.registry.Reservation;
 import eiderfork.model.TaskStatus;
 import eiderfork.model.WorkerCommand;
 import java.util.List;
@@ -12,7 +14,7 @@
  * Since a partition can end thousands of leases at once, the lines of a step are limited and the
  * rest is counted.
  */
-final class WorkerLeaseLog {
+public final class WorkerLeaseLog {
   private static final Logger LOG = LoggerFactory.getLogger(WorkerLeaseLog.class);
 
   /** The most lines that are written in a step. */
@@ -38,7 +40,8 @@
   private long stepEndsMs;
   private long nextSummaryMs;
 
-  WorkerLeaseLog(ControllerContext context) {
+  /** Makes a log with all counts at 0. */
+  public WorkerLeaseLog(ControllerContext context) {
     this.context = context;
   }
 
@@ -55,17 +58,17 @@
   }
 
   /** How many incarnations were first seen in a command reply since the last summary. */
-  long startedByCommand() {
+  public long startedByCommand() {
     return startedByCommand;
   }
 
   /** How many expired leases were renewed after the proxy records were requested. */
-  long staleReads() {
+  public long staleReads() {
     return staleReads;
   }
 
   /** How many lines were suppressed since the last summary. */
-  long suppressedLines() {
+  public long suppressedLines() {
     return suppressedLines;
   }
 
@@ -75,7 +78,7 @@
    * @param previousLeaseStartMs the latest time from which the previous lease may have run
    * @param byCommand whether the reply to a direct command shows it
    */
-  void incarnationStarted(
+  public void incarnationStarted(
       MachineState machine,
       long previousIncarnation,
       long previousLeaseStartMs,
--- a/src/main/java/eiderfork/controller/WorkerReachability.java
+++ b/src/main/java/eiderfork/controller/workers/WorkerReachability.java
@@ -1,7 +1,10 @@
-package eiderfork.controller;
+package eiderfork.controller.workers;
 
+import eiderfork.controller.cluster.PeerMonitor;
 import eiderfork.controller.context.ControllerContext;
 import eiderfork.controller.election.LeaderElection;
+import eiderfork.controller.registry.MachineRegistry;
+import eiderfork.controller.registry.MachineState;
 import java.util.HashMap;
 import java.util.Map;
 import org.slf4j.Logger;
@@ -11,7 +14,7 @@
  * Which workers send heartbeats to this node. A leader that most of them can't reach resigns in
  * favour of a peer that more of them reach.
  */
-final class WorkerReachability {
+public final class WorkerReachability {
   private static final Logger LOG = LoggerFactory.getLogger(WorkerReachability.class);
 
   /** How long a new leader waits for the first heartbeat of any machine, in steps. */
@@ -41,7 +44,8 @@
   private long electedMs;
   private long resumedMs;
 
-  WorkerReachability(
+  /** Makes a monitor that has seen no worker. */
+  public WorkerReachability(
       ControllerContext context,
       LeaderElection election,
       MachineRegistry fleet,
@@ -57,7 +61,7 @@
   }
 
   /** This node leads now. */
-  void onElected() {
+  public void onElected() {
     electedMs = context.nowMs();
   }
 
@@ -67,7 +71,7 @@
   }
 
   /** How many machines send heartbeats here, counted once in half a step. */
-  int reachableMachineCount() {
+  public int reachableMachineCount() {
     if (context.nowMs() - lastCountMs >= context.stepMs() / 2) {
       lastCountMs = context.nowMs();
       lastHeartbeatMs.values().removeIf(at -> context.nowMs() - at > liveness.heartbeatTimeoutMs());
@@ -77,7 +81,7 @@
   }
 
   /** Resigns where workers can't reach this leader but reach a peer. */
-  void resignIfUnreachable() {
+  public void resignIfUnreachable() {
     if (context.nowMs() < nextCheckMs) {
       return;
     }
--- a/src/test/java/eiderfork/controller/FakeStoreAccess.java
+++ b/src/test/java/eiderfork/controller/FakeStoreAccess.java
@@ -1,6 +1,7 @@
 package eiderfork.controller;
 
 import com.google.common.collect.ImmutableList;
+import eiderfork.controller.cluster.ClusterVersion;
 import eiderfork.controller.message.Reply;
 import eiderfork.controller.message.StoreKeys;
 import eiderfork.controller.message.StoreRequest;
--- a/src/test/java/eiderfork/controller/IncarnationLeaseExpiryTest.java
+++ b/src/test/java/eiderfork/controller/IncarnationLeaseExpiryTest.java
@@ -10,6 +10,7 @@
 import eiderfork.controller.context.ControllerContext;
 import eiderfork.controller.message.Effect;
 import eiderfork.controller.message.Reply;
+import eiderfork.controller.registry.Reservation;
 import eiderfork.model.TaskStatus;
 import eiderfork.model.WorkerCommand;
 import java.util.List;
--- a/src/test/java/eiderfork/controller/LargeCellTest.java
+++ b/src/test/java/eiderfork/controller/LargeCellTest.java
@@ -6,10 +6,14 @@
 
 import com.google.common.collect.ImmutableList;
 import eiderfork.config.Settings;
+import eiderfork.controller.autoscaling.CloudProvisioner;
+import eiderfork.controller.autoscaling.ScaleOutRequests;
 import eiderfork.controller.context.ControllerContext;
 import eiderfork.controller.election.LeaderElection;
 import eiderfork.controller.message.Effect;
 import eiderfork.controller.message.Reply;
+import eiderfork.controller.registry.JobRegistry;
+import eiderfork.controller.registry.MachineRegistry;
 import eiderfork.controller.store.StoreClient;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
--- a/src/test/java/eiderfork/controller/QuotaReclaimFailureTest.java
+++ b/src/test/java/eiderfork/controller/QuotaReclaimFailureTest.java
@@ -3,6 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import eiderfork.controller.cluster.ClusterVersion;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
 import eiderfork.model.JobStatus.Phase;
--- a/src/test/java/eiderfork/controller/RollingUpgradeTest.java
+++ b/src/test/java/eiderfork/controller/RollingUpgradeTest.java
@@ -6,6 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import eiderfork.config.Settings.StoreLimits;
+import eiderfork.controller.cluster.ClusterVersion;
 import eiderfork.controller.message.StoreKeys;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
--- a/src/test/java/eiderfork/controller/SimulatedCluster.java
+++ b/src/test/java/eiderfork/controller/SimulatedCluster.java
@@ -1,6 +1,7 @@
 package eiderfork.controller;
 
 import eiderfork.config.Settings;
+import eiderfork.controller.cluster.ClusterVersion;
 import eiderfork.controller.message.Effect;
 import eiderfork.controller.message.Input;
 import eiderfork.controller.message.StoreKeys;
--- a/src/test/java/eiderfork/controller/TestFixtures.java
+++ b/src/test/java/eiderfork/controller/TestFixtures.java
@@ -6,6 +6,9 @@
 import eiderfork.config.OperatorSettings;
 import eiderfork.config.Settings;
 import eiderfork.controller.ratelimit.Backoff;
+import eiderfork.controller.registry.FailureHistory;
+import eiderfork.controller.registry.JobState;
+import eiderfork.controller.registry.PlacementProfile;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
 import eiderfork.model.Priority;
@@ -13,7 +16,7 @@
 import eiderfork.model.Team;
 
 /** Settings and jobs that tests have in common. */
-final class TestFixtures {
+public final class TestFixtures {
   /** The timings of small deployments, and of those with many machines. */
   static final Settings.WorkerTimings SHORT_LEASES = new Settings.WorkerTimings(1, 10, 30);
 
@@ -31,7 +34,8 @@
     return settings("roost-0", LONG_LEASES, new Settings.StoreLimits(200, 40, 4, 16), 0.2, 160, 3);
   }
 
-  static Settings settings(String node) {
+  /** Settings of one of three controllers, with a heartbeat each second. */
+  public static Settings settings(String node) {
     return settings(node, 3);
   }
 
@@ -93,12 +97,12 @@
   }
 
   /** Settings with which jobs are archived that long after their end. */
-  static Settings archivingAfter(double seconds) {
+  public static Settings archivingAfter(double seconds) {
     return archiving(seconds, OperatorSettings.DEFAULTS.maxEndedJobs());
   }
 
   /** Settings with which jobs are archived that long after their end, or past this number. */
-  static Settings archiving(double seconds, int maxEndedJobs) {
+  public static Settings archiving(double seconds, int maxEndedJobs) {
     OperatorSettings defaults = OperatorSettings.DEFAULTS;
     return withOperator(
         settings("roost-0"),
@@ -156,7 +160,8 @@
   }
 
   /** The same settings, with other service-level objectives. */
-  static Settings withObjectives(Settings base, ImmutableList<Settings.Objective> objectives) {
+  public static Settings withObjectives(
+      Settings base, ImmutableList<Settings.Objective> objectives) {
     return copy(
         base,
         base.teams(),
@@ -193,7 +198,7 @@
   }
 
   /** The same job with tasks of this size and run time, on machines of this type, spot or not. */
-  static Job sized(Job template, Resources demand, double runS, String type) {
+  public static Job sized(Job template, Resources demand, double runS, String type) {
     return with(template, template.priority(), demand, ImmutableSet.of(type), true, runS);
   }
 
@@ -247,7 +252,7 @@
   }
 
   /** A gang that saves every 2 s of its work, and takes 1 s to save when it is stopped. */
-  static Job gang(int number, int tasks, double cpus, double runS, boolean oneZone) {
+  public static Job gang(int number, int tasks, double cpus, double runS, boolean oneZone) {
     return gang(number, tasks, cpus, runS, oneZone, "blue", false);
   }
 
@@ -274,15 +279,18 @@
         null);
   }
 
-  static Job job(int number, JobKind kind, int tasks, double gpus) {
+  /** A job of team blue with the image {@code img}. */
+  public static Job job(int number, JobKind kind, int tasks, double gpus) {
     return job(number, kind, tasks, gpus, "blue", Priority.HIGH, false, false);
   }
 
-  static Job job(int number, JobKind kind, int tasks, double gpus, String image) {
+  /** A job of team blue with this image. */
+  public static Job job(int number, JobKind kind, int tasks, double gpus, String image) {
     return job(number, kind, tasks, gpus, "blue", Priority.HIGH, false, false, image, 1);
   }
 
-  static Job job(
+  /** A job with the image {@code img}. */
+  public static Job job(
       int number,
       JobKind kind,
       int tasks,
@@ -294,7 +302,8 @@
     return job(number, kind, tasks, gpus, team, priority, spread, spot, "img", 1);
   }
 
-  static Job job(
+  /** A job; the other forms call this one with defaults. */
+  public static Job job(
       int number,
       JobKind kind,
       int tasks,
@@ -327,7 +336,7 @@
   }
 
   /** A job as a leader holds it that has just added it. */
-  static JobState jobState(Job job) {
+  public static JobState jobState(Job job) {
     Backoff backoff = new Backoff(1, 2);
     return new JobState(
         job, PlacementProfile.of(job), 1, 0, backoff, backoff, new FailureHistory(1));
--- a/src/test/java/eiderfork/controller/BinPackingTest.java
+++ b/src/test/java/eiderfork/controller/autoscaling/BinPackingTest.java
@@ -1,10 +1,14 @@
-package eiderfork.controller;
+package eiderfork.controller.autoscaling;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.google.common.collect.ImmutableList;
+import eiderfork.controller.TestFixtures;
 import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.registry.CpusPerGpu;
+import eiderfork.controller.registry.JobRegistry;
+import eiderfork.controller.registry.MachineRegistry;
 import eiderfork.controller.store.StoreClient;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
--- a/src/test/java/eiderfork/controller/FirstFitTreeTest.java
+++ b/src/test/java/eiderfork/controller/autoscaling/FirstFitTreeTest.java
@@ -1,8 +1,9 @@
-package eiderfork.controller;
+package eiderfork.controller.autoscaling;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import eiderfork.controller.registry.CpusPerGpu;
 import eiderfork.model.MachineKind;
 import eiderfork.model.Resources;
 import java.util.ArrayList;
--- a/src/test/java/eiderfork/controller/CancellationTrackerTest.java
+++ b/src/test/java/eiderfork/controller/cluster/CancellationTrackerTest.java
@@ -1,9 +1,10 @@
-package eiderfork.controller;
+package eiderfork.controller.cluster;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import eiderfork.controller.TestFixtures;
 import eiderfork.controller.context.ControllerContext;
 import eiderfork.controller.message.CancellationGossip;
 import java.util.ArrayList;
--- a/src/test/java/eiderfork/controller/ClusterVersionTest.java
+++ b/src/test/java/eiderfork/controller/cluster/ClusterVersionTest.java
@@ -1,8 +1,9 @@
-package eiderfork.controller;
+package eiderfork.controller.cluster;
 
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import eiderfork.controller.TestFixtures;
 import eiderfork.controller.context.ControllerContext;
 import eiderfork.controller.election.LeaderElection;
 import eiderfork.controller.store.StoreClient;
--- a/src/test/java/eiderfork/controller/JobArchiverTransactionTest.java
+++ b/src/test/java/eiderfork/controller/jobs/JobArchiverTransactionTest.java
@@ -1,4 +1,4 @@
-package eiderfork.controller;
+package eiderfork.controller.jobs;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -6,12 +6,25 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.google.common.collect.ImmutableList;
+import eiderfork.controller.TestFixtures;
+import eiderfork.controller.cluster.CancellationTracker;
+import eiderfork.controller.cluster.ClusterVersion;
 import eiderfork.controller.context.ControllerContext;
 import eiderfork.controller.election.LeaderElection;
 import eiderfork.controller.message.Effect;
 import eiderfork.controller.message.Reply;
 import eiderfork.controller.message.StoreKeys;
 import eiderfork.controller.message.StoreRequest;
+import eiderfork.controller.recovery.CommittedChangeApplier;
+import eiderfork.controller.recovery.FinishedJobSweeper;
+import eiderfork.controller.recovery.StoredRecordRestorer;
+import eiderfork.controller.registry.JobRegistry;
+import eiderfork.controller.registry.JobState;
+import eiderfork.controller.registry.MachineIndexes;
+import eiderfork.controller.registry.MachineRegistry;
+import eiderfork.controller.registry.MachineState;
+import eiderfork.controller.registry.Reservation;
+import eiderfork.controller.scheduling.RoundTrigger;
 import eiderfork.controller.store.StoreClient;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
--- a/src/test/java/eiderfork/controller/RequestForwarderTest.java
+++ b/src/test/java/eiderfork/controller/jobs/RequestForwarderTest.java
@@ -1,9 +1,10 @@
-package eiderfork.controller;
+package eiderfork.controller.jobs;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.google.common.collect.ImmutableList;
+import eiderfork.controller.TestFixtures;
 import eiderfork.controller.context.ControllerContext;
 import eiderfork.controller.message.Effect;
 import eiderfork.controller.message.Reply;
--- a/src/test/java/eiderfork/controller/AllocationSizeLimitTest.java
+++ b/src/test/java/eiderfork/controller/registry/AllocationSizeLimitTest.java
@@ -1,8 +1,9 @@
-package eiderfork.controller;
+package eiderfork.controller.registry;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import eiderfork.controller.TestFixtures;
 import eiderfork.model.JobKind;
 import org.junit.jupiter.api.Test;
 
--- a/src/test/java/eiderfork/controller/FailedSearchCacheTest.java
+++ b/src/test/java/eiderfork/controller/registry/FailedSearchCacheTest.java
@@ -1,8 +1,9 @@
-package eiderfork.controller;
+package eiderfork.controller.registry;
 
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import eiderfork.controller.TestFixtures;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
 import eiderfork.model.Priority;
--- a/src/test/java/eiderfork/controller/FailureHistoryTest.java
+++ b/src/test/java/eiderfork/controller/registry/FailureHistoryTest.java
@@ -1,10 +1,11 @@
-package eiderfork.controller;
+package eiderfork.controller.registry;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.google.common.collect.ImmutableList;
+import eiderfork.controller.TestFixtures;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
 import eiderfork.model.Resources;
--- a/src/test/java/eiderfork/controller/HugeArrayRecordTest.java
+++ b/src/test/java/eiderfork/controller/registry/HugeArrayRecordTest.java
@@ -1,8 +1,9 @@
-package eiderfork.controller;
+package eiderfork.controller.registry;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.google.common.collect.ImmutableList;
+import eiderfork.controller.TestFixtures;
 import eiderfork.controller.message.StoreRequest;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
--- a/src/test/java/eiderfork/controller/PreemptionTest.java
+++ b/src/test/java/eiderfork/controller/scheduling/PreemptionTest.java
@@ -1,10 +1,17 @@
-package eiderfork.controller;
+package eiderfork.controller.scheduling;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.google.common.collect.ImmutableList;
+import eiderfork.controller.TestFixtures;
 import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.registry.CpusPerGpu;
+import eiderfork.controller.registry.JobRegistry;
+import eiderfork.controller.registry.JobState;
+import eiderfork.controller.registry.MachineRegistry;
+import eiderfork.controller.registry.MachineState;
+import eiderfork.controller.registry.Reservation;
 import eiderfork.controller.store.StoreClient;
 import eiderfork.model.Heartbeat;
 import eiderfork.model.Job;
--- a/src/test/java/eiderfork/controller/QueueOrderTest.java
+++ b/src/test/java/eiderfork/controller/scheduling/QueueOrderTest.java
@@ -1,4 +1,4 @@
-package eiderfork.controller;
+package eiderfork.controller.scheduling;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -6,7 +6,12 @@
 
 import com.google.common.collect.ImmutableList;
 import eiderfork.config.Settings;
+import eiderfork.controller.TestFixtures;
 import eiderfork.controller.context.ControllerContext;
+import eiderfork.controller.registry.JobRegistry;
+import eiderfork.controller.registry.JobState;
+import eiderfork.controller.registry.MachineRegistry;
+import eiderfork.controller.registry.Reservation;
 import eiderfork.controller.store.StoreClient;
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
