--- a/src/main/java/eiderfork/controller/jobs/JobArchiver.java
+++ b/src/main/java/eiderfork/controller/jobs/JobArchiver.java
@@ -79,7 +79,9 @@
     nextMoveMs = 0;
   }
 
-  /** Moves a batch if one is due and the write rate has room; called on a recovered leader only. */
+  /**
+   * Moves a batch if one is due and the write rate allows it; called on a recovered leader only.
+   */
   public void tick() {
     // A member of an older version would answer 404 for an archived job.
     if (!version.isMinimumVersion(ClusterVersion.ARCHIVED_JOBS)) {
--- a/src/main/java/eiderfork/controller/recovery/FullReadRecovery.java
+++ b/src/main/java/eiderfork/controller/recovery/FullReadRecovery.java
@@ -83,7 +83,7 @@
         });
   }
 
-  /** Reads jobs a page at a time, and keeps of those that are over what memory has room for. */
+  /** Reads jobs a page at a time, and keeps of the finished ones what memory can hold. */
   private void readJobs(String afterJob, long leadingTerm, Runnable onComplete) {
     jobPageReader.read(
         afterJob,
--- a/src/main/java/eiderfork/loadtest/LoadTestSettings.java
+++ b/src/main/java/eiderfork/loadtest/LoadTestSettings.java
@@ -7,8 +7,8 @@
  *
  * @param seed of all random numbers of the emulation
  * @param runS how long load is offered, all troubles included
- * @param cells the regions, each with its own controllers, state service, cloud and users
- * @param preloadedEndedJobs jobs per cell that the state service holds as done from the start
+ * @param cells the regions, each with its own controllers, store, cloud and users
+ * @param preloadedEndedJobs jobs per cell that the store holds as done from the start
  * @param preloadedArchivedJobs further ones that are archived already
  */
 public record LoadTestSettings(
@@ -33,7 +33,7 @@
   /** The workers' intervals, as in the platform's settings. */
   public record Workers(double reportS, double leaseS, double cancelS) {}
 
-  /** A cell's state service: its limits, and the mean of its answers' delay in milliseconds. */
+  /** The limits of a cell's store, and the mean delay of its responses in milliseconds. */
   public record StoreLimits(
       double rps, double writeRps, double valueKb, int txnOps, double answerMs) {}
 
@@ -82,7 +82,7 @@
    * @param peakPerS further jobs a second during the peak
    * @param runS how long an array's task runs, or a service stands until it is cancelled; 0 for the
    *     whole run
-   * @param urgent whether its starts are told apart
+   * @param urgent whether its start times are recorded apart
    */
   public record JobClass(
       String name,
@@ -104,7 +104,7 @@
    * A failure.
    *
    * @param kind {@code leader}: the leader's process is killed; {@code rack}, {@code third}, {@code
-   *     workers}: the workers of a rack, of every third rack, or all of them hear and say nothing;
+   *     workers}: the workers of a rack, of every third rack, or all of them are partitioned;
    *     {@code zone}: a zone's machines are gone and its controllers down; {@code controllers}: all
    *     controllers of the cell are killed
    * @param cell the cell's number from 0
