--- a/src/test/java/eiderfork/controller/CancellationTest.java
+++ b/src/test/java/eiderfork/controller/CancellationTest.java
@@ -41,16 +41,16 @@
         .get(which);
   }
 
-  /** Recovers the state service after this time, with every lease in full. */
+  /** Recovers the store after this time, with every lease in full. */
   private void outage(long afterMs, long forMs) {
     world.at(afterMs, () -> world.state.outage(world.nowMs));
     world.at(afterMs + forMs, () -> world.state.recover(world.nowMs));
   }
 
   /**
-   * The state service refuses the leader alone, a peer confirms a cancellation, and then it is out
-   * for all while workers report to the old leader. Guarded by {@link CancellationTracker}: the
-   * peer sends what it confirmed with its pings, and the leader stops it without the state service.
+   * The store refuses the leader alone, a peer confirms a cancellation, and then it is out for all
+   * while workers report to the old leader. Guarded by {@link CancellationTracker}: the peer sends
+   * what it confirmed with its pings, and the leader stops it without the store.
    */
   @ParameterizedTest
   @ValueSource(longs = {0, 20, 50, 100, 300, 700, 1200, 1460, 1490, 1510})
@@ -112,8 +112,8 @@
   }
 
   /**
-   * A leader cut from the state service and from its peers, not from workers or users, receives
-   * nothing; it keeps its workers' tasks no longer than its knowledge at the cut allows.
+   * A leader cut from the store and from its peers, not from workers or users, receives nothing; it
+   * keeps its workers' tasks no longer than its knowledge at the cut allows.
    */
   @ParameterizedTest
   @ValueSource(longs = {0, 30, 200, 1000, 3000, 6000, 12_000})
@@ -163,8 +163,8 @@
   }
 
   /**
-   * The state service comes back with the old leader's lease in full time. Renewing the lease says
-   * nothing of cancellations: no worker is answered before they have been read.
+   * The store comes back with the old leader's lease in full time. Renewing the lease says nothing
+   * of cancellations: no worker is answered before they have been read.
    */
   @ParameterizedTest
   @ValueSource(longs = {14_000, 17_000, 19_000, 20_000, 21_000, 24_000})
--- a/src/test/java/eiderfork/controller/EffectDigest.java
+++ b/src/test/java/eiderfork/controller/EffectDigest.java
@@ -133,7 +133,7 @@
     }
   }
 
-  /** A takeover goes into a trace file alone and has no wire form. */
+  /** A failover goes into a trace file alone and has no wire form. */
   private void addTakeover(Effect.FailoverCompleted takeover) {
     text("took over");
     hasher.putLong(takeover.term());
--- a/src/test/java/eiderfork/controller/ElectedLeader.java
+++ b/src/test/java/eiderfork/controller/ElectedLeader.java
@@ -24,7 +24,7 @@
 
   private ElectedLeader() {}
 
-  /** The state service holds nothing, and the node becomes the leader of term 1. */
+  /** The store holds nothing, and the node becomes the leader of term 1. */
   static void win(ControllerContext context, LeaderElection election) {
     election.tick();
     answer(context, new Reply.Value(null, 0));
@@ -34,7 +34,7 @@
     assertTrue(election.isLeading());
   }
 
-  /** Answers the one call to the state service that is open. */
+  /** Answers the one call to the store that is open. */
   static void answer(ControllerContext context, Reply reply) {
     List<Effect.CallStore> pending = effects(context, Effect.CallStore.class);
     assertEquals(1, pending.size());
--- a/src/test/java/eiderfork/controller/FailoverTest.java
+++ b/src/test/java/eiderfork/controller/FailoverTest.java
@@ -138,8 +138,8 @@
   }
 
   /**
-   * An older leader, cut from the state service and its peers, renews the leases of machines that
-   * its successor can't reach. None of their tasks starts elsewhere while that may go on.
+   * An older leader, cut from the store and its peers, renews the leases of machines that its
+   * successor can't reach. None of their tasks starts elsewhere while that may go on.
    */
   @ParameterizedTest
   @ValueSource(ints = {12_000, 18_000, 25_000, 40_000})
@@ -258,7 +258,7 @@
         null);
   }
 
-  /** A state service that answers slowly, or refuses one node, while users cancel and ask. */
+  /** A store that answers slowly, or refuses one node, while users cancel and ask. */
   @ParameterizedTest
   @MethodSource("seeds")
   void aSlowStateServiceAndThenARefusal(long seed) {
--- a/src/test/java/eiderfork/controller/FakeNetwork.java
+++ b/src/test/java/eiderfork/controller/FakeNetwork.java
@@ -235,7 +235,7 @@
     world.cut("state>" + inside, forMs);
   }
 
-  /** Two zones can't reach each other; both reach the state service, the cloud and the users. */
+  /** Two zones can't reach each other; both reach the store, the cloud and the users. */
   void splitZones(long forMs) {
     for (int i = 0; i < world.count; i++) {
       for (int j = 0; j < world.count; j++) {
--- a/src/test/java/eiderfork/controller/FakeStore.java
+++ b/src/test/java/eiderfork/controller/FakeStore.java
@@ -13,7 +13,7 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 
-/** The state service, written from the protocol. */
+/** The store, written from the protocol. */
 final class FakeStore {
   /** The service's limit on requests, with bursts of a second's worth; null for none. */
   TokenBucket requestLimit;
--- a/src/test/java/eiderfork/controller/FakeStoreAccess.java
+++ b/src/test/java/eiderfork/controller/FakeStoreAccess.java
@@ -11,13 +11,12 @@
 import java.util.function.Consumer;
 
 /**
- * How the nodes of a {@link SimulatedCluster} reach its state service, and what each makes of its
- * records.
+ * How the nodes of a {@link SimulatedCluster} reach its store, and what each makes of its records.
  */
 final class FakeStoreAccess {
   private final SimulatedCluster world;
 
-  /** Nodes that the state service refuses, while it serves the others. */
+  /** Nodes that the store refuses, while it serves the others. */
   final Set<String> refused = new HashSet<>();
 
   /** Nodes whose watches bring nothing, apart from those of the leader key. */
@@ -57,7 +56,7 @@
     }
   }
 
-  /** What a node makes of the bytes that the state service holds, by its version. */
+  /** What a node makes of the bytes that the store holds, by its version. */
   private Reply asRead(String node, Reply reply) {
     if (reply instanceof Reply.Value it) {
       return new Reply.Value(asRead(node, it.record()), it.version());
--- a/src/test/java/eiderfork/controller/LeaderLeaseTest.java
+++ b/src/test/java/eiderfork/controller/LeaderLeaseTest.java
@@ -94,9 +94,7 @@
     assertFalse(election.isLeaseValid());
   }
 
-  /**
-   * Woken after its lease, a node says so to nobody's face until the state service has answered.
-   */
+  /** Woken after its lease, a node says so to nobody's face until the store has answered. */
   @Test
   void noLeaseIsValidAfterAPauseBeforeARenewalIsConfirmed() {
     reply(electUpToGrant(), new Reply.Leased(7));
--- a/src/test/java/eiderfork/controller/MonotonicReadTest.java
+++ b/src/test/java/eiderfork/controller/MonotonicReadTest.java
@@ -75,7 +75,7 @@
     SimulatedCluster world = new SimulatedCluster(seed);
     world.lookCloselyAtNews(true);
     world.at(5_000, () -> world.lostAnswers = 0.5);
-    // Polls reach the state service also through nodes that can't reach the leader.
+    // Polls reach the store also through nodes that can't reach the leader.
     world.at(5_000, () -> world.cut("roost-0>roost-2", 40_000));
     world.at(5_000, () -> world.cut("roost-1>roost-2", 40_000));
     world.at(5_000, () -> world.cut("roost-2>roost-0", 40_000));
@@ -118,7 +118,7 @@
       String at = "roost-" + i % 3;
       SimulatedCluster world = new SimulatedCluster(7);
       world.lookCloselyAtNews(true);
-      // The slower the state service, the wider the moment between the read and the write.
+      // The slower the store, the wider the moment between the read and the write.
       world.stateDelayMs = 80 * (i / 3);
       world.submit(TestFixtures.job(1, JobKind.SERVICE, 1, 1));
       world.run(20);
--- a/src/test/java/eiderfork/controller/RateLimitTest.java
+++ b/src/test/java/eiderfork/controller/RateLimitTest.java
@@ -34,7 +34,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The limits on requests to the state service and the cloud are kept. */
+/** The limits on requests to the store and the cloud are kept. */
 class RateLimitTest {
   @Test
   void bucketHoldsItsBurstAndFillsAtItsRate() {
--- a/src/test/java/eiderfork/controller/RollingUpgradeTest.java
+++ b/src/test/java/eiderfork/controller/RollingUpgradeTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Nodes of two versions side by side, and limits of the state service that fall. */
+/** Nodes of two versions side by side, and limits of the store that fall. */
 class RollingUpgradeTest {
   private static final StoreLimits NOW = new StoreLimits(200, 40, 4, 16);
   private static final StoreLimits NEXT = new StoreLimits(200, 18, 2, 16);
--- a/src/test/java/eiderfork/controller/SilentControllersTest.java
+++ b/src/test/java/eiderfork/controller/SilentControllersTest.java
@@ -135,7 +135,7 @@
     ExpectedOutcome.allServed(world, jobs);
   }
 
-  /** A leader cut from workers while its peers are cut from the state service: nobody is better. */
+  /** A leader cut from workers while its peers are cut from the store: nobody is better. */
   @Test
   void aLeaderThatNobodyCouldReplaceKeepsTheLead() {
     List<Job> jobs = work(1, 12, 5000);
@@ -219,7 +219,7 @@
     assertEquals(List.of(), three.checker.breaches);
   }
 
-  /** Late boots meet a leader that is refused by the state service as machines are taken back. */
+  /** Late boots meet a leader that is refused by the store as machines are taken back. */
   @Test
   void lateBootsMeetALeaderThatIsRefused() {
     world.cloud.bootMs = 60_000;
--- a/src/test/java/eiderfork/controller/SilentWorkerHistoryTest.java
+++ b/src/test/java/eiderfork/controller/SilentWorkerHistoryTest.java
@@ -64,7 +64,7 @@
   /**
    * The incident, by its instants: reports of a worker are held back until its lease is nearly over
    * and then lost, while commands still reach it. Its tasks are lost with the lease, start there
-   * anew, and may start elsewhere only once the next session's lease is over, too.
+   * anew, and may start elsewhere only once the next incarnation's lease is over, too.
    */
   @ParameterizedTest
   @ValueSource(ints = {7500, 7900, 8300, 8700, 9000, 9200, 9400})
--- a/src/test/java/eiderfork/controller/SimulatedCluster.java
+++ b/src/test/java/eiderfork/controller/SimulatedCluster.java
@@ -22,8 +22,8 @@
 import java.util.function.Consumer;
 
 /**
- * Controllers on a fake clock among scripted peers: state service, cloud, workers and users, with
- * messages that are lost, late and doubled. The same seed plays the same history.
+ * Controllers on a fake clock among scripted peers: store, cloud, workers and users, with messages
+ * that are lost, late and doubled. The same seed plays the same history.
  */
 final class SimulatedCluster {
   static final long TICK_MS = 50;
@@ -94,7 +94,7 @@
 
   final FakeStoreAccess stateAccess = new FakeStoreAccess(this);
 
-  /** How much longer the state service takes over each request. */
+  /** How much longer the store takes over each request. */
   long stateDelayMs;
 
   /** How much longer direct commands are under way. */
@@ -157,7 +157,7 @@
         .allMatch(index -> results.contains(new TaskId(job.uid(), index)));
   }
 
-  /** Whether the state service holds that the job is done. */
+  /** Whether the store holds that the job is done. */
   boolean committedDone(Job job) {
     return state.get(StoreKeys.alloc(job.uid())) instanceof StoredRecord.Allocation allocation
         && allocation.done();
@@ -314,13 +314,13 @@
     return network.delay(from, to);
   }
 
-  /** The state service refuses this node alone; its open watches wait. */
+  /** The store refuses this node alone; its open watches wait. */
   void refuse(String node, long forMs) {
     stateAccess.refused.add(node);
     at(forMs, () -> stateAccess.refused.remove(node));
   }
 
-  /** A controller loses the state service and its peers, not its workers or users. */
+  /** A controller loses the store and its peers, not its workers or users. */
   void isolate(String node, long forMs) {
     cut(node + ">state", forMs);
     for (int i = 0; i < count; i++) {
@@ -334,7 +334,7 @@
     network.cutZone(zone, inside, forMs);
   }
 
-  /** Two zones can't reach each other; both reach the state service, the cloud and the users. */
+  /** Two zones can't reach each other; both reach the store, the cloud and the users. */
   void splitZones(long forMs) {
     network.splitZones(forMs);
   }
--- a/src/test/java/eiderfork/controller/StaleMessageTest.java
+++ b/src/test/java/eiderfork/controller/StaleMessageTest.java
@@ -36,8 +36,8 @@
   }
 
   /**
-   * Old reports arrive after newer ones, also from an earlier session or attempt. The larger
-   * (session, sequence number) is the newer, and an end is one whenever it is heard.
+   * Old reports arrive after newer ones, also from an earlier incarnation or attempt. The larger
+   * (incarnation, sequence number) is the newer, and an end is one whenever it is heard.
    */
   @ParameterizedTest
   @MethodSource("seeds")
@@ -156,7 +156,7 @@
     assertTrue(world.checker.starts > 0);
   }
 
-  /** What can't be counted twice: a report that comes twice, also from an earlier session. */
+  /** What can't be counted twice: a report that comes twice, also from an earlier incarnation. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5})
   void doubledAndLateMessagesOfEveryKind(long seed) {
--- a/src/test/java/eiderfork/controller/StandbyFailoverTest.java
+++ b/src/test/java/eiderfork/controller/StandbyFailoverTest.java
@@ -279,7 +279,7 @@
     ExpectedOutcome.allServed(world, jobs);
   }
 
-  /** A third node confirms cancellations, and then the state service is out past cancel_s. */
+  /** A third node confirms cancellations, and then the store is out past cancel_s. */
   @ParameterizedTest
   @ValueSource(ints = {0, 1000, 2500, 3000, 3300, 3400, 3500, 3700, 4200})
   void cancellationsDuringAFailover(int afterMs) {
--- a/src/test/java/eiderfork/net/HttpClientTest.java
+++ b/src/test/java/eiderfork/net/HttpClientTest.java
@@ -58,7 +58,7 @@
     assertEquals(200, send(client, whole).get(10, TimeUnit.SECONDS));
   }
 
-  /** Past four at a time, connections to the state service were opened anew for each request. */
+  /** Past four at a time, connections to the store were opened anew for each request. */
   @Test
   void idleConnectionsPerEndpointAreAShareOfAll() throws Exception {
     List<HttpServer.Exchange> held = new ArrayList<>();
