--- a/src/main/java/eiderfork/controller/Controller.java
+++ b/src/main/java/eiderfork/controller/Controller.java
@@ -231,12 +231,12 @@
 
   /** How many looks at a machine the last round and the last plan took. */
   int machinesExamined() {
-    return scheduler.examinedMachines() + autoscaler.examinedBins();
+    return scheduler.machineExaminations() + autoscaler.examinedBins();
   }
 
   /** How many looks at a machine the last round took. */
   int machinesExaminedInRound() {
-    return scheduler.examinedMachines();
+    return scheduler.machineExaminations();
   }
 
   /** Whether the leadership of now was recovered from a replica of what is committed. */
--- a/src/main/java/eiderfork/controller/autoscaling/Autoscaler.java
+++ b/src/main/java/eiderfork/controller/autoscaling/Autoscaler.java
@@ -93,7 +93,7 @@
   public void plan() {
     BinPacking packing = pack();
     examinedBins = packing.examinedBins();
-    log.logIfDue(scheduler.examinedMachines(), examinedBins);
+    log.logIfDue(scheduler.machineExaminations(), examinedBins);
     scaleOut(packing.binsToRent());
     consolidation.plan(packing, !packing.binsToRent().isEmpty());
     scaleInPolicy.returnUnneeded(packing.existingBins());
--- a/src/main/java/eiderfork/controller/autoscaling/MachineConsolidation.java
+++ b/src/main/java/eiderfork/controller/autoscaling/MachineConsolidation.java
@@ -160,7 +160,7 @@
         && reservation.isCommitted()
         && reservation.isDesired()
         && reservation.reportedState() == TaskStatus.State.RUNNING
-        && context.nowMs() - reservation.runningSinceMs() > ReplicaMigration.MIN_RUNNING_MS;
+        && context.nowMs() - reservation.runningSinceMs() > ReplicaMigration.MIN_COUNTED_RUN_MS;
   }
 
   /** The machines of which all tasks fit elsewhere, all of them together. */
--- a/src/main/java/eiderfork/controller/autoscaling/TaskRelocation.java
+++ b/src/main/java/eiderfork/controller/autoscaling/TaskRelocation.java
@@ -125,7 +125,7 @@
         && job.allowsType(target.kind().type())
         && (job.spotAllowed() || !target.kind().spot())
         && target.freeShare() <= source.freeShare()
-        && scheduler.imageFetch().waitS(job, target.machine()) <= context.stepS();
+        && scheduler.imageFetchEstimator().waitS(job, target.machine()) <= context.stepS();
   }
 
   /** Another zone is only allowed where it does not depend on the job's other tasks. */
--- a/src/main/java/eiderfork/controller/scheduling/ReplicaMigration.java
+++ b/src/main/java/eiderfork/controller/scheduling/ReplicaMigration.java
@@ -18,7 +18,7 @@
 /** Finds replicas that may migrate for a job, and the machines that they migrate to. */
 public final class ReplicaMigration {
   /** By the protocol, a start that is undone before this time does not count. */
-  public static final long MIN_RUNNING_MS = 30_000;
+  public static final long MIN_COUNTED_RUN_MS = 30_000;
 
   /** The cost of a migration that is not allowed. */
   static final double IMPOSSIBLE = Double.MAX_VALUE;
@@ -109,7 +109,7 @@
 
   private boolean isGpuReplicaMovable(Job job, Reservation replica) {
     return replica.job().spec().priority().compareTo(job.priority()) > 0
-        && runMs(replica) > MIN_RUNNING_MS;
+        && runMs(replica) > MIN_COUNTED_RUN_MS;
   }
 
   private static boolean isSmaller(Job spec, Job than, MachineState machine) {
--- a/src/main/java/eiderfork/controller/scheduling/Scheduler.java
+++ b/src/main/java/eiderfork/controller/scheduling/Scheduler.java
@@ -94,12 +94,12 @@
   }
 
   /** How long tasks wait for their images. */
-  public ImageFetchEstimator imageFetch() {
+  public ImageFetchEstimator imageFetchEstimator() {
     return imageFetch;
   }
 
   /** How often the last round examined a machine for a job. */
-  public int examinedMachines() {
+  public int machineExaminations() {
     return capacity.examinedMachines();
   }
 
