--- a/src/main/java/eiderfork/controller/autoscaling/BinPacking.java
+++ b/src/main/java/eiderfork/controller/autoscaling/BinPacking.java
@@ -132,7 +132,7 @@
   }
 
   private boolean strandsGpus(PackingDemand demand, Bin bin) {
-    return cpusPerGpu.strandedGpusBy(demand.taskResources(), bin.free()) > 0;
+    return cpusPerGpu.additionalStrandedGpus(demand.taskResources(), bin.free()) > 0;
   }
 
   /** Shows the bins that have free capacity for one task of a job and are of a kind it allows. */
--- a/src/main/java/eiderfork/controller/autoscaling/ScaleInRequests.java
+++ b/src/main/java/eiderfork/controller/autoscaling/ScaleInRequests.java
@@ -133,8 +133,8 @@
   private boolean keepIfRecovered(String name) {
     MachineState machine = fleet.get(name);
     if (machine == null
-        || machine.lifecycle().scaledInUnreachableMs() == 0
-        || machine.incarnation().lastHeartbeatMs() <= machine.lifecycle().scaledInUnreachableMs()) {
+        || machine.lifecycle().unreachableScaleInMs() == 0
+        || machine.incarnation().lastHeartbeatMs() <= machine.lifecycle().unreachableScaleInMs()) {
       return false;
     }
     LOG.info("scale-in-revoked machine={} reason=heartbeats-resumed", name);
--- a/src/main/java/eiderfork/controller/autoscaling/TaskRelocation.java
+++ b/src/main/java/eiderfork/controller/autoscaling/TaskRelocation.java
@@ -114,7 +114,7 @@
 
   private boolean strandsGpus(Job job, Bin source, Resources free) {
     return source.capacity().gpus() <= 0
-        && scheduler.cpusPerGpu().strandedGpusBy(job.taskResources(), free) > 0;
+        && scheduler.cpusPerGpu().additionalStrandedGpus(job.taskResources(), free) > 0;
   }
 
   /** Only to a machine that is fuller and in use, and where the image is there in time. */
--- a/src/main/java/eiderfork/controller/registry/CommandChannel.java
+++ b/src/main/java/eiderfork/controller/registry/CommandChannel.java
@@ -48,7 +48,7 @@
   }
 
   /** Raises the token above that of direct starts: a late copy would repeat them. */
-  public void outdateDirectStarts() {
+  public void invalidateDirectStarts() {
     if (fencingToken <= directStartToken) {
       fencingToken = directStartToken + 1;
     }
--- a/src/main/java/eiderfork/controller/registry/CpusPerGpu.java
+++ b/src/main/java/eiderfork/controller/registry/CpusPerGpu.java
@@ -29,7 +29,7 @@
   }
 
   /** How many more GPUs would be stranded if {@code demand} were used of {@code free}. */
-  public double strandedGpusBy(Resources demand, Resources free) {
+  public double additionalStrandedGpus(Resources demand, Resources free) {
     return strandedGpus(free.minus(demand)) - strandedGpus(free);
   }
 }
--- a/src/main/java/eiderfork/controller/registry/MachineIndexes.java
+++ b/src/main/java/eiderfork/controller/registry/MachineIndexes.java
@@ -41,7 +41,7 @@
   }
 
   /** The machine's worker has shown a fencing token of this term. */
-  public void recordTokenOfTerm(MachineState machine) {
+  public void recordCurrentTermToken(MachineState machine) {
     awaitingToken.remove(machine.number());
   }
 
@@ -79,7 +79,7 @@
   }
 
   /** Whether a machine that holds reservations has not shown a fencing token of this term. */
-  public boolean anyAwaitingToken(IntPredicate holdsReservations) {
+  public boolean hasMachineAwaitingToken(IntPredicate holdsReservations) {
     for (int number : awaitingToken.toArray()) {
       if (holdsReservations.test(number)) {
         return true;
--- a/src/main/java/eiderfork/controller/registry/MachineLifecycle.java
+++ b/src/main/java/eiderfork/controller/registry/MachineLifecycle.java
@@ -10,7 +10,7 @@
   private long firstRunningMs;
   private boolean listedByCloud;
   private boolean scalingIn;
-  private long scaledInUnreachableMs;
+  private long unreachableScaleInMs;
   private boolean draining;
   private long drainingSinceMs;
   private long drainableSinceMs;
@@ -52,8 +52,8 @@
   }
 
   /** When its return was decided because it was unreachable; 0 for other reasons. */
-  public long scaledInUnreachableMs() {
-    return scaledInUnreachableMs;
+  public long unreachableScaleInMs() {
+    return unreachableScaleInMs;
   }
 
   /** Whether its replicas are being migrated away, so that nothing starts here. */
@@ -110,13 +110,13 @@
 
   /** The machine is to be returned to the cloud because it is unreachable. */
   public void recordUnreachableScaleIn(long nowMs) {
-    scaledInUnreachableMs = nowMs;
+    unreachableScaleInMs = nowMs;
   }
 
   /** The machine is kept: it became reachable before the cloud was asked to take it back. */
   public void cancelScaleIn() {
     scalingIn = false;
-    scaledInUnreachableMs = 0;
+    unreachableScaleInMs = 0;
   }
 
   /** The machine's tasks are to be migrated away. */
--- a/src/main/java/eiderfork/controller/registry/MachineRegistry.java
+++ b/src/main/java/eiderfork/controller/registry/MachineRegistry.java
@@ -120,7 +120,7 @@
   }
 
   /** The machines whose lease was not renewed for that long or not in this term, by number. */
-  public List<MachineState> withLeaseNotRenewedFor(long minAgeMs) {
+  public List<MachineState> machinesWithLeaseOlderThan(long minAgeMs) {
     List<MachineState> found = new ArrayList<>(unseenInTerm);
     for (MachineState machine : byLeaseStart) {
       if (context.nowMs() - machine.incarnation().leaseStartMs() <= minAgeMs) {
--- a/src/main/java/eiderfork/controller/scheduling/MachineScorer.java
+++ b/src/main/java/eiderfork/controller/scheduling/MachineScorer.java
@@ -44,7 +44,7 @@
 
   /** Whether a task would leave free GPUs fewer CPUs than GPU work needs beside them. */
   boolean wouldStrandGpus(Resources free) {
-    return cpusPerGpu.strandedGpusBy(spec.taskResources(), free) > 0;
+    return cpusPerGpu.additionalStrandedGpus(spec.taskResources(), free) > 0;
   }
 
   /**
@@ -56,7 +56,7 @@
    * @param free the free capacity of the machine before the task
    */
   double score(MachineState machine, Resources free) {
-    double strandedGpus = cpusPerGpu.strandedGpusBy(spec.taskResources(), free);
+    double strandedGpus = cpusPerGpu.additionalStrandedGpus(spec.taskResources(), free);
     double imageSteps = Math.floor(imageFetch.waitS(spec, machine) / imageStepS);
     double shareLeftFree = free.minus(spec.taskResources()).shareOf(machine.capacity());
     boolean isForOthers = spec.spotAllowed() && machine.spec().spot() == avoidsSpot;
--- a/src/main/java/eiderfork/controller/scheduling/QuotaBorrowing.java
+++ b/src/main/java/eiderfork/controller/scheduling/QuotaBorrowing.java
@@ -88,7 +88,9 @@
     }
     firstTickMs = firstTickMs == 0 ? context.nowMs() : firstTickMs;
     boolean isAnyUnseen =
-        fleet.indexes().anyAwaitingToken(number -> !fleet.get(number).reservations().isEmpty());
+        fleet
+            .indexes()
+            .hasMachineAwaitingToken(number -> !fleet.get(number).reservations().isEmpty());
     canReclaim = !isAnyUnseen || context.nowMs() - firstTickMs > liveness.heartbeatTimeoutMs();
   }
 
--- a/src/main/java/eiderfork/controller/scheduling/ReplicaMigration.java
+++ b/src/main/java/eiderfork/controller/scheduling/ReplicaMigration.java
@@ -162,6 +162,6 @@
 
   private boolean canAccept(Job spec, Resources free) {
     return spec.taskResources().fitsIn(free)
-        && cpusPerGpu.strandedGpusBy(spec.taskResources(), free) <= 0;
+        && cpusPerGpu.additionalStrandedGpus(spec.taskResources(), free) <= 0;
   }
 }
--- a/src/main/java/eiderfork/controller/workers/CommandBuilder.java
+++ b/src/main/java/eiderfork/controller/workers/CommandBuilder.java
@@ -64,7 +64,7 @@
     List<WorkerCommand> commands = new ArrayList<>();
     boolean agrees = addStopsAndClears(machine, commands);
     if (commands.stream().anyMatch(WorkerCommand.Clear.class::isInstance)) {
-      machine.commandChannel().outdateDirectStarts();
+      machine.commandChannel().invalidateDirectStarts();
     }
     if (liveness.isSchedulable(machine)) {
       addStarts(machine, commands);
--- a/src/main/java/eiderfork/controller/workers/HeartbeatRecorder.java
+++ b/src/main/java/eiderfork/controller/workers/HeartbeatRecorder.java
@@ -84,7 +84,7 @@
     if (previous == null || previous.fencingToken() < election.firstFencingToken()) {
       fleet.renewLease(machine);
     }
-    fleet.indexes().recordTokenOfTerm(machine);
+    fleet.indexes().recordCurrentTermToken(machine);
   }
 
   /**
--- a/src/main/java/eiderfork/controller/workers/LeaseExpiry.java
+++ b/src/main/java/eiderfork/controller/workers/LeaseExpiry.java
@@ -94,7 +94,7 @@
     List<ExpiredLease> expiredLeases = new ArrayList<>();
     boolean hasSilentMachine = false;
     long suspectMs = (long) (context.workerLeaseMs() * SUSPECT_SHARE);
-    for (MachineState machine : fleet.withLeaseNotRenewedFor(suspectMs)) {
+    for (MachineState machine : fleet.machinesWithLeaseOlderThan(suspectMs)) {
       if (!machine.reservations().isEmpty()) {
         if (hasExpired(machine)) {
           expiredLeases.add(new ExpiredLease(machine, machine.incarnation().leaseStartMs()));
--- a/src/test/java/eiderfork/controller/WorkerCommanderTest.java
+++ b/src/test/java/eiderfork/controller/WorkerCommanderTest.java
@@ -148,8 +148,8 @@
     context.advanceBy(20_000);
     fleet.renewLease(machine);
     context.advanceBy(5000);
-    assertEquals(List.of(other), fleet.withLeaseNotRenewedFor(10_000));
-    assertEquals(List.of(machine, other), fleet.withLeaseNotRenewedFor(1000));
+    assertEquals(List.of(other), fleet.machinesWithLeaseOlderThan(10_000));
+    assertEquals(List.of(machine, other), fleet.machinesWithLeaseOlderThan(1000));
   }
 
   /**
@@ -164,7 +164,7 @@
     fleet.renewLease(other);
     context.advanceBy(20_000);
     fleet.recordHeartbeat(machine, heartbeat(INCARNATION + 1, 1, firstToken));
-    assertEquals(List.of(other), fleet.withLeaseNotRenewedFor(10_000));
+    assertEquals(List.of(other), fleet.machinesWithLeaseOlderThan(10_000));
   }
 
   /** It was passed over since its lease might have been over, and is usable with this answer. */
--- a/src/test/java/eiderfork/controller/autoscaling/FirstFitTreeTest.java
+++ b/src/test/java/eiderfork/controller/autoscaling/FirstFitTreeTest.java
@@ -75,7 +75,8 @@
     FirstFitTree tree = new FirstFitTree(bins, FOUR_CPUS_A_GPU);
     for (int cpus = 1; cpus < 64; cpus++) {
       Resources demand = new Resources(cpus, 0, 4);
-      Predicate<Bin> sparesGpus = bin -> FOUR_CPUS_A_GPU.strandedGpusBy(demand, bin.free()) <= 0;
+      Predicate<Bin> sparesGpus =
+          bin -> FOUR_CPUS_A_GPU.additionalStrandedGpus(demand, bin.free()) <= 0;
       int expected = firstByLinearSearch(bins, demand, sparesGpus);
       assertEquals(expected, tree.findFirst(demand, ALL_KINDS, true, sparesGpus));
     }
