--- a/src/main/java/eiderfork/controller/Controller.java
+++ b/src/main/java/eiderfork/controller/Controller.java
@@ -18,7 +18,7 @@
 import eiderfork.controller.recovery.CommittedChangeApplier;
 import eiderfork.controller.recovery.CommittedChangeWatcher;
 import eiderfork.controller.recovery.FailoverTimer;
-import eiderfork.controller.recovery.FinishedJobSweeper;
+import eiderfork.controller.recovery.FinishedJobLoader;
 import eiderfork.controller.recovery.FullReadRecovery;
 import eiderfork.controller.recovery.JobPageReader;
 import eiderfork.controller.recovery.LeaderRecovery;
@@ -91,7 +91,7 @@
   private final UserRequestHandler users;
   private final ForwardedQueryHandler forwardedQueries;
   private final HealthCheckHandler healthChecks;
-  private final FinishedJobSweeper sweeper;
+  private final FinishedJobLoader finishedJobLoader;
   private final JobArchiver archiver;
 
   // Failover.
@@ -170,8 +170,10 @@
     forwardedQueries = new ForwardedQueryHandler(context, users);
     healthChecks = new HealthCheckHandler(context, store, peers);
     JobPageReader jobPages = new JobPageReader(reader);
-    sweeper = new FinishedJobSweeper(context, election, jobs, fleet, cancellations, jobPages);
-    archiver = new JobArchiver(context, store, election, version, jobs, cancellations, sweeper);
+    finishedJobLoader =
+        new FinishedJobLoader(context, election, jobs, fleet, cancellations, jobPages);
+    archiver =
+        new JobArchiver(context, store, election, version, jobs, cancellations, finishedJobLoader);
 
     standby = new Standby(context, election, new StandbyReplica(context, store));
     election.setYieldRule(standby);
@@ -199,8 +201,8 @@
     return new LeaderRecovery(
         election,
         standby,
-        new ReplicaRecovery(reader, restorer, cancellations, sweeper),
-        new FullReadRecovery(context, reader, jobPages, restorer, cancellations, sweeper),
+        new ReplicaRecovery(reader, restorer, cancellations, finishedJobLoader),
+        new FullReadRecovery(context, reader, jobPages, restorer, cancellations, finishedJobLoader),
         new CommittedChangeWatcher(context, store, reader, readBarrier, cancellations, changes),
         readBarrier,
         jobs,
@@ -330,7 +332,7 @@
     version.tick();
     cloud.tick();
     archiver.tick();
-    sweeper.tick();
+    finishedJobLoader.tick();
     hintPublisher.tick();
     schedulingLoop.planIfDue();
   }
@@ -373,7 +375,7 @@
     readBarrier.failWaiters();
     cancellations.reset();
     archiver.reset();
-    sweeper.reset();
+    finishedJobLoader.reset();
     jobs.clear();
     fleet.clear();
     cloud.reset();
--- a/src/main/java/eiderfork/controller/autoscaling/ScaleInPolicy.java
+++ b/src/main/java/eiderfork/controller/autoscaling/ScaleInPolicy.java
@@ -106,7 +106,7 @@
 
   private boolean isLost(MachineState machine) {
     return !leaseExpiry.isProxied(machine)
-        && liveness.sinceLastContactMs(machine)
+        && liveness.timeSinceLastContactMs(machine)
             > BootTimeEstimator.UNREACHABLE_GRACE_LEASES * context.workerLeaseMs()
                 + bootMs(machine);
   }
--- a/src/main/java/eiderfork/controller/jobs/JobArchiver.java
+++ b/src/main/java/eiderfork/controller/jobs/JobArchiver.java
@@ -8,7 +8,7 @@
 import eiderfork.controller.message.Reply;
 import eiderfork.controller.message.StoreKeys;
 import eiderfork.controller.message.StoreRequest;
-import eiderfork.controller.recovery.FinishedJobSweeper;
+import eiderfork.controller.recovery.FinishedJobLoader;
 import eiderfork.controller.registry.FinishedJobs;
 import eiderfork.controller.registry.JobRegistry;
 import eiderfork.controller.registry.JobState;
@@ -44,7 +44,7 @@
   private final ClusterVersion version;
   private final JobRegistry jobs;
   private final CancellationTracker cancellations;
-  private final FinishedJobSweeper sweeper;
+  private final FinishedJobLoader finishedJobLoader;
 
   private int maxJobsPerBatch;
   private boolean moveInFlight;
@@ -53,7 +53,7 @@
   private long archivedSinceLog;
   private long generation;
 
-  /** Makes an archiver; {@code sweeper} brings it the jobs that memory does not hold. */
+  /** Makes an archiver; {@code finishedJobLoader} brings it the jobs that memory does not hold. */
   public JobArchiver(
       ControllerContext context,
       StoreClient store,
@@ -61,14 +61,14 @@
       ClusterVersion version,
       JobRegistry jobs,
       CancellationTracker cancellations,
-      FinishedJobSweeper sweeper) {
+      FinishedJobLoader finishedJobLoader) {
     this.context = context;
     this.store = store;
     this.election = election;
     this.version = version;
     this.jobs = jobs;
     this.cancellations = cancellations;
-    this.sweeper = sweeper;
+    this.finishedJobLoader = finishedJobLoader;
     maxJobsPerBatch = context.settings.safeTransactionOps() / MAX_CHANGES_PER_JOB;
   }
 
@@ -112,7 +112,8 @@
   private List<JobState> dueJobs() {
     long retentionMs = (long) (1000 * context.settings.operator().endedJobRetentionS());
     // While some are not in memory for lack of space, all that are make space for them.
-    int maxFinished = sweeper.isIncomplete() ? 0 : context.settings.operator().maxEndedJobs();
+    int maxFinished =
+        finishedJobLoader.isIncomplete() ? 0 : context.settings.operator().maxEndedJobs();
     int excess = jobs.finishedJobs().size() - maxFinished;
     List<JobState> batch = new ArrayList<>();
     for (FinishedJobs.FinishedJob finished : jobs.finishedJobs().oldestFirst()) {
--- a/src/main/java/eiderfork/controller/recovery/FinishedJobSweeper.java
+++ b/src/main/java/eiderfork/controller/recovery/FinishedJobLoader.java
@@ -18,7 +18,7 @@
  * Loads finished jobs that a new leader's memory had no space for, a page at a time, so that they
  * are archived, too. Meanwhile queries for them are answered from their records.
  */
-public final class FinishedJobSweeper {
+public final class FinishedJobLoader {
   private final ControllerContext context;
   private final LeaderElection election;
   private final JobRegistry jobs;
@@ -32,8 +32,8 @@
   private boolean readInFlight;
   private long generation;
 
-  /** Makes a sweeper that has nothing left to read. */
-  public FinishedJobSweeper(
+  /** Makes a loader that has nothing left to read. */
+  public FinishedJobLoader(
       ControllerContext context,
       LeaderElection election,
       JobRegistry jobs,
--- a/src/main/java/eiderfork/controller/recovery/FullReadRecovery.java
+++ b/src/main/java/eiderfork/controller/recovery/FullReadRecovery.java
@@ -24,7 +24,7 @@
   private final JobPageReader jobPageReader;
   private final StoredRecordRestorer restorer;
   private final CancellationTracker cancellations;
-  private final FinishedJobSweeper sweeper;
+  private final FinishedJobLoader finishedJobLoader;
 
   /** Makes the recovery; it begins with {@link #read}. */
   public FullReadRecovery(
@@ -33,13 +33,13 @@
       JobPageReader jobPageReader,
       StoredRecordRestorer restorer,
       CancellationTracker cancellations,
-      FinishedJobSweeper sweeper) {
+      FinishedJobLoader finishedJobLoader) {
     this.context = context;
     this.reader = reader;
     this.jobPageReader = jobPageReader;
     this.restorer = restorer;
     this.cancellations = cancellations;
-    this.sweeper = sweeper;
+    this.finishedJobLoader = finishedJobLoader;
   }
 
   /**
@@ -92,7 +92,7 @@
         page -> {
           page.jobs().forEach(restorer::restore);
           page.allocs().forEach(restorer::restore);
-          sweeper.evictExcess(page, afterJob);
+          finishedJobLoader.evictExcess(page, afterJob);
           if (page.continueAfter() == null) {
             onComplete.run();
           } else {
--- a/src/main/java/eiderfork/controller/recovery/ReplicaRecovery.java
+++ b/src/main/java/eiderfork/controller/recovery/ReplicaRecovery.java
@@ -19,18 +19,18 @@
   private final RangeReader reader;
   private final StoredRecordRestorer restorer;
   private final CancellationTracker cancellations;
-  private final FinishedJobSweeper sweeper;
+  private final FinishedJobLoader finishedJobLoader;
 
   /** Makes the recovery; it begins with {@link #restore}. */
   public ReplicaRecovery(
       RangeReader reader,
       StoredRecordRestorer restorer,
       CancellationTracker cancellations,
-      FinishedJobSweeper sweeper) {
+      FinishedJobLoader finishedJobLoader) {
     this.reader = reader;
     this.restorer = restorer;
     this.cancellations = cancellations;
-    this.sweeper = sweeper;
+    this.finishedJobLoader = finishedJobLoader;
   }
 
   /**
@@ -68,12 +68,12 @@
     finish(replica, onComplete);
   }
 
-  /** Restores a job with its allocation; one that is over is left to the sweeper. */
+  /** Restores a job with its allocation; one that is over is left to the loader. */
   private boolean restoreJob(StandbyReplica replica, Reply.Item job) {
     String uid = StoreKeys.withoutPrefix(job.key());
     Reply.Item allocation = replica.item(StoreKeys.ALLOC_PREFIX, StoreKeys.alloc(uid));
     if (isOver(uid, allocation)) {
-      sweeper.restart();
+      finishedJobLoader.restart();
       return false;
     }
     restorer.restore(job);
--- a/src/main/java/eiderfork/controller/workers/HeartbeatRecorder.java
+++ b/src/main/java/eiderfork/controller/workers/HeartbeatRecorder.java
@@ -71,7 +71,7 @@
     long previousLeaseStartMs = machine.incarnation().leaseStartMs();
     boolean isFirst = fleet.recordHeartbeat(machine, heartbeat);
     if (isFirst && previous != null) {
-      leaseLog.incarnationStarted(
+      leaseLog.recordIncarnationStart(
           machine, previous.incarnation(), previousLeaseStartMs, isCommandReply);
     }
   }
--- a/src/main/java/eiderfork/controller/workers/LeaseExpiry.java
+++ b/src/main/java/eiderfork/controller/workers/LeaseExpiry.java
@@ -83,7 +83,7 @@
     double share =
         peers.isZoneUnreachable(machine.zone()) ? PARTITIONED_SUSPECT_SHARE : SUSPECT_SHARE;
     return !isProxied(machine)
-        && liveness.sinceLastContactMs(machine) > context.workerLeaseMs() * share;
+        && liveness.timeSinceLastContactMs(machine) > context.workerLeaseMs() * share;
   }
 
   /** Settles the reservations of machines whose leases have expired and were not proxied. */
@@ -100,7 +100,7 @@
           expiredLeases.add(new ExpiredLease(machine, machine.incarnation().leaseStartMs()));
         }
         hasSilentMachine |=
-            machine.lastHeartbeat() != null && liveness.sinceLastContactMs(machine) > suspectMs;
+            machine.lastHeartbeat() != null && liveness.timeSinceLastContactMs(machine) > suspectMs;
       }
     }
     if (!canBeProxied()) {
--- a/src/main/java/eiderfork/controller/workers/MachineLiveness.java
+++ b/src/main/java/eiderfork/controller/workers/MachineLiveness.java
@@ -44,7 +44,7 @@
   }
 
   /** How long ago the machine last sent a heartbeat or was answered in this term. */
-  public long sinceLastContactMs(MachineState machine) {
+  public long timeSinceLastContactMs(MachineState machine) {
     return context.nowMs()
         - Math.max(machine.incarnation().lastHeartbeatMs(), machine.incarnation().leaseStartMs());
   }
--- a/src/main/java/eiderfork/controller/workers/WorkerLeaseLog.java
+++ b/src/main/java/eiderfork/controller/workers/WorkerLeaseLog.java
@@ -78,7 +78,7 @@
    * @param previousLeaseStartMs the latest time from which the previous lease may have run
    * @param byCommand whether the reply to a direct command shows it
    */
-  public void incarnationStarted(
+  public void recordIncarnationStart(
       MachineState machine,
       long previousIncarnation,
       long previousLeaseStartMs,
--- a/src/test/java/eiderfork/controller/IncarnationLeaseExpiryTest.java
+++ b/src/test/java/eiderfork/controller/IncarnationLeaseExpiryTest.java
@@ -223,12 +223,12 @@
   @Test
   void linesPerStepAreLimitedAndTheRestIsCounted() {
     for (int i = 0; i < 100; i++) {
-      leaseLog.incarnationStarted(machine, INCARNATION, context.nowMs(), true);
+      leaseLog.recordIncarnationStart(machine, INCARNATION, context.nowMs(), true);
     }
     assertEquals(100, leaseLog.startedByCommand());
     assertEquals(80, leaseLog.suppressedLines());
     context.advanceBy(context.stepMs());
-    leaseLog.incarnationStarted(machine, INCARNATION, context.nowMs(), true);
+    leaseLog.recordIncarnationStart(machine, INCARNATION, context.nowMs(), true);
     assertEquals(80, leaseLog.suppressedLines());
   }
 }
--- a/src/test/java/eiderfork/controller/jobs/JobArchiverTransactionTest.java
+++ b/src/test/java/eiderfork/controller/jobs/JobArchiverTransactionTest.java
@@ -16,7 +16,7 @@
 import eiderfork.controller.message.StoreKeys;
 import eiderfork.controller.message.StoreRequest;
 import eiderfork.controller.recovery.CommittedChangeApplier;
-import eiderfork.controller.recovery.FinishedJobSweeper;
+import eiderfork.controller.recovery.FinishedJobLoader;
 import eiderfork.controller.recovery.StoredRecordRestorer;
 import eiderfork.controller.registry.JobRegistry;
 import eiderfork.controller.registry.JobState;
@@ -47,10 +47,10 @@
   private final JobRegistry jobs = new JobRegistry(context, store, election, version);
   private final CancellationTracker cancellations =
       new CancellationTracker(context, jobs::markCancelled);
-  private final FinishedJobSweeper sweeper =
-      new FinishedJobSweeper(context, election, jobs, null, cancellations, null);
+  private final FinishedJobLoader finishedJobLoader =
+      new FinishedJobLoader(context, election, jobs, null, cancellations, null);
   private final JobArchiver archiver =
-      new JobArchiver(context, store, election, version, jobs, cancellations, sweeper);
+      new JobArchiver(context, store, election, version, jobs, cancellations, finishedJobLoader);
   private final JobState done = jobs.add(DONE, 3);
   private final JobState cancelled = jobs.add(CANCELLED, 4);
 
@@ -199,7 +199,7 @@
     assertEquals(1, few.settings.operator().maxEndedJobs());
     context.advanceBy(2000);
     JobArchiver limited =
-        new JobArchiver(few, store, election, version, jobs, cancellations, sweeper);
+        new JobArchiver(few, store, election, version, jobs, cancellations, finishedJobLoader);
     limited.tick();
     StoreRequest.Transaction write =
         write(context.drainEffects().stream().map(Effect.CallStore.class::cast).toList());
