--- a/src/test/java/eiderfork/controller/ArrayParallelismTest.java
+++ b/src/test/java/eiderfork/controller/ArrayParallelismTest.java
@@ -54,34 +54,35 @@
    */
   @Test
   void anArrayOfShortTasksIsPlannedInWaves() {
-    SimulatedCluster world = new SimulatedCluster(5, settings(400));
-    world.cloud.capacity = 100;
-    world.submit(array(1));
-    world.run(30);
-    assertTrue(world.cloud.hosts().size() <= 8, world.cloud.hosts().size() + " machines");
-    world.run(200);
-    assertTrue(world.checker.isDone(array(1).uid()));
-    assertEquals(List.of(), world.checker.breaches);
+    SimulatedCluster cluster = new SimulatedCluster(5, settings(400));
+    cluster.cloud.defaultStock = 100;
+    cluster.submit(array(1));
+    cluster.run(30);
+    assertTrue(cluster.cloud.hosts().size() <= 8, cluster.cloud.hosts().size() + " machines");
+    cluster.run(200);
+    assertTrue(cluster.checker.allTasksCompleted(array(1).uid()));
+    assertEquals(List.of(), cluster.checker.violations);
   }
 
   /** A leader that ends while the array runs, twice, loses and repeats nothing. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
   void twoLeaderCrashesLoseNothing(long seed) {
-    SimulatedCluster world = new SimulatedCluster(seed, settings(400));
-    world.cloud.capacity = 6;
-    world.submit(array(1));
-    world.at(17_300 + seed * 170, () -> world.crash(world.leader(), 3000));
-    world.at(41_000 + seed * 230, () -> world.crash(world.leader(), 3000));
-    world.run(25);
-    int early = world.checker.completed(array(1).uid());
+    SimulatedCluster cluster = new SimulatedCluster(seed, settings(400));
+    cluster.cloud.defaultStock = 6;
+    cluster.submit(array(1));
+    cluster.schedule(17_300 + seed * 170, () -> cluster.crashNode(cluster.leader(), 3000));
+    cluster.schedule(41_000 + seed * 230, () -> cluster.crashNode(cluster.leader(), 3000));
+    cluster.run(25);
+    int early = cluster.checker.completedTasks(array(1).uid());
     assertTrue(early > 100, early + " done");
-    world.run(200);
-    assertTrue(world.checker.isDone(array(1).uid()));
-    assertTrue(world.committedDone(array(1)));
+    cluster.run(200);
+    assertTrue(cluster.checker.allTasksCompleted(array(1).uid()));
+    assertTrue(cluster.isDoneInStore(array(1)));
     // Tasks whose end is not written yet are started again, and end at once with their result.
-    assertTrue(world.checker.starts < TASKS + TASKS / 5, world.checker.starts + " starts");
-    assertEquals(List.of(), world.checker.breaches);
+    assertTrue(
+        cluster.checker.startCount < TASKS + TASKS / 5, cluster.checker.startCount + " starts");
+    assertEquals(List.of(), cluster.checker.violations);
   }
 
   /** Half of the store limit, and machines that die while the array runs. */
@@ -92,26 +93,28 @@
     Settings.StoreLimits half =
         new Settings.StoreLimits(
             limits.requestsPerS(), limits.writesPerS(), 2, limits.transactionOps());
-    SimulatedCluster world = new SimulatedCluster(9, TestFixtures.withNextLimits(base, half));
-    world.cloud.capacity = 6;
-    world.submit(array(1));
-    world.at(10_000, () -> world.state.lowerLimits(2, limits.writesPerS(), world.nowMs));
+    SimulatedCluster cluster = new SimulatedCluster(9, TestFixtures.withNextLimits(base, half));
+    cluster.cloud.defaultStock = 6;
+    cluster.submit(array(1));
+    cluster.schedule(
+        10_000, () -> cluster.store.lowerLimits(2, limits.writesPerS(), cluster.nowMs));
     for (int i = 0; i < 4; i++) {
-      world.at(20_000 + i * 9000L, () -> world.die(world.workers().get(0).machine.name()));
+      cluster.schedule(
+          20_000 + i * 9000L, () -> cluster.failMachine(cluster.workers().get(0).machine.name()));
     }
-    world.run(300);
-    assertTrue(world.checker.isDone(array(1).uid()));
-    assertEquals(List.of(), world.checker.breaches);
+    cluster.run(300);
+    assertTrue(cluster.checker.allTasksCompleted(array(1).uid()));
+    assertEquals(List.of(), cluster.checker.violations);
   }
 
   /** An array whose tasks take a good part of its objective gets capacity for all of them. */
   @Test
   void anArrayOfLongTasksIsPlannedAsAWhole() {
-    SimulatedCluster world = new SimulatedCluster(6, settings(20));
+    SimulatedCluster cluster = new SimulatedCluster(6, settings(20));
     Job job = TestFixtures.job(1, JobKind.ARRAY, 40, 0);
-    world.submit(job);
-    world.run(25);
-    assertTrue(world.checker.isDone(job.uid()));
-    assertTrue(world.cloud.hosts().size() >= 5, "capacity for one after the other only");
+    cluster.submit(job);
+    cluster.run(25);
+    assertTrue(cluster.checker.allTasksCompleted(job.uid()));
+    assertTrue(cluster.cloud.hosts().size() >= 5, "capacity for one after the other only");
   }
 }
--- a/src/test/java/eiderfork/controller/CancellationTest.java
+++ b/src/test/java/eiderfork/controller/CancellationTest.java
@@ -15,36 +15,36 @@
 
 /** A confirmed cancellation takes effect in time, whatever reaches the leader of it. */
 class CancellationTest {
-  private final SimulatedCluster world = new SimulatedCluster(7);
+  private final SimulatedCluster cluster = new SimulatedCluster(7);
   private Job kept;
   private Job cancelled;
 
   @AfterEach
   void assertNoBreaches() {
-    assertEquals(List.of(), world.checker.breaches);
+    assertEquals(List.of(), cluster.checker.violations);
   }
 
   private void startTwoServices() {
     kept = TestFixtures.job(1, JobKind.SERVICE, 3, 1);
     cancelled = TestFixtures.job(2, JobKind.SERVICE, 3, 1);
-    world.submit(kept);
-    world.submit(cancelled);
-    world.run(30);
-    assertEquals(3, world.checker.running(cancelled.uid()));
+    cluster.submit(kept);
+    cluster.submit(cancelled);
+    cluster.run(30);
+    assertEquals(3, cluster.checker.runningTasks(cancelled.uid()));
   }
 
   /** The index of a node that does not lead; there are two. */
   private String peer(int which) {
     return List.of("roost-0", "roost-1", "roost-2").stream()
-        .filter(node -> !node.equals(world.leader()))
+        .filter(node -> !node.equals(cluster.leader()))
         .toList()
         .get(which);
   }
 
   /** Recovers the store after this time, with every lease in full. */
   private void outage(long afterMs, long forMs) {
-    world.at(afterMs, () -> world.state.outage(world.nowMs));
-    world.at(afterMs + forMs, () -> world.state.recover(world.nowMs));
+    cluster.schedule(afterMs, () -> cluster.store.startOutage(cluster.nowMs));
+    cluster.schedule(afterMs + forMs, () -> cluster.store.endOutage(cluster.nowMs));
   }
 
   /**
@@ -56,16 +56,16 @@
   @ValueSource(longs = {0, 20, 50, 100, 300, 700, 1200, 1460, 1490, 1510})
   void cancellationConfirmedByAPeerReachesTheLeader(long afterMs) {
     startTwoServices();
-    world.refuse(world.leader(), 14_000);
+    cluster.refuseStoreRequests(cluster.leader(), 14_000);
     String peer = peer(0);
-    world.at(afterMs, () -> world.abortAt(peer, cancelled.uid()));
+    cluster.schedule(afterMs, () -> cluster.cancelOnce(peer, cancelled.uid()));
     outage(1500, 55_000);
-    world.run(40);
-    assertEquals(3, world.checker.running(kept.uid()), "held without the state service");
-    if (world.checker.finalStance(cancelled.uid()) == Phase.ABORTED) {
-      assertEquals(0, world.checker.running(cancelled.uid()));
+    cluster.run(40);
+    assertEquals(3, cluster.checker.runningTasks(kept.uid()), "held without the state service");
+    if (cluster.checker.finalPhase(cancelled.uid()) == Phase.ABORTED) {
+      assertEquals(0, cluster.checker.runningTasks(cancelled.uid()));
     }
-    world.run(30);
+    cluster.run(30);
   }
 
   /**
@@ -75,22 +75,22 @@
   @ValueSource(longs = {0, 200, 500, 700})
   void cancellationReceivedDuringAnOutageStopsTasksAtOnce(long afterMs) {
     startTwoServices();
-    String leader = world.leader();
-    world.refuse(leader, 14_000);
+    String leader = cluster.leader();
+    cluster.refuseStoreRequests(leader, 14_000);
     for (int i = 0; i < 2; i++) {
-      world.cut(leader + ">" + peer(i), 6000);
-      world.cut(peer(i) + ">" + leader, 6000);
+      cluster.cutLink(leader + ">" + peer(i), 6000);
+      cluster.cutLink(peer(i) + ">" + leader, 6000);
     }
     String peer = peer(0);
-    world.at(afterMs, () -> world.abortAt(peer, cancelled.uid()));
+    cluster.schedule(afterMs, () -> cluster.cancelOnce(peer, cancelled.uid()));
     outage(1500, 55_000);
-    world.run(5.8);
-    assertEquals(Phase.ABORTED, world.checker.finalStance(cancelled.uid()));
-    assertEquals(3, world.checker.running(cancelled.uid()), "the leader can't know yet");
-    world.run(4);
-    assertEquals(0, world.checker.running(cancelled.uid()));
-    assertEquals(3, world.checker.running(kept.uid()));
-    world.run(55);
+    cluster.run(5.8);
+    assertEquals(Phase.ABORTED, cluster.checker.finalPhase(cancelled.uid()));
+    assertEquals(3, cluster.checker.runningTasks(cancelled.uid()), "the leader can't know yet");
+    cluster.run(4);
+    assertEquals(0, cluster.checker.runningTasks(cancelled.uid()));
+    assertEquals(3, cluster.checker.runningTasks(kept.uid()));
+    cluster.run(55);
   }
 
   /** The same, and the peer that confirmed it ends, alone or with the other one. */
@@ -98,16 +98,16 @@
   @ValueSource(longs = {1, 100, 300, 800, 1500, 3000, 8000})
   void cancellationConfirmedBeforeAPeerCrashTakesEffectInTime(long afterMs) {
     startTwoServices();
-    world.refuse(world.leader(), 14_000);
+    cluster.refuseStoreRequests(cluster.leader(), 14_000);
     String peer = peer(0);
     String other = peer(1);
-    world.abortAt(peer, cancelled.uid());
-    world.at(afterMs, () -> world.crash(peer, 3000));
-    world.at(afterMs + 400, () -> world.crash(other, 3000));
+    cluster.cancelOnce(peer, cancelled.uid());
+    cluster.schedule(afterMs, () -> cluster.crashNode(peer, 3000));
+    cluster.schedule(afterMs + 400, () -> cluster.crashNode(other, 3000));
     outage(1500, 70_000);
-    world.run(100);
-    if (world.checker.finalStance(cancelled.uid()) == Phase.ABORTED) {
-      assertEquals(0, world.checker.running(cancelled.uid()));
+    cluster.run(100);
+    if (cluster.checker.finalPhase(cancelled.uid()) == Phase.ABORTED) {
+      assertEquals(0, cluster.checker.runningTasks(cancelled.uid()));
     }
   }
 
@@ -119,20 +119,20 @@
   @ValueSource(longs = {0, 30, 200, 1000, 3000, 6000, 12_000})
   void isolatedLeaderReleasesItsTasksInTime(long afterMs) {
     startTwoServices();
-    String old = world.leader();
+    String old = cluster.leader();
     String peer = peer(0);
     // The next leader can't reach the machines either.
-    world.cut("roost-0>*", 90_000);
-    world.cut("roost-1>*", 90_000);
-    world.cut("roost-2>*", 90_000);
-    world.isolate(old, 90_000);
-    world.at(afterMs, () -> world.abortAt(peer, cancelled.uid()));
-    world.run(60);
-    assertEquals(Phase.ABORTED, world.checker.finalStance(cancelled.uid()));
-    assertNotEquals(old, world.leader());
-    assertEquals(0, world.checker.running(cancelled.uid()));
-    world.run(60);
-    assertEquals(3, world.checker.running(kept.uid()));
+    cluster.cutLink("roost-0>*", 90_000);
+    cluster.cutLink("roost-1>*", 90_000);
+    cluster.cutLink("roost-2>*", 90_000);
+    cluster.isolateNode(old, 90_000);
+    cluster.schedule(afterMs, () -> cluster.cancelOnce(peer, cancelled.uid()));
+    cluster.run(60);
+    assertEquals(Phase.ABORTED, cluster.checker.finalPhase(cancelled.uid()));
+    assertNotEquals(old, cluster.leader());
+    assertEquals(0, cluster.checker.runningTasks(cancelled.uid()));
+    cluster.run(60);
+    assertEquals(3, cluster.checker.runningTasks(kept.uid()));
   }
 
   /**
@@ -142,12 +142,12 @@
   @Test
   void tasksKeepRunningDuringAnOutageWithAllPeersReachable() {
     startTwoServices();
-    int starts = world.checker.starts;
+    int starts = cluster.checker.startCount;
     outage(0, 80_000);
-    world.run(85);
-    assertEquals(3, world.checker.running(kept.uid()));
-    assertEquals(3, world.checker.running(cancelled.uid()));
-    assertEquals(starts, world.checker.starts);
+    cluster.run(85);
+    assertEquals(3, cluster.checker.runningTasks(kept.uid()));
+    assertEquals(3, cluster.checker.runningTasks(cancelled.uid()));
+    assertEquals(starts, cluster.checker.startCount);
   }
 
   @Test
@@ -155,11 +155,11 @@
     startTwoServices();
     String peer = peer(0);
     outage(0, 80_000);
-    world.at(2000, () -> world.crash(peer, 1000));
-    world.run(45);
-    assertEquals(0, world.checker.running(kept.uid()), "the hold ended at what was proven");
-    world.run(70);
-    assertEquals(3, world.checker.running(kept.uid()));
+    cluster.schedule(2000, () -> cluster.crashNode(peer, 1000));
+    cluster.run(45);
+    assertEquals(0, cluster.checker.runningTasks(kept.uid()), "the hold ended at what was proven");
+    cluster.run(70);
+    assertEquals(3, cluster.checker.runningTasks(kept.uid()));
   }
 
   /**
@@ -170,16 +170,16 @@
   @ValueSource(longs = {14_000, 17_000, 19_000, 20_000, 21_000, 24_000})
   void reconnectedLeaderCatchesUpBeforeItAnswersWorkers(long outageMs) {
     startTwoServices();
-    String old = world.leader();
-    world.refuse(old, 1400 + outageMs);
+    String old = cluster.leader();
+    cluster.refuseStoreRequests(old, 1400 + outageMs);
     String peer = peer(0);
-    world.abortAt(peer, cancelled.uid());
-    world.cut(old + ">" + peer, 90_000);
-    world.cut(peer + ">" + old, 90_000);
+    cluster.cancelOnce(peer, cancelled.uid());
+    cluster.cutLink(old + ">" + peer, 90_000);
+    cluster.cutLink(peer + ">" + old, 90_000);
     outage(1000, outageMs);
-    world.run(60);
-    assertEquals(Phase.ABORTED, world.checker.finalStance(cancelled.uid()));
-    assertEquals(0, world.checker.running(cancelled.uid()));
+    cluster.run(60);
+    assertEquals(Phase.ABORTED, cluster.checker.finalPhase(cancelled.uid()));
+    assertEquals(0, cluster.checker.runningTasks(cancelled.uid()));
   }
 
   /** An outage catches a new leader between two reads of its rebuilding. */
@@ -187,20 +187,20 @@
   @ValueSource(longs = {0, 10, 20, 30, 40, 50, 60, 70, 80, 100, 150})
   void recoveringLeaderStopsWhatPeersConfirmed(long afterMs) {
     startTwoServices();
-    String old = world.leader();
+    String old = cluster.leader();
     String peer = peer(0);
-    world.crash(old, 90_000);
-    while (world.leader() == null || world.leader().equals(old)) {
-      world.run(0.002);
+    cluster.crashNode(old, 90_000);
+    while (cluster.leader() == null || cluster.leader().equals(old)) {
+      cluster.run(0.002);
     }
-    world.abortAt(peer, cancelled.uid());
+    cluster.cancelOnce(peer, cancelled.uid());
     outage(afterMs, 60_000);
-    world.run(50);
-    if (world.checker.finalStance(cancelled.uid()) == Phase.ABORTED) {
-      assertEquals(0, world.checker.running(cancelled.uid()));
+    cluster.run(50);
+    if (cluster.checker.finalPhase(cancelled.uid()) == Phase.ABORTED) {
+      assertEquals(0, cluster.checker.runningTasks(cancelled.uid()));
     }
-    world.run(60);
-    assertEquals(3, world.checker.running(kept.uid()));
+    cluster.run(60);
+    assertEquals(3, cluster.checker.runningTasks(kept.uid()));
   }
 
   /** A paused controller answers heartbeats that arrived meanwhile from its older state. */
@@ -208,14 +208,14 @@
   @ValueSource(longs = {3000, 9000, 15_000, 19_000, 23_000, 27_000})
   void pausedLeaderDoesNotAnswerFromStaleMemory(long stillMs) {
     startTwoServices();
-    String old = world.leader();
+    String old = cluster.leader();
     String peer = peer(0);
-    world.abortAt(peer, cancelled.uid());
-    world.freeze(old, stillMs);
-    world.cut(old + ">state", 90_000);
-    world.cut("state>" + old, 90_000);
-    world.run(70);
-    assertEquals(0, world.checker.running(cancelled.uid()));
-    assertTrue(world.checker.running(kept.uid()) > 0);
+    cluster.cancelOnce(peer, cancelled.uid());
+    cluster.freezeNode(old, stillMs);
+    cluster.cutLink(old + ">state", 90_000);
+    cluster.cutLink("state>" + old, 90_000);
+    cluster.run(70);
+    assertEquals(0, cluster.checker.runningTasks(cancelled.uid()));
+    assertTrue(cluster.checker.runningTasks(kept.uid()) > 0);
   }
 }
--- a/src/test/java/eiderfork/controller/EffectDigest.java
+++ b/src/test/java/eiderfork/controller/EffectDigest.java
@@ -19,17 +19,17 @@
  * which replies come back are a controller's own and are left out.
  */
 final class EffectDigest {
-  private final SimulatedCluster world;
+  private final SimulatedCluster cluster;
   private final Hasher hasher = Hashing.sha256().newHasher();
 
-  private EffectDigest(SimulatedCluster world) {
-    this.world = world;
+  private EffectDigest(SimulatedCluster cluster) {
+    this.cluster = cluster;
   }
 
   /** A digest of all that this world's controllers emit from now on. */
-  static EffectDigest of(SimulatedCluster world) {
-    EffectDigest digest = new EffectDigest(world);
-    world.effectObserver = digest::add;
+  static EffectDigest of(SimulatedCluster cluster) {
+    EffectDigest digest = new EffectDigest(cluster);
+    cluster.effectObserver = digest::add;
     return digest;
   }
 
@@ -39,7 +39,7 @@
   }
 
   private void add(String node, Effect effect) {
-    hasher.putLong(world.nowMs);
+    hasher.putLong(cluster.nowMs);
     text(node);
     if (effect instanceof Effect.Call call) {
       hasher.putLong(call.timeoutMs());
--- a/src/test/java/eiderfork/controller/EffectDigestTest.java
+++ b/src/test/java/eiderfork/controller/EffectDigestTest.java
@@ -33,10 +33,10 @@
   private static final double ANSWERS_S = 5;
 
   /** A world where nothing has happened yet, and what plays its history and tells the jobs. */
-  private record History(SimulatedCluster world, Supplier<List<Job>> player) {
+  private record History(SimulatedCluster cluster, Supplier<List<Job>> player) {
     /** The digest of the history, played to its end. */
     String digest() {
-      EffectDigest digest = EffectDigest.of(world);
+      EffectDigest digest = EffectDigest.of(cluster);
       askForAll(player.get());
       return digest.finish();
     }
@@ -45,17 +45,19 @@
      * After a quiet while every node is asked for its health and every job: what it knows counts.
      */
     private void askForAll(List<Job> jobs) {
-      world.quiet();
-      world.run(QUIET_S);
-      world.all().forEach(node -> world.ask(node, Input.HealthCheck::new, answer -> {}));
-      jobs.forEach(job -> world.queryAll(job.uid()));
-      world.run(ANSWERS_S);
+      cluster.clearFaults();
+      cluster.run(QUIET_S);
+      cluster
+          .nodeNames()
+          .forEach(node -> cluster.sendRequest(node, Input.HealthCheck::new, answer -> {}));
+      jobs.forEach(job -> cluster.queryAllNodes(job.uid()));
+      cluster.run(ANSWERS_S);
     }
   }
 
   /** Plays the history of a seed. */
   private interface Script {
-    List<Job> play(SimulatedCluster world, long seed);
+    List<Job> play(SimulatedCluster cluster, long seed);
   }
 
   /** The kinds of random histories. */
@@ -68,15 +70,16 @@
             RandomHistoryTest::play)),
     TROUBLES_MEET("meet", scripted(SimulatedCluster::new, EffectDigestTest::playMeetingTroubles)),
     SILENT_WORKERS(
-        "silent", scripted(SilentWorkerHistoryTest::world, SilentWorkerHistoryTest::play)),
+        "silent", scripted(SilentWorkerHistoryTest::newCluster, SilentWorkerHistoryTest::play)),
     SILENT_WORKERS_CHANGING_LEADERS(
         "silent-leaders",
-        scripted(SilentWorkerHistoryTest::changingWorld, SilentWorkerHistoryTest::playWithChanges)),
-    STANDBY("standby", scripted(StandbyFailoverTest::randomWorld, StandbyFailoverTest::play)),
+        scripted(
+            SilentWorkerHistoryTest::changingCluster, SilentWorkerHistoryTest::playWithChanges)),
+    STANDBY("standby", scripted(StandbyFailoverTest::randomCluster, StandbyFailoverTest::play)),
     UPGRADE("upgrade", scripted(RollingUpgradeTest::older, RollingUpgradeTest::play)),
     GANGS("gangs", scripted(SimulatedCluster::new, GangTest::play)),
-    SPLIT("split", scripted(LeaseProxyTest::world, LeaseProxyTest::playSplit)),
-    ARCHIVE("archive", scripted(JobArchiverTest::world, JobArchiverTest::play)),
+    SPLIT("split", scripted(LeaseProxyTest::newCluster, LeaseProxyTest::playSplit)),
+    ARCHIVE("archive", scripted(JobArchiverTest::newCluster, JobArchiverTest::play)),
     LENDING("lending", EffectDigestTest::lending);
 
     private final String label;
@@ -100,19 +103,19 @@
   private static LongFunction<History> scripted(
       LongFunction<SimulatedCluster> start, Script script) {
     return seed -> {
-      SimulatedCluster world = start.apply(seed);
-      return new History(world, () -> script.play(world, seed));
+      SimulatedCluster cluster = start.apply(seed);
+      return new History(cluster, () -> script.play(cluster, seed));
     };
   }
 
   private static History lending(long seed) {
-    QuotaCluster lending = QuotaCluster.enabled(seed);
-    return new History(lending.world, () -> QuotaReclaimHistoryTest.play(lending, seed));
+    QuotaCluster lending = QuotaCluster.withBorrowing(seed);
+    return new History(lending.cluster, () -> QuotaReclaimHistoryTest.play(lending, seed));
   }
 
-  private static List<Job> playMeetingTroubles(SimulatedCluster world, long seed) {
-    RandomHistoryTest.troublesMeet(world, seed);
-    return RandomHistoryTest.play(world, seed);
+  private static List<Job> playMeetingTroubles(SimulatedCluster cluster, long seed) {
+    RandomHistoryTest.troublesMeet(cluster, seed);
+    return RandomHistoryTest.play(cluster, seed);
   }
 
   @ParameterizedTest
--- a/src/test/java/eiderfork/controller/ElectedLeader.java
+++ b/src/test/java/eiderfork/controller/ElectedLeader.java
@@ -25,24 +25,24 @@
   private ElectedLeader() {}
 
   /** The store holds nothing, and the node becomes the leader of term 1. */
-  static void win(ControllerContext context, LeaderElection election) {
+  static void elect(ControllerContext context, LeaderElection election) {
     election.tick();
-    answer(context, new Reply.Value(null, 0));
-    answer(context, new Reply.Value(null, 0));
-    answer(context, new Reply.Leased(7));
-    answer(context, new Reply.Committed(1));
+    replyToStoreCall(context, new Reply.Value(null, 0));
+    replyToStoreCall(context, new Reply.Value(null, 0));
+    replyToStoreCall(context, new Reply.Leased(7));
+    replyToStoreCall(context, new Reply.Committed(1));
     assertTrue(election.isLeading());
   }
 
   /** Answers the one call to the store that is open. */
-  static void answer(ControllerContext context, Reply reply) {
-    List<Effect.CallStore> pending = effects(context, Effect.CallStore.class);
+  static void replyToStoreCall(ControllerContext context, Reply reply) {
+    List<Effect.CallStore> pending = drainEffects(context, Effect.CallStore.class);
     assertEquals(1, pending.size());
     context.completeCall(pending.get(0).callId(), reply);
   }
 
   /** Takes all effects, and gives those of this kind. */
-  static <T extends Effect> List<T> effects(ControllerContext context, Class<T> kind) {
+  static <T extends Effect> List<T> drainEffects(ControllerContext context, Class<T> kind) {
     List<T> found = new ArrayList<>();
     context.drainEffects().stream().filter(kind::isInstance).map(kind::cast).forEach(found::add);
     return found;
--- a/src/test/java/eiderfork/controller/ExpectedOutcome.java
+++ b/src/test/java/eiderfork/controller/ExpectedOutcome.java
@@ -15,35 +15,35 @@
 
   private ExpectedOutcome() {}
 
-  static void rulesHold(SimulatedCluster world) {
-    assertEquals(List.of(), world.checker.breaches);
+  static void assertNoViolations(SimulatedCluster cluster) {
+    assertEquals(List.of(), cluster.checker.violations);
   }
 
   /**
    * Troubles are over: after 90 s each job that was accepted and not cancelled runs in full or is
    * done, no task of a cancelled one is left, and every node answers for each.
    */
-  static void allServed(SimulatedCluster world, List<Job> jobs) {
-    world.quiet();
-    world.run(WAITS_S);
-    int startsBefore = world.checker.startsAfterCancellation;
-    int answersBefore = world.checker.answers;
-    jobs.forEach(job -> world.queryAll(job.uid()));
-    world.run(5);
-    rulesHold(world);
+  static void assertAllJobsServed(SimulatedCluster cluster, List<Job> jobs) {
+    cluster.clearFaults();
+    cluster.run(WAITS_S);
+    int startsBefore = cluster.checker.startsAfterCancellation;
+    int answersBefore = cluster.checker.answeredRequests;
+    jobs.forEach(job -> cluster.queryAllNodes(job.uid()));
+    cluster.run(5);
+    assertNoViolations(cluster);
     assertEquals(
-        answersBefore + world.all().size() * jobs.size(),
-        world.checker.answers,
+        answersBefore + cluster.nodeNames().size() * jobs.size(),
+        cluster.checker.answeredRequests,
         "questions answered");
-    assertEquals(startsBefore, world.checker.startsAfterCancellation);
+    assertEquals(startsBefore, cluster.checker.startsAfterCancellation);
     for (Job job : jobs) {
-      assertTrue(world.checker.wasAccepted(job.uid()), job::uid);
-      if (world.checker.finalStance(job.uid()) == Phase.ABORTED) {
-        assertEquals(0, world.checker.running(job.uid()), job::uid);
+      assertTrue(cluster.checker.wasAccepted(job.uid()), job::uid);
+      if (cluster.checker.finalPhase(job.uid()) == Phase.ABORTED) {
+        assertEquals(0, cluster.checker.runningTasks(job.uid()), job::uid);
       } else if (job.kind() == JobKind.SERVICE) {
-        assertEquals(job.tasks(), world.checker.running(job.uid()), job::uid);
+        assertEquals(job.tasks(), cluster.checker.runningTasks(job.uid()), job::uid);
       } else {
-        assertEquals(Phase.DONE, world.checker.finalStance(job.uid()), job::uid);
+        assertEquals(Phase.DONE, cluster.checker.finalPhase(job.uid()), job::uid);
       }
     }
   }
--- a/src/test/java/eiderfork/controller/FailingJobsTest.java
+++ b/src/test/java/eiderfork/controller/FailingJobsTest.java
@@ -14,47 +14,47 @@
 
 /** Jobs that were submitted with a mistake and fail on every machine until they are cancelled. */
 class FailingJobsTest {
-  private final SimulatedCluster world = new SimulatedCluster(11);
+  private final SimulatedCluster cluster = new SimulatedCluster(11);
 
   @AfterEach
   void assertNoBreaches() {
-    assertEquals(List.of(), world.checker.breaches);
+    assertEquals(List.of(), cluster.checker.violations);
   }
 
   private Job submit(Job job) {
-    world.submit(job);
+    cluster.submit(job);
     return job;
   }
 
   private Job failing(int number, int tasks) {
     Job job = TestFixtures.job(number, JobKind.ARRAY, tasks, 0);
-    world.badJobs.add(job.uid());
+    cluster.failingJobs.add(job.uid());
     return submit(job);
   }
 
   private List<String> busyMachines() {
-    return world.workers().stream()
-        .filter(worker -> !worker.presentTasks().isEmpty())
+    return cluster.workers().stream()
+        .filter(worker -> !worker.taskIds().isEmpty())
         .map(worker -> worker.machine.name())
         .toList();
   }
 
   private int starts() {
-    return world.checker.starts;
+    return cluster.checker.startCount;
   }
 
   /** Two such jobs came to the same machine first, and it was returned with all that ran there. */
   @Test
   void severalFailingJobsDoNotMarkABusyMachineFaulty() {
-    world.cloud.capacity = 1;
+    cluster.cloud.defaultStock = 1;
     Job good = submit(TestFixtures.job(1, JobKind.SERVICE, 4, 1));
-    world.run(20);
+    cluster.run(20);
     List<String> hosts = busyMachines();
     for (int i = 2; i <= 4; i++) {
       failing(i, 1);
     }
-    world.run(30);
-    assertEquals(4, world.checker.running(good.uid()));
+    cluster.run(30);
+    assertEquals(4, cluster.checker.runningTasks(good.uid()));
     assertEquals(hosts, busyMachines(), "its machine was given up");
   }
 
@@ -62,22 +62,22 @@
   @Test
   void failuresOnOneFaultyMachineDoNotDelayTheJobElsewhere() {
     submit(TestFixtures.job(1, JobKind.SERVICE, 1, 4));
-    world.run(20);
-    String bad = world.workers().get(0).machine.name();
-    world.badMachines.add(bad);
+    cluster.run(20);
+    String bad = cluster.workers().get(0).machine.name();
+    cluster.failingMachines.add(bad);
     Job array = submit(TestFixtures.job(2, JobKind.ARRAY, 8, 0));
-    world.run(25);
-    assertTrue(world.checker.isDone(array.uid()));
+    cluster.run(25);
+    assertTrue(cluster.checker.allTasksCompleted(array.uid()));
   }
 
   @Test
   void failingJobIsTriedOneTaskAtATimeWithGrowingBackoff() {
     submit(TestFixtures.job(1, JobKind.SERVICE, 8, 2));
-    world.run(30);
+    cluster.run(30);
     failing(2, 40);
-    world.run(30);
+    cluster.run(30);
     int before = starts();
-    world.run(120);
+    cluster.run(120);
     // Each try takes 5 s and waits for 32 s at last; 40 tasks at a time were hundreds of starts.
     assertTrue(starts() - before <= 12, starts() - before + " starts in two minutes");
   }
@@ -85,28 +85,28 @@
   @Test
   void failingJobDoesNotScaleOutAfterItsFirstTries() {
     submit(TestFixtures.job(1, JobKind.SERVICE, 1, 1));
-    world.run(20);
+    cluster.run(20);
     Job bad = failing(2, 60);
-    world.run(60);
-    int rented = world.cloud.hosts().size();
-    world.run(200);
-    assertEquals(rented, world.cloud.hosts().size(), "machines were rented for it again");
-    world.abort(bad.uid());
-    world.run(5);
-    assertEquals(Phase.ABORTED, world.checker.finalStance(bad.uid()));
+    cluster.run(60);
+    int rented = cluster.cloud.hosts().size();
+    cluster.run(200);
+    assertEquals(rented, cluster.cloud.hosts().size(), "machines were rented for it again");
+    cluster.cancel(bad.uid());
+    cluster.run(5);
+    assertEquals(Phase.ABORTED, cluster.checker.finalPhase(bad.uid()));
   }
 
   /** A new leader knows nothing of the failures; it used to begin with all tasks again. */
   @Test
   void failoverDoesNotRestartAllTasksOfAFailingJob() {
     submit(TestFixtures.job(1, JobKind.SERVICE, 8, 2));
-    world.run(30);
+    cluster.run(30);
     failing(2, 40);
-    world.run(70);
+    cluster.run(70);
     int before = starts();
     for (int i = 0; i < 4; i++) {
-      world.crash(world.leader(), 3000);
-      world.run(20);
+      cluster.crashNode(cluster.leader(), 3000);
+      cluster.run(20);
     }
     assertTrue(starts() - before <= 16, starts() - before + " starts over four takeovers");
   }
@@ -115,46 +115,46 @@
   @Test
   void failoverDuringATryLeavesNothingRunning() {
     submit(TestFixtures.job(1, JobKind.SERVICE, 2, 1));
-    world.run(20);
+    cluster.run(20);
     Job bad = failing(2, 6);
     for (int i = 0; i < 6; i++) {
-      world.run(3.7);
-      world.crash(world.leader(), 2000);
+      cluster.run(3.7);
+      cluster.crashNode(cluster.leader(), 2000);
     }
-    world.run(10);
-    world.abort(bad.uid());
-    world.run(10);
-    assertEquals(Phase.ABORTED, world.checker.finalStance(bad.uid()));
-    assertEquals(0, world.checker.running(bad.uid()));
+    cluster.run(10);
+    cluster.cancel(bad.uid());
+    cluster.run(10);
+    assertEquals(Phase.ABORTED, cluster.checker.finalPhase(bad.uid()));
+    assertEquals(0, cluster.checker.runningTasks(bad.uid()));
   }
 
   /** Some tasks that fail everywhere hold up neither the others nor each other. */
   @Test
   void aJobWithSomeFailingTasksFinishesTheOthers() {
     submit(TestFixtures.job(1, JobKind.SERVICE, 3, 2));
-    world.run(20);
+    cluster.run(20);
     Job array = TestFixtures.job(2, JobKind.ARRAY, 30, 0);
     for (int index = 0; index < 4; index++) {
-      world.badTasks.add(new TaskId(array.uid(), index));
+      cluster.failingTasks.add(new TaskId(array.uid(), index));
     }
     submit(array);
-    world.run(60);
-    assertEquals(26, world.checker.completed(array.uid()));
-    world.badTasks.clear();
-    world.run(60);
-    assertTrue(world.checker.isDone(array.uid()));
+    cluster.run(60);
+    assertEquals(26, cluster.checker.completedTasks(array.uid()));
+    cluster.failingTasks.clear();
+    cluster.run(60);
+    assertTrue(cluster.checker.allTasksCompleted(array.uid()));
   }
 
   /** What looked like a mistake was the fault of two machines, as the trial task shows. */
   @Test
   void suspectedJobResumesOnceATaskSucceeds() {
     submit(TestFixtures.job(1, JobKind.SERVICE, 3, 2));
-    world.run(20);
+    cluster.run(20);
     Job bad = failing(2, 24);
-    world.run(60);
-    assertFalse(world.checker.isDone(bad.uid()));
-    world.badJobs.clear();
-    world.run(60);
-    assertTrue(world.checker.isDone(bad.uid()));
+    cluster.run(60);
+    assertFalse(cluster.checker.allTasksCompleted(bad.uid()));
+    cluster.failingJobs.clear();
+    cluster.run(60);
+    assertTrue(cluster.checker.allTasksCompleted(bad.uid()));
   }
 }
--- a/src/test/java/eiderfork/controller/FailoverTest.java
+++ b/src/test/java/eiderfork/controller/FailoverTest.java
@@ -23,20 +23,20 @@
     return LongStream.rangeClosed(1, 8);
   }
 
-  private static List<Job> services(SimulatedCluster world, int count) {
+  private static List<Job> services(SimulatedCluster cluster, int count) {
     List<Job> jobs = new ArrayList<>();
     for (int i = 1; i <= count; i++) {
       jobs.add(
           TestFixtures.job(
               i, JobKind.SERVICE, 2, 1, i % 2 == 0 ? "red" : "blue", Priority.HIGH, false, false));
     }
-    jobs.forEach(world::submit);
+    jobs.forEach(cluster::submit);
     return jobs;
   }
 
-  private static void crashLeader(SimulatedCluster world, long forMs) {
-    if (world.leader() != null) {
-      world.crash(world.leader(), forMs);
+  private static void crashLeader(SimulatedCluster cluster, long forMs) {
+    if (cluster.leader() != null) {
+      cluster.crashNode(cluster.leader(), forMs);
     }
   }
 
@@ -44,48 +44,48 @@
   @ParameterizedTest
   @MethodSource("seeds")
   void theLeadChangesTenTimesInTwoMinutes(long seed) {
-    SimulatedCluster world = new SimulatedCluster(seed);
-    List<Job> jobs = services(world, 5);
+    SimulatedCluster cluster = new SimulatedCluster(seed);
+    List<Job> jobs = services(cluster, 5);
     for (int i = 0; i < 12; i++) {
       Job job = TestFixtures.job(10 + i, JobKind.ARRAY, 3, 1);
       jobs.add(job);
-      world.at(5000 + i * 9000L, () -> world.submit(job));
+      cluster.schedule(5000 + i * 9000L, () -> cluster.submit(job));
       if (i % 3 == 0) {
-        world.at(5600 + i * 9000L + 100 * seed, () -> world.abort(job.uid()));
+        cluster.schedule(5600 + i * 9000L + 100 * seed, () -> cluster.cancel(job.uid()));
       }
     }
-    world.run(15);
+    cluster.run(15);
     for (int i = 0; i < 10; i++) {
-      world.at(i * 12_000L, () -> crashLeader(world, 200 + 400 * seed));
+      cluster.schedule(i * 12_000L, () -> crashLeader(cluster, 200 + 400 * seed));
     }
     if (seed % 2 == 0) {
-      world.at(30_000, () -> world.state.outage(world.nowMs));
-      world.at(44_000, () -> world.state.recover(world.nowMs));
+      cluster.schedule(30_000, () -> cluster.store.startOutage(cluster.nowMs));
+      cluster.schedule(44_000, () -> cluster.store.endOutage(cluster.nowMs));
     }
-    world.run(130);
-    ExpectedOutcome.allServed(world, jobs);
+    cluster.run(130);
+    ExpectedOutcome.assertAllJobsServed(cluster, jobs);
   }
 
   /** Controllers hand over and back, all end, and one returns, also within a second. */
   @ParameterizedTest
   @ValueSource(ints = {100, 300, 600, 900, 1500, 3000, 8000, 13_000, 20_000})
   void allEndAndOneReturns(int awayMs) {
-    SimulatedCluster world = new SimulatedCluster(3);
-    List<Job> jobs = services(world, 5);
+    SimulatedCluster cluster = new SimulatedCluster(3);
+    List<Job> jobs = services(cluster, 5);
     Job cancelled = TestFixtures.job(20, JobKind.SERVICE, 3, 1);
     jobs.add(cancelled);
-    world.submit(cancelled);
-    world.run(25);
-    crashLeader(world, 900);
-    world.run(6);
-    crashLeader(world, 900);
-    world.run(5);
-    world.at(50, () -> world.abort(cancelled.uid()));
-    world.crash("roost-0", awayMs);
-    world.at(30, () -> world.crash("roost-1", 30_000));
-    world.at(90, () -> world.crash("roost-2", 30_000));
-    world.run(50);
-    ExpectedOutcome.allServed(world, jobs);
+    cluster.submit(cancelled);
+    cluster.run(25);
+    crashLeader(cluster, 900);
+    cluster.run(6);
+    crashLeader(cluster, 900);
+    cluster.run(5);
+    cluster.schedule(50, () -> cluster.cancel(cancelled.uid()));
+    cluster.crashNode("roost-0", awayMs);
+    cluster.schedule(30, () -> cluster.crashNode("roost-1", 30_000));
+    cluster.schedule(90, () -> cluster.crashNode("roost-2", 30_000));
+    cluster.run(50);
+    ExpectedOutcome.assertAllJobsServed(cluster, jobs);
   }
 
   /** Jobs are cancelled in the seconds in which one controller's work changes hands. */
@@ -93,23 +93,23 @@
   @ValueSource(ints = {0, 100, 500, 1500, 2500, 3000, 3200, 3300, 3400, 3500, 3600, 3800, 4200})
   void cancellationsWhileTheWorkChangesHands(int afterMs) {
     for (boolean frozen : new boolean[] {false, true}) {
-      SimulatedCluster world = new SimulatedCluster(2);
-      List<Job> jobs = services(world, 5);
-      world.run(25);
+      SimulatedCluster cluster = new SimulatedCluster(2);
+      List<Job> jobs = services(cluster, 5);
+      cluster.run(25);
       Job starting = TestFixtures.job(30, JobKind.ARRAY, 6, 1);
       jobs.add(starting);
-      world.submit(starting);
-      String old = world.leader();
+      cluster.submit(starting);
+      String old = cluster.leader();
       if (frozen) {
-        world.freeze(old, 7000);
+        cluster.freezeNode(old, 7000);
       } else {
-        world.crash(old, 7000);
+        cluster.crashNode(old, 7000);
       }
       for (Job job : List.copyOf(jobs).subList(2, 6)) {
-        world.at(afterMs, () -> world.abort(job.uid()));
+        cluster.schedule(afterMs, () -> cluster.cancel(job.uid()));
       }
-      world.run(40);
-      ExpectedOutcome.allServed(world, jobs);
+      cluster.run(40);
+      ExpectedOutcome.assertAllJobsServed(cluster, jobs);
     }
   }
 
@@ -118,22 +118,22 @@
   @ValueSource(ints = {2000, 6000, 9000, 11_000, 14_000, 25_000})
   void machinesThatDoNotHearTheNewLeader(int forMs) {
     for (boolean deaf : new boolean[] {true, false}) {
-      SimulatedCluster world = new SimulatedCluster(4);
-      List<Job> jobs = services(world, 5);
-      world.run(25);
-      List<FakeWorker> workers = world.workers();
+      SimulatedCluster cluster = new SimulatedCluster(4);
+      List<Job> jobs = services(cluster, 5);
+      cluster.run(25);
+      List<FakeWorker> workers = cluster.workers();
       for (FakeWorker worker : workers.subList(0, workers.size() / 2 + 1)) {
         if (deaf) {
-          world.deafen(worker.machine.name(), forMs);
+          cluster.cutLinksTo(worker.machine.name(), forMs);
         } else {
-          world.mute(worker.machine.name(), forMs);
+          cluster.cutLinksFrom(worker.machine.name(), forMs);
         }
       }
-      world.run(0.5);
-      crashLeader(world, 3000);
-      world.at(4500, () -> world.abort(jobs.get(0).uid()));
-      world.run(60);
-      ExpectedOutcome.allServed(world, jobs);
+      cluster.run(0.5);
+      crashLeader(cluster, 3000);
+      cluster.schedule(4500, () -> cluster.cancel(jobs.get(0).uid()));
+      cluster.run(60);
+      ExpectedOutcome.assertAllJobsServed(cluster, jobs);
     }
   }
 
@@ -144,52 +144,52 @@
   @ParameterizedTest
   @ValueSource(ints = {12_000, 18_000, 25_000, 40_000})
   void leasesThatAnOlderLeaderRenewsDoNotCountAsLapsed(int forMs) {
-    SimulatedCluster world = new SimulatedCluster(4);
-    List<Job> jobs = services(world, 5);
-    world.run(25);
-    String old = world.leader();
-    world.isolate(old, forMs);
-    for (FakeWorker worker : world.workers()) {
-      for (String node : world.all()) {
+    SimulatedCluster cluster = new SimulatedCluster(4);
+    List<Job> jobs = services(cluster, 5);
+    cluster.run(25);
+    String old = cluster.leader();
+    cluster.isolateNode(old, forMs);
+    for (FakeWorker worker : cluster.workers()) {
+      for (String node : cluster.nodeNames()) {
         if (!node.equals(old)) {
-          world.cut(node + ">" + worker.machine.name(), forMs);
-          world.cut(worker.machine.name() + ">" + node, forMs);
+          cluster.cutLink(node + ">" + worker.machine.name(), forMs);
+          cluster.cutLink(worker.machine.name() + ">" + node, forMs);
         }
       }
     }
-    world.run(60);
-    ExpectedOutcome.allServed(world, jobs);
+    cluster.run(60);
+    ExpectedOutcome.assertAllJobsServed(cluster, jobs);
   }
 
   /** Workers can't open connections to any controller, while direct commands still reach them. */
   @Test
   void machinesThatReachNobodyAreNotStartedOnTwice() {
-    SimulatedCluster world = new SimulatedCluster(4);
-    List<Job> jobs = services(world, 5);
-    world.run(25);
-    world.workers().forEach(worker -> world.mute(worker.machine.name(), 25_000));
-    world.at(3000, () -> world.abort(jobs.get(0).uid()));
-    world.run(60);
-    ExpectedOutcome.allServed(world, jobs);
+    SimulatedCluster cluster = new SimulatedCluster(4);
+    List<Job> jobs = services(cluster, 5);
+    cluster.run(25);
+    cluster.workers().forEach(worker -> cluster.cutLinksFrom(worker.machine.name(), 25_000));
+    cluster.schedule(3000, () -> cluster.cancel(jobs.get(0).uid()));
+    cluster.run(60);
+    ExpectedOutcome.assertAllJobsServed(cluster, jobs);
   }
 
   /** Jobs of two or three tasks end far apart across a change of leader. */
   @ParameterizedTest
   @ValueSource(ints = {0, 200, 500, 900, 1500, 2200, 3000})
   void tasksThatEndFarApart(int afterMs) {
-    SimulatedCluster world = new SimulatedCluster(6);
-    world.cloud.capacity = 1;
-    world.cloud.stock.put(new MachineKind("g4", "b", false), 0);
+    SimulatedCluster cluster = new SimulatedCluster(6);
+    cluster.cloud.defaultStock = 1;
+    cluster.cloud.stockByKind.put(new MachineKind("g4", "b", false), 0);
     List<Job> jobs = new ArrayList<>();
     for (int i = 1; i <= 4; i++) {
       jobs.add(TestFixtures.job(i, JobKind.ARRAY, 3, 2));
     }
-    jobs.forEach(world::submit);
-    world.run(16);
-    world.at(afterMs, () -> crashLeader(world, 2000));
-    world.at(9000 + afterMs, () -> crashLeader(world, 2000));
-    world.run(40);
-    ExpectedOutcome.allServed(world, jobs);
+    jobs.forEach(cluster::submit);
+    cluster.run(16);
+    cluster.schedule(afterMs, () -> crashLeader(cluster, 2000));
+    cluster.schedule(9000 + afterMs, () -> crashLeader(cluster, 2000));
+    cluster.run(40);
+    ExpectedOutcome.assertAllJobsServed(cluster, jobs);
   }
 
   /** A zone with workers and a controller is cut off for longer than a lease. */
@@ -197,16 +197,16 @@
   @ValueSource(ints = {5000, 12_000, 25_000, 40_000})
   void aZoneIsCutOff(int forMs) {
     for (String inside : List.of("roost-0", "roost-1", "roost-2")) {
-      SimulatedCluster world = new SimulatedCluster(5);
-      List<Job> jobs = services(world, 6);
+      SimulatedCluster cluster = new SimulatedCluster(5);
+      List<Job> jobs = services(cluster, 6);
       Job spread = TestFixtures.job(20, JobKind.SERVICE, 4, 1, "blue", Priority.HIGH, true, false);
       jobs.add(spread);
-      world.submit(spread);
-      world.run(25);
-      world.cutZone("b", inside, forMs);
-      world.at(1000, () -> world.abort(jobs.get(0).uid()));
-      world.run(60);
-      ExpectedOutcome.allServed(world, jobs);
+      cluster.submit(spread);
+      cluster.run(25);
+      cluster.isolateZone("b", inside, forMs);
+      cluster.schedule(1000, () -> cluster.cancel(jobs.get(0).uid()));
+      cluster.run(60);
+      ExpectedOutcome.assertAllJobsServed(cluster, jobs);
     }
   }
 
@@ -214,26 +214,27 @@
   @ParameterizedTest
   @MethodSource("seeds")
   void jobsBoundToOneZoneLoseMachines(long seed) {
-    SimulatedCluster world = new SimulatedCluster(seed);
+    SimulatedCluster cluster = new SimulatedCluster(seed);
     List<Job> jobs = new ArrayList<>();
     for (int i = 1; i <= 6; i++) {
       jobs.add(inOneZone(i, i % 2 == 0 ? JobKind.ARRAY : JobKind.SERVICE, 4, i > 4 ? "b" : null));
     }
-    jobs.forEach(world::submit);
-    world.run(14);
+    jobs.forEach(cluster::submit);
+    cluster.run(14);
     for (int i = 0; i < 4; i++) {
-      world.at(
+      cluster.schedule(
           i * 3000L,
           () -> {
-            List<FakeWorker> workers = world.workers();
+            List<FakeWorker> workers = cluster.workers();
             if (workers.size() > 1) {
-              world.die(workers.get(world.random.nextInt(workers.size())).machine.name());
+              cluster.failMachine(
+                  workers.get(cluster.random.nextInt(workers.size())).machine.name());
             }
           });
     }
-    world.at(5000, () -> crashLeader(world, 2000));
-    world.run(60);
-    ExpectedOutcome.allServed(world, jobs);
+    cluster.schedule(5000, () -> crashLeader(cluster, 2000));
+    cluster.run(60);
+    ExpectedOutcome.assertAllJobsServed(cluster, jobs);
   }
 
   private static Job inOneZone(int number, JobKind kind, int tasks, String zone) {
@@ -262,20 +263,20 @@
   @ParameterizedTest
   @MethodSource("seeds")
   void aSlowStateServiceAndThenARefusal(long seed) {
-    SimulatedCluster world = new SimulatedCluster(seed);
-    List<Job> jobs = services(world, 6);
-    world.run(25);
-    world.stateDelayMs = 400;
-    world.lookCloselyAtNews(true);
-    world.at(3000, () -> world.abort(jobs.get(0).uid()));
-    world.at(6000, () -> world.refuse(world.leader(), 9000));
-    world.at(6000 + 300 * seed, () -> world.abort(jobs.get(1).uid()));
-    world.at(8000, () -> world.state.outage(world.nowMs));
-    world.at(43_000, () -> world.state.recover(world.nowMs));
-    world.run(60);
-    world.stateDelayMs = 0;
-    ExpectedOutcome.allServed(world, jobs);
-    assertTrue(world.checker.starts >= 12);
-    assertEquals(0, world.checker.running(jobs.get(1).uid()));
+    SimulatedCluster cluster = new SimulatedCluster(seed);
+    List<Job> jobs = services(cluster, 6);
+    cluster.run(25);
+    cluster.storeDelayMs = 400;
+    cluster.setProbesAfterNews(true);
+    cluster.schedule(3000, () -> cluster.cancel(jobs.get(0).uid()));
+    cluster.schedule(6000, () -> cluster.refuseStoreRequests(cluster.leader(), 9000));
+    cluster.schedule(6000 + 300 * seed, () -> cluster.cancel(jobs.get(1).uid()));
+    cluster.schedule(8000, () -> cluster.store.startOutage(cluster.nowMs));
+    cluster.schedule(43_000, () -> cluster.store.endOutage(cluster.nowMs));
+    cluster.run(60);
+    cluster.storeDelayMs = 0;
+    ExpectedOutcome.assertAllJobsServed(cluster, jobs);
+    assertTrue(cluster.checker.startCount >= 12);
+    assertEquals(0, cluster.checker.runningTasks(jobs.get(1).uid()));
   }
 }
--- a/src/test/java/eiderfork/controller/FakeCloud.java
+++ b/src/test/java/eiderfork/controller/FakeCloud.java
@@ -22,14 +22,14 @@
   static final class Host {
     final Machine machine;
     final long rentedMs;
-    final long upMs;
-    long goneMs = Long.MAX_VALUE;
+    final long bootedMs;
+    long endedMs = Long.MAX_VALUE;
     FakeWorker worker;
 
     Host(Machine machine, long rentedMs, long upMs) {
       this.machine = machine;
       this.rentedMs = rentedMs;
-      this.upMs = upMs;
+      this.bootedMs = upMs;
     }
   }
 
@@ -42,13 +42,13 @@
   /** The cloud refuses every request. */
   boolean isDown;
 
-  /** How much it has of each kind that {@link #stock} does not name. */
-  int capacity = 10;
+  /** How much it has of each kind that {@link #stockByKind} does not name. */
+  int defaultStock = 10;
 
-  /** What the cloud has, and how much of each kind where that is not {@link #capacity}. */
+  /** What the cloud has, and how much of each kind where that is not {@link #defaultStock}. */
   ImmutableList<MachineType> types = SMALL_TYPES;
 
-  final Map<MachineKind, Integer> stock = new HashMap<>();
+  final Map<MachineKind, Integer> stockByKind = new HashMap<>();
 
   private static final ImmutableList<MachineType> SMALL_TYPES =
       ImmutableList.of(
@@ -91,13 +91,13 @@
         hosts.values().stream()
             .filter(
                 h ->
-                    h.goneMs == Long.MAX_VALUE
+                    h.endedMs == Long.MAX_VALUE
                         && h.machine.type().equals(rent.type())
                         && h.machine.zone().equals(rent.zone())
                         && h.machine.spot() == rent.spot())
             .count();
     MachineKind kind = new MachineKind(rent.type(), rent.zone(), rent.spot());
-    int count = (int) Math.min(rent.count(), stock.getOrDefault(kind, capacity) - same);
+    int count = (int) Math.min(rent.count(), stockByKind.getOrDefault(kind, defaultStock) - same);
     for (int i = 0; i < count; i++) {
       long slowMs = 2000 + random.nextLong(6000);
       long usualMs = bootMs > 0 ? bootMs : slowMs;
@@ -121,8 +121,8 @@
 
   void returnHost(String name, long nowMs) {
     Host host = hosts.get(name);
-    if (host != null && host.goneMs == Long.MAX_VALUE) {
-      host.goneMs = nowMs;
+    if (host != null && host.endedMs == Long.MAX_VALUE) {
+      host.endedMs = nowMs;
       returnedHostCount++;
       kill(host);
     }
@@ -131,14 +131,14 @@
   private void kill(Host host) {
     if (host.worker != null) {
       host.worker.loseAllTasks();
-      host.worker.dead = true;
+      host.worker.isDead = true;
     }
   }
 
   /** A machine stops with all that is on it. */
   void fail(String name, long nowMs) {
     Host host = hosts.get(name);
-    host.goneMs = nowMs;
+    host.endedMs = nowMs;
     kill(host);
   }
 
@@ -147,9 +147,9 @@
     long asOfMs = nowMs - lagMs / 2 - random.nextLong(lagMs * 3 / 2);
     ImmutableList.Builder<ListedMachine> entries = ImmutableList.builder();
     for (Host host : hosts.tailMap(after, false).values()) {
-      if (host.rentedMs <= asOfMs && host.goneMs > asOfMs) {
+      if (host.rentedMs <= asOfMs && host.endedMs > asOfMs) {
         ListedMachine.State s =
-            host.upMs <= asOfMs ? ListedMachine.State.RUNNING : ListedMachine.State.BOOTING;
+            host.bootedMs <= asOfMs ? ListedMachine.State.RUNNING : ListedMachine.State.BOOTING;
         entries.add(new ListedMachine(host.machine, s, (asOfMs - host.rentedMs) / 1000.0));
       }
     }
@@ -162,7 +162,7 @@
         .values()
         .forEach(
             h -> {
-              if (h.worker != null && !h.worker.dead) {
+              if (h.worker != null && !h.worker.isDead) {
                 live.add(h.worker);
               }
             });
@@ -170,6 +170,6 @@
   }
 
   long liveHostCount() {
-    return hosts.values().stream().filter(h -> h.goneMs == Long.MAX_VALUE).count();
+    return hosts.values().stream().filter(h -> h.endedMs == Long.MAX_VALUE).count();
   }
 }
--- a/src/test/java/eiderfork/controller/FakeGangs.java
+++ b/src/test/java/eiderfork/controller/FakeGangs.java
@@ -41,20 +41,20 @@
     final Map<Integer, Long> savingSinceMs = new HashMap<>();
   }
 
-  private final SimulatedCluster world;
+  private final SimulatedCluster cluster;
   private final Map<Key, Attempt> attempts = new HashMap<>();
 
   /** How much of each gang's work is safe in a checkpoint. */
-  final Map<String, Long> safeMs = new HashMap<>();
+  final Map<String, Long> savedProgressMs = new HashMap<>();
 
   /** How often gangs started, whole. */
-  int starts;
+  int startCount;
 
   /** How often a gang was seen to save its progress when it was stopped. */
-  int saves;
+  int savedGangs;
 
-  FakeGangs(SimulatedCluster world) {
-    this.world = world;
+  FakeGangs(SimulatedCluster cluster) {
+    this.cluster = cluster;
   }
 
   private static Key key(FakeWorker.Task task) {
@@ -62,8 +62,8 @@
   }
 
   /** A task is told to stop; whether it saves first. */
-  boolean saves(FakeWorker worker, FakeWorker.Task task, double graceS) {
-    Job job = world.job(task.attempt.task().jobUid());
+  boolean startSaving(FakeWorker worker, FakeWorker.Task task, double graceS) {
+    Job job = cluster.job(task.attempt.task().jobUid());
     Attempt attempt = attempts.get(key(task));
     boolean able =
         job.kind() == JobKind.GANG
@@ -78,21 +78,21 @@
     }
     if (task.state == State.RUNNING) {
       task.state = State.CHECKPOINTING;
-      worker.changed = true;
-      attempt.savingMs = attempt.savingMs == 0 ? world.nowMs : attempt.savingMs;
-      attempt.savingSinceMs.put(task.attempt.task().index(), world.nowMs);
+      worker.hasUnsentChanges = true;
+      attempt.savingMs = attempt.savingMs == 0 ? cluster.nowMs : attempt.savingMs;
+      attempt.savingSinceMs.put(task.attempt.task().index(), cluster.nowMs);
     }
     return true;
   }
 
   void tick() {
     Map<Key, Attempt> present = new HashMap<>();
-    for (FakeWorker worker : world.workers()) {
-      if (worker.dead) {
+    for (FakeWorker worker : cluster.workers()) {
+      if (worker.isDead) {
         continue;
       }
       for (FakeWorker.Task task : worker.tasks()) {
-        Job job = world.job(task.attempt.task().jobUid());
+        Job job = cluster.job(task.attempt.task().jobUid());
         if (job.kind() == JobKind.GANG
             && task.state != State.ENDED
             && task.state != State.FETCHING) {
@@ -100,7 +100,7 @@
           present.computeIfAbsent(key(task), k -> attempt);
           Member member = new Member(worker, task);
           attempt.members.put(member.index(), member);
-          attempt.gatheredMs.putIfAbsent(member.index(), world.nowMs);
+          attempt.gatheredMs.putIfAbsent(member.index(), cluster.nowMs);
         }
       }
     }
@@ -108,14 +108,14 @@
   }
 
   private boolean isThere(Member member) {
-    return !member.worker.dead
+    return !member.worker.isDead
         && member.task.state != State.ENDED
         && member.worker.tasks().contains(member.task);
   }
 
   private void advance(Key key) {
     Attempt attempt = attempts.get(key);
-    Job job = world.job(key.uid);
+    Job job = cluster.job(key.uid);
     attempt.members.values().removeIf(member -> !attempt.running && !isThere(member));
     attempt.gatheredMs.keySet().retainAll(attempt.members.keySet());
     List<Member> there = attempt.members.values().stream().filter(this::isThere).toList();
@@ -131,35 +131,36 @@
   }
 
   private void gather(Attempt attempt, Job job) {
-    boolean hangs = attempt.members.values().stream().anyMatch(m -> m.worker.hanging);
+    boolean hangs = attempt.members.values().stream().anyMatch(m -> m.worker.isHanging);
     if (attempt.members.size() == job.tasks() && !hangs) {
       attempt.running = true;
-      attempt.startedMs = world.nowMs;
-      starts++;
+      attempt.startedMs = cluster.nowMs;
+      startCount++;
       for (Member member : attempt.members.values()) {
         member.task.state = State.RUNNING;
-        member.worker.changed = true;
+        member.worker.hasUnsentChanges = true;
       }
       return;
     }
     for (Member member : List.copyOf(attempt.members.values())) {
-      long waitedMs = world.nowMs - attempt.gatheredMs.get(member.index());
-      if (waitedMs > WAIT_MS && !member.worker.hanging) {
+      long waitedMs = cluster.nowMs - attempt.gatheredMs.get(member.index());
+      if (waitedMs > WAIT_MS && !member.worker.isHanging) {
         member.worker.end(member.task, Cause.GANG_INCOMPLETE);
       }
     }
   }
 
   private void run(Attempt attempt, Job job, List<Member> there) {
-    boolean whole = there.size() == job.tasks() && there.stream().noneMatch(m -> m.worker.hanging);
-    long beganMs = safeMs.getOrDefault(job.uid(), 0L);
-    long progressMs = beganMs + world.nowMs - attempt.startedMs;
+    boolean whole =
+        there.size() == job.tasks() && there.stream().noneMatch(m -> m.worker.isHanging);
+    long beganMs = savedProgressMs.getOrDefault(job.uid(), 0L);
+    long progressMs = beganMs + cluster.nowMs - attempt.startedMs;
     if (!whole) {
       fail(attempt, job, there, progressMs);
     } else if (progressMs >= job.estimatedRunS() * 1000) {
       for (Member member : there) {
         TaskId id = member.task.attempt.task();
-        world.completed(id);
+        cluster.recordCompletion(id);
         member.worker.end(member.task, Cause.DONE);
       }
     }
@@ -168,15 +169,15 @@
   /** The others notice within a while; what was done since the last checkpoint is lost. */
   private void fail(Attempt attempt, Job job, List<Member> there, long progressMs) {
     if (attempt.brokenMs == 0) {
-      attempt.brokenMs = world.nowMs;
+      attempt.brokenMs = cluster.nowMs;
       long stepMs = (long) (job.checkpointIntervalS() * 1000);
       if (stepMs > 0) {
-        safeMs.merge(job.uid(), progressMs / stepMs * stepMs, Math::max);
+        savedProgressMs.merge(job.uid(), progressMs / stepMs * stepMs, Math::max);
       }
     }
-    if (world.nowMs - attempt.brokenMs > PEER_MS / 2) {
+    if (cluster.nowMs - attempt.brokenMs > PEER_MS / 2) {
       for (Member member : there) {
-        if (!member.worker.hanging) {
+        if (!member.worker.isHanging) {
           member.worker.end(member.task, Cause.PEER_LOST);
         }
       }
@@ -188,18 +189,19 @@
     boolean allSaved =
         allTold
             && attempt.savingSinceMs.values().stream()
-                .allMatch(since -> world.nowMs - since >= job.saveDurationS() * 1000);
+                .allMatch(since -> cluster.nowMs - since >= job.saveDurationS() * 1000);
     if (allSaved) {
-      saves++;
-      long savedMs = safeMs.getOrDefault(job.uid(), 0L) + attempt.savingMs - attempt.startedMs;
-      safeMs.put(job.uid(), savedMs);
+      savedGangs++;
+      long savedMs =
+          savedProgressMs.getOrDefault(job.uid(), 0L) + attempt.savingMs - attempt.startedMs;
+      savedProgressMs.put(job.uid(), savedMs);
       for (Member member : there) {
-        member.task.saved = true;
+        member.task.isProgressSaved = true;
         member.worker.end(member.task, Cause.STOPPED);
       }
-    } else if (there.size() < job.tasks() || world.nowMs - attempt.savingMs > PEER_MS) {
+    } else if (there.size() < job.tasks() || cluster.nowMs - attempt.savingMs > PEER_MS) {
       for (Member member : there) {
-        if (!member.worker.hanging) {
+        if (!member.worker.isHanging) {
           member.worker.end(member.task, Cause.PEER_LOST);
         }
       }
--- a/src/test/java/eiderfork/controller/FakeHeartbeats.java
+++ b/src/test/java/eiderfork/controller/FakeHeartbeats.java
@@ -12,95 +12,100 @@
  * for later.
  */
 final class FakeHeartbeats {
-  private final SimulatedCluster world;
+  private final SimulatedCluster cluster;
   private final List<eiderfork.model.Heartbeat> keptForNextLeader = new ArrayList<>();
   private StoredRecord leadership;
   private long holdHeartbeatsUntilMs;
   private long heldForMs;
 
-  FakeHeartbeats(SimulatedCluster world) {
-    this.world = world;
+  FakeHeartbeats(SimulatedCluster cluster) {
+    this.cluster = cluster;
   }
 
   /** Reports of the next second are held up for this long. */
-  void holdNext(long forMs) {
-    holdHeartbeatsUntilMs = world.nowMs + 1000;
+  void delayNext(long forMs) {
+    holdHeartbeatsUntilMs = cluster.nowMs + 1000;
     heldForMs = forMs;
   }
 
   /** Brings what was kept for the next leader once there is one. */
   void tick() {
-    if (!keptForNextLeader.isEmpty() && world.state.get(StoreKeys.LEADER) != null) {
-      if (leadership != null && !leadership.equals(world.state.get(StoreKeys.LEADER))) {
+    if (!keptForNextLeader.isEmpty() && cluster.store.get(StoreKeys.LEADER) != null) {
+      if (leadership != null && !leadership.equals(cluster.store.get(StoreKeys.LEADER))) {
         for (eiderfork.model.Heartbeat heartbeat : keptForNextLeader) {
-          world.nodes.keySet().forEach(node -> deliverAgain(node, heartbeat));
+          cluster.controllers.keySet().forEach(node -> deliverAgain(node, heartbeat));
         }
         keptForNextLeader.clear();
       }
-      leadership = world.state.get(StoreKeys.LEADER);
+      leadership = cluster.store.get(StoreKeys.LEADER);
     }
   }
 
   void sendIfDue(FakeWorker worker) {
-    if (worker.dead || worker.hanging || worker.awaitingResponse) {
+    if (worker.isDead || worker.isHanging || worker.awaitingResponse) {
       return;
     }
     boolean early =
-        worker.changed
-            && world.nowMs >= Math.min(worker.nextHeartbeatMs - 500, worker.lastHeartbeatMs + 1000);
-    if (world.nowMs < worker.nextHeartbeatMs && !early) {
+        worker.hasUnsentChanges
+            && cluster.nowMs
+                >= Math.min(worker.nextHeartbeatMs - 500, worker.lastHeartbeatMs + 1000);
+    if (cluster.nowMs < worker.nextHeartbeatMs && !early) {
       return;
     }
-    worker.changed = false;
+    worker.hasUnsentChanges = false;
     worker.awaitingResponse = true;
-    worker.lastHeartbeatMs = world.nowMs;
-    long intervalMs = (long) (world.settings.workerTimings().heartbeatS() * 1000);
+    worker.lastHeartbeatMs = cluster.nowMs;
+    long intervalMs = (long) (cluster.settings.workerTimings().heartbeatS() * 1000);
     worker.nextHeartbeatMs =
-        world.nowMs + intervalMs * 3 / 4 + world.random.nextLong(intervalMs / 2);
-    long sentMs = world.nowMs;
+        cluster.nowMs + intervalMs * 3 / 4 + cluster.random.nextLong(intervalMs / 2);
+    long sentMs = cluster.nowMs;
     long incarnation = worker.incarnation();
     var heartbeat = worker.nextHeartbeat();
     String node = "roost-" + worker.nodeIndex;
     boolean[] over = {false};
-    world.at(
+    cluster.schedule(
         4000,
         () -> {
           if (!over[0]) {
             over[0] = true;
             worker.awaitingResponse = false;
-            worker.nodeIndex = (worker.nodeIndex + 1) % world.count;
-            worker.nextHeartbeatMs = world.nowMs + 1000;
+            worker.nodeIndex = (worker.nodeIndex + 1) % cluster.nodeCount;
+            worker.nextHeartbeatMs = cluster.nowMs + 1000;
           }
         });
     String name = worker.machine.name();
     String link = name + ">" + node;
     boolean cutOff =
-        world.isCut("*", node) || world.isCut(name, node) || world.openCuts.contains(link);
-    if (world.random.nextDouble() < world.lateReports) {
-      long leaseMs = (long) (world.settings.workerTimings().leaseS() * 1000);
-      world.at(2000 + world.random.nextLong(leaseMs * 3 / 2), () -> deliverAgain(node, heartbeat));
+        cluster.isCut("*", node)
+            || cluster.isCut(name, node)
+            || cluster.blockedConnections.contains(link);
+    if (cluster.random.nextDouble() < cluster.repeatedHeartbeatProbability) {
+      long leaseMs = (long) (cluster.settings.workerTimings().leaseS() * 1000);
+      cluster.schedule(
+          2000 + cluster.random.nextLong(leaseMs * 3 / 2), () -> deliverAgain(node, heartbeat));
     }
-    if (world.random.nextDouble() < world.heartbeatsForNextLeader) {
+    if (cluster.random.nextDouble() < cluster.nextLeaderHeartbeatProbability) {
       keptForNextLeader.add(heartbeat);
     }
-    int copies = world.random.nextDouble() < world.doubled ? 2 : 1;
+    int copies = cluster.random.nextDouble() < cluster.duplicateProbability ? 2 : 1;
     for (int i = 0; i < copies; i++) {
-      long heldMs = world.nowMs < holdHeartbeatsUntilMs ? heldForMs : 0;
-      heldMs = Math.max(heldMs, world.heldUntilMs.getOrDefault(link, 0L) - world.nowMs);
-      long delay = cutOff ? -1 : world.delay(name, node);
+      long heldMs = cluster.nowMs < holdHeartbeatsUntilMs ? heldForMs : 0;
+      heldMs =
+          Math.max(heldMs, cluster.heartbeatsHeldUntilMs.getOrDefault(link, 0L) - cluster.nowMs);
+      long delay = cutOff ? -1 : cluster.messageDelayMs(name, node);
       if (delay < 0) {
         continue;
       }
-      world.at(
+      cluster.schedule(
           heldMs + delay,
           () ->
-              world.ask(
+              cluster.sendRequest(
                   node,
                   ticket -> new Input.WorkerReport(ticket, heartbeat),
                   effect -> {
-                    long back = world.isCut(node, "*") ? -1 : world.delay(node, name);
+                    long back = cluster.isCut(node, "*") ? -1 : cluster.messageDelayMs(node, name);
                     if (back >= 0) {
-                      world.at(
+                      cluster.schedule(
                           back, () -> deliverResponse(worker, over, sentMs, incarnation, effect));
                     }
                   }));
@@ -109,12 +114,12 @@
 
   /** An old copy; whatever it is answered reaches nobody. */
   private void deliverAgain(String node, eiderfork.model.Heartbeat heartbeat) {
-    world.ask(node, ticket -> new Input.WorkerReport(ticket, heartbeat), effect -> {});
+    cluster.sendRequest(node, ticket -> new Input.WorkerReport(ticket, heartbeat), effect -> {});
   }
 
   private void deliverResponse(
       FakeWorker worker, boolean[] over, long sentMs, long incarnation, Effect effect) {
-    if (over[0] || worker.dead || worker.hanging) {
+    if (over[0] || worker.isDead || worker.isHanging) {
       return;
     }
     over[0] = true;
@@ -124,10 +129,10 @@
     } else if (effect instanceof Effect.RedirectWorker it) {
       if (it.leader() != null && !it.leader().equals("roost-" + worker.nodeIndex)) {
         worker.nodeIndex = it.leader().charAt(it.leader().length() - 1) - '0';
-        worker.nextHeartbeatMs = world.nowMs + world.random.nextLong(500);
+        worker.nextHeartbeatMs = cluster.nowMs + cluster.random.nextLong(500);
       } else {
-        worker.nodeIndex = (worker.nodeIndex + 1) % world.count;
-        worker.nextHeartbeatMs = world.nowMs + 1000;
+        worker.nodeIndex = (worker.nodeIndex + 1) % cluster.nodeCount;
+        worker.nextHeartbeatMs = cluster.nowMs + 1000;
       }
     }
   }
--- a/src/test/java/eiderfork/controller/FakeNetwork.java
+++ b/src/test/java/eiderfork/controller/FakeNetwork.java
@@ -14,20 +14,20 @@
  * back.
  */
 final class FakeNetwork {
-  private final SimulatedCluster world;
+  private final SimulatedCluster cluster;
 
-  FakeNetwork(SimulatedCluster world) {
-    this.world = world;
+  FakeNetwork(SimulatedCluster cluster) {
+    this.cluster = cluster;
   }
 
   /** How long a message takes; -1 where it is lost. */
-  long delay(String from, String to) {
-    if (world.isCut(from, to) || world.random.nextDouble() < world.loss) {
+  long messageDelayMs(String from, String to) {
+    if (cluster.isCut(from, to) || cluster.random.nextDouble() < cluster.lossProbability) {
       return -1;
     }
-    return world.random.nextDouble() < world.late
-        ? 1 + world.random.nextLong(world.lateMs)
-        : 1 + world.random.nextLong(10);
+    return cluster.random.nextDouble() < cluster.delayProbability
+        ? 1 + cluster.random.nextLong(cluster.maxDelayMs)
+        : 1 + cluster.random.nextLong(10);
   }
 
   private interface Service {
@@ -39,28 +39,28 @@
    * world.doubled.
    */
   private void call(String node, Effect.Call call, String to, Service service) {
-    int life = world.lives.get(node);
+    int life = cluster.processEpochs.get(node);
     boolean[] over = {false};
     Consumer<Reply> back =
         reply -> {
-          if (!over[0] && world.lives.get(node) == life) {
+          if (!over[0] && cluster.processEpochs.get(node) == life) {
             over[0] = true;
-            world.input(node, new Input.Answered(call.callId(), reply));
+            cluster.deliver(node, new Input.Answered(call.callId(), reply));
           }
         };
-    world.at(call.timeoutMs(), () -> back.accept(new Reply.Unanswered()));
-    int copies = world.random.nextDouble() < world.doubled ? 2 : 1;
+    cluster.schedule(call.timeoutMs(), () -> back.accept(new Reply.Unanswered()));
+    int copies = cluster.random.nextDouble() < cluster.duplicateProbability ? 2 : 1;
     for (int i = 0; i < copies; i++) {
-      long delay = delay(node, to);
+      long delay = messageDelayMs(node, to);
       if (delay >= 0) {
-        world.at(
+        cluster.schedule(
             delay,
             () ->
                 service.serve(
                     reply -> {
-                      long backDelay = delay(to, node);
+                      long backDelay = messageDelayMs(to, node);
                       if (backDelay >= 0) {
-                        world.at(backDelay, () -> back.accept(reply));
+                        cluster.schedule(backDelay, () -> back.accept(reply));
                       }
                     }));
       }
@@ -70,45 +70,45 @@
   void carryOut(String node, Effect effect) {
     if (effect instanceof Effect.CallStore it) {
       if (it.request() instanceof StoreRequest.Transaction
-          && world.random.nextDouble() < world.lateWrites) {
-        world.at(
-            2000 + world.random.nextLong(10_000),
-            () -> world.state.execute(it.request(), world.nowMs, reply -> {}));
+          && cluster.random.nextDouble() < cluster.lateTransactionProbability) {
+        cluster.schedule(
+            2000 + cluster.random.nextLong(10_000),
+            () -> cluster.store.execute(it.request(), cluster.nowMs, reply -> {}));
         call(node, it, "nowhere", onComplete -> {});
       } else if (it.request() instanceof StoreRequest.Transaction
-          && world.random.nextDouble() < world.lostAnswers) {
+          && cluster.random.nextDouble() < cluster.lostStoreReplyProbability) {
         call(
             node,
             it,
             "state",
-            onComplete -> world.stateAccess.serve(node, it.request(), reply -> {}));
+            onComplete -> cluster.storeAccess.serve(node, it.request(), reply -> {}));
       } else {
         call(
             node,
             it,
             "state",
-            onComplete -> world.stateAccess.serve(node, it.request(), onComplete));
+            onComplete -> cluster.storeAccess.serve(node, it.request(), onComplete));
       }
     } else if (effect instanceof Effect.ListMachineTypes it) {
-      askCloud(node, it, () -> new Reply.Types(world.cloud.types));
+      askCloud(node, it, () -> new Reply.Types(cluster.cloud.types));
     } else if (effect instanceof Effect.RentMachines it) {
-      askCloud(node, it, () -> world.cloud.rent(it.rent(), world.nowMs));
+      askCloud(node, it, () -> cluster.cloud.rent(it.rent(), cluster.nowMs));
     } else if (effect instanceof Effect.ReturnMachines it) {
       askCloud(
           node,
           it,
           () -> {
-            it.machines().forEach(name -> world.cloud.returnHost(name, world.nowMs));
+            it.machines().forEach(name -> cluster.cloud.returnHost(name, cluster.nowMs));
             return new Reply.Returned();
           });
     } else if (effect instanceof Effect.ListHosts it) {
-      askCloud(node, it, () -> world.cloud.list(it.after(), world.nowMs));
+      askCloud(node, it, () -> cluster.cloud.list(it.after(), cluster.nowMs));
     } else if (effect instanceof Effect.SendCommands it) {
       worker(
           node,
           it,
           it.address(),
-          world.commandsLateMs,
+          cluster.commandDelayMs,
           w -> {
             boolean executed =
                 w.handleDirectCommands(it.fencingToken(), it.incarnation(), it.commands());
@@ -117,7 +117,7 @@
     } else if (effect instanceof Effect.InspectWorker it) {
       worker(node, it, it.address(), 0, w -> new Reply.WorkerReply(true, w.nextHeartbeat()));
     } else if (effect instanceof Effect.Response it) {
-      Consumer<Effect> onComplete = world.answers.remove(it.ticket());
+      Consumer<Effect> onComplete = cluster.responseHandlers.remove(it.ticket());
       if (onComplete != null) {
         onComplete.accept(effect);
       }
@@ -154,7 +154,8 @@
               said -> new Reply.HintsAcknowledged());
       Service either =
           onComplete ->
-              (world.older.contains(it.node()) ? refusing : acknowledging).serve(onComplete);
+              (cluster.olderVersionNodes.contains(it.node()) ? refusing : acknowledging)
+                  .serve(onComplete);
       call(node, it, it.node(), either);
     } else if (effect instanceof Effect.ForwardQueries it) {
       call(
@@ -170,7 +171,8 @@
 
   /** What a peer says to an input, as the reply to a call. */
   private Service askPeer(String peer, LongFunction<Input> input, Function<Effect, Reply> reply) {
-    return onComplete -> world.ask(peer, input, said -> onComplete.accept(reply.apply(said)));
+    return onComplete ->
+        cluster.sendRequest(peer, input, said -> onComplete.accept(reply.apply(said)));
   }
 
   private void askCloud(String node, Effect.Call call, Supplier<Reply> answer) {
@@ -179,62 +181,67 @@
         call,
         "cloud",
         onComplete ->
-            onComplete.accept(world.cloud.isDown ? new Reply.Refused(503) : answer.get()));
+            onComplete.accept(cluster.cloud.isDown ? new Reply.Refused(503) : answer.get()));
   }
 
   private void worker(
       String node, Effect.Call call, String addr, long lateMs, Function<FakeWorker, Reply> answer) {
     String name = addr.substring(0, addr.indexOf(':'));
-    String to = world.isCut(node, "*") ? "*" : name;
-    call(node, call, to, onComplete -> world.at(lateMs, () -> deliver(name, answer, onComplete)));
+    String to = cluster.isCut(node, "*") ? "*" : name;
+    call(
+        node,
+        call,
+        to,
+        onComplete -> cluster.schedule(lateMs, () -> deliver(name, answer, onComplete)));
   }
 
   private void deliver(
       String name, Function<FakeWorker, Reply> answer, Consumer<Reply> onComplete) {
-    FakeCloud.Host host = world.cloud.host(name);
-    if (host == null || host.worker == null || host.worker.dead) {
+    FakeCloud.Host host = cluster.cloud.host(name);
+    if (host == null || host.worker == null || host.worker.isDead) {
       return;
     }
-    if (host.worker.hanging) {
+    if (host.worker.isHanging) {
       // Held until the machine goes on.
-      world.at(SimulatedCluster.TICK_MS, () -> deliver(name, answer, onComplete));
+      cluster.schedule(SimulatedCluster.TICK_MS, () -> deliver(name, answer, onComplete));
     } else {
       onComplete.accept(answer.apply(host.worker));
     }
   }
 
   /** A zone's machines and one controller are cut off from the other controllers and the cloud. */
-  void cutZone(String zone, String inside, long forMs) {
-    for (int i = 0; i < world.count; i++) {
+  void isolateZone(String zone, String inside, long forMs) {
+    for (int i = 0; i < cluster.nodeCount; i++) {
       String node = "roost-" + i;
       if (node.equals(inside)) {
         continue;
       }
-      world.cut(node + ">" + inside, forMs);
-      world.cut(inside + ">" + node, forMs);
-      for (FakeWorker worker : world.workers()) {
+      cluster.cutLink(node + ">" + inside, forMs);
+      cluster.cutLink(inside + ">" + node, forMs);
+      for (FakeWorker worker : cluster.workers()) {
         if (worker.machine.zone().equals(zone)) {
-          world.cut(node + ">" + worker.machine.name(), forMs);
-          world.cut(worker.machine.name() + ">" + node, forMs);
+          cluster.cutLink(node + ">" + worker.machine.name(), forMs);
+          cluster.cutLink(worker.machine.name() + ">" + node, forMs);
         }
       }
     }
-    world.cut(inside + ">state", forMs);
-    world.cut("state>" + inside, forMs);
+    cluster.cutLink(inside + ">state", forMs);
+    cluster.cutLink("state>" + inside, forMs);
   }
 
   /** Two zones can't reach each other; both reach the store, the cloud and the users. */
   void splitZones(long forMs) {
-    for (int i = 0; i < world.count; i++) {
-      for (int j = 0; j < world.count; j++) {
-        if (!TestFixtures.zone(i, world.count).equals(TestFixtures.zone(j, world.count))) {
-          world.cut("roost-" + i + ">roost-" + j, forMs);
+    for (int i = 0; i < cluster.nodeCount; i++) {
+      for (int j = 0; j < cluster.nodeCount; j++) {
+        if (!TestFixtures.zone(i, cluster.nodeCount)
+            .equals(TestFixtures.zone(j, cluster.nodeCount))) {
+          cluster.cutLink("roost-" + i + ">roost-" + j, forMs);
         }
       }
-      for (FakeWorker worker : world.workers()) {
-        if (!worker.machine.zone().equals(TestFixtures.zone(i, world.count))) {
-          world.cut("roost-" + i + ">" + worker.machine.name(), forMs);
-          world.cut(worker.machine.name() + ">roost-" + i, forMs);
+      for (FakeWorker worker : cluster.workers()) {
+        if (!worker.machine.zone().equals(TestFixtures.zone(i, cluster.nodeCount))) {
+          cluster.cutLink("roost-" + i + ">" + worker.machine.name(), forMs);
+          cluster.cutLink(worker.machine.name() + ">roost-" + i, forMs);
         }
       }
     }
--- a/src/test/java/eiderfork/controller/FakeStore.java
+++ b/src/test/java/eiderfork/controller/FakeStore.java
@@ -19,19 +19,19 @@
   TokenBucket requestLimit;
 
   /** How many requests were refused for that limit. */
-  int overLimit;
+  int requestLimitRefusals;
 
   /** The largest value that the service takes, as its text in JSON. */
-  int mostValueBytes = Integer.MAX_VALUE;
+  int maxValueBytes = Integer.MAX_VALUE;
 
   /** The service's limit on changes, with bursts of a second's worth; null for none. */
   TokenBucket changeLimit;
 
   /** Transactions that were refused since a value was too large. */
-  int tooLarge;
+  int oversizedValueRefusals;
 
   /** Transactions that were refused for the limit on changes. */
-  int overChangeLimit;
+  int changeLimitRefusals;
 
   private record Entry(StoredRecord record, long version, long lease) {}
 
@@ -46,23 +46,23 @@
   private long outageSinceMs = -1;
 
   /** Transactions that changed something; a test may look at what was written. */
-  int writes;
+  int committedTransactions;
 
-  void outage(long nowMs) {
+  void startOutage(long nowMs) {
     outageSinceMs = nowMs;
   }
 
-  void recover(long nowMs) {
+  void endOutage(long nowMs) {
     outageSinceMs = -1;
     leases.values().forEach(lease -> lease[1] = nowMs + lease[0]);
   }
 
-  boolean out() {
+  boolean isDown() {
     return outageSinceMs >= 0;
   }
 
   StoredRecord get(String key) {
-    StoredRecord stored = stored(key);
+    StoredRecord stored = getAsStored(key);
     if (stored instanceof StoredRecord.BitmapAllocation bitmap) {
       return bitmap.alloc();
     }
@@ -70,14 +70,14 @@
   }
 
   /** What was written, in the form that it was written in. */
-  StoredRecord stored(String key) {
+  StoredRecord getAsStored(String key) {
     Entry entry = entries.get(key);
     return entry == null ? null : entry.record;
   }
 
   /** From now on the service holds to these limits; what is stored stays readable. */
   void lowerLimits(double valueKb, double changesPerS, long nowMs) {
-    mostValueBytes = (int) (valueKb * 1024);
+    maxValueBytes = (int) (valueKb * 1024);
     changeLimit = new TokenBucket(changesPerS, changesPerS, nowMs);
   }
 
@@ -101,12 +101,12 @@
   }
 
   /** Puts a value there that no version can read. */
-  void spoil(String key) {
+  void corrupt(String key) {
     entries.put(key, new Entry(new StoredRecord.Unreadable("spoiled"), ++ledger, 0));
   }
 
   void tick(long nowMs) {
-    if (out()) {
+    if (isDown()) {
       return;
     }
     List<Watcher> over = new ArrayList<>();
@@ -164,11 +164,11 @@
 
   void execute(StoreRequest request, long nowMs, Consumer<Reply> onComplete) {
     if (requestLimit != null && !requestLimit.tryTake(1, nowMs)) {
-      overLimit++;
+      requestLimitRefusals++;
       onComplete.accept(new Reply.Refused(429));
       return;
     }
-    if (out()) {
+    if (isDown()) {
       if (request instanceof StoreRequest.Watch w) {
         watchers.add(new Watcher(w.prefix(), w.afterRevision(), nowMs + w.timeoutMs(), onComplete));
       } else {
@@ -206,11 +206,11 @@
       }
       onComplete.accept(new Reply.Leased(0));
     } else if (request instanceof StoreRequest.Transaction it) {
-      if (it.changes().stream().anyMatch(change -> valueBytes(change) > mostValueBytes)) {
-        tooLarge++;
+      if (it.changes().stream().anyMatch(change -> valueBytes(change) > maxValueBytes)) {
+        oversizedValueRefusals++;
         onComplete.accept(new Reply.Refused(400));
       } else if (changeLimit != null && !changeLimit.tryTake(it.changes().size(), nowMs)) {
-        overChangeLimit++;
+        changeLimitRefusals++;
         onComplete.accept(new Reply.Refused(429));
       } else {
         onComplete.accept(transact(it));
@@ -256,7 +256,7 @@
       }
     }
     ledger++;
-    writes++;
+    committedTransactions++;
     it.changes().forEach(change -> change(change.key(), change.record(), change.leaseId()));
     return new Reply.Committed(ledger);
   }
--- a/src/test/java/eiderfork/controller/FakeStoreAccess.java
+++ b/src/test/java/eiderfork/controller/FakeStoreAccess.java
@@ -14,29 +14,29 @@
  * How the nodes of a {@link SimulatedCluster} reach its store, and what each makes of its records.
  */
 final class FakeStoreAccess {
-  private final SimulatedCluster world;
+  private final SimulatedCluster cluster;
 
   /** Nodes that the store refuses, while it serves the others. */
-  final Set<String> refused = new HashSet<>();
+  final Set<String> refusedNodes = new HashSet<>();
 
   /** Nodes whose watches bring nothing, apart from those of the leader key. */
-  final Set<String> blind = new HashSet<>();
+  final Set<String> nodesWithSilentWatches = new HashSet<>();
 
-  FakeStoreAccess(SimulatedCluster world) {
-    this.world = world;
+  FakeStoreAccess(SimulatedCluster cluster) {
+    this.cluster = cluster;
   }
 
   /** Carries out a node's request. */
   void serve(String node, StoreRequest request, Consumer<Reply> onComplete) {
-    if (world.stateDelayMs > 0) {
-      world.at(world.stateDelayMs, () -> served(node, request, onComplete));
+    if (cluster.storeDelayMs > 0) {
+      cluster.schedule(cluster.storeDelayMs, () -> served(node, request, onComplete));
     } else {
       served(node, request, onComplete);
     }
   }
 
   private boolean isBlindTo(String node, StoreRequest request) {
-    return blind.contains(node)
+    return nodesWithSilentWatches.contains(node)
         && request instanceof StoreRequest.Watch watch
         && watch.timeoutMs() > 0
         && !watch.prefix().equals(StoreKeys.LEADER);
@@ -46,10 +46,10 @@
     if (isBlindTo(node, request)) {
       return;
     }
-    if (!refused.contains(node)) {
-      world.state.execute(
+    if (!refusedNodes.contains(node)) {
+      cluster.store.execute(
           request,
-          world.nowMs,
+          cluster.nowMs,
           reply -> whenServed(node, () -> onComplete.accept(asRead(node, reply))));
     } else if (!(request instanceof StoreRequest.Watch)) {
       onComplete.accept(new Reply.Refused(503));
@@ -75,7 +75,7 @@
   }
 
   private StoredRecord asRead(String node, StoredRecord record) {
-    int version = world.version(node);
+    int version = cluster.version(node);
     if (record instanceof StoredRecord.BitmapAllocation it) {
       return readFrom(ClusterVersion.BITMAP_ALLOCS, version, it.alloc());
     } else if (record instanceof StoredRecord.PackedAllocation it) {
@@ -90,8 +90,8 @@
   }
 
   private void whenServed(String node, Runnable action) {
-    if (refused.contains(node)) {
-      world.at(SimulatedCluster.TICK_MS, () -> whenServed(node, action));
+    if (refusedNodes.contains(node)) {
+      cluster.schedule(SimulatedCluster.TICK_MS, () -> whenServed(node, action));
     } else {
       action.run();
     }
--- a/src/test/java/eiderfork/controller/FakeUsers.java
+++ b/src/test/java/eiderfork/controller/FakeUsers.java
@@ -48,61 +48,61 @@
     }
   }
 
-  private final SimulatedCluster world;
+  private final SimulatedCluster cluster;
   private boolean probesAfterNews;
 
-  FakeUsers(SimulatedCluster world) {
-    this.world = world;
+  FakeUsers(SimulatedCluster cluster) {
+    this.cluster = cluster;
   }
 
   /** Whether all nodes are queried within moments of each answer that is new. */
-  void probeAfterNews(boolean value) {
+  void setProbesAfterNews(boolean value) {
     probesAfterNews = value;
   }
 
   /** Submits until the job is accepted or refused for good. */
   void submit(Job job) {
-    world.addJob(job);
-    world.checker.userSubmits(job);
+    cluster.addJob(job);
+    cluster.checker.recordSubmission(job);
     sendToRandomNode(Request.submission(job, 0));
   }
 
   /** Submits to this node once. */
-  void submitAt(String node, Job job) {
-    world.addJob(job);
-    world.checker.userSubmits(job);
+  void submitOnce(String node, Job job) {
+    cluster.addJob(job);
+    cluster.checker.recordSubmission(job);
     send(node, Request.submission(job, NO_RETRY));
   }
 
   /** Cancels until that is confirmed or the job is done. */
-  void abort(String uid) {
-    world.checker.userAborts(uid);
+  void cancel(String uid) {
+    cluster.checker.recordCancellation(uid);
     sendToRandomNode(Request.cancellation(uid, 0));
   }
 
   /** Cancels at this node once. */
-  void abortAt(String node, String uid) {
-    world.checker.userAborts(uid);
+  void cancelOnce(String node, String uid) {
+    cluster.checker.recordCancellation(uid);
     send(node, Request.cancellation(uid, NO_RETRY));
   }
 
   /** Queries a random node once. */
-  void query(String uid) {
+  void queryRandomNode(String uid) {
     sendToRandomNode(Request.query(uid));
   }
 
   /** Queries all nodes at once. */
-  void queryAll(String uid) {
-    for (int i = 0; i < world.count; i++) {
+  void queryAllNodes(String uid) {
+    for (int i = 0; i < cluster.nodeCount; i++) {
       send(nodeName(i), Request.query(uid));
     }
   }
 
   /** Queries all nodes at once, and submits the job once more at each. */
   void queryAndResubmitEverywhere(String uid) {
-    queryAll(uid);
-    for (int i = 0; i < world.count; i++) {
-      send(nodeName(i), Request.submission(world.job(uid), NO_RETRY));
+    queryAllNodes(uid);
+    for (int i = 0; i < cluster.nodeCount; i++) {
+      send(nodeName(i), Request.submission(cluster.job(uid), NO_RETRY));
     }
   }
 
@@ -111,34 +111,36 @@
   }
 
   private void sendToRandomNode(Request request) {
-    send(nodeName(world.random.nextInt(world.count)), request);
+    send(nodeName(cluster.random.nextInt(cluster.nodeCount)), request);
   }
 
   private void send(String node, Request request) {
     PendingRequest pending = new PendingRequest(request);
-    world.at(TIMEOUT_MS, pending::fail);
-    if (!world.nodes.containsKey(node)) {
-      world.at(HOP_MS, pending::fail);
+    cluster.schedule(TIMEOUT_MS, pending::fail);
+    if (!cluster.controllers.containsKey(node)) {
+      cluster.schedule(HOP_MS, pending::fail);
       return;
     }
-    world.at(
+    cluster.schedule(
         HOP_MS,
         () ->
-            world.ask(
+            cluster.sendRequest(
                 node,
                 request.input,
-                effect -> world.at(HOP_MS, () -> pending.complete((Effect.RespondToUser) effect))));
+                effect ->
+                    cluster.schedule(
+                        HOP_MS, () -> pending.complete((Effect.RespondToUser) effect))));
   }
 
   /** A request that has no response yet; the first response or the time-out ends it. */
   private final class PendingRequest {
     private final Request request;
-    private final ProtocolChecker.Known known;
+    private final ProtocolChecker.KnownState known;
     private boolean isEnded;
 
     PendingRequest(Request request) {
       this.request = request;
-      known = world.checker.known(request.uid);
+      known = cluster.checker.knownState(request.uid);
     }
 
     void complete(Effect.RespondToUser effect) {
@@ -158,16 +160,17 @@
         check(response);
       }
       if (request.needsRetry(response)) {
-        world.at(RETRY_MS, () -> sendToRandomNode(request.retried()));
+        cluster.schedule(RETRY_MS, () -> sendToRandomNode(request.retried()));
       }
     }
 
     private void check(UserResponse response) {
       boolean isNews =
-          world.checker.told(world.nowMs, request.uid, response, request.isSubmission, known);
+          cluster.checker.checkResponse(
+              cluster.nowMs, request.uid, response, request.isSubmission, known);
       if (probesAfterNews && isNews) {
         for (int delayMs : PROBE_DELAYS_MS) {
-          world.at(delayMs, () -> queryAndResubmitEverywhere(request.uid));
+          cluster.schedule(delayMs, () -> queryAndResubmitEverywhere(request.uid));
         }
       }
     }
--- a/src/test/java/eiderfork/controller/FakeWorker.java
+++ b/src/test/java/eiderfork/controller/FakeWorker.java
@@ -26,7 +26,7 @@
     long nextMs;
 
     /** Its progress was saved when it was stopped. */
-    boolean saved;
+    boolean isProgressSaved;
 
     /** When it began to run, and when it was stopped and began to checkpoint. */
     long runningSinceMs;
@@ -40,7 +40,7 @@
   }
 
   final Machine machine;
-  private final SimulatedCluster world;
+  private final SimulatedCluster cluster;
   private final Map<Attempt, Task> tasks = new LinkedHashMap<>();
   private static final long FETCH_MS = 700;
 
@@ -58,23 +58,25 @@
   long lastHeartbeatMs;
   boolean awaitingResponse;
   int nodeIndex;
-  boolean dead;
-  boolean hanging;
-  boolean changed;
+  boolean isDead;
+  boolean isHanging;
+  boolean hasUnsentChanges;
 
   /** Seconds until the cloud takes the machine; null for no notice. */
   Double terminationNoticeS;
 
-  FakeWorker(SimulatedCluster world, Machine machine, Set<TaskId> finishedTasks) {
-    this.world = world;
+  FakeWorker(SimulatedCluster cluster, Machine machine, Set<TaskId> finishedTasks) {
+    this.cluster = cluster;
     this.machine = machine;
     this.finishedTasks = finishedTasks;
-    lastAnsweredHeartbeatMs = world.nowMs;
+    lastAnsweredHeartbeatMs = cluster.nowMs;
   }
 
   Heartbeat nextHeartbeat() {
     ImmutableList.Builder<TaskStatus> list = ImmutableList.builder();
-    tasks.values().forEach(t -> list.add(new TaskStatus(t.attempt, t.state, t.cause, t.saved)));
+    tasks
+        .values()
+        .forEach(t -> list.add(new TaskStatus(t.attempt, t.state, t.cause, t.isProgressSaved)));
     return new Heartbeat(
         machine, incarnation, ++sequenceNumber, fencingToken, terminationNoticeS, list.build());
   }
@@ -99,7 +101,7 @@
       return false;
     }
     if (givenToken > fencingToken) {
-      changed = true;
+      hasUnsentChanges = true;
     }
     fencingToken = givenToken;
     execute(commands);
@@ -115,9 +117,9 @@
         }
       } else if (command instanceof WorkerCommand.Kill kill) {
         if (task != null && task.state != TaskStatus.State.ENDED) {
-          world.progress.stopped(this, task.attempt);
-          if (!world.gangs.saves(this, task, kill.graceS())
-              && !world.progress.saves(this, task, kill.graceS())) {
+          cluster.progress.recordStop(this, task.attempt);
+          if (!cluster.gangs.startSaving(this, task, kill.graceS())
+              && !cluster.progress.startSaving(this, task, kill.graceS())) {
             end(task, TaskStatus.Cause.STOPPED);
           }
         }
@@ -128,28 +130,28 @@
   }
 
   private void run(Attempt attempt) {
-    boolean fetched = !fetchedImages.add(world.job(attempt.task().jobUid()).image());
-    long fetchMs = world.imagesStay && fetched ? 0 : FETCH_MS;
-    Task task = new Task(attempt, world.nowMs + fetchMs);
+    boolean fetched = !fetchedImages.add(cluster.job(attempt.task().jobUid()).image());
+    long fetchMs = cluster.cachesImages && fetched ? 0 : FETCH_MS;
+    Task task = new Task(attempt, cluster.nowMs + fetchMs);
     boolean busy =
         tasks.values().stream()
             .anyMatch(
                 t -> t.attempt.task().equals(attempt.task()) && t.state != TaskStatus.State.ENDED);
     tasks.put(attempt, task);
-    changed = true;
+    hasUnsentChanges = true;
     if (busy) {
       end(task, TaskStatus.Cause.BUSY);
     }
   }
 
   void end(Task task, TaskStatus.Cause cause) {
-    world.progress.ends(task);
+    cluster.progress.recordEnd(task);
     if (isOnMachine(task.state)) {
-      world.checker.leaves(task.attempt.task(), machine);
+      cluster.checker.recordEnd(task.attempt.task(), machine);
     }
     task.state = TaskStatus.State.ENDED;
     task.cause = cause;
-    changed = true;
+    hasUnsentChanges = true;
   }
 
   /** Whether a task has its image and has not ended. */
@@ -165,46 +167,47 @@
   }
 
   void tick() {
-    if (dead) {
+    if (isDead) {
       return;
     }
-    if (world.nowMs - lastAnsweredHeartbeatMs > world.settings.workerTimings().leaseS() * 1000) {
+    if (cluster.nowMs - lastAnsweredHeartbeatMs
+        > cluster.settings.workerTimings().leaseS() * 1000) {
       loseAllTasks();
       incarnation++;
       sequenceNumber = 0;
-      lastAnsweredHeartbeatMs = world.nowMs;
+      lastAnsweredHeartbeatMs = cluster.nowMs;
     }
-    if (hanging) {
+    if (isHanging) {
       return;
     }
     for (Task task : new ArrayList<>(tasks.values())) {
-      if (task.state == TaskStatus.State.ENDED || world.nowMs < task.nextMs) {
+      if (task.state == TaskStatus.State.ENDED || cluster.nowMs < task.nextMs) {
         continue;
       }
       TaskId id = task.attempt.task();
-      Job job = world.job(id.jobUid());
+      Job job = cluster.job(id.jobUid());
       if (task.state == TaskStatus.State.FETCHING) {
-        world.checker.starts(world.nowMs, id, machine);
-        changed = true;
+        cluster.checker.recordStart(cluster.nowMs, id, machine);
+        hasUnsentChanges = true;
         if (job.kind() == JobKind.GANG) {
           joinGang(task);
           continue;
         }
         task.state = TaskStatus.State.RUNNING;
         boolean kept = finishedTasks.contains(id);
-        task.runningSinceMs = world.nowMs;
+        task.runningSinceMs = cluster.nowMs;
         task.nextMs =
             job.kind() == JobKind.SERVICE
                 ? Long.MAX_VALUE
-                : world.nowMs + (kept ? 0 : world.progress.leftMs(job, id));
+                : cluster.nowMs + (kept ? 0 : cluster.progress.remainingMs(job, id));
       } else if (task.state == TaskStatus.State.CHECKPOINTING) {
-        world.progress.saved(task);
+        cluster.progress.finishSaving(task);
         end(task, TaskStatus.Cause.STOPPED);
-      } else if (world.failing(id, machine)) {
+      } else if (cluster.taskFails(id, machine)) {
         end(task, TaskStatus.Cause.ERROR);
       } else {
         finishedTasks.add(id);
-        world.checker.completes(id);
+        cluster.checker.recordCompletion(id);
         end(task, TaskStatus.Cause.DONE);
       }
     }
@@ -215,22 +218,22 @@
     task.nextMs = Long.MAX_VALUE;
     if (finishedTasks.contains(task.attempt.task())) {
       end(task, TaskStatus.Cause.DONE);
-    } else if (world.failing(task.attempt.task(), machine)) {
+    } else if (cluster.taskFails(task.attempt.task(), machine)) {
       end(task, TaskStatus.Cause.ERROR);
     }
   }
 
   void loseAllTasks() {
     for (Task task : tasks.values()) {
-      world.progress.ends(task);
+      cluster.progress.recordEnd(task);
       if (isOnMachine(task.state)) {
-        world.checker.leaves(task.attempt.task(), machine);
+        cluster.checker.recordEnd(task.attempt.task(), machine);
       }
     }
     tasks.clear();
   }
 
-  Set<TaskId> presentTasks() {
+  Set<TaskId> taskIds() {
     Set<TaskId> ids = new HashSet<>();
     tasks.values().forEach(t -> ids.add(t.attempt.task()));
     return ids;
--- a/src/test/java/eiderfork/controller/GangTest.java
+++ b/src/test/java/eiderfork/controller/GangTest.java
@@ -20,85 +20,86 @@
 
 /** Gangs run whole or not at all, whatever happens to a part of them. */
 class GangTest {
-  private final SimulatedCluster world = new SimulatedCluster(11);
+  private final SimulatedCluster cluster = new SimulatedCluster(11);
   private final List<Job> jobs = new ArrayList<>();
 
   /** Machines of both zones are up, and every node knows that all others run this version. */
   private void startReferenceService() {
     submit(TestFixtures.job(1, JobKind.SERVICE, 4, 2));
-    world.run(30);
+    cluster.run(30);
   }
 
   private Job submit(Job job) {
-    world.submit(job);
+    cluster.submit(job);
     jobs.add(job);
     return job;
   }
 
   private List<FakeWorker> workersWith(Job job) {
-    return world.workers().stream()
+    return cluster.workers().stream()
         .filter(
             worker ->
-                !worker.dead
-                    && worker.presentTasks().stream().anyMatch(t -> t.jobUid().equals(job.uid())))
+                !worker.isDead
+                    && worker.taskIds().stream().anyMatch(t -> t.jobUid().equals(job.uid())))
         .sorted(Comparator.comparing(worker -> worker.machine.name()))
         .toList();
   }
 
   private boolean anyTask(Job job, TaskStatus.State state) {
-    return world.workers().stream()
+    return cluster.workers().stream()
         .flatMap(worker -> worker.tasks().stream())
         .anyMatch(t -> t.attempt.task().jobUid().equals(job.uid()) && t.state == state);
   }
 
   private void assertAllServed() {
-    ExpectedOutcome.allServed(world, jobs);
+    ExpectedOutcome.assertAllJobsServed(cluster, jobs);
   }
 
   @Test
   void aGangStartsAndEndsWhole() {
     startReferenceService();
     Job gang = submit(TestFixtures.gang(2, 6, 2, 6, true));
-    world.run(15);
-    assertEquals(1, world.gangs.starts);
-    assertTrue(world.checker.isDone(gang.uid()));
+    cluster.run(15);
+    assertEquals(1, cluster.gangs.startCount);
+    assertTrue(cluster.checker.allTasksCompleted(gang.uid()));
     assertAllServed();
   }
 
   @Test
   void gangsThatDoNotFitReserveNothingAndDoNotDeadlock() {
-    world.cloud.capacity = 1;
-    world.cloud.types = world.cloud.types.subList(1, 2);
+    cluster.cloud.defaultStock = 1;
+    cluster.cloud.types = cluster.cloud.types.subList(1, 2);
     submit(TestFixtures.job(1, JobKind.SERVICE, 1, 0));
-    world.run(25);
+    cluster.run(25);
     // Two machines of eight processors, one of which a replica holds, are there for either.
     for (int i = 2; i <= 5; i++) {
       submit(TestFixtures.gang(i, 6, 1, 5, true));
     }
-    world.run(4);
+    cluster.run(4);
     for (Job gang : jobs.subList(1, jobs.size())) {
-      long running = world.checker.running(gang.uid());
+      long running = cluster.checker.runningTasks(gang.uid());
       assertTrue(running == 0 || running == 6, running + " of a gang hold room");
     }
     assertAllServed();
-    assertEquals(4, world.gangs.starts, "none was broken off");
+    assertEquals(4, cluster.gangs.startCount, "none was broken off");
   }
 
   /** The best machine for one task may be in a zone without capacity for the others. */
   @Test
   void singleZoneGangIsPlacedWhereAllOfItFits() {
     for (String zone : List.of("a", "b")) {
-      world.cloud.stock.put(new MachineKind("g4", zone, false), zone.equals("a") ? 1 : 3);
-      world.cloud.stock.put(new MachineKind("g4", zone, true), 0);
-      world.cloud.stock.put(new MachineKind("c8", zone, false), 0);
-      world.cloud.stock.put(new MachineKind("c8", zone, true), 0);
+      cluster.cloud.stockByKind.put(new MachineKind("g4", zone, false), zone.equals("a") ? 1 : 3);
+      cluster.cloud.stockByKind.put(new MachineKind("g4", zone, true), 0);
+      cluster.cloud.stockByKind.put(new MachineKind("c8", zone, false), 0);
+      cluster.cloud.stockByKind.put(new MachineKind("c8", zone, true), 0);
     }
     submit(TestFixtures.job(1, JobKind.SERVICE, 4, 3));
-    world.run(25);
-    assertEquals(4, world.workers().size());
+    cluster.run(25);
+    assertEquals(4, cluster.workers().size());
     Job gang = submit(TestFixtures.gang(2, 5, 5, 4, true));
-    world.run(12);
-    assertTrue(world.checker.isDone(gang.uid()), "three machines of the one zone hold it");
+    cluster.run(12);
+    assertTrue(
+        cluster.checker.allTasksCompleted(gang.uid()), "three machines of the one zone hold it");
     assertAllServed();
   }
 
@@ -107,11 +108,11 @@
   void leaderCrashDuringTheStartOfAGangChangesNothing(int afterMs) {
     startReferenceService();
     Job gang = submit(TestFixtures.gang(2, 6, 2, 8, true));
-    world.at(afterMs, () -> world.crash(world.leader(), 3000));
-    world.run(25);
-    assertTrue(world.checker.isDone(gang.uid()));
+    cluster.schedule(afterMs, () -> cluster.crashNode(cluster.leader(), 3000));
+    cluster.run(25);
+    assertTrue(cluster.checker.allTasksCompleted(gang.uid()));
     assertAllServed();
-    assertEquals(1, world.gangs.starts);
+    assertEquals(1, cluster.gangs.startCount);
   }
 
   @ParameterizedTest
@@ -119,15 +120,15 @@
   void gangThatLosesAMachineRestartsFromItsCheckpoint(int crashAfterMs) {
     startReferenceService();
     Job gang = submit(TestFixtures.gang(2, 6, 4, 12, true));
-    world.run(6);
-    assertEquals(1, world.gangs.starts);
-    world.die(workersWith(gang).get(0).machine.name());
+    cluster.run(6);
+    assertEquals(1, cluster.gangs.startCount);
+    cluster.failMachine(workersWith(gang).get(0).machine.name());
     if (crashAfterMs >= 0) {
-      world.at(crashAfterMs, () -> world.crash(world.leader(), 3000));
+      cluster.schedule(crashAfterMs, () -> cluster.crashNode(cluster.leader(), 3000));
     }
-    world.run(45);
-    assertEquals(2, world.gangs.starts);
-    assertTrue(world.gangs.safeMs.get(gang.uid()) >= 2000);
+    cluster.run(45);
+    assertEquals(2, cluster.gangs.startCount);
+    assertTrue(cluster.gangs.savedProgressMs.get(gang.uid()) >= 2000);
     assertAllServed();
   }
 
@@ -139,12 +140,12 @@
   void hungTaskCountsUntilItsLeaseHasExpired(int hangMs) {
     startReferenceService();
     Job gang = submit(TestFixtures.gang(2, 6, 4, 12, true));
-    world.run(6);
+    cluster.run(6);
     FakeWorker hung = workersWith(gang).get(0);
-    hung.hanging = true;
-    world.at(hangMs, () -> hung.hanging = false);
-    world.run(70);
-    assertTrue(world.checker.isDone(gang.uid()));
+    hung.isHanging = true;
+    cluster.schedule(hangMs, () -> hung.isHanging = false);
+    cluster.run(70);
+    assertTrue(cluster.checker.allTasksCompleted(gang.uid()));
     assertAllServed();
   }
 
@@ -153,16 +154,16 @@
   void newLeaderStopsTheRestOfABrokenGang() {
     startReferenceService();
     Job gang = submit(TestFixtures.gang(2, 6, 4, 30, true));
-    world.run(6);
+    cluster.run(6);
     FakeWorker refusing = workersWith(gang).get(0);
-    world.badMachines.add(refusing.machine.name());
+    cluster.failingMachines.add(refusing.machine.name());
     refusing.tasks().stream()
         .filter(t -> t.attempt.task().jobUid().equals(gang.uid()))
         .findFirst()
         .ifPresent(t -> refusing.end(t, TaskStatus.Cause.ERROR));
-    world.at(600, () -> world.crash(world.leader(), 3000));
-    world.run(60);
-    assertTrue(world.checker.isDone(gang.uid()));
+    cluster.schedule(600, () -> cluster.crashNode(cluster.leader(), 3000));
+    cluster.run(60);
+    assertTrue(cluster.checker.allTasksCompleted(gang.uid()));
     assertAllServed();
   }
 
@@ -172,18 +173,19 @@
   void gangWithATerminationNoticeIsSavedAsAWhole(int crashAfterMs) {
     startReferenceService();
     Job gang = submit(TestFixtures.gang(2, 6, 4, 25, true, "blue", true));
-    world.run(6);
-    assertEquals(1, world.gangs.starts);
+    cluster.run(6);
+    assertEquals(1, cluster.gangs.startCount);
     FakeWorker noticed = workersWith(gang).get(0);
     noticed.terminationNoticeS = 12.0;
-    noticed.changed = true;
+    noticed.hasUnsentChanges = true;
     if (crashAfterMs >= 0) {
-      world.at(crashAfterMs, () -> world.crash(world.leader(), 3000));
+      cluster.schedule(crashAfterMs, () -> cluster.crashNode(cluster.leader(), 3000));
     }
-    world.at(12_000, () -> world.die(noticed.machine.name()));
-    world.run(60);
-    assertEquals(1, world.gangs.saves);
-    assertTrue(world.gangs.safeMs.get(gang.uid()) % 2000 != 0, "not only the checkpoint");
+    cluster.schedule(12_000, () -> cluster.failMachine(noticed.machine.name()));
+    cluster.run(60);
+    assertEquals(1, cluster.gangs.savedGangs);
+    assertTrue(
+        cluster.gangs.savedProgressMs.get(gang.uid()) % 2000 != 0, "not only the checkpoint");
     assertAllServed();
   }
 
@@ -192,13 +194,13 @@
   void gangIsNotStoppedForANoticeTooShortToSave() {
     startReferenceService();
     Job gang = submit(TestFixtures.gang(2, 4, 4, 7, true, "blue", true));
-    world.run(4);
+    cluster.run(4);
     FakeWorker noticed = workersWith(gang).get(0);
     noticed.terminationNoticeS = 0.5;
-    noticed.changed = true;
-    world.run(8);
-    assertEquals(1, world.gangs.starts);
-    assertTrue(world.checker.isDone(gang.uid()));
+    noticed.hasUnsentChanges = true;
+    cluster.run(8);
+    assertEquals(1, cluster.gangs.startCount);
+    assertTrue(cluster.checker.allTasksCompleted(gang.uid()));
   }
 
   @ParameterizedTest
@@ -206,10 +208,10 @@
   void cancelledGangStopsAtOnce(int afterMs) {
     startReferenceService();
     Job gang = submit(TestFixtures.gang(2, 6, 4, 6, true));
-    world.at(afterMs, () -> world.abort(gang.uid()));
-    world.run(afterMs / 1000.0 + 4);
-    assertEquals(0, world.checker.running(gang.uid()));
-    assertTrue(world.checker.finalStance(gang.uid()) != null);
+    cluster.schedule(afterMs, () -> cluster.cancel(gang.uid()));
+    cluster.run(afterMs / 1000.0 + 4);
+    assertEquals(0, cluster.checker.runningTasks(gang.uid()));
+    assertTrue(cluster.checker.finalPhase(gang.uid()) != null);
     assertAllServed();
   }
 
@@ -219,20 +221,20 @@
   void gangIsDoneOnceOneTaskIs(int crashAfterMs) {
     startReferenceService();
     Job gang = submit(TestFixtures.gang(2, 6, 4, 6, true));
-    world.run(5);
+    cluster.run(5);
     FakeWorker unheard = workersWith(gang).get(0);
-    world.mute(unheard.machine.name(), 60_000);
-    world.deafen(unheard.machine.name(), 60_000);
-    world.run(3);
-    assertTrue(world.checker.isDone(gang.uid()));
+    cluster.cutLinksFrom(unheard.machine.name(), 60_000);
+    cluster.cutLinksTo(unheard.machine.name(), 60_000);
+    cluster.run(3);
+    assertTrue(cluster.checker.allTasksCompleted(gang.uid()));
     if (crashAfterMs >= 0) {
-      world.at(crashAfterMs, () -> world.crash(world.leader(), 3000));
+      cluster.schedule(crashAfterMs, () -> cluster.crashNode(cluster.leader(), 3000));
     }
-    world.run(9);
-    world.query(gang.uid());
-    world.run(2);
-    assertEquals(Phase.DONE, world.checker.finalStance(gang.uid()));
-    assertEquals(1, world.gangs.starts);
+    cluster.run(9);
+    cluster.queryRandomNode(gang.uid());
+    cluster.run(2);
+    assertEquals(Phase.DONE, cluster.checker.finalPhase(gang.uid()));
+    assertEquals(1, cluster.gangs.startCount);
   }
 
   /** Ten GPUs at most: a gang of six waits whole until there is quota for all of it. */
@@ -240,94 +242,95 @@
   void limitAppliesToTheWholeGang() {
     Job service =
         submit(TestFixtures.job(1, JobKind.SERVICE, 6, 1, "red", Priority.HIGH, false, false));
-    world.run(25);
+    cluster.run(25);
     Job gang = submit(TestFixtures.gang(2, 6, 1, 4, false, "red", false));
-    world.run(5);
-    assertEquals(0, world.checker.running(gang.uid()));
-    world.abort(service.uid());
-    world.run(12);
-    assertTrue(world.checker.isDone(gang.uid()));
+    cluster.run(5);
+    assertEquals(0, cluster.checker.runningTasks(gang.uid()));
+    cluster.cancel(service.uid());
+    cluster.run(12);
+    assertTrue(cluster.checker.allTasksCompleted(gang.uid()));
     assertAllServed();
   }
 
   @Test
   void aGangThatNeedsMoreThanItsTeamsLimitIsRefused() {
     Job gang = TestFixtures.gang(2, 11, 1, 4, false, "red", false);
-    world.run(8);
-    world.submit(gang);
-    world.run(4);
-    assertTrue(world.checker.wasRefused(gang.uid()));
+    cluster.run(8);
+    cluster.submit(gang);
+    cluster.run(4);
+    assertTrue(cluster.checker.wasRefused(gang.uid()));
   }
 
   /** Arrays are preempted for a gang only where all of it fits then. */
   @Test
   void preemptionMakesRoomForTheWholeGangOrNotAtAll() {
-    world.cloud.capacity = 1;
-    world.cloud.types = world.cloud.types.subList(1, 2);
+    cluster.cloud.defaultStock = 1;
+    cluster.cloud.types = cluster.cloud.types.subList(1, 2);
     Job array = submit(array(1, 4, 60));
-    world.run(25);
-    long before = world.checker.running(array.uid());
+    cluster.run(25);
+    long before = cluster.checker.runningTasks(array.uid());
     assertEquals(4, before);
     Job large = TestFixtures.gang(2, 40, 1, 4, true);
-    world.submit(large);
-    world.run(5);
-    assertEquals(before, world.checker.running(array.uid()), "nothing is stopped for a part");
+    cluster.submit(large);
+    cluster.run(5);
+    assertEquals(
+        before, cluster.checker.runningTasks(array.uid()), "nothing is stopped for a part");
     // What the large gang could not get is no proof for a smaller one behind it.
     Job gang = submit(TestFixtures.gang(3, 7, 1, 4, true));
-    world.run(12);
-    assertTrue(world.checker.isDone(gang.uid()));
+    cluster.run(12);
+    assertTrue(cluster.checker.allTasksCompleted(gang.uid()));
   }
 
   /** A gang that could be preempted for a part of another keeps running. */
   @Test
   void noGangIsPreemptedForAPartOfAnother() {
-    world.cloud.capacity = 0;
-    world.cloud.stock.put(new MachineKind("c8", "a", false), 2);
-    world.run(5);
+    cluster.cloud.defaultStock = 0;
+    cluster.cloud.stockByKind.put(new MachineKind("c8", "a", false), 2);
+    cluster.run(5);
     Job low = TestFixtures.gang(1, 4, 4, 60, true);
     submit(TestFixtures.withPriority(low, Priority.LOW));
-    world.run(20);
-    assertEquals(1, world.gangs.starts);
+    cluster.run(20);
+    assertEquals(1, cluster.gangs.startCount);
     Job large = TestFixtures.gang(2, 17, 1, 4, true);
-    world.submit(large);
-    world.run(12);
-    assertEquals(0, world.gangs.saves);
-    assertEquals(4, world.checker.running(low.uid()));
-    world.abort(large.uid());
+    cluster.submit(large);
+    cluster.run(12);
+    assertEquals(0, cluster.gangs.savedGangs);
+    assertEquals(4, cluster.checker.runningTasks(low.uid()));
+    cluster.cancel(large.uid());
     assertAllServed();
-    assertEquals(1, world.gangs.starts);
+    assertEquals(1, cluster.gangs.startCount);
   }
 
   /** A gang is preempted as a whole for more urgent work, and resumes from its checkpoint. */
   @ParameterizedTest
   @ValueSource(ints = {-1, 0, 150, 400, 900, 1600})
   void gangPreemptedForAnUrgentServiceSavesAsAWhole(int crashAfterMs) {
-    world.cloud.types = world.cloud.types.subList(1, 2);
-    world.cloud.capacity = 0;
-    world.cloud.stock.put(new MachineKind("c8", "a", false), 2);
-    world.run(5);
+    cluster.cloud.types = cluster.cloud.types.subList(1, 2);
+    cluster.cloud.defaultStock = 0;
+    cluster.cloud.stockByKind.put(new MachineKind("c8", "a", false), 2);
+    cluster.run(5);
     Job gang = submit(TestFixtures.gang(1, 4, 4, 25, true));
-    world.run(20);
-    assertEquals(1, world.gangs.starts);
+    cluster.run(20);
+    assertEquals(1, cluster.gangs.startCount);
     Job urgent =
         TestFixtures.job(2, JobKind.SERVICE, 1, 0, "blue", Priority.PRODUCTION, false, false);
-    submit(TestFixtures.sized(urgent, new Resources(6, 0, 4), 0, "c8"));
+    submit(TestFixtures.withTaskShape(urgent, new Resources(6, 0, 4), 0, "c8"));
     if (crashAfterMs >= 0) {
-      world.at(crashAfterMs, () -> world.crash(world.leader(), 2000));
+      cluster.schedule(crashAfterMs, () -> cluster.crashNode(cluster.leader(), 2000));
     }
-    world.run(15);
-    assertEquals(1, world.checker.running(urgent.uid()));
-    assertEquals(0, world.checker.running(gang.uid()));
-    assertEquals(1, world.gangs.saves);
-    world.abort(urgent.uid());
+    cluster.run(15);
+    assertEquals(1, cluster.checker.runningTasks(urgent.uid()));
+    assertEquals(0, cluster.checker.runningTasks(gang.uid()));
+    assertEquals(1, cluster.gangs.savedGangs);
+    cluster.cancel(urgent.uid());
     assertAllServed();
-    assertEquals(2, world.gangs.starts);
+    assertEquals(2, cluster.gangs.startCount);
   }
 
   private static Job array(int number, int tasks, double runS) {
     Job template =
         TestFixtures.job(number, JobKind.ARRAY, tasks, 0, "blue", Priority.LOW, false, true);
-    return TestFixtures.sized(template, new Resources(7, 0, 4), runS, "c8");
+    return TestFixtures.withTaskShape(template, new Resources(7, 0, 4), runS, "c8");
   }
 
   /** Everything that the protocol lets go wrong, at once, while gangs come and are cancelled. */
@@ -335,19 +338,19 @@
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16})
   void invariantsHoldUnderCombinedFaults(long seed) {
     SimulatedCluster troubled = new SimulatedCluster(seed);
-    ExpectedOutcome.allServed(troubled, play(troubled, seed));
+    ExpectedOutcome.assertAllJobsServed(troubled, play(troubled, seed));
   }
 
   /** Plays this seed's history of gangs under faults, and returns the gangs. */
   static List<Job> play(SimulatedCluster troubled, long seed) {
     List<Job> gangs = new ArrayList<>();
-    troubled.loss = 0.01;
-    troubled.doubled = 0.02;
-    troubled.lateWrites = 0.05;
-    troubled.lostAnswers = 0.05;
-    troubled.lateReports = 0.1;
-    troubled.heartbeatsForNextLeader = 0.1;
-    troubled.commandsLateMs = seed % 3 * 900;
+    troubled.lossProbability = 0.01;
+    troubled.duplicateProbability = 0.02;
+    troubled.lateTransactionProbability = 0.05;
+    troubled.lostStoreReplyProbability = 0.05;
+    troubled.repeatedHeartbeatProbability = 0.1;
+    troubled.nextLeaderHeartbeatProbability = 0.1;
+    troubled.commandDelayMs = seed % 3 * 900;
     for (int i = 1; i <= 14; i++) {
       boolean red = i % 5 == 0;
       Job gang =
@@ -360,39 +363,44 @@
               red ? "red" : "blue",
               i % 3 == 0);
       gangs.add(gang);
-      troubled.at(4000 + i * 4000L, () -> troubled.submit(gang));
+      troubled.schedule(4000 + i * 4000L, () -> troubled.submit(gang));
       if (i % 4 == 0) {
-        troubled.at(6000 + i * 4500L, () -> troubled.abort(gang.uid()));
+        troubled.schedule(6000 + i * 4500L, () -> troubled.cancel(gang.uid()));
       }
     }
     for (int i = 0; i < 10; i++) {
       int kind = (int) ((i + seed) % 6);
-      troubled.at(12_000 + i * 6500L, () -> injectFault(troubled, kind));
+      troubled.schedule(12_000 + i * 6500L, () -> injectFault(troubled, kind));
     }
     troubled.run(85);
     return gangs;
   }
 
-  private static void injectFault(SimulatedCluster world, int kind) {
-    String leader = world.leader() == null ? "roost-0" : world.leader();
+  private static void injectFault(SimulatedCluster cluster, int kind) {
+    String leader = cluster.leader() == null ? "roost-0" : cluster.leader();
     List<FakeWorker> busy =
-        world.workers().stream().filter(worker -> !worker.presentTasks().isEmpty()).toList();
+        cluster.workers().stream().filter(worker -> !worker.taskIds().isEmpty()).toList();
     switch (kind) {
-      case 0 -> world.crash(leader, 400);
+      case 0 -> cluster.crashNode(leader, 400);
       case 1 ->
           busy.stream()
               .limit(1)
               .forEach(
                   worker -> {
-                    worker.hanging = true;
-                    world.at(7000, () -> worker.hanging = false);
+                    worker.isHanging = true;
+                    cluster.schedule(7000, () -> worker.isHanging = false);
                   });
-      case 2 -> busy.stream().limit(1).forEach(worker -> world.die(worker.machine.name()));
-      case 3 -> busy.stream().limit(2).forEach(worker -> world.deafen(worker.machine.name(), 9000));
-      case 4 -> busy.stream().limit(2).forEach(worker -> world.mute(worker.machine.name(), 9000));
+      case 2 ->
+          busy.stream().limit(1).forEach(worker -> cluster.failMachine(worker.machine.name()));
+      case 3 ->
+          busy.stream().limit(2).forEach(worker -> cluster.cutLinksTo(worker.machine.name(), 9000));
+      case 4 ->
+          busy.stream()
+              .limit(2)
+              .forEach(worker -> cluster.cutLinksFrom(worker.machine.name(), 9000));
       default -> {
-        world.refuse(leader, 6000);
-        world.holdNextReports(4000);
+        cluster.refuseStoreRequests(leader, 6000);
+        cluster.delayNextHeartbeats(4000);
       }
     }
   }
@@ -402,13 +410,13 @@
   void gangKeepsRunningDuringAnOutage() {
     startReferenceService();
     Job gang = submit(TestFixtures.gang(2, 6, 2, 15, true));
-    world.run(5);
-    world.state.outage(world.nowMs);
-    world.run(20);
-    world.state.recover(world.nowMs);
-    world.run(6);
-    assertEquals(1, world.gangs.starts);
-    assertTrue(world.checker.isDone(gang.uid()));
+    cluster.run(5);
+    cluster.store.startOutage(cluster.nowMs);
+    cluster.run(20);
+    cluster.store.endOutage(cluster.nowMs);
+    cluster.run(6);
+    assertEquals(1, cluster.gangs.startCount);
+    assertTrue(cluster.checker.allTasksCompleted(gang.uid()));
     assertFalse(anyTask(gang, TaskStatus.State.RUNNING));
   }
 }
--- a/src/test/java/eiderfork/controller/GuaranteeChecker.java
+++ b/src/test/java/eiderfork/controller/GuaranteeChecker.java
@@ -78,7 +78,7 @@
   /** A heartbeat, a round, a write and a command, each with its slack. */
   private static final int REACTION_S = 4;
 
-  private final SimulatedCluster world;
+  private final SimulatedCluster cluster;
   private final long beganMs;
   private final Map<String, Integer> shortfallS = new LinkedHashMap<>();
   private final Map<String, Minute> currentMinutes = new LinkedHashMap<>();
@@ -95,28 +95,28 @@
   /** Seconds in which a guarantee was not held without a known cause. */
   final List<String> unexplained = new ArrayList<>();
 
-  GuaranteeChecker(SimulatedCluster world) {
-    this.world = world;
-    beganMs = world.nowMs;
+  GuaranteeChecker(SimulatedCluster cluster) {
+    this.cluster = cluster;
+    beganMs = cluster.nowMs;
     check();
   }
 
   /** Takes note of a failure that lasts this long. */
   void expectDisruption(long forMs) {
-    long leaseAndBootMs = (long) (world.settings.workerTimings().leaseS() * 1000) + 15_000;
-    disruptedUntilMs = Math.max(disruptedUntilMs, world.nowMs + forMs + leaseAndBootMs);
+    long leaseAndBootMs = (long) (cluster.settings.workerTimings().leaseS() * 1000) + 15_000;
+    disruptedUntilMs = Math.max(disruptedUntilMs, cluster.nowMs + forMs + leaseAndBootMs);
   }
 
   private void check() {
-    for (Team team : world.settings.teams().values()) {
+    for (Team team : cluster.settings.teams().values()) {
       check(team);
     }
-    world.at(CHECK_INTERVAL_MS, this::check);
+    cluster.schedule(CHECK_INTERVAL_MS, this::check);
   }
 
   private void check(Team team) {
-    double held = world.checker.held(team.name()).gpus();
-    double requested = world.checker.asked(team.name()).gpus();
+    double held = cluster.checker.usedResources(team.name()).gpus();
+    double requested = cluster.checker.requestedResources(team.name()).gpus();
     Cause cause = cause(team, held, requested);
     boolean counts =
         cause != Cause.NONE
@@ -129,7 +129,7 @@
       unexplained.add(
           "%d s: %s holds %.0f of %.0f, asks for %.0f, for %d s"
               .formatted(
-                  (world.nowMs - beganMs) / 1000,
+                  (cluster.nowMs - beganMs) / 1000,
                   team.name(),
                   held,
                   team.guaranteedGpus(),
@@ -140,7 +140,7 @@
   }
 
   private void record(Team team, double held, double requested, Cause cause) {
-    long minute = (world.nowMs - beganMs) / MINUTE_MS;
+    long minute = (cluster.nowMs - beganMs) / MINUTE_MS;
     Minute row = currentMinutes.get(team.name());
     if (row == null || row.minute != minute) {
       row = new Minute(minute, team.name(), team.guaranteedGpus());
@@ -164,7 +164,7 @@
     if (borrowed <= 0) {
       return Cause.NOBODY_BORROWS;
     }
-    if (borrowed + freeGpus() < world.checker.smallestWaiting(team.name())) {
+    if (borrowed + freeGpus() < cluster.checker.smallestWaitingGpus(team.name())) {
       return Cause.TOO_LITTLE_IS_BORROWED;
     }
     if (gpusInState(team.name(), TaskStatus.State.FETCHING) >= lacked) {
@@ -173,7 +173,7 @@
     if (gpusInState(null, TaskStatus.State.CHECKPOINTING) > 0) {
       return Cause.SAVING;
     }
-    if (world.nowMs < disruptedUntilMs) {
+    if (cluster.nowMs < disruptedUntilMs) {
       return Cause.TROUBLE;
     }
     int lackingForS = shortfallS.getOrDefault(team.name(), 0);
@@ -184,14 +184,15 @@
   }
 
   private double bootS() {
-    return world.cloud.types.stream().mapToDouble(MachineType::bootS).max().orElse(0);
+    return cluster.cloud.types.stream().mapToDouble(MachineType::bootS).max().orElse(0);
   }
 
   /** Whether another team with batch work on machines exceeds its guarantee. */
   private boolean hasBatchBorrower(Team team) {
-    for (Team other : world.settings.teams().values()) {
-      boolean isBorrowing = world.checker.held(other.name()).gpus() > other.guaranteedGpus();
-      if (other != team && isBorrowing && world.checker.holdsBatch(other.name())) {
+    for (Team other : cluster.settings.teams().values()) {
+      boolean isBorrowing =
+          cluster.checker.usedResources(other.name()).gpus() > other.guaranteedGpus();
+      if (other != team && isBorrowing && cluster.checker.runsBatchWork(other.name())) {
         return true;
       }
     }
@@ -201,8 +202,8 @@
   /** The GPUs that other teams hold beyond their guarantees. */
   private double borrowedByOthers(Team team) {
     double borrowed = 0;
-    for (Team other : world.settings.teams().values()) {
-      double held = world.checker.held(other.name()).gpus();
+    for (Team other : cluster.settings.teams().values()) {
+      double held = cluster.checker.usedResources(other.name()).gpus();
       borrowed += other == team ? 0 : Math.max(0, held - other.guaranteedGpus());
     }
     return borrowed;
@@ -211,17 +212,17 @@
   /** The GPUs of machines that are up on which nothing runs. */
   private double freeGpus() {
     double gpus = 0;
-    for (FakeWorker worker : world.workers()) {
+    for (FakeWorker worker : cluster.workers()) {
       gpus += gpusPerType.computeIfAbsent(worker.machine.type(), this::gpusPerType);
     }
-    for (Team team : world.settings.teams().values()) {
-      gpus -= world.checker.held(team.name()).gpus();
+    for (Team team : cluster.settings.teams().values()) {
+      gpus -= cluster.checker.usedResources(team.name()).gpus();
     }
     return gpus;
   }
 
   private double gpusPerType(String type) {
-    return world.cloud.types.stream()
+    return cluster.cloud.types.stream()
         .filter(machineType -> machineType.name().equals(type))
         .mapToDouble(machineType -> machineType.capacity().gpus())
         .findFirst()
@@ -231,9 +232,9 @@
   /** The GPUs of a team's tasks, or of everybody's, in this state. */
   private double gpusInState(String team, TaskStatus.State state) {
     double gpus = 0;
-    for (FakeWorker worker : world.workers()) {
+    for (FakeWorker worker : cluster.workers()) {
       for (FakeWorker.Task task : worker.tasks()) {
-        var job = world.job(task.attempt.task().jobUid());
+        var job = cluster.job(task.attempt.task().jobUid());
         if (task.state == state && (team == null || job.team().equals(team))) {
           gpus += job.taskResources().gpus();
         }
--- a/src/test/java/eiderfork/controller/IncarnationLeaseExpiryTest.java
+++ b/src/test/java/eiderfork/controller/IncarnationLeaseExpiryTest.java
@@ -56,7 +56,7 @@
     long endMs = context.nowMs() + ms;
     long readMs = Long.MAX_VALUE;
     while (context.nowMs() < endMs) {
-      advance(Math.min(TICK_MS, endMs - context.nowMs()));
+      advanceBy(Math.min(TICK_MS, endMs - context.nowMs()));
       commander.tick();
       if (proxyReads.isEmpty()) {
         readMs = Long.MAX_VALUE;
@@ -74,7 +74,7 @@
     while (!leaseExpiry.hasExpired(machine) || proxyReads.isEmpty()) {
       proxyReads.clear();
       leaseExpiry.onElected();
-      advance(TICK_MS);
+      advanceBy(TICK_MS);
       commander.tick();
     }
     return proxyReads.remove();
@@ -83,7 +83,7 @@
   /** Answers the one direct command that is in flight with what the worker then reports. */
   private Effect.SendCommands answerDirectly(
       boolean executed, long incarnation, TaskStatus... tasks) {
-    List<Effect.SendCommands> sent = effects(Effect.SendCommands.class);
+    List<Effect.SendCommands> sent = drainEffects(Effect.SendCommands.class);
     assertEquals(1, sent.size());
     Effect.SendCommands it = sent.get(0);
     context.completeCall(
@@ -156,7 +156,7 @@
     startTask();
     Consumer<Set<String>> read = beginToExpire();
     sendHeartbeat(INCARNATION, ++sequenceNumber, machine.commandChannel().fencingToken());
-    advance(TICK_MS);
+    advanceBy(TICK_MS);
     commandDirectly(false, NEXT_INCARNATION);
     Reservation task = startInNextIncarnation();
     context.advanceBy(context.workerLeaseMs() + JUDGED_MS);
--- a/src/test/java/eiderfork/controller/JobArchiverTest.java
+++ b/src/test/java/eiderfork/controller/JobArchiverTest.java
@@ -32,60 +32,60 @@
 class JobArchiverTest {
   private static final double STAY_S = 0.5;
 
-  static SimulatedCluster world(long seed) {
-    return new SimulatedCluster(seed, TestFixtures.archivingAfter(STAY_S));
+  static SimulatedCluster newCluster(long seed) {
+    return new SimulatedCluster(seed, TestFixtures.archivingSettings(STAY_S));
   }
 
   static LongStream seeds() {
     return LongStream.rangeClosed(1, 20);
   }
 
-  private static void assertNoBreaches(SimulatedCluster world) {
-    assertEquals(List.of(), world.checker.breaches);
+  private static void assertNoBreaches(SimulatedCluster cluster) {
+    assertEquals(List.of(), cluster.checker.violations);
   }
 
-  private static boolean isArchived(SimulatedCluster world, Job job) {
-    return world.state.get(StoreKeys.ended(job.uid())) != null;
+  private static boolean isArchived(SimulatedCluster cluster, Job job) {
+    return cluster.store.get(StoreKeys.ended(job.uid())) != null;
   }
 
   /** Nothing of the job is left but the record of its final state. */
-  private static void assertArchivedCompletely(SimulatedCluster world, Job job) {
+  private static void assertArchivedCompletely(SimulatedCluster cluster, Job job) {
     assertInstanceOf(
-        StoredRecord.ArchivedJob.class, world.state.get(StoreKeys.ended(job.uid())), job::uid);
-    assertNull(world.state.get(StoreKeys.job(job.uid())), job::uid);
-    assertNull(world.state.get(StoreKeys.alloc(job.uid())), job::uid);
-    assertNull(world.state.get(StoreKeys.cancellation(job.uid())), job::uid);
+        StoredRecord.ArchivedJob.class, cluster.store.get(StoreKeys.ended(job.uid())), job::uid);
+    assertNull(cluster.store.get(StoreKeys.job(job.uid())), job::uid);
+    assertNull(cluster.store.get(StoreKeys.alloc(job.uid())), job::uid);
+    assertNull(cluster.store.get(StoreKeys.cancellation(job.uid())), job::uid);
   }
 
   /** An array that is done, and a service that is cancelled. */
-  private static List<Job> runJobsToTheirEnd(SimulatedCluster world) {
+  private static List<Job> runJobsToTheirEnd(SimulatedCluster cluster) {
     Job array = TestFixtures.job(1, JobKind.ARRAY, 3, 1);
     Job service = TestFixtures.job(2, JobKind.SERVICE, 2, 1);
-    world.submit(array);
-    world.submit(service);
-    world.at(12_000, () -> world.abort(service.uid()));
-    world.run(40);
+    cluster.submit(array);
+    cluster.submit(service);
+    cluster.schedule(12_000, () -> cluster.cancel(service.uid()));
+    cluster.run(40);
     return List.of(array, service);
   }
 
   private static void write(
-      SimulatedCluster world, StoreRequest.Condition condition, String key, StoredRecord record) {
-    world.state.execute(
+      SimulatedCluster cluster, StoreRequest.Condition condition, String key, StoredRecord record) {
+    cluster.store.execute(
         new StoreRequest.Transaction(
             ImmutableList.of(condition), ImmutableList.of(StoreRequest.Change.put(key, record))),
-        world.nowMs,
+        cluster.nowMs,
         reply -> assertInstanceOf(Reply.Committed.class, reply));
   }
 
-  private static void submitLateAsOlderVersion(SimulatedCluster world, Job job) {
+  private static void submitLateAsOlderVersion(SimulatedCluster cluster, Job job) {
     String key = StoreKeys.job(job.uid());
-    write(world, new StoreRequest.Condition(key, 0), key, new StoredRecord.JobSpec(job));
+    write(cluster, new StoreRequest.Condition(key, 0), key, new StoredRecord.JobSpec(job));
   }
 
-  private static void abortLateAsOlderVersion(SimulatedCluster world, Job job) {
+  private static void abortLateAsOlderVersion(SimulatedCluster cluster, Job job) {
     StoreRequest.Condition neverStarted = new StoreRequest.Condition(StoreKeys.alloc(job.uid()), 0);
     write(
-        world,
+        cluster,
         neverStarted,
         StoreKeys.cancellation(job.uid()),
         new StoredRecord.Cancellation(job.uid()));
@@ -93,46 +93,46 @@
 
   @Test
   void archivedJobsLeaveKeysAndMemoryAndEveryNodeAnswersForThem() {
-    SimulatedCluster world = world(1);
-    List<Job> jobs = runJobsToTheirEnd(world);
-    jobs.forEach(job -> assertArchivedCompletely(world, job));
-    assertEquals(0, world.nodes.get(world.leader()).jobsInMemory());
+    SimulatedCluster cluster = newCluster(1);
+    List<Job> jobs = runJobsToTheirEnd(cluster);
+    jobs.forEach(job -> assertArchivedCompletely(cluster, job));
+    assertEquals(0, cluster.controllers.get(cluster.leader()).jobsInMemory());
     for (Job job : jobs) {
-      world.lookClosely(job.uid());
-      for (String node : world.all()) {
-        world.abortAt(node, job.uid());
+      cluster.queryAndResubmitEverywhere(job.uid());
+      for (String node : cluster.nodeNames()) {
+        cluster.cancelOnce(node, job.uid());
       }
     }
-    int answers = world.checker.answers;
-    world.run(5);
-    assertEquals(answers + 2 * 9, world.checker.answers);
-    assertNoBreaches(world);
-    assertEquals(JobStatus.Phase.DONE, world.checker.finalStance(jobs.get(0).uid()));
-    assertEquals(JobStatus.Phase.ABORTED, world.checker.finalStance(jobs.get(1).uid()));
-    jobs.forEach(job -> assertArchivedCompletely(world, job));
+    int answers = cluster.checker.answeredRequests;
+    cluster.run(5);
+    assertEquals(answers + 2 * 9, cluster.checker.answeredRequests);
+    assertNoBreaches(cluster);
+    assertEquals(JobStatus.Phase.DONE, cluster.checker.finalPhase(jobs.get(0).uid()));
+    assertEquals(JobStatus.Phase.ABORTED, cluster.checker.finalPhase(jobs.get(1).uid()));
+    jobs.forEach(job -> assertArchivedCompletely(cluster, job));
   }
 
   /** Processes that remember nothing answer from the archived record alone. */
   @Test
   void restartedNodesAnswerForArchivedJobs() {
-    SimulatedCluster world = world(2);
-    List<Job> jobs = runJobsToTheirEnd(world);
-    world.all().forEach(node -> world.crash(node, 500));
-    world.run(10);
-    jobs.forEach(job -> world.lookClosely(job.uid()));
-    int answers = world.checker.answers;
-    world.run(5);
-    assertEquals(answers + 2 * 6, world.checker.answers);
-    assertNoBreaches(world);
+    SimulatedCluster cluster = newCluster(2);
+    List<Job> jobs = runJobsToTheirEnd(cluster);
+    cluster.nodeNames().forEach(node -> cluster.crashNode(node, 500));
+    cluster.run(10);
+    jobs.forEach(job -> cluster.queryAndResubmitEverywhere(job.uid()));
+    int answers = cluster.checker.answeredRequests;
+    cluster.run(5);
+    assertEquals(answers + 2 * 6, cluster.checker.answeredRequests);
+    assertNoBreaches(cluster);
   }
 
   @Test
   void jobsAreArchivedAfterTheConfiguredRetention() {
-    SimulatedCluster world = new SimulatedCluster(3, TestFixtures.archivingAfter(60));
-    List<Job> jobs = runJobsToTheirEnd(world);
-    jobs.forEach(job -> assertFalse(isArchived(world, job)));
-    world.run(60);
-    jobs.forEach(job -> assertArchivedCompletely(world, job));
+    SimulatedCluster cluster = new SimulatedCluster(3, TestFixtures.archivingSettings(60));
+    List<Job> jobs = runJobsToTheirEnd(cluster);
+    jobs.forEach(job -> assertFalse(isArchived(cluster, job)));
+    cluster.run(60);
+    jobs.forEach(job -> assertArchivedCompletely(cluster, job));
   }
 
   /**
@@ -143,91 +143,92 @@
   @ParameterizedTest
   @MethodSource("seeds")
   void lateSubmissionOfAnOlderVersionRestoresNothing(long seed) {
-    SimulatedCluster world = world(seed);
-    List<Job> jobs = runJobsToTheirEnd(world);
-    int starts = world.checker.starts;
-    jobs.forEach(job -> submitLateAsOlderVersion(world, job));
+    SimulatedCluster cluster = newCluster(seed);
+    List<Job> jobs = runJobsToTheirEnd(cluster);
+    int starts = cluster.checker.startCount;
+    jobs.forEach(job -> submitLateAsOlderVersion(cluster, job));
     for (int ms = 0; ms < 2000; ms += 70) {
-      world.at(ms, () -> jobs.forEach(job -> world.lookClosely(job.uid())));
+      cluster.schedule(
+          ms, () -> jobs.forEach(job -> cluster.queryAndResubmitEverywhere(job.uid())));
     }
     if (seed % 2 == 0) {
-      world.at(seed * 40, () -> world.crash(world.leader(), 1000));
+      cluster.schedule(seed * 40, () -> cluster.crashNode(cluster.leader(), 1000));
     }
-    world.run(20);
-    assertNoBreaches(world);
-    assertEquals(starts, world.checker.starts);
+    cluster.run(20);
+    assertNoBreaches(cluster);
+    assertEquals(starts, cluster.checker.startCount);
     // The copy itself goes, too, so that later leaders are not bothered by it.
-    jobs.forEach(job -> assertArchivedCompletely(world, job));
+    jobs.forEach(job -> assertArchivedCompletely(cluster, job));
   }
 
   /** The same without capacity, so that no allocation write checks for the archived record. */
   @Test
   void resubmittedArchivedJobIsAnsweredFromTheArchive() {
-    SimulatedCluster world = world(4);
-    Job job = runJobsToTheirEnd(world).get(0);
-    world.cloud.isDown = true;
-    world.workers().forEach(worker -> world.die(worker.machine.name()));
-    world.run(60);
-    submitLateAsOlderVersion(world, job);
-    world.run(3);
+    SimulatedCluster cluster = newCluster(4);
+    Job job = runJobsToTheirEnd(cluster).get(0);
+    cluster.cloud.isDown = true;
+    cluster.workers().forEach(worker -> cluster.failMachine(worker.machine.name()));
+    cluster.run(60);
+    submitLateAsOlderVersion(cluster, job);
+    cluster.run(3);
     // A process that has answered with the final status would answer from its cache.
-    world.all().forEach(node -> world.crash(node, 500));
+    cluster.nodeNames().forEach(node -> cluster.crashNode(node, 500));
     for (int ms = 3000; ms < 9000; ms += 70) {
-      world.at(ms, () -> world.queryAll(job.uid()));
+      cluster.schedule(ms, () -> cluster.queryAllNodes(job.uid()));
     }
-    world.run(10);
-    assertNoBreaches(world);
+    cluster.run(10);
+    assertNoBreaches(cluster);
   }
 
   /** A late cancellation of a job that had not started when it was requested, and is done now. */
   @ParameterizedTest
   @MethodSource("seeds")
   void lateCancellationOfAnOlderVersionChangesNothing(long seed) {
-    SimulatedCluster world = world(seed);
-    Job done = runJobsToTheirEnd(world).get(0);
-    world.checker.userAborts(done.uid());
-    abortLateAsOlderVersion(world, done);
+    SimulatedCluster cluster = newCluster(seed);
+    Job done = runJobsToTheirEnd(cluster).get(0);
+    cluster.checker.recordCancellation(done.uid());
+    abortLateAsOlderVersion(cluster, done);
     if (seed % 2 == 0) {
-      submitLateAsOlderVersion(world, done);
+      submitLateAsOlderVersion(cluster, done);
     }
-    world.all().forEach(node -> world.crash(node, 200 + seed * 50));
+    cluster.nodeNames().forEach(node -> cluster.crashNode(node, 200 + seed * 50));
     // Queried early, the nodes would answer later queries from their cache.
     int firstAskedMs = seed % 3 == 0 ? 0 : 7000;
     for (int ms = firstAskedMs; ms < 9000; ms += 70) {
-      world.at(ms, () -> world.queryAll(done.uid()));
+      cluster.schedule(ms, () -> cluster.queryAllNodes(done.uid()));
     }
-    world.at(9000, () -> world.abortAt("roost-0", done.uid()));
-    world.run(15);
-    assertNoBreaches(world);
-    assertEquals(JobStatus.Phase.DONE, world.checker.finalStance(done.uid()));
+    cluster.schedule(9000, () -> cluster.cancelOnce("roost-0", done.uid()));
+    cluster.run(15);
+    assertNoBreaches(cluster);
+    assertEquals(JobStatus.Phase.DONE, cluster.checker.finalPhase(done.uid()));
     assertEquals(
         new StoredRecord.ArchivedJob(JobStatus.Phase.DONE, 3),
-        world.state.get(StoreKeys.ended(done.uid())));
+        cluster.store.get(StoreKeys.ended(done.uid())));
   }
 
   /** Both late writes at once, and a leader with no reason yet to check the job again. */
   @Test
   void cancelledCopyOfADoneJobDoesNotChangeItsStatus() {
-    SimulatedCluster world = new SimulatedCluster(10, TestFixtures.archivingAfter(20));
-    Job done = runJobsToTheirEnd(world).get(0);
-    world.run(30);
-    assertArchivedCompletely(world, done);
-    world.checker.userAborts(done.uid());
-    submitLateAsOlderVersion(world, done);
-    abortLateAsOlderVersion(world, done);
-    world.all().forEach(node -> world.crash(node, 500));
-    world.run(8);
-    for (String node : world.all()) {
-      world.abortAt(node, done.uid());
+    SimulatedCluster cluster = new SimulatedCluster(10, TestFixtures.archivingSettings(20));
+    Job done = runJobsToTheirEnd(cluster).get(0);
+    cluster.run(30);
+    assertArchivedCompletely(cluster, done);
+    cluster.checker.recordCancellation(done.uid());
+    submitLateAsOlderVersion(cluster, done);
+    abortLateAsOlderVersion(cluster, done);
+    cluster.nodeNames().forEach(node -> cluster.crashNode(node, 500));
+    cluster.run(8);
+    for (String node : cluster.nodeNames()) {
+      cluster.cancelOnce(node, done.uid());
     }
-    world.run(3);
-    world.lookClosely(done.uid());
-    world.run(40);
-    world.queryAll(done.uid());
-    world.run(3);
-    assertNoBreaches(world);
-    assertEquals(JobStatus.Phase.DONE, world.checker.finalStance(done.uid()));
-    assertNull(world.state.get(StoreKeys.job(done.uid())));
+    cluster.run(3);
+    cluster.queryAndResubmitEverywhere(done.uid());
+    cluster.run(40);
+    cluster.queryAllNodes(done.uid());
+    cluster.run(3);
+    assertNoBreaches(cluster);
+    assertEquals(JobStatus.Phase.DONE, cluster.checker.finalPhase(done.uid()));
+    assertNull(cluster.store.get(StoreKeys.job(done.uid())));
   }
 
   /**
@@ -238,93 +239,93 @@
   @ParameterizedTest
   @MethodSource("seeds")
   void answersStayConsistentWithLateWritesAndLostReplies(long seed) {
-    SimulatedCluster world = world(seed);
-    List<Job> jobs = play(world, seed);
-    assertNoBreaches(world);
-    jobs.forEach(job -> world.queryAll(job.uid()));
-    world.run(3);
-    assertNoBreaches(world);
+    SimulatedCluster cluster = newCluster(seed);
+    List<Job> jobs = play(cluster, seed);
+    assertNoBreaches(cluster);
+    jobs.forEach(job -> cluster.queryAllNodes(job.uid()));
+    cluster.run(3);
+    assertNoBreaches(cluster);
     for (Job job : jobs) {
-      assertNotNull(world.checker.finalStance(job.uid()), job::uid);
-      assertArchivedCompletely(world, job);
+      assertNotNull(cluster.checker.finalPhase(job.uid()), job::uid);
+      assertArchivedCompletely(cluster, job);
     }
-    assertEquals(0, world.nodes.get(world.leader()).jobsInMemory());
+    assertEquals(0, cluster.controllers.get(cluster.leader()).jobsInMemory());
   }
 
   /** Plays this seed's history of archive moves to its quiet end, and returns the jobs. */
-  static List<Job> play(SimulatedCluster world, long seed) {
+  static List<Job> play(SimulatedCluster cluster, long seed) {
     Random script = new Random(seed);
-    world.lookCloselyAtNews(true);
+    cluster.setProbesAfterNews(true);
     List<Job> jobs = new ArrayList<>();
     for (int i = 1; i <= 16; i++) {
       JobKind kind = i % 3 == 0 ? JobKind.SERVICE : JobKind.ARRAY;
       Job job = TestFixtures.job(i, kind, 1 + i % 3, 1);
       jobs.add(job);
-      world.at(10_000 + 700L * i, () -> world.submit(job));
-      world.at(22_000 + 900L * i, () -> world.abort(job.uid()));
+      cluster.schedule(10_000 + 700L * i, () -> cluster.submit(job));
+      cluster.schedule(22_000 + 900L * i, () -> cluster.cancel(job.uid()));
     }
-    world.at(9_000, () -> world.lateWrites = 0.15);
-    world.at(9_000, () -> world.lostAnswers = 0.15);
-    world.at(9_000, () -> world.lateReports = 0.1);
+    cluster.schedule(9_000, () -> cluster.lateTransactionProbability = 0.15);
+    cluster.schedule(9_000, () -> cluster.lostStoreReplyProbability = 0.15);
+    cluster.schedule(9_000, () -> cluster.repeatedHeartbeatProbability = 0.1);
     for (int i = 0; i < 4; i++) {
-      world.at(
+      cluster.schedule(
           14_000 + 8000L * i + script.nextInt(6000),
           () -> {
-            if (world.leader() != null) {
-              world.crash(world.leader(), 2000);
+            if (cluster.leader() != null) {
+              cluster.crashNode(cluster.leader(), 2000);
             }
           });
     }
     for (long ms = 22_000; ms < 60_000; ms += 190) {
       Job job = jobs.get(script.nextInt(jobs.size()));
-      world.at(ms, () -> world.lookClosely(job.uid()));
-      world.at(ms + 60, () -> world.abortAt("roost-" + script.nextInt(3), job.uid()));
+      cluster.schedule(ms, () -> cluster.queryAndResubmitEverywhere(job.uid()));
+      cluster.schedule(ms + 60, () -> cluster.cancelOnce("roost-" + script.nextInt(3), job.uid()));
     }
-    world.run(62);
-    world.quiet();
-    world.run(40);
+    cluster.run(62);
+    cluster.clearFaults();
+    cluster.run(40);
     return jobs;
   }
 
   /** An older version's node would deny what it does not find, so nothing leaves before. */
   @Test
   void nothingIsArchivedWhileAMemberMayRunAnOlderVersion() {
-    SimulatedCluster world = world(5);
-    for (String node : world.all()) {
-      world.older.add(node);
-      world.boot(node);
+    SimulatedCluster cluster = newCluster(5);
+    for (String node : cluster.nodeNames()) {
+      cluster.olderVersionNodes.add(node);
+      cluster.startNode(node);
     }
-    List<Job> jobs = runJobsToTheirEnd(world);
-    for (String node : world.all()) {
-      jobs.forEach(job -> assertFalse(isArchived(world, job), node));
-      world.older.remove(node);
-      world.crash(node, 500);
-      world.run(8);
+    List<Job> jobs = runJobsToTheirEnd(cluster);
+    for (String node : cluster.nodeNames()) {
+      jobs.forEach(job -> assertFalse(isArchived(cluster, job), node));
+      cluster.olderVersionNodes.remove(node);
+      cluster.crashNode(node, 500);
+      cluster.run(8);
     }
-    world.run(20);
-    jobs.forEach(job -> assertArchivedCompletely(world, job));
-    assertNoBreaches(world);
+    cluster.run(20);
+    jobs.forEach(job -> assertArchivedCompletely(cluster, job));
+    assertNoBreaches(cluster);
   }
 
   /** All members run the new version, but it is not stored: one may still be downgraded. */
   @Test
   void nothingIsArchivedBeforeTheVersionIsStored() {
-    SimulatedCluster world = world(6);
-    world.state.spoil(StoreKeys.CLUSTER_VERSION);
-    List<Job> jobs = runJobsToTheirEnd(world);
-    jobs.forEach(job -> assertFalse(isArchived(world, job)));
-    assertNoBreaches(world);
+    SimulatedCluster cluster = newCluster(6);
+    cluster.store.corrupt(StoreKeys.CLUSTER_VERSION);
+    List<Job> jobs = runJobsToTheirEnd(cluster);
+    jobs.forEach(job -> assertFalse(isArchived(cluster, job)));
+    assertNoBreaches(cluster);
   }
 
   /** Thirty jobs, half of them cancelled right after their submission and the others later. */
-  private static List<Job> submitJobsAndCancelThem(SimulatedCluster world) {
+  private static List<Job> submitJobsAndCancelThem(SimulatedCluster cluster) {
     List<Job> jobs = new ArrayList<>();
     for (int i = 1; i <= 30; i++) {
       JobKind kind = i % 5 == 0 ? JobKind.SERVICE : JobKind.ARRAY;
       Job job = TestFixtures.job(i, kind, 1, 1);
       jobs.add(job);
-      world.at(1000 + 200L * i, () -> world.submit(job));
-      world.at(1300 + 200L * i + (i % 2) * 20_000, () -> world.abort(job.uid()));
+      cluster.schedule(1000 + 200L * i, () -> cluster.submit(job));
+      cluster.schedule(1300 + 200L * i + (i % 2) * 20_000, () -> cluster.cancel(job.uid()));
     }
     return jobs;
   }
@@ -337,87 +338,88 @@
   @MethodSource("seeds")
   void leaderWithoutMemoryForAllFinishedJobsArchivesThemInPages(long seed) {
     int most = 4;
-    SimulatedCluster world = new SimulatedCluster(seed, TestFixtures.archiving(3600, most));
-    for (String node : world.all()) {
-      world.older.add(node);
-      world.boot(node);
+    SimulatedCluster cluster =
+        new SimulatedCluster(seed, TestFixtures.archivingSettings(3600, most));
+    for (String node : cluster.nodeNames()) {
+      cluster.olderVersionNodes.add(node);
+      cluster.startNode(node);
     }
-    List<Job> jobs = submitJobsAndCancelThem(world);
+    List<Job> jobs = submitJobsAndCancelThem(cluster);
     Job alive = TestFixtures.job(40, JobKind.SERVICE, 2, 1);
-    world.submit(alive);
-    world.run(60);
-    world.older.clear();
-    world.all().forEach(node -> world.crash(node, 500));
-    world.run(4);
-    while (world.leader() == null || world.state.get(StoreKeys.CLUSTER_VERSION) == null) {
-      world.run(0.1);
+    cluster.submit(alive);
+    cluster.run(60);
+    cluster.olderVersionNodes.clear();
+    cluster.nodeNames().forEach(node -> cluster.crashNode(node, 500));
+    cluster.run(4);
+    while (cluster.leader() == null || cluster.store.get(StoreKeys.CLUSTER_VERSION) == null) {
+      cluster.run(0.1);
     }
     // Besides those: a page of the sweep, services whose tasks are not settled yet, and one alive.
-    int inMemory = world.nodes.get(world.leader()).jobsInMemory();
+    int inMemory = cluster.controllers.get(cluster.leader()).jobsInMemory();
     assertTrue(inMemory <= most + 7 + 6 + 1, inMemory + " jobs are in memory");
-    jobs.forEach(job -> world.lookClosely(job.uid()));
-    world.run(1);
+    jobs.forEach(job -> cluster.queryAndResubmitEverywhere(job.uid()));
+    cluster.run(1);
     if (seed % 2 == 0) {
-      world.crash(world.leader(), 1000);
+      cluster.crashNode(cluster.leader(), 1000);
     }
-    world.run(60);
-    assertNoBreaches(world);
-    jobs.forEach(job -> world.lookClosely(job.uid()));
-    world.run(5);
-    assertNoBreaches(world);
-    long left = jobs.stream().filter(job -> !isArchived(world, job)).count();
+    cluster.run(60);
+    assertNoBreaches(cluster);
+    jobs.forEach(job -> cluster.queryAndResubmitEverywhere(job.uid()));
+    cluster.run(5);
+    assertNoBreaches(cluster);
+    long left = jobs.stream().filter(job -> !isArchived(cluster, job)).count();
     assertTrue(left <= most, left + " are not archived");
-    assertEquals(2, world.checker.running(alive.uid()));
+    assertEquals(2, cluster.checker.runningTasks(alive.uid()));
   }
 
   /** The content of an unreadable record is unknown, so nothing is concluded from the others. */
   @Test
   void frozenJobIsNotArchived() {
-    SimulatedCluster world = world(7);
+    SimulatedCluster cluster = newCluster(7);
     Job service = TestFixtures.job(1, JobKind.SERVICE, 2, 1);
-    world.submit(service);
-    world.run(10);
-    world.state.spoil(StoreKeys.alloc(service.uid()));
-    world.crash(world.leader(), 1000);
-    world.run(5);
-    world.abort(service.uid());
-    world.run(60);
-    assertFalse(isArchived(world, service));
-    assertNotNull(world.state.get(StoreKeys.job(service.uid())));
-    assertNoBreaches(world);
+    cluster.submit(service);
+    cluster.run(10);
+    cluster.store.corrupt(StoreKeys.alloc(service.uid()));
+    cluster.crashNode(cluster.leader(), 1000);
+    cluster.run(5);
+    cluster.cancel(service.uid());
+    cluster.run(60);
+    assertFalse(isArchived(cluster, service));
+    assertNotNull(cluster.store.get(StoreKeys.job(service.uid())));
+    assertNoBreaches(cluster);
   }
 
   /** A task of a cancelled job on an unreachable machine counts until it has surely ended. */
   @Test
   void cancelledJobIsNotArchivedBeforeItsTasksHaveSurelyEnded() {
-    SimulatedCluster world = world(8);
+    SimulatedCluster cluster = newCluster(8);
     Job service = TestFixtures.job(1, JobKind.SERVICE, 1, 1);
-    world.submit(service);
-    world.run(15);
+    cluster.submit(service);
+    cluster.run(15);
     FakeWorker worker =
-        world.workers().stream()
+        cluster.workers().stream()
             .filter(it -> !it.nextHeartbeat().tasks().isEmpty())
             .findFirst()
             .get();
-    worker.hanging = true;
-    world.abort(service.uid());
-    world.run(4);
-    assertEquals(JobStatus.Phase.ABORTED, world.checker.finalStance(service.uid()));
-    assertFalse(isArchived(world, service), "its task may still run");
-    world.run(60);
-    assertArchivedCompletely(world, service);
-    assertNoBreaches(world);
+    worker.isHanging = true;
+    cluster.cancel(service.uid());
+    cluster.run(4);
+    assertEquals(JobStatus.Phase.ABORTED, cluster.checker.finalPhase(service.uid()));
+    assertFalse(isArchived(cluster, service), "its task may still run");
+    cluster.run(60);
+    assertArchivedCompletely(cluster, service);
+    assertNoBreaches(cluster);
   }
 
   /** After the limits have fallen there is less to be had beside starts, but not nothing. */
   @Test
   void jobsAreArchivedUnderLowerLimits() {
-    SimulatedCluster world = world(9);
-    world.state.lowerLimits(2, 12, world.nowMs);
-    List<Job> jobs = runJobsToTheirEnd(world);
-    world.run(20);
-    jobs.forEach(job -> assertArchivedCompletely(world, job));
-    assertNoBreaches(world);
+    SimulatedCluster cluster = newCluster(9);
+    cluster.store.lowerLimits(2, 12, cluster.nowMs);
+    List<Job> jobs = runJobsToTheirEnd(cluster);
+    cluster.run(20);
+    jobs.forEach(job -> assertArchivedCompletely(cluster, job));
+    assertNoBreaches(cluster);
   }
 
   /** Work has the writes first: while they are short nothing is archived. */
--- a/src/test/java/eiderfork/controller/LargeCellTest.java
+++ b/src/test/java/eiderfork/controller/LargeCellTest.java
@@ -47,14 +47,14 @@
 
   @BeforeEach
   void lead() {
-    ElectedLeader.win(context, election);
+    ElectedLeader.elect(context, election);
     context.drainEffects();
     assertTrue(election.isLeaseValid());
     fleet.updateTypes(ImmutableList.of(TYPE));
   }
 
   private <T extends Effect> List<T> effects(Class<T> kind) {
-    return ElectedLeader.effects(context, kind);
+    return ElectedLeader.drainEffects(context, kind);
   }
 
   private void answerState(Reply reply) {
@@ -162,38 +162,38 @@
    */
   @Test
   void aRoundLooksAtNoFullMachine() {
-    SimulatedCluster world = worldOfManyMachines();
+    SimulatedCluster cluster = clusterOfManyMachines();
     int tasks = 0;
     for (int i = 0; tasks < MACHINES * 9 / 10; i++) {
       Job template =
           TestFixtures.job(i, JobKind.SERVICE, 50, 0, "blue", Priority.HIGH, false, false);
-      world.submit(TestFixtures.sized(template, TYPE.capacity(), 0, TYPE.name()));
+      cluster.submit(TestFixtures.withTaskShape(template, TYPE.capacity(), 0, TYPE.name()));
       tasks += template.tasks();
     }
-    world.run(18);
-    assertEquals(tasks, world.checker.runningTasks());
-    Controller leader = world.nodes.get(world.leader());
+    cluster.run(18);
+    assertEquals(tasks, cluster.checker.totalRunningTasks());
+    Controller leader = cluster.controllers.get(cluster.leader());
     Job late = TestFixtures.job(9999, JobKind.SERVICE, 4, 0, "blue", Priority.HIGH, false, false);
-    world.submit(late);
+    cluster.submit(late);
     int most = 0;
     for (int i = 0; i < 160; i++) {
-      world.run(0.05);
+      cluster.run(0.05);
       most = Math.max(most, leader.machinesExaminedInRound());
     }
-    assertEquals(4, world.checker.running(late.uid()));
+    assertEquals(4, cluster.checker.runningTasks(late.uid()));
     assertTrue(most < MACHINES / 4, most + " looks at machines for four tasks");
-    assertEquals(List.of(), world.checker.breaches);
+    assertEquals(List.of(), cluster.checker.violations);
   }
 
-  private static SimulatedCluster worldOfManyMachines() {
+  private static SimulatedCluster clusterOfManyMachines() {
     Settings.StoreLimits limits = new Settings.StoreLimits(4000, 400, 8, 16);
     Settings settings =
         TestFixtures.settings("roost-0", TestFixtures.LONG_LEASES, limits, 1, 8000, 3);
-    SimulatedCluster world = new SimulatedCluster(3, TestFixtures.withCloudRate(settings, 40));
-    world.cloud.types = ImmutableList.of(TYPE);
-    world.cloud.capacity = MACHINES / 3;
-    world.cloud.bootMs = 2000;
-    world.run(3);
-    return world;
+    SimulatedCluster cluster = new SimulatedCluster(3, TestFixtures.withCloudRate(settings, 40));
+    cluster.cloud.types = ImmutableList.of(TYPE);
+    cluster.cloud.defaultStock = MACHINES / 3;
+    cluster.cloud.bootMs = 2000;
+    cluster.run(3);
+    return cluster;
   }
 }
--- a/src/test/java/eiderfork/controller/LargeSubmissionTest.java
+++ b/src/test/java/eiderfork/controller/LargeSubmissionTest.java
@@ -20,28 +20,31 @@
   @ParameterizedTest
   @CsvSource({"1000, 1", "65472, 1", "65473, 0", "65536, 0"})
   void bodiesThatDoNotFitAPeersRequestAreNotForwarded(int bodyBytes, int forwardedRequests) {
-    SimulatedCluster world = new SimulatedCluster(1);
-    world.run(UNTIL_LED_S);
+    SimulatedCluster cluster = new SimulatedCluster(1);
+    cluster.run(UNTIL_LED_S);
     Job job = TestFixtures.job(1, JobKind.ARRAY, 2, 1);
-    world.addJob(job);
+    cluster.addJob(job);
     List<Effect> forwarded = new ArrayList<>();
-    world.effectObserver =
+    cluster.effectObserver =
         (node, effect) -> {
           if (effect instanceof Effect.ForwardRequest) {
             forwarded.add(effect);
           }
         };
     List<Integer> statuses = new ArrayList<>();
-    world.ask(
-        follower(world),
+    cluster.sendRequest(
+        follower(cluster),
         ticket -> new Input.Submit(ticket, job, new byte[bodyBytes]),
         said -> statuses.add(((Effect.RespondToUser) said).response().status()));
-    world.run(UNTIL_ANSWERED_S);
+    cluster.run(UNTIL_ANSWERED_S);
     assertEquals(List.of(201), statuses);
     assertEquals(forwardedRequests, forwarded.size());
   }
 
-  private static String follower(SimulatedCluster world) {
-    return world.all().stream().filter(it -> !it.equals(world.leader())).findFirst().orElseThrow();
+  private static String follower(SimulatedCluster cluster) {
+    return cluster.nodeNames().stream()
+        .filter(it -> !it.equals(cluster.leader()))
+        .findFirst()
+        .orElseThrow();
   }
 }
--- a/src/test/java/eiderfork/controller/LateBootTest.java
+++ b/src/test/java/eiderfork/controller/LateBootTest.java
@@ -19,16 +19,16 @@
 
   private static final long NEVER_MS = 10_000_000;
 
-  private final SimulatedCluster world = new SimulatedCluster(17);
+  private final SimulatedCluster cluster = new SimulatedCluster(17);
 
   @AfterEach
   void rulesHold() {
-    assertEquals(List.of(), world.checker.breaches);
+    assertEquals(List.of(), cluster.checker.violations);
   }
 
   private void setBootTime(String zone, long bootMs) {
     for (boolean spot : new boolean[] {false, true}) {
-      world.cloud.bootMsByKind.put(new MachineKind("g4", zone, spot), bootMs);
+      cluster.cloud.bootMsByKind.put(new MachineKind("g4", zone, spot), bootMs);
     }
   }
 
@@ -39,13 +39,13 @@
     setBootTime("a", bootMs);
     setBootTime("b", 3000);
     Job job = TestFixtures.job(1, JobKind.SERVICE, 4, 4);
-    world.submit(job);
+    cluster.submit(job);
     // Overdue after two boots, then a plan, a rent, a boot and an image.
-    world.run(2 + BOOT_S * 2 + 2 + 3 + 3);
-    assertEquals(4, world.checker.running(job.uid()));
-    world.run(120);
-    assertEquals(4, world.checker.running(job.uid()));
-    assertTrue(world.cloud.liveHostCount() <= 6, "what came up late is used or returned");
+    cluster.run(2 + BOOT_S * 2 + 2 + 3 + 3);
+    assertEquals(4, cluster.checker.runningTasks(job.uid()));
+    cluster.run(120);
+    assertEquals(4, cluster.checker.runningTasks(job.uid()));
+    assertTrue(cluster.cloud.liveHostCount() <= 6, "what came up late is used or returned");
   }
 
   /** While the first rent of a need is not known to be late, no second one follows. */
@@ -53,11 +53,11 @@
   void noReplacementIsRentedBeforeBootIsOverdue() {
     setBootTime("a", (long) (BOOT_S * 1.9 * 1000));
     setBootTime("b", (long) (BOOT_S * 1.9 * 1000));
-    world.submit(TestFixtures.job(1, JobKind.SERVICE, 4, 4));
-    world.run(4);
-    int rented = world.cloud.hosts().size();
-    world.run(BOOT_S * 1.9 - 2);
-    assertEquals(rented, world.cloud.hosts().size());
+    cluster.submit(TestFixtures.job(1, JobKind.SERVICE, 4, 4));
+    cluster.run(4);
+    int rented = cluster.cloud.hosts().size();
+    cluster.run(BOOT_S * 1.9 - 2);
+    assertEquals(rented, cluster.cloud.hosts().size());
   }
 
   /** All kinds are late for a while: the fleet stays bounded, and work starts when that is over. */
@@ -66,15 +66,17 @@
     setBootTime("a", (long) (BOOT_S * 20 * 1000));
     setBootTime("b", (long) (BOOT_S * 20 * 1000));
     Job job = TestFixtures.job(1, JobKind.SERVICE, 4, 4);
-    world.submit(job);
-    world.run(60);
-    assertTrue(world.cloud.liveHostCount() <= 40, world.cloud.liveHostCount() + " machines live");
+    cluster.submit(job);
+    cluster.run(60);
+    assertTrue(
+        cluster.cloud.liveHostCount() <= 40, cluster.cloud.liveHostCount() + " machines live");
     setBootTime("a", 3000);
     setBootTime("b", 3000);
-    world.run(BOOT_S * 4);
-    assertEquals(4, world.checker.running(job.uid()));
-    world.run(120);
-    assertTrue(world.cloud.liveHostCount() <= 6, world.cloud.liveHostCount() + " machines live");
+    cluster.run(BOOT_S * 4);
+    assertEquals(4, cluster.checker.runningTasks(job.uid()));
+    cluster.run(120);
+    assertTrue(
+        cluster.cloud.liveHostCount() <= 6, cluster.cloud.liveHostCount() + " machines live");
   }
 
   /** Machines are up at once, long before any list has them; the leader ends meanwhile. */
@@ -82,13 +84,14 @@
   void earlyBootsSurviveFailover() {
     setBootTime("a", 100);
     setBootTime("b", 100);
-    world.run(2);
+    cluster.run(2);
     Job job = TestFixtures.job(1, JobKind.SERVICE, 4, 4);
-    world.submit(job);
-    world.at(900, () -> world.crash(world.leader(), 2000));
-    world.run(20);
-    assertEquals(4, world.checker.running(job.uid()));
-    world.run(100);
-    assertTrue(world.cloud.liveHostCount() <= 6, world.cloud.liveHostCount() + " machines live");
+    cluster.submit(job);
+    cluster.schedule(900, () -> cluster.crashNode(cluster.leader(), 2000));
+    cluster.run(20);
+    assertEquals(4, cluster.checker.runningTasks(job.uid()));
+    cluster.run(100);
+    assertTrue(
+        cluster.cloud.liveHostCount() <= 6, cluster.cloud.liveHostCount() + " machines live");
   }
 }
--- a/src/test/java/eiderfork/controller/LeaderAndWorkerFixture.java
+++ b/src/test/java/eiderfork/controller/LeaderAndWorkerFixture.java
@@ -93,8 +93,8 @@
 
   /** This node leads term 1 and knows a job of two tasks and an empty machine. */
   @BeforeEach
-  void lead() {
-    ElectedLeader.win(context, election);
+  void becomeLeader() {
+    ElectedLeader.elect(context, election);
     // The leader's share of the rates fills up.
     context.advanceBy(500);
     assertTrue(election.isLeaseValid());
@@ -110,16 +110,16 @@
     machine = fleet.get("n-1");
   }
 
-  <T extends Effect> List<T> effects(Class<T> kind) {
-    return ElectedLeader.effects(context, kind);
+  <T extends Effect> List<T> drainEffects(Class<T> kind) {
+    return ElectedLeader.drainEffects(context, kind);
   }
 
   /** Time passes, a tick's worth or less, and the leader's own lease is renewed. */
-  void advance(long ms) {
+  void advanceBy(long ms) {
     context.advanceBy(ms);
     election.tick();
     store.sendQueued();
-    for (Effect.CallStore storeCall : effects(Effect.CallStore.class)) {
+    for (Effect.CallStore storeCall : drainEffects(Effect.CallStore.class)) {
       if (storeCall.request() instanceof StoreRequest.Renew renew) {
         context.completeCall(storeCall.callId(), new Reply.Leased(renew.leaseId()));
       }
@@ -128,15 +128,15 @@
   }
 
   /** Answers the one call to the store that is open. */
-  void answerStore(Reply reply) {
-    ElectedLeader.answer(context, reply);
+  void replyToStoreCall(Reply reply) {
+    ElectedLeader.replyToStoreCall(context, reply);
   }
 
   List<WorkerCommand> sendHeartbeat(
       long incarnation, long sequenceNumber, long fencingToken, TaskStatus... tasks) {
     context.drainEffects();
     commander.handleHeartbeat(1, heartbeat(incarnation, sequenceNumber, fencingToken, tasks));
-    List<Effect.RespondToWorker> answers = effects(Effect.RespondToWorker.class);
+    List<Effect.RespondToWorker> answers = drainEffects(Effect.RespondToWorker.class);
     return answers.isEmpty() ? List.of() : answers.get(0).commands();
   }
 
@@ -157,7 +157,7 @@
   Reservation reserveTask() {
     Reservation task = jobs.propose(job, 0, job.nextAttemptNumber(), machine);
     jobs.write(job, RequestPriority.START);
-    answerStore(new Reply.Committed(5));
+    replyToStoreCall(new Reply.Committed(5));
     assertTrue(task.isCommitted());
     return task;
   }
--- a/src/test/java/eiderfork/controller/MonotonicReadTest.java
+++ b/src/test/java/eiderfork/controller/MonotonicReadTest.java
@@ -23,26 +23,26 @@
   }
 
   /** Users poll once more: every job is terminal at every node. */
-  private static void assertAllTerminal(SimulatedCluster world, List<Job> jobs) {
-    jobs.forEach(job -> world.queryAll(job.uid()));
-    world.run(3);
-    assertNoBreaches(world);
-    jobs.forEach(job -> assertNotNull(world.checker.finalStance(job.uid()), job::uid));
+  private static void assertAllTerminal(SimulatedCluster cluster, List<Job> jobs) {
+    jobs.forEach(job -> cluster.queryAllNodes(job.uid()));
+    cluster.run(3);
+    assertNoBreaches(cluster);
+    jobs.forEach(job -> assertNotNull(cluster.checker.finalPhase(job.uid()), job::uid));
   }
 
-  private static void assertNoBreaches(SimulatedCluster world) {
-    assertEquals(List.of(), world.checker.breaches);
+  private static void assertNoBreaches(SimulatedCluster cluster) {
+    assertEquals(List.of(), cluster.checker.violations);
   }
 
   /** Arrays of a few tasks that end one after the other, and services that are cancelled. */
-  private static List<Job> submitLoad(SimulatedCluster world, int jobs) {
+  private static List<Job> submitLoad(SimulatedCluster cluster, int jobs) {
     List<Job> all = new ArrayList<>();
     for (int i = 1; i <= jobs; i++) {
       Job job = TestFixtures.job(i, i % 3 == 0 ? JobKind.SERVICE : JobKind.ARRAY, 1 + i % 3, i % 2);
       all.add(job);
-      world.at(500L * i, () -> world.submit(job));
+      cluster.schedule(500L * i, () -> cluster.submit(job));
       if (job.kind() == JobKind.SERVICE) {
-        world.at(12_000 + 700L * i, () -> world.abort(job.uid()));
+        cluster.schedule(12_000 + 700L * i, () -> cluster.cancel(job.uid()));
       }
     }
     return all;
@@ -56,12 +56,12 @@
   @ParameterizedTest
   @MethodSource("seeds")
   void noNodeAnswersWithAnOlderStatusRightAfterAnAnswer(long seed) {
-    SimulatedCluster world = new SimulatedCluster(seed);
-    world.lookCloselyAtNews(true);
-    List<Job> jobs = submitLoad(world, 18);
-    world.run(60);
-    assertNoBreaches(world);
-    assertAllTerminal(world, jobs);
+    SimulatedCluster cluster = new SimulatedCluster(seed);
+    cluster.setProbesAfterNews(true);
+    List<Job> jobs = submitLoad(cluster, 18);
+    cluster.run(60);
+    assertNoBreaches(cluster);
+    assertAllTerminal(cluster, jobs);
   }
 
   /**
@@ -72,37 +72,39 @@
   @ParameterizedTest
   @MethodSource("seeds")
   void readsStayMonotonicWhileRepliesToWritesAreLost(long seed) {
-    SimulatedCluster world = new SimulatedCluster(seed);
-    world.lookCloselyAtNews(true);
-    world.at(5_000, () -> world.lostAnswers = 0.5);
+    SimulatedCluster cluster = new SimulatedCluster(seed);
+    cluster.setProbesAfterNews(true);
+    cluster.schedule(5_000, () -> cluster.lostStoreReplyProbability = 0.5);
     // Polls reach the store also through nodes that can't reach the leader.
-    world.at(5_000, () -> world.cut("roost-0>roost-2", 40_000));
-    world.at(5_000, () -> world.cut("roost-1>roost-2", 40_000));
-    world.at(5_000, () -> world.cut("roost-2>roost-0", 40_000));
-    List<Job> jobs = submitLoad(world, 18);
+    cluster.schedule(5_000, () -> cluster.cutLink("roost-0>roost-2", 40_000));
+    cluster.schedule(5_000, () -> cluster.cutLink("roost-1>roost-2", 40_000));
+    cluster.schedule(5_000, () -> cluster.cutLink("roost-2>roost-0", 40_000));
+    List<Job> jobs = submitLoad(cluster, 18);
     for (int i = 0; i < 900; i++) {
       int number = 1 + i % 18;
-      world.at(8_000 + 50L * i, () -> world.queryAll("run-%06d".formatted(number)));
+      cluster.schedule(8_000 + 50L * i, () -> cluster.queryAllNodes("run-%06d".formatted(number)));
     }
-    world.at(50_000, () -> world.lostAnswers = 0);
-    world.run(90);
-    assertNoBreaches(world);
-    assertAllTerminal(world, jobs);
+    cluster.schedule(50_000, () -> cluster.lostStoreReplyProbability = 0);
+    cluster.run(90);
+    assertNoBreaches(cluster);
+    assertAllTerminal(cluster, jobs);
   }
 
   /** The same with transactions that are carried out late, after newer ones. */
   @ParameterizedTest
   @MethodSource("seeds")
   void readsStayMonotonicWithLateTransactions(long seed) {
-    SimulatedCluster world = new SimulatedCluster(seed);
-    world.lookCloselyAtNews(true);
-    world.at(5_000, () -> world.lateWrites = 0.3);
-    List<Job> jobs = submitLoad(world, 18);
-    world.at(20_000, () -> world.crash(world.leader() == null ? "roost-0" : world.leader(), 3000));
-    world.at(50_000, () -> world.lateWrites = 0);
-    world.run(100);
-    assertNoBreaches(world);
-    assertAllTerminal(world, jobs);
+    SimulatedCluster cluster = new SimulatedCluster(seed);
+    cluster.setProbesAfterNews(true);
+    cluster.schedule(5_000, () -> cluster.lateTransactionProbability = 0.3);
+    List<Job> jobs = submitLoad(cluster, 18);
+    cluster.schedule(
+        20_000,
+        () -> cluster.crashNode(cluster.leader() == null ? "roost-0" : cluster.leader(), 3000));
+    cluster.schedule(50_000, () -> cluster.lateTransactionProbability = 0);
+    cluster.run(100);
+    assertNoBreaches(cluster);
+    assertAllTerminal(cluster, jobs);
   }
 
   /**
@@ -116,25 +118,25 @@
   void cancellationRacingWithCompletionHasOneFinalStatus(int afterMs) {
     for (int i = 0; i < 9; i++) {
       String at = "roost-" + i % 3;
-      SimulatedCluster world = new SimulatedCluster(7);
-      world.lookCloselyAtNews(true);
+      SimulatedCluster cluster = new SimulatedCluster(7);
+      cluster.setProbesAfterNews(true);
       // The slower the store, the wider the moment between the read and the write.
-      world.stateDelayMs = 80 * (i / 3);
-      world.submit(TestFixtures.job(1, JobKind.SERVICE, 1, 1));
-      world.run(20);
+      cluster.storeDelayMs = 80 * (i / 3);
+      cluster.submit(TestFixtures.job(1, JobKind.SERVICE, 1, 1));
+      cluster.run(20);
       Job job = TestFixtures.job(2, JobKind.ARRAY, 1, 1);
-      world.submit(job);
+      cluster.submit(job);
       // It fetches for 0.7 s and runs for 4 s.
-      world.at(4600 + afterMs, () -> world.abortAt(at, job.uid()));
+      cluster.schedule(4600 + afterMs, () -> cluster.cancelOnce(at, job.uid()));
       for (int ms = 4400; ms < 9000; ms += 20) {
-        world.at(ms, () -> world.queryAll(job.uid()));
+        cluster.schedule(ms, () -> cluster.queryAllNodes(job.uid()));
       }
-      world.run(20);
-      assertNoBreaches(world);
-      world.query(job.uid());
-      world.run(2);
-      assertNoBreaches(world);
-      assertNotNull(world.checker.finalStance(job.uid()));
+      cluster.run(20);
+      assertNoBreaches(cluster);
+      cluster.queryRandomNode(job.uid());
+      cluster.run(2);
+      assertNoBreaches(cluster);
+      assertNotNull(cluster.checker.finalPhase(job.uid()));
     }
   }
 
@@ -142,48 +144,48 @@
   @ParameterizedTest
   @MethodSource("seeds")
   void cancellationRightAfterSubmissionIsKept(long seed) {
-    SimulatedCluster world = new SimulatedCluster(seed);
-    world.lookCloselyAtNews(true);
-    world.run(10);
+    SimulatedCluster cluster = new SimulatedCluster(seed);
+    cluster.setProbesAfterNews(true);
+    cluster.run(10);
     for (int i = 1; i <= 10; i++) {
       Job job = TestFixtures.job(i, JobKind.SERVICE, 2, 1);
-      world.submit(job);
-      world.at(i * 3L, () -> world.abort(job.uid()));
-      world.run(1);
+      cluster.submit(job);
+      cluster.schedule(i * 3L, () -> cluster.cancel(job.uid()));
+      cluster.run(1);
     }
-    world.run(30);
-    assertNoBreaches(world);
+    cluster.run(30);
+    assertNoBreaches(cluster);
     for (int i = 1; i <= 10; i++) {
       String uid = "run-%06d".formatted(i);
-      assertEquals(Phase.ABORTED, world.checker.finalStance(uid));
-      assertEquals(0, world.checker.running(uid));
+      assertEquals(Phase.ABORTED, cluster.checker.finalPhase(uid));
+      assertEquals(0, cluster.checker.runningTasks(uid));
     }
   }
 
   /** Malformed, impossible, unknown and terminal jobs are answered as such, at any time. */
   @Test
   void unusualRequestsAreAnsweredDuringAFailover() {
-    SimulatedCluster world = new SimulatedCluster(3);
+    SimulatedCluster cluster = new SimulatedCluster(3);
     Job done = TestFixtures.job(1, JobKind.ARRAY, 1, 1);
     Job running = TestFixtures.job(2, JobKind.SERVICE, 1, 1);
-    world.submit(done);
-    world.submit(running);
-    world.run(30);
-    world.crash(world.leader(), 6000);
+    cluster.submit(done);
+    cluster.submit(running);
+    cluster.run(30);
+    cluster.crashNode(cluster.leader(), 6000);
     for (int i = 0; i < 200; i++) {
-      world.at(i * 40L, () -> world.abort(done.uid()));
-      world.at(i * 40L, () -> world.submit(running));
+      cluster.schedule(i * 40L, () -> cluster.cancel(done.uid()));
+      cluster.schedule(i * 40L, () -> cluster.submit(running));
       Job impossible = TestFixtures.job(100 + i, JobKind.SERVICE, 1, 64);
-      world.at(i * 40L, () -> world.submit(impossible));
-      world.at(i * 40L, () -> world.query("run-009999"));
+      cluster.schedule(i * 40L, () -> cluster.submit(impossible));
+      cluster.schedule(i * 40L, () -> cluster.queryRandomNode("run-009999"));
     }
-    world.run(40);
-    assertNoBreaches(world);
-    assertEquals(Phase.DONE, world.checker.finalStance(done.uid()));
-    assertEquals(1, world.checker.running(running.uid()));
+    cluster.run(40);
+    assertNoBreaches(cluster);
+    assertEquals(Phase.DONE, cluster.checker.finalPhase(done.uid()));
+    assertEquals(1, cluster.checker.runningTasks(running.uid()));
     for (int i = 0; i < 200; i++) {
       String uid = "run-%06d".formatted(100 + i);
-      assertTrue(world.checker.wasRefused(uid), uid);
+      assertTrue(cluster.checker.wasRefused(uid), uid);
     }
   }
 }
--- a/src/test/java/eiderfork/controller/ProtocolChecker.java
+++ b/src/test/java/eiderfork/controller/ProtocolChecker.java
@@ -34,11 +34,11 @@
   private final Set<TaskId> late = new HashSet<>();
 
   private final Map<String, Set<Integer>> completed = new HashMap<>();
-  final List<String> breaches = new ArrayList<>();
-  int starts;
+  final List<String> violations = new ArrayList<>();
+  int startCount;
 
   /** Questions and requests that were answered with what is so. */
-  int answers;
+  int answeredRequests;
 
   /** Starts of jobs whose user had been told that they are cancelled, in time or not. */
   int startsAfterCancellation;
@@ -49,32 +49,33 @@
   }
 
   private void breach(String rule, Object what) {
-    breaches.add(rule + ": " + what);
+    violations.add(rule + ": " + what);
   }
 
-  void userSubmits(Job job) {
+  void recordSubmission(Job job) {
     submitted.put(job.uid(), job);
   }
 
-  void userAborts(String uid) {
+  void recordCancellation(String uid) {
     abortAsked.add(uid);
   }
 
   /** What users had been told of a job when one of them asked; no later answer may be older. */
-  record Known(boolean accepted, Phase last) {}
+  record KnownState(boolean isAccepted, Phase finalPhase) {}
 
-  Known known(String uid) {
-    return new Known(accepted.contains(uid), finals.get(uid));
+  KnownState knownState(String uid) {
+    return new KnownState(accepted.contains(uid), finals.get(uid));
   }
 
   /** An answer arrives at a user; whether it says what no user was told before. */
-  boolean told(long nowMs, String uid, UserResponse response, boolean submission, Known job) {
+  boolean checkResponse(
+      long nowMs, String uid, UserResponse response, boolean submission, KnownState job) {
     int status = response.status();
-    answers += status == 200 || status == 404 ? 1 : 0;
-    if (status == 404 && job.accepted) {
+    answeredRequests += status == 200 || status == 404 ? 1 : 0;
+    if (status == 404 && job.isAccepted) {
       breach("forgotten", uid);
     }
-    if (submission && (status == 400 || status == 422) && job.accepted) {
+    if (submission && (status == 400 || status == 422) && job.isAccepted) {
       breach("forgotten", uid + " repeated got " + status);
     }
     if (submission && status == 422) {
@@ -90,8 +91,8 @@
     boolean news = accepted.add(uid);
     Phase stance = response.job().phase();
     news |= (stance == Phase.DONE || stance == Phase.ABORTED) && !finals.containsKey(uid);
-    if (job.last != null && job.last != stance) {
-      breach("went_back", uid + " from " + job.last + " to " + stance);
+    if (job.finalPhase != null && job.finalPhase != stance) {
+      breach("went_back", uid + " from " + job.finalPhase + " to " + stance);
     }
     if (stance == Phase.ABORTED) {
       if (!abortAsked.contains(uid)) {
@@ -110,8 +111,8 @@
   }
 
   /** A task has its image on a machine and starts. */
-  void starts(long nowMs, TaskId task, Machine machine) {
-    starts++;
+  void recordStart(long nowMs, TaskId task, Machine machine) {
+    startCount++;
     Job job = submitted.get(task.jobUid());
     if (job == null) {
       breach("wrong_place", task + " of no job");
@@ -167,7 +168,7 @@
   }
 
   /** The task is off the machine. */
-  void leaves(TaskId task, Machine machine) {
+  void recordEnd(TaskId task, Machine machine) {
     Map<String, Machine> places = on.get(task);
     if (places != null) {
       places.remove(machine.name());
@@ -177,12 +178,12 @@
     }
   }
 
-  void completes(TaskId task) {
+  void recordCompletion(TaskId task) {
     completed.computeIfAbsent(task.jobUid(), j -> new HashSet<>()).add(task.index());
   }
 
   /** To be called now and then: tasks of cancelled jobs have to be gone in time. */
-  void look(long nowMs) {
+  void checkCancelledTasks(long nowMs) {
     on.keySet().forEach(task -> late(nowMs, task));
   }
 
@@ -194,7 +195,7 @@
   }
 
   /** What the tasks of a team take that are on machines now. */
-  Resources held(String team) {
+  Resources usedResources(String team) {
     Resources held = Resources.NONE;
     for (Map.Entry<TaskId, Map<String, Machine>> e : on.entrySet()) {
       Job spec = submitted.get(e.getKey().jobUid());
@@ -206,7 +207,7 @@
   }
 
   /** Whether a team has arrays or gangs on machines. */
-  boolean holdsBatch(String team) {
+  boolean runsBatchWork(String team) {
     return on.keySet().stream()
         .map(task -> submitted.get(task.jobUid()))
         .anyMatch(
@@ -218,20 +219,20 @@
    * would not fit into the guarantee beside what the team holds, is no part of it: a part of it
    * can't run.
    */
-  Resources asked(String team) {
-    double left = teams.get(team).guaranteedGpus() - held(team).gpus();
+  Resources requestedResources(String team) {
+    double left = teams.get(team).guaranteedGpus() - usedResources(team).gpus();
     Resources asked = Resources.NONE;
     for (String uid : accepted) {
       Job spec = submitted.get(uid);
       boolean tooLarge =
           spec.kind() == JobKind.GANG
-              && running(uid) == 0
+              && runningTasks(uid) == 0
               && spec.taskResources().gpus() * spec.tasks() > left;
       if (spec.team().equals(team)
           && !tooLarge
           && !abortAsked.contains(uid)
           && !finals.containsKey(uid)) {
-        asked = asked.plus(spec.taskResources().times(spec.tasks() - completed(uid)));
+        asked = asked.plus(spec.taskResources().times(spec.tasks() - completedTasks(uid)));
       }
     }
     return asked;
@@ -240,12 +241,12 @@
   /**
    * The fewest GPUs with which something more of a team could run: a task, or a gang as a whole.
    */
-  double smallestWaiting(String team) {
+  double smallestWaitingGpus(String team) {
     double smallest = Double.MAX_VALUE;
     for (String uid : accepted) {
       Job spec = submitted.get(uid);
       boolean over = abortAsked.contains(uid) || finals.containsKey(uid);
-      long left = spec.tasks() - completed(uid) - running(uid);
+      long left = spec.tasks() - completedTasks(uid) - runningTasks(uid);
       if (spec.team().equals(team) && !over && left > 0) {
         int together = spec.kind() == JobKind.GANG ? spec.tasks() : 1;
         smallest = Math.min(smallest, spec.taskResources().gpus() * together);
@@ -255,27 +256,27 @@
   }
 
   /** Whether a user has asked to cancel the job. */
-  boolean wasCancelled(String uid) {
+  boolean wasCancellationRequested(String uid) {
     return abortAsked.contains(uid);
   }
 
-  boolean isDone(String uid) {
+  boolean allTasksCompleted(String uid) {
     Job job = submitted.get(uid);
     return job.kind() != JobKind.SERVICE
         && completed.getOrDefault(uid, Set.of()).size() == job.tasks();
   }
 
   /** How many of a job's tasks have ended well. */
-  int completed(String uid) {
+  int completedTasks(String uid) {
     return completed.getOrDefault(uid, Set.of()).size();
   }
 
-  long running(String uid) {
+  long runningTasks(String uid) {
     return on.keySet().stream().filter(task -> task.jobUid().equals(uid)).count();
   }
 
   /** How many tasks run, of whatever job. */
-  long runningTasks() {
+  long totalRunningTasks() {
     return on.size();
   }
 
@@ -288,7 +289,7 @@
     return accepted.contains(uid);
   }
 
-  Phase finalStance(String uid) {
+  Phase finalPhase(String uid) {
     return finals.get(uid);
   }
 }
--- a/src/test/java/eiderfork/controller/ProtocolCheckerTest.java
+++ b/src/test/java/eiderfork/controller/ProtocolCheckerTest.java
@@ -25,38 +25,38 @@
   }
 
   private void told(long nowMs, String uid, UserResponse response, boolean submission) {
-    checker.told(nowMs, uid, response, submission, checker.known(uid));
+    checker.checkResponse(nowMs, uid, response, submission, checker.knownState(uid));
   }
 
   private Job submit(Job job) {
-    checker.userSubmits(job);
+    checker.recordSubmission(job);
     told(0, job.uid(), says(job.uid(), Phase.PENDING), true);
     return job;
   }
 
   private void assertOnly(String rule) {
-    assertEquals(1, checker.breaches.size(), checker.breaches::toString);
-    assertTrue(checker.breaches.get(0).startsWith(rule), checker.breaches::toString);
+    assertEquals(1, checker.violations.size(), checker.violations::toString);
+    assertTrue(checker.violations.get(0).startsWith(rule), checker.violations::toString);
   }
 
   @Test
   void passesAnOrderlyHistory() {
     Job job = submit(TestFixtures.job(1, JobKind.ARRAY, 1, 1));
     TaskId task = new TaskId(job.uid(), 0);
-    checker.starts(1, task, one);
-    checker.leaves(task, one);
-    checker.starts(2, task, two);
-    checker.completes(task);
-    checker.leaves(task, two);
+    checker.recordStart(1, task, one);
+    checker.recordEnd(task, one);
+    checker.recordStart(2, task, two);
+    checker.recordCompletion(task);
+    checker.recordEnd(task, two);
     told(3, job.uid(), says(job.uid(), Phase.DONE), false);
-    assertTrue(checker.breaches.isEmpty());
+    assertTrue(checker.violations.isEmpty());
   }
 
   @Test
   void catchesATaskInTwoPlaces() {
     Job job = submit(TestFixtures.job(1, JobKind.ARRAY, 1, 1));
-    checker.starts(1, new TaskId(job.uid(), 0), one);
-    checker.starts(2, new TaskId(job.uid(), 0), two);
+    checker.recordStart(1, new TaskId(job.uid(), 0), one);
+    checker.recordStart(2, new TaskId(job.uid(), 0), two);
     assertOnly("ran_twice");
   }
 
@@ -64,7 +64,7 @@
   void catchesATeamOverItsLimit() {
     Job job = submit(TestFixtures.job(1, JobKind.ARRAY, 11, 1, "red", Priority.LOW, false, false));
     for (int i = 0; i < 11; i++) {
-      checker.starts(1, new TaskId(job.uid(), i), one);
+      checker.recordStart(1, new TaskId(job.uid(), i), one);
     }
     assertOnly("quota");
   }
@@ -72,7 +72,7 @@
   @Test
   void catchesAnOrdinaryJobOnASpotMachine() {
     Job job = submit(TestFixtures.job(1, JobKind.ARRAY, 1, 1));
-    checker.starts(1, new TaskId(job.uid(), 0), new Machine("n-3", "", "g4", "a", true));
+    checker.recordStart(1, new TaskId(job.uid(), 0), new Machine("n-3", "", "g4", "a", true));
     assertOnly("wrong_place");
   }
 
@@ -80,20 +80,20 @@
   void catchesAJobThatIsNotSpread() {
     Job job =
         submit(TestFixtures.job(1, JobKind.SERVICE, 2, 1, "blue", Priority.HIGH, true, false));
-    checker.starts(1, new TaskId(job.uid(), 0), one);
-    checker.starts(1, new TaskId(job.uid(), 1), two);
+    checker.recordStart(1, new TaskId(job.uid(), 0), one);
+    checker.recordStart(1, new TaskId(job.uid(), 1), two);
     assertOnly("wrong_place");
   }
 
   @Test
   void catchesACancelledJobThatRunsOn() {
     Job job = submit(TestFixtures.job(1, JobKind.SERVICE, 1, 1));
-    checker.starts(1, new TaskId(job.uid(), 0), one);
-    checker.userAborts(job.uid());
+    checker.recordStart(1, new TaskId(job.uid(), 0), one);
+    checker.recordCancellation(job.uid());
     told(1000, job.uid(), says(job.uid(), Phase.ABORTED), false);
-    checker.look(31_000);
-    assertTrue(checker.breaches.isEmpty());
-    checker.look(31_001);
+    checker.checkCancelledTasks(31_000);
+    assertTrue(checker.violations.isEmpty());
+    checker.checkCancelledTasks(31_001);
     assertOnly("ran_cancelled");
   }
 
@@ -107,6 +107,6 @@
     told(1, job.uid(), UserResponse.refused(422, ""), true);
     assertEquals(
         java.util.List.of("forgotten", "invented", "not_done", "went_back", "forgotten"),
-        checker.breaches.stream().map(b -> b.substring(0, b.indexOf(':'))).toList());
+        checker.violations.stream().map(b -> b.substring(0, b.indexOf(':'))).toList());
   }
 }
--- a/src/test/java/eiderfork/controller/QuotaCluster.java
+++ b/src/test/java/eiderfork/controller/QuotaCluster.java
@@ -30,27 +30,27 @@
   /** Within this time a team has its guarantee back where there is no failure. */
   static final double RECLAIM_S = 8;
 
-  final SimulatedCluster world;
-  final GuaranteeChecker guarantees;
+  final SimulatedCluster cluster;
+  final GuaranteeChecker guaranteeChecker;
   final List<Job> jobs = new ArrayList<>();
 
-  private QuotaCluster(SimulatedCluster world) {
-    this.world = world;
-    world.cloud.types = world.cloud.types.subList(0, 1);
-    world.cloud.capacity = 0;
-    world.cloud.stock.put(new MachineKind("g4", "a", false), MACHINES);
-    guarantees = new GuaranteeChecker(world);
+  private QuotaCluster(SimulatedCluster cluster) {
+    this.cluster = cluster;
+    cluster.cloud.types = cluster.cloud.types.subList(0, 1);
+    cluster.cloud.defaultStock = 0;
+    cluster.cloud.stockByKind.put(new MachineKind("g4", "a", false), MACHINES);
+    guaranteeChecker = new GuaranteeChecker(cluster);
   }
 
-  static QuotaCluster enabled(long seed) {
+  static QuotaCluster withBorrowing(long seed) {
     return new QuotaCluster(new SimulatedCluster(seed, settings(true)));
   }
 
   /** The same with this boot time of the machine type, which is the first cooldown. */
-  static QuotaCluster enabled(long seed, double bootS) {
-    QuotaCluster scenario = enabled(seed);
-    MachineType g4 = scenario.world.cloud.types.get(0);
-    scenario.world.cloud.types =
+  static QuotaCluster withBorrowing(long seed, double bootS) {
+    QuotaCluster scenario = withBorrowing(seed);
+    MachineType g4 = scenario.cluster.cloud.types.get(0);
+    scenario.cluster.cloud.types =
         ImmutableList.of(
             new MachineType(
                 g4.name(),
@@ -64,7 +64,7 @@
     return scenario;
   }
 
-  static QuotaCluster disabled(long seed) {
+  static QuotaCluster withoutBorrowing(long seed) {
     return new QuotaCluster(new SimulatedCluster(seed, settings(false)));
   }
 
@@ -138,27 +138,27 @@
 
   Job submit(Job job) {
     jobs.add(job);
-    world.submit(job);
+    cluster.submit(job);
     return job;
   }
 
   /** Runs an array of the night team on all machines, of which it borrows three quarters. */
   Job fillWithNightArray(double runS, double checkpointS) {
     Job night = submit(array(1, 16, runS, checkpointS, NIGHT));
-    world.run(25);
-    if (world.checker.running(night.uid()) != 16) {
+    cluster.run(25);
+    if (cluster.checker.runningTasks(night.uid()) != 16) {
       throw new IllegalStateException("the array does not fill the machines");
     }
     return night;
   }
 
   long runningTasks(Job job) {
-    return world.checker.running(job.uid());
+    return cluster.checker.runningTasks(job.uid());
   }
 
   /** The workers on which a task of the job is in this state. */
   List<FakeWorker> workersWith(Job job, TaskStatus.State state) {
-    return world.workers().stream()
+    return cluster.workers().stream()
         .filter(
             worker ->
                 worker.tasks().stream()
@@ -170,6 +170,6 @@
 
   /** The leader, or any node where there is none. */
   String leader() {
-    return world.leader() == null ? "roost-0" : world.leader();
+    return cluster.leader() == null ? "roost-0" : cluster.leader();
   }
 }
--- a/src/test/java/eiderfork/controller/QuotaDay.java
+++ b/src/test/java/eiderfork/controller/QuotaDay.java
@@ -42,8 +42,8 @@
 
   private record Submitted(Job job, long submittedMs) {}
 
-  final SimulatedCluster world;
-  final GuaranteeChecker guarantees;
+  final SimulatedCluster cluster;
+  final GuaranteeChecker guaranteeChecker;
   private final Random script;
   private final long beganMs;
   private final long fromMs;
@@ -63,7 +63,7 @@
    * @param fromHour the hour of the day to begin at
    */
   QuotaDay(long seed, boolean lending, int fromHour, int hours) {
-    world = new SimulatedCluster(seed, settings(lending));
+    cluster = new SimulatedCluster(seed, settings(lending));
     script = new Random(seed * 101);
     MachineType type =
         new MachineType(
@@ -75,18 +75,18 @@
             3,
             BOOT_S,
             ImmutableList.of("a", "b"));
-    world.cloud.types = ImmutableList.of(type);
-    world.cloud.bootMs = (long) (BOOT_S * 1000);
-    world.cloud.capacity = 0;
+    cluster.cloud.types = ImmutableList.of(type);
+    cluster.cloud.bootMs = (long) (BOOT_S * 1000);
+    cluster.cloud.defaultStock = 0;
     for (String zone : List.of("a", "b")) {
-      world.cloud.stock.put(new MachineKind("g4", zone, false), MACHINES_PER_ZONE);
+      cluster.cloud.stockByKind.put(new MachineKind("g4", zone, false), MACHINES_PER_ZONE);
     }
-    beganMs = world.nowMs;
+    beganMs = cluster.nowMs;
     fromMs = (long) fromHour * HOUR_MS;
     untilMs = fromMs + (long) hours * HOUR_MS;
-    guarantees = new GuaranteeChecker(world);
-    guarantees.expectDisruption(MINUTE_MS);
-    world.progress.onStop = (worker, attempt) -> endLeaderMidReclaim();
+    guaranteeChecker = new GuaranteeChecker(cluster);
+    guaranteeChecker.expectDisruption(MINUTE_MS);
+    cluster.progress.onStop = (worker, attempt) -> endLeaderMidReclaim();
     permanentReplicas();
     deskTraffic();
     pressPeaks();
@@ -110,12 +110,12 @@
 
   /** Runs the simulated hours. */
   void run() {
-    world.run((untilMs - fromMs) / 1000.0);
+    cluster.run((untilMs - fromMs) / 1000.0);
   }
 
   private void atTimeOfDay(long ofDayMs, Runnable action) {
     if (ofDayMs >= fromMs && ofDayMs < untilMs) {
-      world.at(ofDayMs - fromMs, action);
+      cluster.schedule(ofDayMs - fromMs, action);
     }
   }
 
@@ -132,21 +132,21 @@
         fromOfDayMs,
         () -> {
           Job job = job(JobKind.SERVICE, team, Priority.STANDARD, tasks, 0, 0);
-          replicas.put(job.uid(), new Submitted(job, world.nowMs));
-          world.submit(job);
-          world.at(
+          replicas.put(job.uid(), new Submitted(job, cluster.nowMs));
+          cluster.submit(job);
+          cluster.schedule(
               forMs,
               () -> {
                 replicas.remove(job.uid());
-                world.abort(job.uid());
+                cluster.cancel(job.uid());
               });
         });
   }
 
   private void batch(JobKind kind, String team, int tasks, double runS, double checkpointS) {
     Job job = job(kind, team, Priority.STANDARD, tasks, runS, checkpointS);
-    batch.add(new Submitted(job, world.nowMs));
-    world.submit(job);
+    batch.add(new Submitted(job, cluster.nowMs));
+    cluster.submit(job);
   }
 
   /** Replicas of two teams that run all day. */
@@ -218,62 +218,62 @@
 
   /** Ends the leader soon after a preemption, where one is to end. */
   private void endLeaderMidReclaim() {
-    if (leadersToEnd > 0 && world.leader() != null) {
+    if (leadersToEnd > 0 && cluster.leader() != null) {
       leadersToEnd--;
-      guarantees.expectDisruption(6000);
-      world.at(script.nextInt(3500), () -> crash(world.leader()));
+      guaranteeChecker.expectDisruption(6000);
+      cluster.schedule(script.nextInt(3500), () -> crash(cluster.leader()));
     }
   }
 
   private void crash(String leader) {
     if (leader != null) {
-      world.crash(leader, 3000);
+      cluster.crashNode(leader, 3000);
     }
   }
 
   private void loseMachine() {
-    world.workers().stream()
-        .filter(worker -> !worker.presentTasks().isEmpty())
+    cluster.workers().stream()
+        .filter(worker -> !worker.taskIds().isEmpty())
         .findFirst()
         .ifPresent(
             worker -> {
-              guarantees.expectDisruption((long) (2 * BOOT_S * 1000));
-              world.die(worker.machine.name());
+              guaranteeChecker.expectDisruption((long) (2 * BOOT_S * 1000));
+              cluster.failMachine(worker.machine.name());
             });
   }
 
   private void storeOutage() {
-    guarantees.expectDisruption(45_000);
-    world.state.outage(world.nowMs);
-    world.at(45_000, () -> world.state.recover(world.nowMs));
+    guaranteeChecker.expectDisruption(45_000);
+    cluster.store.startOutage(cluster.nowMs);
+    cluster.schedule(45_000, () -> cluster.store.endOutage(cluster.nowMs));
   }
 
   private void partitionZone() {
-    guarantees.expectDisruption(60_000 + (long) (2 * BOOT_S * 1000));
-    world.cutZone("b", "roost-2", 60_000);
+    guaranteeChecker.expectDisruption(60_000 + (long) (2 * BOOT_S * 1000));
+    cluster.isolateZone("b", "roost-2", 60_000);
   }
 
   private void measureEverySecond() {
     double held = 0;
-    for (String team : world.settings.teams().keySet()) {
-      held += world.checker.held(team).gpus();
+    for (String team : cluster.settings.teams().keySet()) {
+      held += cluster.checker.usedResources(team).gpus();
     }
-    int gpus = world.workers().size() * GPUS_PER_MACHINE;
+    int gpus = cluster.workers().size() * GPUS_PER_MACHINE;
     gpuS += gpus;
     idleGpuS += Math.max(0, gpus - held);
     measureReplicaStarts();
     batch.removeIf(this::isOver);
-    world.at(1000, this::measureEverySecond);
+    cluster.schedule(1000, this::measureEverySecond);
   }
 
   private void measureReplicaStarts() {
     for (Submitted each : replicas.values()) {
-      long running = world.checker.running(each.job.uid());
+      long running = cluster.checker.runningTasks(each.job.uid());
       for (int index = 0; index < each.job.tasks(); index++) {
         TaskId id = new TaskId(each.job.uid(), index);
         if (running == each.job.tasks()) {
-          replicaWaitsMs.putIfAbsent(id, world.nowMs - each.submittedMs);
-        } else if (world.nowMs - each.submittedMs > START_OBJECTIVE_S * 1000) {
+          replicaWaitsMs.putIfAbsent(id, cluster.nowMs - each.submittedMs);
+        } else if (cluster.nowMs - each.submittedMs > START_OBJECTIVE_S * 1000) {
           replicaWaitsMs.putIfAbsent(id, Long.MAX_VALUE);
         }
       }
@@ -281,8 +281,8 @@
   }
 
   private boolean isOver(Submitted each) {
-    double ranS = (world.nowMs - each.submittedMs) / 1000.0;
-    boolean done = world.checker.isDone(each.job.uid());
+    double ranS = (cluster.nowMs - each.submittedMs) / 1000.0;
+    boolean done = cluster.checker.allTasksCompleted(each.job.uid());
     boolean late = ranS > MAX_BATCH_DURATION_FACTOR * each.job.estimatedRunS();
     if (done || late) {
       batchEnded++;
@@ -300,13 +300,13 @@
             batchInTime / (double) Math.max(1, batchEnded),
             idleGpuS / gpuS,
             inTime / (double) Math.max(1, replicaWaitsMs.size()),
-            world.progress.lostMs / 1000.0,
-            world.progress.stops(),
-            world.progress.mostStopsOfATask(),
-            guarantees.minutes.stream().mapToLong(m -> m.secondsBelow > 0 ? 1 : 0).sum(),
-            guarantees.unexplained.size(),
-            guarantees.longestShortfallS.values().stream().mapToInt(s -> s).max().orElse(0),
-            world.checker.breaches.size());
+            cluster.progress.lostWorkMs / 1000.0,
+            cluster.progress.stopCount(),
+            cluster.progress.maxStopsPerTask(),
+            guaranteeChecker.minutes.stream().mapToLong(m -> m.secondsBelow > 0 ? 1 : 0).sum(),
+            guaranteeChecker.unexplained.size(),
+            guaranteeChecker.longestShortfallS.values().stream().mapToInt(s -> s).max().orElse(0),
+            cluster.checker.violations.size());
   }
 
   static final String SUMMARY_HEADER =
--- a/src/test/java/eiderfork/controller/QuotaDayTest.java
+++ b/src/test/java/eiderfork/controller/QuotaDayTest.java
@@ -42,9 +42,9 @@
         summary.add(seed + ",off," + runDay(seed, false, HOURS).summary());
         write("summary.csv", summary);
       }
-      assertEquals(List.of(), day.world.checker.breaches, "seed " + seed);
-      assertEquals(List.of(), day.guarantees.unexplained, "seed " + seed);
-      assertTrue(day.world.progress.stops() > 0, "something was reclaimed");
+      assertEquals(List.of(), day.cluster.checker.violations, "seed " + seed);
+      assertEquals(List.of(), day.guaranteeChecker.unexplained, "seed " + seed);
+      assertTrue(day.cluster.progress.stopCount() > 0, "something was reclaimed");
     }
   }
 
@@ -52,14 +52,14 @@
   @Test
   void theRecordShowsGuaranteesThatAreNotHeld() {
     QuotaDay day = runDay(1, false, 1);
-    assertEquals(List.of(), day.world.checker.breaches);
-    assertFalse(day.guarantees.unexplained.isEmpty());
+    assertEquals(List.of(), day.cluster.checker.violations);
+    assertFalse(day.guaranteeChecker.unexplained.isEmpty());
   }
 
   private static List<String> rows(QuotaDay day) {
     List<String> rows = new ArrayList<>();
     rows.add(GuaranteeChecker.CSV_HEADER);
-    day.guarantees.minutes.forEach(minute -> rows.add(minute.csv()));
+    day.guaranteeChecker.minutes.forEach(minute -> rows.add(minute.csv()));
     return rows;
   }
 
