--- a/src/test/java/eiderfork/controller/QuotaLimitTest.java
+++ b/src/test/java/eiderfork/controller/QuotaLimitTest.java
@@ -19,25 +19,25 @@
   }
 
   /** Fills the team's limit and has more of it wait. */
-  private static List<Job> fillTeamLimit(SimulatedCluster world) {
+  private static List<Job> fillTeamLimit(SimulatedCluster cluster) {
     List<Job> jobs = new ArrayList<>();
     for (int i = 1; i <= 5; i++) {
       jobs.add(red(i, JobKind.SERVICE, 1, 2));
     }
-    jobs.forEach(world::submit);
-    world.run(25);
-    assertEquals(5, world.checker.runningTasks());
+    jobs.forEach(cluster::submit);
+    cluster.run(25);
+    assertEquals(5, cluster.checker.totalRunningTasks());
     for (int i = 6; i <= 10; i++) {
       Job next = red(i, JobKind.SERVICE, 1, 2);
       jobs.add(next);
-      world.submit(next);
+      cluster.submit(next);
     }
-    world.run(2);
+    cluster.run(2);
     return jobs;
   }
 
-  private static List<FakeWorker> busyWorkers(SimulatedCluster world) {
-    return world.workers().stream().filter(worker -> !worker.presentTasks().isEmpty()).toList();
+  private static List<FakeWorker> busyWorkers(SimulatedCluster cluster) {
+    return cluster.workers().stream().filter(worker -> !worker.taskIds().isEmpty()).toList();
   }
 
   /**
@@ -49,27 +49,28 @@
   @ValueSource(ints = {-1500, -700, -300, -100, 0, 50, 150, 400, 900, 2000, 4000, 8000})
   void cancelledTasksOnUnreachableMachinesCountAcrossAFailover(int crashAfterMs) {
     for (boolean hang : new boolean[] {true, false}) {
-      SimulatedCluster world = new SimulatedCluster(5);
-      List<Job> jobs = fillTeamLimit(world);
-      List<FakeWorker> unheard = busyWorkers(world);
-      world.at(
+      SimulatedCluster cluster = new SimulatedCluster(5);
+      List<Job> jobs = fillTeamLimit(cluster);
+      List<FakeWorker> unheard = busyWorkers(cluster);
+      cluster.schedule(
           2000,
           () -> {
             for (FakeWorker worker : unheard) {
               if (hang) {
-                worker.hanging = true;
-                world.at(8000, () -> worker.hanging = false);
+                worker.isHanging = true;
+                cluster.schedule(8000, () -> worker.isHanging = false);
               } else {
-                world.deafen(worker.machine.name(), 8000);
-                world.mute(worker.machine.name(), 8000);
+                cluster.cutLinksTo(worker.machine.name(), 8000);
+                cluster.cutLinksFrom(worker.machine.name(), 8000);
               }
             }
           });
-      world.at(2050, () -> jobs.subList(0, 5).forEach(job -> world.abort(job.uid())));
-      world.at(2050 + crashAfterMs, () -> world.crash(world.leader(), 3000));
-      world.run(40);
-      ExpectedOutcome.allServed(world, jobs);
-      assertEquals(5, world.checker.runningTasks(), "what waited has the room of the cancelled");
+      cluster.schedule(2050, () -> jobs.subList(0, 5).forEach(job -> cluster.cancel(job.uid())));
+      cluster.schedule(2050 + crashAfterMs, () -> cluster.crashNode(cluster.leader(), 3000));
+      cluster.run(40);
+      ExpectedOutcome.assertAllJobsServed(cluster, jobs);
+      assertEquals(
+          5, cluster.checker.totalRunningTasks(), "what waited has the room of the cancelled");
     }
   }
 
@@ -77,40 +78,40 @@
   @ParameterizedTest
   @ValueSource(ints = {0, 300, 1500, 6000, 12_000})
   void quotaIsReleasedOnceTheLeasesHaveExpired(int crashAfterMs) {
-    SimulatedCluster world = new SimulatedCluster(6);
-    List<Job> jobs = fillTeamLimit(world);
-    List<FakeWorker> unheard = busyWorkers(world);
+    SimulatedCluster cluster = new SimulatedCluster(6);
+    List<Job> jobs = fillTeamLimit(cluster);
+    List<FakeWorker> unheard = busyWorkers(cluster);
     for (int i = 0; i < unheard.size(); i++) {
       FakeWorker worker = unheard.get(i);
       if (i % 2 == 0) {
-        worker.hanging = true;
-        world.at(24_000, () -> worker.hanging = false);
+        worker.isHanging = true;
+        cluster.schedule(24_000, () -> worker.isHanging = false);
       } else {
-        world.die(worker.machine.name());
+        cluster.failMachine(worker.machine.name());
       }
     }
-    jobs.subList(0, 5).forEach(job -> world.abort(job.uid()));
-    world.at(crashAfterMs, () -> world.crash(world.leader(), 3000));
-    world.run(60);
-    ExpectedOutcome.allServed(world, jobs);
-    assertEquals(5, world.checker.runningTasks());
+    jobs.subList(0, 5).forEach(job -> cluster.cancel(job.uid()));
+    cluster.schedule(crashAfterMs, () -> cluster.crashNode(cluster.leader(), 3000));
+    cluster.run(60);
+    ExpectedOutcome.assertAllJobsServed(cluster, jobs);
+    assertEquals(5, cluster.checker.totalRunningTasks());
   }
 
   /** A team is at its limit when the leader changes, and a cancellation falls into that spell. */
   @ParameterizedTest
   @ValueSource(ints = {0, 500, 1000, 1500, 2000, 2500, 3000, 3300, 3400, 3500, 3700, 4000, 5000})
   void cancellationWithoutALeaderReleasesQuotaOnce(int abortAfterMs) {
-    SimulatedCluster world = new SimulatedCluster(8);
-    List<Job> jobs = fillTeamLimit(world);
-    FakeWorker deaf = busyWorkers(world).get(0);
-    world.deafen(deaf.machine.name(), 9000);
-    world.mute(deaf.machine.name(), 9000);
-    world.crash(world.leader(), 6000);
-    world.at(abortAfterMs, () -> world.abort(jobs.get(0).uid()));
-    world.at(abortAfterMs + 100, () -> world.abort(jobs.get(1).uid()));
-    world.run(40);
-    ExpectedOutcome.rulesHold(world);
-    assertEquals(5, world.checker.runningTasks());
+    SimulatedCluster cluster = new SimulatedCluster(8);
+    List<Job> jobs = fillTeamLimit(cluster);
+    FakeWorker deaf = busyWorkers(cluster).get(0);
+    cluster.cutLinksTo(deaf.machine.name(), 9000);
+    cluster.cutLinksFrom(deaf.machine.name(), 9000);
+    cluster.crashNode(cluster.leader(), 6000);
+    cluster.schedule(abortAfterMs, () -> cluster.cancel(jobs.get(0).uid()));
+    cluster.schedule(abortAfterMs + 100, () -> cluster.cancel(jobs.get(1).uid()));
+    cluster.run(40);
+    ExpectedOutcome.assertNoViolations(cluster);
+    assertEquals(5, cluster.checker.totalRunningTasks());
   }
 
   /**
@@ -120,26 +121,26 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
   void uncommittedSettlementsCountForTheLimit(long seed) {
-    SimulatedCluster world = new SimulatedCluster(seed);
-    world.run(3);
-    world.lateWrites = 0.4;
+    SimulatedCluster cluster = new SimulatedCluster(seed);
+    cluster.run(3);
+    cluster.lateTransactionProbability = 0.4;
     List<Job> jobs = new ArrayList<>();
     for (int i = 1; i <= 16; i++) {
       Job job = red(i, JobKind.ARRAY, 5, 1);
       jobs.add(job);
-      world.at(i * 100L, () -> world.submit(job));
+      cluster.schedule(i * 100L, () -> cluster.submit(job));
     }
     for (int i = 0; i < 6; i++) {
-      world.at(
+      cluster.schedule(
           9000 + i * 6000L + 311 * seed,
           () -> {
-            if (world.leader() != null) {
-              world.crash(world.leader(), 500);
+            if (cluster.leader() != null) {
+              cluster.crashNode(cluster.leader(), 500);
             }
           });
     }
-    world.run(60);
-    ExpectedOutcome.allServed(world, jobs);
+    cluster.run(60);
+    ExpectedOutcome.assertAllJobsServed(cluster, jobs);
   }
 
   /**
@@ -150,27 +151,30 @@
   @ValueSource(ints = {100, 200, 300, 400, 500, 600, 700, 800, 900, 1000, 1100, 1200, 1300, 1400})
   void startInFlightCountsUntilItCannotBeExecuted(int abortAfterMs) {
     for (int lateMs : new int[] {700, 1100, 1500, 1900}) {
-      SimulatedCluster world = new SimulatedCluster(11);
+      SimulatedCluster cluster = new SimulatedCluster(11);
       List<Job> jobs = new ArrayList<>();
       for (int i = 1; i <= 4; i++) {
         jobs.add(red(i, JobKind.SERVICE, 1, 2));
       }
-      jobs.forEach(world::submit);
-      world.run(25);
-      world.commandsLateMs = lateMs;
+      jobs.forEach(cluster::submit);
+      cluster.run(25);
+      cluster.commandDelayMs = lateMs;
       Job last = red(5, JobKind.SERVICE, 1, 2);
       Job waiting = red(6, JobKind.SERVICE, 1, 2);
       jobs.add(last);
       jobs.add(waiting);
-      world.submit(last);
-      world.at(40, () -> world.submit(waiting));
-      world.at(abortAfterMs, () -> world.abort(last.uid()));
+      cluster.submit(last);
+      cluster.schedule(40, () -> cluster.submit(waiting));
+      cluster.schedule(abortAfterMs, () -> cluster.cancel(last.uid()));
       // From here on no answer to a report stops what the late command starts.
-      world.at(
+      cluster.schedule(
           abortAfterMs + lateMs / 2,
-          () -> world.workers().forEach(worker -> world.mute(worker.machine.name(), 4000)));
-      world.run(15);
-      ExpectedOutcome.allServed(world, jobs);
+          () ->
+              cluster
+                  .workers()
+                  .forEach(worker -> cluster.cutLinksFrom(worker.machine.name(), 4000)));
+      cluster.run(15);
+      ExpectedOutcome.assertAllJobsServed(cluster, jobs);
     }
   }
 
@@ -178,8 +182,8 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2})
   void limitHoldsWithFourShortJobsASecond(long seed) {
-    SimulatedCluster world = new SimulatedCluster(seed);
-    world.late = 0.01;
+    SimulatedCluster cluster = new SimulatedCluster(seed);
+    cluster.delayProbability = 0.01;
     List<Job> jobs = new ArrayList<>();
     for (int i = 1; i <= 480; i++) {
       Job job =
@@ -187,34 +191,34 @@
               ? red(i, JobKind.ARRAY, 1, 1)
               : TestFixtures.job(i, JobKind.ARRAY, 1, i % 4 == 1 ? 1 : 0);
       jobs.add(job);
-      world.at(10_000 + i * 250L, () -> world.submit(job));
+      cluster.schedule(10_000 + i * 250L, () -> cluster.submit(job));
       if (i % 4 == 0) {
-        world.at(10_000 + i * 250L + (i * 37) % 6000, () -> world.abort(job.uid()));
+        cluster.schedule(10_000 + i * 250L + (i * 37) % 6000, () -> cluster.cancel(job.uid()));
       }
     }
-    world.at(60_000, () -> world.crash(world.leader(), 3000));
-    world.run(150);
-    ExpectedOutcome.allServed(world, jobs);
+    cluster.schedule(60_000, () -> cluster.crashNode(cluster.leader(), 3000));
+    cluster.run(150);
+    ExpectedOutcome.assertAllJobsServed(cluster, jobs);
   }
 
   /** There is more work than capacity, urgent and not, over slow links. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void limitHoldsWithMoreWorkThanCapacityOverSlowLinks(long seed) {
-    SimulatedCluster world = new SimulatedCluster(seed);
-    world.cloud.capacity = 1;
-    world.late = 0.2;
-    world.lateMs = 1500;
+    SimulatedCluster cluster = new SimulatedCluster(seed);
+    cluster.cloud.defaultStock = 1;
+    cluster.delayProbability = 0.2;
+    cluster.maxDelayMs = 1500;
     List<Job> jobs = new ArrayList<>();
     for (int i = 1; i <= 24; i++) {
       Priority priority = Priority.values()[i % 4];
       Job job =
           TestFixtures.job(i, JobKind.ARRAY, 1 + i % 6, i % 3, "blue", priority, false, i % 2 == 0);
       jobs.add(job);
-      world.at(i * 700L, () -> world.submit(job));
+      cluster.schedule(i * 700L, () -> cluster.submit(job));
     }
-    world.run(60);
-    ExpectedOutcome.allServed(world, jobs);
-    assertTrue(world.checker.starts >= jobs.stream().mapToInt(Job::tasks).sum());
+    cluster.run(60);
+    ExpectedOutcome.assertAllJobsServed(cluster, jobs);
+    assertTrue(cluster.checker.startCount >= jobs.stream().mapToInt(Job::tasks).sum());
   }
 }
--- a/src/test/java/eiderfork/controller/QuotaReclaimFailureTest.java
+++ b/src/test/java/eiderfork/controller/QuotaReclaimFailureTest.java
@@ -33,73 +33,88 @@
 
   /** What fails, and whether that may cost borrowers more tasks than are reclaimed. */
   enum Fault {
-    LEADER_KILLED(false, scenario -> scenario.world.crash(scenario.leader(), 3000)),
-    LEADER_KILLED_AND_BACK_AT_ONCE(false, scenario -> scenario.world.crash(scenario.leader(), 200)),
+    LEADER_KILLED(false, scenario -> scenario.cluster.crashNode(scenario.leader(), 3000)),
+    LEADER_KILLED_AND_BACK_AT_ONCE(
+        false, scenario -> scenario.cluster.crashNode(scenario.leader(), 200)),
     LEADER_AND_NEXT_KILLED(false, QuotaReclaimFailureTest::killTwoLeaders),
     ALL_KILLED(
-        false, scenario -> scenario.world.all().forEach(node -> scenario.world.crash(node, 1500))),
+        false,
+        scenario ->
+            scenario.cluster.nodeNames().forEach(node -> scenario.cluster.crashNode(node, 1500))),
     FOUR_CHANGES(false, scenario -> changeLeaders(scenario, 4, 1400)),
     LEADER_STANDS_STILL(
-        false, scenario -> scenario.world.freeze(scenario.leader(), FAULT_DURATION_MS)),
+        false, scenario -> scenario.cluster.freezeNode(scenario.leader(), FAULT_DURATION_MS)),
     LEADER_ISOLATED(
-        false, scenario -> scenario.world.isolate(scenario.leader(), FAULT_DURATION_MS)),
-    LEADER_REFUSED(false, scenario -> scenario.world.refuse(scenario.leader(), FAULT_DURATION_MS)),
+        false, scenario -> scenario.cluster.isolateNode(scenario.leader(), FAULT_DURATION_MS)),
+    LEADER_REFUSED(
+        false,
+        scenario -> scenario.cluster.refuseStoreRequests(scenario.leader(), FAULT_DURATION_MS)),
     LEADER_ISOLATED_COMMANDS_LATE(true, QuotaReclaimFailureTest::isolateWithDelayedCommands),
     STATE_OUT(false, QuotaReclaimFailureTest::storeOutage),
     WRITES_LATE(
-        false, scenario -> injectForFaultDuration(scenario, () -> scenario.world.lateWrites = 1)),
+        false,
+        scenario ->
+            injectForFaultDuration(
+                scenario, () -> scenario.cluster.lateTransactionProbability = 1)),
     ANSWERS_LOST(
-        false, scenario -> injectForFaultDuration(scenario, () -> scenario.world.lostAnswers = 1)),
+        false,
+        scenario ->
+            injectForFaultDuration(scenario, () -> scenario.cluster.lostStoreReplyProbability = 1)),
     ANSWERS_LOST_AND_LEADER_KILLED(
         false,
         scenario -> {
-          injectForFaultDuration(scenario, () -> scenario.world.lostAnswers = 1);
-          scenario.world.at(300, () -> scenario.world.crash(scenario.leader(), 2000));
+          injectForFaultDuration(scenario, () -> scenario.cluster.lostStoreReplyProbability = 1);
+          scenario.cluster.schedule(300, () -> scenario.cluster.crashNode(scenario.leader(), 2000));
         }),
     REPORTS_HELD_FOR_THE_NEXT_LEADER(
         false,
         scenario -> {
-          scenario.world.heartbeatsForNextLeader = 1;
-          scenario.world.holdNextReports(2500);
-          scenario.world.at(200, () -> scenario.world.crash(scenario.leader(), 2000));
+          scenario.cluster.nextLeaderHeartbeatProbability = 1;
+          scenario.cluster.delayNextHeartbeats(2500);
+          scenario.cluster.schedule(200, () -> scenario.cluster.crashNode(scenario.leader(), 2000));
         }),
     BORROWERS_HANG(true, scenario -> hangWorkers(scenario, 2)),
     BORROWERS_HANG_AND_LEADER_KILLED(
         true,
         scenario -> {
           hangWorkers(scenario, 2);
-          scenario.world.at(500, () -> scenario.world.crash(scenario.leader(), 2000));
+          scenario.cluster.schedule(500, () -> scenario.cluster.crashNode(scenario.leader(), 2000));
         }),
     BORROWERS_DEAF(
         true,
         scenario ->
-            busyMachines(scenario, 2).forEach(m -> scenario.world.deafen(m, FAULT_DURATION_MS))),
+            busyMachines(scenario, 2)
+                .forEach(m -> scenario.cluster.cutLinksTo(m, FAULT_DURATION_MS))),
     BORROWERS_MUTE(
         true,
         scenario ->
-            busyMachines(scenario, 2).forEach(m -> scenario.world.mute(m, FAULT_DURATION_MS))),
+            busyMachines(scenario, 2)
+                .forEach(m -> scenario.cluster.cutLinksFrom(m, FAULT_DURATION_MS))),
     BORROWERS_CUT_AND_LEADER_KILLED(
         true,
         scenario -> {
-          busyMachines(scenario, 1).forEach(m -> scenario.world.deafen(m, FAULT_DURATION_MS));
-          busyMachines(scenario, 1).forEach(m -> scenario.world.mute(m, FAULT_DURATION_MS));
-          scenario.world.at(500, () -> scenario.world.crash(scenario.leader(), 2000));
+          busyMachines(scenario, 1).forEach(m -> scenario.cluster.cutLinksTo(m, FAULT_DURATION_MS));
+          busyMachines(scenario, 1)
+              .forEach(m -> scenario.cluster.cutLinksFrom(m, FAULT_DURATION_MS));
+          scenario.cluster.schedule(500, () -> scenario.cluster.crashNode(scenario.leader(), 2000));
         }),
     SAVES_HANG(
         true,
         scenario ->
             scenario
-                .world
+                .cluster
                 .workers()
-                .forEach(m -> scenario.world.progress.savesHangOn.add(m.machine.name()))),
+                .forEach(
+                    m -> scenario.cluster.progress.machinesWithHangingSaves.add(m.machine.name()))),
     SAVES_HANG_AND_LEADER_KILLED(
         true,
         scenario -> {
           scenario
-              .world
+              .cluster
               .workers()
-              .forEach(m -> scenario.world.progress.savesHangOn.add(m.machine.name()));
-          scenario.world.at(500, () -> scenario.world.crash(scenario.leader(), 2000));
+              .forEach(
+                  m -> scenario.cluster.progress.machinesWithHangingSaves.add(m.machine.name()));
+          scenario.cluster.schedule(500, () -> scenario.cluster.crashNode(scenario.leader(), 2000));
         });
 
     /** Machines may lose tasks, or not answer, so that others are preempted in their place. */
@@ -114,50 +129,53 @@
   }
 
   private static void killTwoLeaders(QuotaCluster scenario) {
-    scenario.world.crash(scenario.leader(), 4000);
-    scenario.world.at(2500, () -> scenario.world.crash(scenario.leader(), 3000));
+    scenario.cluster.crashNode(scenario.leader(), 4000);
+    scenario.cluster.schedule(2500, () -> scenario.cluster.crashNode(scenario.leader(), 3000));
   }
 
   private static void changeLeaders(QuotaCluster scenario, int times, long eachMs) {
     for (int i = 0; i < times; i++) {
-      scenario.world.at(i * eachMs, () -> scenario.world.crash(scenario.leader(), 400));
+      scenario.cluster.schedule(
+          i * eachMs, () -> scenario.cluster.crashNode(scenario.leader(), 400));
     }
   }
 
   /** Commands of the isolated leader arrive after those of the next one. */
   private static void isolateWithDelayedCommands(QuotaCluster scenario) {
-    scenario.world.commandsLateMs = 2500;
-    scenario.world.isolate(scenario.leader(), FAULT_DURATION_MS);
-    scenario.world.at(FAULT_DURATION_MS, () -> scenario.world.commandsLateMs = 0);
+    scenario.cluster.commandDelayMs = 2500;
+    scenario.cluster.isolateNode(scenario.leader(), FAULT_DURATION_MS);
+    scenario.cluster.schedule(FAULT_DURATION_MS, () -> scenario.cluster.commandDelayMs = 0);
   }
 
   private static void storeOutage(QuotaCluster scenario) {
-    scenario.world.state.outage(scenario.world.nowMs);
-    scenario.world.at(FAULT_DURATION_MS, () -> scenario.world.state.recover(scenario.world.nowMs));
+    scenario.cluster.store.startOutage(scenario.cluster.nowMs);
+    scenario.cluster.schedule(
+        FAULT_DURATION_MS, () -> scenario.cluster.store.endOutage(scenario.cluster.nowMs));
   }
 
   private static void injectForFaultDuration(QuotaCluster scenario, Runnable begin) {
     begin.run();
-    scenario.world.at(
+    scenario.cluster.schedule(
         FAULT_DURATION_MS,
         () -> {
-          scenario.world.lateWrites = 0;
-          scenario.world.lostAnswers = 0;
+          scenario.cluster.lateTransactionProbability = 0;
+          scenario.cluster.lostStoreReplyProbability = 0;
         });
   }
 
   private static List<String> busyMachines(QuotaCluster scenario, int machines) {
-    return scenario.world.workers().stream()
-        .filter(worker -> !worker.presentTasks().isEmpty())
+    return scenario.cluster.workers().stream()
+        .filter(worker -> !worker.taskIds().isEmpty())
         .limit(machines)
         .map(worker -> worker.machine.name())
         .toList();
   }
 
   private static void hangWorkers(QuotaCluster scenario, int machines) {
-    List<FakeWorker> hung = scenario.world.workers().stream().limit(machines).toList();
-    hung.forEach(worker -> worker.hanging = true);
-    scenario.world.at(FAULT_DURATION_MS, () -> hung.forEach(worker -> worker.hanging = false));
+    List<FakeWorker> hung = scenario.cluster.workers().stream().limit(machines).toList();
+    hung.forEach(worker -> worker.isHanging = true);
+    scenario.cluster.schedule(
+        FAULT_DURATION_MS, () -> hung.forEach(worker -> worker.isHanging = false));
   }
 
   /** All moments at which a fault is injected. */
@@ -170,36 +188,38 @@
   }
 
   private static QuotaCluster runWithFault(Fault fault, int afterMs, double checkpointS) {
-    QuotaCluster scenario = QuotaCluster.enabled(7 + afterMs);
+    QuotaCluster scenario = QuotaCluster.withBorrowing(7 + afterMs);
     scenario.fillWithNightArray(400, checkpointS);
     long requestAtMs = Math.max(0, -FIRST_MOMENT_MS);
-    scenario.world.at(
+    scenario.cluster.schedule(
         requestAtMs,
         () -> scenario.submit(QuotaCluster.replicas(2, DESK_REPLICAS, QuotaCluster.DESK)));
-    scenario.world.at(
+    scenario.cluster.schedule(
         requestAtMs + afterMs,
         () -> {
-          scenario.guarantees.expectDisruption(FAULT_DURATION_MS + 4000);
+          scenario.guaranteeChecker.expectDisruption(FAULT_DURATION_MS + 4000);
           fault.inject.accept(scenario);
         });
-    scenario.world.run(FAULT_DURATION_MS / 1000.0 + 36);
+    scenario.cluster.run(FAULT_DURATION_MS / 1000.0 + 36);
     return scenario;
   }
 
   private static void assertInvariants(Fault fault, QuotaCluster scenario, String when) {
-    assertEquals(List.of(), scenario.world.checker.breaches, when);
+    assertEquals(List.of(), scenario.cluster.checker.violations, when);
     assertEquals(
-        DESK_REPLICAS, scenario.world.checker.running("run-000002"), () -> when + ": desk");
+        DESK_REPLICAS, scenario.cluster.checker.runningTasks("run-000002"), () -> when + ": desk");
     assertEquals(
-        16 - DESK_REPLICAS, scenario.world.checker.running("run-000001"), () -> when + ": night");
-    assertEquals(List.of(), scenario.guarantees.unexplained, when);
+        16 - DESK_REPLICAS,
+        scenario.cluster.checker.runningTasks("run-000001"),
+        () -> when + ": night");
+    assertEquals(List.of(), scenario.guaranteeChecker.unexplained, when);
     if (!fault.canMachinesFail) {
-      assertEquals(0, scenario.world.progress.savesCutShort, () -> when + ": saves cut short");
-      assertEquals(DESK_REPLICAS, scenario.world.progress.stops(), () -> when + ": stops");
+      assertEquals(0, scenario.cluster.progress.interruptedSaves, () -> when + ": saves cut short");
+      assertEquals(DESK_REPLICAS, scenario.cluster.progress.stopCount(), () -> when + ": stops");
     }
     long mostStops = fault.canMachinesFail ? 2 : 1;
     assertTrue(
-        scenario.world.progress.mostStopsOfATask() <= mostStops,
+        scenario.cluster.progress.maxStopsPerTask() <= mostStops,
         () -> when + ": stops of one task");
   }
 
@@ -226,19 +246,20 @@
   @ValueSource(ints = {0, 1, 2})
   void membersWithoutLendingAreAmongThem(int older) {
     for (int afterMs : moments()) {
-      QuotaCluster scenario = QuotaCluster.enabled(40 + afterMs);
-      scenario.world.older.add("roost-" + older);
-      scenario.world.olderVersion = ClusterVersion.BITMAP_ALLOCS - 1;
-      scenario.world.crash("roost-" + older, 50);
+      QuotaCluster scenario = QuotaCluster.withBorrowing(40 + afterMs);
+      scenario.cluster.olderVersionNodes.add("roost-" + older);
+      scenario.cluster.olderVersion = ClusterVersion.BITMAP_ALLOCS - 1;
+      scenario.cluster.crashNode("roost-" + older, 50);
       scenario.fillWithNightArray(400, 15);
       scenario.submit(QuotaCluster.replicas(2, DESK_REPLICAS, QuotaCluster.DESK));
-      scenario.world.at(Math.max(0, afterMs), () -> scenario.world.crash(scenario.leader(), 1500));
-      scenario.world.at(20_000, () -> scenario.world.older.clear());
-      scenario.world.at(20_050, () -> scenario.world.crash("roost-" + older, 500));
-      scenario.world.run(50);
+      scenario.cluster.schedule(
+          Math.max(0, afterMs), () -> scenario.cluster.crashNode(scenario.leader(), 1500));
+      scenario.cluster.schedule(20_000, () -> scenario.cluster.olderVersionNodes.clear());
+      scenario.cluster.schedule(20_050, () -> scenario.cluster.crashNode("roost-" + older, 500));
+      scenario.cluster.run(50);
       String when = "roost-" + older + " older, after " + afterMs + " ms";
-      assertEquals(List.of(), scenario.world.checker.breaches, when);
-      assertEquals(DESK_REPLICAS, scenario.world.checker.running("run-000002"), when);
+      assertEquals(List.of(), scenario.cluster.checker.violations, when);
+      assertEquals(DESK_REPLICAS, scenario.cluster.checker.runningTasks("run-000002"), when);
     }
   }
 
@@ -247,7 +268,7 @@
   @EnumSource(names = {"LEADER_KILLED", "LEADER_ISOLATED", "ALL_KILLED"})
   void aSaveThatOutlastsItsLeaderGoesOn(Fault fault) {
     for (int afterMs : moments()) {
-      QuotaCluster scenario = QuotaCluster.enabled(81 + afterMs);
+      QuotaCluster scenario = QuotaCluster.withBorrowing(81 + afterMs);
       Job night =
           QuotaCluster.job(
               1,
@@ -260,16 +281,16 @@
               QuotaCluster.NIGHT,
               Priority.HIGH);
       scenario.submit(night);
-      scenario.world.run(30);
+      scenario.cluster.run(30);
       assertEquals(16, scenario.runningTasks(night));
       scenario.submit(QuotaCluster.replicas(2, DESK_REPLICAS, QuotaCluster.DESK));
-      scenario.world.at(Math.max(0, afterMs), () -> fault.inject.accept(scenario));
-      scenario.world.run(30);
+      scenario.cluster.schedule(Math.max(0, afterMs), () -> fault.inject.accept(scenario));
+      scenario.cluster.run(30);
       String when = fault + " after " + afterMs + " ms";
-      assertEquals(List.of(), scenario.world.checker.breaches, when);
-      assertEquals(DESK_REPLICAS, scenario.world.checker.running("run-000002"), when);
-      assertEquals(DESK_REPLICAS, scenario.world.progress.stops(), when);
-      assertEquals(0, scenario.world.progress.savesCutShort, when);
+      assertEquals(List.of(), scenario.cluster.checker.violations, when);
+      assertEquals(DESK_REPLICAS, scenario.cluster.checker.runningTasks("run-000002"), when);
+      assertEquals(DESK_REPLICAS, scenario.cluster.progress.stopCount(), when);
+      assertEquals(0, scenario.cluster.progress.interruptedSaves, when);
     }
   }
 
@@ -280,20 +301,20 @@
   @ValueSource(ints = {-1, 0, 300, 1000, 2500})
   void aPeakThatEndsWhileBorrowersSave(int crashAfterMs) {
     for (int endsAfterMs = 100; endsAfterMs <= LAST_MOMENT_MS; endsAfterMs += MOMENT_STEP_MS) {
-      QuotaCluster scenario = QuotaCluster.enabled(11 + endsAfterMs);
+      QuotaCluster scenario = QuotaCluster.withBorrowing(11 + endsAfterMs);
       Job night = scenario.fillWithNightArray(400, 15);
       Job desk = scenario.submit(QuotaCluster.replicas(2, DESK_REPLICAS, QuotaCluster.DESK));
-      scenario.world.at(endsAfterMs, () -> scenario.world.abort(desk.uid()));
+      scenario.cluster.schedule(endsAfterMs, () -> scenario.cluster.cancel(desk.uid()));
       if (crashAfterMs >= 0) {
-        scenario.world.at(
-            endsAfterMs + crashAfterMs, () -> scenario.world.crash(scenario.leader(), 2000));
+        scenario.cluster.schedule(
+            endsAfterMs + crashAfterMs, () -> scenario.cluster.crashNode(scenario.leader(), 2000));
       }
-      scenario.world.run(60);
+      scenario.cluster.run(60);
       String when = "ends after " + endsAfterMs + " ms";
-      assertEquals(List.of(), scenario.world.checker.breaches, when);
+      assertEquals(List.of(), scenario.cluster.checker.violations, when);
       assertEquals(16, scenario.runningTasks(night), when);
-      assertTrue(scenario.world.progress.stops() <= DESK_REPLICAS, () -> when + ": stops");
-      assertEquals(Phase.ABORTED, scenario.world.checker.finalStance(desk.uid()), when);
+      assertTrue(scenario.cluster.progress.stopCount() <= DESK_REPLICAS, () -> when + ": stops");
+      assertEquals(Phase.ABORTED, scenario.cluster.checker.finalPhase(desk.uid()), when);
     }
   }
 
@@ -302,32 +323,35 @@
   @ValueSource(ints = {0, 200, 500, 900, 1400, 2000, 2600, 3400})
   void aBorrowerThatIsCancelledWhileItSavesEndsInTime(int afterMs) {
     for (boolean crash : new boolean[] {false, true}) {
-      QuotaCluster scenario = QuotaCluster.enabled(23 + afterMs);
+      QuotaCluster scenario = QuotaCluster.withBorrowing(23 + afterMs);
       scenario
-          .world
+          .cluster
           .workers()
-          .forEach(m -> scenario.world.progress.savesHangOn.add(m.machine.name()));
+          .forEach(m -> scenario.cluster.progress.machinesWithHangingSaves.add(m.machine.name()));
       Job night = scenario.fillWithNightArray(400, 15);
       Job desk = scenario.submit(QuotaCluster.replicas(2, DESK_REPLICAS, QuotaCluster.DESK));
-      scenario.world.at(
+      scenario.cluster.schedule(
           afterMs,
           () -> {
             String follower =
-                scenario.world.all().stream()
+                scenario.cluster.nodeNames().stream()
                     .filter(n -> !n.equals(scenario.leader()))
                     .findFirst()
                     .orElseThrow();
-            scenario.world.abortAt(follower, night.uid());
+            scenario.cluster.cancelOnce(follower, night.uid());
           });
-      scenario.world.at(afterMs + 400, () -> scenario.world.state.outage(scenario.world.nowMs));
+      scenario.cluster.schedule(
+          afterMs + 400, () -> scenario.cluster.store.startOutage(scenario.cluster.nowMs));
       if (crash) {
-        scenario.world.at(afterMs + 600, () -> scenario.world.crash(scenario.leader(), 1500));
+        scenario.cluster.schedule(
+            afterMs + 600, () -> scenario.cluster.crashNode(scenario.leader(), 1500));
       }
-      scenario.world.at(afterMs + 36_000, () -> scenario.world.state.recover(scenario.world.nowMs));
-      scenario.world.run(75);
-      scenario.world.abort(night.uid());
-      scenario.world.run(15);
-      assertEquals(List.of(), scenario.world.checker.breaches, "after " + afterMs + " ms");
+      scenario.cluster.schedule(
+          afterMs + 36_000, () -> scenario.cluster.store.endOutage(scenario.cluster.nowMs));
+      scenario.cluster.run(75);
+      scenario.cluster.cancel(night.uid());
+      scenario.cluster.run(15);
+      assertEquals(List.of(), scenario.cluster.checker.violations, "after " + afterMs + " ms");
       assertEquals(0, scenario.runningTasks(night));
       assertEquals(DESK_REPLICAS, scenario.runningTasks(desk), "after " + afterMs + " ms");
     }
@@ -338,18 +362,20 @@
   @ValueSource(ints = {0, 50, 300, 1000})
   void twoTeamsReclaimAtOnce(int apartMs) {
     for (int afterMs : moments()) {
-      QuotaCluster scenario = QuotaCluster.enabled(31 + afterMs + apartMs);
+      QuotaCluster scenario = QuotaCluster.withBorrowing(31 + afterMs + apartMs);
       Job night = scenario.fillWithNightArray(400, 15);
-      scenario.world.at(500, () -> scenario.submit(QuotaCluster.replicas(2, 8, QuotaCluster.DESK)));
-      scenario.world.at(
+      scenario.cluster.schedule(
+          500, () -> scenario.submit(QuotaCluster.replicas(2, 8, QuotaCluster.DESK)));
+      scenario.cluster.schedule(
           500 + apartMs,
           () -> scenario.submit(QuotaCluster.array(3, 10, 400, 15, QuotaCluster.LAB)));
-      scenario.world.at(500 + afterMs, () -> scenario.world.crash(scenario.leader(), 2000));
-      scenario.world.run(45);
+      scenario.cluster.schedule(
+          500 + afterMs, () -> scenario.cluster.crashNode(scenario.leader(), 2000));
+      scenario.cluster.run(45);
       String when = "after " + afterMs + " ms";
-      assertEquals(List.of(), scenario.world.checker.breaches, when);
-      assertEquals(8, scenario.world.checker.running("run-000002"), when);
-      assertEquals(4, scenario.world.checker.running("run-000003"), when);
+      assertEquals(List.of(), scenario.cluster.checker.violations, when);
+      assertEquals(8, scenario.cluster.checker.runningTasks("run-000002"), when);
+      assertEquals(4, scenario.cluster.checker.runningTasks("run-000003"), when);
       assertEquals(4, scenario.runningTasks(night), when);
     }
   }
@@ -358,43 +384,47 @@
   @ParameterizedTest
   @ValueSource(ints = {-1, 200, 900, 1800, 3000})
   void aTeamThatLendsAndBorrowsAtOnce(int crashAfterMs) {
-    QuotaCluster scenario = QuotaCluster.enabled(51);
+    QuotaCluster scenario = QuotaCluster.withBorrowing(51);
     Job night = scenario.submit(QuotaCluster.array(1, 10, 400, 15, QuotaCluster.NIGHT));
     Job lab = scenario.submit(QuotaCluster.array(2, 6, 400, 15, QuotaCluster.LAB));
-    scenario.world.run(25);
+    scenario.cluster.run(25);
     assertEquals(16, scenario.runningTasks(night) + scenario.runningTasks(lab));
     Job desk = scenario.submit(QuotaCluster.replicas(3, 8, QuotaCluster.DESK));
     scenario.submit(QuotaCluster.replicas(4, 4, QuotaCluster.LAB));
     if (crashAfterMs >= 0) {
-      scenario.world.at(crashAfterMs, () -> scenario.world.crash(scenario.leader(), 2000));
+      scenario.cluster.schedule(
+          crashAfterMs, () -> scenario.cluster.crashNode(scenario.leader(), 2000));
     }
-    scenario.world.run(40);
-    ExpectedOutcome.rulesHold(scenario.world);
+    scenario.cluster.run(40);
+    ExpectedOutcome.assertNoViolations(scenario.cluster);
     assertEquals(8, scenario.runningTasks(desk));
-    assertEquals(QuotaCluster.NIGHT_GPUS, scenario.world.checker.held(QuotaCluster.NIGHT).gpus());
-    assertEquals(QuotaCluster.LAB_GPUS, scenario.world.checker.held(QuotaCluster.LAB).gpus());
+    assertEquals(
+        QuotaCluster.NIGHT_GPUS, scenario.cluster.checker.usedResources(QuotaCluster.NIGHT).gpus());
+    assertEquals(
+        QuotaCluster.LAB_GPUS, scenario.cluster.checker.usedResources(QuotaCluster.LAB).gpus());
   }
 
   /** Every team is at its limit; nothing is stopped for what could not start anyway. */
   @ParameterizedTest
   @ValueSource(ints = {-1, 300, 1500})
   void atItsLimitATeamReclaimsNothing(int crashAfterMs) {
-    QuotaCluster scenario = QuotaCluster.enabled(61);
+    QuotaCluster scenario = QuotaCluster.withBorrowing(61);
     Job desk = scenario.submit(QuotaCluster.replicas(1, 12, QuotaCluster.DESK));
     Job night = scenario.submit(QuotaCluster.array(2, 4, 400, 15, QuotaCluster.NIGHT));
-    scenario.world.run(25);
+    scenario.cluster.run(25);
     assertEquals(12, scenario.runningTasks(desk), "its limit");
     Job more =
         QuotaCluster.job(3, JobKind.SERVICE, 4, 0, 0, QuotaCluster.DESK, Priority.PRODUCTION);
     scenario.submit(more);
     if (crashAfterMs >= 0) {
-      scenario.world.at(crashAfterMs, () -> scenario.world.crash(scenario.leader(), 2000));
+      scenario.cluster.schedule(
+          crashAfterMs, () -> scenario.cluster.crashNode(scenario.leader(), 2000));
     }
-    scenario.world.run(30);
-    ExpectedOutcome.rulesHold(scenario.world);
+    scenario.cluster.run(30);
+    ExpectedOutcome.assertNoViolations(scenario.cluster);
     assertEquals(4, scenario.runningTasks(night));
     assertEquals(0, scenario.runningTasks(more));
-    assertEquals(0, scenario.world.progress.stops());
+    assertEquals(0, scenario.cluster.progress.stopCount());
   }
 
   /** A gang that borrows loses a member while it is reclaimed. */
@@ -402,27 +432,27 @@
   @ValueSource(ints = {-1, 100, 800, 2000})
   void aBorrowingGangLosesAMember(int crashAfterMs) {
     for (int afterMs = 0; afterMs <= LAST_MOMENT_MS; afterMs += MOMENT_STEP_MS) {
-      QuotaCluster scenario = QuotaCluster.enabled(71 + afterMs);
+      QuotaCluster scenario = QuotaCluster.withBorrowing(71 + afterMs);
       Job night = scenario.submit(QuotaCluster.array(1, 4, 400, 15, QuotaCluster.NIGHT));
       Job gang = scenario.submit(QuotaCluster.gang(2, 12, 400, 30, QuotaCluster.LAB));
-      scenario.world.run(25);
+      scenario.cluster.run(25);
       assertEquals(12, scenario.runningTasks(gang));
       Job desk = scenario.submit(QuotaCluster.replicas(3, 8, QuotaCluster.DESK));
-      scenario.world.at(
+      scenario.cluster.schedule(
           afterMs,
           () -> {
             List<FakeWorker> members = scenario.workersWith(gang, TaskStatus.State.RUNNING);
             if (!members.isEmpty()) {
-              scenario.world.die(members.get(0).machine.name());
+              scenario.cluster.failMachine(members.get(0).machine.name());
             }
           });
       if (crashAfterMs >= 0) {
-        scenario.world.at(
-            afterMs + crashAfterMs, () -> scenario.world.crash(scenario.leader(), 2000));
+        scenario.cluster.schedule(
+            afterMs + crashAfterMs, () -> scenario.cluster.crashNode(scenario.leader(), 2000));
       }
-      scenario.world.run(70);
+      scenario.cluster.run(70);
       String when = "after " + afterMs + " ms";
-      assertEquals(List.of(), scenario.world.checker.breaches, when);
+      assertEquals(List.of(), scenario.cluster.checker.violations, when);
       assertEquals(8, scenario.runningTasks(desk), when);
       assertEquals(4, scenario.runningTasks(night), when);
     }
--- a/src/test/java/eiderfork/controller/QuotaReclaimFlappingTest.java
+++ b/src/test/java/eiderfork/controller/QuotaReclaimFlappingTest.java
@@ -20,22 +20,22 @@
   /** A gang that is the only borrower is not preempted by each of the peaks of every minute. */
   @Test
   void aGangIsNotPreemptedAtEachPeak() {
-    QuotaCluster scenario = QuotaCluster.enabled(19, BOOT_S);
+    QuotaCluster scenario = QuotaCluster.withBorrowing(19, BOOT_S);
     scenario.submit(QuotaCluster.array(1, 4, 4 * FLAPPING_S, 15, QuotaCluster.NIGHT));
     Job gang = scenario.submit(QuotaCluster.gang(2, 8, 4 * FLAPPING_S, 15, QuotaCluster.LAB));
-    scenario.world.run(25);
+    scenario.cluster.run(25);
     assertEquals(8, scenario.runningTasks(gang));
     for (int i = 0; i < FLAPPING_S / 60; i++) {
       Job peak = QuotaCluster.replicas(100 + i, 8, QuotaCluster.DESK);
-      scenario.world.at(i * 60_000L, () -> scenario.submit(peak));
-      scenario.world.at(i * 60_000L + 25_000, () -> scenario.world.abort(peak.uid()));
+      scenario.cluster.schedule(i * 60_000L, () -> scenario.submit(peak));
+      scenario.cluster.schedule(i * 60_000L + 25_000, () -> scenario.cluster.cancel(peak.uid()));
     }
-    scenario.world.run(FLAPPING_S);
+    scenario.cluster.run(FLAPPING_S);
     double maxReversals = ReclaimCooldowns.maxReversals(FLAPPING_S, BOOT_S);
-    assertTrue(scenario.world.progress.mostStopsOfATask() <= maxReversals, "stops of one task");
-    scenario.world.run(400);
+    assertTrue(scenario.cluster.progress.maxStopsPerTask() <= maxReversals, "stops of one task");
+    scenario.cluster.run(400);
     assertEquals(8, scenario.runningTasks(gang));
-    ExpectedOutcome.rulesHold(scenario.world);
+    ExpectedOutcome.assertNoViolations(scenario.cluster);
   }
 
   /** Columns: the period of the peaks in seconds, their share of it, and how often leaders end. */
@@ -58,10 +58,10 @@
     "180, 0.5, 2"
   })
   void reclaimsStayWithinTheStatedBound(double periodS, double share, int leaderEnds) {
-    QuotaCluster scenario = QuotaCluster.enabled(17 + (long) periodS, BOOT_S);
+    QuotaCluster scenario = QuotaCluster.withBorrowing(17 + (long) periodS, BOOT_S);
     Job night = scenario.fillWithNightArray(4 * FLAPPING_S, 15);
     Map<String, Integer> stops = new HashMap<>();
-    scenario.world.progress.onStop =
+    scenario.cluster.progress.onStop =
         (worker, attempt) -> {
           if (attempt.task().jobUid().equals(night.uid())) {
             stops.merge(worker.machine.name(), 1, Integer::sum);
@@ -71,24 +71,24 @@
     for (int i = 0; i < peaks; i++) {
       Job peak = QuotaCluster.replicas(100 + i, 8, QuotaCluster.DESK);
       long beginsMs = (long) (i * periodS * 1000);
-      scenario.world.at(beginsMs, () -> scenario.submit(peak));
-      scenario.world.at(
-          beginsMs + (long) (periodS * share * 1000), () -> scenario.world.abort(peak.uid()));
+      scenario.cluster.schedule(beginsMs, () -> scenario.submit(peak));
+      scenario.cluster.schedule(
+          beginsMs + (long) (periodS * share * 1000), () -> scenario.cluster.cancel(peak.uid()));
     }
     for (int i = 1; i <= leaderEnds; i++) {
       long endsMs = (long) (FLAPPING_S * 1000 * i / (leaderEnds + 1));
-      scenario.world.at(endsMs, () -> scenario.world.crash(scenario.leader(), 2000));
+      scenario.cluster.schedule(endsMs, () -> scenario.cluster.crashNode(scenario.leader(), 2000));
     }
-    scenario.world.run(FLAPPING_S);
+    scenario.cluster.run(FLAPPING_S);
     double reversals = ReclaimCooldowns.maxReversals(FLAPPING_S, BOOT_S) + leaderEnds;
     for (Map.Entry<String, Integer> each : stops.entrySet()) {
       assertTrue(
           each.getValue() <= GPUS_PER_MACHINE * reversals,
           () -> each + " stops, at most " + GPUS_PER_MACHINE * reversals);
     }
-    ExpectedOutcome.rulesHold(scenario.world);
-    scenario.world.run(400);
+    ExpectedOutcome.assertNoViolations(scenario.cluster);
+    scenario.cluster.run(400);
     assertEquals(16, scenario.runningTasks(night), "it has all of its capacity back");
-    ExpectedOutcome.rulesHold(scenario.world);
+    ExpectedOutcome.assertNoViolations(scenario.cluster);
   }
 }
--- a/src/test/java/eiderfork/controller/QuotaReclaimHistoryTest.java
+++ b/src/test/java/eiderfork/controller/QuotaReclaimHistoryTest.java
@@ -49,17 +49,18 @@
   @ParameterizedTest
   @MethodSource("seeds")
   void rulesAndGuaranteesHold(long seed) {
-    QuotaCluster scenario = QuotaCluster.enabled(seed);
+    QuotaCluster scenario = QuotaCluster.withBorrowing(seed);
     List<Job> jobs = play(scenario, seed);
-    assertEquals(List.of(), scenario.world.checker.breaches);
-    assertEquals(List.of(), scenario.guarantees.unexplained);
-    int before = scenario.world.checker.answers;
-    jobs.forEach(job -> scenario.world.queryAll(job.uid()));
-    scenario.world.run(5);
+    assertEquals(List.of(), scenario.cluster.checker.violations);
+    assertEquals(List.of(), scenario.guaranteeChecker.unexplained);
+    int before = scenario.cluster.checker.answeredRequests;
+    jobs.forEach(job -> scenario.cluster.queryAllNodes(job.uid()));
+    scenario.cluster.run(5);
     assertEquals(
-        before + scenario.world.all().size() * jobs.size(), scenario.world.checker.answers);
-    assertEquals(List.of(), scenario.world.checker.breaches);
-    assertTrue(scenario.world.checker.starts > 10);
+        before + scenario.cluster.nodeNames().size() * jobs.size(),
+        scenario.cluster.checker.answeredRequests);
+    assertEquals(List.of(), scenario.cluster.checker.violations);
+    assertTrue(scenario.cluster.checker.startCount > 10);
   }
 
   /** Seeds of long runs in which a team waited for its guarantee for no known cause. */
@@ -76,28 +77,29 @@
     for (int i = 1; i <= 18; i++) {
       Job job = job(script, i);
       jobs.add(job);
-      scenario.world.at(2000 + script.nextInt(100_000), () -> scenario.submit(job));
+      scenario.cluster.schedule(2000 + script.nextInt(100_000), () -> scenario.submit(job));
       if (script.nextInt(3) == 0) {
-        scenario.world.at(30_000 + script.nextInt(100_000), () -> scenario.world.abort(job.uid()));
+        scenario.cluster.schedule(
+            30_000 + script.nextInt(100_000), () -> scenario.cluster.cancel(job.uid()));
       }
     }
-    scenario.world.loss = 0.01;
-    scenario.world.doubled = 0.02;
+    scenario.cluster.lossProbability = 0.01;
+    scenario.cluster.duplicateProbability = 0.02;
     QuotaReclaimFailureTest.Fault[] faults = QuotaReclaimFailureTest.Fault.values();
     for (int i = 0; i < 8; i++) {
       QuotaReclaimFailureTest.Fault fault = faults[script.nextInt(faults.length)];
-      scenario.world.at(
+      scenario.cluster.schedule(
           20_000 + script.nextInt(100_000),
           () -> {
-            scenario.guarantees.expectDisruption(12_000);
+            scenario.guaranteeChecker.expectDisruption(12_000);
             fault.inject.accept(scenario);
           });
     }
-    scenario.guarantees.expectDisruption(FAULTY_PHASE_S * 1000L);
-    scenario.world.run(FAULTY_PHASE_S);
-    scenario.world.progress.savesHangOn.clear();
-    scenario.world.quiet();
-    scenario.world.run(QUIET_PHASE_S);
+    scenario.guaranteeChecker.expectDisruption(FAULTY_PHASE_S * 1000L);
+    scenario.cluster.run(FAULTY_PHASE_S);
+    scenario.cluster.progress.machinesWithHangingSaves.clear();
+    scenario.cluster.clearFaults();
+    scenario.cluster.run(QUIET_PHASE_S);
     return jobs;
   }
 }
--- a/src/test/java/eiderfork/controller/RandomHistoryTest.java
+++ b/src/test/java/eiderfork/controller/RandomHistoryTest.java
@@ -32,72 +32,78 @@
   @ParameterizedTest
   @ValueSource(longs = {31, 32, 33, 34, 35, 36, 37, 38, 39, 40, 41, 42, 43, 44, 45, 46})
   void rulesHoldWhereTroublesMeet(long seed) {
-    SimulatedCluster world = new SimulatedCluster(seed);
-    troublesMeet(world, seed);
-    rulesHold(world, seed);
+    SimulatedCluster cluster = new SimulatedCluster(seed);
+    troublesMeet(cluster, seed);
+    rulesHold(cluster, seed);
   }
 
   /** Has several kinds of trouble meet in a history that is not played yet. */
-  static void troublesMeet(SimulatedCluster world, long seed) {
+  static void troublesMeet(SimulatedCluster cluster, long seed) {
     Random script = new Random(seed * 37);
-    world.lateWrites = 0.08;
-    world.lostAnswers = 0.08;
-    world.lateReports = 0.1;
-    world.heartbeatsForNextLeader = 0.1;
+    cluster.lateTransactionProbability = 0.08;
+    cluster.lostStoreReplyProbability = 0.08;
+    cluster.repeatedHeartbeatProbability = 0.1;
+    cluster.nextLeaderHeartbeatProbability = 0.1;
     if (seed % 2 == 0) {
-      world.lookCloselyAtNews(true);
+      cluster.setProbesAfterNews(true);
     }
-    world.commandsLateMs = seed % 3 * 700;
+    cluster.commandDelayMs = seed % 3 * 700;
     for (int i = 0; i < 7; i++) {
       int kind = (i + (int) seed) % 7;
-      world.at(12_000 + i * 11_000L + script.nextInt(8000), () -> meeting(world, script, kind));
+      cluster.schedule(
+          12_000 + i * 11_000L + script.nextInt(8000), () -> meeting(cluster, script, kind));
     }
   }
 
-  private static void meeting(SimulatedCluster world, Random script, int kind) {
+  private static void meeting(SimulatedCluster cluster, Random script, int kind) {
     String node = "roost-" + script.nextInt(3);
-    String leader = world.leader() == null ? node : world.leader();
-    List<FakeWorker> workers = world.workers();
+    String leader = cluster.leader() == null ? node : cluster.leader();
+    List<FakeWorker> workers = cluster.workers();
     switch (kind) {
       case 0 -> {
-        world.refuse(leader, 12_000);
-        world.at(1500, () -> world.state.outage(world.nowMs));
-        world.at(20_000 + script.nextInt(15_000), () -> world.state.recover(world.nowMs));
+        cluster.refuseStoreRequests(leader, 12_000);
+        cluster.schedule(1500, () -> cluster.store.startOutage(cluster.nowMs));
+        cluster.schedule(
+            20_000 + script.nextInt(15_000), () -> cluster.store.endOutage(cluster.nowMs));
       }
-      case 1 -> world.isolate(leader, 10_000 + script.nextInt(15_000));
-      case 2 -> world.freeze(leader, 1000 + script.nextInt(12_000));
+      case 1 -> cluster.isolateNode(leader, 10_000 + script.nextInt(15_000));
+      case 2 -> cluster.freezeNode(leader, 1000 + script.nextInt(12_000));
       case 3 -> {
         for (int i = 0; i < 3; i++) {
-          world.at(i * 4200L, () -> world.crash(leaderOr(world, node), 300));
+          cluster.schedule(i * 4200L, () -> cluster.crashNode(leaderOr(cluster, node), 300));
         }
       }
       case 4 -> {
-        workers.stream().limit(3).forEach(worker -> world.deafen(worker.machine.name(), 14_000));
-        world.at(800, () -> world.crash(leaderOr(world, node), 3000));
+        workers.stream()
+            .limit(3)
+            .forEach(worker -> cluster.cutLinksTo(worker.machine.name(), 14_000));
+        cluster.schedule(800, () -> cluster.crashNode(leaderOr(cluster, node), 3000));
       }
       case 5 -> {
-        workers.stream().limit(3).forEach(worker -> world.mute(worker.machine.name(), 14_000));
-        world.at(800, () -> world.crash(leaderOr(world, node), 3000));
+        workers.stream()
+            .limit(3)
+            .forEach(worker -> cluster.cutLinksFrom(worker.machine.name(), 14_000));
+        cluster.schedule(800, () -> cluster.crashNode(leaderOr(cluster, node), 3000));
       }
       default -> {
-        world.stateDelayMs = 300;
-        world.at(9000, () -> world.stateDelayMs = 0);
-        world.holdNextReports(3000 + script.nextInt(9000));
-        world.crash(leader, 2000);
+        cluster.storeDelayMs = 300;
+        cluster.schedule(9000, () -> cluster.storeDelayMs = 0);
+        cluster.delayNextHeartbeats(3000 + script.nextInt(9000));
+        cluster.crashNode(leader, 2000);
       }
     }
   }
 
-  private static String leaderOr(SimulatedCluster world, String node) {
-    return world.leader() == null ? node : world.leader();
+  private static String leaderOr(SimulatedCluster cluster, String node) {
+    return cluster.leader() == null ? node : cluster.leader();
   }
 
   /** Plays the random history of this seed to its quiet end, and tells the jobs. */
-  static List<Job> play(SimulatedCluster world, long seed) {
+  static List<Job> play(SimulatedCluster cluster, long seed) {
     Random script = new Random(seed * 31);
-    world.loss = 0.01;
-    world.late = 0.01;
-    world.doubled = 0.02;
+    cluster.lossProbability = 0.01;
+    cluster.delayProbability = 0.01;
+    cluster.duplicateProbability = 0.02;
     List<Job> jobs = new ArrayList<>();
     for (int i = 0; i < 24; i++) {
       JobKind kind = script.nextInt(3) == 0 ? JobKind.ARRAY : JobKind.SERVICE;
@@ -112,36 +118,38 @@
               script.nextInt(4) == 0,
               script.nextBoolean());
       jobs.add(job);
-      world.at(script.nextInt(60_000), () -> world.submit(job));
+      cluster.schedule(script.nextInt(60_000), () -> cluster.submit(job));
       if (script.nextInt(3) == 0) {
-        world.at(30_000 + script.nextInt(50_000), () -> world.abort(job.uid()));
+        cluster.schedule(30_000 + script.nextInt(50_000), () -> cluster.cancel(job.uid()));
       }
     }
     for (int i = 0; i < 14; i++) {
       int kind = i;
-      world.at(10_000 + script.nextInt(80_000), () -> trouble(world, script, kind % 10));
+      cluster.schedule(10_000 + script.nextInt(80_000), () -> trouble(cluster, script, kind % 10));
     }
     for (int i = 0; i < 400; i++) {
-      world.at(
-          script.nextInt(180_000), () -> world.query("run-%06d".formatted(script.nextInt(26))));
+      cluster.schedule(
+          script.nextInt(180_000),
+          () -> cluster.queryRandomNode("run-%06d".formatted(script.nextInt(26))));
     }
-    world.run(110);
-    world.quiet();
-    world.run(110);
+    cluster.run(110);
+    cluster.clearFaults();
+    cluster.run(110);
     return jobs;
   }
 
-  private static void rulesHold(SimulatedCluster world, long seed) {
-    List<Job> jobs = play(world, seed);
-    assertEquals(List.of(), world.checker.breaches);
-    assertTrue(world.checker.starts > 10);
+  private static void rulesHold(SimulatedCluster cluster, long seed) {
+    List<Job> jobs = play(cluster, seed);
+    assertEquals(List.of(), cluster.checker.violations);
+    assertTrue(cluster.checker.startCount > 10);
     for (Job job : jobs) {
-      world.query(job.uid());
+      cluster.queryRandomNode(job.uid());
     }
-    world.run(2);
-    assertEquals(List.of(), world.checker.breaches);
+    cluster.run(2);
+    assertEquals(List.of(), cluster.checker.violations);
     for (Job job : jobs) {
-      if (!world.checker.wasAccepted(job.uid()) || world.checker.finalStance(job.uid()) != null) {
+      if (!cluster.checker.wasAccepted(job.uid())
+          || cluster.checker.finalPhase(job.uid()) != null) {
         continue;
       }
       if (!job.team().equals("blue")) {
@@ -149,61 +157,61 @@
       }
       // Without trouble for so long, what was accepted runs in full; the red team has a limit.
       assertEquals(JobKind.SERVICE, job.kind(), job::uid);
-      assertEquals(job.tasks(), world.checker.running(job.uid()), job::uid);
+      assertEquals(job.tasks(), cluster.checker.runningTasks(job.uid()), job::uid);
     }
-    assertTrue(jobs.stream().anyMatch(job -> world.checker.finalStance(job.uid()) == Phase.DONE));
+    assertTrue(jobs.stream().anyMatch(job -> cluster.checker.finalPhase(job.uid()) == Phase.DONE));
   }
 
-  private static void trouble(SimulatedCluster world, Random script, int kind) {
+  private static void trouble(SimulatedCluster cluster, Random script, int kind) {
     String node = "roost-" + script.nextInt(3);
-    String leader = world.leader() == null ? node : world.leader();
-    List<FakeWorker> workers = world.workers();
+    String leader = cluster.leader() == null ? node : cluster.leader();
+    List<FakeWorker> workers = cluster.workers();
     switch (kind) {
-      case 0 -> world.crash(leader, 500 + script.nextInt(6000));
+      case 0 -> cluster.crashNode(leader, 500 + script.nextInt(6000));
       case 1 -> {
         for (int i = 0; i < 3; i++) {
-          world.crash("roost-" + i, 300 + script.nextInt(4000));
+          cluster.crashNode("roost-" + i, 300 + script.nextInt(4000));
         }
       }
-      case 2 -> world.cut(leader + ">state", 15_000);
+      case 2 -> cluster.cutLink(leader + ">state", 15_000);
       case 3 -> {
-        world.cut("*>" + leader, 12_000);
-        world.cut(leader + ">*", 12_000);
+        cluster.cutLink("*>" + leader, 12_000);
+        cluster.cutLink(leader + ">*", 12_000);
       }
       case 4 -> {
         for (int i = 0; i < 3; i++) {
-          world.cut(leader + ">roost-" + i, 15_000);
-          world.cut("roost-" + i + ">" + leader, 15_000);
+          cluster.cutLink(leader + ">roost-" + i, 15_000);
+          cluster.cutLink("roost-" + i + ">" + leader, 15_000);
         }
-        world.cut(leader + ">state", 15_000);
-        world.cut(leader + ">cloud", 15_000);
+        cluster.cutLink(leader + ">state", 15_000);
+        cluster.cutLink(leader + ">cloud", 15_000);
       }
       case 5 -> {
-        world.state.outage(world.nowMs);
-        world.at(14_000, () -> world.state.recover(world.nowMs));
+        cluster.store.startOutage(cluster.nowMs);
+        cluster.schedule(14_000, () -> cluster.store.endOutage(cluster.nowMs));
       }
       case 6 -> {
         if (!workers.isEmpty()) {
           FakeWorker worker = workers.get(script.nextInt(workers.size()));
-          worker.hanging = true;
-          world.at(3000 + script.nextInt(20_000), () -> worker.hanging = false);
+          worker.isHanging = true;
+          cluster.schedule(3000 + script.nextInt(20_000), () -> worker.isHanging = false);
         }
       }
       case 7 -> {
         if (!workers.isEmpty()) {
-          world.die(workers.get(script.nextInt(workers.size())).machine.name());
+          cluster.failMachine(workers.get(script.nextInt(workers.size())).machine.name());
         }
       }
       case 8 -> {
-        world.cloud.isDown = true;
-        world.at(15_000, () -> world.cloud.isDown = false);
+        cluster.cloud.isDown = true;
+        cluster.schedule(15_000, () -> cluster.cloud.isDown = false);
       }
       default -> {
         // Reports arrive, answers and commands do not.
         if (!workers.isEmpty()) {
           String name = workers.get(script.nextInt(workers.size())).machine.name();
           for (int i = 0; i < 3; i++) {
-            world.cut("roost-" + i + ">" + name, 20_000);
+            cluster.cutLink("roost-" + i + ">" + name, 20_000);
           }
         }
       }
--- a/src/test/java/eiderfork/controller/RateLimitTest.java
+++ b/src/test/java/eiderfork/controller/RateLimitTest.java
@@ -142,20 +142,20 @@
             0.34,
             800,
             7);
-    SimulatedCluster world = new SimulatedCluster(seed, settings, 7);
+    SimulatedCluster cluster = new SimulatedCluster(seed, settings, 7);
     List<Job> jobs = new ArrayList<>();
     for (int i = 1; i <= 40; i++) {
       jobs.add(TestFixtures.job(i, JobKind.SERVICE, 2, 0, "blue", Priority.HIGH, true, false));
     }
-    jobs.forEach(world::submit);
-    world.run(40);
-    world.state.requestLimit = new TokenBucket(60, 60, world.nowMs);
+    jobs.forEach(cluster::submit);
+    cluster.run(40);
+    cluster.store.requestLimit = new TokenBucket(60, 60, cluster.nowMs);
     for (int restart = 0; restart < 3; restart++) {
-      world.all().forEach(node -> world.crash(node, 300));
-      world.run(15);
+      cluster.nodeNames().forEach(node -> cluster.crashNode(node, 300));
+      cluster.run(15);
     }
-    assertEquals(0, world.state.overLimit);
-    ExpectedOutcome.allServed(world, jobs);
+    assertEquals(0, cluster.store.requestLimitRefusals);
+    ExpectedOutcome.assertAllJobsServed(cluster, jobs);
   }
 
   /** Behind the starts of other arrays, ends were once written 6 to 12 s late. */
@@ -169,26 +169,26 @@
             0.2,
             160,
             3);
-    SimulatedCluster world = new SimulatedCluster(5, settings);
-    world.cloud.capacity = 4;
+    SimulatedCluster cluster = new SimulatedCluster(5, settings);
+    cluster.cloud.defaultStock = 4;
     List<Job> jobs = new ArrayList<>();
     for (int i = 1; i <= 40; i++) {
       jobs.add(TestFixtures.job(i, JobKind.ARRAY, 6, 1));
     }
-    jobs.forEach(world::submit);
+    jobs.forEach(cluster::submit);
     Map<Job, Long> finishedMs = new HashMap<>();
     long mostLateMs = 0;
     for (int i = 0; i < 1200; i++) {
-      world.run(0.1);
+      cluster.run(0.1);
       for (Job job : jobs) {
-        if (world.finished(job) && !world.committedDone(job)) {
-          finishedMs.putIfAbsent(job, world.nowMs);
-          mostLateMs = Math.max(mostLateMs, world.nowMs - finishedMs.get(job));
+        if (cluster.allTasksFinished(job) && !cluster.isDoneInStore(job)) {
+          finishedMs.putIfAbsent(job, cluster.nowMs);
+          mostLateMs = Math.max(mostLateMs, cluster.nowMs - finishedMs.get(job));
         }
       }
     }
-    assertTrue(jobs.stream().allMatch(world::committedDone));
+    assertTrue(jobs.stream().allMatch(cluster::isDoneInStore));
     assertTrue(mostLateMs <= 3000, mostLateMs + " ms until the end of a job was written");
-    ExpectedOutcome.rulesHold(world);
+    ExpectedOutcome.assertNoViolations(cluster);
   }
 }
--- a/src/test/java/eiderfork/controller/SchedulingWorkTest.java
+++ b/src/test/java/eiderfork/controller/SchedulingWorkTest.java
@@ -17,24 +17,24 @@
 
   @Test
   void theWorkOfARoundGrowsWithJobsTimesMachinesAndNotWithTasks() {
-    SimulatedCluster world = new SimulatedCluster(3);
-    world.cloud.capacity = 40;
-    world.run(3);
+    SimulatedCluster cluster = new SimulatedCluster(3);
+    cluster.cloud.defaultStock = 40;
+    cluster.run(3);
     List<Job> jobs = new ArrayList<>();
     for (int i = 0; i < JOBS; i++) {
       Job job = TestFixtures.job(i, JobKind.SERVICE, TASKS, 1, "blue", Priority.HIGH, false, true);
       jobs.add(job);
-      world.submit(job);
+      cluster.submit(job);
     }
     int maxExamined = 0;
     for (int i = 0; i < 800; i++) {
-      world.run(0.05);
-      for (Controller node : world.nodes.values()) {
+      cluster.run(0.05);
+      for (Controller node : cluster.controllers.values()) {
         maxExamined = Math.max(maxExamined, node.machinesExamined());
       }
     }
-    long machines = world.cloud.liveHostCount();
-    long running = jobs.stream().mapToLong(job -> world.checker.running(job.uid())).sum();
+    long machines = cluster.cloud.liveHostCount();
+    long running = jobs.stream().mapToLong(job -> cluster.checker.runningTasks(job.uid())).sum();
     assertTrue(machines >= 150, machines + " machines");
     // Four kinds of the larger type, 40 machines each, with four tasks on a machine.
     assertEquals(4 * 40 * 4, running);
@@ -43,7 +43,7 @@
     long wanted = JOBS * TASKS / 4;
     long bound = JOBS * (machines + wanted) + 2 * JOBS * TASKS;
     assertTrue(maxExamined <= bound, maxExamined + " examined of " + bound);
-    assertEquals(List.of(), world.checker.breaches);
+    assertEquals(List.of(), cluster.checker.violations);
   }
 
   /**
@@ -53,31 +53,31 @@
    */
   @Test
   void jobsOfOneSizeThatWaitForAFullFleetShareOneSearch() {
-    SimulatedCluster world = new SimulatedCluster(4);
-    world.cloud.capacity = 40;
-    world.run(3);
+    SimulatedCluster cluster = new SimulatedCluster(4);
+    cluster.cloud.defaultStock = 40;
+    cluster.run(3);
     for (int i = 0; i < 40; i++) {
-      world.submit(
+      cluster.submit(
           TestFixtures.job(i, JobKind.SERVICE, 16, 0, "blue", Priority.HIGH, false, false));
     }
-    world.run(40);
+    cluster.run(40);
     for (int i = 100; i < 400; i++) {
-      world.submit(
+      cluster.submit(
           TestFixtures.job(i, JobKind.SERVICE, 8, 2, "blue", Priority.PRODUCTION, false, false));
     }
-    world.run(40);
-    long machines = world.cloud.liveHostCount();
-    long waiting = 300 * 8 - world.checker.runningTasks();
+    cluster.run(40);
+    long machines = cluster.cloud.liveHostCount();
+    long waiting = 300 * 8 - cluster.checker.totalRunningTasks();
     assertTrue(machines >= 100 && waiting > 1000, machines + " machines, " + waiting + " wait");
     int maxExamined = 0;
     for (int i = 0; i < 200; i++) {
-      world.run(0.05);
-      for (Controller node : world.nodes.values()) {
+      cluster.run(0.05);
+      for (Controller node : cluster.controllers.values()) {
         maxExamined = Math.max(maxExamined, node.machinesExaminedInRound());
       }
     }
     assertTrue(
         maxExamined <= 20 * machines, maxExamined + " examined with " + machines + " machines");
-    assertEquals(List.of(), world.checker.breaches);
+    assertEquals(List.of(), cluster.checker.violations);
   }
 }
--- a/src/test/java/eiderfork/controller/SilentControllersTest.java
+++ b/src/test/java/eiderfork/controller/SilentControllersTest.java
@@ -30,34 +30,34 @@
     REFUSED
   }
 
-  private final SimulatedCluster world = new SimulatedCluster(21);
+  private final SimulatedCluster cluster = new SimulatedCluster(21);
 
   @AfterEach
   void rulesHold() {
-    assertEquals(List.of(), world.checker.breaches);
+    assertEquals(List.of(), cluster.checker.violations);
   }
 
   private void lose(String node, Loss loss, long forMs) {
     switch (loss) {
       case ALL -> {
-        world.isolate(node, forMs);
+        cluster.isolateNode(node, forMs);
         loseWorkers(node, forMs);
       }
-      case STATE_SERVICE -> world.cut(node + ">state", forMs);
+      case STATE_SERVICE -> cluster.cutLink(node + ">state", forMs);
       case WORKERS -> loseWorkers(node, forMs);
-      case REFUSED -> world.refuse(node, forMs);
+      case REFUSED -> cluster.refuseStoreRequests(node, forMs);
       default -> throw new IllegalArgumentException(loss.toString());
     }
   }
 
   /** Reports don't reach the node, and its commands reach no machine. */
   private void loseWorkers(String node, long forMs) {
-    world.cut("*>" + node, forMs);
-    world.cut(node + ">*", forMs);
+    cluster.cutLink("*>" + node, forMs);
+    cluster.cutLink(node + ">*", forMs);
   }
 
   private long term() {
-    return world.state.get(StoreKeys.TERM) instanceof StoredRecord.TermCounter it ? it.term() : 0;
+    return cluster.store.get(StoreKeys.TERM) instanceof StoredRecord.TermCounter it ? it.term() : 0;
   }
 
   /** Services and arrays that come all the while, some of which are cancelled. */
@@ -66,9 +66,9 @@
     for (int i = 0; i < count; i++) {
       Job job = TestFixtures.job(from + i, i % 2 == 0 ? JobKind.SERVICE : JobKind.ARRAY, 2, 1);
       jobs.add(job);
-      world.at(1000 + i * everyMs, () -> world.submit(job));
+      cluster.schedule(1000 + i * everyMs, () -> cluster.submit(job));
       if (i % 4 == 2) {
-        world.at(9000 + i * everyMs, () -> world.abort(job.uid()));
+        cluster.schedule(9000 + i * everyMs, () -> cluster.cancel(job.uid()));
       }
     }
     return jobs;
@@ -82,16 +82,16 @@
   @EnumSource(Loss.class)
   void aLeaderThatIsSilentForOverAMinuteIsReplacedOnce(Loss loss) {
     List<Job> jobs = work(1, 20, 4000);
-    world.run(20);
-    String silent = world.leader();
+    cluster.run(20);
+    String silent = cluster.leader();
     long term = term();
     lose(silent, loss, SILENT_MS);
-    world.run(20);
-    assertNotEquals(silent, world.leader());
-    assertTrue(world.nodes.get(world.leader()) != null);
-    world.run(70);
+    cluster.run(20);
+    assertNotEquals(silent, cluster.leader());
+    assertTrue(cluster.controllers.get(cluster.leader()) != null);
+    cluster.run(70);
     assertTrue(term() <= term + 2, "terms " + term + " to " + term());
-    ExpectedOutcome.allServed(world, jobs);
+    ExpectedOutcome.assertAllJobsServed(cluster, jobs);
   }
 
   /**
@@ -108,13 +108,13 @@
     hung.run(30);
     List<Long> sessions = hung.workers().stream().map(FakeWorker::incarnation).toList();
     String leader = hung.leader();
-    hung.cut("*>" + leader, SILENT_MS);
-    hung.cut(leader + ">*", SILENT_MS);
+    hung.cutLink("*>" + leader, SILENT_MS);
+    hung.cutLink(leader + ">*", SILENT_MS);
     hung.run(25);
     assertNotEquals(leader, hung.leader());
     List<Long> after = hung.workers().stream().map(FakeWorker::incarnation).toList();
     assertEquals(sessions, after.subList(0, sessions.size()), "leases lapsed");
-    assertEquals(List.of(), hung.checker.breaches);
+    assertEquals(List.of(), hung.checker.violations);
   }
 
   /** Two are silent together; the third leads, or nobody where it can't be told from an outage. */
@@ -122,37 +122,38 @@
   @CsvSource({"ALL,ALL", "ALL,WORKERS", "STATE_SERVICE,WORKERS", "REFUSED,ALL", "WORKERS,WORKERS"})
   void theThirdLeadsWhileTwoAreSilent(Loss first, Loss second) {
     List<Job> jobs = work(1, 20, 4000);
-    world.run(20);
-    String leader = world.leader();
-    List<String> others = world.all().stream().filter(node -> !node.equals(leader)).toList();
+    cluster.run(20);
+    String leader = cluster.leader();
+    List<String> others =
+        cluster.nodeNames().stream().filter(node -> !node.equals(leader)).toList();
     long term = term();
     lose(leader, first, SILENT_MS);
     lose(others.get(0), second, SILENT_MS);
-    world.run(40);
-    assertEquals(others.get(1), world.leader());
-    world.run(60);
+    cluster.run(40);
+    assertEquals(others.get(1), cluster.leader());
+    cluster.run(60);
     assertTrue(term() <= term + 4, "terms " + term + " to " + term());
-    ExpectedOutcome.allServed(world, jobs);
+    ExpectedOutcome.assertAllJobsServed(cluster, jobs);
   }
 
   /** A leader cut from workers while its peers are cut from the store: nobody is better. */
   @Test
   void aLeaderThatNobodyCouldReplaceKeepsTheLead() {
     List<Job> jobs = work(1, 12, 5000);
-    world.run(20);
-    String leader = world.leader();
+    cluster.run(20);
+    String leader = cluster.leader();
     long term = term();
     lose(leader, Loss.WORKERS, SILENT_MS);
-    for (String node : world.all()) {
+    for (String node : cluster.nodeNames()) {
       if (!node.equals(leader)) {
         lose(node, Loss.STATE_SERVICE, SILENT_MS);
       }
     }
-    world.run(60);
-    assertEquals(leader, world.leader());
+    cluster.run(60);
+    assertEquals(leader, cluster.leader());
     assertEquals(term, term(), "the lead went to and fro");
-    world.run(60);
-    ExpectedOutcome.allServed(world, jobs);
+    cluster.run(60);
+    ExpectedOutcome.assertAllJobsServed(cluster, jobs);
   }
 
   /** What a node held before it stood still renews, confirms and places nothing afterwards. */
@@ -166,7 +167,7 @@
       for (int i = 1; i <= 8; i++) {
         Job job = TestFixtures.job(i, i % 2 == 0 ? JobKind.SERVICE : JobKind.ARRAY, 2, 1);
         jobs.add(job);
-        still.at(i * 700L, () -> still.submit(job));
+        still.schedule(i * 700L, () -> still.submit(job));
       }
       still.run(12);
       String leader = still.leader();
@@ -175,22 +176,22 @@
       jobs.add(started);
       // A write, a command, an answer and a cancellation are under way as it stops.
       still.submit(started);
-      still.abort(cancelled.uid());
-      still.at(offsetMs, () -> still.freeze(leader, seconds * 1000L));
+      still.cancel(cancelled.uid());
+      still.schedule(offsetMs, () -> still.freezeNode(leader, seconds * 1000L));
       // Another node confirms a cancellation that the sleeper can't have heard of.
-      still.at(
+      still.schedule(
           offsetMs + seconds * 500L,
           () -> {
-            for (String node : still.all()) {
+            for (String node : still.nodeNames()) {
               if (!node.equals(leader)) {
-                still.abortAt(node, jobs.get(3).uid());
+                still.cancelOnce(node, jobs.get(3).uid());
               }
             }
           });
       still.run(70);
-      assertEquals(List.of(), still.checker.breaches, "stopped after " + offsetMs + " ms");
-      assertEquals(Phase.ABORTED, still.checker.finalStance(cancelled.uid()));
-      assertEquals(2, still.checker.running(started.uid()));
+      assertEquals(List.of(), still.checker.violations, "stopped after " + offsetMs + " ms");
+      assertEquals(Phase.ABORTED, still.checker.finalPhase(cancelled.uid()));
+      assertEquals(2, still.checker.runningTasks(started.uid()));
     }
   }
 
@@ -207,32 +208,35 @@
     }
     three.run(30);
     int silent = three.leader().charAt(three.leader().length() - 1) - '0';
-    three.crash(three.leader(), SILENT_MS);
+    three.crashNode(three.leader(), SILENT_MS);
     three.run(15);
     int second = three.leader().charAt(three.leader().length() - 1) - '0';
-    assertNotEquals(silent, (second + 1) % three.count, "workers would try the silent node next");
+    assertNotEquals(
+        silent, (second + 1) % three.nodeCount, "workers would try the silent node next");
     List<FakeWorker> workers = three.workers();
     List<Long> sessions = workers.stream().map(FakeWorker::incarnation).toList();
-    three.freeze(three.leader(), 20_000);
+    three.freezeNode(three.leader(), 20_000);
     three.run(25);
     assertEquals(sessions, workers.stream().map(FakeWorker::incarnation).toList(), "leases lapsed");
-    assertEquals(List.of(), three.checker.breaches);
+    assertEquals(List.of(), three.checker.violations);
   }
 
   /** Late boots meet a leader that is refused by the store as machines are taken back. */
   @Test
   void lateBootsMeetALeaderThatIsRefused() {
-    world.cloud.bootMs = 60_000;
+    cluster.cloud.bootMs = 60_000;
     List<Job> jobs = work(1, 8, 1000);
-    world.run(12);
-    lose(world.leader(), Loss.REFUSED, SILENT_MS);
-    world.run(30);
-    world.cloud.bootMs = 0;
-    world.run(60);
-    world.workers().stream().limit(1).forEach(worker -> world.die(worker.machine.name()));
-    world.run(60);
-    ExpectedOutcome.allServed(world, jobs);
-    int hosts = world.cloud.hosts().size();
+    cluster.run(12);
+    lose(cluster.leader(), Loss.REFUSED, SILENT_MS);
+    cluster.run(30);
+    cluster.cloud.bootMs = 0;
+    cluster.run(60);
+    cluster.workers().stream()
+        .limit(1)
+        .forEach(worker -> cluster.failMachine(worker.machine.name()));
+    cluster.run(60);
+    ExpectedOutcome.assertAllJobsServed(cluster, jobs);
+    int hosts = cluster.cloud.hosts().size();
     assertTrue(hosts <= 40, hosts + " machines were rented");
   }
 }
--- a/src/test/java/eiderfork/controller/SilentWorkerHistoryTest.java
+++ b/src/test/java/eiderfork/controller/SilentWorkerHistoryTest.java
@@ -39,14 +39,14 @@
         Long.getLong("silences.from", 1), Long.getLong("silences.to", 40));
   }
 
-  static SimulatedCluster world(long seed) {
-    return world(seed, TestFixtures.settings("roost-0"));
+  static SimulatedCluster newCluster(long seed) {
+    return newCluster(seed, TestFixtures.settings("roost-0"));
   }
 
-  private static SimulatedCluster world(long seed, Settings settings) {
-    SimulatedCluster world = new SimulatedCluster(seed, settings, NODES);
-    world.imagesStay = true;
-    return world;
+  private static SimulatedCluster newCluster(long seed, Settings settings) {
+    SimulatedCluster cluster = new SimulatedCluster(seed, settings, NODES);
+    cluster.cachesImages = true;
+    return cluster;
   }
 
   /** Short and long leases, with and without lending and a standby. */
@@ -69,125 +69,126 @@
   @ParameterizedTest
   @ValueSource(ints = {7500, 7900, 8300, 8700, 9000, 9200, 9400})
   void tasksThatStartedAnewAfterALapseAreInOnePlace(int heldMs) {
-    SimulatedCluster world = world(5);
-    world.cloud.capacity = 0;
-    world.cloud.stock.put(new MachineKind("g4", "a", false), 1);
-    world.cloud.stock.put(new MachineKind("g4", "b", false), 1);
+    SimulatedCluster cluster = newCluster(5);
+    cluster.cloud.defaultStock = 0;
+    cluster.cloud.stockByKind.put(new MachineKind("g4", "a", false), 1);
+    cluster.cloud.stockByKind.put(new MachineKind("g4", "b", false), 1);
     for (int i = 1; i <= 6; i++) {
-      world.submit(replica(i));
+      cluster.submit(replica(i));
     }
-    world.run(30);
-    List<FakeWorker> byTasks = new ArrayList<>(world.workers());
-    byTasks.sort(Comparator.comparing(worker -> worker.presentTasks().size()));
+    cluster.run(30);
+    List<FakeWorker> byTasks = new ArrayList<>(cluster.workers());
+    byTasks.sort(Comparator.comparing(worker -> worker.taskIds().size()));
     FakeWorker silent = byTasks.get(0);
     FakeWorker full = byTasks.get(1);
-    assertEquals(2, silent.presentTasks().size());
-    assertEquals(4, full.presentTasks().size());
+    assertEquals(2, silent.taskIds().size());
+    assertEquals(4, full.taskIds().size());
 
     long heardMs = silent.lastHeartbeatMs;
     while (silent.lastHeartbeatMs == heardMs || silent.awaitingResponse) {
-      world.run(0.01);
+      cluster.run(0.01);
     }
     String name = silent.machine.name();
-    long sinceMs = world.nowMs - silent.lastHeartbeatMs;
-    world.holdBack(name, heldMs - sinceMs);
-    world.at(heldMs + 100 - sinceMs, () -> world.cutReports(name, world.leader(), 20_000));
-    world.at(heldMs + 400 - sinceMs, () -> world.submit(replica(7)));
-    world.at(10_300 - sinceMs, () -> world.submit(replica(8)));
-    List<TaskId> others = List.copyOf(full.presentTasks());
-    world.at(16_900 - sinceMs, () -> others.forEach(task -> world.abort(task.jobUid())));
-    world.run(16);
+    long sinceMs = cluster.nowMs - silent.lastHeartbeatMs;
+    cluster.holdHeartbeats(name, heldMs - sinceMs);
+    cluster.schedule(
+        heldMs + 100 - sinceMs, () -> cluster.blockHeartbeats(name, cluster.leader(), 20_000));
+    cluster.schedule(heldMs + 400 - sinceMs, () -> cluster.submit(replica(7)));
+    cluster.schedule(10_300 - sinceMs, () -> cluster.submit(replica(8)));
+    List<TaskId> others = List.copyOf(full.taskIds());
+    cluster.schedule(16_900 - sinceMs, () -> others.forEach(task -> cluster.cancel(task.jobUid())));
+    cluster.run(16);
     assertEquals(2, silent.incarnation());
-    assertEquals(4, silent.presentTasks().size(), "all started anew");
-    world.run(14);
-    ExpectedOutcome.rulesHold(world);
-    assertEquals(4, full.presentTasks().size(), "all moved on");
+    assertEquals(4, silent.taskIds().size(), "all started anew");
+    cluster.run(14);
+    ExpectedOutcome.assertNoViolations(cluster);
+    assertEquals(4, full.taskIds().size(), "all moved on");
   }
 
   @ParameterizedTest
   @MethodSource("seeds")
   void noTaskIsInTwoPlaces(long seed) {
-    SimulatedCluster world = world(seed);
-    play(world, seed);
-    rulesHold(world);
+    SimulatedCluster cluster = newCluster(seed);
+    play(cluster, seed);
+    rulesHold(cluster);
   }
 
   /** Plays the history of this seed under one leader, and tells the jobs. */
-  static List<Job> play(SimulatedCluster world, long seed) {
-    return play(world, seed, new Random(seed * 41));
+  static List<Job> play(SimulatedCluster cluster, long seed) {
+    return play(cluster, seed, new Random(seed * 41));
   }
 
   /** The same while leaders end, are cut off or stand still, zones split and machines hang. */
   @ParameterizedTest
   @MethodSource("seeds")
   void noTaskIsInTwoPlacesWhereLeadersChange(long seed) {
-    SimulatedCluster world = changingWorld(seed);
-    playWithChanges(world, seed);
-    rulesHold(world);
+    SimulatedCluster cluster = changingCluster(seed);
+    playWithChanges(cluster, seed);
+    rulesHold(cluster);
   }
 
   /** Where the histories with changing leaders are played. */
-  static SimulatedCluster changingWorld(long seed) {
-    return world(seed, settings(seed));
+  static SimulatedCluster changingCluster(long seed) {
+    return newCluster(seed, settings(seed));
   }
 
   /** Plays the history of this seed with changing leaders, and tells the jobs. */
-  static List<Job> playWithChanges(SimulatedCluster world, long seed) {
+  static List<Job> playWithChanges(SimulatedCluster cluster, long seed) {
     Random script = new Random(seed * 43);
     for (int i = 0; i < TROUBLES; i++) {
-      world.at(8000 + script.nextInt(TROUBLED_MS), () -> injectFault(world, script));
+      cluster.schedule(8000 + script.nextInt(TROUBLED_MS), () -> injectFault(cluster, script));
     }
-    return play(world, seed, script);
+    return play(cluster, seed, script);
   }
 
-  private static List<Job> play(SimulatedCluster world, long seed, Random script) {
+  private static List<Job> play(SimulatedCluster cluster, long seed, Random script) {
     List<Job> jobs = new ArrayList<>();
-    world.cloud.capacity = 1;
-    world.stateDelayMs = seed % 4 * 70L;
-    world.commandsLateMs = seed % 3 * 150L;
-    world.late = seed % 5 * 0.004;
-    world.lateWrites = seed % 2 * 0.02;
-    world.lateReports = seed % 7 * 0.05;
+    cluster.cloud.defaultStock = 1;
+    cluster.storeDelayMs = seed % 4 * 70L;
+    cluster.commandDelayMs = seed % 3 * 150L;
+    cluster.delayProbability = seed % 5 * 0.004;
+    cluster.lateTransactionProbability = seed % 2 * 0.02;
+    cluster.repeatedHeartbeatProbability = seed % 7 * 0.05;
     for (int i = 1; i <= JOBS; i++) {
       Job job = job(script, i);
       jobs.add(job);
       long atMs = script.nextInt(TROUBLED_MS);
-      world.at(atMs, () -> world.submit(job));
+      cluster.schedule(atMs, () -> cluster.submit(job));
       if (job.kind() == JobKind.SERVICE) {
-        world.at(atMs + 10_000 + script.nextInt(40_000), () -> world.abort(job.uid()));
+        cluster.schedule(atMs + 10_000 + script.nextInt(40_000), () -> cluster.cancel(job.uid()));
       }
     }
     for (int i = 0; i < SILENCES; i++) {
-      world.at(8000 + script.nextInt(TROUBLED_MS), () -> isolateWorker(world, script));
+      cluster.schedule(8000 + script.nextInt(TROUBLED_MS), () -> isolateWorker(cluster, script));
     }
-    world.run(TROUBLED_MS / 1000.0 + AFTERWARDS_S);
+    cluster.run(TROUBLED_MS / 1000.0 + AFTERWARDS_S);
     return jobs;
   }
 
-  private static void rulesHold(SimulatedCluster world) {
-    ExpectedOutcome.rulesHold(world);
-    assertTrue(world.checker.starts > JOBS);
+  private static void rulesHold(SimulatedCluster cluster) {
+    ExpectedOutcome.assertNoViolations(cluster);
+    assertTrue(cluster.checker.startCount > JOBS);
   }
 
-  private static String leader(SimulatedCluster world) {
-    return world.leader() == null ? "roost-0" : world.leader();
+  private static String leader(SimulatedCluster cluster) {
+    return cluster.leader() == null ? "roost-0" : cluster.leader();
   }
 
-  private static void injectFault(SimulatedCluster world, Random script) {
-    String leader = leader(world);
+  private static void injectFault(SimulatedCluster cluster, Random script) {
+    String leader = leader(cluster);
     long forMs = 2000 + script.nextInt(12_000);
     switch (script.nextInt(6)) {
-      case 0 -> world.crash(leader, 500 + script.nextInt(4000));
-      case 1 -> world.splitZones(forMs);
-      case 2 -> world.freeze(leader, forMs);
-      case 3 -> world.isolate(leader, forMs);
-      case 4 -> world.cut(leader + ">state", forMs);
+      case 0 -> cluster.crashNode(leader, 500 + script.nextInt(4000));
+      case 1 -> cluster.splitZones(forMs);
+      case 2 -> cluster.freezeNode(leader, forMs);
+      case 3 -> cluster.isolateNode(leader, forMs);
+      case 4 -> cluster.cutLink(leader + ">state", forMs);
       default -> {
-        List<FakeWorker> workers = world.workers();
+        List<FakeWorker> workers = cluster.workers();
         if (!workers.isEmpty()) {
           FakeWorker worker = workers.get(script.nextInt(workers.size()));
-          worker.hanging = true;
-          world.at(forMs, () -> worker.hanging = false);
+          worker.isHanging = true;
+          cluster.schedule(forMs, () -> worker.isHanging = false);
         }
       }
     }
@@ -203,23 +204,23 @@
         : job;
   }
 
-  private static void isolateWorker(SimulatedCluster world, Random script) {
-    List<FakeWorker> workers = world.workers();
+  private static void isolateWorker(SimulatedCluster cluster, Random script) {
+    List<FakeWorker> workers = cluster.workers();
     if (workers.isEmpty()) {
       return;
     }
-    long leaseMs = (long) (world.settings.workerTimings().leaseS() * 1000);
+    long leaseMs = (long) (cluster.settings.workerTimings().leaseS() * 1000);
     long forMs = leaseMs / 2 + script.nextLong(leaseMs * 3 / 2);
     String name = workers.get(script.nextInt(workers.size())).machine.name();
-    String leader = leader(world);
+    String leader = leader(cluster);
     switch (script.nextInt(6)) {
-      case 0 -> world.deafen(name, forMs);
-      case 1 -> world.cutReports(name, leader, forMs);
-      case 2 -> world.cutReports(name, forMs);
+      case 0 -> cluster.cutLinksTo(name, forMs);
+      case 1 -> cluster.blockHeartbeats(name, leader, forMs);
+      case 2 -> cluster.blockHeartbeats(name, forMs);
       default -> {
         long heldMs = leaseMs / 2 + script.nextLong(leaseMs / 2);
-        world.holdBack(name, heldMs);
-        world.at(heldMs + 100, () -> world.cutReports(name, leader, forMs));
+        cluster.holdHeartbeats(name, heldMs);
+        cluster.schedule(heldMs + 100, () -> cluster.blockHeartbeats(name, leader, forMs));
       }
     }
   }
--- a/src/test/java/eiderfork/controller/SimulatedCluster.java
+++ b/src/test/java/eiderfork/controller/SimulatedCluster.java
@@ -38,52 +38,52 @@
   final Random random;
 
   final Settings settings;
-  final int count;
-  final FakeStore state = new FakeStore();
+  final int nodeCount;
+  final FakeStore store = new FakeStore();
   final FakeCloud cloud;
   final ProtocolChecker checker;
   final FakeGangs gangs = new FakeGangs(this);
   final FakeProgress progress = new FakeProgress(this);
-  final Map<String, Controller> nodes = new TreeMap<>();
+  final Map<String, Controller> controllers = new TreeMap<>();
 
   /** Nodes that run the version before, now and when they start again. */
-  final Set<String> older = new HashSet<>();
+  final Set<String> olderVersionNodes = new HashSet<>();
 
   /** The version that those nodes run. */
   int olderVersion = ClusterVersion.FIRST;
 
-  final Map<String, Integer> lives = new HashMap<>();
+  final Map<String, Integer> processEpochs = new HashMap<>();
 
   /** Links that carry nothing now, as "from>to"; "*" stands for every worker. */
-  final Set<String> cuts = new HashSet<>();
+  final Set<String> cutLinks = new HashSet<>();
 
   /** The same for connections that the first one opens; answers over others' pass. */
-  final Set<String> openCuts = new HashSet<>();
+  final Set<String> blockedConnections = new HashSet<>();
 
   /** Links over which reports are held back, as "from>to", and until when. */
-  final Map<String, Long> heldUntilMs = new HashMap<>();
+  final Map<String, Long> heartbeatsHeldUntilMs = new HashMap<>();
 
-  /** The chance that a message is lost, and that it is late by up to {@link #lateMs}. */
-  double loss;
+  /** The chance that a message is lost, and that it is late by up to {@link #maxDelayMs}. */
+  double lossProbability;
 
-  double late;
-  double doubled;
-  long lateMs = 15_000;
+  double delayProbability;
+  double duplicateProbability;
+  long maxDelayMs = 15_000;
 
   /** The chance that a transaction gets no answer and is carried out 2 to 12 s later. */
-  double lateWrites;
+  double lateTransactionProbability;
 
   /** The chance that a transaction is carried out at once and only its answer is lost. */
-  double lostAnswers;
+  double lostStoreReplyProbability;
 
   /** The chance that a copy of a report comes again, from 2 s to one and a half leases later. */
-  double lateReports;
+  double repeatedHeartbeatProbability;
 
   /** The chance that a copy of a report is kept until a new leader begins, for every node. */
-  double heartbeatsForNextLeader;
+  double nextLeaderHeartbeatProbability;
 
   /** Machines keep the images that they have fetched, so that tasks start there at once. */
-  boolean imagesStay;
+  boolean cachesImages;
 
   /** Is told each effect of a controller, with its node, before it is carried out. */
   BiConsumer<String, Effect> effectObserver = (node, effect) -> {};
@@ -92,27 +92,27 @@
   private final FakeUsers users = new FakeUsers(this);
   private final FakeNetwork network = new FakeNetwork(this);
 
-  final FakeStoreAccess stateAccess = new FakeStoreAccess(this);
+  final FakeStoreAccess storeAccess = new FakeStoreAccess(this);
 
   /** How much longer the store takes over each request. */
-  long stateDelayMs;
+  long storeDelayMs;
 
   /** How much longer direct commands are under way. */
-  long commandsLateMs;
+  long commandDelayMs;
 
   /** Machines on which, and jobs of which, every task fails. */
-  final Set<String> badMachines = new HashSet<>();
+  final Set<String> failingMachines = new HashSet<>();
 
-  final Set<String> badJobs = new HashSet<>();
+  final Set<String> failingJobs = new HashSet<>();
 
   /** Tasks that fail on every machine. */
-  final Set<TaskId> badTasks = new HashSet<>();
+  final Set<TaskId> failingTasks = new HashSet<>();
 
   long nowMs = 1_000_000;
   private final PriorityQueue<Event> queue = new PriorityQueue<>();
   private long order;
   private long tickets;
-  final Map<Long, Consumer<Effect>> answers = new HashMap<>();
+  final Map<Long, Consumer<Effect>> responseHandlers = new HashMap<>();
   private final Map<String, Job> jobs = new LinkedHashMap<>();
   private final Set<TaskId> results = new HashSet<>();
 
@@ -125,20 +125,20 @@
   }
 
   /** The names of all nodes, running or not. */
-  List<String> all() {
-    return java.util.stream.IntStream.range(0, count).mapToObj(i -> "roost-" + i).toList();
+  List<String> nodeNames() {
+    return java.util.stream.IntStream.range(0, nodeCount).mapToObj(i -> "roost-" + i).toList();
   }
 
   SimulatedCluster(long seed, Settings settings, int count) {
     this.settings = settings;
-    this.count = count;
+    this.nodeCount = count;
     random = new Random(seed);
     cloud = new FakeCloud(random, settings.cloudLimits().listLagS());
     checker =
         new ProtocolChecker(
             settings.teams(), (long) (settings.workerTimings().cancelDeadlineS() * 1000));
-    for (String node : all()) {
-      boot(node);
+    for (String node : nodeNames()) {
+      startNode(node);
     }
     every(TICK_MS, this::tickWorld);
   }
@@ -152,42 +152,42 @@
   }
 
   /** Whether every task of an array has ended well, whoever knows of it. */
-  boolean finished(Job job) {
+  boolean allTasksFinished(Job job) {
     return java.util.stream.IntStream.range(0, job.tasks())
         .allMatch(index -> results.contains(new TaskId(job.uid(), index)));
   }
 
   /** Whether the store holds that the job is done. */
-  boolean committedDone(Job job) {
-    return state.get(StoreKeys.alloc(job.uid())) instanceof StoredRecord.Allocation allocation
+  boolean isDoneInStore(Job job) {
+    return store.get(StoreKeys.alloc(job.uid())) instanceof StoredRecord.Allocation allocation
         && allocation.done();
   }
 
   /** Whether a task has ended well, whoever knows of it. */
-  boolean hasResult(TaskId id) {
+  boolean isTaskFinished(TaskId id) {
     return results.contains(id);
   }
 
   /** A task has completed; its result is kept. */
-  void completed(TaskId id) {
+  void recordCompletion(TaskId id) {
     results.add(id);
-    checker.completes(id);
+    checker.recordCompletion(id);
   }
 
-  boolean failing(TaskId task, Machine machine) {
-    return badJobs.contains(task.jobUid())
-        || badTasks.contains(task)
-        || badMachines.contains(machine.name());
+  boolean taskFails(TaskId task, Machine machine) {
+    return failingJobs.contains(task.jobUid())
+        || failingTasks.contains(task)
+        || failingMachines.contains(machine.name());
   }
 
   // Time.
 
-  void at(long delayMs, Runnable action) {
+  void schedule(long delayMs, Runnable action) {
     queue.add(new Event(nowMs + delayMs, order++, action));
   }
 
   private void every(long ms, Runnable action) {
-    at(
+    schedule(
         ms,
         () -> {
           action.run();
@@ -206,14 +206,14 @@
   }
 
   private void tickWorld() {
-    state.tick(nowMs);
+    store.tick(nowMs);
     reports.tick();
-    for (String node : List.copyOf(nodes.keySet())) {
-      input(node, new Input.Tick());
+    for (String node : List.copyOf(controllers.keySet())) {
+      deliver(node, new Input.Tick());
     }
     gangs.tick();
     for (FakeCloud.Host host : cloud.hosts()) {
-      if (host.worker == null && nowMs >= host.upMs && host.goneMs == Long.MAX_VALUE) {
+      if (host.worker == null && nowMs >= host.bootedMs && host.endedMs == Long.MAX_VALUE) {
         host.worker = new FakeWorker(this, host.machine, results);
       }
       if (host.worker != null) {
@@ -221,13 +221,13 @@
         reports.sendIfDue(host.worker);
       }
     }
-    checker.look(nowMs);
+    checker.checkCancelledTasks(nowMs);
   }
 
   // Nodes.
 
-  void boot(String node) {
-    lives.merge(node, 1, Integer::sum);
+  void startNode(String node) {
+    processEpochs.merge(node, 1, Integer::sum);
     Settings own =
         TestFixtures.settings(
             node,
@@ -235,72 +235,72 @@
             settings.storeLimits(),
             settings.controllerResources().cpuShare(),
             settings.controllerResources().sockets(),
-            count);
+            nodeCount);
     own = TestFixtures.withNextLimits(own, settings.nextStoreLimits());
     own = TestFixtures.withObjectives(own, settings.objectives());
     own = TestFixtures.withOperator(own, settings.operator());
     own = TestFixtures.withTeams(own, settings.teams());
-    if (older.contains(node)) {
+    if (olderVersionNodes.contains(node)) {
       own = TestFixtures.withLending(own, false);
     }
     own = TestFixtures.withCloudRate(own, settings.cloudLimits().requestsPerS());
-    nodes.put(node, new Controller(own, new Random(random.nextLong()), nowMs, version(node)));
+    controllers.put(node, new Controller(own, new Random(random.nextLong()), nowMs, version(node)));
   }
 
   /** The version that a node runs. */
   int version(String node) {
-    return older.contains(node) ? olderVersion : ClusterVersion.CURRENT;
+    return olderVersionNodes.contains(node) ? olderVersion : ClusterVersion.CURRENT;
   }
 
-  void crash(String node, long forMs) {
-    if (nodes.remove(node) != null) {
-      lives.merge(node, 1, Integer::sum);
-      at(forMs, () -> boot(node));
+  void crashNode(String node, long forMs) {
+    if (controllers.remove(node) != null) {
+      processEpochs.merge(node, 1, Integer::sum);
+      schedule(forMs, () -> startNode(node));
     }
   }
 
-  void cut(String link, long forMs) {
-    cuts.add(link);
-    at(forMs, () -> cuts.remove(link));
+  void cutLink(String link, long forMs) {
+    cutLinks.add(link);
+    schedule(forMs, () -> cutLinks.remove(link));
   }
 
   /** Reports of this machine arrive once that time is over. */
-  void holdBack(String machine, long forMs) {
-    all().forEach(node -> heldUntilMs.put(machine + ">" + node, nowMs + forMs));
+  void holdHeartbeats(String machine, long forMs) {
+    nodeNames().forEach(node -> heartbeatsHeldUntilMs.put(machine + ">" + node, nowMs + forMs));
   }
 
   /** A worker can't open connections to this node; commands and their answers pass. */
-  void cutReports(String machine, String node, long forMs) {
+  void blockHeartbeats(String machine, String node, long forMs) {
     String link = machine + ">" + node;
-    openCuts.add(link);
-    at(forMs, () -> openCuts.remove(link));
+    blockedConnections.add(link);
+    schedule(forMs, () -> blockedConnections.remove(link));
   }
 
   /** A worker can't open connections to any controller; commands and their answers pass. */
-  void cutReports(String machine, long forMs) {
-    all().forEach(node -> cutReports(machine, node, forMs));
+  void blockHeartbeats(String machine, long forMs) {
+    nodeNames().forEach(node -> blockHeartbeats(machine, node, forMs));
   }
 
   boolean isCut(String from, String to) {
-    return cuts.contains(from + ">" + to);
+    return cutLinks.contains(from + ">" + to);
   }
 
   private final Map<String, Long> stillUntilMs = new HashMap<>();
 
   /** The process stands still; what comes meanwhile waits for it. */
-  void freeze(String node, long forMs) {
+  void freezeNode(String node, long forMs) {
     stillUntilMs.put(node, nowMs + forMs);
   }
 
-  void input(String node, Input input) {
+  void deliver(String node, Input input) {
     long stillMs = stillUntilMs.getOrDefault(node, 0L) - nowMs;
     if (stillMs > 0) {
       if (!(input instanceof Input.Tick)) {
-        at(stillMs, () -> input(node, input));
+        schedule(stillMs, () -> deliver(node, input));
       }
       return;
     }
-    Controller controller = nodes.get(node);
+    Controller controller = controllers.get(node);
     if (controller != null) {
       for (Effect effect : controller.handle(nowMs, input)) {
         effectObserver.accept(node, effect);
@@ -310,28 +310,28 @@
   }
 
   /** How long a message takes; -1 where it is lost. */
-  long delay(String from, String to) {
-    return network.delay(from, to);
+  long messageDelayMs(String from, String to) {
+    return network.messageDelayMs(from, to);
   }
 
   /** The store refuses this node alone; its open watches wait. */
-  void refuse(String node, long forMs) {
-    stateAccess.refused.add(node);
-    at(forMs, () -> stateAccess.refused.remove(node));
+  void refuseStoreRequests(String node, long forMs) {
+    storeAccess.refusedNodes.add(node);
+    schedule(forMs, () -> storeAccess.refusedNodes.remove(node));
   }
 
   /** A controller loses the store and its peers, not its workers or users. */
-  void isolate(String node, long forMs) {
-    cut(node + ">state", forMs);
-    for (int i = 0; i < count; i++) {
-      cut(node + ">roost-" + i, forMs);
-      cut("roost-" + i + ">" + node, forMs);
+  void isolateNode(String node, long forMs) {
+    cutLink(node + ">state", forMs);
+    for (int i = 0; i < nodeCount; i++) {
+      cutLink(node + ">roost-" + i, forMs);
+      cutLink("roost-" + i + ">" + node, forMs);
     }
   }
 
   /** A zone's machines and one controller are cut off from the other controllers and the cloud. */
-  void cutZone(String zone, String inside, long forMs) {
-    network.cutZone(zone, inside, forMs);
+  void isolateZone(String zone, String inside, long forMs) {
+    network.isolateZone(zone, inside, forMs);
   }
 
   /** Two zones can't reach each other; both reach the store, the cloud and the users. */
@@ -340,52 +340,52 @@
   }
 
   /** Reports of the next second are held up for this long. */
-  void holdNextReports(long forMs) {
-    reports.holdNext(forMs);
+  void delayNextHeartbeats(long forMs) {
+    reports.delayNext(forMs);
   }
 
   /** All troubles are over. */
-  void quiet() {
-    loss = 0;
-    late = 0;
-    doubled = 0;
-    lateWrites = 0;
-    lostAnswers = 0;
-    lateReports = 0;
-    heartbeatsForNextLeader = 0;
-    commandsLateMs = 0;
-    stateDelayMs = 0;
-    cuts.clear();
-    openCuts.clear();
-    heldUntilMs.clear();
-    stateAccess.refused.clear();
+  void clearFaults() {
+    lossProbability = 0;
+    delayProbability = 0;
+    duplicateProbability = 0;
+    lateTransactionProbability = 0;
+    lostStoreReplyProbability = 0;
+    repeatedHeartbeatProbability = 0;
+    nextLeaderHeartbeatProbability = 0;
+    commandDelayMs = 0;
+    storeDelayMs = 0;
+    cutLinks.clear();
+    blockedConnections.clear();
+    heartbeatsHeldUntilMs.clear();
+    storeAccess.refusedNodes.clear();
     stillUntilMs.clear();
-    workers().forEach(worker -> worker.hanging = false);
-    if (state.out()) {
-      state.recover(nowMs);
+    workers().forEach(worker -> worker.isHanging = false);
+    if (store.isDown()) {
+      store.endOutage(nowMs);
     }
   }
 
   /** The machine hears nobody while its reports arrive. */
-  void deafen(String machine, long forMs) {
-    for (int i = 0; i < count; i++) {
-      cut("roost-" + i + ">" + machine, forMs);
+  void cutLinksTo(String machine, long forMs) {
+    for (int i = 0; i < nodeCount; i++) {
+      cutLink("roost-" + i + ">" + machine, forMs);
     }
   }
 
   /** The machine reaches no controller while commands reach it. */
-  void mute(String machine, long forMs) {
-    for (int i = 0; i < count; i++) {
-      cut(machine + ">roost-" + i, forMs);
+  void cutLinksFrom(String machine, long forMs) {
+    for (int i = 0; i < nodeCount; i++) {
+      cutLink(machine + ">roost-" + i, forMs);
     }
   }
 
-  void ask(
+  void sendRequest(
       String node, java.util.function.LongFunction<Input> request, Consumer<Effect> onComplete) {
-    if (nodes.containsKey(node)) {
+    if (controllers.containsKey(node)) {
       long ticket = ++tickets;
-      answers.put(ticket, onComplete);
-      input(node, request.apply(ticket));
+      responseHandlers.put(ticket, onComplete);
+      deliver(node, request.apply(ticket));
     }
   }
 
@@ -396,7 +396,7 @@
   }
 
   /** A machine stops with all that is on it. */
-  void die(String name) {
+  void failMachine(String name) {
     cloud.fail(name, nowMs);
   }
 
@@ -408,41 +408,41 @@
   }
 
   /** A user submits to this node once. */
-  void submitAt(String node, Job job) {
-    users.submitAt(node, job);
+  void submitOnce(String node, Job job) {
+    users.submitOnce(node, job);
   }
 
-  void abort(String uid) {
-    users.abort(uid);
+  void cancel(String uid) {
+    users.cancel(uid);
   }
 
   /** Asks this node once to cancel. */
-  void abortAt(String node, String uid) {
-    users.abortAt(node, uid);
+  void cancelOnce(String node, String uid) {
+    users.cancelOnce(node, uid);
   }
 
   /** Asks a random live node once. */
-  void query(String uid) {
-    users.query(uid);
+  void queryRandomNode(String uid) {
+    users.queryRandomNode(uid);
   }
 
   /** Asks all nodes at once. */
-  void queryAll(String uid) {
-    users.queryAll(uid);
+  void queryAllNodes(String uid) {
+    users.queryAllNodes(uid);
   }
 
   /** Asks all nodes at once, and submits the job once more at each. */
-  void lookClosely(String uid) {
+  void queryAndResubmitEverywhere(String uid) {
     users.queryAndResubmitEverywhere(uid);
   }
 
   /** After each answer that says something new of a job, all nodes are asked within moments. */
-  void lookCloselyAtNews(boolean value) {
-    users.probeAfterNews(value);
+  void setProbesAfterNews(boolean value) {
+    users.setProbesAfterNews(value);
   }
 
   String leader() {
-    StoredRecord record = state.get(StoreKeys.LEADER);
+    StoredRecord record = store.get(StoreKeys.LEADER);
     return record instanceof StoredRecord.Leadership it ? it.node() : null;
   }
 }
--- a/src/test/java/eiderfork/controller/TestFixtures.java
+++ b/src/test/java/eiderfork/controller/TestFixtures.java
@@ -97,12 +97,12 @@
   }
 
   /** Settings with which jobs are archived that long after their end. */
-  public static Settings archivingAfter(double seconds) {
-    return archiving(seconds, OperatorSettings.DEFAULTS.maxEndedJobs());
+  public static Settings archivingSettings(double seconds) {
+    return archivingSettings(seconds, OperatorSettings.DEFAULTS.maxEndedJobs());
   }
 
   /** Settings with which jobs are archived that long after their end, or past this number. */
-  public static Settings archiving(double seconds, int maxEndedJobs) {
+  public static Settings archivingSettings(double seconds, int maxEndedJobs) {
     OperatorSettings defaults = OperatorSettings.DEFAULTS;
     return withOperator(
         settings("roost-0"),
@@ -198,7 +198,7 @@
   }
 
   /** The same job with tasks of this size and run time, on machines of this type, spot or not. */
-  public static Job sized(Job template, Resources demand, double runS, String type) {
+  public static Job withTaskShape(Job template, Resources demand, double runS, String type) {
     return with(template, template.priority(), demand, ImmutableSet.of(type), true, runS);
   }
 
--- a/src/test/java/eiderfork/controller/WorkerCommanderTest.java
+++ b/src/test/java/eiderfork/controller/WorkerCommanderTest.java
@@ -39,7 +39,7 @@
   void startIsSentOnlyAfterItsReservationIsCommitted() {
     Reservation task = jobs.propose(job, 0, 1, machine);
     jobs.write(job, RequestPriority.START);
-    long call = effects(Effect.CallStore.class).get(0).callId();
+    long call = drainEffects(Effect.CallStore.class).get(0).callId();
     assertEquals(List.of(), sendHeartbeat(INCARNATION, 2, firstToken));
     context.completeCall(call, new Reply.Committed(5));
     assertEquals(
@@ -67,7 +67,7 @@
     assertTrue(machine.isReconciled());
     Reservation second = jobs.propose(job, 1, 2, machine);
     jobs.write(job, RequestPriority.START);
-    answerStore(new Reply.Committed(6));
+    replyToStoreCall(new Reply.Committed(6));
     assertEquals(
         List.of(new WorkerCommand.Run(second.toAttempt())),
         sendHeartbeat(INCARNATION, 5, firstToken, runningStatus(task)));
@@ -105,7 +105,7 @@
     Reservation task = startTask();
     Reservation second = jobs.propose(job, 1, 2, machine);
     jobs.write(job, RequestPriority.START);
-    answerStore(new Reply.Committed(6));
+    replyToStoreCall(new Reply.Committed(6));
     List<WorkerCommand> start = List.of(new WorkerCommand.Run(second.toAttempt()));
     assertEquals(start, sendHeartbeat(INCARNATION, 5, firstToken, runningStatus(task)));
     assertEquals(start, sendHeartbeat(INCARNATION, 6, firstToken, runningStatus(task)));
@@ -225,7 +225,7 @@
     assertEquals(1, job.quotaTaskCount());
     jobs.write(job, RequestPriority.BATCH);
     assertEquals(1, job.quotaTaskCount());
-    answerStore(new Reply.Committed(6));
+    replyToStoreCall(new Reply.Committed(6));
     assertEquals(0, job.quotaTaskCount());
   }
 
@@ -236,7 +236,7 @@
     Attempt attempt = task.toAttempt();
     assertEquals(List.of(), sendHeartbeat(INCARNATION, 4, firstToken, doneStatus(task)));
     jobs.write(job, RequestPriority.BATCH);
-    long call = effects(Effect.CallStore.class).get(0).callId();
+    long call = drainEffects(Effect.CallStore.class).get(0).callId();
     assertEquals(List.of(), sendHeartbeat(INCARNATION, 5, firstToken, doneStatus(task)));
     context.completeCall(call, new Reply.Committed(6));
     assertEquals(
@@ -254,7 +254,7 @@
     Reservation stopped = jobs.propose(job, 0, 1, machine);
     Reservation other = jobs.propose(job, 1, 1, machine);
     jobs.write(job, RequestPriority.START);
-    answerStore(new Reply.Committed(5));
+    replyToStoreCall(new Reply.Committed(5));
     sendHeartbeat(INCARNATION, 2, firstToken);
     TaskStatus saving =
         new TaskStatus(stopped.toAttempt(), TaskStatus.State.CHECKPOINTING, null, false);
@@ -272,12 +272,12 @@
     Reservation task = jobs.propose(job, 0, 1, machine);
     StoredRecord.Allocation record = AllocationRecordBuilder.build(job);
     jobs.write(job, RequestPriority.START);
-    answerStore(new Reply.Unanswered());
+    replyToStoreCall(new Reply.Unanswered());
     context.advanceBy(1000);
     jobs.tick();
     store.sendQueued();
-    answerStore(new Reply.Refused(400));
-    answerStore(new Reply.Value(record, 5));
+    replyToStoreCall(new Reply.Refused(400));
+    replyToStoreCall(new Reply.Value(record, 5));
     assertTrue(task.isCommitted());
     assertEquals(5, job.writes().version());
   }
@@ -287,14 +287,14 @@
   void writeThatIsTooLargeIsNotRepeated() {
     jobs.propose(job, 0, 1, machine);
     jobs.write(job, RequestPriority.START);
-    answerStore(new Reply.Refused(400));
-    answerStore(new Reply.Value(null, 0));
+    replyToStoreCall(new Reply.Refused(400));
+    replyToStoreCall(new Reply.Value(null, 0));
     assertTrue(job.reservations().isEmpty());
     assertTrue(job.tasks().isPending(0));
     assertFalse(job.writes().isInFlight());
     assertFalse(job.canWrite(context.nowMs()), "not at once");
     jobs.tick();
-    assertTrue(effects(Effect.CallStore.class).isEmpty());
+    assertTrue(drainEffects(Effect.CallStore.class).isEmpty());
   }
 
   @Test
@@ -308,7 +308,7 @@
     Reservation task = reserveTask();
     machine.requestCommand();
     commander.tick();
-    Effect.SendCommands sent = effects(Effect.SendCommands.class).get(0);
+    Effect.SendCommands sent = drainEffects(Effect.SendCommands.class).get(0);
     assertEquals(ImmutableList.of(new WorkerCommand.Run(task.toAttempt())), sent.commands());
     context.completeCall(sent.callId(), new Reply.Unanswered());
     assertTrue(machine.commandChannel().fencingToken() > sent.fencingToken());
@@ -321,7 +321,7 @@
     jobs.propose(job, 1, 2, machine);
     jobs.write(job, RequestPriority.START);
     StoreRequest.Transaction write =
-        (StoreRequest.Transaction) effects(Effect.CallStore.class).get(0).request();
+        (StoreRequest.Transaction) drainEffects(Effect.CallStore.class).get(0).request();
     String uid = job.spec().uid();
     assertEquals(
         ImmutableList.of(
--- a/src/test/java/eiderfork/controller/WorkerReachabilityTest.java
+++ b/src/test/java/eiderfork/controller/WorkerReachabilityTest.java
@@ -49,7 +49,7 @@
   /** This node has just been elected; of its machines it hears one. */
   @BeforeEach
   void elect() {
-    ElectedLeader.win(context, election);
+    ElectedLeader.elect(context, election);
     reachability.onElected();
     for (int i = 0; i < MACHINES; i++) {
       Heartbeat heartbeat = heartbeat("n-" + i, 1);
--- a/src/test/java/eiderfork/controller/ZoneBalanceTest.java
+++ b/src/test/java/eiderfork/controller/ZoneBalanceTest.java
@@ -21,31 +21,31 @@
   private static final int MACHINES_PER_ZONE = 12;
 
   private static SimulatedCluster clusterOfThreeZones() {
-    SimulatedCluster world = new SimulatedCluster(11);
-    world.cloud.types =
+    SimulatedCluster cluster = new SimulatedCluster(11);
+    cluster.cloud.types =
         ImmutableList.of(new MachineType("c8", new Resources(8, 0, 64), 50, 2, 1, 0.4, 3, ZONES));
-    world.cloud.capacity = MACHINES_PER_ZONE;
-    world.run(3);
-    return world;
+    cluster.cloud.defaultStock = MACHINES_PER_ZONE;
+    cluster.run(3);
+    return cluster;
   }
 
-  private static List<Job> submitSpread(SimulatedCluster world, int jobs) {
+  private static List<Job> submitSpread(SimulatedCluster cluster, int jobs) {
     List<Job> all = new ArrayList<>();
     for (int i = 0; i < jobs; i++) {
       Job job = TestFixtures.job(i, JobKind.SERVICE, 4, 0, "blue", Priority.HIGH, true, false);
       all.add(job);
-      world.submit(job);
+      cluster.submit(job);
     }
     return all;
   }
 
   @Test
   void machinesAreRentedEvenlyInAllZones() {
-    SimulatedCluster world = clusterOfThreeZones();
-    submitSpread(world, 30);
-    world.run(30);
+    SimulatedCluster cluster = clusterOfThreeZones();
+    submitSpread(cluster, 30);
+    cluster.run(30);
     Map<String, Long> byZone =
-        world.workers().stream()
+        cluster.workers().stream()
             .collect(Collectors.groupingBy(worker -> worker.machine.zone(), Collectors.counting()));
     assertEquals(3, byZone.size(), byZone::toString);
     long most = byZone.values().stream().mapToLong(Long::longValue).max().orElseThrow();
@@ -59,13 +59,13 @@
    */
   @Test
   void spreadServicesFillThreeZones() {
-    SimulatedCluster world = clusterOfThreeZones();
+    SimulatedCluster cluster = clusterOfThreeZones();
     // Nine of ten processors.
-    List<Job> jobs = submitSpread(world, 65);
-    world.run(60);
+    List<Job> jobs = submitSpread(cluster, 65);
+    cluster.run(60);
     long missing =
-        jobs.stream().mapToLong(job -> job.tasks() - world.checker.running(job.uid())).sum();
+        jobs.stream().mapToLong(job -> job.tasks() - cluster.checker.runningTasks(job.uid())).sum();
     assertEquals(0, missing, "tasks without capacity");
-    assertEquals(List.of(), world.checker.breaches);
+    assertEquals(List.of(), cluster.checker.violations);
   }
 }
--- a/src/test/java/eiderfork/controller/jobs/JobArchiverTransactionTest.java
+++ b/src/test/java/eiderfork/controller/jobs/JobArchiverTransactionTest.java
@@ -40,7 +40,7 @@
   private static final Job CANCELLED = TestFixtures.job(2, JobKind.SERVICE, 2, 1);
 
   private final ControllerContext context =
-      new ControllerContext(TestFixtures.archivingAfter(1), new Random(1), 1_000_000);
+      new ControllerContext(TestFixtures.archivingSettings(1), new Random(1), 1_000_000);
   private final StoreClient store = new StoreClient(context);
   private final LeaderElection election = new LeaderElection(context, store, null);
   private final ClusterVersion version = new ClusterVersion(context, store, election);
@@ -195,7 +195,7 @@
   @Test
   void oldestFinishedJobsAreArchivedPastTheConfiguredMaximum() {
     ControllerContext few =
-        new ControllerContext(TestFixtures.archiving(3600, 1), new Random(1), 0);
+        new ControllerContext(TestFixtures.archivingSettings(3600, 1), new Random(1), 0);
     assertEquals(1, few.settings.operator().maxEndedJobs());
     context.advanceBy(2000);
     JobArchiver limited =
--- a/src/test/java/eiderfork/controller/registry/FailureHistoryTest.java
+++ b/src/test/java/eiderfork/controller/registry/FailureHistoryTest.java
@@ -19,7 +19,7 @@
 
   private final FailureHistory history = new FailureHistory(STEP_MS);
   private final Job spec =
-      TestFixtures.sized(
+      TestFixtures.withTaskShape(
           TestFixtures.job(1, JobKind.ARRAY, TASKS, 1), new Resources(1, 1, 4), 300, "g4");
   private final JobState job = TestFixtures.jobState(spec);
 
--- a/src/test/java/eiderfork/controller/scheduling/CapacityIndexTest.java
+++ b/src/test/java/eiderfork/controller/scheduling/CapacityIndexTest.java
@@ -59,7 +59,7 @@
   private Job job(Resources demand, boolean spot) {
     Job template =
         TestFixtures.job(++lastJob, JobKind.SERVICE, 1, 0, "blue", Priority.HIGH, false, spot);
-    Job sized = TestFixtures.sized(template, demand, 0, "any");
+    Job sized = TestFixtures.withTaskShape(template, demand, 0, "any");
     return new Job(
         sized.uid(),
         sized.jobClass(),
