--- a/src/main/java/eiderfork/controller/scheduling/AllocationSizeLimitFactory.java
+++ b/src/main/java/eiderfork/controller/scheduling/AllocationSizeLimitFactory.java
@@ -20,9 +20,9 @@
 
   /** The limit for further reservations of this job, beside those that it has. */
   AllocationSizeLimit create(JobState job) {
-    boolean plainFormUnused = version.isSupportedByAll(ClusterVersion.PACKED_ALLOCS);
-    double plainKb = plainFormUnused ? Double.POSITIVE_INFINITY : store.maxValueKb();
-    boolean withBitmaps = version.isSupportedByAll(ClusterVersion.BITMAP_ALLOCS);
-    return new AllocationSizeLimit(job, plainKb, context.settings.safeValueKb(), withBitmaps);
+    boolean isPlainFormRetired = version.isSupportedByAll(ClusterVersion.PACKED_ALLOCS);
+    double plainKb = isPlainFormRetired ? Double.POSITIVE_INFINITY : store.maxValueKb();
+    boolean allowsBitmaps = version.isSupportedByAll(ClusterVersion.BITMAP_ALLOCS);
+    return new AllocationSizeLimit(job, plainKb, context.settings.safeValueKb(), allowsBitmaps);
   }
 }
--- a/src/main/java/eiderfork/controller/scheduling/ArrayParallelism.java
+++ b/src/main/java/eiderfork/controller/scheduling/ArrayParallelism.java
@@ -46,14 +46,14 @@
   private int maxTasks(JobState job, double factor) {
     Job spec = job.spec();
     int pending = job.pendingTaskCount();
-    double plannedS = objectiveS(spec) * OBJECTIVE_SHARE;
-    double taskS = spec.estimatedRunS() + TURNAROUND_STEPS * context.stepS();
-    if (spec.kind() != JobKind.ARRAY || plannedS < MIN_WAVES * taskS) {
+    double plannedDurationS = objectiveS(spec) * OBJECTIVE_SHARE;
+    double taskDurationS = spec.estimatedRunS() + TURNAROUND_STEPS * context.stepS();
+    if (spec.kind() != JobKind.ARRAY || plannedDurationS < MIN_WAVES * taskDurationS) {
       return pending;
     }
     // Finished tasks count as well, so that the last ones still run side by side.
-    double atOnce = Math.ceil(factor * spec.tasks() * taskS / plannedS);
-    return (int) Math.min(pending, Math.max(0, atOnce - job.reservations().size()));
+    double maxConcurrentTasks = Math.ceil(factor * spec.tasks() * taskDurationS / plannedDurationS);
+    return (int) Math.min(pending, Math.max(0, maxConcurrentTasks - job.reservations().size()));
   }
 
   /** The time in which the job should be done; 0 where it has neither objective nor deadline. */
--- a/src/main/java/eiderfork/controller/scheduling/DeferredPreemptions.java
+++ b/src/main/java/eiderfork/controller/scheduling/DeferredPreemptions.java
@@ -86,7 +86,7 @@
       Map.Entry<Reservation, Pending> entry = entries.next();
       Reservation victim = entry.getKey();
       Pending pending = entry.getValue();
-      if (!isNeeded(victim, pending.preemptor)) {
+      if (!isStillNeeded(victim, pending.preemptor)) {
         entries.remove();
         revision++;
       } else if (context.nowMs() >= pending.dueMs) {
@@ -97,7 +97,7 @@
     }
   }
 
-  private boolean isNeeded(Reservation victim, JobState preemptor) {
+  private boolean isStillNeeded(Reservation victim, JobState preemptor) {
     boolean isCurrent =
         victim.job().reservations().get(victim.taskIndex()) == victim && victim.isDesired();
     return isCurrent && !preemptor.isTerminal() && capacity.hasClaim(preemptor, victim.machine());
--- a/src/main/java/eiderfork/controller/scheduling/FreeCapacity.java
+++ b/src/main/java/eiderfork/controller/scheduling/FreeCapacity.java
@@ -37,7 +37,7 @@
   /** The machines that may be used in this round; null until they are requested. */
   private List<MachineState> usableMachines;
 
-  private int examinedMachines;
+  private int examinations;
   private long nowMs;
 
   /**
@@ -61,15 +61,15 @@
   /** Begins a round: keeps the claims of earlier ones that are still of use. */
   void beginRound(long nowMs) {
     usableMachines = null;
-    examinedMachines = 0;
+    examinations = 0;
     this.nowMs = nowMs;
     failedRestrictedSearches.clear();
-    for (CapacityClaim ended : claims.retain(this::isOfUse)) {
-      index().capacityIncreased(ended.machine());
+    for (CapacityClaim endedClaim : claims.retain(this::isClaimValid)) {
+      index().capacityIncreased(endedClaim.machine());
     }
   }
 
-  private boolean isOfUse(CapacityClaim claim) {
+  private boolean isClaimValid(CapacityClaim claim) {
     JobState job = claim.job();
     return (claim.untilMs() > nowMs || borrowedCapacity.isWritePending(job))
         && !job.isTerminal()
@@ -117,7 +117,7 @@
   }
 
   /** Whether searches have proved that a task of this job fits nowhere. */
-  boolean isKnownFull(Job spec) {
+  boolean isRuledOutInAllZones(Job spec) {
     for (String zone : index().zones()) {
       if (!failedSearches().isRuledOut(spec, zone)) {
         return false;
@@ -184,13 +184,13 @@
   }
 
   /** Counts that a machine is examined for a job. */
-  void countExamined() {
-    examinedMachines++;
+  void countExamination() {
+    examinations++;
   }
 
   /** How often a machine was examined for a job in this round. */
-  int examinedMachines() {
-    return examinedMachines;
+  int examinations() {
+    return examinations;
   }
 
   /** The zones that may take one more task of a job. */
--- a/src/main/java/eiderfork/controller/scheduling/GangScheduler.java
+++ b/src/main/java/eiderfork/controller/scheduling/GangScheduler.java
@@ -44,7 +44,7 @@
   }
 
   /** Proposes reservations for the whole gang, or has capacity preempted for the whole of it. */
-  void place(JobState job, PreemptionPlanner preemption, SearchConstraints constraints) {
+  void place(JobState job, PreemptionPlanner preemptionPlanner, SearchConstraints constraints) {
     Job spec = job.spec();
     Resources usedWithGang = usage.used(spec.team()).plus(spec.taskResources().times(spec.tasks()));
     if (!job.gang().canStartAttempt()
@@ -53,29 +53,29 @@
       return;
     }
     List<CapacityClaim> claims = capacity.releaseClaims(job);
-    if (placeInAnyZone(job, constraints)) {
+    if (tryPlace(job, constraints)) {
       usage.record(spec.team(), usedWithGang);
     } else if (!claims.isEmpty()) {
       claims.forEach(capacity::addClaim);
     } else if (preemptionBudget.isAvailable()) {
-      preemptInAnyZone(job, preemption);
+      tryPreempt(job, preemptionPlanner);
     }
   }
 
-  private boolean placeInAnyZone(JobState job, SearchConstraints constraints) {
+  private boolean tryPlace(JobState job, SearchConstraints constraints) {
     AllocationSizeLimit sizeLimit = sizeLimits.create(job);
-    for (Map<String, Integer> tasksByZone : zoneCandidates(job)) {
+    for (Map<String, Integer> tasksByZone : initialZoneCounts(job)) {
       if (hasCapacityForAll(job, tasksByZone, constraints)
-          && placeInZones(job, tasksByZone, sizeLimit, constraints)) {
+          && tryPlaceAll(job, tasksByZone, sizeLimit, constraints)) {
         return true;
       }
     }
     return false;
   }
 
-  private void preemptInAnyZone(JobState job, PreemptionPlanner preemption) {
-    for (Map<String, Integer> tasksByZone : zoneCandidates(job)) {
-      if (preemption.preemptForGang(job, tasksByZone)) {
+  private void tryPreempt(JobState job, PreemptionPlanner preemptionPlanner) {
+    for (Map<String, Integer> tasksByZone : initialZoneCounts(job)) {
+      if (preemptionPlanner.preemptForGang(job, tasksByZone)) {
         return;
       }
     }
@@ -86,7 +86,7 @@
    * one after the other, since the best machine for its first task may be in a zone that has no
    * capacity for the others.
    */
-  private List<Map<String, Integer>> zoneCandidates(JobState job) {
+  private List<Map<String, Integer>> initialZoneCounts(JobState job) {
     List<Map<String, Integer>> candidates = new ArrayList<>();
     if (!job.spec().singleZone()) {
       candidates.add(new HashMap<>());
@@ -107,7 +107,7 @@
     Map<String, Integer> fittingByZone = new HashMap<>();
     for (MachineState machine :
         capacity.candidates(spec, capacity.eligibleZones(job, tasksByZone))) {
-      capacity.countExamined();
+      capacity.countExamination();
       Resources free = capacity.freeOn(machine, job, constraints.excludesReclaimed());
       int fitting = free.countFitting(spec.taskResources());
       if (fitting > 0
@@ -123,7 +123,7 @@
     return total >= spec.tasks();
   }
 
-  private boolean placeInZones(
+  private boolean tryPlaceAll(
       JobState job,
       Map<String, Integer> tasksByZone,
       AllocationSizeLimit sizeLimit,
--- a/src/main/java/eiderfork/controller/scheduling/ImageFetchEstimator.java
+++ b/src/main/java/eiderfork/controller/scheduling/ImageFetchEstimator.java
@@ -25,11 +25,11 @@
     if (machine.images().contains(job.image())) {
       return remainingS(machine, job.image());
     }
-    double others = 0;
+    double queuedFetchesS = 0;
     for (String image : machine.images().names()) {
-      others += remainingS(machine, image);
+      queuedFetchesS += remainingS(machine, image);
     }
-    return others + job.imageGb() / type.imageFetchGbPerS();
+    return queuedFetchesS + job.imageGb() / type.imageFetchGbPerS();
   }
 
   /** How long the machine's fetch of this image still takes. */
--- a/src/main/java/eiderfork/controller/scheduling/InfeasiblePreemptions.java
+++ b/src/main/java/eiderfork/controller/scheduling/InfeasiblePreemptions.java
@@ -25,7 +25,7 @@
       boolean spotAllowed,
       String zone,
       String imageInTime,
-      Object preemptorClass,
+      Object preemptorKey,
       VictimPreference maxPreference) {}
 
   /** What was recorded at some time. */
@@ -73,7 +73,7 @@
         spec.spotAllowed(),
         zone,
         request.canPreemptTasks() ? null : spec.image(),
-        policy.preemptorClass(request.job()),
+        policy.preemptorKey(request.job()),
         request.maxPreference());
   }
 }
--- a/src/main/java/eiderfork/controller/scheduling/MachineScorer.java
+++ b/src/main/java/eiderfork/controller/scheduling/MachineScorer.java
@@ -59,10 +59,10 @@
     double strandedGpus = cpusPerGpu.strandedGpusBy(spec.taskResources(), free);
     double imageSteps = Math.floor(imageFetch.waitS(spec, machine) / imageStepS);
     double shareLeftFree = free.minus(spec.taskResources()).shareOf(machine.capacity());
-    boolean isForOthers = spec.spotAllowed() && machine.spec().spot() == avoidsSpot;
+    boolean isLeftToOtherJobs = spec.spotAllowed() && machine.spec().spot() == avoidsSpot;
     return imageSteps
         + shareLeftFree
         + Math.max(0, strandedGpus) * STRANDED_GPU_PENALTY_STEPS
-        + (isForOthers ? spec.imageGb() : 0);
+        + (isLeftToOtherJobs ? spec.imageGb() : 0);
   }
 }
--- a/src/main/java/eiderfork/controller/scheduling/MachineSearch.java
+++ b/src/main/java/eiderfork/controller/scheduling/MachineSearch.java
@@ -73,7 +73,7 @@
     }
     List<MachineState> machines = capacity.candidates(job.spec(), zones);
     int sampleSize = SAMPLED_MACHINES_PER_TASK * job.pendingTaskCount();
-    isSampled = capacity.examinedMachines() > maxExaminations && machines.size() > sampleSize;
+    isSampled = capacity.examinations() > maxExaminations && machines.size() > sampleSize;
     if (isSampled) {
       sample(machines, sampleSize, random).forEach(this::examine);
     } else {
@@ -111,7 +111,7 @@
   }
 
   private void examine(MachineState machine) {
-    capacity.countExamined();
+    capacity.countExamination();
     Resources free = capacity.freeOn(machine);
     if (!job.spec().taskResources().fitsIn(free)
         || !PlacementConstraints.isMachineAllowed(job.spec(), machine)) {
--- a/src/main/java/eiderfork/controller/scheduling/PreemptionBudget.java
+++ b/src/main/java/eiderfork/controller/scheduling/PreemptionBudget.java
@@ -22,8 +22,8 @@
   }
 
   /** Accounts for the machines that a round has examined for victims. */
-  void charge(int examinedMachines) {
-    long pauseMs = (long) (examinedMachines / maxExaminationsPerStep * context.stepMs());
+  void charge(int examinations) {
+    long pauseMs = (long) (examinations / maxExaminationsPerStep * context.stepMs());
     notBeforeMs = Math.max(notBeforeMs, context.nowMs() + pauseMs);
   }
 
--- a/src/main/java/eiderfork/controller/scheduling/PreemptionLog.java
+++ b/src/main/java/eiderfork/controller/scheduling/PreemptionLog.java
@@ -12,8 +12,8 @@
   private PreemptionLog() {}
 
   /** Logs that a task, or a gang by one of its tasks, is preempted for a job. */
-  static void logVictim(Job preemptor, PreemptionPolicy.Choice choice) {
-    Reservation victim = choice.task();
+  static void logVictim(Job preemptor, PreemptionPolicy.TaskPreemption preemption) {
+    Reservation victim = preemption.task();
     LOG.info(
         "preemption preemptor={} preemptorTeam={} victim={} attempt={} victimTeam={} machine={}"
             + " reason={} mode={} delayS={} lostWorkS={} cost={}",
@@ -23,11 +23,11 @@
         victim.attempt(),
         victim.job().spec().team(),
         victim.machine().name(),
-        choice.reason(),
-        choice.plan().mode(),
-        oneDecimal(choice.plan().delayS()),
-        oneDecimal(choice.plan().lostWorkS()),
-        oneDecimal(choice.cost()));
+        preemption.reason(),
+        preemption.plan().mode(),
+        oneDecimal(preemption.plan().delayS()),
+        oneDecimal(preemption.plan().lostWorkS()),
+        oneDecimal(preemption.cost()));
   }
 
   private static String oneDecimal(double value) {
--- a/src/main/java/eiderfork/controller/scheduling/PreemptionOption.java
+++ b/src/main/java/eiderfork/controller/scheduling/PreemptionOption.java
@@ -20,11 +20,11 @@
   /**
    * A task that would have to leave.
    *
-   * @param choice how the task is preempted; null for a replica that is migrated
+   * @param preemption how the task is preempted; null for a replica that is migrated
    */
-  record Victim(Reservation reservation, PreemptionPolicy.Choice choice, double cost) {
+  record Victim(Reservation reservation, PreemptionPolicy.TaskPreemption preemption, double cost) {
     boolean isMigrated() {
-      return choice == null;
+      return preemption == null;
     }
   }
 
@@ -38,12 +38,15 @@
   }
 
   /** The victims that are preempted, and how. */
-  List<PreemptionPolicy.Choice> preemptedTasks() {
-    return victims.stream().filter(victim -> !victim.isMigrated()).map(Victim::choice).toList();
+  List<PreemptionPolicy.TaskPreemption> preemptions() {
+    return victims.stream().filter(victim -> !victim.isMigrated()).map(Victim::preemption).toList();
   }
 
   /** How long until the last of the preempted tasks has ended. */
   double delayS() {
-    return preemptedTasks().stream().mapToDouble(choice -> choice.plan().delayS()).max().orElse(0);
+    return preemptions().stream()
+        .mapToDouble(preemption -> preemption.plan().delayS())
+        .max()
+        .orElse(0);
   }
 }
--- a/src/main/java/eiderfork/controller/scheduling/PreemptionOptionFinder.java
+++ b/src/main/java/eiderfork/controller/scheduling/PreemptionOptionFinder.java
@@ -18,7 +18,7 @@
   private final CpusPerGpu cpusPerGpu;
   private final PreemptionPolicy policy;
   private final ReplicaMigration migrations;
-  private int examinedMachines;
+  private int examinations;
 
   PreemptionOptionFinder(
       FreeCapacity capacity,
@@ -34,16 +34,16 @@
   }
 
   /** How often a machine was examined, as the host of victims or as the target of a migration. */
-  int examinedMachines() {
-    return examinedMachines + migrations.examinedMachines();
+  int examinations() {
+    return examinations + migrations.examinations();
   }
 
   /** The cheapest option on a machine, or null where no task of the job can be made to fit. */
   PreemptionOption find(PreemptionRequest request, MachineState machine) {
     JobState job = request.job();
     Resources demand = job.spec().taskResources();
-    examinedMachines++;
-    capacity.countExamined();
+    examinations++;
+    capacity.countExamination();
     migrations.beginOption();
     policy.beginOption();
     Resources free = freeAfterPendingStops(job, machine);
@@ -52,7 +52,7 @@
       if (demand.fitsIn(free)) {
         break;
       }
-      if (include(request, candidate)) {
+      if (tryInclude(request, candidate)) {
         free = free.plus(candidate.reservation().job().spec().taskResources());
         victims.add(candidate);
       }
@@ -84,7 +84,7 @@
           && reservation.isCommitted()
           && policy.canPreemptOn(machine)) {
         Victim candidate = candidate(request, reservation);
-        if (candidate.cost() < ReplicaMigration.IMPOSSIBLE) {
+        if (candidate.cost() < ReplicaMigration.INFINITE_COST) {
           candidates.add(candidate);
         }
       }
@@ -95,30 +95,31 @@
 
   private Victim candidate(PreemptionRequest request, Reservation reservation) {
     JobState job = request.job();
-    PreemptionPolicy.Choice choice =
+    PreemptionPolicy.TaskPreemption preemption =
         request.canPreemptTasks()
             ? policy.evaluate(job, reservation, request.maxPreference())
             : null;
     double cost =
-        choice == null
+        preemption == null
             ? migrations.cost(job.spec(), reservation, !request.canPreemptTasks())
-            : choice.cost();
-    return new Victim(reservation, choice, cost);
+            : preemption.cost();
+    return new Victim(reservation, preemption, cost);
   }
 
-  private boolean include(PreemptionRequest request, Victim victim) {
+  private boolean tryInclude(PreemptionRequest request, Victim victim) {
     return victim.isMigrated()
-        ? migrations.reserveTarget(victim.reservation())
-        : policy.include(request.job(), victim.choice(), request.maxPreference());
+        ? migrations.tryReserveTarget(victim.reservation())
+        : policy.tryInclude(request.job(), victim.preemption(), request.maxPreference());
   }
 
   /** Drops cheap victims that are not needed beside the larger ones that were chosen last. */
   private static void dropUnneeded(Resources demand, List<Victim> victims, Resources free) {
-    Resources left = free;
+    Resources remaining = free;
     for (Victim victim : List.copyOf(victims)) {
-      Resources without = left.minus(victim.reservation().job().spec().taskResources());
-      if (demand.fitsIn(without)) {
-        left = without;
+      Resources freeWithoutVictim =
+          remaining.minus(victim.reservation().job().spec().taskResources());
+      if (demand.fitsIn(freeWithoutVictim)) {
+        remaining = freeWithoutVictim;
         victims.remove(victim);
       }
     }
--- a/src/main/java/eiderfork/controller/scheduling/PreemptionPlanner.java
+++ b/src/main/java/eiderfork/controller/scheduling/PreemptionPlanner.java
@@ -65,22 +65,23 @@
   }
 
   /** How often a machine was examined for preemption. */
-  int examinedMachines() {
-    return finder.examinedMachines();
+  int examinations() {
+    return finder.examinations();
   }
 
   /**
    * Frees capacity for tasks of a job.
    *
-   * @param wanted for how many tasks
+   * @param wantedTasks for how many tasks
    * @param tasksByZone the job's tasks in each zone; those that capacity is freed for are added
    * @param maxImageWaitS how long the image may take to come to a machine
    * @return for how many tasks capacity is being freed
    */
-  int preempt(JobState job, int wanted, Map<String, Integer> tasksByZone, double maxImageWaitS) {
-    int freed = preemptUnconfirmed(job, wanted, tasksByZone, maxImageWaitS);
+  int preempt(
+      JobState job, int wantedTasks, Map<String, Integer> tasksByZone, double maxImageWaitS) {
+    int freedTasks = preemptUnconfirmed(job, wantedTasks, tasksByZone, maxImageWaitS);
     confirm(job);
-    return freed;
+    return freedTasks;
   }
 
   /**
@@ -90,10 +91,10 @@
    * @return whether capacity is being freed for all tasks
    */
   boolean preemptForGang(JobState job, Map<String, Integer> tasksByZone) {
-    int wanted = job.spec().tasks();
+    int wantedTasks = job.spec().tasks();
     InfeasiblePreemptions.Snapshot infeasibleBefore = infeasible.snapshot();
-    if (preemptUnconfirmed(job, wanted, tasksByZone, PreemptionRequest.ANY_IMAGE_WAIT_S)
-        == wanted) {
+    if (preemptUnconfirmed(job, wantedTasks, tasksByZone, PreemptionRequest.ANY_IMAGE_WAIT_S)
+        == wantedTasks) {
       confirm(job);
       return true;
     }
@@ -116,41 +117,41 @@
   }
 
   private int preemptUnconfirmed(
-      JobState job, int wanted, Map<String, Integer> tasksByZone, double maxImageWaitS) {
+      JobState job, int wantedTasks, Map<String, Integer> tasksByZone, double maxImageWaitS) {
     if (job.spec().kind() == JobKind.ARRAY && !policy.canPreemptForArray(job)) {
       return 0;
     }
-    int maxTasks = policy.maxTasks(job, wanted);
-    int freed = 0;
-    for (VictimPreference preference : policy.preferences(job)) {
-      if (freed < maxTasks && examinedMachines() <= maxExaminations) {
+    int maxTasks = policy.maxTasks(job, wantedTasks);
+    int freedTasks = 0;
+    for (VictimPreference preference : policy.victimPreferences(job)) {
+      if (freedTasks < maxTasks && examinations() <= maxExaminations) {
         PreemptionRequest request = new PreemptionRequest(job, maxImageWaitS, preference);
-        freed += preemptUpToPreference(request, maxTasks - freed, tasksByZone);
+        freedTasks += preemptUpToPreference(request, maxTasks - freedTasks, tasksByZone);
       }
     }
-    return freed;
+    return freedTasks;
   }
 
   /** Examines each machine once for the request, and again only when its option is chosen. */
   private int preemptUpToPreference(
-      PreemptionRequest request, int wanted, Map<String, Integer> tasksByZone) {
+      PreemptionRequest request, int wantedTasks, Map<String, Integer> tasksByZone) {
     Set<String> zones = capacity.eligibleZones(request.job(), tasksByZone);
     zones.removeIf(zone -> infeasible.contains(request, zone));
     if (zones.isEmpty()) {
       return 0;
     }
     PriorityQueue<PreemptionOption> options = options(request, zones, tasksByZone);
-    for (int freed = 0; freed < wanted; freed++) {
+    for (int freedTasks = 0; freedTasks < wantedTasks; freedTasks++) {
       PreemptionOption cheapest = removeCheapest(request, options, tasksByZone);
       if (cheapest == null) {
         recordInfeasible(request, zones, tasksByZone);
-        return freed;
+        return freedTasks;
       }
       apply(request.job(), cheapest);
       tasksByZone.merge(cheapest.machine().zone(), 1, Integer::sum);
-      addIfPresent(options, finder.find(request, cheapest.machine()));
+      addIfFound(options, finder.find(request, cheapest.machine()));
     }
-    return wanted;
+    return wantedTasks;
   }
 
   private PriorityQueue<PreemptionOption> options(
@@ -161,14 +162,13 @@
       if (zones.contains(machine.zone())
           && capacity.isAllowed(job, machine, tasksByZone)
           && imageFetch.waitS(job.spec(), machine) <= request.maxImageWaitS()) {
-        addIfPresent(options, finder.find(request, machine));
+        addIfFound(options, finder.find(request, machine));
       }
     }
     return options;
   }
 
-  private static void addIfPresent(
-      PriorityQueue<PreemptionOption> options, PreemptionOption option) {
+  private static void addIfFound(PriorityQueue<PreemptionOption> options, PreemptionOption option) {
     if (option != null) {
       options.add(option);
     }
@@ -188,7 +188,7 @@
       if (current != null && (options.isEmpty() || current.cost() <= options.peek().cost())) {
         return current;
       }
-      addIfPresent(options, current);
+      addIfFound(options, current);
     }
     return null;
   }
@@ -207,7 +207,7 @@
       machine.requestCommand();
       unconfirmedMigrations.add(replica);
     }
-    policy.preempt(job, machine, option.preemptedTasks());
+    policy.preempt(job, machine, option.preemptions());
     long untilMs =
         context.nowMs()
             + CLAIM_DURATION_STEPS * context.stepMs()
--- a/src/main/java/eiderfork/controller/scheduling/PreemptionPolicy.java
+++ b/src/main/java/eiderfork/controller/scheduling/PreemptionPolicy.java
@@ -12,8 +12,8 @@
  * Which work may be preempted for a job, how, and what that costs.
  *
  * <p>The planner examines machines one after the other: {@link #beginOption}, then {@link
- * #evaluate} for each task, then {@link #include} for those that it would choose. It commits to an
- * option with {@link #preempt}, and ends each job with {@link #confirm} or {@link #rollBack}.
+ * #evaluate} for each task, then {@link #tryInclude} for those that it would choose. It commits to
+ * an option with {@link #preempt}, and ends each job with {@link #confirm} or {@link #rollBack}.
  */
 interface PreemptionPolicy {
   /**
@@ -21,19 +21,20 @@
    *
    * @param cost the work that is thrown away, in seconds weighted by size
    */
-  record Choice(Reservation task, PreemptionReason reason, PreemptionPlan plan, double cost) {}
+  record TaskPreemption(
+      Reservation task, PreemptionReason reason, PreemptionPlan plan, double cost) {}
 
   /** Whether work may be preempted for an array; it always may for other jobs. */
   boolean canPreemptForArray(JobState preemptor);
 
   /** For how many of the wanted tasks work may be preempted now. */
-  int maxTasks(JobState preemptor, int wanted);
+  int maxTasks(JobState preemptor, int wantedTasks);
 
   /** Up to which kinds of work victims are looked for, one search after the other. */
-  List<VictimPreference> preferences(JobState preemptor);
+  List<VictimPreference> victimPreferences(JobState preemptor);
 
   /** Equal for jobs of which the policy treats every victim alike. */
-  Object preemptorClass(JobState preemptor);
+  Object preemptorKey(JobState preemptor);
 
   /** Whether the job borrows quota, so that recently reclaimed capacity is withheld from it. */
   boolean isBorrowing(JobState preemptor);
@@ -48,13 +49,14 @@
   void beginOption();
 
   /** How a task may be preempted for the job; null where it may not be. */
-  Choice evaluate(JobState preemptor, Reservation reservation, VictimPreference maxPreference);
+  TaskPreemption evaluate(
+      JobState preemptor, Reservation reservation, VictimPreference maxPreference);
 
   /** Includes a task, if it may still be preempted beside those included before. */
-  boolean include(JobState preemptor, Choice choice, VictimPreference maxPreference);
+  boolean tryInclude(JobState preemptor, TaskPreemption preemption, VictimPreference maxPreference);
 
   /** Preempts the tasks for one task of the job on this machine. */
-  void preempt(JobState preemptor, MachineState machine, List<Choice> choices);
+  void preempt(JobState preemptor, MachineState machine, List<TaskPreemption> preemptions);
 
   /** Confirms what was preempted since the last confirmation. */
   void confirm(JobState preemptor);
--- a/src/main/java/eiderfork/controller/scheduling/PriorityPreemptionPolicy.java
+++ b/src/main/java/eiderfork/controller/scheduling/PriorityPreemptionPolicy.java
@@ -34,17 +34,17 @@
   }
 
   @Override
-  public int maxTasks(JobState preemptor, int wanted) {
-    return wanted;
+  public int maxTasks(JobState preemptor, int wantedTasks) {
+    return wantedTasks;
   }
 
   @Override
-  public List<VictimPreference> preferences(JobState preemptor) {
+  public List<VictimPreference> victimPreferences(JobState preemptor) {
     return List.of(VictimPreference.BORROWED_BATCH);
   }
 
   @Override
-  public Object preemptorClass(JobState preemptor) {
+  public Object preemptorKey(JobState preemptor) {
     return "";
   }
 
@@ -67,7 +67,7 @@
   public void beginOption() {}
 
   @Override
-  public Choice evaluate(
+  public TaskPreemption evaluate(
       JobState preemptor, Reservation reservation, VictimPreference maxPreference) {
     Job spec = reservation.job().spec();
     boolean isPreemptible =
@@ -78,7 +78,7 @@
     }
     PreemptionPlan plan = new PreemptionPlan(PreemptionMode.SAVE, 0, lostWorkS(reservation));
     double cost = plan.lostWorkS() * costs.weight(spec);
-    return new Choice(reservation, PreemptionReason.PRIORITY, plan, cost);
+    return new TaskPreemption(reservation, PreemptionReason.PRIORITY, plan, cost);
   }
 
   private double lostWorkS(Reservation reservation) {
@@ -102,17 +102,18 @@
   }
 
   @Override
-  public boolean include(JobState preemptor, Choice choice, VictimPreference maxPreference) {
+  public boolean tryInclude(
+      JobState preemptor, TaskPreemption preemption, VictimPreference maxPreference) {
     return true;
   }
 
   @Override
-  public void preempt(JobState preemptor, MachineState machine, List<Choice> choices) {
-    for (Choice choice : choices) {
-      PreemptionLog.logVictim(preemptor.spec(), choice);
-      jobs.requestStop(choice.task());
+  public void preempt(JobState preemptor, MachineState machine, List<TaskPreemption> preemptions) {
+    for (TaskPreemption preemption : preemptions) {
+      PreemptionLog.logVictim(preemptor.spec(), preemption);
+      jobs.requestStop(preemption.task());
       machine.requestCommand();
-      unconfirmed.add(choice.task());
+      unconfirmed.add(preemption.task());
     }
   }
 
--- a/src/main/java/eiderfork/controller/scheduling/QueueOrder.java
+++ b/src/main/java/eiderfork/controller/scheduling/QueueOrder.java
@@ -15,7 +15,7 @@
  */
 final class QueueOrder {
   /** The share of its objective for which an array may yield to smaller ones. */
-  private static final double SMALLER_ARRAYS_FIRST_SHARE = 0.5;
+  private static final double ARRAY_DEFERRAL_SHARE = 0.5;
 
   /** The objective within which every job must have begun, whatever its chances. */
   private static final long MAX_START_DELAY_MS = 240_000;
@@ -27,7 +27,7 @@
   static final long OVERDUE_MS = (long) (MAX_START_DELAY_MS * OVERDUE_SHARE);
 
   /** Longer than any job lives: puts a job behind all others of its priority. */
-  private static final long LAST_IN_RANK_OFFSET_MS = 1L << 50;
+  private static final long MISSED_DEADLINE_OFFSET_MS = 1L << 50;
 
   private final ControllerContext context;
   private final DeadlineEstimator deadlines;
@@ -47,30 +47,30 @@
       return job.firstSeenMs();
     }
     if (job.spec().deadlineS() == null) {
-      return job.firstSeenMs() + yieldMs(job, maxWaitingTasks);
+      return job.firstSeenMs() + arrayDeferralMs(job, maxWaitingTasks);
     }
     OptionalLong latestStartMs = deadlines.latestStartMs(job);
-    return latestStartMs.isPresent() ? latestStartMs.getAsLong() : lateQueueTimeMs(job);
+    return latestStartMs.isPresent() ? latestStartMs.getAsLong() : missedDeadlineQueueTimeMs(job);
   }
 
   /** How long an array yields to smaller ones, which are done sooner and delay it less. */
-  private long yieldMs(JobState job, int maxWaitingTasks) {
+  private long arrayDeferralMs(JobState job, int maxWaitingTasks) {
     if (job.spec().kind() != JobKind.ARRAY) {
       return 0;
     }
     double objectiveS =
         context.settings.shortestObjectiveS(Objective.Kind.FINISHED, job.spec().jobClass());
-    double yieldS = objectiveS == Double.MAX_VALUE ? 0 : objectiveS * SMALLER_ARRAYS_FIRST_SHARE;
-    double size = job.pendingTaskCount() / (double) maxWaitingTasks;
-    return toMs(yieldS * size);
+    double maxDeferralS = objectiveS == Double.MAX_VALUE ? 0 : objectiveS * ARRAY_DEFERRAL_SHARE;
+    double relativeSize = job.pendingTaskCount() / (double) maxWaitingTasks;
+    return toMs(maxDeferralS * relativeSize);
   }
 
   /** A job that never started must begin; one that has begun may wait for longer. */
-  private long lateQueueTimeMs(JobState job) {
+  private long missedDeadlineQueueTimeMs(JobState job) {
     boolean hasBegun = job.lastAttempt() > 0;
     double maxWaitMs = MAX_START_DELAY_MS * (hasBegun ? 1 : OVERDUE_SHARE);
     boolean isOverdue = context.nowMs() - job.firstSeenMs() >= maxWaitMs;
-    return job.firstSeenMs() + (isOverdue ? 0 : LAST_IN_RANK_OFFSET_MS);
+    return job.firstSeenMs() + (isOverdue ? 0 : MISSED_DEADLINE_OFFSET_MS);
   }
 
   private static long toMs(double seconds) {
--- a/src/main/java/eiderfork/controller/scheduling/QuotaPreemptionPolicy.java
+++ b/src/main/java/eiderfork/controller/scheduling/QuotaPreemptionPolicy.java
@@ -35,10 +35,10 @@
   private final BorrowedCapacity borrowedCapacity;
   private final QuotaUsageLog usageLog;
   private final boolean canReclaim;
-  private final TrialLedger trialLedger;
+  private final TentativeLedger tentativeLedger;
 
   /** What was preempted and not confirmed yet. */
-  private final List<Choice> unconfirmed = new ArrayList<>();
+  private final List<TaskPreemption> unconfirmed = new ArrayList<>();
 
   /** The job that {@link #preemptor} describes, by the state of {@link #preemptorLedger}. */
   private JobState preemptorJob;
@@ -66,7 +66,7 @@
     this.borrowedCapacity = borrowedCapacity;
     this.usageLog = usageLog;
     this.canReclaim = canReclaim;
-    trialLedger = new TrialLedger(teamUsage);
+    tentativeLedger = new TentativeLedger(teamUsage);
   }
 
   private Preemptor preemptorOf(JobState job) {
@@ -89,18 +89,18 @@
 
   /** No more than the team's limit leaves beside the capacity that is claimed for it already. */
   @Override
-  public int maxTasks(JobState job, int wanted) {
+  public int maxTasks(JobState job, int wantedTasks) {
     Job spec = job.spec();
     Team team = context.settings.teams().get(spec.team());
     if (team == null || !canReclaim) {
       return 0;
     }
     Resources used = teamUsage.usedWithClaims(spec.team());
-    return team.countWithinLimit(used, spec.taskResources(), wanted);
+    return team.countWithinLimit(used, spec.taskResources(), wantedTasks);
   }
 
   @Override
-  public List<VictimPreference> preferences(JobState job) {
+  public List<VictimPreference> victimPreferences(JobState job) {
     Preemptor current = preemptorOf(job);
     if (!current.isWithinGuarantee()) {
       return List.of(VictimPreference.BORROWED_BATCH);
@@ -114,7 +114,7 @@
   }
 
   @Override
-  public Object preemptorClass(JobState job) {
+  public Object preemptorKey(JobState job) {
     return preemptorOf(job);
   }
 
@@ -142,11 +142,12 @@
 
   @Override
   public void beginOption() {
-    trialLedger.begin();
+    tentativeLedger.begin();
   }
 
   @Override
-  public Choice evaluate(JobState job, Reservation reservation, VictimPreference maxPreference) {
+  public TaskPreemption evaluate(
+      JobState job, Reservation reservation, VictimPreference maxPreference) {
     boolean isReplica = reservation.job().spec().kind() == JobKind.SERVICE;
     if (isReplica && maxPreference != VictimPreference.BORROWED_REPLICA) {
       return null;
@@ -156,7 +157,7 @@
       return null;
     }
     PreemptionPlan plan = plans.planFor(reservation, preemptorOf(job).maxCheckpointWaitS());
-    return new Choice(reservation, allowed.reason(), plan, plans.costOf(reservation, plan));
+    return new TaskPreemption(reservation, allowed.reason(), plan, plans.costOf(reservation, plan));
   }
 
   /** The decision where the task may be preempted, or null. */
@@ -186,35 +187,36 @@
   }
 
   @Override
-  public boolean include(JobState job, Choice choice, VictimPreference maxPreference) {
-    Reservation reservation = choice.task();
-    if (trialLedger.includesGang(reservation.job())) {
+  public boolean tryInclude(
+      JobState job, TaskPreemption preemption, VictimPreference maxPreference) {
+    Reservation reservation = preemption.task();
+    if (tentativeLedger.includesGang(reservation.job())) {
       return true;
     }
     // The first victim was evaluated with the same ledger already.
-    if (trialLedger.hasVictims()
-        && !isAllowed(decide(job, reservation, trialLedger.ledger()), maxPreference)) {
+    if (tentativeLedger.hasVictims()
+        && !isAllowed(decide(job, reservation, tentativeLedger.ledger()), maxPreference)) {
       return false;
     }
-    trialLedger.include(reservation);
+    tentativeLedger.include(reservation);
     return true;
   }
 
   @Override
-  public void preempt(JobState job, MachineState machine, List<Choice> choices) {
-    for (Choice choice : choices) {
-      Reservation reservation = choice.task();
+  public void preempt(JobState job, MachineState machine, List<TaskPreemption> preemptions) {
+    for (TaskPreemption preemption : preemptions) {
+      Reservation reservation = preemption.task();
       // Another task of its gang may have been preempted before.
       if (reservation.isDesired() && !deferredPreemptions.isPending(reservation)) {
-        unconfirmed.add(choice);
-        preempt(job, machine, choice);
+        unconfirmed.add(preemption);
+        preempt(job, machine, preemption);
       }
     }
   }
 
-  private void preempt(JobState job, MachineState machine, Choice choice) {
-    Reservation reservation = choice.task();
-    PreemptionPlan plan = choice.plan();
+  private void preempt(JobState job, MachineState machine, TaskPreemption preemption) {
+    Reservation reservation = preemption.task();
+    PreemptionPlan plan = preemption.plan();
     if (plan.mode() == PreemptionMode.AFTER_CHECKPOINT) {
       deferredPreemptions.preemptAfterCheckpoint(reservation, job, plan.delayS());
       return;
@@ -228,21 +230,21 @@
 
   @Override
   public void confirm(JobState job) {
-    for (Choice choice : unconfirmed) {
-      Reservation reservation = choice.task();
+    for (TaskPreemption preemption : unconfirmed) {
+      Reservation reservation = preemption.task();
       reservation.job().reclaims().record(reservation.taskIndex(), context.nowMs());
       borrowedCapacity.recordReclaim(reservation, job.spec());
       usageLog.countPreemption();
-      PreemptionLog.logVictim(job.spec(), choice);
+      PreemptionLog.logVictim(job.spec(), preemption);
     }
     unconfirmed.clear();
   }
 
   @Override
   public void rollBack() {
-    for (Choice choice : unconfirmed) {
-      deferredPreemptions.cancel(choice.task());
-      jobs.revokeStop(choice.task());
+    for (TaskPreemption preemption : unconfirmed) {
+      deferredPreemptions.cancel(preemption.task());
+      jobs.revokeStop(preemption.task());
     }
     unconfirmed.clear();
   }
--- a/src/main/java/eiderfork/controller/scheduling/ReplicaMigration.java
+++ b/src/main/java/eiderfork/controller/scheduling/ReplicaMigration.java
@@ -21,7 +21,7 @@
   public static final long MIN_COUNTED_RUN_MS = 30_000;
 
   /** The cost of a migration that is not allowed. */
-  static final double IMPOSSIBLE = Double.MAX_VALUE;
+  static final double INFINITE_COST = Double.MAX_VALUE;
 
   /** How long a replica does not serve while it migrates, in steps. */
   private static final double MIGRATION_STEPS = 2;
@@ -55,7 +55,7 @@
   /** The same for the option that is being examined. */
   private final Map<MachineState, Resources> proposedMigrations = new HashMap<>();
 
-  private int examinedMachines;
+  private int examinations;
 
   ReplicaMigration(
       ControllerContext context,
@@ -69,8 +69,8 @@
   }
 
   /** How often a machine was examined as a target. */
-  int examinedMachines() {
-    return examinedMachines;
+  int examinations() {
+    return examinations;
   }
 
   /** Begins another option: what was proposed for the one before is dropped. */
@@ -81,30 +81,31 @@
   /** Confirms the migrations that were proposed since {@link #beginOption}. */
   void confirm() {
     proposedMigrations.forEach(
-        (machine, needs) -> confirmedMigrations.merge(machine, needs, Resources::plus));
+        (machine, demand) -> confirmedMigrations.merge(machine, demand, Resources::plus));
   }
 
   /**
    * What migrating this replica for the job costs, in seconds of its work weighted by its size;
-   * {@link #IMPOSSIBLE} where it stays.
+   * {@link #INFINITE_COST} where it stays.
    *
    * <p>Replicas on GPUs do not migrate to free capacity, since their new place is taken from
    * smaller jobs that wait as well. They migrate where a more urgent job's image would come too
    * late elsewhere, once they have run for long enough to count as started.
    *
-   * @param forImage whether the job has capacity elsewhere, where its image comes too late
+   * @param seeksCachedImage whether the job has capacity elsewhere, where its image comes too late
    */
-  double cost(Job job, Reservation replica, boolean forImage) {
+  double cost(Job job, Reservation replica, boolean seeksCachedImage) {
     Job spec = replica.job().spec();
     boolean isMovable =
         spec.kind() == JobKind.SERVICE
-            && (spec.taskResources().gpus() <= 0 || forImage && isGpuReplicaMovable(job, replica))
+            && (spec.taskResources().gpus() <= 0
+                || seeksCachedImage && isGpuReplicaMovable(job, replica))
             && replica.reportedState() == TaskStatus.State.RUNNING
             && isSmaller(spec, job, replica.machine())
             && runMs(replica) > MIN_RUN_STEPS * context.stepMs();
     return isMovable
         ? MIGRATION_STEPS * context.stepS() * cpusPerGpu.gpuWeight(spec.taskResources())
-        : IMPOSSIBLE;
+        : INFINITE_COST;
   }
 
   private boolean isGpuReplicaMovable(Job job, Reservation replica) {
@@ -112,9 +113,9 @@
         && runMs(replica) > MIN_COUNTED_RUN_MS;
   }
 
-  private static boolean isSmaller(Job spec, Job than, MachineState machine) {
-    return spec.taskResources().shareOf(machine.capacity())
-        < than.taskResources().shareOf(machine.capacity());
+  private static boolean isSmaller(Job replica, Job preemptor, MachineState machine) {
+    return replica.taskResources().shareOf(machine.capacity())
+        < preemptor.taskResources().shareOf(machine.capacity());
   }
 
   private long runMs(Reservation replica) {
@@ -122,13 +123,13 @@
   }
 
   /** Proposes a machine for a replica to migrate to; whether there is one. */
-  boolean reserveTarget(Reservation replica) {
+  boolean tryReserveTarget(Reservation replica) {
     Job spec = replica.job().spec();
     MigrationTargets zoneTargets = targetsFor(replica);
     for (int i = zoneTargets.firstNotFull; i < zoneTargets.machines.size(); i++) {
       MachineState machine = zoneTargets.machines.get(i);
-      examinedMachines++;
-      capacity.countExamined();
+      examinations++;
+      capacity.countExamination();
       Resources free =
           capacity.freeOn(machine).minus(confirmedMigrations.getOrDefault(machine, Resources.NONE));
       if (!isTarget(spec, machine, free)) {
--- a/src/main/java/eiderfork/controller/scheduling/Scheduler.java
+++ b/src/main/java/eiderfork/controller/scheduling/Scheduler.java
@@ -100,7 +100,7 @@
 
   /** How often the last round examined a machine for a job. */
   public int machineExaminations() {
-    return capacity.examinedMachines();
+    return capacity.examinations();
   }
 
   /**
@@ -131,14 +131,14 @@
   private boolean placeAndWrite(List<JobState> queue) {
     gpuHeadroom.beginRound(queue);
     PreemptionPolicy policy = borrowing.preemptionPolicy(cpusPerGpu());
-    PreemptionPlanner preemption =
+    PreemptionPlanner preemptionPlanner =
         new PreemptionPlanner(
             context, jobs, capacity, imageFetch, cpusPerGpu(), policy, maxFullSearchExaminations);
     boolean isWriteDeferred = false;
     for (JobState job : queue) {
       int reservedBefore = job.reservations().size();
       if (eligibility.canWrite(job) && eligibility.canPlace(job)) {
-        place(job, preemption, policy);
+        place(job, preemptionPlanner, policy);
       }
       if (job.reservations().size() > reservedBefore) {
         jobs.write(job, DispatchEligibility.startPriority(job));
@@ -146,18 +146,18 @@
         isWriteDeferred |= eligibility.writeCompletions(job);
       }
     }
-    preemptionBudget.charge(preemption.examinedMachines());
+    preemptionBudget.charge(preemptionPlanner.examinations());
     return isWriteDeferred;
   }
 
-  private void place(JobState job, PreemptionPlanner preemption, PreemptionPolicy policy) {
+  private void place(JobState job, PreemptionPlanner preemptionPlanner, PreemptionPolicy policy) {
     boolean excludesReclaimed = borrowing.isBorrowing(job);
     if (job.gang() == null) {
       SearchConstraints constraints =
           new SearchConstraints(gpuHeadroom.appliesTo(job), excludesReclaimed);
-      taskScheduler.place(job, preemption, constraints, policy.canPreemptForArray(job));
+      taskScheduler.place(job, preemptionPlanner, constraints, policy.canPreemptForArray(job));
     } else {
-      gangScheduler.place(job, preemption, new SearchConstraints(false, excludesReclaimed));
+      gangScheduler.place(job, preemptionPlanner, new SearchConstraints(false, excludesReclaimed));
     }
   }
 
--- a/src/main/java/eiderfork/controller/scheduling/TaskScheduler.java
+++ b/src/main/java/eiderfork/controller/scheduling/TaskScheduler.java
@@ -58,11 +58,11 @@
    */
   void place(
       JobState job,
-      PreemptionPlanner preemption,
+      PreemptionPlanner preemptionPlanner,
       SearchConstraints constraints,
       boolean canPreemptForArray) {
     if (!isKnownUnschedulable(job, canPreemptForArray)) {
-      new Placement(job, preemption, constraints).placeAll();
+      new Placement(job, preemptionPlanner, constraints).placeAll();
     }
   }
 
@@ -73,14 +73,14 @@
   private boolean isKnownUnschedulable(JobState job, boolean canPreemptForArray) {
     boolean canPreempt = job.spec().kind() != JobKind.ARRAY || canPreemptForArray;
     boolean canPreemptNow = canPreempt && preemptionBudget.isAvailable();
-    return !canPreemptNow && !capacity.hasClaims(job) && capacity.isKnownFull(job.spec());
+    return !canPreemptNow && !capacity.hasClaims(job) && capacity.isRuledOutInAllZones(job.spec());
   }
 
   /** The placement of one job's tasks in one round. */
   private final class Placement {
     private final JobState job;
     private final Job spec;
-    private final PreemptionPlanner preemption;
+    private final PreemptionPlanner preemptionPlanner;
     private final Map<String, Integer> tasksByZone;
 
     /** Claims of this job whose capacity it has not used yet. */
@@ -93,9 +93,9 @@
     private int startable;
     private boolean isOutOfCapacity;
 
-    Placement(JobState job, PreemptionPlanner preemption, SearchConstraints constraints) {
+    Placement(JobState job, PreemptionPlanner preemptionPlanner, SearchConstraints constraints) {
       this.job = job;
-      this.preemption = preemption;
+      this.preemptionPlanner = preemptionPlanner;
       spec = job.spec();
       tasksByZone = PlacementConstraints.countTasksByZone(job);
       used = usage.used(spec.team());
@@ -112,13 +112,13 @@
         index = job.nextSchedulableTask(index, context.nowMs());
       }
       usage.record(spec.team(), used);
-      int kept = keepClaims();
+      int restoredClaims = restoreClaims();
       // Only a confirmed suspicion counts: a new leader may suspect an array that was preempted
       // again and again.
       if (isOutOfCapacity && !job.failureHistory().isConfirmedSuspect()) {
         int maxTasks = job.failureHistory().isSuspected() ? 1 : startable;
-        int wanted = Math.min(job.pendingTaskCount(), maxTasks) - kept;
-        preempt(wanted, PreemptionRequest.ANY_IMAGE_WAIT_S);
+        int wantedTasks = Math.min(job.pendingTaskCount(), maxTasks) - restoredClaims;
+        preempt(wantedTasks, PreemptionRequest.ANY_IMAGE_WAIT_S);
       }
     }
 
@@ -161,10 +161,10 @@
     }
 
     /** Renews the claims that tasks still wait for; how many there are. */
-    private int keepClaims() {
-      int kept = Math.min(claims.size(), job.pendingTaskCount());
-      claims.subList(0, kept).forEach(capacity::addClaim);
-      return kept;
+    private int restoreClaims() {
+      int restoredClaims = Math.min(claims.size(), job.pendingTaskCount());
+      claims.subList(0, restoredClaims).forEach(capacity::addClaim);
+      return restoredClaims;
     }
 
     /** Whether the image takes longer to come to the machine than a task of the class may wait. */
@@ -192,9 +192,9 @@
       return preempt(job.pendingTaskCount(), startObjectiveS()) > 0;
     }
 
-    private int preempt(int wanted, double maxImageWaitS) {
+    private int preempt(int wantedTasks, double maxImageWaitS) {
       return preemptionBudget.isAvailable()
-          ? preemption.preempt(job, wanted, tasksByZone, maxImageWaitS)
+          ? preemptionPlanner.preempt(job, wantedTasks, tasksByZone, maxImageWaitS)
           : 0;
     }
   }
--- a/src/main/java/eiderfork/controller/scheduling/TeamUsageTracker.java
+++ b/src/main/java/eiderfork/controller/scheduling/TeamUsageTracker.java
@@ -89,7 +89,7 @@
   }
 
   private List<TeamUsage> usages(Map<String, QuotaAmount> requestedByTeam) {
-    Map<String, QuotaAmount> promisedByTeam = promisedByTeam();
+    Map<String, QuotaAmount> claimedByTeam = claimedByTeam();
     List<TeamUsage> usages = new ArrayList<>();
     for (Team team : context.settings.teams().values()) {
       TeamId id = new TeamId(team.name());
@@ -102,19 +102,19 @@
               GuaranteedQuota.of(team),
               QuotaAmount.of(jobs.resourceUsage().held(team.name())),
               stopping,
-              promisedByTeam.getOrDefault(team.name(), QuotaAmount.NONE),
+              claimedByTeam.getOrDefault(team.name(), QuotaAmount.NONE),
               requestedByTeam.getOrDefault(team.name(), QuotaAmount.NONE)));
     }
     return usages;
   }
 
-  private Map<String, QuotaAmount> promisedByTeam() {
-    Map<String, QuotaAmount> promisedByTeam = new HashMap<>();
+  private Map<String, QuotaAmount> claimedByTeam() {
+    Map<String, QuotaAmount> claimedByTeam = new HashMap<>();
     for (CapacityClaim claim : capacity.claims()) {
       Job spec = claim.job().spec();
-      promisedByTeam.merge(spec.team(), QuotaAmount.of(spec.taskResources()), QuotaAmount::plus);
+      claimedByTeam.merge(spec.team(), QuotaAmount.of(spec.taskResources()), QuotaAmount::plus);
     }
-    return promisedByTeam;
+    return claimedByTeam;
   }
 
   /** The job as a preemptor. */
--- a/src/main/java/eiderfork/controller/scheduling/TrialLedger.java
+++ b/src/main/java/eiderfork/controller/scheduling/TentativeLedger.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 
 /** The quota ledger as it would be without the victims included on the machine that is examined. */
-final class TrialLedger {
+final class TentativeLedger {
   private final TeamUsageTracker teamUsage;
 
   /** Null while no victim is included. */
@@ -16,7 +16,7 @@
 
   private final Set<JobState> gangs = new HashSet<>();
 
-  TrialLedger(TeamUsageTracker teamUsage) {
+  TentativeLedger(TeamUsageTracker teamUsage) {
     this.teamUsage = teamUsage;
   }
 
