--- a/src/main/java/eiderfork/controller/scheduling/AllocationSizeLimitFactory.java
+++ b/src/main/java/eiderfork/controller/scheduling/AllocationSizeLimitFactory.java
@@ -6,7 +6,10 @@
 import eiderfork.controller.registry.JobState;
 import eiderfork.controller.store.StoreClient;
 
-/** Creates the size limits of allocation records, by the forms that all members can read now. */
+/**
+ * Creates size limits for allocation records, based on the record forms that all cluster members
+ * can read now.
+ */
 final class AllocationSizeLimitFactory {
   private final ControllerContext context;
   private final StoreClient store;
@@ -18,7 +21,7 @@
     this.version = version;
   }
 
-  /** The limit for further reservations of this job, beside those that it has. */
+  /** Creates the limit for further reservations of this job in addition to its current ones. */
   AllocationSizeLimit create(JobState job) {
     boolean isPlainFormRetired = version.isSupportedByAll(ClusterVersion.PACKED_ALLOCS);
     double plainKb = isPlainFormRetired ? Double.POSITIVE_INFINITY : store.maxValueKb();
--- a/src/main/java/eiderfork/controller/scheduling/ArrayParallelism.java
+++ b/src/main/java/eiderfork/controller/scheduling/ArrayParallelism.java
@@ -7,37 +7,41 @@
 import eiderfork.model.JobKind;
 
 /**
- * How many of an array's pending tasks get capacity at once. An array whose tasks are short beside
- * its objective runs in waves, or the machines booted for all of its tasks would stand idle soon.
+ * Limits the number of an array's pending tasks that get capacity at once. An array whose tasks are
+ * short compared to its objective runs in waves; otherwise the machines booted for all of its tasks
+ * would soon be idle.
  */
 public final class ArrayParallelism {
-  /** The share of its objective within which an array is planned to be done. */
+  /** The share of its objective within which an array is planned to finish. */
   private static final double OBJECTIVE_SHARE = 0.25;
 
-  /** An array of fewer waves is planned for as a whole. */
+  /** The number of waves below which capacity is planned for the whole array. */
   private static final double MIN_WAVES = 4;
 
-  /** From the end of a task to the start of the next one: a heartbeat, a write and a command. */
+  /**
+   * The time from the end of a task to the start of the next one, in steps: a heartbeat, a write
+   * and a command.
+   */
   private static final double TURNAROUND_STEPS = 2;
 
-  /** How many times the planned tasks are started where there is free capacity. */
+  /** The number of tasks started on free capacity, as a multiple of the planned tasks. */
   private static final double START_FACTOR = 1.5;
 
   private final ControllerContext context;
 
-  /** Makes an estimate from the settings of this context. */
+  /** Creates an instance that uses the settings of this context. */
   public ArrayParallelism(ControllerContext context) {
     this.context = context;
   }
 
-  /** How many pending tasks of a job need capacity at once. */
+  /** Returns the number of a job's pending tasks to plan capacity for. */
   public int tasksToPlanFor(JobState job) {
     return maxTasks(job, 1);
   }
 
   /**
-   * How many pending tasks of a job may be started at once. Free capacity is used beyond the plan,
-   * so that the array is done sooner, but some is left to other jobs.
+   * Returns the number of a job's pending tasks that may start now. More tasks than planned use
+   * free capacity, so that the array finishes sooner, but some is left to other jobs.
    */
   int tasksToStart(JobState job) {
     return maxTasks(job, START_FACTOR);
@@ -51,12 +55,15 @@
     if (spec.kind() != JobKind.ARRAY || plannedDurationS < MIN_WAVES * taskDurationS) {
       return pending;
     }
-    // Finished tasks count as well, so that the last ones still run side by side.
+    // Based on all tasks, including finished ones, so that the last tasks still run in parallel.
     double maxConcurrentTasks = Math.ceil(factor * spec.tasks() * taskDurationS / plannedDurationS);
     return (int) Math.min(pending, Math.max(0, maxConcurrentTasks - job.reservations().size()));
   }
 
-  /** The time in which the job should be done; 0 where it has neither objective nor deadline. */
+  /**
+   * Returns the time in which the job should finish; 0 if it has neither an objective nor a
+   * deadline.
+   */
   private double objectiveS(Job spec) {
     double objectiveS =
         context.settings.shortestObjectiveS(Objective.Kind.FINISHED, spec.jobClass());
--- a/src/main/java/eiderfork/controller/scheduling/BorrowedCapacity.java
+++ b/src/main/java/eiderfork/controller/scheduling/BorrowedCapacity.java
@@ -14,8 +14,9 @@
 import eiderfork.model.Team;
 
 /**
- * Which work borrows quota, and which capacity is withheld from it. The cooldowns are not stored: a
- * new leader begins without them, which costs one more reversal per machine at most.
+ * Determines which jobs borrow quota and which capacity is withheld from them. Cooldowns are not
+ * stored: a new leader starts without them, which costs at most one additional reversal per
+ * machine.
  */
 final class BorrowedCapacity {
   private final ControllerContext context;
@@ -31,17 +32,17 @@
     isEnabled = context.settings.operator().isLendingEnabled();
   }
 
-  /** Forgets what belongs to a term that is over. */
+  /** Discards the cooldowns of the previous leadership term. */
   void clear() {
     cooldowns.clear();
   }
 
-  /** Forgets reversals that are long past. */
+  /** Expires old reversals. */
   void tick() {
     cooldowns.decay(context.nowMs());
   }
 
-  /** Whether the job's next task, or its whole gang, would exceed its team's guarantee. */
+  /** Returns whether the job's next task, or its whole gang, would exceed its team's guarantee. */
   boolean isBorrowing(JobState job) {
     Job spec = job.spec();
     if (!isEnabled || spec.kind() == JobKind.SERVICE) {
@@ -54,8 +55,8 @@
   }
 
   /**
-   * The free capacity of a machine that is withheld from a borrowing job. What was reclaimed for
-   * the job itself is not, or it could not use what was freed for it.
+   * Returns the free capacity of a machine that is withheld from a borrowing job. Capacity
+   * reclaimed for the job itself is not withheld, since the job could not use it otherwise.
    */
   Resources withheldFrom(JobState borrower, MachineState machine) {
     String borrowerUid = borrower.spec().uid();
@@ -99,9 +100,9 @@
   }
 
   /**
-   * Whether a gang that would borrow has to wait, since it was reclaimed lately: longer with each
-   * time. Where nothing else is borrowed it would be the victim of each reclaim, and lose a start
-   * and a save each time.
+   * Returns whether a borrowing gang has to wait because it was reclaimed recently; the wait grows
+   * with each reclaim. Without it, a gang that is the only borrower would be the victim of every
+   * reclaim and lose a start and a save each time.
    */
   boolean isGangCoolingDown(JobState gang) {
     int reclaims = gang.reclaims().count(0);
@@ -114,14 +115,18 @@
   }
 
   /**
-   * Whether a job can't use its claims yet, since a write of it is in flight. The claims outlast
-   * the write, or a borrower would take the capacity and others be preempted for the job.
+   * Returns whether a write of the job is in flight, so that the job can't use its claims yet. The
+   * claims outlast the write; otherwise a borrower could take the capacity and more work would be
+   * preempted for the job.
    */
   boolean isWritePending(JobState job) {
     return isEnabled && job.writes().isInFlight();
   }
 
-  /** Whether a machine has answered the latest commands, so that its tasks can be stopped. */
+  /**
+   * Returns whether a machine has answered the latest commands and can be expected to stop its
+   * tasks.
+   */
   boolean isResponsive(MachineState machine) {
     return !isEnabled || machine.commandChannel().unansweredCommands() == 0;
   }
--- a/src/main/java/eiderfork/controller/scheduling/CapacityClaims.java
+++ b/src/main/java/eiderfork/controller/scheduling/CapacityClaims.java
@@ -11,40 +11,37 @@
 import java.util.Map;
 import java.util.function.Predicate;
 
-/** The claims on capacity of all machines, in the order in which they were made. */
+/** The capacity claims on all machines, in creation order. */
 final class CapacityClaims {
   private final List<CapacityClaim> claims = new ArrayList<>();
 
-  /** What the claims take of each machine that has any. */
+  /** The claimed resources of each machine that has claims. */
   private final Map<MachineState, Resources> claimedByMachine = new Reference2ObjectOpenHashMap<>();
 
   private long revision;
 
-  /** Grows with each claim that is made or ends. */
+  /** Returns a counter that increases whenever a claim is added or removed. */
   long revision() {
     return revision;
   }
 
-  /** All claims. */
   List<CapacityClaim> all() {
     return Collections.unmodifiableList(claims);
   }
 
-  /** Ends all claims. */
   void clear() {
     revision++;
     claims.clear();
     claimedByMachine.clear();
   }
 
-  /** Makes a claim. */
   void add(CapacityClaim claim) {
     revision++;
     claims.add(claim);
     claimedByMachine.merge(claim.machine(), demand(claim), Resources::plus);
   }
 
-  /** Removes the claims that do not satisfy the condition, and returns them. */
+  /** Removes and returns the claims that do not satisfy the condition. */
   List<CapacityClaim> retain(Predicate<CapacityClaim> condition) {
     List<CapacityClaim> before = List.copyOf(claims);
     List<CapacityClaim> removed = new ArrayList<>();
@@ -59,7 +56,7 @@
     return removed;
   }
 
-  /** Removes the claims of a job, and returns them. */
+  /** Removes and returns the claims of a job. */
   List<CapacityClaim> remove(JobState job) {
     List<CapacityClaim> removed = new ArrayList<>();
     for (Iterator<CapacityClaim> remaining = claims.iterator(); remaining.hasNext(); ) {
@@ -79,7 +76,7 @@
     if (hasOthers) {
       claimedByMachine.merge(claim.machine(), demand(claim), Resources::minus);
     } else {
-      // Repeated sums of decimal amounts would leave a rounding error behind.
+      // Repeated additions and subtractions of decimal amounts would leave a rounding error.
       claimedByMachine.remove(claim.machine());
     }
   }
@@ -88,12 +85,12 @@
     return claim.job().spec().taskResources();
   }
 
-  /** What claims take of a machine, or null. */
+  /** Returns the claimed resources of a machine, or null if it has no claims. */
   Resources claimedOn(MachineState machine) {
     return claimedByMachine.get(machine);
   }
 
-  /** Whether the job has claims. */
+  /** Returns whether the job has any claim. */
   boolean hasAny(JobState job) {
     for (CapacityClaim claim : claims) {
       if (claim.job() == job) {
@@ -103,7 +100,7 @@
     return false;
   }
 
-  /** Whether the job has a claim on this machine. */
+  /** Returns whether the job has a claim on this machine. */
   boolean hasAny(JobState job, MachineState machine) {
     return claims.stream().anyMatch(claim -> claim.job() == job && claim.machine() == machine);
   }
--- a/src/main/java/eiderfork/controller/scheduling/DeadlineEstimator.java
+++ b/src/main/java/eiderfork/controller/scheduling/DeadlineEstimator.java
@@ -12,17 +12,18 @@
 import java.util.OptionalLong;
 
 /**
- * Estimates which deadlines jobs can still meet, from their owners' estimates of the run and from
- * the image fetch.
+ * Estimates which deadlines jobs can still meet, from the run time estimates of their owners and
+ * the image fetch time.
  *
- * <p>Time counts from when this leader learned of the job: a moment after its submission or, after
- * a failover, later. So the estimates may order jobs, and must not decide whether one runs.
+ * <p>Time counts from when this leader first saw the job, which is shortly after its submission or,
+ * after a failover, later. The estimates may therefore order jobs but must not decide whether a job
+ * runs.
  */
 final class DeadlineEstimator {
   private final ControllerContext context;
   private final MachineRegistry fleet;
 
-  /** The multiples of their deadline that have an objective, by job class. */
+  /** The multiples of the deadline that have an objective, by job class. */
   private final Map<String, List<Double>> deadlineFactorsByClass = new HashMap<>();
 
   DeadlineEstimator(ControllerContext context, MachineRegistry fleet) {
@@ -31,8 +32,8 @@
   }
 
   /**
-   * The latest time at which the job may start to meet the strictest of its deadlines that it still
-   * can; empty where it has none, or can't meet any.
+   * Returns the latest start time with which the job meets the strictest deadline that it still
+   * can; empty if it has no deadline or can't meet any.
    */
   OptionalLong latestStartMs(JobState job) {
     Job spec = job.spec();
@@ -49,8 +50,8 @@
   }
 
   /**
-   * Whether a task of the job that starts now and is lost can't be run again in time. Such work
-   * belongs on machines that the cloud does not take back.
+   * Returns whether a task of the job that starts now and is lost can't be rerun in time. Such jobs
+   * belong on machines that the cloud does not reclaim.
    */
   boolean hasNoTimeForRerun(JobState job) {
     OptionalLong latestMs = latestStartMs(job);
@@ -58,7 +59,9 @@
         && latestMs.getAsLong() - context.nowMs() < toMs(job.spec().estimatedRunS());
   }
 
-  /** Whether a running task meets a deadline, and would not if it were run again from now. */
+  /**
+   * Returns whether a running task meets a deadline that it would miss if it were rerun from now.
+   */
   boolean isLateIfRerun(Reservation reservation) {
     Job spec = reservation.job().spec();
     if (spec.deadlineS() == null) {
@@ -82,7 +85,7 @@
     return job.firstSeenMs() + toMs(factor * job.spec().deadlineS());
   }
 
-  /** How long the image fetch takes on the slowest machine type that the job may use. */
+  /** Returns the image fetch time on the slowest machine type that the job may use. */
   private double longestFetchS(Job spec) {
     double longestS = 0;
     for (MachineType type : fleet.types().values()) {
--- a/src/main/java/eiderfork/controller/scheduling/DeferredPreemptions.java
+++ b/src/main/java/eiderfork/controller/scheduling/DeferredPreemptions.java
@@ -13,8 +13,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The tasks that are to be preempted right after their next checkpoint. Nothing is sent for them
- * before, and nothing stored: a new leader decides anew.
+ * Tasks to preempt right after their next checkpoint. Pending preemptions are neither sent nor
+ * stored; a new leader makes its own decisions.
  */
 final class DeferredPreemptions {
   private static final Logger LOG = LoggerFactory.getLogger(DeferredPreemptions.class);
@@ -33,36 +33,36 @@
     this.capacity = capacity;
   }
 
-  /** Forgets what belongs to a term that is over. */
+  /** Discards the pending preemptions of the previous leadership term. */
   void clear() {
     revision++;
     pendingByVictim.clear();
   }
 
-  /** Has a task preempted for a job once it has written its next checkpoint. */
+  /** Schedules the preemption of a task after its next checkpoint. */
   void preemptAfterCheckpoint(Reservation victim, JobState preemptor, double checkpointDelayS) {
     revision++;
     long dueMs = context.nowMs() + Math.round(checkpointDelayS * 1000);
     pendingByVictim.put(victim, new Pending(preemptor, dueMs));
   }
 
-  /** Takes the preemption of a task back. */
+  /** Cancels the pending preemption of a task. */
   void cancel(Reservation victim) {
     revision++;
     pendingByVictim.remove(victim);
   }
 
-  /** Whether a task is to be preempted after its next checkpoint. */
+  /** Returns whether a task is to be preempted after its next checkpoint. */
   boolean isPending(Reservation victim) {
     return pendingByVictim.containsKey(victim);
   }
 
-  /** Grows with each change of what is pending. */
+  /** Returns a counter that increases whenever the pending preemptions change. */
   long revision() {
     return revision;
   }
 
-  /** What pending preemptions will free of a team's usage. */
+  /** Returns the part of a team's usage that pending preemptions will free. */
   QuotaAmount pendingAmountOf(TeamId team) {
     QuotaAmount sum = QuotaAmount.NONE;
     for (Reservation victim : pendingByVictim.keySet()) {
@@ -73,13 +73,15 @@
     return sum;
   }
 
-  /** What ends with a task: itself, or its whole gang. */
+  /** Returns the usage that ends when a task is preempted: its own, or that of its whole gang. */
   static QuotaAmount amountFreedBy(Reservation victim) {
     int tasks = victim.job().gang() == null ? 1 : victim.job().reservations().size();
     return QuotaAmount.of(victim.job().spec().taskResources()).times(tasks);
   }
 
-  /** Preempts the tasks whose checkpoint is due, and drops what no job waits for any more. */
+  /**
+   * Preempts the tasks whose checkpoint is due and drops preemptions that no job needs any more.
+   */
   void tick() {
     for (Iterator<Map.Entry<Reservation, Pending>> entries = pendingByVictim.entrySet().iterator();
         entries.hasNext(); ) {
--- a/src/main/java/eiderfork/controller/scheduling/DispatchEligibility.java
+++ b/src/main/java/eiderfork/controller/scheduling/DispatchEligibility.java
@@ -8,12 +8,17 @@
 import eiderfork.controller.store.StoreClient;
 import eiderfork.model.JobKind;
 
-/** Whether a job's tasks may be placed, and its completions written, in this round. */
+/** Decides whether a job's tasks may be placed, and its completions written, in this round. */
 final class DispatchEligibility {
-  /** While writes wait for less than this share of a step, what is not urgent is written, too. */
+  /**
+   * The expected write wait, as a share of a step, up to which completions that are not urgent are
+   * written.
+   */
   private static final double IDLE_WRITE_WAIT_SHARE = 0.2;
 
-  /** How long completions of a running job may stay unwritten while writes wait, in steps. */
+  /**
+   * The longest time that completions of a running job stay unwritten while writes wait, in steps.
+   */
   private static final int MAX_PARTIAL_COMPLETION_DELAY_STEPS = 5;
 
   private final ControllerContext context;
@@ -26,12 +31,12 @@
     this.jobs = jobs;
   }
 
-  /** Whether a write of the job may begin. */
+  /** Returns whether a write of the job may begin. */
   boolean canWrite(JobState job) {
     return job.canWrite(context.nowMs());
   }
 
-  /** Whether tasks of the job may be placed. */
+  /** Returns whether tasks of the job may be placed. */
   boolean canPlace(JobState job) {
     return job.hasPendingTasks()
         && context.nowMs() >= job.failureHistory().notBeforeMs()
@@ -41,9 +46,9 @@
   }
 
   /**
-   * Whether an array that has begun waits for more free capacity before it starts further tasks. If
-   * each completion were followed by a start, each start would take a write, and a range of its own
-   * in the job's record.
+   * Returns whether an array that has begun collects free capacity before it starts more tasks.
+   * Starting a task after each completion would take one write per start, and one range per task in
+   * the job's record.
    */
   boolean isBatchingStarts(JobState job) {
     return job.spec().kind() == JobKind.ARRAY
@@ -52,8 +57,8 @@
   }
 
   /**
-   * Whether a suspected job waits for the outcome of the one task that it may try. A task that has
-   * outlived the failures clears the suspicion.
+   * Returns whether a job suspected of failing everywhere waits for the outcome of its single trial
+   * task. A task that outlives the earlier failures clears the suspicion.
    */
   private boolean isAwaitingTrialTask(JobState job) {
     if (!job.failureHistory().isSuspected()) {
@@ -68,12 +73,12 @@
     return !job.reservations().isEmpty();
   }
 
-  /** The priority of a write that starts tasks of the job. */
+  /** Returns the priority of a write that starts tasks of the job. */
   static RequestPriority startPriority(JobState job) {
     return job.spec().kind() == JobKind.ARRAY ? RequestPriority.BATCH : RequestPriority.START;
   }
 
-  /** Writes completions once they were collected for long enough; whether some are left. */
+  /** Writes the job's completions if they are due and returns whether unwritten changes remain. */
   boolean writeCompletions(JobState job) {
     if (!canWrite(job)) {
       return job.writes().isInFlight() && job.writes().isDirty();
@@ -87,10 +92,10 @@
   }
 
   /**
-   * Whether the completions of a job that goes on may be written now. While writes wait they are
-   * left to the job's next write, since they would delay starts, and the completion of the whole
-   * job behind them. They are not left for long: a task counts for its team's quota until its
-   * completion is written.
+   * Returns whether the completions of a job with unfinished tasks may be written now. While writes
+   * wait, completions are left to the job's next write, since they would delay starts and writes
+   * that complete a whole job. The delay is bounded because a task counts towards its team's quota
+   * until its completion is written.
    */
   private boolean canWritePartialCompletions(JobState job) {
     long sinceWrittenMs = context.nowMs() - job.writes().lastWriteMs();
--- a/src/main/java/eiderfork/controller/scheduling/FairShareOrder.java
+++ b/src/main/java/eiderfork/controller/scheduling/FairShareOrder.java
@@ -16,11 +16,11 @@
 import java.util.Set;
 
 /**
- * Sorts the jobs that have something to place or to write into the order in which they are served:
- * work within its team's guarantee first, then by priority, then by {@link QueueOrder}.
+ * Sorts the jobs with tasks to place or changes to write: jobs within their team's guarantee first,
+ * then by priority, then by {@link QueueOrder}.
  */
 final class FairShareOrder {
-  /** A job with what decides its position. */
+  /** A job with the attributes that determine its position. */
   private record QueuedJob(JobState job, boolean isWithinGuarantee, long queueTimeMs)
       implements Comparable<QueuedJob> {
     @Override
@@ -47,7 +47,7 @@
     queueOrder = new QueueOrder(context, deadlines);
   }
 
-  /** The jobs that have something to place or to write, the most urgent first. */
+  /** Returns the jobs with tasks to place or changes to write, most urgent first. */
   List<JobState> sort(JobRegistry jobs) {
     List<JobState> work = jobs.jobsWithWork();
     Set<JobState> guaranteed = jobsWithinGuarantee(work, jobs.resourceUsage());
@@ -63,7 +63,10 @@
     return sorted;
   }
 
-  /** The jobs that fit into their team's guarantee beside its more urgent and earlier jobs. */
+  /**
+   * Returns the jobs that fit into their team's guarantee after the team's more urgent and earlier
+   * jobs.
+   */
   private Set<JobState> jobsWithinGuarantee(List<JobState> work, ResourceUsage usage) {
     List<JobState> byUrgency = new ArrayList<>();
     for (JobState job : work) {
@@ -88,8 +91,9 @@
   }
 
   /**
-   * What counts as used beside pending tasks. A lost task is pending again before its end is
-   * committed; counted twice, it would put its team behind those that borrow the team's quota.
+   * Returns the usage to which the demand of pending tasks is added. A lost task is pending again
+   * before its end is committed; counting it twice would rank its team behind teams that borrow its
+   * quota.
    */
   private Resources usedBy(String team, ResourceUsage usage) {
     return context.settings.operator().isLendingEnabled() ? usage.held(team) : usage.used(team);
@@ -100,7 +104,7 @@
     return byPriority != 0 ? byPriority : Long.compare(first.specVersion(), second.specVersion());
   }
 
-  /** The most pending tasks of any array. */
+  /** Returns the largest number of pending tasks of any array. */
   private static int maxWaitingArrayTasks(List<JobState> work) {
     int maxTasks = 1;
     for (JobState job : work) {
--- a/src/main/java/eiderfork/controller/scheduling/FreeCapacity.java
+++ b/src/main/java/eiderfork/controller/scheduling/FreeCapacity.java
@@ -17,8 +17,8 @@
 import java.util.function.Predicate;
 
 /**
- * The free capacity of machines beside the claims on it. Within a round it only shrinks, apart from
- * claims and reservations that are taken back.
+ * The free capacity of machines after reservations and claims. Within a round it only shrinks,
+ * except when claims or reservations are withdrawn.
  */
 final class FreeCapacity {
   private final MachineRegistry fleet;
@@ -28,24 +28,25 @@
   private final CapacityClaims claims = new CapacityClaims();
 
   /**
-   * Failed searches of this round that had further constraints, by those. They are forgotten with
-   * the round: what constraints withhold can become free without an increase of capacity.
+   * The failed searches of this round that had additional constraints, by those constraints. They
+   * are discarded after the round because capacity that a constraint excludes can become usable
+   * without any increase of capacity.
    */
   private final Map<SearchConstraints, FailedSearchCache> failedRestrictedSearches =
       new HashMap<>();
 
-  /** The machines that may be used in this round; null until they are requested. */
+  /** The machines usable in this round; null until requested. */
   private List<MachineState> usableMachines;
 
   private int examinations;
   private long nowMs;
 
   /**
-   * Begins without claims.
+   * Creates a view of the fleet with no claims.
    *
-   * @param usableFilter whether tasks may be placed on a machine now
-   * @param claimableFilter whether claims on a machine are kept
-   * @param borrowedCapacity which capacity is withheld from borrowers
+   * @param usableFilter tests whether tasks may be placed on a machine now
+   * @param claimableFilter tests whether claims on a machine are kept
+   * @param borrowedCapacity determines the capacity that is withheld from borrowers
    */
   FreeCapacity(
       MachineRegistry fleet,
@@ -58,7 +59,7 @@
     this.borrowedCapacity = borrowedCapacity;
   }
 
-  /** Begins a round: keeps the claims of earlier ones that are still of use. */
+  /** Begins a round: drops claims that are expired or no longer needed. */
   void beginRound(long nowMs) {
     usableMachines = null;
     examinations = 0;
@@ -78,45 +79,44 @@
         && claimableFilter.test(claim.machine());
   }
 
-  /** Forgets everything of a term that is over. */
+  /** Discards the claims of the previous leadership term. */
   void clear() {
     usableMachines = null;
     claims.clear();
   }
 
-  /** Keeps capacity for a job. */
+  /** Reserves capacity for a job by a claim. */
   void addClaim(CapacityClaim claim) {
     claims.add(claim);
   }
 
-  /** Ends the claims of a job, so that it can use the capacity, and returns them. */
+  /** Releases and returns the claims of a job, so that its capacity can be used. */
   List<CapacityClaim> releaseClaims(JobState job) {
     List<CapacityClaim> released = claims.remove(job);
     released.forEach(claim -> index().capacityIncreased(claim.machine()));
     return released;
   }
 
-  /** Whether the job has claims. */
+  /** Returns whether the job has any claim. */
   boolean hasClaims(JobState job) {
     return claims.hasAny(job);
   }
 
-  /** Whether the job has a claim on this machine. */
+  /** Returns whether the job has a claim on this machine. */
   boolean hasClaim(JobState job, MachineState machine) {
     return claims.hasAny(job, machine);
   }
 
-  /** All claims. */
   List<CapacityClaim> claims() {
     return claims.all();
   }
 
-  /** Grows with each claim that is made or ends. */
+  /** Returns a counter that increases whenever a claim is added or removed. */
   long claimRevision() {
     return claims.revision();
   }
 
-  /** Whether searches have proved that a task of this job fits nowhere. */
+  /** Returns whether failed searches rule out every zone for a task of this job. */
   boolean isRuledOutInAllZones(Job spec) {
     for (String zone : index().zones()) {
       if (!failedSearches().isRuledOut(spec, zone)) {
@@ -130,7 +130,7 @@
     return fleet.indexes().capacityIndex();
   }
 
-  /** All machines that may be used, in the order in which they were registered. */
+  /** Returns all usable machines in registration order. */
   List<MachineState> usableMachines() {
     if (usableMachines == null) {
       usableMachines = new ArrayList<>();
@@ -143,57 +143,57 @@
     return usableMachines;
   }
 
-  /** The machines in these zones on which a task of the job may fit. */
+  /** Returns the machines in these zones that may have room for a task of the job. */
   List<MachineState> candidates(Job spec, Collection<String> zones) {
     List<MachineState> candidates = new ArrayList<>();
     index().forEachCandidate(spec, zones, number -> candidates.add(fleet.get(number)));
     return candidates;
   }
 
-  /** Whether tasks may be placed on the machine now. */
+  /** Returns whether tasks may be placed on the machine now. */
   boolean isUsable(MachineState machine) {
     return usableFilter.test(machine);
   }
 
-  /** What neither reservations nor claims take. */
+  /** Returns the machine's capacity that is neither reserved nor claimed. */
   Resources freeOn(MachineState machine) {
     Resources claimed = claims.claimedOn(machine);
     return claimed == null ? machine.freeCapacity() : machine.freeCapacity().minus(claimed);
   }
 
   /**
-   * What neither reservations nor claims take, for one job.
+   * Returns the machine's capacity that is neither reserved nor claimed and that the job may use.
    *
-   * @param excludesReclaimed whether the job borrows, so that reclaimed capacity is withheld from
-   *     it
+   * @param excludesReclaimed whether the job borrows quota, so that recently reclaimed capacity is
+   *     withheld from it
    */
   Resources freeOn(MachineState machine, JobState job, boolean excludesReclaimed) {
     Resources free = freeOn(machine);
     return excludesReclaimed ? free.minus(borrowedCapacity.withheldFrom(job, machine)) : free;
   }
 
-  /** The searches without further constraints that have failed. */
+  /** Returns the cache of failed searches without additional constraints. */
   FailedSearchCache failedSearches() {
     return index().failedSearches();
   }
 
-  /** The searches of this round with these constraints that have failed. */
+  /** Returns this round's cache of failed searches with the given constraints. */
   FailedSearchCache failedRestrictedSearches(SearchConstraints constraints) {
     return failedRestrictedSearches.computeIfAbsent(
         constraints, searched -> new FailedSearchCache());
   }
 
-  /** Counts that a machine is examined for a job. */
+  /** Counts one examination of a machine for a job. */
   void countExamination() {
     examinations++;
   }
 
-  /** How often a machine was examined for a job in this round. */
+  /** Returns the number of machine examinations in this round. */
   int examinations() {
     return examinations;
   }
 
-  /** The zones that may take one more task of a job. */
+  /** Returns the zones that may take one more task of the job. */
   Set<String> eligibleZones(JobState job, Map<String, Integer> tasksByZone) {
     Job spec = job.spec();
     Set<String> zones = new LinkedHashSet<>();
@@ -206,7 +206,10 @@
     return zones;
   }
 
-  /** Whether the job may have one more task on this machine, if it fits. */
+  /**
+   * Returns whether the job's constraints allow one more task on this machine; does not check
+   * capacity.
+   */
   boolean isAllowed(JobState job, MachineState machine, Map<String, Integer> tasksByZone) {
     Job spec = job.spec();
     return PlacementConstraints.isMachineAllowed(spec, machine)
@@ -215,7 +218,10 @@
             spec, machine.zone(), tasksByZone, spec.maxTasksPerZone());
   }
 
-  /** Whether the job failed on this machine, and has others to run on. */
+  /**
+   * Returns whether the job avoids this machine because it failed there, and has other machines to
+   * run on.
+   */
   private boolean isAvoided(JobState job, MachineState machine) {
     return job.failureHistory().isAvoided(machine.name(), nowMs)
         && job.failureHistory().failedMachines().size() < index().size();
--- a/src/main/java/eiderfork/controller/scheduling/GangScheduler.java
+++ b/src/main/java/eiderfork/controller/scheduling/GangScheduler.java
@@ -14,7 +14,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Places all tasks of a gang at once, has capacity preempted for all of them, or does neither. */
+/**
+ * Schedules gangs all-or-nothing: places all tasks of a gang at once, preempts for all of them, or
+ * does neither.
+ */
 final class GangScheduler {
   private static final Logger LOG = LoggerFactory.getLogger(GangScheduler.class);
 
@@ -43,7 +46,7 @@
     this.preemptionBudget = preemptionBudget;
   }
 
-  /** Proposes reservations for the whole gang, or has capacity preempted for the whole of it. */
+  /** Proposes reservations for all tasks of the gang, or requests preemption for all of them. */
   void place(JobState job, PreemptionPlanner preemptionPlanner, SearchConstraints constraints) {
     Job spec = job.spec();
     Resources usedWithGang = usage.used(spec.team()).plus(spec.taskResources().times(spec.tasks()));
@@ -82,9 +85,9 @@
   }
 
   /**
-   * The tasks of each zone to begin a search with. A gang that has to be in one zone is tried in
-   * one after the other, since the best machine for its first task may be in a zone that has no
-   * capacity for the others.
+   * Returns the initial task counts per zone for each search to try. A single-zone gang gets one
+   * entry per zone, tried in turn, because the zone with the best machine for the first task may
+   * lack capacity for the rest.
    */
   private List<Map<String, Integer>> initialZoneCounts(JobState job) {
     List<Map<String, Integer>> candidates = new ArrayList<>();
@@ -100,7 +103,10 @@
     return candidates;
   }
 
-  /** Whether the machines hold every task, before any of them is scored. */
+  /**
+   * Returns whether the free capacity is enough for all tasks; checked before any machine is
+   * scored.
+   */
   private boolean hasCapacityForAll(
       JobState job, Map<String, Integer> tasksByZone, SearchConstraints constraints) {
     Job spec = job.spec();
--- a/src/main/java/eiderfork/controller/scheduling/GpuHeadroom.java
+++ b/src/main/java/eiderfork/controller/scheduling/GpuHeadroom.java
@@ -5,7 +5,7 @@
 import eiderfork.model.JobKind;
 import java.util.List;
 
-/** Which jobs have to leave free GPUs the CPUs that GPU work needs, while such work is pending. */
+/** Decides which jobs have to leave free GPUs the CPUs that pending GPU work needs. */
 final class GpuHeadroom {
   private final ControllerContext context;
   private boolean isGpuWorkPending;
@@ -14,7 +14,6 @@
     this.context = context;
   }
 
-  /** Begins a round with these jobs. */
   void beginRound(List<JobState> queue) {
     isGpuWorkPending = queue.stream().anyMatch(GpuHeadroom::isWaitingForGpus);
   }
@@ -24,9 +23,9 @@
   }
 
   /**
-   * Whether the job has to leave the headroom. Arrays without GPUs would keep GPUs idle, since work
-   * of the same priority does not preempt them. Such an array does not wait for ever, and less long
-   * where it has not begun.
+   * Returns whether the job has to leave the headroom. Arrays without GPUs could leave GPUs idle,
+   * since work of the same priority does not preempt them. The restriction ends after a bounded
+   * wait, which is shorter for an array that has not started.
    */
   boolean appliesTo(JobState job) {
     long maxWaitMs = QueueOrder.OVERDUE_MS * (job.lastAttempt() == 0 ? 1 : 2);
--- a/src/main/java/eiderfork/controller/scheduling/ImageFetchEstimator.java
+++ b/src/main/java/eiderfork/controller/scheduling/ImageFetchEstimator.java
@@ -6,7 +6,10 @@
 import eiderfork.model.Job;
 import eiderfork.model.MachineType;
 
-/** Estimates how long tasks wait for their images, by what machines were given before. */
+/**
+ * Estimates the time that tasks wait for their images, from the images already cached or being
+ * fetched on a machine.
+ */
 public final class ImageFetchEstimator {
   private final ControllerContext context;
   private final MachineRegistry fleet;
@@ -16,7 +19,7 @@
     this.fleet = fleet;
   }
 
-  /** How long a task of this job would wait for its image here. */
+  /** Returns the time that a task of this job would wait for its image on the machine. */
   public double waitS(Job job, MachineState machine) {
     MachineType type = fleet.typeOf(machine);
     if (job.image() == null || type == null) {
@@ -32,7 +35,7 @@
     return queuedFetchesS + job.imageGb() / type.imageFetchGbPerS();
   }
 
-  /** How long the machine's fetch of this image still takes. */
+  /** Returns the remaining time of the machine's fetch of this image. */
   private double remainingS(MachineState machine, String image) {
     return machine.images().remainingFetchMs(image, context.nowMs()) / 1000.0;
   }
--- a/src/main/java/eiderfork/controller/scheduling/InfeasiblePreemptions.java
+++ b/src/main/java/eiderfork/controller/scheduling/InfeasiblePreemptions.java
@@ -9,14 +9,14 @@
 import java.util.Set;
 
 /**
- * Requests for which a round has found no victims, zone by zone. Jobs with the same needs are not
- * searched for again in that round.
+ * Caches the requests for which a round found no victims in a zone, so that jobs with the same
+ * requirements are not searched for again in that round.
  */
 final class InfeasiblePreemptions {
   /**
-   * All of a request that decides whether victims are found.
+   * The properties of a request that determine whether victims are found.
    *
-   * @param imageInTime the image that must come in time; null where any wait is accepted
+   * @param imageInTime the image that must arrive in time; null if any wait is accepted
    */
   private record Key(
       Resources demand,
@@ -28,7 +28,7 @@
       Object preemptorKey,
       VictimPreference maxPreference) {}
 
-  /** What was recorded at some time. */
+  /** The requests recorded at some point in time. */
   static final class Snapshot {
     private final Set<Key> keys;
 
@@ -44,7 +44,7 @@
     this.policy = policy;
   }
 
-  /** Whether no victims are to be found in the zone. */
+  /** Returns whether the zone is known to have no victims. */
   boolean contains(PreemptionRequest request, String zone) {
     return infeasible.contains(key(request, zone));
   }
@@ -54,12 +54,12 @@
     infeasible.add(key(request, zone));
   }
 
-  /** What is recorded now, to be restored by {@link #restore}. */
+  /** Returns the current state for a later {@link #restore}. */
   Snapshot snapshot() {
     return new Snapshot(Set.copyOf(infeasible));
   }
 
-  /** Forgets what was recorded since the snapshot was taken. */
+  /** Discards the requests recorded after the snapshot. */
   void restore(Snapshot snapshot) {
     infeasible.retainAll(snapshot.keys);
   }
--- a/src/main/java/eiderfork/controller/scheduling/MachineScorer.java
+++ b/src/main/java/eiderfork/controller/scheduling/MachineScorer.java
@@ -9,21 +9,27 @@
 import eiderfork.model.Resources;
 
 /**
- * Scores machines for one more task of a job; the lower the better. There is one for each search,
- * so that what depends on the job alone is looked up once.
+ * Scores machines for one more task of a job; a lower score is better. Each search creates its own
+ * scorer, so that values that depend only on the job are computed once.
  */
 final class MachineScorer {
-  /** A stranded GPU counts as much as an image wait of this many steps. */
+  /** The penalty for one stranded GPU, as an image wait in steps. */
   private static final double STRANDED_GPU_PENALTY_STEPS = 100;
 
-  /** The smallest image wait that counts, as a share of the job's start objective. */
+  /**
+   * The upper bound of the unit in which image waits are counted, as a share of the job's start
+   * objective.
+   */
   private static final double IMAGE_STEP_SHARE = 0.25;
 
   private final ImageFetchEstimator imageFetch;
   private final CpusPerGpu cpusPerGpu;
   private final Job spec;
 
-  /** Whether the job should leave spot machines, rather than ordinary ones, to other jobs. */
+  /**
+   * True if the job leaves spot machines to other jobs; false if it leaves on-demand machines to
+   * them.
+   */
   private final boolean avoidsSpot;
 
   private final double imageStepS;
@@ -42,18 +48,18 @@
     imageStepS = Math.min(context.stepS(), objectiveS * IMAGE_STEP_SHARE);
   }
 
-  /** Whether a task would leave free GPUs fewer CPUs than GPU work needs beside them. */
+  /** Returns whether a task would leave free GPUs with fewer CPUs than GPU work needs. */
   boolean wouldStrandGpus(Resources free) {
     return cpusPerGpu.strandedGpusBy(spec.taskResources(), free) > 0;
   }
 
   /**
-   * The score of a machine. GPUs that the task would strand count most, then the wait for its image
-   * in steps, then the capacity that it would leave free. Work that may use spot machines leaves
-   * the others to the rest; work whose deadline would be lost with a spot machine does the
-   * opposite.
+   * Returns the score of a machine. Stranded GPUs weigh most, then the wait for the image in steps,
+   * then the share of capacity that remains free. Jobs that may use spot machines leave on-demand
+   * machines to other jobs, unless losing a spot machine would cost them their deadline; such jobs
+   * avoid spot machines.
    *
-   * @param free the free capacity of the machine before the task
+   * @param free the free capacity of the machine before the task is placed
    */
   double score(MachineState machine, Resources free) {
     double strandedGpus = cpusPerGpu.strandedGpusBy(spec.taskResources(), free);
--- a/src/main/java/eiderfork/controller/scheduling/MachineSearch.java
+++ b/src/main/java/eiderfork/controller/scheduling/MachineSearch.java
@@ -14,7 +14,7 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The search for machines for the tasks of one job. The tasks are alike, so each machine is
+ * Searches for machines for the tasks of one job. Since the tasks are identical, each machine is
  * examined once, and again only after a task was placed on it.
  */
 final class MachineSearch {
@@ -37,17 +37,19 @@
 
   private final boolean isSampled;
 
-  /** Zones in which some machine has the free capacity for a task. */
+  /** Zones with a machine that has enough free capacity for a task. */
   private final Set<String> zonesWithCapacity = new HashSet<>();
 
   /**
-   * Examines the machines on which a task may fit.
+   * Examines the machines that may have room for a task.
    *
-   * @param random draws the sample
-   * @param maxExaminations once a round has examined more machines than this, a sample is examined
-   * @param tasksByZone the job's tasks in each zone; the caller counts each task that it places
-   * @param useFailedSearches whether zones are left out in which other jobs' searches have failed;
-   *     not valid for a job whose own claims were just released
+   * @param random the source of randomness for sampling
+   * @param maxExaminations the number of machine examinations in a round beyond which only a sample
+   *     is examined
+   * @param tasksByZone the job's task count in each zone; the caller increases it for each placed
+   *     task
+   * @param useFailedSearches whether to skip zones in which searches of other jobs have failed; not
+   *     valid for a job whose own claims were just released
    */
   MachineSearch(
       FreeCapacity capacity,
@@ -138,15 +140,17 @@
   }
 
   /**
-   * Whether only a sample was examined, so that finding nothing does not prove that nothing fits.
+   * Returns whether only a sample was examined, in which case an empty result does not prove that
+   * no machine fits.
    */
   boolean isSampled() {
     return isSampled;
   }
 
-  /** The best machine for one more task, or null where none fits. */
+  /** Returns the best machine for one more task, or null if none fits. */
   MachineState bestMachine() {
-    // A zone that is full for this job stays full, since its tasks only grow in number.
+    // A zone that reached the job's limit stays ineligible, since the job's task counts only grow
+    // during a search.
     while (!candidates.isEmpty() && !canTakeTask(candidates.peek().machine)) {
       candidates.remove();
     }
@@ -157,7 +161,10 @@
     return capacity.isAllowed(job, machine, tasksByZone) && fitsIn(machine);
   }
 
-  /** Records that a task was placed on the best machine. */
+  /**
+   * Removes the best machine from the candidates after a task was placed on it, and examines it
+   * again.
+   */
   void taskPlaced() {
     Candidate best = candidates.remove();
     examine(best.machine);
--- a/src/main/java/eiderfork/controller/scheduling/MachineSearchFactory.java
+++ b/src/main/java/eiderfork/controller/scheduling/MachineSearchFactory.java
@@ -6,7 +6,7 @@
 import eiderfork.controller.registry.JobState;
 import java.util.Map;
 
-/** Creates the searches of scheduling rounds, with a scorer for the job that is placed. */
+/** Creates machine searches for scheduling rounds, each with a scorer for its job. */
 final class MachineSearchFactory {
   private final ControllerContext context;
   private final JobRegistry jobs;
@@ -16,8 +16,10 @@
   private final double maxFullSearchExaminations;
 
   /**
-   * @param maxFullSearchExaminations once a round has examined more machines than this, its
-   *     searches examine a sample
+   * Creates a factory whose searches share one examination limit.
+   *
+   * @param maxFullSearchExaminations the number of machine examinations in a round beyond which
+   *     searches examine only a sample
    */
   MachineSearchFactory(
       ControllerContext context,
@@ -35,10 +37,11 @@
   }
 
   /**
-   * Begins a search for the tasks of a job.
+   * Creates a search for machines for the tasks of a job.
    *
-   * @param tasksByZone the job's tasks in each zone; the caller counts each task that it places
-   * @param useFailedSearches whether zones are left out in which other jobs' searches have failed
+   * @param tasksByZone the job's task count in each zone; the caller increases it for each placed
+   *     task
+   * @param useFailedSearches whether to skip zones in which searches of other jobs have failed
    */
   MachineSearch create(
       JobState job,
--- a/src/main/java/eiderfork/controller/scheduling/PlacementConstraints.java
+++ b/src/main/java/eiderfork/controller/scheduling/PlacementConstraints.java
@@ -7,14 +7,14 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Where a job allows its tasks to run, given its other tasks. */
+/** Constraints on the zones and machines of a job's tasks, including its zone spread. */
 public final class PlacementConstraints {
-  /** The key in {@link #countTasksByZone} of tasks whose machine is known by name only. */
+  /** The key in {@link #countTasksByZone} for tasks on machines that are known by name only. */
   private static final String UNKNOWN_ZONE = "";
 
   private PlacementConstraints() {}
 
-  /** How many tasks of a job each zone holds. */
+  /** Returns the number of a job's tasks in each zone. */
   public static Map<String, Integer> countTasksByZone(JobState job) {
     Map<String, Integer> tasksByZone = new HashMap<>();
     for (Reservation reservation : job.reservations().values()) {
@@ -24,8 +24,9 @@
   }
 
   /**
-   * Whether a zone may take one more task of a job. A new leader may know machines of reservations
-   * by name only; those could be in any zone, and are counted in each.
+   * Returns whether a zone may take one more task of a job. A new leader may know the machines of
+   * some reservations by name only; since they could be in any zone, their tasks are counted in
+   * each zone.
    */
   public static boolean canZoneAccept(
       Job spec, String zone, Map<String, Integer> tasksByZone, int maxTasks) {
@@ -37,7 +38,7 @@
     return tasksByZone.getOrDefault(zone, 0) + (spec.spreadZones() ? unknown : 0) < maxTasks;
   }
 
-  /** Whether the job's tasks may run on this kind of machine, in its zone. */
+  /** Returns whether the job's tasks may run on a machine of this type, zone and purchase model. */
   static boolean isMachineAllowed(Job spec, MachineState machine) {
     return spec.allowsType(machine.spec().type())
         && spec.allowsZone(machine.zone())
--- a/src/main/java/eiderfork/controller/scheduling/PreemptionBudget.java
+++ b/src/main/java/eiderfork/controller/scheduling/PreemptionBudget.java
@@ -3,8 +3,8 @@
 import eiderfork.controller.context.ControllerContext;
 
 /**
- * Bounds the processor time that the search for preemption victims takes: after an expensive round
- * no further search begins until its cost is spread over enough steps.
+ * Limits the CPU time of searches for preemption victims: after an expensive round no search begins
+ * until its cost is spread over enough steps.
  */
 final class PreemptionBudget {
   private final ControllerContext context;
@@ -16,18 +16,18 @@
     this.maxExaminationsPerStep = maxExaminationsPerStep;
   }
 
-  /** Whether victims may be searched for now. */
+  /** Returns whether a search for victims may begin now. */
   boolean isAvailable() {
     return context.nowMs() >= notBeforeMs;
   }
 
-  /** Accounts for the machines that a round has examined for victims. */
+  /** Charges the machine examinations of a round to the budget. */
   void charge(int examinations) {
     long pauseMs = (long) (examinations / maxExaminationsPerStep * context.stepMs());
     notBeforeMs = Math.max(notBeforeMs, context.nowMs() + pauseMs);
   }
 
-  /** Forgets the searches of a term that is over. */
+  /** Discards the charges of the previous leadership term. */
   void clear() {
     notBeforeMs = 0;
   }
--- a/src/main/java/eiderfork/controller/scheduling/PreemptionCosts.java
+++ b/src/main/java/eiderfork/controller/scheduling/PreemptionCosts.java
@@ -6,12 +6,12 @@
 import eiderfork.model.Job;
 import eiderfork.model.TaskStatus;
 
-/** What preempting a task costs, as far as all policies agree on it. */
+/** Cost estimates for preempting a task that all policies share. */
 final class PreemptionCosts {
-  /** How long a gang does not run when it is preempted, beside its save, in steps. */
+  /** The downtime of a preempted gang in addition to its save, in steps. */
   private static final double GANG_RESTART_STEPS = 2;
 
-  /** How many runs of a task its job's deadline is worth when a victim is chosen. */
+  /** The cost of a missed deadline, as a multiple of the task's estimated run time. */
   private static final double MISSED_DEADLINE_RUNS = 4;
 
   private final ControllerContext context;
@@ -24,17 +24,20 @@
     this.deadlines = deadlines;
   }
 
-  /** Whether the task is known to run, and since when. */
+  /** Returns whether the task is known to run, with a known start time. */
   static boolean isKnownRunning(Reservation task) {
     return task.reportedState() == TaskStatus.State.RUNNING && task.runningSinceMs() != 0;
   }
 
-  /** How long the task has run; 0 where it was not seen running. */
+  /** Returns the run time of the task; 0 if it was not seen running. */
   double runS(Reservation task) {
     return task.runningSinceMs() == 0 ? 0 : (context.nowMs() - task.runningSinceMs()) / 1000.0;
   }
 
-  /** What it costs if the job misses a deadline because the task has to run again; else 0. */
+  /**
+   * Returns the cost of missing a deadline because the task has to be rerun; 0 if none would be
+   * missed.
+   */
   double missedDeadlineS(Reservation task) {
     return deadlines.isLateIfRerun(task)
         ? task.job().spec().estimatedRunS() * MISSED_DEADLINE_RUNS
@@ -42,9 +45,10 @@
   }
 
   /**
-   * The share of the cost of preempting a whole gang that falls to one of its tasks on a machine.
+   * Returns the share of the cost of preempting a whole gang that is attributed to one of its tasks
+   * on a machine.
    *
-   * @param costS what each task of the gang loses
+   * @param costS the cost for each task of the gang
    */
   double gangShareS(Reservation task, double costS) {
     return (costS + GANG_RESTART_STEPS * context.stepS()) * gangTasksPerTaskOnMachine(task);
@@ -56,7 +60,7 @@
     return task.job().spec().tasks() / (double) onMachine;
   }
 
-  /** The size by which the cost of a job's task is weighted. */
+  /** Returns the size of a job's task, by which its cost is weighted. */
   double weight(Job spec) {
     return cpusPerGpu.gpuWeight(spec.taskResources());
   }
--- a/src/main/java/eiderfork/controller/scheduling/PreemptionLog.java
+++ b/src/main/java/eiderfork/controller/scheduling/PreemptionLog.java
@@ -5,13 +5,13 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Logs the preemptions of all policies in one form. */
+/** Logs the preemptions of all policies in the same format. */
 final class PreemptionLog {
   private static final Logger LOG = LoggerFactory.getLogger(PreemptionLog.class);
 
   private PreemptionLog() {}
 
-  /** Logs that a task, or a gang by one of its tasks, is preempted for a job. */
+  /** Logs that a task, or a gang represented by one of its tasks, is preempted for a job. */
   static void logVictim(Job preemptor, PreemptionPolicy.TaskPreemption preemption) {
     Reservation victim = preemption.task();
     LOG.info(
--- a/src/main/java/eiderfork/controller/scheduling/PreemptionOption.java
+++ b/src/main/java/eiderfork/controller/scheduling/PreemptionOption.java
@@ -9,18 +9,18 @@
  * A way to free capacity for one task on a machine.
  *
  * @param victims the tasks that have to leave the machine
- * @param cost the work that is thrown away, in seconds weighted by size
+ * @param cost the work lost and the wait for the image, in seconds weighted by size
  */
 record PreemptionOption(MachineState machine, List<Victim> victims, double cost) {
-  /** The cheapest option first, and of equal ones the machine that is known for longest. */
+  /** Orders options by cost, then by the registration order of their machines. */
   static final Comparator<PreemptionOption> CHEAPEST_FIRST =
       Comparator.comparingDouble(PreemptionOption::cost)
           .thenComparingInt(PreemptionOption::machineNumber);
 
   /**
-   * A task that would have to leave.
+   * A task that has to leave the machine.
    *
-   * @param preemption how the task is preempted; null for a replica that is migrated
+   * @param preemption how the task is preempted; null for a replica that migrates
    */
   record Victim(Reservation reservation, PreemptionPolicy.TaskPreemption preemption, double cost) {
     boolean isMigrated() {
@@ -32,17 +32,17 @@
     return machine.number();
   }
 
-  /** The victims that are migrated. */
+  /** Returns the victims that migrate. */
   List<Reservation> migratedReplicas() {
     return victims.stream().filter(Victim::isMigrated).map(Victim::reservation).toList();
   }
 
-  /** The victims that are preempted, and how. */
+  /** Returns the preemptions of the other victims. */
   List<PreemptionPolicy.TaskPreemption> preemptions() {
     return victims.stream().filter(victim -> !victim.isMigrated()).map(Victim::preemption).toList();
   }
 
-  /** How long until the last of the preempted tasks has ended. */
+  /** Returns the time until the last preempted task has ended. */
   double delayS() {
     return preemptions().stream()
         .mapToDouble(preemption -> preemption.plan().delayS())
--- a/src/main/java/eiderfork/controller/scheduling/PreemptionOptionFinder.java
+++ b/src/main/java/eiderfork/controller/scheduling/PreemptionOptionFinder.java
@@ -11,7 +11,9 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** Finds the tasks of a machine whose end or migration costs least and lets a task of a job fit. */
+/**
+ * Finds the cheapest set of tasks to preempt or migrate on a machine so that a task of a job fits.
+ */
 final class PreemptionOptionFinder {
   private final FreeCapacity capacity;
   private final ImageFetchEstimator imageFetch;
@@ -33,12 +35,15 @@
     this.migrations = migrations;
   }
 
-  /** How often a machine was examined, as the host of victims or as the target of a migration. */
+  /**
+   * Returns the number of examinations of machines, both as hosts of victims and as migration
+   * targets.
+   */
   int examinations() {
     return examinations + migrations.examinations();
   }
 
-  /** The cheapest option on a machine, or null where no task of the job can be made to fit. */
+  /** Returns the cheapest option on a machine, or null if no task of the job can be made to fit. */
   PreemptionOption find(PreemptionRequest request, MachineState machine) {
     JobState job = request.job();
     Resources demand = job.spec().taskResources();
@@ -64,9 +69,9 @@
     return new PreemptionOption(machine, victims, cost(job.spec(), machine, victims));
   }
 
-  /** The free capacity once all has ended that is being stopped already. */
+  /** Returns the free capacity after all tasks that are already being stopped have ended. */
   private Resources freeAfterPendingStops(JobState job, MachineState machine) {
-    // What is withheld from borrowers must not be claimed for one, or nobody could use it.
+    // Capacity withheld from borrowers must not be claimed for one, or it would stay unused.
     Resources free = capacity.freeOn(machine, job, policy.isBorrowing(job));
     for (Reservation reservation : machine.reservations()) {
       if (policy.isFreeingCapacity(reservation)) {
@@ -76,7 +81,9 @@
     return free;
   }
 
-  /** The tasks of a machine that may have to leave for the job, the cheapest first. */
+  /**
+   * Returns the tasks on a machine that may be preempted or migrated for the job, cheapest first.
+   */
   private List<Victim> candidates(PreemptionRequest request, MachineState machine) {
     List<Victim> candidates = new ArrayList<>();
     for (Reservation reservation : machine.reservations()) {
@@ -112,7 +119,10 @@
         : policy.tryInclude(request.job(), victim.preemption(), request.maxPreference());
   }
 
-  /** Drops cheap victims that are not needed beside the larger ones that were chosen last. */
+  /**
+   * Drops victims that are no longer needed because later, more expensive ones free enough
+   * capacity.
+   */
   private static void dropUnneeded(Resources demand, List<Victim> victims, Resources free) {
     Resources remaining = free;
     for (Victim victim : List.copyOf(victims)) {
@@ -133,9 +143,7 @@
     return cost;
   }
 
-  /**
-   * What the wait for the image throws away, in seconds of the task's work weighted by its size.
-   */
+  /** Returns the cost of the image wait, in seconds of the task's work weighted by its size. */
   private double imageWaitCost(Job spec, MachineState machine) {
     return imageFetch.waitS(spec, machine) * cpusPerGpu.gpuWeight(spec.taskResources());
   }
--- a/src/main/java/eiderfork/controller/scheduling/PreemptionPlanner.java
+++ b/src/main/java/eiderfork/controller/scheduling/PreemptionPlanner.java
@@ -17,14 +17,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Frees capacity for the jobs of a round that find none: preempts what its {@link PreemptionPolicy}
- * allows, gangs as a whole, or migrates replicas that fit elsewhere, whichever costs least. What is
- * freed is claimed for the job.
+ * Frees capacity for jobs that find none in a round, by preempting tasks that the {@link
+ * PreemptionPolicy} allows (gangs as a whole) or by migrating replicas that fit elsewhere, choosing
+ * the cheapest option. The freed capacity is claimed for the job.
  */
 final class PreemptionPlanner {
   private static final Logger LOG = LoggerFactory.getLogger(PreemptionPlanner.class);
 
-  /** How long capacity is claimed for a job beyond the time that its victims take to end. */
+  /** The duration of a claim beyond the expected end of its victims, in steps. */
   private static final int CLAIM_DURATION_STEPS = 5;
 
   private final ControllerContext context;
@@ -37,13 +37,13 @@
   private final InfeasiblePreemptions infeasible;
   private final double maxExaminations;
 
-  /** The replicas whose migration is not confirmed yet. */
+  /** Replicas whose migration is not confirmed yet. */
   private final List<Reservation> unconfirmedMigrations = new ArrayList<>();
 
   /**
    * Creates the planner of one round.
    *
-   * @param maxExaminations once more machines than this were examined, no further search begins
+   * @param maxExaminations the number of machine examinations after which no further search begins
    */
   PreemptionPlanner(
       ControllerContext context,
@@ -64,7 +64,7 @@
     infeasible = new InfeasiblePreemptions(policy);
   }
 
-  /** How often a machine was examined for preemption. */
+  /** Returns the number of machine examinations for preemption. */
   int examinations() {
     return finder.examinations();
   }
@@ -72,10 +72,11 @@
   /**
    * Frees capacity for tasks of a job.
    *
-   * @param wantedTasks for how many tasks
-   * @param tasksByZone the job's tasks in each zone; those that capacity is freed for are added
-   * @param maxImageWaitS how long the image may take to come to a machine
-   * @return for how many tasks capacity is being freed
+   * @param wantedTasks the number of tasks that need capacity
+   * @param tasksByZone the job's task count in each zone; increased for each task that capacity is
+   *     freed for
+   * @param maxImageWaitS the longest acceptable wait for the image on a machine
+   * @return the number of tasks for which capacity is being freed
    */
   int preempt(
       JobState job, int wantedTasks, Map<String, Integer> tasksByZone, double maxImageWaitS) {
@@ -85,9 +86,9 @@
   }
 
   /**
-   * Frees capacity for every task of a gang, counting what is free already, or for none.
+   * Frees capacity for all tasks of a gang or for none, counting capacity that is already free.
    *
-   * @param tasksByZone the zones to be tried, with no tasks in them yet
+   * @param tasksByZone the zones to try, with zero task counts; empty to allow any zone
    * @return whether capacity is being freed for all tasks
    */
   boolean preemptForGang(JobState job, Map<String, Integer> tasksByZone) {
@@ -99,7 +100,8 @@
       return true;
     }
     rollBack(job);
-    // What was found infeasible beside the tasks with capacity is not proved without them.
+    // Zones found infeasible while the gang's other tasks held claims may be feasible without those
+    // claims.
     infeasible.restore(infeasibleBefore);
     return false;
   }
@@ -132,7 +134,10 @@
     return freedTasks;
   }
 
-  /** Examines each machine once for the request, and again only when its option is chosen. */
+  /**
+   * Frees capacity from victims up to the preference of the request. Each machine is examined once,
+   * and again only when its option is chosen.
+   */
   private int preemptUpToPreference(
       PreemptionRequest request, int wantedTasks, Map<String, Integer> tasksByZone) {
     Set<String> zones = capacity.eligibleZones(request.job(), tasksByZone);
@@ -174,7 +179,10 @@
     }
   }
 
-  /** The cheapest option as it is now, since a migration's target may be taken meanwhile. */
+  /**
+   * Removes and returns the option that is cheapest when evaluated again, since migration targets
+   * may have been taken in the meantime. Returns null if no option remains.
+   */
   private PreemptionOption removeCheapest(
       PreemptionRequest request,
       PriorityQueue<PreemptionOption> options,
@@ -215,11 +223,11 @@
     capacity.addClaim(new CapacityClaim(job, machine, untilMs));
   }
 
-  /** Records the zones that would take one more task and have no victims for it. */
+  /** Records the zones that would accept another task of the job but have no victims for it. */
   private void recordInfeasible(
       PreemptionRequest request, Set<String> zones, Map<String, Integer> tasksByZone) {
     JobState job = request.job();
-    // A job that avoids machines on which it failed proves nothing about other jobs.
+    // The result of a job that avoids the machines on which it failed does not apply to other jobs.
     if (job.failureHistory().failedMachines().isEmpty()) {
       zones.retainAll(capacity.eligibleZones(job, tasksByZone));
       zones.forEach(zone -> infeasible.add(request, zone));
--- a/src/main/java/eiderfork/controller/scheduling/PreemptionPolicy.java
+++ b/src/main/java/eiderfork/controller/scheduling/PreemptionPolicy.java
@@ -9,58 +9,63 @@
 import java.util.List;
 
 /**
- * Which work may be preempted for a job, how, and what that costs.
+ * Decides which tasks may be preempted for a job, how, and at what cost.
  *
- * <p>The planner examines machines one after the other: {@link #beginOption}, then {@link
- * #evaluate} for each task, then {@link #tryInclude} for those that it would choose. It commits to
- * an option with {@link #preempt}, and ends each job with {@link #confirm} or {@link #rollBack}.
+ * <p>The planner examines machines one at a time: it calls {@link #beginOption}, then {@link
+ * #evaluate} for each task, then {@link #tryInclude} for each task that it would choose. It applies
+ * an option with {@link #preempt} and ends each job with {@link #confirm} or {@link #rollBack}.
  */
 interface PreemptionPolicy {
   /**
-   * A task that may be preempted.
+   * The preemption of one task.
    *
-   * @param cost the work that is thrown away, in seconds weighted by size
+   * @param cost the work lost, in seconds weighted by size
    */
   record TaskPreemption(
       Reservation task, PreemptionReason reason, PreemptionPlan plan, double cost) {}
 
-  /** Whether work may be preempted for an array; it always may for other jobs. */
+  /** Returns whether preemption is allowed for an array; it is always allowed for other jobs. */
   boolean canPreemptForArray(JobState preemptor);
 
-  /** For how many of the wanted tasks work may be preempted now. */
+  /** Returns the number of wanted tasks for which preemption is allowed now. */
   int maxTasks(JobState preemptor, int wantedTasks);
 
-  /** Up to which kinds of work victims are looked for, one search after the other. */
+  /** Returns the preference levels up to which to search for victims, in search order. */
   List<VictimPreference> victimPreferences(JobState preemptor);
 
-  /** Equal for jobs of which the policy treats every victim alike. */
+  /** Returns a key that is equal for preemptors to which the policy applies the same decisions. */
   Object preemptorKey(JobState preemptor);
 
-  /** Whether the job borrows quota, so that recently reclaimed capacity is withheld from it. */
+  /**
+   * Returns whether the job borrows quota, so that recently reclaimed capacity is withheld from it.
+   */
   boolean isBorrowing(JobState preemptor);
 
-  /** Whether tasks on this machine can be expected to obey a stop command. */
+  /** Returns whether tasks on this machine can be expected to obey a stop command. */
   boolean canPreemptOn(MachineState machine);
 
-  /** Whether a task is ending already, so that its capacity counts as free. */
+  /** Returns whether a task is already ending, so that its capacity counts as free. */
   boolean isFreeingCapacity(Reservation reservation);
 
-  /** Begins with another machine, of which no task is included yet. */
+  /** Begins the evaluation of another machine with no tasks included. */
   void beginOption();
 
-  /** How a task may be preempted for the job; null where it may not be. */
+  /** Returns the preemption of a task for the job, or null if it is not allowed. */
   TaskPreemption evaluate(
       JobState preemptor, Reservation reservation, VictimPreference maxPreference);
 
-  /** Includes a task, if it may still be preempted beside those included before. */
+  /**
+   * Includes a task if it may still be preempted together with those included before, and returns
+   * whether it was included.
+   */
   boolean tryInclude(JobState preemptor, TaskPreemption preemption, VictimPreference maxPreference);
 
-  /** Preempts the tasks for one task of the job on this machine. */
+  /** Preempts the tasks to free capacity for one task of the job on this machine. */
   void preempt(JobState preemptor, MachineState machine, List<TaskPreemption> preemptions);
 
-  /** Confirms what was preempted since the last confirmation. */
+  /** Confirms the preemptions since the last confirmation. */
   void confirm(JobState preemptor);
 
-  /** Takes back what was preempted since the last confirmation; no command was sent for it yet. */
+  /** Reverts the preemptions since the last confirmation, before any command is sent for them. */
   void rollBack();
 }
--- a/src/main/java/eiderfork/controller/scheduling/PreemptionRequest.java
+++ b/src/main/java/eiderfork/controller/scheduling/PreemptionRequest.java
@@ -4,19 +4,20 @@
 import eiderfork.controller.registry.JobState;
 
 /**
- * What a search for preemption victims looks for.
+ * The parameters of a search for preemption victims.
  *
  * @param job the preemptor
- * @param maxImageWaitS how long its image may take to come to a machine
- * @param maxPreference the last kind of work among which victims are looked for
+ * @param maxImageWaitS the longest acceptable wait for the preemptor's image on a machine
+ * @param maxPreference the last preference level to search for victims
  */
 record PreemptionRequest(JobState job, double maxImageWaitS, VictimPreference maxPreference) {
-  /** The wait of a job that accepts any machine, however long its image takes. */
+  /** The maximum wait for a job that accepts any image wait. */
   static final double ANY_IMAGE_WAIT_S = Double.MAX_VALUE;
 
   /**
-   * Whether tasks may be preempted, and not only replicas migrated. Where the job could run with a
-   * longer wait for its image, the work of other jobs is worth more than that wait.
+   * Returns whether tasks may be preempted in addition to migrating replicas. If the job could run
+   * elsewhere with a longer image wait, that wait does not justify preempting the work of other
+   * jobs.
    */
   boolean canPreemptTasks() {
     return maxImageWaitS == ANY_IMAGE_WAIT_S;
--- a/src/main/java/eiderfork/controller/scheduling/PriorityPreemptionPolicy.java
+++ b/src/main/java/eiderfork/controller/scheduling/PriorityPreemptionPolicy.java
@@ -13,14 +13,12 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/**
- * Preempts batch work of a lower priority, whichever team it belongs to, and ignores guarantees.
- */
+/** Preempts batch work with a lower priority from any team, ignoring guarantees. */
 final class PriorityPreemptionPolicy implements PreemptionPolicy {
   private final JobRegistry jobs;
   private final PreemptionCosts costs;
 
-  /** What was preempted and not confirmed yet. */
+  /** Preempted tasks that are not confirmed yet. */
   private final List<Reservation> unconfirmed = new ArrayList<>();
 
   PriorityPreemptionPolicy(JobRegistry jobs, PreemptionCosts costs) {
@@ -94,7 +92,10 @@
     return sinceCheckpointS + costs.missedDeadlineS(reservation);
   }
 
-  /** A gang saves first if it can; one that can't save loses all that it did. */
+  /**
+   * Returns the work lost by a gang: the duration of a save if it can checkpoint, otherwise all of
+   * its work.
+   */
   private double gangLostWorkS(Reservation reservation) {
     Job spec = reservation.job().spec();
     double lostS = spec.checkpointIntervalS() > 0 ? spec.saveDurationS() : costs.runS(reservation);
--- a/src/main/java/eiderfork/controller/scheduling/QueueOrder.java
+++ b/src/main/java/eiderfork/controller/scheduling/QueueOrder.java
@@ -7,26 +7,32 @@
 import java.util.OptionalLong;
 
 /**
- * The order of jobs of one priority, as a time: the earlier, the sooner a job is served.
+ * Computes the order of jobs of one priority as a queue time; jobs with earlier times are served
+ * first.
  *
- * <p>Services go in the order of their arrival. Work with a deadline goes by the latest time at
- * which it may start to meet it (earliest deadline first, less the run and the image fetch). What
- * can't meet any deadline goes behind what can, but not for ever.
+ * <p>Services are ordered by arrival. Jobs with a deadline are ordered by the latest start time
+ * that meets it: earliest deadline first, less the run time and the image fetch. Jobs that can't
+ * meet any deadline follow those that can, but not indefinitely.
  */
 final class QueueOrder {
-  /** The share of its objective for which an array may yield to smaller ones. */
+  /**
+   * The longest time that an array may be deferred for smaller arrays, as a share of its objective.
+   */
   private static final double ARRAY_DEFERRAL_SHARE = 0.5;
 
-  /** The objective within which every job must have begun, whatever its chances. */
+  /** The objective within which every job must start, even one that will miss its deadline. */
   private static final long MAX_START_DELAY_MS = 240_000;
 
-  /** The share of that time after which a late job that never started is not put off any more. */
+  /**
+   * The share of {@link #MAX_START_DELAY_MS} after which a job that never started and will miss its
+   * deadline is no longer deferred.
+   */
   private static final double OVERDUE_SHARE = 0.6;
 
   /** The age at which a job that never started is overdue. */
   static final long OVERDUE_MS = (long) (MAX_START_DELAY_MS * OVERDUE_SHARE);
 
-  /** Longer than any job lives: puts a job behind all others of its priority. */
+  /** Longer than any job's lifetime: places a job behind all others of its priority. */
   private static final long MISSED_DEADLINE_OFFSET_MS = 1L << 50;
 
   private final ControllerContext context;
@@ -38,9 +44,9 @@
   }
 
   /**
-   * The time by which the job is queued.
+   * Returns the time by which the job is ordered in the queue.
    *
-   * @param maxWaitingTasks the most pending tasks of any array
+   * @param maxWaitingTasks the largest number of pending tasks of any array
    */
   long queueTimeMs(JobState job, int maxWaitingTasks) {
     if (job.spec().kind() == JobKind.SERVICE) {
@@ -53,7 +59,10 @@
     return latestStartMs.isPresent() ? latestStartMs.getAsLong() : missedDeadlineQueueTimeMs(job);
   }
 
-  /** How long an array yields to smaller ones, which are done sooner and delay it less. */
+  /**
+   * Returns the deferral of an array in favour of smaller ones, which finish sooner and delay it
+   * less. It is proportional to the array's pending tasks.
+   */
   private long arrayDeferralMs(JobState job, int maxWaitingTasks) {
     if (job.spec().kind() != JobKind.ARRAY) {
       return 0;
@@ -65,7 +74,10 @@
     return toMs(maxDeferralS * relativeSize);
   }
 
-  /** A job that never started must begin; one that has begun may wait for longer. */
+  /**
+   * Returns the queue time of a job that can't meet any deadline. The deferral ends sooner for a
+   * job that never started, so that it starts in time.
+   */
   private long missedDeadlineQueueTimeMs(JobState job) {
     boolean hasBegun = job.lastAttempt() > 0;
     double maxWaitMs = MAX_START_DELAY_MS * (hasBegun ? 1 : OVERDUE_SHARE);
--- a/src/main/java/eiderfork/controller/scheduling/QuotaBorrowing.java
+++ b/src/main/java/eiderfork/controller/scheduling/QuotaBorrowing.java
@@ -8,9 +8,8 @@
 import eiderfork.controller.workers.MachineLiveness;
 
 /**
- * Quota that teams borrow, for one leader: connects its state with the rules of {@code
- * controller.quota}. Nothing is stored for it; what is borrowed follows from reservations,
- * guarantees and demand.
+ * Connects a leader's state with the borrowing rules in {@code controller.quota}. Nothing is
+ * stored: borrowed quota follows from reservations, guarantees and demand.
  */
 final class QuotaBorrowing {
   private final ControllerContext context;
@@ -24,10 +23,13 @@
   private final QuotaUsageLog usageLog;
   private final boolean isEnabled;
 
-  /** When this leader first decided; 0 for not yet. */
+  /** The time of this leader's first tick; 0 before it. */
   private long firstTickMs;
 
-  /** Machines have shown what an earlier leader preempted, or had the time to. */
+  /**
+   * True once all machines with reservations have reported, or the heartbeat timeout is over, so
+   * that tasks preempted by an earlier leader are known.
+   */
   private boolean canReclaim;
 
   QuotaBorrowing(
@@ -50,7 +52,7 @@
     isEnabled = context.settings.operator().isLendingEnabled();
   }
 
-  /** Forgets what belongs to a term that is over. */
+  /** Discards the state of the previous leadership term. */
   void clear() {
     firstTickMs = 0;
     canReclaim = false;
@@ -60,7 +62,7 @@
     usageLog.clear();
   }
 
-  /** The policy for the preemptions of one round. */
+  /** Returns the policy for the preemptions of one round. */
   PreemptionPolicy preemptionPolicy(CpusPerGpu cpusPerGpu) {
     PreemptionCosts costs = new PreemptionCosts(context, cpusPerGpu, deadlines);
     if (!isEnabled) {
@@ -78,9 +80,9 @@
   }
 
   /**
-   * A new leader reclaims nothing before it has seen what runs on each machine: tasks that an
-   * earlier leader preempted there may be about to end, and others would be preempted in their
-   * place. It waits for a silent machine until the heartbeat timeout.
+   * Allows reclaims once this leader has seen what runs on each machine. Tasks that an earlier
+   * leader preempted may be about to end, and an earlier reclaim would preempt others needlessly.
+   * Silent machines are waited for until the heartbeat timeout.
    */
   private void awaitEarlierReclaims() {
     if (canReclaim) {
@@ -92,17 +94,17 @@
     canReclaim = !isAnyUnseen || context.nowMs() - firstTickMs > liveness.heartbeatTimeoutMs();
   }
 
-  /** Whether the job's next task, or its whole gang, would exceed its team's guarantee. */
+  /** Returns whether the job's next task, or its whole gang, would exceed its team's guarantee. */
   boolean isBorrowing(JobState job) {
     return borrowedCapacity.isBorrowing(job);
   }
 
-  /** Whether the job is a gang that may not borrow again yet. */
+  /** Returns whether the job is a gang that may not borrow again yet. */
   boolean isGangCoolingDown(JobState job) {
     return isEnabled && borrowedCapacity.isGangCoolingDown(job);
   }
 
-  /** Does what is due between rounds. */
+  /** Runs the periodic work that does not belong to a round. */
   void tick() {
     if (isEnabled) {
       awaitEarlierReclaims();
--- a/src/main/java/eiderfork/controller/scheduling/QuotaPreemptionPlans.java
+++ b/src/main/java/eiderfork/controller/scheduling/QuotaPreemptionPlans.java
@@ -9,9 +9,9 @@
 import eiderfork.model.Job;
 import eiderfork.model.JobKind;
 
-/** Plans how tasks are preempted under quota rules, and estimates what that costs. */
+/** Plans how tasks are preempted under quota rules and estimates the cost. */
 final class QuotaPreemptionPlans {
-  /** How late a start may have been observed, in heartbeat intervals. */
+  /** The longest delay until a task's start is observed, in heartbeat intervals. */
   private static final double START_OBSERVATION_DELAY_HEARTBEATS = 1.25;
 
   private final ControllerContext context;
@@ -24,11 +24,13 @@
     this.costs = costs;
   }
 
-  /** The cheapest way to preempt a task for a job that may wait this long for a checkpoint. */
+  /**
+   * Returns the cheapest way to preempt a task for a job that can wait this long for a checkpoint.
+   */
   PreemptionPlan planFor(Reservation task, double maxCheckpointWaitS) {
     Job spec = task.job().spec();
     if (spec.kind() == JobKind.SERVICE) {
-      // It does not serve until a machine was booted for it, whether it serves already or not.
+      // A replica is down until a machine has booted for it, whether or not it already serves.
       return new PreemptionPlan(PreemptionMode.AT_ONCE, 0, fleet.longestBootMs(spec) / 1000);
     }
     if (!PreemptionCosts.isKnownRunning(task)) {
@@ -42,7 +44,10 @@
         START_OBSERVATION_DELAY_HEARTBEATS * context.heartbeatIntervalMs() / 1000.0);
   }
 
-  /** The cost of a plan; it grows with each reclaim of the task, so that reclaims are spread. */
+  /**
+   * Returns the cost of a plan. It grows with each reclaim of the task, so that reclaims are spread
+   * over tasks.
+   */
   double costOf(Reservation task, PreemptionPlan plan) {
     double costS = plan.costS() + costs.missedDeadlineS(task);
     if (task.job().gang() != null) {
--- a/src/main/java/eiderfork/controller/scheduling/QuotaPreemptionPolicy.java
+++ b/src/main/java/eiderfork/controller/scheduling/QuotaPreemptionPolicy.java
@@ -23,8 +23,9 @@
 import java.util.List;
 
 /**
- * Preempts by quota and priority: what other teams use beyond their guarantees for a team that
- * lacks its own, and less urgent batch work where no team's guarantee is touched.
+ * Preempts by quota and priority. A team below its guarantee may reclaim capacity that other teams
+ * use beyond theirs. Less urgent batch work may also be preempted as long as no team falls below
+ * its guarantee.
  */
 final class QuotaPreemptionPolicy implements PreemptionPolicy {
   private final ControllerContext context;
@@ -37,16 +38,18 @@
   private final boolean canReclaim;
   private final TentativeLedger tentativeLedger;
 
-  /** What was preempted and not confirmed yet. */
+  /** Preemptions that are not confirmed yet. */
   private final List<TaskPreemption> unconfirmed = new ArrayList<>();
 
-  /** The job that {@link #preemptor} describes, by the state of {@link #preemptorLedger}. */
+  /** The job that the cached {@link #preemptor} describes, as of {@link #preemptorLedger}. */
   private JobState preemptorJob;
 
   private QuotaLedger preemptorLedger;
   private Preemptor preemptor;
 
   /**
+   * Creates the policy for one round.
+   *
    * @param canReclaim whether this leader may preempt yet
    */
   QuotaPreemptionPolicy(
@@ -87,7 +90,7 @@
         && teamUsage.ledger().hasOtherBorrower(array.team());
   }
 
-  /** No more than the team's limit leaves beside the capacity that is claimed for it already. */
+  /** Limits the count to what fits within the team's limit after its usage and claims. */
   @Override
   public int maxTasks(JobState job, int wantedTasks) {
     Job spec = job.spec();
@@ -128,7 +131,10 @@
     return borrowedCapacity.isResponsive(machine);
   }
 
-  /** A task on an unresponsive machine, or with a save that hangs, keeps its capacity. */
+  /**
+   * Excludes tasks on unresponsive machines and tasks whose save is overdue: they do not free their
+   * capacity in the expected time.
+   */
   @Override
   public boolean isFreeingCapacity(Reservation reservation) {
     if (deferredPreemptions.isPending(reservation)) {
@@ -160,7 +166,10 @@
     return new TaskPreemption(reservation, allowed.reason(), plan, plans.costOf(reservation, plan));
   }
 
-  /** The decision where the task may be preempted, or null. */
+  /**
+   * Returns the decision if the task may be preempted; otherwise counts the refusal and returns
+   * null.
+   */
   private PreemptionDecision.Allowed decide(
       JobState job, Reservation reservation, QuotaLedger ledger) {
     PreemptionDecision decision =
@@ -193,7 +202,7 @@
     if (tentativeLedger.includesGang(reservation.job())) {
       return true;
     }
-    // The first victim was evaluated with the same ledger already.
+    // The first victim was already evaluated with the unmodified ledger.
     if (tentativeLedger.hasVictims()
         && !isAllowed(decide(job, reservation, tentativeLedger.ledger()), maxPreference)) {
       return false;
@@ -206,7 +215,7 @@
   public void preempt(JobState job, MachineState machine, List<TaskPreemption> preemptions) {
     for (TaskPreemption preemption : preemptions) {
       Reservation reservation = preemption.task();
-      // Another task of its gang may have been preempted before.
+      // An earlier preemption of another task may have stopped the whole gang.
       if (reservation.isDesired() && !deferredPreemptions.isPending(reservation)) {
         unconfirmed.add(preemption);
         preempt(job, machine, preemption);
--- a/src/main/java/eiderfork/controller/scheduling/QuotaUsageLog.java
+++ b/src/main/java/eiderfork/controller/scheduling/QuotaUsageLog.java
@@ -11,7 +11,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Logs at intervals what teams use and borrow, and how often preemption was allowed and refused.
+ * Periodically logs the usage and borrowed quota of teams and the numbers of preemptions and
+ * refusals.
  */
 final class QuotaUsageLog {
   private static final Logger LOG = LoggerFactory.getLogger(QuotaUsageLog.class);
@@ -28,13 +29,13 @@
     this.context = context;
   }
 
-  /** Forgets the counts of a term that is over. */
+  /** Resets the counts, after each log interval and at the end of a leadership term. */
   void clear() {
     refusals.clear();
     preemptions = 0;
   }
 
-  /** Counts a preemption of a task, or of a whole gang. */
+  /** Counts the preemption of a task or a whole gang. */
   void countPreemption() {
     preemptions++;
   }
@@ -44,7 +45,7 @@
     refusals.merge(reason, 1L, Long::sum);
   }
 
-  /** Logs the usage of teams and the counts, once the interval is over. */
+  /** Logs the usage of teams and the counts if the interval has elapsed. */
   void logIfDue(Supplier<List<TeamUsage>> usages) {
     if (context.nowMs() < nextLogMs) {
       return;
--- a/src/main/java/eiderfork/controller/scheduling/ReplicaMigration.java
+++ b/src/main/java/eiderfork/controller/scheduling/ReplicaMigration.java
@@ -15,25 +15,25 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Finds replicas that may migrate for a job, and the machines that they migrate to. */
+/** Finds service replicas that may migrate to make room for a job, and their target machines. */
 public final class ReplicaMigration {
-  /** By the protocol, a start that is undone before this time does not count. */
+  /** The run time below which a start does not count, according to the protocol. */
   public static final long MIN_COUNTED_RUN_MS = 30_000;
 
   /** The cost of a migration that is not allowed. */
   static final double INFINITE_COST = Double.MAX_VALUE;
 
-  /** How long a replica does not serve while it migrates, in steps. */
+  /** The time for which a migrating replica does not serve, in steps. */
   private static final double MIGRATION_STEPS = 2;
 
-  /** How long a replica has to run before it may migrate, in steps. */
+  /** The minimum run time of a replica before it may migrate, in steps. */
   private static final int MIN_RUN_STEPS = 10;
 
-  /** Machines of a zone that replicas of one profile may migrate to. */
+  /** Machines of one zone that replicas of one placement profile may migrate to. */
   private static final class MigrationTargets {
     private final List<MachineState> machines;
 
-    /** The machines before this index are known to be full. */
+    /** The index of the first machine that is not known to be full. */
     private int firstNotFull;
 
     MigrationTargets(List<MachineState> machines) {
@@ -49,10 +49,12 @@
   private final Map<PlacementProfile, Map<String, MigrationTargets>> targets =
       new Reference2ObjectOpenHashMap<>();
 
-  /** What migrated replicas will take on their targets; only a guard against migrating too many. */
+  /**
+   * Expected usage of confirmed migrations on each target. It only limits the number of migrations.
+   */
   private final Map<MachineState, Resources> confirmedMigrations = new HashMap<>();
 
-  /** The same for the option that is being examined. */
+  /** Expected usage of migrations proposed for the option under examination. */
   private final Map<MachineState, Resources> proposedMigrations = new HashMap<>();
 
   private int examinations;
@@ -68,31 +70,33 @@
     this.cpusPerGpu = cpusPerGpu;
   }
 
-  /** How often a machine was examined as a target. */
+  /** Returns the number of times that a machine was examined as a target. */
   int examinations() {
     return examinations;
   }
 
-  /** Begins another option: what was proposed for the one before is dropped. */
+  /** Begins another option and drops the migrations proposed for the previous one. */
   void beginOption() {
     proposedMigrations.clear();
   }
 
-  /** Confirms the migrations that were proposed since {@link #beginOption}. */
+  /** Confirms the migrations proposed since {@link #beginOption}. */
   void confirm() {
     proposedMigrations.forEach(
         (machine, demand) -> confirmedMigrations.merge(machine, demand, Resources::plus));
   }
 
   /**
-   * What migrating this replica for the job costs, in seconds of its work weighted by its size;
-   * {@link #INFINITE_COST} where it stays.
+   * Returns the cost of migrating a replica for the job, in seconds of its work weighted by its
+   * size, or {@link #INFINITE_COST} if it may not migrate.
    *
-   * <p>Replicas on GPUs do not migrate to free capacity, since their new place is taken from
-   * smaller jobs that wait as well. They migrate where a more urgent job's image would come too
-   * late elsewhere, once they have run for long enough to count as started.
+   * <p>Replicas on GPUs do not migrate to free capacity, because the capacity they would take there
+   * is lost to smaller jobs that wait as well. They migrate only if the image of a job with a
+   * higher priority would arrive too late elsewhere, and only after they have run long enough for
+   * their start to count.
    *
-   * @param seeksCachedImage whether the job has capacity elsewhere, where its image comes too late
+   * @param seeksCachedImage whether the job has capacity elsewhere, but its image would arrive
+   *     there too late
    */
   double cost(Job job, Reservation replica, boolean seeksCachedImage) {
     Job spec = replica.job().spec();
@@ -122,7 +126,7 @@
     return context.nowMs() - replica.runningSinceMs();
   }
 
-  /** Proposes a machine for a replica to migrate to; whether there is one. */
+  /** Proposes a target machine for a replica and returns whether there is one. */
   boolean tryReserveTarget(Reservation replica) {
     Job spec = replica.job().spec();
     MigrationTargets zoneTargets = targetsFor(replica);
--- a/src/main/java/eiderfork/controller/scheduling/RoundTrigger.java
+++ b/src/main/java/eiderfork/controller/scheduling/RoundTrigger.java
@@ -1,20 +1,27 @@
 package eiderfork.controller.scheduling;
 
-/** Whether a scheduling round has something to do; whatever gives it work requests one. */
+/**
+ * Tracks whether a scheduling round is needed. Components request a round when they create work for
+ * it.
+ */
 public final class RoundTrigger {
   private boolean isRequested;
 
-  /** Something changed that a round should see soon. */
+  /** Requests a round. */
   public void request() {
     isRequested = true;
   }
 
-  /** Whether a round is requested. */
+  /** Returns whether a round is requested. */
   public boolean isRequested() {
     return isRequested;
   }
 
-  /** A round was run; what was requested until now is part of it. */
+  /**
+   * Records that a round has run and handled all earlier requests.
+   *
+   * @param anotherNeeded whether the round left work for a later one
+   */
   public void recordRound(boolean anotherNeeded) {
     isRequested = anotherNeeded;
   }
--- a/src/main/java/eiderfork/controller/scheduling/RoundUsage.java
+++ b/src/main/java/eiderfork/controller/scheduling/RoundUsage.java
@@ -7,7 +7,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** What teams use, with what the scheduling round under way has placed for them. */
+/** The usage of teams, including the tasks placed in the current round. */
 final class RoundUsage {
   private final ControllerContext context;
   private final JobRegistry jobs;
@@ -23,18 +23,18 @@
     usedByTeam.clear();
   }
 
-  /** What a team uses now. */
+  /** Returns the current usage of a team. */
   Resources used(String team) {
     Resources inRound = usedByTeam.get(team);
     return inRound == null ? jobs.resourceUsage().used(team) : inRound;
   }
 
-  /** Records what a team uses after some of its tasks were placed. */
+  /** Records the usage of a team after some of its tasks were placed. */
   void record(String team, Resources used) {
     usedByTeam.put(team, used);
   }
 
-  /** Whether a known team may use this much. */
+  /** Returns whether the usage is within the team's limit; false for an unknown team. */
   boolean isWithinLimit(String teamName, Resources used) {
     Team team = context.settings.teams().get(teamName);
     return team != null && team.isWithinLimit(used);
--- a/src/main/java/eiderfork/controller/scheduling/Scheduler.java
+++ b/src/main/java/eiderfork/controller/scheduling/Scheduler.java
@@ -11,14 +11,17 @@
 import java.util.List;
 
 /**
- * Decides which task runs on which machine, in scheduling rounds: jobs in queue order, each task on
- * the machine that scores best.
+ * Assigns pending tasks to machines in scheduling rounds. A round visits jobs in queue order and
+ * places each task on the best-scoring machine.
  */
 public final class Scheduler {
-  /** A low estimate of how many machines a core examines for a job in a second. */
+  /** A conservative estimate of the machines that one core can examine per second. */
   private static final double MACHINES_EXAMINED_PER_CORE_SECOND = 1_000_000;
 
-  /** The share of a step that the searches of a round may take before they examine samples only. */
+  /**
+   * The share of a step's CPU time that full machine searches may use in a round; beyond it,
+   * searches examine samples.
+   */
   private static final double SEARCH_CPU_SHARE = 0.1;
 
   private final ControllerContext context;
@@ -35,7 +38,7 @@
   private final TaskScheduler taskScheduler;
   private final GangScheduler gangScheduler;
 
-  /** Makes a scheduler without claims. */
+  /** Creates a scheduler with no capacity claims. */
   public Scheduler(
       ControllerContext context,
       StoreClient store,
@@ -88,26 +91,27 @@
         borrowedCapacity);
   }
 
-  /** The ratio of CPUs to GPUs that the jobs ask for. */
+  /** Returns the ratio of CPUs to GPUs in the resources that jobs request. */
   public CpusPerGpu cpusPerGpu() {
     return jobs.resourceUsage().cpusPerGpu();
   }
 
-  /** How long tasks wait for their images. */
+  /** Returns the estimator of image fetch times. */
   public ImageFetchEstimator imageFetchEstimator() {
     return imageFetch;
   }
 
-  /** How often the last round examined a machine for a job. */
+  /** Returns the number of times that the last round examined a machine for a job. */
   public int machineExaminations() {
     return capacity.examinations();
   }
 
   /**
-   * Runs one round, which writes each changed job once. Completions alone wait until the job was
-   * not written for a while, so that the writes of a job do not follow each of its tasks.
+   * Runs one scheduling round, in which each changed job is written at most once. A job with
+   * nothing but completions to write is held back until some time has passed since its last write,
+   * so that the completions of its tasks share a write.
    *
-   * @return whether something was left for a later round
+   * @return whether work remains for a later round
    */
   public boolean runRound() {
     List<JobState> queue = queuedJobs();
@@ -161,20 +165,23 @@
     }
   }
 
-  /** The jobs with something to place or to write, in queue order. */
+  /**
+   * Starts a new usage count and returns the jobs with tasks to place or changes to write, in queue
+   * order.
+   */
   public List<JobState> queuedJobs() {
     usage.reset();
     return fairShareOrder.sort(jobs);
   }
 
-  /** Forgets what belongs to a term that is over. */
+  /** Discards the state of the previous leadership term. */
   public void clear() {
     capacity.clear();
     borrowing.clear();
     preemptionBudget.clear();
   }
 
-  /** Does what is due between rounds. */
+  /** Runs the periodic work that does not belong to a round. */
   public void tick() {
     borrowing.tick();
   }
--- a/src/main/java/eiderfork/controller/scheduling/SearchConstraints.java
+++ b/src/main/java/eiderfork/controller/scheduling/SearchConstraints.java
@@ -1,16 +1,16 @@
 package eiderfork.controller.scheduling;
 
 /**
- * Which free capacity a search does not use.
+ * Restrictions on the free capacity that a search may use.
  *
  * @param keepsGpuHeadroom whether free GPUs keep the CPUs that GPU work needs
- * @param excludesReclaimed whether recently reclaimed capacity is left to others
+ * @param excludesReclaimed whether recently reclaimed capacity is withheld
  */
 record SearchConstraints(boolean keepsGpuHeadroom, boolean excludesReclaimed) {
-  /** All free capacity is used. */
+  /** The search may use all free capacity. */
   static final SearchConstraints NONE = new SearchConstraints(false, false);
 
-  /** Whether some free capacity is not used. */
+  /** Returns whether some free capacity is excluded. */
   boolean isRestricted() {
     return keepsGpuHeadroom || excludesReclaimed;
   }
--- a/src/main/java/eiderfork/controller/scheduling/TaskScheduler.java
+++ b/src/main/java/eiderfork/controller/scheduling/TaskScheduler.java
@@ -15,8 +15,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Places the tasks of services and arrays, each by itself, and has capacity preempted for those
- * that find none.
+ * Places the tasks of services and arrays one at a time, and requests preemption for tasks that
+ * find no capacity.
  */
 final class TaskScheduler {
   private static final Logger LOG = LoggerFactory.getLogger(TaskScheduler.class);
@@ -54,7 +54,7 @@
   /**
    * Proposes reservations for the pending tasks of a job.
    *
-   * @param canPreemptForArray whether work may be preempted for the job if it is an array
+   * @param canPreemptForArray whether preemption is allowed if the job is an array
    */
   void place(
       JobState job,
@@ -67,8 +67,9 @@
   }
 
   /**
-   * Whether searches have proved that the job finds no capacity, and none may be preempted for it
-   * now. It spares thousands of jobs that wait for machines to boot a search in each round.
+   * Returns whether failed searches show that no capacity exists for the job and preemption is not
+   * possible now. Skipping such jobs avoids a search per round for each of the thousands of jobs
+   * that may be waiting for machines to boot.
    */
   private boolean isKnownUnschedulable(JobState job, boolean canPreemptForArray) {
     boolean canPreempt = job.spec().kind() != JobKind.ARRAY || canPreemptForArray;
@@ -83,7 +84,7 @@
     private final PreemptionPlanner preemptionPlanner;
     private final Map<String, Integer> tasksByZone;
 
-    /** Claims of this job whose capacity it has not used yet. */
+    /** The job's claims whose capacity is not used yet. */
     private final List<CapacityClaim> claims;
 
     private final long attempt;
@@ -113,8 +114,8 @@
       }
       usage.record(spec.team(), used);
       int restoredClaims = restoreClaims();
-      // Only a confirmed suspicion counts: a new leader may suspect an array that was preempted
-      // again and again.
+      // Only a confirmed suspicion rules out preemption: a new leader may also suspect an array
+      // whose attempts ended by repeated preemption.
       if (isOutOfCapacity && !job.failureHistory().isConfirmedSuspect()) {
         int maxTasks = job.failureHistory().isSuspected() ? 1 : startable;
         int wantedTasks = Math.min(job.pendingTaskCount(), maxTasks) - restoredClaims;
@@ -122,7 +123,7 @@
       }
     }
 
-    /** Places one task; whether the next one may be tried. */
+    /** Places one task and returns whether to try the next one. */
     private boolean place(int index) {
       if (startable <= 0 || !usage.isWithinLimit(spec.team(), used.plus(spec.taskResources()))) {
         return false;
@@ -160,26 +161,28 @@
       startable--;
     }
 
-    /** Renews the claims that tasks still wait for; how many there are. */
+    /** Restores the released claims that pending tasks still need and returns their number. */
     private int restoreClaims() {
       int restoredClaims = Math.min(claims.size(), job.pendingTaskCount());
       claims.subList(0, restoredClaims).forEach(capacity::addClaim);
       return restoredClaims;
     }
 
-    /** Whether the image takes longer to come to the machine than a task of the class may wait. */
+    /**
+     * Returns whether the image would arrive on the machine later than the start objective allows.
+     */
     private boolean isImageTooLate(MachineState machine) {
       return imageFetch.waitS(spec, machine) > startObjectiveS();
     }
 
-    /** How long a task of this class may wait for its start, by the service-level objectives. */
+    /** Returns the shortest start-time objective of the job's class. */
     private double startObjectiveS() {
       return context.settings.shortestObjectiveS(Objective.Kind.WAIT, spec.jobClass());
     }
 
     /**
-     * Tries once to preempt on machines where the image comes in time, and waits for the capacity
-     * as long as the claims on it last.
+     * Returns whether to wait for a machine on which the image arrives in time. Preemption on such
+     * machines is tried once per job; the job then waits as long as the resulting claims last.
      */
     private boolean isWaitingForBetterMachine() {
       if (!claims.isEmpty()) {
--- a/src/main/java/eiderfork/controller/scheduling/TeamUsageTracker.java
+++ b/src/main/java/eiderfork/controller/scheduling/TeamUsageTracker.java
@@ -19,9 +19,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** Derives what teams use and borrow from jobs, claims and pending preemptions. */
+/** Derives each team's usage and borrowed quota from jobs, claims and pending preemptions. */
 final class TeamUsageTracker {
-  /** The share of a task's start objective that may be spent on waiting for a checkpoint. */
+  /** The share of a task's start objective that may be spent waiting for a victim's checkpoint. */
   private static final double CHECKPOINT_WAIT_SHARE = 0.5;
 
   private final ControllerContext context;
@@ -31,7 +31,7 @@
   private final DeferredPreemptions deferredPreemptions;
   private QuotaLedger ledger;
 
-  /** The sum of the revisions that the ledger was derived from. */
+  /** The sum of the revisions from which the ledger was derived. */
   private long ledgerRevision;
 
   TeamUsageTracker(
@@ -47,12 +47,15 @@
     this.deferredPreemptions = deferredPreemptions;
   }
 
-  /** Forgets the ledger of a term that is over. */
+  /** Discards the ledger of the previous leadership term. */
   void clear() {
     ledger = null;
   }
 
-  /** The current ledger; the same object as long as nothing has changed. */
+  /**
+   * Returns the current ledger. The instance stays the same until usage, claims or pending
+   * preemptions change.
+   */
   QuotaLedger ledger() {
     long revision =
         jobs.resourceUsage().changeCount()
@@ -65,7 +68,7 @@
     return ledger;
   }
 
-  /** What a team uses, with the capacity that is claimed for its jobs. */
+  /** Returns a team's usage including the capacity claimed for its jobs. */
   Resources usedWithClaims(String team) {
     Resources used = jobs.resourceUsage().used(team);
     for (CapacityClaim claim : capacity.claims()) {
@@ -77,7 +80,7 @@
     return used;
   }
 
-  /** The usage of each team, with what its pending tasks request. */
+  /** Returns the usage of each team including the requests of its pending tasks. */
   List<TeamUsage> usagesWithRequests() {
     Map<String, QuotaAmount> requestedByTeam = new HashMap<>();
     for (JobState job : jobs.jobsWithWork()) {
@@ -117,7 +120,7 @@
     return claimedByTeam;
   }
 
-  /** The job as a preemptor. */
+  /** Returns the properties of the job as a preemptor. */
   Preemptor preemptorOf(JobState job) {
     Job spec = job.spec();
     TeamId team = new TeamId(spec.team());
@@ -133,7 +136,7 @@
         context.nowMs() - job.firstSeenMs() >= fleet.longestBootMs(spec));
   }
 
-  /** How many of a gang's tasks have no capacity claimed for them yet. */
+  /** Returns the number of a gang's tasks without a claim. */
   private long unclaimedTasks(JobState job) {
     long claimed = capacity.claims().stream().filter(claim -> claim.job() == job).count();
     return Math.max(0, job.spec().tasks() - claimed);
--- a/src/main/java/eiderfork/controller/scheduling/TentativeLedger.java
+++ b/src/main/java/eiderfork/controller/scheduling/TentativeLedger.java
@@ -7,11 +7,14 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** The quota ledger as it would be without the victims included on the machine that is examined. */
+/**
+ * The quota ledger as it would be after preempting the victims included on the machine under
+ * examination.
+ */
 final class TentativeLedger {
   private final TeamUsageTracker teamUsage;
 
-  /** Null while no victim is included. */
+  /** The modified ledger; null while no victim is included. */
   private QuotaLedger ledger;
 
   private final Set<JobState> gangs = new HashSet<>();
@@ -20,23 +23,23 @@
     this.teamUsage = teamUsage;
   }
 
-  /** Begins with another machine, without victims. */
+  /** Begins the evaluation of another machine with no victims. */
   void begin() {
     ledger = null;
     gangs.clear();
   }
 
-  /** Whether some victim is included. */
+  /** Returns whether any victim is included. */
   boolean hasVictims() {
     return ledger != null;
   }
 
-  /** Whether the job is a gang of which a task is included, and all others with it. */
+  /** Returns whether the job is a gang that is included as a whole because of one of its tasks. */
   boolean includesGang(JobState job) {
     return gangs.contains(job);
   }
 
-  /** The ledger without the victims included so far. */
+  /** Returns the ledger without the victims included so far. */
   QuotaLedger ledger() {
     return ledger == null ? teamUsage.ledger() : ledger;
   }
--- a/src/main/java/eiderfork/controller/scheduling/package-info.java
+++ b/src/main/java/eiderfork/controller/scheduling/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The scheduler: which task runs on which machine. Scheduling rounds, queue order, the search for
- * machines, and preemption by priority and by quota. It changes the registry by proposing
- * reservations and requesting stops, and sends nothing itself.
+ * Assigns tasks to machines: scheduling rounds, queue order, machine search, and preemption by
+ * priority and by quota. The scheduler changes the registry by proposing reservations and
+ * requesting stops, and sends no messages itself.
  */
 package eiderfork.controller.scheduling;
--- a/src/test/java/eiderfork/controller/scheduling/CapacityIndexTest.java
+++ b/src/test/java/eiderfork/controller/scheduling/CapacityIndexTest.java
@@ -29,7 +29,10 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** The index finds every machine with capacity, and forgets searches that would succeed now. */
+/**
+ * Tests that the index returns every machine with sufficient capacity and drops failed searches
+ * that would succeed now.
+ */
 class CapacityIndexTest {
   private static final ImmutableList<String> ZONES = ImmutableList.of("a", "b");
 
@@ -86,7 +89,7 @@
   }
 
   @Test
-  void noMachineWithCapacityIsMissedWhateverIsPlacedAndSettled() {
+  void returnsEveryMachineWithCapacityAfterRandomPlacements() {
     List<MachineState> machines = new ArrayList<>();
     for (int i = 0; i < 40; i++) {
       String type = random.nextBoolean() ? "g8" : "c100";
@@ -101,74 +104,81 @@
       } else if (!placed.isEmpty()) {
         jobs.settle(placed.remove(random.nextInt(placed.size())), false);
       }
-      Job wanted = job(randomDemand(), random.nextBoolean());
+      Job query = job(randomDemand(), random.nextBoolean());
       Set<MachineState> candidates = new HashSet<>();
-      index.forEachCandidate(wanted, Set.of("a"), number -> candidates.add(fleet.get(number)));
+      index.forEachCandidate(query, Set.of("a"), number -> candidates.add(fleet.get(number)));
       for (MachineState each : machines) {
-        boolean fits = wanted.taskResources().fitsIn(each.freeCapacity());
-        boolean allowed = each.zone().equals("a") && (wanted.spotAllowed() || !each.spec().spot());
+        boolean fits = query.taskResources().fitsIn(each.freeCapacity());
+        boolean allowed = each.zone().equals("a") && (query.spotAllowed() || !each.spec().spot());
         assertTrue(
             !fits || !allowed || candidates.contains(each),
-            wanted.taskResources() + " on " + each.freeCapacity());
-        assertTrue(allowed || !candidates.contains(each), "only what is allowed");
+            query.taskResources() + " on " + each.freeCapacity());
+        assertTrue(
+            allowed || !candidates.contains(each),
+            "candidate that the job does not allow: " + each.name());
       }
     }
   }
 
   @Test
-  void aRemovedMachineIsNoCandidate() {
+  void removedMachineIsNotACandidate() {
     MachineState machine = machine("n-1", "g8", "a", false);
     assertEquals(1, index.size());
     assertEquals(Set.of("a"), index.zones());
-    fleet.remove(machine, "it died");
+    fleet.remove(machine, "machine failed");
     assertEquals(0, index.size());
     assertEquals(Set.of(), index.zones());
     index.forEachCandidate(
         job(new Resources(1, 0, 1), false),
         ZONES,
         number -> {
-          throw new AssertionError("named " + number);
+          throw new AssertionError("removed machine is a candidate: " + number);
         });
   }
 
   @Test
-  void onlyAMachineThatMayRunTheTaskEndsAFailedSearch() {
+  void onlyAnEligibleMachineInvalidatesAFailedSearch() {
     MachineState machine = machine("n-1", "g8", "a", false);
     JobState large = jobs.add(job(new Resources(60, 8, 1), false), 1);
     Reservation task = jobs.propose(large, 0, 1, machine);
-    Job waits = job(new Resources(8, 1, 1), false);
-    Job waitsForMore = job(new Resources(70, 1, 1), false);
-    index.failedSearches().recordFailure(waits, "a");
-    index.failedSearches().recordFailure(waits, "b");
+    Job waitingJob = job(new Resources(8, 1, 1), false);
+    Job oversizedJob = job(new Resources(70, 1, 1), false);
+    index.failedSearches().recordFailure(waitingJob, "a");
+    index.failedSearches().recordFailure(waitingJob, "b");
     jobs.settle(task, false);
-    assertTrue(!index.failedSearches().isRuledOut(waits, "a"), "the machine has capacity now");
     assertTrue(
-        index.failedSearches().isRuledOut(waits, "b"), "in the other zone nothing has changed");
-    index.failedSearches().recordFailure(waitsForMore, "a");
+        !index.failedSearches().isRuledOut(waitingJob, "a"),
+        "the machine in this zone has capacity again");
+    assertTrue(
+        index.failedSearches().isRuledOut(waitingJob, "b"),
+        "no capacity was freed in the other zone");
+    index.failedSearches().recordFailure(oversizedJob, "a");
     jobs.settle(jobs.propose(large, 0, 2, machine), false);
-    assertTrue(index.failedSearches().isRuledOut(waitsForMore, "a"), "more than the machine has");
+    assertTrue(
+        index.failedSearches().isRuledOut(oversizedJob, "a"),
+        "the task exceeds the capacity of the machine");
   }
 
-  /** Capacity that was claimed for one job is free for others once the claim has ended. */
+  /** Capacity claimed for one job becomes free for others when the claim ends. */
   @Test
-  void aClaimThatEndsEndsTheSearchesThatFailedBesideIt() {
+  void expiredClaimInvalidatesFailedSearches() {
     MachineState machine = machine("n-1", "g8", "a", false);
     FreeCapacity capacity = new FreeCapacity(fleet, any -> true, any -> true, borrowedCapacity);
     capacity.beginRound(0);
     JobState claimant = jobs.add(job(new Resources(64, 8, 1), false), 1);
     capacity.addClaim(new CapacityClaim(claimant, machine, 1000));
-    Job waits = job(new Resources(8, 1, 1), false);
-    index.failedSearches().recordFailure(waits, "a");
+    Job waitingJob = job(new Resources(8, 1, 1), false);
+    index.failedSearches().recordFailure(waitingJob, "a");
     capacity.beginRound(500);
     assertEquals(0, capacity.freeOn(machine).gpus());
-    assertTrue(index.failedSearches().isRuledOut(waits, "a"));
+    assertTrue(index.failedSearches().isRuledOut(waitingJob, "a"));
     capacity.beginRound(1000);
     assertEquals(8, capacity.freeOn(machine).gpus());
-    assertTrue(!index.failedSearches().isRuledOut(waits, "a"));
+    assertTrue(!index.failedSearches().isRuledOut(waitingJob, "a"));
   }
 
   @Test
-  void aSearchMarksMachinesWithCapacityThatAreNotUsable() {
+  void searchMarksUnusableMachinesWithCapacity() {
     MachineState machine = machine("n-1", "g8", "a", false);
     FreeCapacity capacity = new FreeCapacity(fleet, any -> false, any -> false, borrowedCapacity);
     capacity.beginRound(0);
--- a/src/test/java/eiderfork/controller/scheduling/PreemptionTest.java
+++ b/src/test/java/eiderfork/controller/scheduling/PreemptionTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Which array tasks are preempted for a service that finds no free capacity. */
+/** Tests the choice of array tasks to preempt for a service that finds no free capacity. */
 class PreemptionTest {
   private final ControllerContext context =
       new ControllerContext(TestFixtures.settings("roost-0"), new Random(1), 1_000_000);
@@ -48,7 +48,7 @@
     return jobs.add(job, lastJob);
   }
 
-  /** A machine that is full of an array's tasks, which have run for this long. */
+  /** Registers a machine filled with array tasks that have run for this long. */
   private MachineState fullMachine(String name, long ranMs) {
     Machine machine = new Machine(name, name + ":1", "g4", "a", false);
     MachineState state = fleet.getOrRegister(machine);
@@ -80,8 +80,9 @@
                 jobs,
                 new PreemptionCosts(context, cpusPerGpu, new DeadlineEstimator(context, fleet))),
             1000);
-    int wanted = service.pendingTaskCount();
-    return preemption.preempt(service, wanted, new HashMap<>(), PreemptionRequest.ANY_IMAGE_WAIT_S);
+    int wantedTasks = service.pendingTaskCount();
+    return preemption.preempt(
+        service, wantedTasks, new HashMap<>(), PreemptionRequest.ANY_IMAGE_WAIT_S);
   }
 
   private static long countStopping(MachineState machine) {
@@ -89,24 +90,24 @@
   }
 
   @Test
-  void ofEqualMachinesTheOneWithTheLeastWorkLostIsChosen() {
-    MachineState longer = fullMachine("n-1", 30_000);
-    MachineState shorter = fullMachine("n-2", 10_000);
+  void choosesTheMachineWithTheLeastLostWork() {
+    MachineState longRunning = fullMachine("n-1", 30_000);
+    MachineState shortRunning = fullMachine("n-2", 10_000);
     assertEquals(1, preemptFor(add(JobKind.SERVICE, 1, Priority.HIGH, "web-img")));
-    assertEquals(0, countStopping(longer));
-    assertEquals(1, countStopping(shorter));
+    assertEquals(0, countStopping(longRunning));
+    assertEquals(1, countStopping(shortRunning));
   }
 
   /**
-   * A replica once preempted tasks on a machine that still fetched other images, and waited 62 s
-   * for its own.
+   * Without the image wait in the cost, a replica preempted tasks on a machine that was still
+   * fetching other images and waited 62 s for its own.
    */
   @Test
-  void theWaitForAnImageCountsLikeLostWork() {
+  void imageWaitCountsAsLostWork() {
     MachineState cached = fullMachine("n-1", 25_000);
     MachineState uncached = fullMachine("n-2", 10_000);
     cached.images().recordUse("web-img", 40, 100);
-    // 40 GB take 20 s, more than the 15 s that the other tasks have run for less.
+    // Fetching 40 GB takes 20 s, more than the 15 s by which the run times of the tasks differ.
     assertEquals(1, preemptFor(add(JobKind.SERVICE, 1, Priority.HIGH, "web-img")));
     assertEquals(1, countStopping(cached));
     assertEquals(0, countStopping(uncached));
--- a/src/test/java/eiderfork/controller/scheduling/QueueOrderTest.java
+++ b/src/test/java/eiderfork/controller/scheduling/QueueOrderTest.java
@@ -23,7 +23,7 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** In which order jobs of one priority are served. */
+/** Tests the queue order of jobs of one priority and the deadline estimates behind it. */
 class QueueOrderTest {
   private static final long START_MS = 1_000_000;
 
@@ -42,7 +42,10 @@
                 "g4", new Resources(16, 4, 64), 50, 2, 8, 3, 4, ImmutableList.of("a"))));
   }
 
-  /** Objectives: most arrays are done by their deadline, and nearly all by 1.5 times that. */
+  /**
+   * Returns settings with two deadline objectives: 90% of arrays finish by their deadline and 97.5%
+   * within 1.5 times the deadline.
+   */
   private static Settings settings() {
     return TestFixtures.withObjectives(
         TestFixtures.settings("roost-0"),
@@ -51,7 +54,7 @@
             new Settings.Objective(Settings.Objective.Kind.DEADLINE, "batch", 0, 1, 0.9)));
   }
 
-  /** An array whose image of 20 GB takes 10 s to fetch. */
+  /** Adds an array whose 20 GB image takes 10 s to fetch. */
   private JobState array(int number, int tasks, double estimateS, Double deadlineS) {
     Job template =
         TestFixtures.job(
@@ -84,32 +87,32 @@
   }
 
   @Test
-  void theLatestStartTimeDecidesAndNotTheArrival() {
-    JobState patient = array(1, 4, 50, 300.0);
+  void ordersByLatestStartTimeNotByArrival() {
+    JobState relaxed = array(1, 4, 50, 300.0);
     JobState urgent = array(2, 4, 50, 80.0);
     JobState shortRun = array(3, 4, 10, 80.0);
-    assertEquals(List.of(urgent, shortRun, patient), sorted());
+    assertEquals(List.of(urgent, shortRun, relaxed), sorted());
   }
 
   @Test
-  void whatMissesItsDeadlineGoesBehindWhatCanMeetIt() {
+  void jobsThatMissTheirDeadlineFollowJobsThatMeetIt() {
     JobState late = array(1, 4, 50, 30.0);
     JobState inTime = array(2, 4, 50, 300.0);
     assertEquals(List.of(inTime, late), sorted());
   }
 
   @Test
-  void aMissedDeadlineLeavesTheNextObjective() {
+  void missedDeadlineFallsBackToTheNextObjective() {
     JobState other = array(1, 4, 50, 200.0);
     JobState first = array(2, 4, 50, 100.0);
     context.advanceTo(START_MS + 60_000);
-    // The deadline itself could be met by a start up to 40 s, 1.5 times it up to 90 s.
+    // A start by 40 s meets the deadline itself; a start by 90 s meets 1.5 times the deadline.
     assertEquals(List.of(first, other), sorted());
   }
 
-  /** Behind all others a late job would wait for ever where work keeps coming. */
+  /** Placed behind all other jobs, a late job would starve while new work keeps arriving. */
   @Test
-  void aLateJobThatNeverStartedGoesFirstInTimeToBeginWithinFourMinutes() {
+  void lateJobThatNeverStartedGoesFirstToStartWithinFourMinutes() {
     JobState late = array(1, 4, 50, 40.0);
     context.advanceTo(START_MS + 150_000);
     JobState fresh = array(2, 4, 50, 70.0);
@@ -117,7 +120,7 @@
   }
 
   @Test
-  void arraysWithoutADeadlineGoByArrival() {
+  void arraysWithoutDeadlineAreOrderedByArrival() {
     List<JobState> arrays = new ArrayList<>();
     for (int i = 1; i <= 3; i++) {
       arrays.add(array(i, 4, 50, null));
@@ -125,34 +128,38 @@
     }
     assertEquals(arrays, sorted());
     JobState urgent = array(4, 4, 50, 61.0);
-    assertTrue(sorted().indexOf(urgent) > 0, "the older ones have waited for longer");
+    assertTrue(sorted().indexOf(urgent) > 0, "the older arrays come first");
   }
 
-  /** Spot machines that were taken back cost a fifth of the arrays their deadline. */
+  /**
+   * Guards against placing jobs without time for a rerun on spot machines: reclaimed machines made
+   * a fifth of the arrays miss their deadlines.
+   */
   @Test
-  void workWithoutTimeForARerunIsRecognised() {
-    JobState patient = array(1, 4, 50, 200.0);
+  void detectsJobsWithoutTimeForARerun() {
+    JobState relaxed = array(1, 4, 50, 200.0);
     JobState tight = array(2, 4, 50, 100.0);
-    JobState free = array(3, 4, 50, null);
-    assertFalse(deadlines.hasNoTimeForRerun(patient));
+    JobState noDeadline = array(3, 4, 50, null);
+    assertFalse(deadlines.hasNoTimeForRerun(relaxed));
     assertTrue(deadlines.hasNoTimeForRerun(tight));
-    assertFalse(deadlines.hasNoTimeForRerun(free));
+    assertFalse(deadlines.hasNoTimeForRerun(noDeadline));
     context.advanceTo(START_MS + 120_000);
-    assertTrue(deadlines.hasNoTimeForRerun(patient));
+    assertTrue(deadlines.hasNoTimeForRerun(relaxed));
   }
 
   @Test
-  void aTaskIsLateIfRerunOnlyWhereItIsInTimeNow() {
+  void onlyATaskThatMeetsItsDeadlineIsLateIfRerun() {
     JobState job = array(1, 1, 50, 100.0);
     Reservation first = new Reservation(job, 0, 1, fleet.getOrRegister("n-1"));
     first.onRunningReported(START_MS + 20_000);
     context.advanceTo(START_MS + 40_000);
-    assertFalse(deadlines.isLateIfRerun(first), "a run from now ends at 90 s");
+    assertFalse(deadlines.isLateIfRerun(first), "a rerun from now ends at 90 s");
     context.advanceTo(START_MS + 60_000);
-    assertTrue(deadlines.isLateIfRerun(first), "a run from now ends at 110 s");
+    assertTrue(deadlines.isLateIfRerun(first), "a rerun from now ends at 110 s");
     Reservation second = new Reservation(job, 0, 2, fleet.getOrRegister("n-1"));
     second.onRunningReported(START_MS + 55_000);
     assertFalse(
-        deadlines.isLateIfRerun(second), "it misses 100 s anyhow, and meets 150 s either way");
+        deadlines.isLateIfRerun(second),
+        "it misses 100 s in any case and meets 150 s even if rerun");
   }
 }
