--- a/src/main/java/eiderfork/controller/scheduling/BorrowedCapacity.java
+++ b/src/main/java/eiderfork/controller/scheduling/BorrowedCapacity.java
@@ -56,7 +56,7 @@
 
   /**
    * Returns the free capacity of a machine that is withheld from a borrowing job. Capacity
-   * reclaimed for the job itself is not withheld, since the job could not use it otherwise.
+   * reclaimed for the job itself is not withheld, so that the job can use what was freed for it.
    */
   Resources withheldFrom(JobState borrower, MachineState machine) {
     String borrowerUid = borrower.spec().uid();
--- a/src/main/java/eiderfork/controller/scheduling/FreeCapacity.java
+++ b/src/main/java/eiderfork/controller/scheduling/FreeCapacity.java
@@ -85,7 +85,7 @@
     claims.clear();
   }
 
-  /** Reserves capacity for a job by a claim. */
+  /** Adds a claim, which withholds its capacity from other jobs. */
   void addClaim(CapacityClaim claim) {
     claims.add(claim);
   }
--- a/src/main/java/eiderfork/controller/scheduling/QuotaBorrowing.java
+++ b/src/main/java/eiderfork/controller/scheduling/QuotaBorrowing.java
@@ -81,8 +81,8 @@
 
   /**
    * Allows reclaims once this leader has seen what runs on each machine. Tasks that an earlier
-   * leader preempted may be about to end, and an earlier reclaim would preempt others needlessly.
-   * Silent machines are waited for until the heartbeat timeout.
+   * leader preempted may be about to end, and a reclaim before that would preempt other tasks in
+   * their place. Silent machines are waited for until the heartbeat timeout.
    */
   private void awaitEarlierReclaims() {
     if (canReclaim) {
--- a/src/main/java/eiderfork/controller/scheduling/TaskScheduler.java
+++ b/src/main/java/eiderfork/controller/scheduling/TaskScheduler.java
@@ -115,7 +115,7 @@
       usage.record(spec.team(), used);
       int restoredClaims = restoreClaims();
       // Only a confirmed suspicion rules out preemption: a new leader may also suspect an array
-      // whose attempts ended by repeated preemption.
+      // that was preempted repeatedly.
       if (isOutOfCapacity && !job.failureHistory().isConfirmedSuspect()) {
         int maxTasks = job.failureHistory().isSuspected() ? 1 : startable;
         int wantedTasks = Math.min(job.pendingTaskCount(), maxTasks) - restoredClaims;
