--- a/src/main/java/eiderfork/controller/scheduling/GangScheduler.java
+++ b/src/main/java/eiderfork/controller/scheduling/GangScheduler.java
@@ -14,7 +14,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Places all tasks of a gang at once, has capacity preempted for all of them, or does neither. */
+/**
+ * Schedules gangs all-or-nothing: places all tasks of a gang at once, preempts for all of them, or
+ * does neither.
+ */
 final class GangScheduler {
   private static final Logger LOG = LoggerFactory.getLogger(GangScheduler.class);
 
@@ -43,8 +46,8 @@
     this.preemptionBudget = preemptionBudget;
   }
 
-  /** Proposes reservations for the whole gang, or has capacity preempted for the whole of it. */
-  void place(JobState job, PreemptionPlanner preemption, SearchConstraints constraints) {
+  /** Proposes reservations for all tasks of the gang, or requests preemption for all of them. */
+  void place(JobState job, PreemptionPlanner preemptionPlanner, SearchConstraints constraints) {
     Job spec = job.spec();
     Resources usedWithGang = usage.used(spec.team()).plus(spec.taskResources().times(spec.tasks()));
     if (!job.gang().canStartAttempt()
@@ -53,40 +56,40 @@
       return;
     }
     List<CapacityClaim> claims = capacity.releaseClaims(job);
-    if (placeInAnyZone(job, constraints)) {
+    if (tryPlace(job, constraints)) {
       usage.record(spec.team(), usedWithGang);
     } else if (!claims.isEmpty()) {
       claims.forEach(capacity::addClaim);
     } else if (preemptionBudget.isAvailable()) {
-      preemptInAnyZone(job, preemption);
+      tryPreempt(job, preemptionPlanner);
     }
   }
 
-  private boolean placeInAnyZone(JobState job, SearchConstraints constraints) {
+  private boolean tryPlace(JobState job, SearchConstraints constraints) {
     AllocationSizeLimit sizeLimit = sizeLimits.create(job);
-    for (Map<String, Integer> tasksByZone : zoneCandidates(job)) {
+    for (Map<String, Integer> tasksByZone : initialZoneCounts(job)) {
       if (hasCapacityForAll(job, tasksByZone, constraints)
-          && placeInZones(job, tasksByZone, sizeLimit, constraints)) {
+          && tryPlaceAll(job, tasksByZone, sizeLimit, constraints)) {
         return true;
       }
     }
     return false;
   }
 
-  private void preemptInAnyZone(JobState job, PreemptionPlanner preemption) {
-    for (Map<String, Integer> tasksByZone : zoneCandidates(job)) {
-      if (preemption.preemptForGang(job, tasksByZone)) {
+  private void tryPreempt(JobState job, PreemptionPlanner preemptionPlanner) {
+    for (Map<String, Integer> tasksByZone : initialZoneCounts(job)) {
+      if (preemptionPlanner.preemptForGang(job, tasksByZone)) {
         return;
       }
     }
   }
 
   /**
-   * The tasks of each zone to begin a search with. A gang that has to be in one zone is tried in
-   * one after the other, since the best machine for its first task may be in a zone that has no
-   * capacity for the others.
+   * Returns the initial task counts per zone for each search to try. A single-zone gang gets one
+   * entry per zone, tried in turn, because the zone with the best machine for the first task may
+   * lack capacity for the rest.
    */
-  private List<Map<String, Integer>> zoneCandidates(JobState job) {
+  private List<Map<String, Integer>> initialZoneCounts(JobState job) {
     List<Map<String, Integer>> candidates = new ArrayList<>();
     if (!job.spec().singleZone()) {
       candidates.add(new HashMap<>());
@@ -100,14 +103,17 @@
     return candidates;
   }
 
-  /** Whether the machines hold every task, before any of them is scored. */
+  /**
+   * Returns whether the free capacity is enough for all tasks; checked before any machine is
+   * scored.
+   */
   private boolean hasCapacityForAll(
       JobState job, Map<String, Integer> tasksByZone, SearchConstraints constraints) {
     Job spec = job.spec();
     Map<String, Integer> fittingByZone = new HashMap<>();
     for (MachineState machine :
         capacity.candidates(spec, capacity.eligibleZones(job, tasksByZone))) {
-      capacity.countExamined();
+      capacity.countExamination();
       Resources free = capacity.freeOn(machine, job, constraints.excludesReclaimed());
       int fitting = free.countFitting(spec.taskResources());
       if (fitting > 0
@@ -123,7 +129,7 @@
     return total >= spec.tasks();
   }
 
-  private boolean placeInZones(
+  private boolean tryPlaceAll(
       JobState job,
       Map<String, Integer> tasksByZone,
       AllocationSizeLimit sizeLimit,
--- a/src/main/java/eiderfork/controller/scheduling/PreemptionPlanner.java
+++ b/src/main/java/eiderfork/controller/scheduling/PreemptionPlanner.java
@@ -17,14 +17,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Frees capacity for the jobs of a round that find none: preempts what its {@link PreemptionPolicy}
- * allows, gangs as a whole, or migrates replicas that fit elsewhere, whichever costs least. What is
- * freed is claimed for the job.
+ * Frees capacity for jobs that find none in a round, by preempting tasks that the {@link
+ * PreemptionPolicy} allows (gangs as a whole) or by migrating replicas that fit elsewhere, choosing
+ * the cheapest option. The freed capacity is claimed for the job.
  */
 final class PreemptionPlanner {
   private static final Logger LOG = LoggerFactory.getLogger(PreemptionPlanner.class);
 
-  /** How long capacity is claimed for a job beyond the time that its victims take to end. */
+  /** The duration of a claim beyond the expected end of its victims, in steps. */
   private static final int CLAIM_DURATION_STEPS = 5;
 
   private final ControllerContext context;
@@ -37,13 +37,13 @@
   private final InfeasiblePreemptions infeasible;
   private final double maxExaminations;
 
-  /** The replicas whose migration is not confirmed yet. */
+  /** Replicas whose migration is not confirmed yet. */
   private final List<Reservation> unconfirmedMigrations = new ArrayList<>();
 
   /**
    * Creates the planner of one round.
    *
-   * @param maxExaminations once more machines than this were examined, no further search begins
+   * @param maxExaminations the number of machine examinations after which no further search begins
    */
   PreemptionPlanner(
       ControllerContext context,
@@ -64,41 +64,44 @@
     infeasible = new InfeasiblePreemptions(policy);
   }
 
-  /** How often a machine was examined for preemption. */
-  int examinedMachines() {
-    return finder.examinedMachines();
+  /** Returns the number of machine examinations for preemption. */
+  int examinations() {
+    return finder.examinations();
   }
 
   /**
    * Frees capacity for tasks of a job.
    *
-   * @param wanted for how many tasks
-   * @param tasksByZone the job's tasks in each zone; those that capacity is freed for are added
-   * @param maxImageWaitS how long the image may take to come to a machine
-   * @return for how many tasks capacity is being freed
+   * @param wantedTasks the number of tasks that need capacity
+   * @param tasksByZone the job's task count in each zone; increased for each task that capacity is
+   *     freed for
+   * @param maxImageWaitS the longest acceptable wait for the image on a machine
+   * @return the number of tasks for which capacity is being freed
    */
-  int preempt(JobState job, int wanted, Map<String, Integer> tasksByZone, double maxImageWaitS) {
-    int freed = preemptUnconfirmed(job, wanted, tasksByZone, maxImageWaitS);
+  int preempt(
+      JobState job, int wantedTasks, Map<String, Integer> tasksByZone, double maxImageWaitS) {
+    int freedTasks = preemptUnconfirmed(job, wantedTasks, tasksByZone, maxImageWaitS);
     confirm(job);
-    return freed;
+    return freedTasks;
   }
 
   /**
-   * Frees capacity for every task of a gang, counting what is free already, or for none.
+   * Frees capacity for all tasks of a gang or for none, counting capacity that is already free.
    *
-   * @param tasksByZone the zones to be tried, with no tasks in them yet
+   * @param tasksByZone the zones to try, with zero task counts; empty to allow any zone
    * @return whether capacity is being freed for all tasks
    */
   boolean preemptForGang(JobState job, Map<String, Integer> tasksByZone) {
-    int wanted = job.spec().tasks();
+    int wantedTasks = job.spec().tasks();
     InfeasiblePreemptions.Snapshot infeasibleBefore = infeasible.snapshot();
-    if (preemptUnconfirmed(job, wanted, tasksByZone, PreemptionRequest.ANY_IMAGE_WAIT_S)
-        == wanted) {
+    if (preemptUnconfirmed(job, wantedTasks, tasksByZone, PreemptionRequest.ANY_IMAGE_WAIT_S)
+        == wantedTasks) {
       confirm(job);
       return true;
     }
     rollBack(job);
-    // What was found infeasible beside the tasks with capacity is not proved without them.
+    // Zones found infeasible while the gang's other tasks held claims may be feasible without those
+    // claims.
     infeasible.restore(infeasibleBefore);
     return false;
   }
@@ -116,41 +119,44 @@
   }
 
   private int preemptUnconfirmed(
-      JobState job, int wanted, Map<String, Integer> tasksByZone, double maxImageWaitS) {
+      JobState job, int wantedTasks, Map<String, Integer> tasksByZone, double maxImageWaitS) {
     if (job.spec().kind() == JobKind.ARRAY && !policy.canPreemptForArray(job)) {
       return 0;
     }
-    int maxTasks = policy.maxTasks(job, wanted);
-    int freed = 0;
-    for (VictimPreference preference : policy.preferences(job)) {
-      if (freed < maxTasks && examinedMachines() <= maxExaminations) {
+    int maxTasks = policy.maxTasks(job, wantedTasks);
+    int freedTasks = 0;
+    for (VictimPreference preference : policy.victimPreferences(job)) {
+      if (freedTasks < maxTasks && examinations() <= maxExaminations) {
         PreemptionRequest request = new PreemptionRequest(job, maxImageWaitS, preference);
-        freed += preemptUpToPreference(request, maxTasks - freed, tasksByZone);
+        freedTasks += preemptUpToPreference(request, maxTasks - freedTasks, tasksByZone);
       }
     }
-    return freed;
+    return freedTasks;
   }
 
-  /** Examines each machine once for the request, and again only when its option is chosen. */
+  /**
+   * Frees capacity from victims up to the preference of the request. Each machine is examined once,
+   * and again only when its option is chosen.
+   */
   private int preemptUpToPreference(
-      PreemptionRequest request, int wanted, Map<String, Integer> tasksByZone) {
+      PreemptionRequest request, int wantedTasks, Map<String, Integer> tasksByZone) {
     Set<String> zones = capacity.eligibleZones(request.job(), tasksByZone);
     zones.removeIf(zone -> infeasible.contains(request, zone));
     if (zones.isEmpty()) {
       return 0;
     }
     PriorityQueue<PreemptionOption> options = options(request, zones, tasksByZone);
-    for (int freed = 0; freed < wanted; freed++) {
+    for (int freedTasks = 0; freedTasks < wantedTasks; freedTasks++) {
       PreemptionOption cheapest = removeCheapest(request, options, tasksByZone);
       if (cheapest == null) {
         recordInfeasible(request, zones, tasksByZone);
-        return freed;
+        return freedTasks;
       }
       apply(request.job(), cheapest);
       tasksByZone.merge(cheapest.machine().zone(), 1, Integer::sum);
-      addIfPresent(options, finder.find(request, cheapest.machine()));
+      addIfFound(options, finder.find(request, cheapest.machine()));
     }
-    return wanted;
+    return wantedTasks;
   }
 
   private PriorityQueue<PreemptionOption> options(
@@ -161,20 +167,22 @@
       if (zones.contains(machine.zone())
           && capacity.isAllowed(job, machine, tasksByZone)
           && imageFetch.waitS(job.spec(), machine) <= request.maxImageWaitS()) {
-        addIfPresent(options, finder.find(request, machine));
+        addIfFound(options, finder.find(request, machine));
       }
     }
     return options;
   }
 
-  private static void addIfPresent(
-      PriorityQueue<PreemptionOption> options, PreemptionOption option) {
+  private static void addIfFound(PriorityQueue<PreemptionOption> options, PreemptionOption option) {
     if (option != null) {
       options.add(option);
     }
   }
 
-  /** The cheapest option as it is now, since a migration's target may be taken meanwhile. */
+  /**
+   * Removes and returns the option that is cheapest when evaluated again, since migration targets
+   * may have been taken in the meantime. Returns null if no option remains.
+   */
   private PreemptionOption removeCheapest(
       PreemptionRequest request,
       PriorityQueue<PreemptionOption> options,
@@ -188,7 +196,7 @@
       if (current != null && (options.isEmpty() || current.cost() <= options.peek().cost())) {
         return current;
       }
-      addIfPresent(options, current);
+      addIfFound(options, current);
     }
     return null;
   }
@@ -207,7 +215,7 @@
       machine.requestCommand();
       unconfirmedMigrations.add(replica);
     }
-    policy.preempt(job, machine, option.preemptedTasks());
+    policy.preempt(job, machine, option.preemptions());
     long untilMs =
         context.nowMs()
             + CLAIM_DURATION_STEPS * context.stepMs()
@@ -215,11 +223,11 @@
     capacity.addClaim(new CapacityClaim(job, machine, untilMs));
   }
 
-  /** Records the zones that would take one more task and have no victims for it. */
+  /** Records the zones that would accept another task of the job but have no victims for it. */
   private void recordInfeasible(
       PreemptionRequest request, Set<String> zones, Map<String, Integer> tasksByZone) {
     JobState job = request.job();
-    // A job that avoids machines on which it failed proves nothing about other jobs.
+    // The result of a job that avoids the machines on which it failed does not apply to other jobs.
     if (job.failureHistory().failedMachines().isEmpty()) {
       zones.retainAll(capacity.eligibleZones(job, tasksByZone));
       zones.forEach(zone -> infeasible.add(request, zone));
--- a/src/main/java/eiderfork/controller/scheduling/QuotaPreemptionPolicy.java
+++ b/src/main/java/eiderfork/controller/scheduling/QuotaPreemptionPolicy.java
@@ -23,8 +23,9 @@
 import java.util.List;
 
 /**
- * Preempts by quota and priority: what other teams use beyond their guarantees for a team that
- * lacks its own, and less urgent batch work where no team's guarantee is touched.
+ * Preempts by quota and priority. A team below its guarantee may reclaim capacity that other teams
+ * use beyond theirs. Less urgent batch work may also be preempted as long as no team falls below
+ * its guarantee.
  */
 final class QuotaPreemptionPolicy implements PreemptionPolicy {
   private final ControllerContext context;
@@ -35,18 +36,20 @@
   private final BorrowedCapacity borrowedCapacity;
   private final QuotaUsageLog usageLog;
   private final boolean canReclaim;
-  private final TrialLedger trialLedger;
+  private final TentativeLedger tentativeLedger;
 
-  /** What was preempted and not confirmed yet. */
-  private final List<Choice> unconfirmed = new ArrayList<>();
+  /** Preemptions that are not confirmed yet. */
+  private final List<TaskPreemption> unconfirmed = new ArrayList<>();
 
-  /** The job that {@link #preemptor} describes, by the state of {@link #preemptorLedger}. */
+  /** The job that the cached {@link #preemptor} describes, as of {@link #preemptorLedger}. */
   private JobState preemptorJob;
 
   private QuotaLedger preemptorLedger;
   private Preemptor preemptor;
 
   /**
+   * Creates the policy for one round.
+   *
    * @param canReclaim whether this leader may preempt yet
    */
   QuotaPreemptionPolicy(
@@ -66,7 +69,7 @@
     this.borrowedCapacity = borrowedCapacity;
     this.usageLog = usageLog;
     this.canReclaim = canReclaim;
-    trialLedger = new TrialLedger(teamUsage);
+    tentativeLedger = new TentativeLedger(teamUsage);
   }
 
   private Preemptor preemptorOf(JobState job) {
@@ -87,20 +90,20 @@
         && teamUsage.ledger().hasOtherBorrower(array.team());
   }
 
-  /** No more than the team's limit leaves beside the capacity that is claimed for it already. */
+  /** Limits the count to what fits within the team's limit after its usage and claims. */
   @Override
-  public int maxTasks(JobState job, int wanted) {
+  public int maxTasks(JobState job, int wantedTasks) {
     Job spec = job.spec();
     Team team = context.settings.teams().get(spec.team());
     if (team == null || !canReclaim) {
       return 0;
     }
     Resources used = teamUsage.usedWithClaims(spec.team());
-    return team.countWithinLimit(used, spec.taskResources(), wanted);
+    return team.countWithinLimit(used, spec.taskResources(), wantedTasks);
   }
 
   @Override
-  public List<VictimPreference> preferences(JobState job) {
+  public List<VictimPreference> victimPreferences(JobState job) {
     Preemptor current = preemptorOf(job);
     if (!current.isWithinGuarantee()) {
       return List.of(VictimPreference.BORROWED_BATCH);
@@ -114,7 +117,7 @@
   }
 
   @Override
-  public Object preemptorClass(JobState job) {
+  public Object preemptorKey(JobState job) {
     return preemptorOf(job);
   }
 
@@ -128,7 +131,10 @@
     return borrowedCapacity.isResponsive(machine);
   }
 
-  /** A task on an unresponsive machine, or with a save that hangs, keeps its capacity. */
+  /**
+   * Excludes tasks on unresponsive machines and tasks whose save is overdue: they do not free their
+   * capacity in the expected time.
+   */
   @Override
   public boolean isFreeingCapacity(Reservation reservation) {
     if (deferredPreemptions.isPending(reservation)) {
@@ -142,11 +148,12 @@
 
   @Override
   public void beginOption() {
-    trialLedger.begin();
+    tentativeLedger.begin();
   }
 
   @Override
-  public Choice evaluate(JobState job, Reservation reservation, VictimPreference maxPreference) {
+  public TaskPreemption evaluate(
+      JobState job, Reservation reservation, VictimPreference maxPreference) {
     boolean isReplica = reservation.job().spec().kind() == JobKind.SERVICE;
     if (isReplica && maxPreference != VictimPreference.BORROWED_REPLICA) {
       return null;
@@ -156,10 +163,13 @@
       return null;
     }
     PreemptionPlan plan = plans.planFor(reservation, preemptorOf(job).maxCheckpointWaitS());
-    return new Choice(reservation, allowed.reason(), plan, plans.costOf(reservation, plan));
+    return new TaskPreemption(reservation, allowed.reason(), plan, plans.costOf(reservation, plan));
   }
 
-  /** The decision where the task may be preempted, or null. */
+  /**
+   * Returns the decision if the task may be preempted; otherwise counts the refusal and returns
+   * null.
+   */
   private PreemptionDecision.Allowed decide(
       JobState job, Reservation reservation, QuotaLedger ledger) {
     PreemptionDecision decision =
@@ -186,35 +196,36 @@
   }
 
   @Override
-  public boolean include(JobState job, Choice choice, VictimPreference maxPreference) {
-    Reservation reservation = choice.task();
-    if (trialLedger.includesGang(reservation.job())) {
+  public boolean tryInclude(
+      JobState job, TaskPreemption preemption, VictimPreference maxPreference) {
+    Reservation reservation = preemption.task();
+    if (tentativeLedger.includesGang(reservation.job())) {
       return true;
     }
-    // The first victim was evaluated with the same ledger already.
-    if (trialLedger.hasVictims()
-        && !isAllowed(decide(job, reservation, trialLedger.ledger()), maxPreference)) {
+    // The first victim was already evaluated with the unmodified ledger.
+    if (tentativeLedger.hasVictims()
+        && !isAllowed(decide(job, reservation, tentativeLedger.ledger()), maxPreference)) {
       return false;
     }
-    trialLedger.include(reservation);
+    tentativeLedger.include(reservation);
     return true;
   }
 
   @Override
-  public void preempt(JobState job, MachineState machine, List<Choice> choices) {
-    for (Choice choice : choices) {
-      Reservation reservation = choice.task();
-      // Another task of its gang may have been preempted before.
+  public void preempt(JobState job, MachineState machine, List<TaskPreemption> preemptions) {
+    for (TaskPreemption preemption : preemptions) {
+      Reservation reservation = preemption.task();
+      // An earlier preemption of another task may have stopped the whole gang.
       if (reservation.isDesired() && !deferredPreemptions.isPending(reservation)) {
-        unconfirmed.add(choice);
-        preempt(job, machine, choice);
+        unconfirmed.add(preemption);
+        preempt(job, machine, preemption);
       }
     }
   }
 
-  private void preempt(JobState job, MachineState machine, Choice choice) {
-    Reservation reservation = choice.task();
-    PreemptionPlan plan = choice.plan();
+  private void preempt(JobState job, MachineState machine, TaskPreemption preemption) {
+    Reservation reservation = preemption.task();
+    PreemptionPlan plan = preemption.plan();
     if (plan.mode() == PreemptionMode.AFTER_CHECKPOINT) {
       deferredPreemptions.preemptAfterCheckpoint(reservation, job, plan.delayS());
       return;
@@ -228,21 +239,21 @@
 
   @Override
   public void confirm(JobState job) {
-    for (Choice choice : unconfirmed) {
-      Reservation reservation = choice.task();
+    for (TaskPreemption preemption : unconfirmed) {
+      Reservation reservation = preemption.task();
       reservation.job().reclaims().record(reservation.taskIndex(), context.nowMs());
       borrowedCapacity.recordReclaim(reservation, job.spec());
       usageLog.countPreemption();
-      PreemptionLog.logVictim(job.spec(), choice);
+      PreemptionLog.logVictim(job.spec(), preemption);
     }
     unconfirmed.clear();
   }
 
   @Override
   public void rollBack() {
-    for (Choice choice : unconfirmed) {
-      deferredPreemptions.cancel(choice.task());
-      jobs.revokeStop(choice.task());
+    for (TaskPreemption preemption : unconfirmed) {
+      deferredPreemptions.cancel(preemption.task());
+      jobs.revokeStop(preemption.task());
     }
     unconfirmed.clear();
   }
