--- a/src/main/java/eiderfork/controller/quota/CheckpointPolicy.java
+++ b/src/main/java/eiderfork/controller/quota/CheckpointPolicy.java
@@ -1,23 +1,23 @@
 package eiderfork.controller.quota;
 
 /**
- * How a task checkpoints its progress.
+ * The checkpoint settings of a task.
  *
- * @param intervalS the run time between checkpoints that it writes by itself; 0 for never
- * @param saveS how long it takes to write a checkpoint when it is stopped
+ * @param intervalS the run time between the task's periodic checkpoints; 0 if it writes none
+ * @param saveS the time that the task takes to write a checkpoint when it is stopped
  */
 public record CheckpointPolicy(double intervalS, double saveS) {
-  /** Whether the task writes checkpoints at all. */
+  /** Returns whether the task writes checkpoints. */
   public boolean isEnabled() {
     return intervalS > 0;
   }
 
-  /** The work since the last checkpoint of a task that has run for {@code ranS}. */
+  /** The work since the last periodic checkpoint of a task that has run for {@code ranS}. */
   public double workSinceLastS(double ranS) {
     return isEnabled() ? ranS % intervalS : ranS;
   }
 
-  /** How long until the next checkpoint. */
+  /** The time until the next periodic checkpoint of a task that has run for {@code ranS}. */
   public double untilNextS(double ranS) {
     return isEnabled() ? intervalS - ranS % intervalS : Double.MAX_VALUE;
   }
--- a/src/main/java/eiderfork/controller/quota/PreemptionDecision.java
+++ b/src/main/java/eiderfork/controller/quota/PreemptionDecision.java
@@ -1,23 +1,23 @@
 package eiderfork.controller.quota;
 
-/** Whether some work may be preempted for a job. */
+/** The decision on whether a victim may be preempted for a preemptor. */
 public sealed interface PreemptionDecision {
-  /** It may be preempted. */
+  /** The victim may be preempted. */
   record Allowed(PreemptionReason reason, VictimPreference preference)
       implements PreemptionDecision {}
 
-  /** It may not be preempted. */
+  /** The victim may not be preempted. */
   record Refused(Refusal reason) implements PreemptionDecision {}
 
-  /** Why it may not be preempted. */
+  /** The reason why a victim may not be preempted. */
   enum Refusal {
-    /** It is not less urgent, and not borrowed from the guarantee of the job's team. */
+    /** The preemptor has no precedence by priority and does not reclaim its team's guarantee. */
     NOT_MORE_URGENT,
-    /** Its team would lose part of its guarantee to work beyond the preemptor's guarantee. */
+    /** The victim's team would lose guaranteed quota to a preemptor beyond its own guarantee. */
     LENDER_AT_GUARANTEE,
-    /** It belongs to the same team and is not less urgent. */
+    /** The victim belongs to the preemptor's team, and the preemptor has no precedence. */
     SAME_TEAM,
-    /** It is a replica, and a new machine may still boot for the job. */
+    /** The victim is a replica, and a new machine may still boot for the preemptor. */
     REPLICA_NOT_YET
   }
 }
--- a/src/main/java/eiderfork/controller/quota/PreemptionMode.java
+++ b/src/main/java/eiderfork/controller/quota/PreemptionMode.java
@@ -1,11 +1,11 @@
 package eiderfork.controller.quota;
 
-/** How a task is preempted. */
+/** The ways of stopping a preempted task. */
 public enum PreemptionMode {
-  /** At once: its work since the last checkpoint is lost. */
+  /** Stops the task immediately; its work since the last checkpoint is lost. */
   AT_ONCE,
-  /** It gets the time that it needs to save. */
+  /** Gives the task the time that it needs to save. */
   SAVE,
-  /** At once, right after the next checkpoint. */
+  /** Stops the task immediately after its next periodic checkpoint. */
   AFTER_CHECKPOINT
 }
--- a/src/main/java/eiderfork/controller/quota/PreemptionPlan.java
+++ b/src/main/java/eiderfork/controller/quota/PreemptionPlan.java
@@ -1,31 +1,34 @@
 package eiderfork.controller.quota;
 
 /**
- * A way to preempt a task.
+ * A mode of preempting a task, with its costs.
  *
- * @param delayS how long until its capacity is free
- * @param lostWorkS the work that has to be done again
+ * @param delayS the time until the task's capacity is free
+ * @param lostWorkS the run time of the work that has to be repeated
  */
 public record PreemptionPlan(PreemptionMode mode, double delayS, double lostWorkS) {
-  /** By how much machines of one type differ in speed, and so in when checkpoints are due. */
+  /**
+   * The relative speed difference of machines of one type, which shifts when checkpoints are due.
+   */
   private static final double SPEED_SPREAD = 0.1;
 
-  /** Preempts a task that has not begun to work. */
+  /** The plan for a task that has not started to work. */
   public static final PreemptionPlan NO_WORK_LOST =
       new PreemptionPlan(PreemptionMode.AT_ONCE, 0, 0);
 
-  /** The time that the capacity is of no use, as it waits or repeats lost work. */
+  /** The time for which the capacity is wasted, by waiting for it or repeating lost work. */
   public double costS() {
     return delayS + lostWorkS;
   }
 
   /**
-   * The cheapest way to preempt a running task.
+   * Returns the cheapest plan to preempt a running task.
    *
-   * @param ranS how long it has run
-   * @param isStartKnown whether that counts from its start, which a new leader has not observed
-   * @param maxCheckpointWaitS how long the preemptor may wait for a checkpoint
-   * @param startObservationDelayS how late the start may have been observed
+   * @param ranS the time for which the task has run
+   * @param isStartKnown whether {@code ranS} counts from the task's start, which a new leader has
+   *     not observed
+   * @param maxCheckpointWaitS the longest time that the preemptor may wait for a checkpoint
+   * @param startObservationDelayS the longest delay with which the start may have been observed
    */
   public static PreemptionPlan cheapest(
       CheckpointPolicy checkpoints,
@@ -63,7 +66,7 @@
     return new PreemptionPlan(PreemptionMode.AFTER_CHECKPOINT, dueS + marginS, 0);
   }
 
-  /** Whether a checkpoint was due so lately that it may not be written yet. */
+  /** Returns whether a checkpoint was due so recently that it may not be written yet. */
   private static boolean isCheckpointUncertain(
       CheckpointPolicy checkpoints, double ranS, double marginS) {
     return ranS >= checkpoints.intervalS() && checkpoints.workSinceLastS(ranS) < marginS;
--- a/src/main/java/eiderfork/controller/quota/PreemptionReason.java
+++ b/src/main/java/eiderfork/controller/quota/PreemptionReason.java
@@ -1,9 +1,9 @@
 package eiderfork.controller.quota;
 
-/** Why work may be preempted for a job. */
+/** The reasons for which a victim may be preempted. */
 public enum PreemptionReason {
-  /** The job's team reclaims its guarantee from what another team has borrowed. */
+  /** The preemptor's team reclaims guaranteed quota that another team has borrowed. */
   GUARANTEE,
-  /** The job has the higher priority. */
+  /** The preemptor has the higher priority. */
   PRIORITY
 }
--- a/src/main/java/eiderfork/controller/quota/PreemptionVictim.java
+++ b/src/main/java/eiderfork/controller/quota/PreemptionVictim.java
@@ -4,12 +4,12 @@
 import eiderfork.model.Priority;
 
 /**
- * Work that may be preempted.
+ * A candidate for preemption: a task or a whole gang.
  *
- * @param amount what ends with it: one task, or all tasks of a gang
+ * @param amount the quota that it uses: that of the task, or of all tasks of the gang
  */
 public record PreemptionVictim(TeamId team, JobKind kind, Priority priority, QuotaAmount amount) {
-  /** Whether it is batch work, which can run again later, and not a replica. */
+  /** Returns whether the victim is batch work, which can run again later, and not a replica. */
   public boolean isBatch() {
     return kind != JobKind.SERVICE;
   }
--- a/src/main/java/eiderfork/controller/quota/Preemptor.java
+++ b/src/main/java/eiderfork/controller/quota/Preemptor.java
@@ -4,12 +4,12 @@
 import eiderfork.model.Priority;
 
 /**
- * A job that others may be preempted for.
+ * A job for which others may be preempted.
  *
- * @param isWithinGuarantee whether its team's guarantee covers the job's next task, or its whole
+ * @param isWithinGuarantee whether its team's guarantee covers the job's next task, or the whole
  *     gang
- * @param maxCheckpointWaitS how long it may wait for a victim to reach its checkpoint
- * @param hasWaitedForBoot whether it has waited for so long that a new machine would have booted
+ * @param maxCheckpointWaitS the longest time that it may wait for a victim's next checkpoint
+ * @param hasWaitedForBoot whether it has waited long enough for a new machine to boot
  */
 public record Preemptor(
     TeamId team,
--- a/src/main/java/eiderfork/controller/quota/QuotaAmount.java
+++ b/src/main/java/eiderfork/controller/quota/QuotaAmount.java
@@ -4,30 +4,30 @@
 
 /** An amount of GPUs and CPUs, the resources that teams are guaranteed. */
 public record QuotaAmount(double gpus, double cpus) {
-  /** Nothing. */
+  /** The empty amount. */
   public static final QuotaAmount NONE = new QuotaAmount(0, 0);
 
-  /** The GPUs and CPUs of these resources. */
+  /** Returns the GPUs and CPUs of these resources. */
   public static QuotaAmount of(Resources resources) {
     return new QuotaAmount(resources.gpus(), resources.cpus());
   }
 
-  /** The sum of both amounts. */
+  /** Returns the sum of both amounts. */
   public QuotaAmount plus(QuotaAmount other) {
     return new QuotaAmount(gpus + other.gpus, cpus + other.cpus);
   }
 
-  /** What is left of this amount without the other; may be negative. */
+  /** Returns the difference of both amounts, which may be negative. */
   public QuotaAmount minus(QuotaAmount other) {
     return new QuotaAmount(gpus - other.gpus, cpus - other.cpus);
   }
 
-  /** This amount {@code n} times. */
-  public QuotaAmount times(double n) {
-    return new QuotaAmount(gpus * n, cpus * n);
+  /** Returns this amount multiplied by a factor. */
+  public QuotaAmount times(double factor) {
+    return new QuotaAmount(gpus * factor, cpus * factor);
   }
 
-  /** Whether there is some of either resource. */
+  /** Returns whether either resource is positive, beyond rounding errors. */
   public boolean isPositive() {
     return gpus > Resources.ROUNDING_TOLERANCE || cpus > Resources.ROUNDING_TOLERANCE;
   }
--- a/src/main/java/eiderfork/controller/quota/QuotaPreemptionRules.java
+++ b/src/main/java/eiderfork/controller/quota/QuotaPreemptionRules.java
@@ -6,16 +6,16 @@
 import eiderfork.model.JobKind;
 
 /**
- * Who may preempt whom where quota is borrowed. There are two reasons: a team reclaims its
- * guarantee from what another has borrowed, or the preemptor has the higher priority. No team loses
- * part of its guarantee to work beyond another's. Work that can't be preempted in part and is
- * borrowed in part only may be preempted for work within another's guarantee once nothing else
- * would do.
+ * The rules for preemption between teams that may borrow quota. There are two reasons to preempt: a
+ * team reclaims guaranteed quota that another team has borrowed, or the preemptor has the higher
+ * priority. No team loses guaranteed quota to work beyond another team's guarantee. Work that is
+ * only partly borrowed and can't be preempted in part may be preempted for work within another
+ * team's guarantee, but only as a last resort.
  */
 public final class QuotaPreemptionRules {
   private QuotaPreemptionRules() {}
 
-  /** Whether the victim may be preempted, as the ledger stands now. */
+  /** Decides whether the victim may be preempted, given the usage in the ledger. */
   public static PreemptionDecision evaluate(
       Preemptor preemptor, PreemptionVictim victim, QuotaLedger ledger) {
     TeamUsage lender = ledger.usage(victim.team());
@@ -48,14 +48,14 @@
   private static PreemptionDecision evaluatePriority(
       Preemptor preemptor, PreemptionVictim victim, TeamUsage lender, boolean isSameTeam) {
     boolean isMoreUrgent = victim.priority().compareTo(preemptor.priority()) > 0;
-    // Arrays preempt nothing for their priority alone; they come first in the queue.
+    // Arrays never preempt by priority; their priority only moves them ahead in the queue.
     if (!isMoreUrgent || !victim.isBatch() || preemptor.kind() == JobKind.ARRAY) {
       return new Refused(isSameTeam ? Refusal.SAME_TEAM : Refusal.NOT_MORE_URGENT);
     }
-    boolean keepsGuarantee =
+    boolean staysAtGuarantee =
         lender == null
             || lender.guarantee().isMetWithout(victim.amount(), lender.usedAfterStopping());
-    if (isSameTeam || keepsGuarantee) {
+    if (isSameTeam || staysAtGuarantee) {
       return new Allowed(PreemptionReason.PRIORITY, VictimPreference.BORROWED_BATCH);
     }
     return preemptor.isWithinGuarantee()
--- a/src/main/java/eiderfork/controller/quota/TeamId.java
+++ b/src/main/java/eiderfork/controller/quota/TeamId.java
@@ -1,6 +1,6 @@
 package eiderfork.controller.quota;
 
-/** The name of a team, to which guarantee, limit and usage belong. */
+/** The name of a team, which identifies its guarantee, limit and usage. */
 public record TeamId(String name) {
   @Override
   public String toString() {
--- a/src/main/java/eiderfork/controller/quota/TeamUsage.java
+++ b/src/main/java/eiderfork/controller/quota/TeamUsage.java
@@ -1,31 +1,31 @@
 package eiderfork.controller.quota;
 
 /**
- * What a team is guaranteed, uses and requests at a moment.
+ * A snapshot of a team's guarantee, usage and requests.
  *
- * @param used all that its tasks hold, unknown starts and tasks that are stopping included
- * @param stopping the part of it that is about to end
- * @param promised capacity that is claimed for the team and not used yet
- * @param requested what its pending tasks would take
+ * @param used the quota held by its tasks, including possible starts and tasks that are stopping
+ * @param stopping the part of {@code used} that belongs to tasks about to end
+ * @param claimed the capacity that is claimed for the team but not used yet
+ * @param requested the quota that its pending tasks would use
  */
 public record TeamUsage(
     TeamId team,
     GuaranteedQuota guarantee,
     QuotaAmount used,
     QuotaAmount stopping,
-    QuotaAmount promised,
+    QuotaAmount claimed,
     QuotaAmount requested) {
-  /** What the team still uses once all that is stopping has ended. */
+  /** The quota that remains in use once all stopping tasks have ended. */
   public QuotaAmount usedAfterStopping() {
     return used.minus(stopping);
   }
 
-  /** What it uses beyond its guarantee. */
+  /** The quota that the team uses beyond its guarantee. */
   public QuotaAmount borrowed() {
     return guarantee.excess(used);
   }
 
-  /** What it requests and does not hold, as far as the guarantee covers it. */
+  /** The requested quota that the unused part of the guarantee covers. */
   public QuotaAmount shortfallWithinGuarantee() {
     return new QuotaAmount(
         shortfall(guarantee.gpus(), used.gpus(), requested.gpus()),
@@ -36,12 +36,12 @@
     return Math.max(0, Math.min(guaranteed - used, requested));
   }
 
-  /** Whether work of this size fits into the guarantee beside all that is used and promised. */
+  /** Returns whether the guarantee covers the demand on top of all used and claimed quota. */
   public boolean canCover(QuotaAmount demand) {
-    return guarantee.appliesTo(demand) && guarantee.covers(used.plus(promised).plus(demand));
+    return guarantee.appliesTo(demand) && guarantee.covers(used.plus(claimed).plus(demand));
   }
 
   TeamUsage withStopping(QuotaAmount stopped) {
-    return new TeamUsage(team, guarantee, used, stopping.plus(stopped), promised, requested);
+    return new TeamUsage(team, guarantee, used, stopping.plus(stopped), claimed, requested);
   }
 }
--- a/src/main/java/eiderfork/controller/quota/VictimPreference.java
+++ b/src/main/java/eiderfork/controller/quota/VictimPreference.java
@@ -1,16 +1,19 @@
 package eiderfork.controller.quota;
 
-/** Which work is preempted first; the next kind only where those before it free too little. */
+/**
+ * The order in which victims are preempted: a kind is used only if those before it free too little
+ * capacity.
+ */
 public enum VictimPreference {
-  /** Batch work without which its team still uses its whole guarantee. */
+  /** Batch work that can end while its team still uses its whole guarantee. */
   BORROWED_BATCH,
   /**
-   * A large task or a gang that exceeds its team's guarantee in part only, so that the team can't
-   * run it within its guarantee.
+   * A large task or a gang that is only partly beyond its team's guarantee, so that the team can't
+   * run it within the guarantee.
    */
   PARTLY_BORROWED_BATCH,
-  /** Less urgent batch work within the guarantee of its team. */
+  /** Batch work of lower priority within the guarantee of its team. */
   GUARANTEED_BATCH,
-  /** Replicas that exceed the guarantee of their team. */
+  /** Replicas that are beyond the guarantee of their team. */
   BORROWED_REPLICA
 }
--- a/src/main/java/eiderfork/controller/quota/package-info.java
+++ b/src/main/java/eiderfork/controller/quota/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Rules for quota that teams borrow and reclaim: what is used beyond a guarantee, who may preempt
- * whom, what a preemption costs, and how soon reclaimed capacity may be borrowed again. The types
- * decide over the values they are given and know no controller, message or clock.
+ * The rules for quota that teams borrow and reclaim: the usage beyond a guarantee, the preemption
+ * rules between teams, the cost of a preemption, and the cooldown of reclaimed capacity. The types
+ * decide only by the values that they are passed; they depend on no controller, message or clock.
  */
 package eiderfork.controller.quota;
--- a/src/main/java/eiderfork/controller/registry/AllocationRecordBuilder.java
+++ b/src/main/java/eiderfork/controller/registry/AllocationRecordBuilder.java
@@ -7,11 +7,14 @@
 import eiderfork.model.PlainAllocationSize;
 import eiderfork.model.StoredRecord;
 
-/** Builds a job's allocation record from memory, and the bounds on its size in each stored form. */
+/**
+ * Builds a job's allocation record from its in-memory state, and the upper bounds on the size of
+ * the record in each stored form.
+ */
 public final class AllocationRecordBuilder {
   private AllocationRecordBuilder() {}
 
-  /** The allocation that memory holds now. */
+  /** Builds the allocation record of the current in-memory state. */
   public static StoredRecord.Allocation build(JobState job) {
     JobTasks tasks = job.tasks();
     return new StoredRecord.Allocation(
@@ -20,37 +23,37 @@
 
   private static ImmutableList<StoredRecord.ReservedRange> reservedRanges(JobTasks tasks) {
     ImmutableList.Builder<StoredRecord.ReservedRange> ranges = ImmutableList.builder();
-    StoredRecord.ReservedRange open = null;
+    StoredRecord.ReservedRange current = null;
     for (Reservation reservation : tasks.reservations().values()) {
-      if (open != null && continues(open, reservation)) {
-        open =
+      if (current != null && isContinuation(current, reservation)) {
+        current =
             new StoredRecord.ReservedRange(
-                open.from(), reservation.taskIndex(), open.attempt(), open.machine());
+                current.from(), reservation.taskIndex(), current.attempt(), current.machine());
         continue;
       }
-      if (open != null) {
-        ranges.add(open);
+      if (current != null) {
+        ranges.add(current);
       }
-      open =
+      current =
           new StoredRecord.ReservedRange(
               reservation.taskIndex(),
               reservation.taskIndex(),
               reservation.attempt(),
               reservation.machine().name());
     }
-    if (open != null) {
-      ranges.add(open);
+    if (current != null) {
+      ranges.add(current);
     }
     return ranges.build();
   }
 
-  private static boolean continues(StoredRecord.ReservedRange range, Reservation reservation) {
+  private static boolean isContinuation(StoredRecord.ReservedRange range, Reservation reservation) {
     return range.to() == reservation.taskIndex() - 1
         && range.attempt() == reservation.attempt()
         && range.machine().equals(reservation.machine().name());
   }
 
-  /** The bound on the plain form, with all current reservations. */
+  /** The upper bound on the size of the plain form, with all current reservations. */
   static PlainAllocationSize plainSize(JobState job) {
     JobTasks tasks = job.tasks();
     PlainAllocationSize size =
@@ -59,7 +62,7 @@
     return size;
   }
 
-  /** The bound on the packed form, with all current reservations. */
+  /** The upper bound on the size of the packed form, with all current reservations. */
   static PackedAllocationSize packedSize(JobState job) {
     JobTasks tasks = job.tasks();
     PackedAllocationSize size =
@@ -74,7 +77,7 @@
     }
   }
 
-  /** The bound on the bitmap form, with all current reservations. */
+  /** The upper bound on the size of the bitmap form, with all current reservations. */
   static BitmapAllocationSize bitmapSize(JobState job) {
     BitmapAllocationSize size = job.tasks().newBitmapSize();
     for (Reservation reservation : job.tasks().reservations().values()) {
--- a/src/main/java/eiderfork/controller/registry/AllocationRestorer.java
+++ b/src/main/java/eiderfork/controller/registry/AllocationRestorer.java
@@ -3,7 +3,7 @@
 import eiderfork.model.JobKind;
 import eiderfork.model.StoredRecord;
 
-/** Brings a job in memory up to the allocation that an earlier leader has committed. */
+/** Restores the in-memory state of a job from the allocation that an earlier leader committed. */
 final class AllocationRestorer {
   private final MachineRegistry fleet;
 
@@ -11,7 +11,7 @@
     this.fleet = fleet;
   }
 
-  /** Restores the allocation, which the store holds under this version. */
+  /** Restores the job's state from its allocation, which the store holds under this version. */
   void restore(JobState job, StoredRecord.Allocation allocation, long version) {
     job.onAllocationRestored(allocation, version);
     allocation.finished().forEach(job.tasks()::restoreFinished);
@@ -36,7 +36,10 @@
     }
   }
 
-  /** An older leader may have seen a part of a gang end, and ended before it acted on it. */
+  /**
+   * Finishes or stops a gang of which some tasks have already ended: an earlier leader may have
+   * recorded that and lost its leadership before it handled the rest of the gang.
+   */
   private static void restoreGang(JobState job) {
     if (job.gang() == null || job.isTerminal()) {
       return;
--- a/src/main/java/eiderfork/controller/registry/AllocationSizeLimit.java
+++ b/src/main/java/eiderfork/controller/registry/AllocationSizeLimit.java
@@ -5,28 +5,29 @@
 import eiderfork.model.PlainAllocationSize;
 
 /**
- * Whether one more reservation of a job can be stored. Every record must fit in a form that is
- * written, under the current value limit and the announced one. Until all members read the packed
- * form it must also fit in the plain one, under the current limit.
+ * Checks whether a job's allocation record still fits the store's value size limit with one more
+ * reservation. The record must fit in a compact form (packed or bitmap) under both the current and
+ * the announced limit. Until all members read the packed form, it must also fit in the plain form
+ * under the current limit.
  */
 public final class AllocationSizeLimit {
   private final PlainAllocationSize plain;
   private final PackedAllocationSize packed;
 
-  /** Null while a member may not read the bitmap form. */
+  /** Null while some member may not read the bitmap form. */
   private final BitmapAllocationSize bitmap;
 
   private final double plainLimitKb;
   private final double compactLimitKb;
 
   /**
-   * Begins with the job's current reservations.
+   * Creates a limit check that starts from the job's current reservations.
    *
-   * @param plainLimitKb the largest value for the plain form; infinite where that is not written
-   * @param compactLimitKb the largest value for the shorter forms
-   * @param withBitmaps whether the bitmap form may be written; then the packed or the bitmap one
-   *     is, whichever is shorter. Neither bound grows when tasks end, so one that held at the last
-   *     reservation holds until the next.
+   * @param plainLimitKb the value limit for the plain form; infinite where that form is not written
+   * @param compactLimitKb the value limit for the packed and the bitmap form
+   * @param withBitmaps whether the bitmap form may be written; then the shorter of the packed and
+   *     the bitmap form is written. Neither bound grows when tasks end, so a record that fits after
+   *     a reservation fits until the next one.
    */
   public AllocationSizeLimit(
       JobState job, double plainLimitKb, double compactLimitKb, boolean withBitmaps) {
@@ -37,7 +38,7 @@
     this.compactLimitKb = compactLimitKb;
   }
 
-  /** Counts one more reservation. */
+  /** Adds a reservation to the record. */
   public void add(int index, long attempt, String machine) {
     plain.add(index, attempt, machine);
     packed.add(index, attempt, machine);
@@ -46,7 +47,7 @@
     }
   }
 
-  /** Whether a record with one more reservation can be written. */
+  /** Returns whether the record can still be written after this reservation is added. */
   public boolean fits(int index, long attempt, String machine) {
     return plain.fits(index, attempt, machine, plainLimitKb)
         && (packed.fits(index, attempt, machine, compactLimitKb)
--- a/src/main/java/eiderfork/controller/registry/AllocationWriteState.java
+++ b/src/main/java/eiderfork/controller/registry/AllocationWriteState.java
@@ -4,7 +4,7 @@
 import eiderfork.model.StoredRecord;
 import java.util.random.RandomGenerator;
 
-/** What is committed of a job's allocation, and how the write of a newer one stands. */
+/** The committed allocation of a job and the state of the write that replaces it. */
 public final class AllocationWriteState {
   private final Backoff retryBackoff;
   private final Backoff oversizeBackoff;
@@ -12,7 +12,7 @@
   private StoredRecord.Allocation committed = StoredRecord.Allocation.EMPTY;
   private long version;
 
-  /** Memory differs from what is committed. */
+  /** True if the in-memory state differs from the one that is committed or being written. */
   private boolean dirty;
 
   private boolean inFlight;
@@ -22,8 +22,8 @@
   private long blockedUntilMs;
 
   /**
-   * @param retryBackoff between retries of a write whose result is unknown
-   * @param oversizeBackoff between writes of a record that is too large for the store
+   * @param retryBackoff the backoff between retries of a write whose result is unknown
+   * @param oversizeBackoff the backoff between writes of a record that is too large for the store
    */
   AllocationWriteState(Backoff retryBackoff, Backoff oversizeBackoff) {
     this.retryBackoff = retryBackoff;
@@ -35,51 +35,53 @@
     return committed;
   }
 
-  /** The version of the committed allocation; 0 where there is none. */
+  /** The version of the committed allocation; 0 for none. */
   public long version() {
     return version;
   }
 
-  /** Whether memory differs from what is committed or being written. */
+  /**
+   * Returns whether the in-memory state differs from the one that is committed or being written.
+   */
   public boolean isDirty() {
     return dirty;
   }
 
-  /** Whether a write is in flight. */
+  /** Returns whether a write is in flight. */
   public boolean isInFlight() {
     return inFlight;
   }
 
   /**
-   * Whether the write in flight completes the job. It may have been applied and read by another
-   * node, so until its result is known the job's status must not be answered from memory.
+   * Returns whether the write in flight completes the job. It may have been applied and read by
+   * another node, so until its result is known the job's status must not be answered from memory.
    */
   public boolean isCompletionInFlight() {
     return completionInFlight;
   }
 
-  /** When the last write was handed over; 0 for never. */
+  /** The time when the last write was sent to the store; 0 for never. */
   public long lastWriteMs() {
     return lastWriteMs;
   }
 
-  /** Whether a write may begin now. */
+  /** Returns whether a write may begin now. */
   boolean canBegin(long nowMs) {
     return !inFlight && nowMs >= blockedUntilMs;
   }
 
-  /** A new leader has read the allocation. */
+  /** Records the committed allocation that a new leader has read. */
   void onRestored(StoredRecord.Allocation allocation, long version) {
     committed = allocation;
     this.version = version;
   }
 
-  /** Memory has changed and has to be written. */
+  /** Records that the in-memory state has changed and has to be written. */
   void onChanged() {
     dirty = true;
   }
 
-  /** A write of this allocation is handed over to the store. */
+  /** Records that a write of this allocation is sent to the store. */
   public void onWriteBegun(StoredRecord.Allocation allocation, long nowMs) {
     dirty = false;
     inFlight = true;
@@ -87,7 +89,7 @@
     lastWriteMs = nowMs;
   }
 
-  /** The write in flight was applied, which gave the key this version. */
+  /** Records that the write in flight was applied and that the key now has this version. */
   void onApplied(StoredRecord.Allocation allocation, long version) {
     onNotApplied();
     retryBackoff.reset();
@@ -95,24 +97,24 @@
     this.version = version;
   }
 
-  /** The write in flight surely was not applied. */
+  /** Records that the write in flight was definitely not applied. */
   public void onNotApplied() {
     inFlight = false;
     completionInFlight = false;
   }
 
-  /** The write in flight surely was not applied, since its record is too large for the store. */
+  /** Records that the store rejected the write in flight because its record is too large. */
   void onTooLarge(long nowMs, RandomGenerator random) {
     onNotApplied();
     blockedUntilMs = nowMs + oversizeBackoff.nextPauseMs(random);
   }
 
-  /** The result of the write in flight is unknown; it is retried after a pause. */
+  /** Schedules a retry of the write in flight, whose result is unknown. */
   void scheduleRetry(long nowMs, RandomGenerator random) {
     retryAtMs = nowMs + retryBackoff.nextPauseMs(random);
   }
 
-  /** Whether the pause before the retry is over. */
+  /** Returns whether the backoff before the retry is over. */
   boolean isRetryDue(long nowMs) {
     return nowMs >= retryAtMs;
   }
--- a/src/main/java/eiderfork/controller/registry/AllocationWriter.java
+++ b/src/main/java/eiderfork/controller/registry/AllocationWriter.java
@@ -17,13 +17,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes the allocations of jobs: one compare-and-swap transaction in flight per job, retried under
- * the same conditions until it is known whether it was applied.
+ * Writes the allocations of jobs. Each job has at most one compare-and-swap transaction in flight,
+ * which is retried under the same conditions until it is known whether it was applied.
  */
 final class AllocationWriter {
   private static final Logger LOG = LoggerFactory.getLogger(AllocationWriter.class);
 
-  /** A write in flight, and the reservations that are committed or settled once it is applied. */
+  /**
+   * A write in flight, with the reservations that it commits and the settlements that it records
+   * once it is applied.
+   */
   private record PendingWrite(
       JobState job,
       StoredRecord.Allocation allocation,
@@ -63,9 +66,9 @@
     if (retries.isEmpty()) {
       return;
     }
-    List<Retry> waiting = List.copyOf(retries);
+    List<Retry> scheduled = List.copyOf(retries);
     retries.clear();
-    for (Retry retry : waiting) {
+    for (Retry retry : scheduled) {
       if (retry.job.writes().isRetryDue(context.nowMs())) {
         retry.request.run();
       } else {
@@ -74,7 +77,7 @@
     }
   }
 
-  /** Writes all that has changed of a job, in one transaction. */
+  /** Writes all changes of a job's allocation in one transaction. */
   void write(JobState job, RequestPriority priority) {
     StoredRecord.Allocation allocation = AllocationRecordBuilder.build(job);
     ImmutableList<Reservation> proposed =
@@ -86,7 +89,9 @@
     send(new PendingWrite(job, allocation, proposed, settled, priority));
   }
 
-  /** Removes the record that a late copy of an archived job's submission has left. */
+  /**
+   * Removes the job record that a delayed duplicate of an archived job's submission has created.
+   */
   void removeStaleSpec(JobState job) {
     String key = StoreKeys.job(job.spec().uid());
     store.send(
@@ -103,7 +108,8 @@
       return;
     }
     StoreRequest.Change change =
-        StoreRequest.Change.put(StoreKeys.alloc(write.uid()), toNewestForm(write.allocation));
+        StoreRequest.Change.put(
+            StoreKeys.alloc(write.uid()), toShortestReadableForm(write.allocation));
     store.send(
         new StoreRequest.Transaction(conditions(write.job), ImmutableList.of(change)),
         write.priority,
@@ -118,8 +124,8 @@
     return jobs.get(job.spec().uid()) == job;
   }
 
-  /** The record in the shortest form that every member reads. */
-  private StoredRecord toNewestForm(StoredRecord.Allocation allocation) {
+  /** Returns the record in the shortest form that every member can read. */
+  private StoredRecord toShortestReadableForm(StoredRecord.Allocation allocation) {
     if (version.isSupportedByAll(ClusterVersion.BITMAP_ALLOCS)) {
       return new StoredRecord.BitmapAllocation(allocation);
     }
@@ -136,7 +142,7 @@
     conditions.add(new StoreRequest.Condition(StoreKeys.alloc(uid), committedVersion));
     conditions.add(new StoreRequest.Condition(StoreKeys.cancellation(uid), 0));
     if (committedVersion == 0) {
-      // An archived job has no allocation either; nothing of it may start again.
+      // Version 0 also matches an archived job, which has no allocation; it must not start again.
       conditions.add(new StoreRequest.Condition(StoreKeys.ended(uid), 0));
     }
     return conditions.build();
@@ -153,7 +159,7 @@
     } else if (reply instanceof Reply.Refused refused && refused.isMalformed()) {
       onTooLarge(write);
     } else {
-      // It may still be applied: the same write under the same conditions is safe to retry.
+      // The write may still be applied. A retry under the same conditions is safe.
       retryLater(write.job, () -> send(write));
     }
   }
@@ -198,7 +204,11 @@
     }
   }
 
-  /** Only the leader writes this key, so an earlier copy of this write has been applied. */
+  /**
+   * Handles a conflict on the allocation key. Only the leader writes this key, so an earlier copy
+   * of this write must have been applied; if the stored record is a different one, the leader
+   * resigns.
+   */
   private void onAllocationChanged(PendingWrite write, boolean isCancelled) {
     readBack(
         write,
@@ -224,15 +234,15 @@
   }
 
   /**
-   * The record is larger than the store accepts now. An earlier copy of the write may have been
-   * applied before the limit fell, but none can be after this reply.
+   * Handles a record that is larger than the store now accepts. An earlier copy of the write may
+   * have been applied before the limit was lowered, but none can be applied after this reply.
    */
   private void onTooLarge(PendingWrite write) {
     readBack(
         write,
         stored -> {
           if (stored.version() == write.job.writes().version()) {
-            onNotApplied(write);
+            withdrawOversizeWrite(write);
           } else if (!applyIfStored(write, stored)) {
             resignOnMismatch(write);
           }
@@ -264,10 +274,10 @@
   }
 
   /**
-   * The tasks that were to be reserved are pending again. The job is written once more of its tasks
-   * have ended, or after a pause.
+   * Returns the tasks of the proposed reservations to pending and schedules a new write, which
+   * begins once the oversize backoff is over.
    */
-  private void onNotApplied(PendingWrite write) {
+  private void withdrawOversizeWrite(PendingWrite write) {
     JobState job = write.job;
     LOG.info("allocation-too-large job={}", write.uid());
     job.writes().onTooLarge(context.nowMs(), context.random);
--- a/src/main/java/eiderfork/controller/registry/CachedImageRestorer.java
+++ b/src/main/java/eiderfork/controller/registry/CachedImageRestorer.java
@@ -9,13 +9,14 @@
 import java.util.List;
 
 /**
- * Restores which images the machines have cached, from the allocations that earlier leaders wrote.
- * That of a cancelled service keeps its reservations, so they show more than what runs now.
+ * Restores the cached images of the machines from the allocations that earlier leaders wrote. The
+ * allocation of a cancelled service keeps its reservations, so images of jobs that no longer run
+ * are included.
  */
 public final class CachedImageRestorer {
   private final MachineRegistry fleet;
 
-  /** Makes a restorer for the machines of this registry. */
+  /** Creates a restorer for the machines of this registry. */
   public CachedImageRestorer(MachineRegistry fleet) {
     this.fleet = fleet;
   }
--- a/src/main/java/eiderfork/controller/registry/CapacityIndex.java
+++ b/src/main/java/eiderfork/controller/registry/CapacityIndex.java
@@ -12,12 +12,12 @@
 import org.roaringbitmap.RoaringBitmap;
 
 /**
- * Machines that have sent a heartbeat, by kind and free capacity, so that a search examines only
- * those on which a task may fit. Each candidate still has to be checked: levels are whole CPUs and
- * GPUs, and a machine may be silent or about to be deleted.
+ * An index of the machines that have sent a heartbeat, by kind and free capacity, so that a search
+ * examines only those on which a task may fit. Each candidate still has to be checked: levels are
+ * whole CPUs and GPUs, and a machine may be unreachable or about to be deleted.
  */
 public final class CapacityIndex {
-  /** Levels of free CPUs and of free GPUs; the last one holds all larger amounts. */
+  /** The number of levels of free CPUs and of free GPUs; the last one holds all larger amounts. */
   private static final int LEVEL_COUNT = 65;
 
   /** The machines of one kind. */
@@ -61,19 +61,22 @@
     size = 0;
   }
 
-  /** The searches that have failed, and would fail now. */
+  /** The failed searches that would still fail now. */
   public FailedSearchCache failedSearches() {
     return failedSearches;
   }
 
-  /** Takes note that a machine has more free capacity than before, or may be used again. */
+  /**
+   * Invalidates failed searches after a machine's free capacity has increased or it became usable
+   * again.
+   */
   public void capacityIncreased(MachineState machine) {
     if (machine.indexPosition() != null) {
       failedSearches.capacityIncreased(machine);
     }
   }
 
-  /** How many machines there are. */
+  /** The number of indexed machines. */
   public int size() {
     return size;
   }
@@ -111,7 +114,7 @@
     MachineGroup.add(position.group.byFreeGpus, gpuLevel, machine.number());
   }
 
-  /** Removes a machine that is gone. */
+  /** Removes a machine that no longer exists. */
   void remove(MachineState machine) {
     if (machine.indexPosition() != null) {
       removeFromLevels(machine.indexPosition(), machine.number());
@@ -137,7 +140,10 @@
         Math.max(0, Math.min(LEVEL_COUNT - 1, Math.floor(amount + Resources.ROUNDING_TOLERANCE)));
   }
 
-  /** Passes the number of every machine in these zones on which a task of the job may fit. */
+  /**
+   * Passes to {@code consumer} the number of each machine in these zones on which a task of the job
+   * may fit.
+   */
   public void forEachCandidate(Job spec, Collection<String> eligibleZones, IntConsumer consumer) {
     Resources demand = spec.taskResources();
     boolean byGpus = demand.gpus() > 0;
--- a/src/main/java/eiderfork/controller/registry/CommandChannel.java
+++ b/src/main/java/eiderfork/controller/registry/CommandChannel.java
@@ -1,14 +1,14 @@
 package eiderfork.controller.registry;
 
-/** The leader's command channel to one worker: its fencing token and its direct commands. */
+/** The leader's command channel to one worker: its fencing token and direct commands. */
 public final class CommandChannel {
   private final MachineState machine;
   private final MachineIndexes indexes;
 
-  /** The token that commands are sent with; 0 until one was issued in this term. */
+  /** The token that commands are sent with; 0 until one is issued in this term. */
   private long fencingToken;
 
-  /** The largest token that a start was sent with in direct commands; 0 for none. */
+  /** The largest token with which a start was sent in a direct command; 0 for none. */
   private long directStartToken;
 
   private boolean commandDue;
@@ -22,12 +22,12 @@
     this.indexes = indexes;
   }
 
-  /** The token that commands are sent with now; 0 until one was issued in this term. */
+  /** The token that commands are currently sent with; 0 until one is issued in this term. */
   public long fencingToken() {
     return fencingToken;
   }
 
-  /** Issues the worker's first token of a term unless it has one. */
+  /** Issues the worker's first token of the term unless it already has one. */
   public void issueFirstToken(long firstToken) {
     if (fencingToken == 0) {
       fencingToken = firstToken;
@@ -40,83 +40,86 @@
   }
 
   /**
-   * Raises the token above all that was sent and above {@code minToken}, so that no unanswered
-   * command is executed any more.
+   * Raises the token above all tokens sent so far and above {@code minToken}, so that the worker no
+   * longer executes any unanswered command.
    */
   public void raiseTokenAbove(long minToken) {
     fencingToken = Math.max(fencingToken, minToken) + 1;
   }
 
-  /** Raises the token above that of direct starts: a late copy would repeat them. */
+  /**
+   * Raises the token above that of direct starts, so that a delayed duplicate of a direct command
+   * can't start a task a second time.
+   */
   public void invalidateDirectStarts() {
     if (fencingToken <= directStartToken) {
       fencingToken = directStartToken + 1;
     }
   }
 
-  /** A start is sent in direct commands under the current token. */
+  /** Records that a start is sent in a direct command under the current token. */
   public void recordDirectStart() {
     directStartToken = fencingToken;
   }
 
-  /** Whether commands should be sent without waiting for the next heartbeat. */
+  /** Returns whether commands should be sent without waiting for the next heartbeat. */
   public boolean isCommandDue() {
     return commandDue;
   }
 
-  /** Commands should be sent without waiting for the next heartbeat. */
+  /** Requests that commands are sent without waiting for the next heartbeat. */
   void markCommandDue() {
     commandDue = true;
     indexes.addCommandDue(machine);
   }
 
-  /** The commands that were due are sent, or wait for the next heartbeat. */
+  /** Clears the request after its commands were sent or left to the next heartbeat. */
   public void clearCommandDue() {
     commandDue = false;
     indexes.removeCommandDue(machine);
   }
 
-  /** Whether a direct command awaits its reply. */
+  /** Returns whether a direct command awaits its reply. */
   public boolean isCommandInFlight() {
     return commandInFlight;
   }
 
-  /** A direct command is sent. */
+  /** Records that a direct command is sent. */
   public void onDirectCommandSent() {
     commandInFlight = true;
     indexes.addCommandInFlight(machine);
   }
 
-  /** A direct command was answered or has timed out. */
+  /** Records that a direct command was answered or has timed out. */
   public void onDirectCommandEnded() {
     commandInFlight = false;
     indexes.removeCommandInFlight(machine);
   }
 
-  /** The worker replied to a direct command. */
+  /** Records that the worker replied to a direct command. */
   public void onReply() {
     unansweredCommands = 0;
   }
 
-  /** A direct command got no reply; the next one is sent at {@code retryMs} at the earliest. */
+  /** Records that a direct command got no reply; none is sent before {@code retryMs}. */
   public void onNoReply(long retryMs) {
     unansweredCommands++;
     nextCommandMs = retryMs;
   }
 
-  /** How many direct commands in a row got no reply. */
+  /** The number of consecutive direct commands that got no reply. */
   public int unansweredCommands() {
     return unansweredCommands;
   }
 
-  /** Whether a direct command may be sent now. */
+  /** Returns whether a direct command may be sent now. */
   public boolean canSendDirectCommand(long nowMs) {
     return !commandInFlight && nowMs >= nextCommandMs;
   }
 
-  /** A heartbeat shows the largest token that the worker has seen. */
-  public void onHeartbeat(long shownToken, long nowMs) {
-    if (shownToken >= fencingToken) {
+  /** Records the largest token that the worker has seen, as reported in its heartbeat. */
+  public void onHeartbeat(long reportedToken, long nowMs) {
+    if (reportedToken >= fencingToken) {
       unresponsiveSinceMs = 0;
       unansweredCommands = 0;
     } else if (unresponsiveSinceMs == 0) {
@@ -124,7 +127,10 @@
     }
   }
 
-  /** Since when heartbeats fail to show the token that was sent; 0 while they show it. */
+  /**
+   * The time since which heartbeats report a token older than the current one; 0 while they report
+   * the current one.
+   */
   public long unresponsiveSinceMs() {
     return unresponsiveSinceMs;
   }
--- a/src/main/java/eiderfork/controller/registry/CpusPerGpu.java
+++ b/src/main/java/eiderfork/controller/registry/CpusPerGpu.java
@@ -3,22 +3,22 @@
 import eiderfork.model.Resources;
 
 /**
- * How many CPUs the current GPU work needs beside each GPU, and so how many free GPUs of a machine
- * are stranded: no GPU work can use them, since too few CPUs are free.
+ * The average number of CPUs per GPU that the current GPU jobs request. It determines how many of a
+ * machine's free GPUs are stranded: no GPU job can use them, because too few CPUs are free.
  *
- * @param cpusPerGpu 0 while there is no GPU work
+ * @param cpusPerGpu the ratio; 0 while there are no GPU jobs
  */
 public record CpusPerGpu(double cpusPerGpu) {
-  /** The ratio without GPU work, by which no GPU counts as stranded. */
+  /** The ratio without GPU jobs, with which no GPU counts as stranded. */
   public static final CpusPerGpu NONE = new CpusPerGpu(0);
 
-  /** The size of a task, in GPUs or in as many CPUs as go with one. */
+  /** The size of a task in GPUs: the larger of its GPUs and its CPUs divided by the ratio. */
   public double gpuWeight(Resources demand) {
-    double cpusAsGpus = cpusPerGpu > 0 ? demand.cpus() / cpusPerGpu : 1;
-    return Math.max(demand.gpus(), cpusAsGpus);
+    double cpusInGpus = cpusPerGpu > 0 ? demand.cpus() / cpusPerGpu : 1;
+    return Math.max(demand.gpus(), cpusInGpus);
   }
 
-  /** How many of the free GPUs are stranded. */
+  /** The number of free GPUs that are stranded. */
   double strandedGpus(Resources free) {
     return cpusPerGpu > 0 ? Math.max(0, free.gpus() - free.cpus() / cpusPerGpu) : 0;
   }
@@ -28,7 +28,7 @@
     return free.cpus() - free.gpus() * cpusPerGpu;
   }
 
-  /** How many more GPUs would be stranded if {@code demand} were used of {@code free}. */
+  /** The number of GPUs that become stranded if {@code demand} is taken from {@code free}. */
   public double additionalStrandedGpus(Resources demand, Resources free) {
     return strandedGpus(free.minus(demand)) - strandedGpus(free);
   }
--- a/src/main/java/eiderfork/controller/registry/FailedSearchCache.java
+++ b/src/main/java/eiderfork/controller/registry/FailedSearchCache.java
@@ -9,12 +9,12 @@
 import java.util.Map;
 
 /**
- * Searches that have found no machine, zone by zone. As long as no machine gets more free capacity,
- * a task that takes as much or more on the same kinds of machine fits nowhere either and needs no
- * search: hundreds of jobs of a few sizes wait for a full fleet.
+ * A cache of searches that found no machine, by zone. Until some machine gets more free capacity, a
+ * task that needs at least as much on the same kinds of machine does not fit either and needs no
+ * search. This matters when hundreds of jobs of a few sizes wait for a full fleet.
  */
 public final class FailedSearchCache {
-  /** The machines that were searched. */
+  /** The set of machines that a search covers. */
   private record SearchScope(ImmutableSet<String> types, boolean spot, String zone) {
     static SearchScope of(Job spec, String zone) {
       return new SearchScope(spec.allowedTypes(), spec.spotAllowed(), zone);
@@ -27,19 +27,21 @@
     }
   }
 
-  /** The sizes that fit nowhere, of which none includes another. */
+  /** The smallest task sizes that fit nowhere; a size is dropped once a smaller one is added. */
   private final Map<SearchScope, List<Resources>> smallestFailed = new HashMap<>();
 
-  /** Counts what is no longer known, so that conclusions from it can be dropped, too. */
-  private long retractions;
+  /**
+   * The number of invalidations, so that results derived from the cache can be invalidated, too.
+   */
+  private long invalidationCount;
 
-  /** Forgets all searches. */
+  /** Removes all searches. */
   void clear() {
-    retractions++;
+    invalidationCount++;
     smallestFailed.clear();
   }
 
-  /** Records that a task of this job fits on none of the machines that it may use in the zone. */
+  /** Records that a task of this job fits on no machine that it may use in the zone. */
   public void recordFailure(Job spec, String zone) {
     List<Resources> sizes =
         smallestFailed.computeIfAbsent(SearchScope.of(spec, zone), scope -> new ArrayList<>());
@@ -47,7 +49,7 @@
     sizes.add(spec.taskResources());
   }
 
-  /** Whether it is known that a task of this job fits nowhere in the zone. */
+  /** Returns whether a task of this job is known to fit nowhere in the zone. */
   public boolean isRuledOut(Job spec, String zone) {
     List<Resources> sizes = smallestFailed.get(SearchScope.of(spec, zone));
     if (sizes == null) {
@@ -61,18 +63,18 @@
     return false;
   }
 
-  /** Forgets what the free capacity of this machine contradicts. */
+  /** Removes the failed searches that would succeed with the free capacity of this machine. */
   void capacityIncreased(MachineState machine) {
     for (Map.Entry<SearchScope, List<Resources>> entry : smallestFailed.entrySet()) {
       if (entry.getKey().contains(machine)
           && entry.getValue().removeIf(size -> size.fitsIn(machine.freeCapacity()))) {
-        retractions++;
+        invalidationCount++;
       }
     }
   }
 
-  /** Grows whenever something is no longer known. */
-  long retractions() {
-    return retractions;
+  /** The number of invalidations so far. */
+  long invalidationCount() {
+    return invalidationCount;
   }
 }
--- a/src/main/java/eiderfork/controller/registry/FailureHistory.java
+++ b/src/main/java/eiderfork/controller/registry/FailureHistory.java
@@ -8,32 +8,40 @@
 import java.util.Set;
 
 /**
- * How the tasks of a job have failed, and when they are retried.
+ * The failures of a job's tasks and the times when they are retried.
  *
- * <p>A task that failed waits for longer after each failure. A job that failed on several machines,
- * and of which no task succeeded since, is suspected to fail everywhere: it is tried with one task
- * at a time, after a delay that grows with the tries, until one of them succeeds.
+ * <p>The retry delay of a task grows with each of its failures. A job that has failed on several
+ * machines with no success since is suspected to fail everywhere: only one of its tasks is tried at
+ * a time, after a delay that grows with the number of tries, until one of them succeeds.
  */
 public final class FailureHistory {
-  /** A job that fails on this many machines in a row is suspected. */
+  /**
+   * A job is suspected after this many consecutive failed tries if it has failed on this many
+   * machines.
+   */
   private static final int SUSPECT_MACHINES = 2;
 
-  /** A job that fails on this many machines is at fault; no machine is marked faulty or avoided. */
+  /**
+   * A job that failed on this many machines is at fault itself; no machine is marked faulty or
+   * avoided for its failures.
+   */
   private static final int JOB_FAULT_MACHINES = 3;
 
-  /** How long after its last failure a job avoids the machines that it failed on, in steps. */
+  /** The time for which a job avoids the machines it failed on after its last failure, in steps. */
   private static final int AVOID_STEPS = 30;
 
-  /** The delay doubles with each try up to this many times, which makes 32 steps. */
+  /** The maximum number of times that the delay doubles, which limits it to 32 steps. */
   private static final int MAX_DOUBLINGS = 5;
 
-  /** A new leader suspects a job of this many attempts, see {@link #restore}. */
+  /** A new leader may suspect a job from this many attempts on, see {@link #restore}. */
   private static final int SUSPECT_ATTEMPTS = 4;
 
-  /** How long a task is assumed to run before it fails, where this leader has seen none fail. */
+  /**
+   * The run time before a failure assumed for a job of which this leader has seen none, in steps.
+   */
   private static final int INHERITED_RUN_STEPS = 4;
 
-  /** A task succeeds once it has run this many times longer than those that failed. */
+  /** A task counts as successful once it has run this many times longer than those that failed. */
   private static final int SURVIVAL_FACTOR = 2;
 
   private final long stepMs;
@@ -41,22 +49,22 @@
   private final Int2IntOpenHashMap failuresByTask = new Int2IntOpenHashMap();
   private final Int2LongOpenHashMap retryAtMs = new Int2LongOpenHashMap();
 
-  /** Consecutive tries without a success; tasks reserved together are one try. */
+  /** The number of consecutive failed tries; tasks reserved together are one try. */
   private int consecutiveFailedTries;
 
-  /** Attempts up to this one are part of a try that has been counted. */
+  /** The last attempt of the latest try that was counted as failed. */
   private long lastCountedAttempt;
 
   private long longestRunMs;
   private long lastFailureMs;
   private boolean suspected;
 
-  /** Suspected because of what an earlier leader left, not for failures that this one has seen. */
+  /** True if the suspicion was restored from the allocation and not caused by observed failures. */
   private boolean inherited;
 
   private long notBeforeMs;
 
-  /** Makes an empty history; retry delays are multiples of {@code stepMs}. */
+  /** Creates an empty history; retry delays are multiples of {@code stepMs}. */
   public FailureHistory(long stepMs) {
     this.stepMs = stepMs;
   }
@@ -64,7 +72,7 @@
   /**
    * Records that a task failed.
    *
-   * @param lastAttempt the newest attempt of the job: what was reserved by now is of the same try
+   * @param lastAttempt the newest attempt of the job; all attempts up to it belong to the same try
    */
   public void recordFailure(Reservation reservation, long lastAttempt, long nowMs) {
     failedMachines.add(reservation.machine().name());
@@ -86,12 +94,12 @@
     }
   }
 
-  /** Records that a machine refused a task; the job waits for a step. */
+  /** Records that a machine refused a task; the job is not tried again for one step. */
   public void recordRefusal(long nowMs) {
     notBeforeMs = Math.max(notBeforeMs, nowMs + stepMs);
   }
 
-  /** Records that a task of the job succeeds, so that the job as a whole is not at fault. */
+  /** Records that a task of the job succeeded, which ends the suspicion. */
   public void recordSuccess() {
     consecutiveFailedTries = 0;
     inherited = false;
@@ -102,15 +110,16 @@
   }
 
   /**
-   * Restores the history of a job from its allocation. An earlier leader's history is lost, but a
-   * job of many attempts without a finished task, and with one reserved at most, stays suspected.
+   * Restores the suspicion of a job from its allocation. An earlier leader's history is not stored;
+   * a job with many attempts, no finished task and at most one reservation is assumed to have been
+   * suspected.
    */
   void restore(StoredRecord.Allocation allocation, int tasks) {
     long lastAttempt = allocation.lastAttempt();
     lastCountedAttempt = lastAttempt;
     int reserved = allocation.reservedTaskCount();
-    boolean seemsOnTrial = allocation.finished().isEmpty() && reserved <= 1 && reserved < tasks;
-    if (seemsOnTrial && lastAttempt >= SUSPECT_ATTEMPTS) {
+    boolean looksSuspected = allocation.finished().isEmpty() && reserved <= 1 && reserved < tasks;
+    if (looksSuspected && lastAttempt >= SUSPECT_ATTEMPTS) {
       suspected = true;
       inherited = true;
       consecutiveFailedTries = (int) Math.min(lastAttempt, MAX_DOUBLINGS + 1);
@@ -121,52 +130,56 @@
     return stepMs << Math.min(MAX_DOUBLINGS, Math.max(0, failures - 2));
   }
 
-  /** Whether the job seems to fail everywhere, and is tried with one task at a time. */
+  /** Returns whether the job is suspected to fail everywhere and is tried one task at a time. */
   public boolean isSuspected() {
     return suspected;
   }
 
   /**
-   * Whether a running task has outlived those that failed. A new leader has seen none of them fail,
-   * and an array that was preempted often looks like one that fails, so a short run is enough.
+   * Returns whether a running task has run for longer than those that failed. For a new leader,
+   * which has seen none of them fail, a short run is enough, since an array that was preempted
+   * often looks the same as one that fails.
    */
   public boolean hasOutlivedFailures(Reservation reservation, long nowMs) {
-    long failedMs = longestRunMs > 0 ? longestRunMs : INHERITED_RUN_STEPS * stepMs;
+    long failedRunMs = longestRunMs > 0 ? longestRunMs : INHERITED_RUN_STEPS * stepMs;
     return reservation.runningSinceMs() > 0
-        && nowMs - reservation.runningSinceMs() > SURVIVAL_FACTOR * Math.max(failedMs, stepMs);
+        && nowMs - reservation.runningSinceMs() > SURVIVAL_FACTOR * Math.max(failedRunMs, stepMs);
   }
 
   /**
-   * Whether failures that this leader has seen make the job a suspect, so that no machines are
-   * added for it.
+   * Returns whether the job is suspected because of failures that this leader has observed, so that
+   * no machines are added for it.
    */
   public boolean isConfirmedSuspect() {
     return suspected && !inherited;
   }
 
-  /** The time before which no task of the job is tried. */
+  /** The earliest time at which a task of the job is tried. */
   public long notBeforeMs() {
     return notBeforeMs;
   }
 
-  /** Whether this task may be tried now, as far as its own failures go. */
+  /** Returns whether the retry delay of this task is over. */
   boolean canRetry(int index, long nowMs) {
     return retryAtMs.isEmpty() || retryAtMs.get(index) <= nowMs;
   }
 
-  /** How often this task has failed. */
+  /** The number of failures of this task. */
   int failureCount(int index) {
     return failuresByTask.get(index);
   }
 
-  /** Whether the job failed on so many machines that it is at fault, not the machines. */
+  /**
+   * Returns whether the job failed on so many machines that the job and not a machine is at fault.
+   */
   public boolean isJobAtFault() {
     return failedMachines.size() >= JOB_FAULT_MACHINES;
   }
 
   /**
-   * Whether the job should rather run on another machine. This ends after a time, since the
-   * autoscaler counts on the free capacity here while the other machines are full.
+   * Returns whether the job should prefer another machine over this one. This is limited in time,
+   * since the autoscaler counts this machine's free capacity as available to the job even if all
+   * other machines are full.
    */
   public boolean isAvoided(String machine, long nowMs) {
     return failedMachines.contains(machine)
@@ -174,7 +187,7 @@
         && nowMs - lastFailureMs < AVOID_STEPS * stepMs;
   }
 
-  /** The machines on which a task of the job failed. */
+  /** The names of the machines on which a task of the job failed. */
   public Set<String> failedMachines() {
     return Collections.unmodifiableSet(failedMachines);
   }
--- a/src/main/java/eiderfork/controller/registry/FinishedJobs.java
+++ b/src/main/java/eiderfork/controller/registry/FinishedJobs.java
@@ -4,14 +4,14 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** The terminal jobs in a leader's memory of which nothing is reserved, oldest first. */
+/** The terminal jobs without reservations in a leader's memory, oldest first. */
 public final class FinishedJobs {
-  /** A job, and since when this leader knows that nothing of it is reserved. */
+  /** A job, and the time when this leader learned that it is terminal and has no reservations. */
   public record FinishedJob(JobState job, long finishedMs) {}
 
   private final Map<String, FinishedJob> jobs = new LinkedHashMap<>();
 
-  /** Adds a job that has just finished; one that is known keeps its time. */
+  /** Adds a job that has just finished; a job that is already contained keeps its time. */
   void add(JobState job, long nowMs) {
     jobs.putIfAbsent(job.spec().uid(), new FinishedJob(job, nowMs));
   }
@@ -21,22 +21,22 @@
     jobs.remove(uid);
   }
 
-  /** Forgets all jobs. */
+  /** Removes all jobs. */
   void clear() {
     jobs.clear();
   }
 
-  /** Whether the job is known to have finished. */
+  /** Returns whether the job is one of the finished jobs. */
   public boolean contains(JobState job) {
     return jobs.containsKey(job.spec().uid());
   }
 
-  /** How many finished jobs are in memory. */
+  /** The number of finished jobs in memory. */
   public int size() {
     return jobs.size();
   }
 
-  /** All of them, the one that finished first in front. */
+  /** The finished jobs in the order in which they finished. */
   public Iterable<FinishedJob> oldestFirst() {
     return Iterables.unmodifiableIterable(jobs.values());
   }
--- a/src/main/java/eiderfork/controller/registry/Gang.java
+++ b/src/main/java/eiderfork/controller/registry/Gang.java
@@ -4,14 +4,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What the tasks of a gang have in common. They are reserved together as one attempt and stop
- * together, and no task starts again before every task of the previous attempt has surely ended.
+ * The state that the tasks of a gang share. They are reserved together as one attempt and are
+ * stopped together; no task starts again before all tasks of the previous attempt are known to have
+ * ended.
  */
 public final class Gang {
-  /** How the current attempt is being stopped. */
+  /** The way in which the current attempt is being stopped. */
   private enum StopMode {
     NONE,
-    /** Each task is given the time that it needs to save. */
+    /** Each task gets the time that it needs to save. */
     SAVING,
     IMMEDIATE
   }
@@ -25,19 +26,20 @@
     this.job = job;
   }
 
-  /** Whether nothing of an earlier attempt is left, so that a new one may be reserved. */
+  /** Returns whether no reservation of an earlier attempt is left, so that a new one may start. */
   public boolean canStartAttempt() {
     return job.reservations().isEmpty();
   }
 
-  /** A new attempt is reserved. */
+  /** Records that a new attempt is reserved. */
   void onAttemptStarted() {
     stopMode = StopMode.NONE;
   }
 
   /**
-   * A task has ended without being done. The others can't go on, and what they did since the last
-   * checkpoint is lost or saved already: a task that has saved exits only once all have.
+   * Stops the remaining tasks immediately after one has ended without completing. They can't
+   * continue, and their work since the last checkpoint is either lost or already saved, since a
+   * task that has saved exits only once all tasks have saved.
    */
   void onTaskLost() {
     if (!job.reservations().isEmpty()) {
@@ -47,7 +49,7 @@
     stop(StopMode.IMMEDIATE);
   }
 
-  /** Has all tasks save and stop, unless they are being stopped already. */
+  /** Requests that all tasks save and stop, unless they are already being stopped. */
   public void requestSave() {
     if (stopMode == StopMode.NONE) {
       LOG.info("gang-save-requested job={}", job.spec().uid());
@@ -55,7 +57,7 @@
     }
   }
 
-  /** Stops a gang that has just written a checkpoint, without another save. */
+  /** Stops a gang that has just written a checkpoint, without saving again. */
   public void stopAfterCheckpoint() {
     if (stopMode == StopMode.NONE) {
       LOG.info("gang-stopped-after-checkpoint job={}", job.spec().uid());
@@ -63,15 +65,16 @@
     }
   }
 
-  /** Takes back a decision to stop of which nothing was sent yet. */
+  /** Revokes a stop request that was not yet sent to any machine. */
   void revokeStop() {
     stopMode = StopMode.NONE;
     job.reservations().values().forEach(Reservation::revokeStop);
   }
 
   /**
-   * The cloud terminates one of the gang's machines in {@code noticeS}. The progress is saved where
-   * there is time for it; otherwise the gang goes on, since it may be done before.
+   * Handles the cloud's notice that it terminates one of the gang's machines in {@code noticeS}
+   * seconds. The gang saves if there is enough time; otherwise it continues, since it may complete
+   * before.
    */
   public void onTerminationNotice(double noticeS) {
     if (job.spec().checkpointIntervalS() > 0 && noticeS > job.spec().saveDurationS()) {
--- a/src/main/java/eiderfork/controller/registry/ImageCache.java
+++ b/src/main/java/eiderfork/controller/registry/ImageCache.java
@@ -7,15 +7,15 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The images that a machine holds or fetches, estimated from the tasks that were started on it. */
+/** The images that a machine holds or fetches, estimated from the tasks started on it. */
 public final class ImageCache {
   /** Sizes of the images, least recently used first. */
   private final Map<String, Double> sizesGb = new LinkedHashMap<>();
 
-  /** When the fetch of each image should be complete. */
+  /** The estimated time when the fetch of each image is complete. */
   private final Object2LongOpenHashMap<String> readyMs = new Object2LongOpenHashMap<>();
 
-  /** Whether the machine holds or fetches this image. */
+  /** Returns whether the machine holds or fetches this image. */
   public boolean contains(String image) {
     return sizesGb.containsKey(image);
   }
@@ -30,37 +30,40 @@
     return sizesGb().keySet();
   }
 
-  /** Whether it was ever estimated when the fetch of this image is complete. */
+  /** Returns whether an estimate exists of when the fetch of this image is complete. */
   public boolean hasReadyTime(String image) {
     return readyMs.containsKey(image);
   }
 
-  /** How long the fetch of this image still takes; 0 where it is complete or not known. */
+  /** The estimated remaining time of this image's fetch; 0 if it is complete or not known. */
   public long remainingFetchMs(String image, long nowMs) {
     return Math.max(0, readyMs.getLong(image) - nowMs);
   }
 
-  /** The fetch of this image is complete at the given time. */
-  public void recordReadyTime(String image, long atMs) {
-    readyMs.put(image, atMs);
+  /** Records the estimated time when the fetch of this image is complete. */
+  public void recordReadyTime(String image, long imageReadyMs) {
+    readyMs.put(image, imageReadyMs);
   }
 
-  /** The machine does not hold this image after all. */
+  /** Removes an image that the machine turned out not to hold. */
   public void remove(String image) {
     sizesGb.remove(image);
   }
 
-  /** A task uses this image; the least recently used images are evicted beyond the cache's size. */
+  /**
+   * Records that a task uses this image, and evicts the least recently used ones that exceed the
+   * cache's size.
+   */
   public void recordUse(String image, double sizeGb, double cacheGb) {
     sizesGb.remove(image);
     sizesGb.put(image, sizeGb);
     double usedGb = sizesGb.values().stream().mapToDouble(Double::doubleValue).sum();
-    Iterator<Map.Entry<String, Double>> leastRecent = sizesGb.entrySet().iterator();
+    Iterator<Map.Entry<String, Double>> byLeastRecentUse = sizesGb.entrySet().iterator();
     while (usedGb > cacheGb && sizesGb.size() > 1) {
-      Map.Entry<String, Double> evicted = leastRecent.next();
+      Map.Entry<String, Double> evicted = byLeastRecentUse.next();
       usedGb -= evicted.getValue();
       readyMs.removeLong(evicted.getKey());
-      leastRecent.remove();
+      byLeastRecentUse.remove();
     }
   }
 }
--- a/src/main/java/eiderfork/controller/registry/JobRegistry.java
+++ b/src/main/java/eiderfork/controller/registry/JobRegistry.java
@@ -21,8 +21,9 @@
 import java.util.Set;
 
 /**
- * The jobs in a leader's memory, with indexes of those that are active, have work or have finished.
- * Every change of a job's tasks goes through here, so that the indexes are kept up to date.
+ * The jobs in a leader's memory, with indexes of the active jobs, those with pending work and the
+ * finished ones. Every change of a job's tasks goes through this class, which keeps the indexes up
+ * to date.
  */
 public final class JobRegistry {
   private static final int FIRST_WRITE_RETRIES_PER_STEP = 5;
@@ -32,23 +33,23 @@
   private final AllocationWriter writer;
   private final Map<String, JobState> jobs = new LinkedHashMap<>();
 
-  /** Jobs that are not terminal, or of which something is still reserved. */
+  /** Jobs that are not terminal or still hold reservations. */
   private final Map<String, JobState> activeJobs = new LinkedHashMap<>();
 
-  /** The active jobs that may have something to schedule or to write. */
+  /** The active jobs that may have tasks to schedule or changes to write. */
   private final ReferenceLinkedOpenHashSet<JobState> backlog = new ReferenceLinkedOpenHashSet<>();
 
   private final ResourceUsage resourceUsage = new ResourceUsage();
 
   private final FinishedJobs finishedJobs = new FinishedJobs();
 
-  /** Equal profiles are one object; those of evicted jobs are collected with them. */
+  /** Makes equal profiles one object; weak, so that those of evicted jobs are garbage-collected. */
   private final Interner<PlacementProfile> profileInterner = Interners.newWeakInterner();
 
-  /** Jobs with a stored record that can't be read. */
+  /** The uids of jobs with a stored record that can't be read. */
   private final Set<String> frozen = new HashSet<>();
 
-  /** Makes an empty registry. */
+  /** Creates an empty registry. */
   public JobRegistry(
       ControllerContext context,
       StoreClient store,
@@ -58,7 +59,7 @@
     writer = new AllocationWriter(context, store, election, version, this);
   }
 
-  /** Forgets all jobs, when a term begins or ends. */
+  /** Removes all jobs, when a term begins or ends. */
   public void clear() {
     jobs.clear();
     activeJobs.clear();
@@ -69,8 +70,8 @@
   }
 
   /**
-   * Freezes a job with an unreadable record: nothing of it is started, stopped or answered for,
-   * since any of that could contradict the record.
+   * Freezes a job with an unreadable record: its tasks are neither started nor stopped and its
+   * status is not answered, since any of these could contradict the record.
    */
   public void freeze(String uid) {
     frozen.add(uid);
@@ -81,23 +82,23 @@
     }
   }
 
-  /** Whether a job is frozen; a cancellation that was read still ends it. */
+  /** Returns whether a job is frozen; one whose cancellation was read is not. */
   public boolean isFrozen(String uid) {
     JobState job = jobs.get(uid);
     return frozen.contains(uid) && !(job != null && job.isCancelled());
   }
 
-  /** The job of this uid; null where memory does not hold it. */
+  /** The job with this uid; null if it is not in memory. */
   public JobState get(String uid) {
     return jobs.get(uid);
   }
 
-  /** The jobs that are not terminal, or of which something is still reserved. */
+  /** The jobs that are not terminal or still hold reservations. */
   public Collection<JobState> activeJobs() {
     return activeJobs.values();
   }
 
-  /** The active jobs that have something to schedule or to write. */
+  /** The active jobs that have tasks to schedule or changes to write. */
   public List<JobState> jobsWithWork() {
     backlog.removeIf(job -> !job.hasPendingWork());
     return new ArrayList<>(backlog);
@@ -108,7 +109,7 @@
     return resourceUsage;
   }
 
-  /** Brings the indexes up to date after a change of the job's tasks or of its work. */
+  /** Updates the indexes after a change of the job's tasks or of its pending work. */
   public void refreshIndexes(JobState job) {
     resourceUsage.update(job);
     if (job.isActive() && job.hasPendingWork()) {
@@ -129,12 +130,12 @@
     resourceUsage.update(job);
   }
 
-  /** The terminal jobs of which nothing is reserved. */
+  /** The terminal jobs without reservations. */
   public FinishedJobs finishedJobs() {
     return finishedJobs;
   }
 
-  /** Removes a job from memory, with all of its reservations. */
+  /** Removes a job from memory and releases all of its reservations. */
   public void evict(JobState job) {
     String uid = job.spec().uid();
     if (jobs.remove(uid, job)) {
@@ -144,7 +145,9 @@
     }
   }
 
-  /** Removes the record that a late copy of an archived job's submission has left. */
+  /**
+   * Removes the job record that a delayed duplicate of an archived job's submission has created.
+   */
   public void removeStaleSpec(JobState job) {
     writer.removeStaleSpec(job);
   }
@@ -154,12 +157,12 @@
     return Collections.unmodifiableCollection(jobs.values());
   }
 
-  /** How many jobs are in memory. */
+  /** The number of jobs in memory. */
   public int size() {
     return jobs.size();
   }
 
-  /** Adds a job that the store holds; one that is in memory stays as it is. */
+  /** Adds a job that the store holds, or returns the one that is already in memory. */
   public JobState add(Job job, long specVersion) {
     JobState known = jobs.get(job.uid());
     if (known != null) {
@@ -183,22 +186,22 @@
         new FailureHistory(stepMs));
   }
 
-  /** Restores the allocation of a job that an earlier leader has committed. */
+  /** Restores the allocation that an earlier leader committed for a job. */
   public void restoreAllocation(
       JobState job, StoredRecord.Allocation allocation, long version, MachineRegistry fleet) {
     new AllocationRestorer(fleet).restore(job, allocation, version);
     if (allocation.done()) {
       retire(job);
     } else {
-      // A cancellation read during the recovery may have retired the job before its reservations
-      // were read; they count for the quota until they are settled.
+      // A cancellation that was read during recovery may have retired the job before its
+      // reservations were read. They count for the quota until they are settled.
       activate(job);
       finishedJobs.remove(job.spec().uid());
       retireIfTerminal(job);
     }
   }
 
-  /** A cancellation of the job is committed. */
+  /** Records that a cancellation of the job is committed. */
   public void markCancelled(String uid) {
     JobState job = jobs.get(uid);
     if (job == null || job.isCancelled()) {
@@ -209,7 +212,7 @@
     retireIfTerminal(job);
   }
 
-  /** Removes a terminal job of which nothing is reserved from the active ones. */
+  /** Moves a terminal job without reservations from the active jobs to the finished ones. */
   void retireIfTerminal(JobState job) {
     if (job.isTerminal() && job.reservations().isEmpty() && !job.writes().isInFlight()) {
       retire(job);
@@ -221,7 +224,7 @@
     finishedJobs.add(job, context.nowMs());
   }
 
-  /** Settles a reservation: its task has ended, or surely is not on its machine any more. */
+  /** Settles a reservation whose task has ended or is certainly no longer on its machine. */
   public void settle(Reservation reservation, boolean completed) {
     JobState job = reservation.job();
     if (!job.tasks().holds(reservation)) {
@@ -234,7 +237,7 @@
     }
   }
 
-  /** Stops a task; a gang is stopped as a whole and saves if it can. */
+  /** Requests that a task stops; a gang is stopped as a whole and gets time to save. */
   public void requestStop(Reservation reservation) {
     if (reservation.job().gang() == null) {
       reservation.requestStop();
@@ -244,7 +247,7 @@
     refreshIndexes(reservation.job());
   }
 
-  /** Takes back a decision to stop of which nothing was sent yet. */
+  /** Revokes a stop request that was not yet sent to the machine. */
   public void revokeStop(Reservation reservation) {
     if (reservation.job().gang() == null) {
       reservation.revokeStop();
@@ -254,15 +257,15 @@
     refreshIndexes(reservation.job());
   }
 
-  /** Takes back a reservation that was not committed. */
+  /** Withdraws a reservation that was not committed. */
   public void withdrawProposal(Reservation reservation) {
     reservation.job().tasks().withdraw(reservation);
     refreshIndexes(reservation.job());
   }
 
   /**
-   * Whether a worker must keep this attempt in its heartbeats, because the store does not show yet
-   * how it ended. A cleared attempt would start anew on a late copy of its command.
+   * Returns whether a worker must keep reporting this attempt because its end is not committed yet.
+   * If the worker cleared it, a delayed duplicate of its start command would start it again.
    */
   public boolean mustRetainAttempt(JobState job, long attempt, int taskIndex) {
     return job.tasks().isSettlementUncommitted(taskIndex, attempt);
@@ -275,12 +278,12 @@
     return reservation;
   }
 
-  /** Writes all that has changed of a job, in one transaction. */
+  /** Writes all changes of a job's allocation in one transaction. */
   public void write(JobState job, RequestPriority priority) {
     writer.write(job, priority);
   }
 
-  /** Sends the writes whose retry is due. */
+  /** Retries the writes whose backoff is over. */
   public void tick() {
     writer.tick();
   }
--- a/src/main/java/eiderfork/controller/registry/JobState.java
+++ b/src/main/java/eiderfork/controller/registry/JobState.java
@@ -8,8 +8,8 @@
 import it.unimi.dsi.fastutil.ints.Int2ObjectSortedMap;
 
 /**
- * A job as the leader holds it. {@link JobRegistry} changes it and keeps its indexes up to date;
- * what is committed is in {@link AllocationWriteState}, the tasks are in {@link JobTasks}.
+ * The leader's in-memory state of a job. {@link JobRegistry} changes it and keeps its indexes up to
+ * date. {@link AllocationWriteState} holds the committed state, {@link JobTasks} the tasks.
  */
 public final class JobState {
   private final Job spec;
@@ -38,7 +38,7 @@
   private TaskCounts accountedTasks = TaskCounts.NONE;
   private boolean accountedActive;
 
-  /** Makes the state of a job of which all tasks are pending. */
+  /** Creates the state of a job of which all tasks are pending. */
   public JobState(
       Job spec,
       PlacementProfile profile,
@@ -65,42 +65,42 @@
     return spec;
   }
 
-  /** The placement profile; one object for all jobs with an equal one. */
+  /** The placement profile, interned: jobs with equal profiles share one object. */
   public PlacementProfile profile() {
     return profile;
   }
 
-  /** The version of the job's key; jobs of equal rank are served in this order. */
+  /** The version of the job's key in the store; jobs of equal rank are scheduled in this order. */
   public long specVersion() {
     return specVersion;
   }
 
-  /** Since when this leader knows the job. */
+  /** The time when this leader first read the job. */
   public long firstSeenMs() {
     return firstSeenMs;
   }
 
-  /** What the tasks of a gang have in common; null for other jobs. */
+  /** The state that the tasks of a gang share; null for other jobs. */
   public Gang gang() {
     return gang;
   }
 
-  /** How the job's tasks have failed. */
+  /** The failures and retry delays of the job's tasks. */
   public FailureHistory failureHistory() {
     return failureHistory;
   }
 
-  /** Which tasks are pending, reserved or finished. */
+  /** The job's tasks: pending, reserved and finished. */
   public JobTasks tasks() {
     return tasks;
   }
 
-  /** What is committed of the job, and how the write of its newer state stands. */
+  /** The committed allocation of the job and the state of the write that replaces it. */
   public AllocationWriteState writes() {
     return writes;
   }
 
-  /** How often its tasks were reclaimed for other teams. */
+  /** The number and the time of reclaims of the job's tasks for other teams. */
   public ReclaimHistory reclaims() {
     return reclaims;
   }
@@ -110,107 +110,113 @@
     return tasks.reservations();
   }
 
-  /** How many tasks are neither reserved nor finished. */
+  /** The number of tasks that are neither reserved nor finished. */
   public int pendingTaskCount() {
     return tasks.pendingCount();
   }
 
-  /** Whether any task is neither reserved nor finished. */
+  /** Returns whether any task is neither reserved nor finished. */
   public boolean hasPendingTasks() {
     return tasks.hasPending();
   }
 
-  /** The first task that may be tried now, or -1. */
+  /** The index of the first task that may be scheduled now, or -1. */
   public int firstSchedulableTask(long nowMs) {
     return schedulableTasks.first(nowMs);
   }
 
-  /** The task that may be tried after this one, or -1. */
-  public int nextSchedulableTask(int after, long nowMs) {
-    return schedulableTasks.next(after, nowMs);
+  /** The index of the next task after {@code index} that may be scheduled now, or -1. */
+  public int nextSchedulableTask(int index, long nowMs) {
+    return schedulableTasks.next(index, nowMs);
   }
 
-  /** Whether something of the job is to be scheduled or written. */
+  /** Returns whether the job has tasks to schedule or changes to write. */
   boolean hasPendingWork() {
     return tasks.hasPending() || writes.isDirty();
   }
 
-  /** The largest attempt number that was ever reserved; 0 for none. */
+  /** The largest attempt number reserved so far; 0 for none. */
   public long lastAttempt() {
     return lastAttempt;
   }
 
-  /** The number that the next attempts get, larger than that of any before. */
+  /** The number for the next attempts, larger than all previous ones. */
   public long nextAttemptNumber() {
     return Math.max(lastAttempt, writes.committed().lastAttempt()) + 1;
   }
 
-  /** Whether the job is done or cancelled. */
+  /** Returns whether the job is done or cancelled. */
   public boolean isTerminal() {
     return cancelled || writes.committed().done();
   }
 
-  /** Whether a cancellation of the job is committed. */
+  /** Returns whether a cancellation of the job is committed. */
   public boolean isCancelled() {
     return cancelled;
   }
 
-  /** Whether a cancellation is being written; nothing new starts meanwhile. */
+  /**
+   * Returns whether a cancellation is being written; meanwhile no allocation is written, so that no
+   * further task starts.
+   */
   public boolean isCancelling() {
     return cancelling;
   }
 
-  /** A cancellation is about to be written. */
+  /** Records that the write of a cancellation begins. */
   public void onCancellationBegun() {
     cancelling = true;
   }
 
-  /** The cancellation was not written, or that is not known. */
+  /** Records that the cancellation was not written, or that its result is unknown. */
   public void onCancellationFailed() {
     cancelling = false;
   }
 
-  /** A cancellation is committed. */
+  /** Records that a cancellation is committed. */
   void onCancelled() {
     cancelled = true;
     tasks.cancel(writes.isInFlight());
   }
 
-  /** Whether the job still has something to do, or something reserved. */
+  /** Returns whether the job is not terminal, or still holds reservations. */
   boolean isActive() {
     return active;
   }
 
-  /** The job has something to do; called by {@link JobRegistry} alone. */
+  /** Marks the job as active; called by {@link JobRegistry} only. */
   void activate() {
     active = true;
   }
 
-  /** The job has nothing to do any more; called by {@link JobRegistry} alone. */
+  /** Marks the job as inactive; called by {@link JobRegistry} only. */
   void deactivate() {
     active = false;
   }
 
-  /** A stored record of the job can't be read: nothing of it starts. */
+  /** Prevents all tasks from starting, because a stored record of the job can't be read. */
   public void freeze() {
     frozen = true;
     tasks.clearPending();
   }
 
-  /** A read or a conditional write has shown that the job is not archived. */
+  /** Records that a read or a conditional write has shown that the job is not archived. */
   public void confirmNotArchived() {
     confirmedNotArchived = true;
   }
 
   /**
-   * Whether the job surely is not archived. A submission of an older version that is applied after
-   * the job was archived brings its record back; such a job has no allocation.
+   * Returns whether the job is known not to be archived. A submission of an older version that is
+   * applied after the job was archived recreates its record; such a job has no allocation.
    */
   public boolean isKnownNotArchived() {
     return confirmedNotArchived || writes.version() > 0;
   }
 
-  /** Whether nothing that is still open could change what is known of the job. */
+  /**
+   * Returns whether the job is terminal and nothing outstanding can change its state: it has no
+   * reservations, no uncommitted settlements and no write in flight, and is not frozen.
+   */
   public boolean isArchivable() {
     return isTerminal()
         && tasks.reservations().isEmpty()
@@ -219,24 +225,27 @@
         && !frozen;
   }
 
-  /** Whether a write of its allocation may begin now. */
+  /** Returns whether a write of the job's allocation may begin now. */
   public boolean canWrite(long nowMs) {
     return writes.canBegin(nowMs) && !cancelled && !cancelling;
   }
 
-  /** Whether machines that have the job's image were searched before others; once is enough. */
+  /**
+   * Returns whether machines that have the job's image were already searched ahead of the others,
+   * which is done once per job.
+   */
   public boolean isCachedImageSearched() {
     return cachedImageSearched;
   }
 
-  /** Machines that have the job's image were searched. */
+  /** Records that machines that have the job's image were searched. */
   public void onCachedImageSearched() {
     cachedImageSearched = true;
   }
 
   /**
-   * How many tasks count for the team's quota. A settled reservation counts until its settlement is
-   * committed, since a new leader would start its task again.
+   * The number of tasks that count for the team's quota. A settled reservation counts until its
+   * settlement is committed, since a new leader would start its task again.
    */
   public int quotaTaskCount() {
     // Any task of a frozen job may be running.
@@ -245,7 +254,7 @@
         : tasks.reservations().size() + tasks.uncommittedSettlements().size();
   }
 
-  /** How many tasks count for the team's quota, and which of them release their resources soon. */
+  /** The tasks that count for the team's quota, and those of them that are stopping or settled. */
   TaskCounts taskCounts() {
     if (frozen) {
       return new TaskCounts(spec.tasks(), spec.tasks(), 0);
@@ -254,36 +263,36 @@
     return new TaskCounts(quotaTaskCount(), stopping, tasks.uncommittedSettlements().size());
   }
 
-  /** What {@link ResourceUsage} has counted of the job's tasks. */
+  /** The task counts that {@link ResourceUsage} last accounted for. */
   TaskCounts accountedTasks() {
     return accountedTasks;
   }
 
-  /** {@link ResourceUsage} has counted these tasks. */
+  /** Records the task counts that {@link ResourceUsage} has accounted for. */
   void onTasksAccounted(TaskCounts counts) {
     accountedTasks = counts;
   }
 
-  /** Whether {@link ResourceUsage} has counted the job as active. */
+  /** Returns whether {@link ResourceUsage} has accounted for the job as active. */
   boolean isAccountedActive() {
     return accountedActive;
   }
 
-  /** {@link ResourceUsage} has counted the job as active, or as inactive, as it is now. */
+  /** Records that {@link ResourceUsage} has accounted for the current activity of the job. */
   void onActivityAccounted() {
     accountedActive = active;
   }
 
-  /** How long a task may take to save when it is stopped. */
+  /** The time that a task gets to save when it is stopped, in seconds. */
   double stopGraceS() {
     if (cancelled) {
-      // The checkpoint of a cancelled task is of no use.
+      // A cancelled task never resumes, so its checkpoint would not be read.
       return 0;
     }
     return gang == null ? spec.saveDurationS() : gang.stopGraceS();
   }
 
-  /** The status as users see it. */
+  /** The status that is reported to users. */
   public JobStatus status() {
     StoredRecord.Allocation committed = writes.committed();
     return cancelled
@@ -311,7 +320,7 @@
     return reservation;
   }
 
-  /** The task of a reservation has ended, or surely is not on its machine any more. */
+  /** Settles a reservation whose task has ended or is certainly no longer on its machine. */
   void settle(Reservation reservation, boolean completed) {
     if (cancelled) {
       tasks.release(reservation);
@@ -329,13 +338,13 @@
     }
   }
 
-  /** The tasks of a gang complete together: where one is done, all are. */
+  /** Marks all tasks of a gang as finished: they complete together, so one finished implies all. */
   void finishGang() {
     tasks.finishAll();
     writes.onChanged();
   }
 
-  /** A new leader has read the allocation that an earlier one has committed. */
+  /** Records the committed allocation of an earlier leader, read by this new one. */
   void onAllocationRestored(StoredRecord.Allocation allocation, long version) {
     writes.onRestored(allocation, version);
     lastAttempt = allocation.lastAttempt();
--- a/src/main/java/eiderfork/controller/registry/JobTasks.java
+++ b/src/main/java/eiderfork/controller/registry/JobTasks.java
@@ -14,8 +14,8 @@
 import java.util.Set;
 
 /**
- * The tasks of a job. Each is pending, reserved or finished; a task that was settled is pending or
- * finished at once, and its settlement stays uncommitted until it is written.
+ * The tasks of a job. Each is pending, reserved or finished. A settled task becomes pending or
+ * finished immediately; its settlement stays uncommitted until it is written to the store.
  */
 public final class JobTasks {
   private final int taskCount;
@@ -27,43 +27,43 @@
   private final Set<Reservation> uncommittedSettlements = new LinkedHashSet<>();
   private int stoppingCount;
 
-  /** Begins with all tasks pending. */
+  /** Creates the tasks of a job, all pending. */
   JobTasks(int taskCount) {
     this.taskCount = taskCount;
     pending.set(0, taskCount);
   }
 
-  /** How many tasks the job has. */
+  /** The number of tasks of the job. */
   int taskCount() {
     return taskCount;
   }
 
-  /** How many tasks are neither reserved nor finished. */
+  /** The number of tasks that are neither reserved nor finished. */
   int pendingCount() {
     return pending.cardinality();
   }
 
-  /** Whether any task is neither reserved nor finished. */
+  /** Returns whether any task is neither reserved nor finished. */
   boolean hasPending() {
     return !pending.isEmpty();
   }
 
-  /** Whether this task is neither reserved nor finished. */
+  /** Returns whether this task is neither reserved nor finished. */
   public boolean isPending(int index) {
     return pending.get(index);
   }
 
-  /** The first pending task from this index on, or -1. */
+  /** The index of the first pending task at or after {@code fromIndex}, or -1. */
   int nextPending(int fromIndex) {
     return pending.nextSetBit(fromIndex);
   }
 
-  /** Whether any task has finished. */
+  /** Returns whether any task has finished. */
   boolean hasFinished() {
     return !finished.isEmpty();
   }
 
-  /** Whether every task has finished. */
+  /** Returns whether all tasks have finished. */
   public boolean isAllFinished() {
     return finished.cardinality() == taskCount;
   }
@@ -80,7 +80,7 @@
     return ranges.build();
   }
 
-  /** How many ranges the finished tasks make. */
+  /** The number of contiguous ranges of finished tasks. */
   int finishedRangeCount() {
     int count = 0;
     int from = finished.nextSetBit(0);
@@ -91,7 +91,10 @@
     return count;
   }
 
-  /** The bound on a record in the bitmap form that holds the finished tasks alone. */
+  /**
+   * Returns the upper bound on the size of a record in the bitmap form that holds only the finished
+   * tasks.
+   */
   BitmapAllocationSize newBitmapSize() {
     return new BitmapAllocationSize(taskCount, finished);
   }
@@ -101,22 +104,22 @@
     return reservationsView;
   }
 
-  /** Whether this is the task's reservation now. */
+  /** Returns whether this is the current reservation of its task. */
   boolean holds(Reservation reservation) {
     return reservations.get(reservation.taskIndex()) == reservation;
   }
 
-  /** How many reserved tasks are being stopped. */
+  /** The number of reserved tasks that are being stopped. */
   int stoppingCount() {
     return stoppingCount;
   }
 
-  /** Settled reservations whose settlement is not committed yet; a read-only view. */
+  /** The reservations whose settlement is not committed yet; a read-only view. */
   Collection<Reservation> uncommittedSettlements() {
     return Collections.unmodifiableSet(uncommittedSettlements);
   }
 
-  /** Whether this attempt is settled and its settlement is not committed yet. */
+  /** Returns whether this attempt is settled and its settlement is not committed yet. */
   boolean isSettlementUncommitted(int index, long attempt) {
     for (Reservation reservation : uncommittedSettlements) {
       if (reservation.taskIndex() == index && reservation.attempt() == attempt) {
@@ -126,17 +129,17 @@
     return false;
   }
 
-  /** A reserved task is to be stopped. */
+  /** Records that a reserved task is to be stopped. */
   void onStopRequested() {
     stoppingCount++;
   }
 
-  /** A reserved task is not to be stopped after all. */
+  /** Records that the stop of a reserved task was revoked. */
   void onStopRevoked() {
     stoppingCount--;
   }
 
-  /** The tasks of a range are known to have finished. */
+  /** Restores a range of finished tasks from the job's allocation. */
   void restoreFinished(StoredRecord.TaskRange range) {
     finished.set(range.from(), range.to() + 1);
     pending.clear(range.from(), range.to() + 1);
@@ -149,13 +152,13 @@
     reservation.machine().addReservation(reservation);
   }
 
-  /** Takes a proposed reservation back, so that its task is pending again. */
+  /** Withdraws a proposed reservation and returns its task to pending. */
   void withdraw(Reservation reservation) {
     release(reservation);
     pending.set(reservation.taskIndex());
   }
 
-  /** The task of a reservation has ended, or surely is not on its machine any more. */
+  /** Settles a reservation whose task has ended or is certainly no longer on its machine. */
   public void settle(Reservation reservation, boolean completed) {
     release(reservation);
     if (completed) {
@@ -166,7 +169,7 @@
     uncommittedSettlements.add(reservation);
   }
 
-  /** All tasks have finished, whether they were reserved or not. */
+  /** Marks all tasks as finished, whether they were reserved or not. */
   void finishAll() {
     for (Reservation reservation : List.copyOf(reservations.values())) {
       release(reservation);
@@ -176,20 +179,20 @@
     pending.clear();
   }
 
-  /** The settlements of these reservations are committed. */
+  /** Records that the settlements of these reservations are committed. */
   public void onSettlementsCommitted(Collection<Reservation> settled) {
     settled.forEach(uncommittedSettlements::remove);
   }
 
-  /** No task may be reserved any more. */
+  /** Clears the pending tasks, so that none can be reserved any more. */
   void clearPending() {
     pending.clear();
   }
 
   /**
-   * The job is cancelled: what is committed is stopped on its machine.
+   * Cancels the tasks: committed reservations are stopped on their machines.
    *
-   * @param writeInFlight whether what is not committed may be, by a write that is under way
+   * @param writeInFlight whether a write is in flight that may commit the proposed reservations
    */
   void cancel(boolean writeInFlight) {
     pending.clear();
@@ -203,7 +206,7 @@
     }
   }
 
-  /** Releases the reservations that are not committed; their tasks are not pending again. */
+  /** Releases the reservations that are not committed; their tasks don't return to pending. */
   void releaseUncommitted() {
     for (Reservation reservation : List.copyOf(reservations.values())) {
       if (!reservation.isCommitted()) {
@@ -212,12 +215,15 @@
     }
   }
 
-  /** Releases all reservations; their tasks are not pending again. */
+  /** Releases all reservations; their tasks don't return to pending. */
   void releaseAll() {
     List.copyOf(reservations.values()).forEach(this::release);
   }
 
-  /** Takes a reservation off the job and its machine; its task is in no state until it is set. */
+  /**
+   * Removes a reservation from the job and its machine. The caller sets the task's next state if it
+   * has one.
+   */
   void release(Reservation reservation) {
     if (reservations.remove(reservation.taskIndex()) == reservation && reservation.isStopping()) {
       stoppingCount--;
--- a/src/main/java/eiderfork/controller/registry/MachineFailures.java
+++ b/src/main/java/eiderfork/controller/registry/MachineFailures.java
@@ -3,59 +3,61 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** The jobs that failed on a machine, and whether the machine is considered faulty. */
+/** The jobs that failed on a machine, and its faulty mark. */
 public final class MachineFailures {
-  /** Jobs whose task ended here with an error since a task last succeeded here. */
+  /** Uids of jobs of which a task failed on this machine since a task last succeeded on it. */
   private final Set<String> failedJobs = new HashSet<>();
 
-  /** Those of them that have since succeeded on another machine. */
+  /** The uids among {@code failedJobs} of jobs that have since succeeded on another machine. */
   private final Set<String> jobsFailedOnlyHere = new HashSet<>();
 
   private boolean faulty;
 
-  /** Whether the machine gets no further tasks and is to be returned. */
+  /** Returns whether the machine is faulty: it gets no further tasks and is to be returned. */
   public boolean isFaulty() {
     return faulty;
   }
 
-  /** The machine is considered faulty for good. */
+  /** Marks the machine as faulty; the mark is never removed. */
   public void markFaulty() {
     faulty = true;
   }
 
-  /** A task of this job ended here with an error. */
+  /** Records that a task of this job failed on this machine. */
   public void recordFailure(String jobUid) {
     failedJobs.add(jobUid);
   }
 
-  /** Whether a task of this job failed here since a task last succeeded here. */
+  /**
+   * Returns whether a task of this job failed on this machine since a task last succeeded on it.
+   */
   public boolean hasFailed(String jobUid) {
     return failedJobs.contains(jobUid);
   }
 
-  /** A job that failed here succeeded on another machine. */
+  /** Records that a job that failed on this machine succeeded on another one. */
   public void recordSuccessElsewhere(String jobUid) {
     jobsFailedOnlyHere.add(jobUid);
   }
 
-  /** A task succeeded here, so that earlier failures say nothing of the machine. */
+  /** Clears earlier failures after a task succeeded on this machine. */
   public void recordSuccess() {
     failedJobs.clear();
     jobsFailedOnlyHere.clear();
   }
 
-  /** The job itself is at fault, so that its failure says nothing of the machine. */
+  /** Removes the failure of a job that is at fault itself, so that it does not count here. */
   public void discardFailure(String jobUid) {
     failedJobs.remove(jobUid);
     jobsFailedOnlyHere.remove(jobUid);
   }
 
-  /** How many jobs failed here. */
+  /** The number of jobs that failed on this machine. */
   public int failedJobCount() {
     return failedJobs.size();
   }
 
-  /** How many of the jobs that failed here succeeded elsewhere. */
+  /** The number of jobs that failed on this machine and succeeded on another one. */
   public int failedOnlyHereCount() {
     return jobsFailedOnlyHere.size();
   }
--- a/src/main/java/eiderfork/controller/registry/MachineIndexes.java
+++ b/src/main/java/eiderfork/controller/registry/MachineIndexes.java
@@ -4,22 +4,22 @@
 import org.roaringbitmap.RoaringBitmap;
 
 /**
- * Sets of a leader's machines, by their numbers, that are updated as machines change, so that
- * nothing has to iterate over all machines to find the few that need something.
+ * Sets of a leader's machines, by machine number. They are updated as machines change, so that the
+ * few machines that need an action are found without iterating over all machines.
  */
 public final class MachineIndexes {
-  /** Machines to which a command should be sent now. */
+  /** The machines to which a command should be sent now. */
   private final RoaringBitmap commandDue = new RoaringBitmap();
 
-  /** Machines that have not shown a fencing token of this term. */
+  /** The machines that have not reported a fencing token of this term. */
   private final RoaringBitmap awaitingToken = new RoaringBitmap();
 
-  /** Machines whose direct command awaits its reply. */
+  /** The machines with a direct command that awaits its reply. */
   private final RoaringBitmap commandInFlight = new RoaringBitmap();
 
   private final CapacityIndex capacityIndex = new CapacityIndex();
 
-  /** Forgets all machines. */
+  /** Removes all machines. */
   void clear() {
     commandDue.clear();
     awaitingToken.clear();
@@ -27,12 +27,12 @@
     capacityIndex.clear();
   }
 
-  /** A machine was registered, of which nothing is known but its name. */
+  /** Adds a newly registered machine, of which only the name is known. */
   void add(MachineState machine) {
     awaitingToken.add(machine.number());
   }
 
-  /** A machine no longer exists. */
+  /** Removes a machine that no longer exists. */
   void remove(MachineState machine) {
     commandDue.remove(machine.number());
     awaitingToken.remove(machine.number());
@@ -40,37 +40,37 @@
     capacityIndex.remove(machine);
   }
 
-  /** The machine's worker has shown a fencing token of this term. */
+  /** Records that the machine's worker has reported a fencing token of this term. */
   public void recordCurrentTermToken(MachineState machine) {
     awaitingToken.remove(machine.number());
   }
 
-  /** A command should be sent to the machine now. */
+  /** Adds the machine to those to which a command should be sent now. */
   void addCommandDue(MachineState machine) {
     commandDue.add(machine.number());
   }
 
-  /** No command needs to be sent to the machine now. */
+  /** Removes the machine from those to which a command should be sent now. */
   void removeCommandDue(MachineState machine) {
     commandDue.remove(machine.number());
   }
 
-  /** A direct command to the machine awaits its reply. */
+  /** Adds the machine to those with a direct command in flight. */
   void addCommandInFlight(MachineState machine) {
     commandInFlight.add(machine.number());
   }
 
-  /** No direct command to the machine awaits its reply. */
+  /** Removes the machine from those with a direct command in flight. */
   void removeCommandInFlight(MachineState machine) {
     commandInFlight.remove(machine.number());
   }
 
-  /** How many direct commands await their reply. */
+  /** The number of direct commands in flight. */
   public int commandsInFlight() {
     return commandInFlight.getCardinality();
   }
 
-  /** The numbers of the machines that may have to be contacted directly, in ascending order. */
+  /** The numbers of the machines that may need a direct command, in ascending order. */
   public int[] machinesToContact() {
     if (awaitingToken.isEmpty()) {
       return commandDue.toArray();
@@ -78,7 +78,11 @@
     return RoaringBitmap.or(commandDue, awaitingToken).toArray();
   }
 
-  /** Whether a machine that holds reservations has not shown a fencing token of this term. */
+  /**
+   * Returns whether any machine with reservations has not reported a fencing token of this term.
+   *
+   * @param holdsReservations tests whether the machine with a given number has reservations
+   */
   public boolean hasMachineAwaitingToken(IntPredicate holdsReservations) {
     for (int number : awaitingToken.toArray()) {
       if (holdsReservations.test(number)) {
--- a/src/main/java/eiderfork/controller/registry/MachineLifecycle.java
+++ b/src/main/java/eiderfork/controller/registry/MachineLifecycle.java
@@ -2,7 +2,7 @@
 
 import eiderfork.model.ListedMachine;
 
-/** Where a machine stands between its request from the cloud and its return. */
+/** The lifecycle of a machine, from its request to its return to the cloud. */
 public final class MachineLifecycle {
   private long lastAliveMs;
   private long knownSinceMs;
@@ -21,77 +21,77 @@
     lastAliveMs = nowMs;
   }
 
-  /** When anything last proved that the machine exists. */
+  /** The last time for which there is proof that the machine existed. */
   long lastAliveMs() {
     return lastAliveMs;
   }
 
-  /** When the machine was requested or first known. */
+  /** The time when the machine was requested or first became known. */
   public long knownSinceMs() {
     return knownSinceMs;
   }
 
-  /** Whether the machine has just been rented, or the cloud's list says that it boots. */
+  /** Returns whether the machine was just provisioned, or the cloud lists it as booting. */
   public boolean isBooting() {
     return booting;
   }
 
-  /** When the cloud's list first called the machine running in this term; 0 for not yet. */
+  /** The time when the cloud first listed the machine as running in this term; 0 for not yet. */
   public long firstRunningMs() {
     return firstRunningMs;
   }
 
-  /** Whether the cloud has listed the machine in this term. */
+  /** Returns whether the cloud has listed the machine in this term. */
   public boolean isListedByCloud() {
     return listedByCloud;
   }
 
-  /** Whether its return is decided, so that nothing starts here any more. */
+  /** Returns whether the machine is to be returned, so that no task starts on it any more. */
   public boolean isScalingIn() {
     return scalingIn;
   }
 
-  /** When its return was decided because it was unreachable; 0 for other reasons. */
+  /** The time when the machine was scaled in because it was unreachable; 0 if it was not. */
   public long unreachableScaleInMs() {
     return unreachableScaleInMs;
   }
 
-  /** Whether its replicas are being migrated away, so that nothing starts here. */
+  /** Returns whether the machine's tasks are being migrated away, so that none starts on it. */
   public boolean isDraining() {
     return draining;
   }
 
-  /** Since when it is draining. */
+  /** The time when draining began. */
   public long drainingSinceMs() {
     return drainingSinceMs;
   }
 
-  /** Since when all of its tasks would fit elsewhere; 0 while they would not. */
+  /** The time since which all of the machine's tasks would fit elsewhere; 0 if they would not. */
   public long drainableSinceMs() {
     return drainableSinceMs;
   }
 
-  /** Since when the machine holds nothing; 0 while it holds something. */
+  /** The time since which the machine is idle; 0 while it holds tasks or is needed. */
   public long idleSinceMs() {
     return idleSinceMs;
   }
 
-  /** The cloud has just provisioned the machine. */
+  /** Records that the cloud has provisioned the machine. */
   public void onProvisioned(boolean hasHeartbeat, long nowMs) {
     booting = !hasHeartbeat;
     lastAliveMs = nowMs;
   }
 
-  /** A heartbeat of the machine's worker arrived. */
+  /** Records a heartbeat of the machine's worker. */
   public void onHeartbeat(long nowMs) {
     lastAliveMs = nowMs;
     booting = false;
   }
 
   /**
-   * The cloud lists the machine.
+   * Records that the cloud lists the machine.
    *
-   * @param listedMs the earliest time that the list may describe
+   * @param listedMs the earliest time of which the list may show the state
    */
   void onListed(ListedMachine listed, boolean hasHeartbeat, long listedMs, long nowMs) {
     listedByCloud = true;
@@ -103,51 +103,51 @@
     }
   }
 
-  /** The machine is to be returned to the cloud. */
+  /** Marks the machine to be returned to the cloud. */
   public void beginScaleIn() {
     scalingIn = true;
   }
 
-  /** The machine is to be returned to the cloud because it is unreachable. */
+  /** Records that the machine is to be returned to the cloud because it is unreachable. */
   public void recordUnreachableScaleIn(long nowMs) {
     unreachableScaleInMs = nowMs;
   }
 
-  /** The machine is kept: it became reachable before the cloud was asked to take it back. */
+  /** Keeps a machine that became reachable before its return was requested from the cloud. */
   public void cancelScaleIn() {
     scalingIn = false;
     unreachableScaleInMs = 0;
   }
 
-  /** The machine's tasks are to be migrated away. */
+  /** Marks the machine for draining: its tasks are to be migrated away. */
   public void beginDraining(long nowMs) {
     draining = true;
     drainingSinceMs = nowMs;
   }
 
-  /** Draining took too long; the machine is used again unless it is being returned. */
+  /** Ends draining that took too long; the machine is used again unless it is being returned. */
   public void abandonDraining() {
     draining = scalingIn;
   }
 
-  /** All of the machine's tasks would fit elsewhere. */
+  /** Records that all of the machine's tasks would fit elsewhere. */
   public void markDrainable(long nowMs) {
     if (drainableSinceMs == 0) {
       drainableSinceMs = nowMs;
     }
   }
 
-  /** The machine's tasks would not fit elsewhere. */
+  /** Records that the machine's tasks would not fit elsewhere. */
   public void clearDrainable() {
     drainableSinceMs = 0;
   }
 
-  /** The machine holds nothing and is not needed. */
+  /** Records that the machine holds no tasks and is not needed. */
   public void beginIdle(long nowMs) {
     idleSinceMs = nowMs;
   }
 
-  /** The machine holds something or is needed. */
+  /** Records that the machine holds tasks or is needed. */
   public void clearIdle() {
     idleSinceMs = 0;
   }
--- a/src/main/java/eiderfork/controller/registry/MachineRegistry.java
+++ b/src/main/java/eiderfork/controller/registry/MachineRegistry.java
@@ -20,11 +20,14 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The leader's machines, by name, by number and by the start of their leases. */
+/** The leader's machines, by name, by number and by the start time of their leases. */
 public final class MachineRegistry {
   private static final Logger LOG = LoggerFactory.getLogger(MachineRegistry.class);
 
-  /** How long a removed machine is remembered: no message is delayed for longer. */
+  /**
+   * The time for which the name of a removed machine is kept, in worker leases: no message is
+   * delayed for longer.
+   */
   private static final int REMOVED_RETENTION_LEASES = 60;
 
   private final ControllerContext context;
@@ -34,26 +37,28 @@
   private final MachineIndexes indexes = new MachineIndexes();
   private int lastNumber;
 
-  /** Machines without a heartbeat in this term. */
+  /** The machines without a heartbeat in this term. */
   private final ReferenceLinkedOpenHashSet<MachineState> unseenInTerm =
       new ReferenceLinkedOpenHashSet<>();
 
-  /** All other machines, ordered by the start of their leases. */
+  /** All other machines, ordered by the start time of their leases. */
   private final ReferenceLinkedOpenHashSet<MachineState> byLeaseStart =
       new ReferenceLinkedOpenHashSet<>();
 
-  /** Removed machines, oldest first; late heartbeats and list entries of theirs are ignored. */
+  /**
+   * The removal time by machine name, oldest first; late heartbeats and list entries are ignored.
+   */
   private final Map<String, Long> removedAtMs = new LinkedHashMap<>();
 
   private ImmutableMap<String, MachineType> types = ImmutableMap.of();
 
-  /** Makes an empty registry. */
+  /** Creates an empty registry. */
   public MachineRegistry(ControllerContext context, JobRegistry jobs) {
     this.context = context;
     this.jobs = jobs;
   }
 
-  /** Forgets all machines. */
+  /** Removes all machines. */
   public void clear() {
     machines.clear();
     byNumber.clear();
@@ -74,12 +79,12 @@
     return bootS * 1000;
   }
 
-  /** The machines by what they need, and by their free capacity. */
+  /** The indexes of the machines by required action and by free capacity. */
   public MachineIndexes indexes() {
     return indexes;
   }
 
-  /** The machine with the next larger number, or the first one; there must be a machine. */
+  /** The machine with the next larger number, or the first one; requires at least one machine. */
   public MachineState nextAfter(int number) {
     for (int i = number + 1; i <= lastNumber; i++) {
       MachineState machine = byNumber.get(i);
@@ -90,12 +95,14 @@
     return machines.values().iterator().next();
   }
 
-  /** The machine with this number, null for none. */
+  /** The machine with this number; null for none. */
   public MachineState get(int number) {
     return byNumber.get(number);
   }
 
-  /** A heartbeat of the machine is answered now, which may renew its worker's lease. */
+  /**
+   * Records that a heartbeat is answered now, which may renew the lease of the machine's worker.
+   */
   public void renewLease(MachineState machine) {
     machine.incarnation().renewLease(context.nowMs());
     moveToEndOfLeaseOrder(machine);
@@ -104,14 +111,14 @@
   /**
    * Records a machine's newest heartbeat, which may begin an incarnation with a lease of its own.
    *
-   * @return whether it is the first that arrived of its incarnation
+   * @return whether it is the first one received from its incarnation
    */
   public boolean recordHeartbeat(MachineState machine, Heartbeat heartbeat) {
-    boolean firstOfSession = machine.recordHeartbeat(heartbeat, context.nowMs());
-    if (firstOfSession) {
+    boolean firstOfIncarnation = machine.recordHeartbeat(heartbeat, context.nowMs());
+    if (firstOfIncarnation) {
       moveToEndOfLeaseOrder(machine);
     }
-    return firstOfSession;
+    return firstOfIncarnation;
   }
 
   private void moveToEndOfLeaseOrder(MachineState machine) {
@@ -119,17 +126,17 @@
     byLeaseStart.addAndMoveToLast(machine);
   }
 
-  /** The machines whose lease was not renewed for that long or not in this term, by number. */
+  /** The machines with a lease older than {@code minAgeMs} or none in this term, by number. */
   public List<MachineState> machinesWithLeaseOlderThan(long minAgeMs) {
-    List<MachineState> found = new ArrayList<>(unseenInTerm);
+    List<MachineState> matches = new ArrayList<>(unseenInTerm);
     for (MachineState machine : byLeaseStart) {
       if (context.nowMs() - machine.incarnation().leaseStartMs() <= minAgeMs) {
         break;
       }
-      found.add(machine);
+      matches.add(machine);
     }
-    found.sort(Comparator.comparingInt(machine -> machine.number()));
-    return found;
+    matches.sort(Comparator.comparingInt(machine -> machine.number()));
+    return matches;
   }
 
   /** All machines in the order in which they were registered. */
@@ -137,22 +144,22 @@
     return machines.values();
   }
 
-  /** The machine with this name, null for none. */
+  /** The machine with this name; null for none. */
   public MachineState get(String name) {
     return machines.get(name);
   }
 
-  /** Whether the machine was removed lately. */
+  /** Returns whether the machine was removed recently. */
   public boolean isRemoved(String name) {
     return removedAtMs.containsKey(name);
   }
 
-  /** The machine types by name, empty while they are not known. */
+  /** The machine types by name; empty while they are not known. */
   public ImmutableMap<String, MachineType> types() {
     return types;
   }
 
-  /** Replaces the machine types, and so the capacity of each machine. */
+  /** Replaces the machine types and updates the capacity of each machine. */
   public void updateTypes(ImmutableList<MachineType> machineTypes) {
     ImmutableMap.Builder<String, MachineType> builder = ImmutableMap.builder();
     machineTypes.forEach(type -> builder.put(type.name(), type));
@@ -160,17 +167,17 @@
     machines.values().forEach(this::updateCapacity);
   }
 
-  /** The machine types as they are stored. */
+  /** Returns the record in which the machine types are stored. */
   public StoredRecord.MachineTypes typesRecord() {
     return new StoredRecord.MachineTypes(types.values().asList());
   }
 
-  /** The machine's type, null while it is not known. */
+  /** The machine's type; null while it is not known. */
   public MachineType typeOf(MachineState machine) {
     return machine.spec() == null ? null : types.get(machine.spec().type());
   }
 
-  /** The machine with this name, registered if it is new. */
+  /** Returns the machine with this name, and registers it if it is new. */
   public MachineState getOrRegister(String name) {
     return machines.computeIfAbsent(name, this::register);
   }
@@ -183,7 +190,7 @@
     return machine;
   }
 
-  /** The machine with these properties, registered if it is new. */
+  /** Returns the machine with these properties, and registers it if it is new. */
   public MachineState getOrRegister(Machine machine) {
     MachineState state = getOrRegister(machine.name());
     if (state.spec() == null || state.spec().address() == null) {
@@ -200,7 +207,7 @@
     }
   }
 
-  /** Removes a machine that surely no longer exists, and settles its reservations. */
+  /** Removes a machine that is known to no longer exist, and settles its reservations. */
   public void remove(MachineState machine, String reason) {
     LOG.info("machine-removed machine={} reason=\"{}\"", machine.name(), reason);
     settleReservations(machine);
@@ -212,13 +219,13 @@
     removedAtMs.put(machine.name(), context.nowMs());
   }
 
-  /** Bounds the number of remembered names. */
-  private void forgetLongRemoved() {
-    long keptMs = REMOVED_RETENTION_LEASES * context.workerLeaseMs();
-    removedAtMs.values().removeIf(since -> context.nowMs() - since > keptMs);
+  /** Drops the names of machines that were removed long ago, which bounds their number. */
+  private void expireRemovedNames() {
+    long retentionMs = REMOVED_RETENTION_LEASES * context.workerLeaseMs();
+    removedAtMs.values().removeIf(removedMs -> context.nowMs() - removedMs > retentionMs);
   }
 
-  /** Settles all reservations of a machine on which none of their tasks runs or can start. */
+  /** Settles all reservations of a machine on which no task runs or can start any more. */
   public void settleReservations(MachineState machine) {
     for (Reservation reservation : List.copyOf(machine.reservations())) {
       jobs.settle(reservation, false);
@@ -227,32 +234,33 @@
   }
 
   /**
-   * Applies a complete machine list of the cloud.
+   * Applies a complete list of the cloud's machines.
    *
-   * <p>A list may be as old as twice its lag, so a missing machine is removed only if it was last
-   * proved alive before that time.
+   * <p>A list may be older than its request by up to twice the list lag. A missing machine is
+   * therefore removed only if the last proof that it existed is older than that.
    *
    * @param requestedMs when the list was requested
    */
   public void applyMachineList(Map<String, ListedMachine> entries, long requestedMs) {
-    forgetLongRemoved();
-    long describesMs = requestedMs - 2 * context.cloudListLagMs();
+    expireRemovedNames();
+    long oldestListedMs = requestedMs - 2 * context.cloudListLagMs();
     for (ListedMachine entry : entries.values()) {
       if (!isRemoved(entry.machine().name())) {
-        applyListed(entry, describesMs);
+        applyListed(entry, oldestListedMs);
       }
     }
     for (MachineState machine : List.copyOf(machines.values())) {
-      if (!entries.containsKey(machine.name()) && machine.lifecycle().lastAliveMs() < describesMs) {
+      if (!entries.containsKey(machine.name())
+          && machine.lifecycle().lastAliveMs() < oldestListedMs) {
         remove(machine, "missing from the cloud's list");
       }
     }
   }
 
-  private void applyListed(ListedMachine entry, long describesMs) {
+  private void applyListed(ListedMachine entry, long oldestListedMs) {
     MachineState machine = getOrRegister(entry.machine());
     boolean hasHeartbeat = machine.lastHeartbeat() != null;
-    machine.lifecycle().onListed(entry, hasHeartbeat, describesMs, context.nowMs());
+    machine.lifecycle().onListed(entry, hasHeartbeat, oldestListedMs, context.nowMs());
     if (entry.state() == ListedMachine.State.FAILED) {
       settleReservations(machine);
       machine.failures().markFaulty();
--- a/src/main/java/eiderfork/controller/registry/MachineState.java
+++ b/src/main/java/eiderfork/controller/registry/MachineState.java
@@ -28,7 +28,7 @@
   private Machine spec;
   private Resources capacity;
 
-  /** Kept as a sum, since every scheduling round and plan asks for it at every machine. */
+  /** Maintained incrementally, since every scheduling round and plan reads it for every machine. */
   private Resources reservedCapacity = Resources.NONE;
 
   private Resources freeCapacity;
@@ -36,7 +36,7 @@
   private boolean reconciled;
   private long leaseProxySeenMs;
 
-  /** Makes the state of a machine of which only the name is known. */
+  /** Creates the state of a machine of which only the name is known. */
   public MachineState(String name, int number, MachineIndexes indexes, long nowMs) {
     this.name = name;
     this.number = number;
@@ -45,12 +45,12 @@
     commandChannel = new CommandChannel(this, indexes);
   }
 
-  /** The machine's name, unique for all time. */
+  /** The machine's name, which is never reused. */
   public String name() {
     return name;
   }
 
-  /** A number that ascends in the order in which the leader learned of its machines. */
+  /** The machine's number, ascending in the order in which the leader registered its machines. */
   public int number() {
     return number;
   }
@@ -70,7 +70,7 @@
     return spec == null ? null : spec.address();
   }
 
-  /** The machine's place between its provisioning and its return. */
+  /** The machine's lifecycle state, from its provisioning to its return. */
   public MachineLifecycle lifecycle() {
     return lifecycle;
   }
@@ -95,12 +95,12 @@
     return failures;
   }
 
-  /** What the machine's type offers; null while the type is not known. */
+  /** The capacity of the machine's type; null while the type is not known. */
   public Resources capacity() {
     return capacity;
   }
 
-  /** What no reservation takes, whether its task has started or not; null without a capacity. */
+  /** The capacity minus all reservations, started or not; null while the capacity is not known. */
   public Resources freeCapacity() {
     return freeCapacity;
   }
@@ -121,8 +121,8 @@
   }
 
   /**
-   * Whether the newest heartbeat agrees with the reservations in every task, so that an equal list
-   * of tasks in the next one needs no reconciliation.
+   * Returns whether the newest heartbeat agrees with the reservations in every task, so that an
+   * equal task list in the next one needs no reconciliation.
    */
   public boolean isReconciled() {
     return reconciled;
@@ -133,28 +133,33 @@
     reconciled = agrees;
   }
 
-  /** Whether a search skipped the machine's free capacity since no task could start here then. */
+  /**
+   * Returns whether a search skipped the machine's free capacity because no task could start here
+   * at that time.
+   */
   public boolean isSkippedBySearch() {
     return skippedBySearch;
   }
 
-  /** A search skipped the machine's free capacity since no task can start here now. */
+  /**
+   * Records that a search skipped the machine's free capacity because no task can start here now.
+   */
   public void onSkippedBySearch() {
     skippedBySearch = true;
   }
 
-  /** The machine takes tasks again, which contradicts searches that skipped it. */
+  /** Records that the machine accepts tasks again and invalidates the searches that skipped it. */
   public void onSchedulableAgain() {
     skippedBySearch = false;
     indexes.capacityIndex().capacityIncreased(this);
   }
 
-  /** When a lease proxy's record was last seen that names the machine; 0 for never. */
+  /** The time when a lease proxy's record was last seen to name the machine; 0 for never. */
   public long leaseProxySeenMs() {
     return leaseProxySeenMs;
   }
 
-  /** A lease proxy's record names the machine. */
+  /** Records that a lease proxy's record names the machine. */
   public void onLeaseProxySeen(long nowMs) {
     leaseProxySeenMs = nowMs;
   }
@@ -164,30 +169,33 @@
     return indexPosition;
   }
 
-  /** The index of free capacity has added the machine. */
+  /** Records that the index of free capacity has added the machine. */
   void onIndexed(CapacityIndex.Position position) {
     indexPosition = position;
   }
 
-  /** The index of free capacity has removed the machine. */
+  /** Records that the index of free capacity has removed the machine. */
   void onUnindexed() {
     indexPosition = null;
   }
 
-  /** Records what the provisioning request says; the address follows with a heartbeat or list. */
+  /**
+   * Records the properties of the provisioning request; the address becomes known with a heartbeat
+   * or the cloud's list.
+   */
   public void onProvisioned(MachineKind kind, MachineType type) {
     spec = new Machine(name, null, kind.type(), kind.zone(), kind.spot());
     updateCapacity(type == null ? null : type.capacity());
   }
 
-  /** The machine's properties are known from a heartbeat or the cloud's list. */
+  /** Records the machine's properties from a heartbeat or the cloud's list. */
   void onIdentified(Machine machine) {
     spec = machine;
   }
 
-  /** The machine's type offers this capacity; null while the type is not known. */
-  void updateCapacity(Resources offered) {
-    capacity = offered;
+  /** Sets the capacity of the machine's type; null while the type is not known. */
+  void updateCapacity(Resources newCapacity) {
+    capacity = newCapacity;
     updateFreeCapacity();
     indexes.capacityIndex().capacityIncreased(this);
   }
@@ -195,7 +203,7 @@
   /**
    * Records the newest heartbeat.
    *
-   * @return whether it is the first that arrived of its incarnation
+   * @return whether it is the first one received from its incarnation
    */
   public boolean recordHeartbeat(Heartbeat heartbeat, long nowMs) {
     boolean firstOfTerm = lastHeartbeat() == null;
@@ -207,7 +215,7 @@
     return firstOfIncarnation;
   }
 
-  /** The worker should get commands without waiting for its next heartbeat. */
+  /** Requests that commands are sent to the worker without waiting for its next heartbeat. */
   public void requestCommand() {
     reconciled = false;
     commandChannel.markCommandDue();
@@ -224,7 +232,7 @@
   /** Releases the capacity of a settled reservation. */
   void removeReservation(Reservation reservation) {
     if (reservations.remove(reservation)) {
-      // An empty machine is exactly free: sums of decimal amounts would leave a remainder.
+      // Reset to exactly zero: subtracting decimal amounts would leave a rounding remainder.
       reservedCapacity =
           reservations.isEmpty()
               ? Resources.NONE
--- a/src/main/java/eiderfork/controller/registry/ReclaimHistory.java
+++ b/src/main/java/eiderfork/controller/registry/ReclaimHistory.java
@@ -3,8 +3,8 @@
 import it.unimi.dsi.fastutil.ints.Int2IntOpenHashMap;
 
 /**
- * How often the tasks of a job were reclaimed under this leader. It is a hint that a change of
- * leader loses. The tasks of a gang are reclaimed together, and counted as one.
+ * The number of reclaims of each task of a job under this leader. It is a hint only and is lost
+ * when the leader changes. The tasks of a gang are reclaimed together and counted as one.
  */
 public final class ReclaimHistory {
   private static final int WHOLE_GANG = 0;
@@ -17,18 +17,18 @@
     this.isGang = isGang;
   }
 
-  /** A task, or the whole gang, was reclaimed. */
+  /** Records that a task, or the whole gang, was reclaimed. */
   public void record(int taskIndex, long nowMs) {
     counts.addTo(keyOf(taskIndex), 1);
     lastReclaimedMs = nowMs;
   }
 
-  /** When a task, or the whole gang, was last reclaimed; 0 for never. */
+  /** The time when a task, or the whole gang, was last reclaimed; 0 for never. */
   public long lastReclaimedMs() {
     return lastReclaimedMs;
   }
 
-  /** How often this task, or the whole gang, was reclaimed. */
+  /** The number of times that this task, or the whole gang, was reclaimed. */
   public int count(int taskIndex) {
     return counts.get(keyOf(taskIndex));
   }
--- a/src/main/java/eiderfork/controller/registry/Reservation.java
+++ b/src/main/java/eiderfork/controller/registry/Reservation.java
@@ -4,7 +4,7 @@
 import eiderfork.model.TaskId;
 import eiderfork.model.TaskStatus;
 
-/** A task's reservation on a machine, from the round that proposes it until it is settled. */
+/** A task's reservation on a machine, from the scheduling round that proposes it to settlement. */
 public final class Reservation {
   private final JobState job;
   private final int taskIndex;
@@ -13,14 +13,14 @@
 
   private boolean committed;
   private boolean stopping;
-  private boolean withoutSave;
+  private boolean saveSkipped;
   private TaskStatus.State reportedState;
   private long startToken;
   private long startIncarnation;
   private long runningSinceMs;
   private long savingSinceMs;
 
-  /** Makes a proposed reservation; neither the job nor the machine has it yet. */
+  /** Creates a proposed reservation without adding it to the job or the machine. */
   public Reservation(JobState job, int taskIndex, long attempt, MachineState machine) {
     this.job = job;
     this.taskIndex = taskIndex;
@@ -33,7 +33,7 @@
     return job;
   }
 
-  /** The task's number in its job. */
+  /** The index of the task in its job. */
   public int taskIndex() {
     return taskIndex;
   }
@@ -48,34 +48,35 @@
     return machine;
   }
 
-  /** The attempt as workers know it. */
+  /** Returns the attempt in the form used in messages to workers. */
   public Attempt toAttempt() {
     return new Attempt(new TaskId(job.spec().uid(), taskIndex), attempt);
   }
 
-  /** Whether the reservation is in the store; no command is sent before. */
+  /** Returns whether the reservation is committed to the store; no command is sent before. */
   public boolean isCommitted() {
     return committed;
   }
 
-  /** The reservation was written to the store, or read from it. */
+  /** Records that the reservation was written to the store, or read from it. */
   public void onCommitted() {
     committed = true;
   }
 
-  /** The last state that the machine reported of the task, null for none. */
+  /** The last state of the task that the machine reported; null for none. */
   public TaskStatus.State reportedState() {
     return reportedState;
   }
 
-  /** The machine reports this state of the task. */
+  /** Records the state of the task that the machine reports. */
   public void onStateReported(TaskStatus.State state) {
     reportedState = state;
   }
 
   /**
-   * Whether the task counts as running. A gang runs once all of its tasks do; a replica counts
-   * while it fetches its image.
+   * Returns whether the task counts as running. A task of a gang counts only after it has fetched
+   * its image and no longer waits for the other tasks; any other task counts while it fetches its
+   * image, too.
    */
   boolean isReportedRunning() {
     if (reportedState == null || reportedState == TaskStatus.State.ENDED) {
@@ -86,55 +87,55 @@
             && reportedState != TaskStatus.State.WAITING_FOR_GANG;
   }
 
-  /** When the task was first reported as running, 0 for not yet. */
+  /** The time when the task was first reported as running; 0 for not yet. */
   public long runningSinceMs() {
     return runningSinceMs;
   }
 
-  /** The machine reports that the task is running; the first such report counts. */
+  /** Records that the machine reports the task as running; only the first report sets the time. */
   public void onRunningReported(long nowMs) {
     if (runningSinceMs == 0) {
       runningSinceMs = nowMs;
     }
   }
 
-  /** The largest fencing token that the task's start was sent with; 0 for never in this term. */
+  /** The largest fencing token with which the task's start was sent; 0 for never in this term. */
   public long startToken() {
     return startToken;
   }
 
-  /** The worker incarnation that the task's start was sent to; 0 for never in this term. */
+  /** The worker incarnation to which the task's start was sent; 0 for never in this term. */
   public long startIncarnation() {
     return startIncarnation;
   }
 
-  /** The task's start is sent to this incarnation of the worker. */
+  /** Records that the task's start is sent to this incarnation of the worker. */
   public void onStartSent(long fencingToken, long incarnation) {
     startToken = fencingToken;
     startIncarnation = incarnation;
   }
 
-  /** Whether this leader has seen the task start, so that it knows for how long it has run. */
+  /** Returns whether this leader has observed the task's start and so knows its run time. */
   public boolean isStartObserved() {
     return startToken > 0 && runningSinceMs > 0;
   }
 
-  /** Whether the task may be started. */
+  /** Returns whether the task may be started. */
   public boolean canStart() {
     return committed && isDesired() && reportedState == null;
   }
 
-  /** Whether the task should run where it is. */
+  /** Returns whether the task should run on this machine: it is not stopping or cancelled. */
   public boolean isDesired() {
     return !stopping && !job.isCancelled();
   }
 
-  /** Whether the task is to be stopped; it is not started again under this reservation. */
+  /** Returns whether the task is to be stopped; this reservation does not start it again. */
   public boolean isStopping() {
     return stopping;
   }
 
-  /** Has the task stopped. The caller refreshes the job's indexes. */
+  /** Requests that the task is stopped. The caller refreshes the job's indexes. */
   public void requestStop() {
     if (!stopping) {
       stopping = true;
@@ -142,33 +143,33 @@
     }
   }
 
-  /** Takes back a decision to stop of which nothing was sent yet. */
+  /** Revokes a stop request that was not yet sent to the machine. */
   public void revokeStop() {
     if (stopping) {
       stopping = false;
       job.tasks().onStopRevoked();
     }
-    withoutSave = false;
+    saveSkipped = false;
   }
 
-  /** The task ends at once when it is stopped, or while it saves. */
+  /** Makes the task end immediately when it is stopped or if it is already saving. */
   public void skipSave() {
-    withoutSave = true;
+    saveSkipped = true;
   }
 
-  /** The time that the task gets to save when it is stopped. */
+  /** The time that the task gets to save when it is stopped, in seconds. */
   public double stopGraceS() {
-    return withoutSave ? 0 : job.stopGraceS();
+    return saveSkipped ? 0 : job.stopGraceS();
   }
 
-  /** The machine reports that the task is saving; the first such report counts. */
+  /** Records that the machine reports the task as saving; only the first report sets the time. */
   public void onSavingReported(long nowMs) {
     if (savingSinceMs == 0) {
       savingSinceMs = nowMs;
     }
   }
 
-  /** Whether the task has been saving for longer than it should take, and this much longer. */
+  /** Returns whether the task has exceeded its save duration by more than {@code marginMs}. */
   public boolean isSaveOverdue(long nowMs, long marginMs) {
     long saveMs = (long) (job.spec().saveDurationS() * 1000);
     return savingSinceMs > 0 && nowMs - savingSinceMs > saveMs + marginMs;
--- a/src/main/java/eiderfork/controller/registry/ResourceUsage.java
+++ b/src/main/java/eiderfork/controller/registry/ResourceUsage.java
@@ -6,8 +6,8 @@
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap;
 
 /**
- * The resources that the tasks of active jobs use, by team, and the processors that GPU work takes
- * beside each GPU; kept up to date as jobs change.
+ * The resources that the tasks of active jobs use, by team, and the average number of CPUs that GPU
+ * jobs request per GPU. Both are updated incrementally as jobs change.
  */
 public final class ResourceUsage {
   private final TaskSizeCounter used = new TaskSizeCounter();
@@ -15,13 +15,13 @@
   private final TaskSizeCounter settled = new TaskSizeCounter();
   private final Object2IntMap<Resources> gpuTasks = new Object2IntOpenHashMap<>();
 
-  /** Counts the changes, so that values derived from the usage can be cached until the next. */
+  /** The number of changes, so that values derived from the usage can be cached between changes. */
   private long changeCount;
 
-  /** Null while it has to be recomputed. */
+  /** The cached ratio; null if it has to be recomputed. */
   private CpusPerGpu cpusPerGpu;
 
-  /** Forgets all usage. */
+  /** Removes all usage. */
   void clear() {
     used.clear();
     stopping.clear();
@@ -31,7 +31,7 @@
     changeCount++;
   }
 
-  /** Accounts for what has changed of a job. */
+  /** Accounts for the changes of a job since its last update. */
   void update(JobState job) {
     TaskCounts before = job.accountedTasks();
     TaskCounts now = job.isActive() ? job.taskCounts() : TaskCounts.NONE;
@@ -64,27 +64,29 @@
     return used.sum(team);
   }
 
-  /** The part of it that belongs to tasks that are stopping or cancelled. */
+  /** The part of the used resources that belongs to tasks that are stopping or cancelled. */
   public Resources stopping(String team) {
     return stopping.sum(team);
   }
 
-  /** The part of it that belongs to ended tasks whose settlement is not committed yet. */
+  /** The part of the used resources that belongs to ended tasks with an uncommitted settlement. */
   Resources settled(String team) {
     return settled.sum(team);
   }
 
-  /** The resources that the team's tasks hold on machines: all but what is settled. */
+  /**
+   * The resources that the team's tasks hold on machines: the used ones without the settled ones.
+   */
   public Resources held(String team) {
     return used(team).minus(settled(team));
   }
 
-  /** Unchanged for as long as the usage is. */
+  /** A counter that increases with each change of the usage. */
   public long changeCount() {
     return changeCount;
   }
 
-  /** How many processors the current GPU work takes beside each GPU. */
+  /** The average number of CPUs that current GPU jobs request per GPU. */
   public CpusPerGpu cpusPerGpu() {
     if (cpusPerGpu == null) {
       Resources sum = TaskSizeCounter.sum(gpuTasks);
--- a/src/main/java/eiderfork/controller/registry/SchedulableTasks.java
+++ b/src/main/java/eiderfork/controller/registry/SchedulableTasks.java
@@ -1,8 +1,8 @@
 package eiderfork.controller.registry;
 
 /**
- * The pending tasks of a job that may be tried now, as far as its own failures go. Of a suspected
- * job there is one only: the task that failed least.
+ * The pending tasks of a job whose retry delay is over. For a suspected job this is a single task:
+ * the one with the fewest failures.
  */
 final class SchedulableTasks {
   private static final int NONE = -1;
@@ -15,7 +15,7 @@
     this.failureHistory = failureHistory;
   }
 
-  /** The first task that may be tried, or -1. */
+  /** The index of the first task that may be tried, or -1. */
   int first(long nowMs) {
     int first = nextRetryable(NONE, nowMs);
     if (!failureHistory.isSuspected()) {
@@ -30,13 +30,13 @@
     return best;
   }
 
-  /** The task that may be tried after this one, or -1. */
-  int next(int after, long nowMs) {
-    return failureHistory.isSuspected() ? NONE : nextRetryable(after, nowMs);
+  /** The index of the next task after {@code index} that may be tried, or -1. */
+  int next(int index, long nowMs) {
+    return failureHistory.isSuspected() ? NONE : nextRetryable(index, nowMs);
   }
 
-  private int nextRetryable(int after, long nowMs) {
-    int index = tasks.nextPending(after + 1);
+  private int nextRetryable(int previous, long nowMs) {
+    int index = tasks.nextPending(previous + 1);
     while (index >= 0 && !failureHistory.canRetry(index, nowMs)) {
       index = tasks.nextPending(index + 1);
     }
--- a/src/main/java/eiderfork/controller/registry/TaskCounts.java
+++ b/src/main/java/eiderfork/controller/registry/TaskCounts.java
@@ -1,11 +1,11 @@
 package eiderfork.controller.registry;
 
 /**
- * How many tasks of a job count for its team.
+ * The numbers of a job's tasks that count for its team's quota.
  *
- * @param used all that count for the quota
- * @param stopping those of them that are stopping or cancelled
- * @param settled those of them that have ended, of which only the end is not committed yet
+ * @param used all tasks that count for the quota
+ * @param stopping the used tasks that are stopping or cancelled
+ * @param settled the used tasks that have ended but whose settlement is not committed yet
  */
 record TaskCounts(int used, int stopping, int settled) {
   static final TaskCounts NONE = new TaskCounts(0, 0, 0);
