--- a/src/test/java/eiderfork/controller/quota/PreemptionPlanTest.java
+++ b/src/test/java/eiderfork/controller/quota/PreemptionPlanTest.java
@@ -7,13 +7,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** How a task is preempted, by how far it is from its checkpoints. */
+/** Tests the choice of the preemption mode by a task's progress between its checkpoints. */
 class PreemptionPlanTest {
-  private static final double SEEN_LATE_S = 1;
+  private static final double START_OBSERVATION_DELAY_S = 1;
 
   /**
-   * Checkpoints each 60 s, margins of 1 s and a tenth of the run. Columns: seconds run, to save,
-   * that the preemptor may wait; how it is preempted, after how long, and what is lost.
+   * Checkpoints are written every 60 s; the margin is 1 s plus a tenth of the run time. Columns, in
+   * seconds: run time, save duration, longest wait of the preemptor; then the expected mode, delay
+   * and lost work.
    */
   @ParameterizedTest
   @CsvSource({
@@ -30,35 +31,39 @@
     "70, 8, 30, SAVE, 8, 0",
     "300, 20, 90, SAVE, 20, 0"
   })
-  void theCheapestWayIsTaken(
+  void choosesTheCheapestPlan(
       double ranS,
       double saveS,
-      double mayWaitS,
+      double maxWaitS,
       PreemptionMode mode,
       double delayS,
       double lostS) {
     PreemptionPlan plan =
-        PreemptionPlan.cheapest(new CheckpointPolicy(60, saveS), ranS, true, mayWaitS, SEEN_LATE_S);
+        PreemptionPlan.cheapest(
+            new CheckpointPolicy(60, saveS), ranS, true, maxWaitS, START_OBSERVATION_DELAY_S);
     assertEquals(mode, plan.mode());
     assertEquals(delayS, plan.delayS(), 0.01);
     assertEquals(lostS, plan.lostWorkS(), 0.01);
   }
 
-  /** A new leader doesn't know when the task began, so it does not guess at a checkpoint. */
+  /** A new leader doesn't know the task's start and so can't tell when checkpoints are due. */
   @Test
-  void withoutAKnownPhaseTheTaskSaves() {
+  void savesIfTheStartIsUnknown() {
     PreemptionPlan plan =
-        PreemptionPlan.cheapest(new CheckpointPolicy(60, 20), 59, false, 30, SEEN_LATE_S);
+        PreemptionPlan.cheapest(
+            new CheckpointPolicy(60, 20), 59, false, 30, START_OBSERVATION_DELAY_S);
     assertEquals(PreemptionMode.SAVE, plan.mode());
   }
 
   @Test
-  void aTaskThatCannotSaveLosesAllThatItDid() {
-    PreemptionPlan never =
-        PreemptionPlan.cheapest(new CheckpointPolicy(0, 0), 45, true, 30, SEEN_LATE_S);
-    assertEquals(new PreemptionPlan(PreemptionMode.AT_ONCE, 0, 45), never);
-    PreemptionPlan saves =
-        PreemptionPlan.cheapest(new CheckpointPolicy(60, 20), 45, true, 30, SEEN_LATE_S);
-    assertTrue(saves.costS() < never.costS());
+  void aTaskWithoutCheckpointsLosesAllItsWork() {
+    PreemptionPlan withoutCheckpoints =
+        PreemptionPlan.cheapest(
+            new CheckpointPolicy(0, 0), 45, true, 30, START_OBSERVATION_DELAY_S);
+    assertEquals(new PreemptionPlan(PreemptionMode.AT_ONCE, 0, 45), withoutCheckpoints);
+    PreemptionPlan withCheckpoints =
+        PreemptionPlan.cheapest(
+            new CheckpointPolicy(60, 20), 45, true, 30, START_OBSERVATION_DELAY_S);
+    assertTrue(withCheckpoints.costS() < withoutCheckpoints.costS());
   }
 }
--- a/src/test/java/eiderfork/controller/quota/QuotaPreemptionRulesTest.java
+++ b/src/test/java/eiderfork/controller/quota/QuotaPreemptionRulesTest.java
@@ -11,40 +11,43 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Who may preempt whom, and what the ledger says after each victim. */
+/** Tests the preemption rules between teams and the ledger that they are applied to. */
 class QuotaPreemptionRulesTest {
-  private static final TeamId DESK = new TeamId("desk");
-  private static final TeamId NIGHT = new TeamId("night");
+  private static final TeamId PREEMPTOR_TEAM = new TeamId("desk");
+  private static final TeamId LENDER_TEAM = new TeamId("night");
   private static final QuotaAmount ONE_GPU = new QuotaAmount(1, 4);
 
-  private static TeamUsage account(TeamId team, double guaranteed, double used, double promised) {
+  private static TeamUsage usage(TeamId team, double guaranteed, double used, double claimed) {
     return new TeamUsage(
         team,
         new GuaranteedQuota(guaranteed, 0),
         new QuotaAmount(used, used * 4),
         QuotaAmount.NONE,
-        new QuotaAmount(promised, 0),
+        new QuotaAmount(claimed, 0),
         new QuotaAmount(3, 12));
   }
 
   private static QuotaLedger ledger(double lenderGuaranteed, double lenderUsed) {
     return new QuotaLedger(
-        List.of(account(DESK, 8, 6, 1), account(NIGHT, lenderGuaranteed, lenderUsed, 0)));
+        List.of(
+            usage(PREEMPTOR_TEAM, 8, 6, 1), usage(LENDER_TEAM, lenderGuaranteed, lenderUsed, 0)));
   }
 
   private static Preemptor preemptor(
-      JobKind kind, Priority priority, boolean within, boolean waited) {
-    return new Preemptor(DESK, kind, priority, within, 5, waited);
+      JobKind kind, Priority priority, boolean withinGuarantee, boolean hasWaitedForBoot) {
+    return new Preemptor(PREEMPTOR_TEAM, kind, priority, withinGuarantee, 5, hasWaitedForBoot);
   }
 
-  private static String verdict(PreemptionDecision verdict) {
-    return verdict instanceof PreemptionDecision.Allowed allowed
+  private static String describe(PreemptionDecision decision) {
+    return decision instanceof PreemptionDecision.Allowed allowed
         ? allowed.reason() + " " + allowed.preference()
-        : ((PreemptionDecision.Refused) verdict).reason().toString();
+        : ((PreemptionDecision.Refused) decision).reason().toString();
   }
 
   /**
-   * Preemptor: kind, priority, within its guarantee. Victim: kind, priority. Lender: its figures.
+   * Columns: the preemptor's kind, priority and whether it is within its guarantee; the victim's
+   * kind and priority; the GPUs that the victim's team is guaranteed and uses; the expected
+   * decision.
    */
   @ParameterizedTest
   @CsvSource({
@@ -64,101 +67,108 @@
     "SERVICE, PRODUCTION, false, SERVICE, LOW, 4, 8, NOT_MORE_URGENT",
     "SERVICE, PRODUCTION, true, SERVICE, LOW, 4, 4, NOT_MORE_URGENT"
   })
-  void judgesByGuaranteeAndPriority(
+  void decidesByGuaranteeAndPriority(
       JobKind kind,
       Priority priority,
-      boolean within,
+      boolean withinGuarantee,
       JobKind victimKind,
       Priority victimPriority,
       double lenderGuaranteed,
       double lenderUsed,
       String expected) {
-    PreemptionVictim victim = new PreemptionVictim(NIGHT, victimKind, victimPriority, ONE_GPU);
-    Preemptor preemptor = preemptor(kind, priority, within, true);
+    PreemptionVictim victim =
+        new PreemptionVictim(LENDER_TEAM, victimKind, victimPriority, ONE_GPU);
+    Preemptor preemptor = preemptor(kind, priority, withinGuarantee, true);
     QuotaLedger ledger = ledger(lenderGuaranteed, lenderUsed);
-    assertEquals(expected, verdict(QuotaPreemptionRules.evaluate(preemptor, victim, ledger)));
+    assertEquals(expected, describe(QuotaPreemptionRules.evaluate(preemptor, victim, ledger)));
   }
 
   @Test
-  void aReplicaIsNotReclaimedWhileAMachineMayStillCome() {
-    PreemptionVictim replica = new PreemptionVictim(NIGHT, JobKind.SERVICE, Priority.LOW, ONE_GPU);
+  void aReplicaIsNotReclaimedWhileANewMachineMayStillBoot() {
+    PreemptionVictim replica =
+        new PreemptionVictim(LENDER_TEAM, JobKind.SERVICE, Priority.LOW, ONE_GPU);
     Preemptor preemptor = preemptor(JobKind.SERVICE, Priority.HIGH, true, false);
     assertEquals(
         "REPLICA_NOT_YET",
-        verdict(QuotaPreemptionRules.evaluate(preemptor, replica, ledger(0, 8))));
+        describe(QuotaPreemptionRules.evaluate(preemptor, replica, ledger(0, 8))));
   }
 
   @Test
   void withinATeamOnlyPriorityCounts() {
-    PreemptionVictim own = new PreemptionVictim(DESK, JobKind.ARRAY, Priority.LOW, ONE_GPU);
+    PreemptionVictim own =
+        new PreemptionVictim(PREEMPTOR_TEAM, JobKind.ARRAY, Priority.LOW, ONE_GPU);
     Preemptor urgent = preemptor(JobKind.SERVICE, Priority.HIGH, true, true);
     assertEquals(
         "PRIORITY BORROWED_BATCH",
-        verdict(QuotaPreemptionRules.evaluate(urgent, own, ledger(4, 4))));
+        describe(QuotaPreemptionRules.evaluate(urgent, own, ledger(4, 4))));
     Preemptor same = preemptor(JobKind.SERVICE, Priority.LOW, true, true);
-    assertEquals("SAME_TEAM", verdict(QuotaPreemptionRules.evaluate(same, own, ledger(4, 4))));
+    assertEquals("SAME_TEAM", describe(QuotaPreemptionRules.evaluate(same, own, ledger(4, 4))));
   }
 
-  /** Six used, four guaranteed: two may go, the third may not. */
+  /** With six GPUs used and four guaranteed, two tasks may be preempted but not a third. */
   @Test
-  void theSecondVictimIsJudgedAfterTheFirst() {
+  void eachVictimIsEvaluatedAfterThePreviousOnes() {
     QuotaLedger ledger = ledger(4, 6);
     Preemptor preemptor = preemptor(JobKind.SERVICE, Priority.LOW, true, true);
-    PreemptionVictim victim = new PreemptionVictim(NIGHT, JobKind.ARRAY, Priority.HIGH, ONE_GPU);
+    PreemptionVictim victim =
+        new PreemptionVictim(LENDER_TEAM, JobKind.ARRAY, Priority.HIGH, ONE_GPU);
     for (int i = 0; i < 2; i++) {
       assertEquals(
           "GUARANTEE BORROWED_BATCH",
-          verdict(QuotaPreemptionRules.evaluate(preemptor, victim, ledger)));
+          describe(QuotaPreemptionRules.evaluate(preemptor, victim, ledger)));
       QuotaLedger copy = ledger.copy();
-      copy.addStopping(NIGHT, ONE_GPU);
-      assertTrue(ledger.hasOtherBorrower(DESK), "a copy leaves the ledger as it is");
+      copy.addStopping(LENDER_TEAM, ONE_GPU);
+      assertTrue(
+          ledger.hasOtherBorrower(PREEMPTOR_TEAM),
+          "changing the copy leaves the original unchanged");
       ledger = copy;
     }
     assertEquals(
-        "NOT_MORE_URGENT", verdict(QuotaPreemptionRules.evaluate(preemptor, victim, ledger)));
-    assertFalse(ledger.hasOtherBorrower(DESK));
+        "NOT_MORE_URGENT", describe(QuotaPreemptionRules.evaluate(preemptor, victim, ledger)));
+    assertFalse(ledger.hasOtherBorrower(PREEMPTOR_TEAM));
   }
 
-  /** A gang counts whole: where a part of it is guaranteed it comes after what is borrowed. */
+  /** A gang is preempted as a whole: a partly guaranteed one comes after wholly borrowed work. */
   @Test
-  void aGangThatIsPartlyGuaranteedComesLater() {
+  void aPartlyGuaranteedGangIsPreferredLess() {
     Preemptor preemptor = preemptor(JobKind.SERVICE, Priority.LOW, true, true);
     PreemptionVictim gang =
-        new PreemptionVictim(NIGHT, JobKind.GANG, Priority.HIGH, ONE_GPU.times(4));
+        new PreemptionVictim(LENDER_TEAM, JobKind.GANG, Priority.HIGH, ONE_GPU.times(4));
     assertEquals(
         "GUARANTEE BORROWED_BATCH",
-        verdict(QuotaPreemptionRules.evaluate(preemptor, gang, ledger(4, 8))));
+        describe(QuotaPreemptionRules.evaluate(preemptor, gang, ledger(4, 8))));
     assertEquals(
         "GUARANTEE PARTLY_BORROWED_BATCH",
-        verdict(QuotaPreemptionRules.evaluate(preemptor, gang, ledger(4, 7))));
+        describe(QuotaPreemptionRules.evaluate(preemptor, gang, ledger(4, 7))));
     assertEquals(
-        "NOT_MORE_URGENT", verdict(QuotaPreemptionRules.evaluate(preemptor, gang, ledger(4, 4))));
-    Preemptor beyond = preemptor(JobKind.SERVICE, Priority.PRODUCTION, false, true);
+        "NOT_MORE_URGENT", describe(QuotaPreemptionRules.evaluate(preemptor, gang, ledger(4, 4))));
+    Preemptor beyondGuarantee = preemptor(JobKind.SERVICE, Priority.PRODUCTION, false, true);
     assertEquals(
-        "LENDER_AT_GUARANTEE", verdict(QuotaPreemptionRules.evaluate(beyond, gang, ledger(4, 7))));
+        "LENDER_AT_GUARANTEE",
+        describe(QuotaPreemptionRules.evaluate(beyondGuarantee, gang, ledger(4, 7))));
   }
 
-  /** Six are used and one is promised of eight: one more is covered, two are not. */
+  /** Of eight guaranteed GPUs six are used and one is claimed: one more is covered, two are not. */
   @Test
   void claimedCapacityCountsForTheGuarantee() {
-    TeamUsage desk = ledger(4, 8).usage(DESK);
-    assertTrue(desk.canCover(ONE_GPU));
-    assertFalse(desk.canCover(ONE_GPU.times(2)));
-    assertFalse(desk.canCover(new QuotaAmount(0, 4)), "processors are not guaranteed to it");
-    assertEquals(new QuotaAmount(2, 0), desk.shortfallWithinGuarantee());
+    TeamUsage usage = ledger(4, 8).usage(PREEMPTOR_TEAM);
+    assertTrue(usage.canCover(ONE_GPU));
+    assertFalse(usage.canCover(ONE_GPU.times(2)));
+    assertFalse(usage.canCover(new QuotaAmount(0, 4)), "the team has no CPU guarantee");
+    assertEquals(new QuotaAmount(2, 0), usage.shortfallWithinGuarantee());
   }
 
   @Test
-  void aTeamWithoutAGuaranteeBorrowsAll() {
+  void aTeamWithoutAGuaranteeBorrowsAllItUses() {
     GuaranteedQuota none = new GuaranteedQuota(0, 0);
     assertEquals(new QuotaAmount(2, 8), none.excess(new QuotaAmount(2, 8)));
     assertFalse(none.covers(QuotaAmount.NONE));
     assertTrue(none.isBorrowed(ONE_GPU, ONE_GPU));
   }
 
-  /** Work without GPUs is no part of what a team has beyond its GPUs. */
+  /** Work without GPUs is not borrowed by a team that is guaranteed GPUs only. */
   @Test
-  void onlyWhatIsGuaranteedIsBorrowed() {
+  void onlyGuaranteedResourcesCountAsBorrowed() {
     GuaranteedQuota gpus = new GuaranteedQuota(4, 0);
     assertEquals(new QuotaAmount(2, 0), gpus.excess(new QuotaAmount(6, 100)));
     assertFalse(gpus.isBorrowed(new QuotaAmount(0, 8), new QuotaAmount(6, 100)));
--- a/src/test/java/eiderfork/controller/quota/ReclaimCooldownsTest.java
+++ b/src/test/java/eiderfork/controller/quota/ReclaimCooldownsTest.java
@@ -10,20 +10,20 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Reclaimed capacity is not borrowed again too soon, nor withheld for ever. */
+/** Tests that reclaimed capacity is withheld from borrowers for a bounded time. */
 class ReclaimCooldownsTest {
-  private static final long FIRST_MS = 40_000;
+  private static final long FIRST_COOLDOWN_MS = 40_000;
   private static final long HOUR_MS = 3_600_000;
   private static final Resources RECLAIMED = new Resources(4, 1, 16);
 
   private final ReclaimCooldowns cooldowns = new ReclaimCooldowns();
 
   private void reclaim(long nowMs) {
-    cooldowns.recordReclaim("n-1", "preemptor", RECLAIMED, nowMs, FIRST_MS, false);
+    cooldowns.recordReclaim("n-1", "preemptor", RECLAIMED, nowMs, FIRST_COOLDOWN_MS, false);
   }
 
   @Test
-  void theTimeDoublesWithEachReversalUpToABound() {
+  void theCooldownDoublesWithEachReversalUpToABound() {
     long nowMs = 0;
     for (long expectedMs : new long[] {40_000, 80_000, 160_000, 320_000, 320_000}) {
       reclaim(nowMs);
@@ -35,51 +35,54 @@
   }
 
   @Test
-  void reversalsFade() {
+  void reversalsExpire() {
     reclaim(0);
-    cooldowns.decay(ReclaimCooldowns.DECAY_COOLDOWNS * FIRST_MS);
+    cooldowns.decay(ReclaimCooldowns.DECAY_COOLDOWNS * FIRST_COOLDOWN_MS);
     long laterMs = HOUR_MS;
     reclaim(laterMs);
-    assertFalse(cooldowns.isCoolingDown("n-1", laterMs + FIRST_MS), "as the first time");
+    assertFalse(
+        cooldowns.isCoolingDown("n-1", laterMs + FIRST_COOLDOWN_MS),
+        "the first cooldown applies again");
   }
 
-  /** A loan that was shorter than its start and save take counts twice. */
+  /** A loan shorter than the start and save of its borrower counts as two reversals. */
   @Test
-  void aShortLoanDoublesTheTimeAtOnce() {
-    cooldowns.recordReclaim("n-1", "preemptor", RECLAIMED, 0, FIRST_MS, true);
-    assertTrue(cooldowns.isCoolingDown("n-1", 2 * FIRST_MS - 1));
+  void aShortLoanDoublesTheFirstCooldown() {
+    cooldowns.recordReclaim("n-1", "preemptor", RECLAIMED, 0, FIRST_COOLDOWN_MS, true);
+    assertTrue(cooldowns.isCoolingDown("n-1", 2 * FIRST_COOLDOWN_MS - 1));
     assertFalse(cooldowns.isCoolingDown("n-2", 0));
   }
 
-  /** What the preemptor uses is its own; what it has left is withheld, and no more than that. */
+  /** Only reclaimed capacity that its preemptor no longer holds is withheld. */
   @Test
-  void onlyCapacityThatPreemptorsDoNotUseIsWithheld() {
+  void onlyCapacityThatPreemptorsDoNotHoldIsWithheld() {
     reclaim(0);
-    cooldowns.recordReclaim("n-1", "other", RECLAIMED, 0, FIRST_MS, false);
+    cooldowns.recordReclaim("n-1", "other", RECLAIMED, 0, FIRST_COOLDOWN_MS, false);
     assertEquals(Resources.NONE, cooldowns.withheld("n-1", 1, uid -> true));
     assertEquals(RECLAIMED, cooldowns.withheld("n-1", 1, uid -> uid.equals("other")));
     assertEquals(RECLAIMED.times(2), cooldowns.withheld("n-1", 1, uid -> false));
-    assertEquals(Resources.NONE, cooldowns.withheld("n-1", FIRST_MS, uid -> false));
+    assertEquals(Resources.NONE, cooldowns.withheld("n-1", FIRST_COOLDOWN_MS, uid -> false));
   }
 
-  /** The stated bound, with demand that comes back at random times. */
+  /** Tests the documented bound with demand that returns at random times. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
   void reversalsInAnHourStayWithinTheBound(long seed) {
     Random random = new Random(seed);
-    double bound = ReclaimCooldowns.maxReversals(HOUR_MS / 1000.0, FIRST_MS / 1000.0);
-    for (int history = 0; history < 200; history++) {
+    double bound = ReclaimCooldowns.maxReversals(HOUR_MS / 1000.0, FIRST_COOLDOWN_MS / 1000.0);
+    for (int run = 0; run < 200; run++) {
       ReclaimCooldowns machineCooldowns = new ReclaimCooldowns();
-      long mostGapMs = 1000 + random.nextLong(900_000);
+      long maxGapMs = 1000 + random.nextLong(900_000);
       int reversals = 0;
       long nextReclaimMs = 0;
       for (long nowMs = 0; nowMs < HOUR_MS; nowMs += 1000) {
         machineCooldowns.decay(nowMs);
-        // The capacity is borrowed again as soon as it may be, and reclaimed when demand comes.
+        // The capacity is borrowed again as soon as allowed and reclaimed when demand returns.
         if (nowMs >= nextReclaimMs && !machineCooldowns.isCoolingDown("n-1", nowMs)) {
-          machineCooldowns.recordReclaim("n-1", "preemptor", RECLAIMED, nowMs, FIRST_MS, false);
+          machineCooldowns.recordReclaim(
+              "n-1", "preemptor", RECLAIMED, nowMs, FIRST_COOLDOWN_MS, false);
           reversals++;
-          nextReclaimMs = nowMs + 1000 + random.nextLong(mostGapMs);
+          nextReclaimMs = nowMs + 1000 + random.nextLong(maxGapMs);
         }
       }
       assertTrue(reversals <= bound, reversals + " reversals, at most " + bound);
--- a/src/test/java/eiderfork/controller/registry/FailedSearchCacheTest.java
+++ b/src/test/java/eiderfork/controller/registry/FailedSearchCacheTest.java
@@ -9,7 +9,7 @@
 import eiderfork.model.Priority;
 import org.junit.jupiter.api.Test;
 
-/** What a failed search says about other jobs. */
+/** Tests which searches of other jobs a failed search rules out. */
 class FailedSearchCacheTest {
   private static Job job(double gpus, boolean spot) {
     return TestFixtures.job(1, JobKind.SERVICE, 1, gpus, "blue", Priority.HIGH, false, spot);
--- a/src/test/java/eiderfork/controller/registry/FailureHistoryTest.java
+++ b/src/test/java/eiderfork/controller/registry/FailureHistoryTest.java
@@ -12,7 +12,7 @@
 import eiderfork.model.StoredRecord;
 import org.junit.jupiter.api.Test;
 
-/** How failures of a job's tasks are counted. */
+/** Tests how failures of a job's tasks are counted and delay its retries. */
 class FailureHistoryTest {
   private static final long STEP_MS = 1000;
   private static final int TASKS = 8;
@@ -24,16 +24,16 @@
   private final JobState job = TestFixtures.jobState(spec);
 
   private Reservation reservation(int index, long attempt, String machine) {
-    MachineState on = new MachineState(machine, 1, new MachineIndexes(), 0);
-    return new Reservation(job, index, attempt, on);
+    MachineState machineState = new MachineState(machine, 1, new MachineIndexes(), 0);
+    return new Reservation(job, index, attempt, machineState);
   }
 
   private void recordFailure(int index, long attempt, String machine, long nowMs) {
     history.recordFailure(reservation(index, attempt, machine), attempt, nowMs);
   }
 
-  private static StoredRecord.Allocation attempts(long last) {
-    return new StoredRecord.Allocation(last, false, ImmutableList.of(), ImmutableList.of());
+  private static StoredRecord.Allocation emptyAllocation(long lastAttempt) {
+    return new StoredRecord.Allocation(lastAttempt, false, ImmutableList.of(), ImmutableList.of());
   }
 
   @Test
@@ -42,7 +42,7 @@
       recordFailure(index, 1, "n-1", 10);
     }
     assertFalse(history.isSuspected());
-    assertEquals(0, history.notBeforeMs(), "the job may go on elsewhere");
+    assertEquals(0, history.notBeforeMs(), "the job may run on other machines");
     assertFalse(history.canRetry(0, 500));
     assertTrue(history.canRetry(0, 10 + STEP_MS));
   }
@@ -64,22 +64,21 @@
     assertEquals(0, history.notBeforeMs());
   }
 
-  /** Arrays that were stopped for others again and again look alike to a new leader. */
+  /** To a new leader, an array that was preempted repeatedly looks the same as one that fails. */
   @Test
   void restoredSuspicionEndsAfterAShortRun() {
-    history.restore(attempts(30), TASKS);
+    history.restore(emptyAllocation(30), TASKS);
     assertTrue(history.isSuspected());
-    assertFalse(history.isConfirmedSuspect(), "machines are rented for it");
+    assertFalse(history.isConfirmedSuspect(), "machines are still added for it");
     Reservation trial = reservation(0, 31, "n-1");
     trial.onRunningReported(1000);
     assertFalse(history.hasOutlivedFailures(trial, 1000 + 5 * STEP_MS));
-    assertTrue(
-        history.hasOutlivedFailures(trial, 1000 + 10 * STEP_MS), "not after a whole run only");
+    assertTrue(history.hasOutlivedFailures(trial, 1000 + 10 * STEP_MS), "a short run is enough");
   }
 
   @Test
   void failureAfterRestoreConfirmsTheSuspicion() {
-    history.restore(attempts(30), TASKS);
+    history.restore(emptyAllocation(30), TASKS);
     recordFailure(0, 31, "n-1", 5000);
     assertTrue(history.isConfirmedSuspect());
     assertTrue(history.notBeforeMs() >= 5000 + 32 * STEP_MS);
@@ -87,10 +86,10 @@
 
   @Test
   void arrayWithFinishedTasksIsNotSuspectedAfterRestore() {
-    StoredRecord.Allocation some =
+    StoredRecord.Allocation oneFinished =
         new StoredRecord.Allocation(
             30, false, ImmutableList.of(), ImmutableList.of(new StoredRecord.TaskRange(0, 0)));
-    history.restore(some, TASKS);
+    history.restore(oneFinished, TASKS);
     assertFalse(history.isSuspected());
   }
 
@@ -99,7 +98,7 @@
     recordFailure(0, 1, "n-1", 1000);
     assertTrue(history.isAvoided("n-1", 2000));
     assertFalse(history.isAvoided("n-2", 2000));
-    assertFalse(history.isAvoided("n-1", 1000 + 31 * STEP_MS), "others may be full for ever");
+    assertFalse(history.isAvoided("n-1", 1000 + 31 * STEP_MS), "the other machines may stay full");
     recordFailure(0, 2, "n-2", 2000);
     recordFailure(0, 3, "n-3", 3000);
     assertFalse(history.isAvoided("n-1", 3000));
--- a/src/test/java/eiderfork/controller/registry/JobRegistryTest.java
+++ b/src/test/java/eiderfork/controller/registry/JobRegistryTest.java
@@ -29,7 +29,10 @@
   private final JobRegistry jobs = new JobRegistry(context, store, null, null);
   private final MachineRegistry fleet = new MachineRegistry(context, jobs);
 
-  /** A gang of four, of which an earlier leader has written these finished tasks. */
+  /**
+   * Restores a gang of four tasks, with two reservations and these finished tasks in its committed
+   * allocation.
+   */
   private JobState restoredGang(ImmutableList<StoredRecord.TaskRange> finished) {
     JobState job = jobs.add(TestFixtures.gang(9, 4, 1, 4, true), 1);
     ImmutableList<StoredRecord.ReservedRange> reserved =
@@ -41,9 +44,11 @@
     return job;
   }
 
-  /** They would wait for `peers` or for each other until their own time-outs. */
+  /**
+   * Otherwise the tasks would wait for {@code peers} or for each other until their own timeouts.
+   */
   @Test
-  void restoringABrokenGangStopsItsRemainingTasks() {
+  void restoringAPartlyEndedGangStopsItsRemainingTasks() {
     JobState job = restoredGang(ImmutableList.of());
     assertEquals(2, job.reservations().size());
     assertTrue(job.reservations().values().stream().noneMatch(Reservation::isDesired));
@@ -55,12 +60,12 @@
   void restoringAGangWithAFinishedTaskFinishesAll() {
     JobState job = restoredGang(ImmutableList.of(new StoredRecord.TaskRange(0, 0)));
     assertTrue(job.tasks().isAllFinished());
-    assertTrue(job.writes().isDirty(), "it is written");
-    assertEquals(2, job.quotaTaskCount(), "until then the others count");
-    assertTrue(jobs.mustRetainAttempt(job, 3, 1), "and are not cleared");
+    assertTrue(job.writes().isDirty(), "the completion is still to be written");
+    assertEquals(2, job.quotaTaskCount(), "the reserved tasks count until it is committed");
+    assertTrue(jobs.mustRetainAttempt(job, 3, 1), "their attempts are not cleared");
   }
 
-  /** The others' reservations are settled at once, before their machines report the end. */
+  /** The other reservations are settled immediately, before their machines report the end. */
   @Test
   void settlingOneCompletedGangTaskFinishesAll() {
     MachineState machine = fleet.getOrRegister("n-1");
@@ -75,8 +80,8 @@
   }
 
   /**
-   * A new leader once knew only the images of what runs, and sent replicas to machines that had to
-   * fetch first.
+   * Guards against a new leader that knows only the images of running tasks and therefore places
+   * replicas on machines that have to fetch the image first.
    */
   @Test
   void cachedImagesAreRestoredInTheOrderOfTheWrites() {
@@ -86,22 +91,22 @@
     MachineState machine = fleet.getOrRegister(new Machine("n-1", "n-1:1", "g4", "a", false));
     for (int i = 1; i <= 3; i++) {
       Job job = TestFixtures.job(i, JobKind.SERVICE, 1, 1, "img-" + i);
-      JobState entry = jobs.add(job, i);
+      JobState state = jobs.add(job, i);
       StoredRecord.Allocation allocation =
           new StoredRecord.Allocation(
               1,
               false,
               ImmutableList.of(new StoredRecord.ReservedRange(0, 0, 1, "n-1")),
               ImmutableList.of());
-      jobs.restoreAllocation(entry, allocation, 100 - i, fleet);
+      jobs.restoreAllocation(state, allocation, 100 - i, fleet);
       jobs.markCancelled(job.uid());
     }
     new CachedImageRestorer(fleet).restore(jobs.all());
-    // The cache of this type holds two, and the record of the third job is the oldest.
+    // The cache of this type holds two images, and the record of the third job is the oldest.
     assertEquals(List.of("img-2", "img-1"), List.copyOf(machine.images().names()));
   }
 
-  /** The usage that is kept as jobs change is the sum over all jobs. */
+  /** The incrementally updated usage equals the sum over all jobs. */
   @Test
   void resourceUsageMatchesTheJobsAfterRandomTransitions() {
     RandomTransitions transitions = new RandomTransitions();
@@ -113,20 +118,20 @@
     }
   }
 
-  /** Changes jobs and reservations in every way that the registry allows. */
+  /** Applies random transitions of jobs and reservations, of each kind that the registry allows. */
   private final class RandomTransitions {
     private final Random random = new Random(3);
     private final List<JobState> known = new ArrayList<>();
     private final List<Reservation> reserved = new ArrayList<>();
     private final MachineState machine = fleet.getOrRegister("n-1");
 
-    private <T> T pick(List<T> list) {
+    private <T> T pickRandom(List<T> list) {
       return list.isEmpty() ? null : list.get(random.nextInt(list.size()));
     }
 
     void apply(int step) {
-      JobState job = pick(known);
-      Reservation reservation = pick(reserved);
+      JobState job = pickRandom(known);
+      Reservation reservation = pickRandom(reserved);
       int transition = random.nextInt(11);
       if (transition == 0) {
         addJob(step);
