--- a/src/main/java/eiderfork/controller/registry/Gang.java
+++ b/src/main/java/eiderfork/controller/registry/Gang.java
@@ -90,7 +90,7 @@
     }
   }
 
-  /** The time that a task gets to save when it is stopped. */
+  /** The time that a task gets to save when it is stopped, in seconds. */
   double stopGraceS() {
     return stopMode == StopMode.SAVING ? job.spec().saveDurationS() : 0;
   }
--- a/src/main/java/eiderfork/controller/registry/JobState.java
+++ b/src/main/java/eiderfork/controller/registry/JobState.java
@@ -60,7 +60,7 @@
     reclaims = new ReclaimHistory(isGang);
   }
 
-  /** The job as its user submitted it. */
+  /** The job's specification as submitted by its user. */
   public Job spec() {
     return spec;
   }
--- a/src/main/java/eiderfork/controller/registry/MachineRegistry.java
+++ b/src/main/java/eiderfork/controller/registry/MachineRegistry.java
@@ -239,7 +239,7 @@
    * <p>A list may be older than its request by up to twice the list lag. A missing machine is
    * therefore removed only if the last proof that it existed is older than that.
    *
-   * @param requestedMs when the list was requested
+   * @param requestedMs the time when the list was requested
    */
   public void applyMachineList(Map<String, ListedMachine> entries, long requestedMs) {
     expireRemovedNames();
--- a/src/main/java/eiderfork/controller/registry/MachineState.java
+++ b/src/main/java/eiderfork/controller/registry/MachineState.java
@@ -60,12 +60,12 @@
     return spec;
   }
 
-  /** The machine's zone, empty while it is not known. */
+  /** The machine's zone; empty while it is not known. */
   public String zone() {
     return spec == null ? "" : spec.zone();
   }
 
-  /** The worker's address, null while it is not known. */
+  /** The worker's address; null while it is not known. */
   public String address() {
     return spec == null ? null : spec.address();
   }
@@ -75,7 +75,7 @@
     return lifecycle;
   }
 
-  /** The commands to the machine's worker. */
+  /** The channel for commands to the machine's worker. */
   public CommandChannel commandChannel() {
     return commandChannel;
   }
@@ -85,7 +85,7 @@
     return incarnation;
   }
 
-  /** The images that the machine holds. */
+  /** The estimated contents of the machine's image cache. */
   public ImageCache images() {
     return images;
   }
@@ -110,7 +110,7 @@
     return reservationsView;
   }
 
-  /** The newest heartbeat of this term, null before the first. */
+  /** The newest heartbeat of this term; null before the first. */
   public Heartbeat lastHeartbeat() {
     return incarnation.lastHeartbeat();
   }
