--- a/src/main/java/eiderfork/controller/recovery/CommittedChangeApplier.java
+++ b/src/main/java/eiderfork/controller/recovery/CommittedChangeApplier.java
@@ -9,7 +9,7 @@
 import eiderfork.model.Job;
 import eiderfork.model.StoredRecord;
 
-/** Applies what other nodes commit to a leader's memory: submissions and cancellations. */
+/** Applies the submissions and cancellations that other nodes commit to the leader's memory. */
 public final class CommittedChangeApplier {
   private final StoredRecordRestorer restorer;
   private final JobRegistry jobs;
@@ -17,7 +17,7 @@
   private final Autoscaler autoscaler;
   private final RoundTrigger rounds;
 
-  /** Makes an applier to these parts of the leader's memory. */
+  /** Creates an applier for these parts of the leader's memory. */
   public CommittedChangeApplier(
       StoredRecordRestorer restorer,
       JobRegistry jobs,
@@ -31,7 +31,7 @@
     this.rounds = rounds;
   }
 
-  /** Applies one change; what memory holds already changes nothing. */
+  /** Applies one change. A change that memory already contains has no effect. */
   public void apply(Reply.Item change) {
     if (change.record() == null) {
       applyRemoval(change.key());
@@ -52,7 +52,10 @@
     }
   }
 
-  /** Records of jobs and cancellations are removed only where the job is archived. */
+  /**
+   * Removes an archived job from memory; records of jobs and cancellations are removed from the
+   * store only when the job is archived.
+   */
   private void applyRemoval(String key) {
     String uid = StoreKeys.withoutPrefix(key);
     if (key.startsWith(StoreKeys.CANCELLATION_PREFIX)) {
--- a/src/main/java/eiderfork/controller/recovery/CommittedChangeWatcher.java
+++ b/src/main/java/eiderfork/controller/recovery/CommittedChangeWatcher.java
@@ -9,10 +9,16 @@
 import eiderfork.controller.store.RequestPriority;
 import eiderfork.controller.store.StoreClient;
 
-/** Watches what other nodes commit while this node leads: submissions and cancellations. */
+/**
+ * Watches the store for submissions and cancellations that other nodes commit while this node
+ * leads.
+ */
 public final class CommittedChangeWatcher {
-  /** How long a watch waits, in steps: short, so that a lost reply is soon made up for. */
-  private static final int WATCH_STEPS = 2;
+  /**
+   * The time a watch request waits for changes, in steps. It is short so that a lost reply is
+   * replaced soon.
+   */
+  private static final int WATCH_WAIT_STEPS = 2;
 
   private final ControllerContext context;
   private final StoreClient store;
@@ -21,7 +27,7 @@
   private final CancellationTracker cancellations;
   private final CommittedChangeApplier applier;
 
-  /** Makes a watcher; it begins with {@link #watchFrom}. */
+  /** Creates a watcher, which is inactive until {@link #watchFrom} is called. */
   public CommittedChangeWatcher(
       ControllerContext context,
       StoreClient store,
@@ -37,7 +43,7 @@
     this.applier = applier;
   }
 
-  /** Watches all that comes after a revision, as long as this node leads this term. */
+  /** Watches all changes after a revision, as long as this node leads in the given term. */
   void watchFrom(long revision, long leadingTerm) {
     watch(StoreKeys.JOB_PREFIX, leadingTerm, revision);
     watch(StoreKeys.CANCELLATION_PREFIX, leadingTerm, revision);
@@ -46,7 +52,7 @@
   private void watch(String prefix, long leadingTerm, long revision) {
     long requestedMs = context.nowMs();
     store.send(
-        new StoreRequest.Watch(prefix, revision, WATCH_STEPS * context.stepMs()),
+        new StoreRequest.Watch(prefix, revision, WATCH_WAIT_STEPS * context.stepMs()),
         RequestPriority.SUBMIT,
         reply -> {
           if (!reader.isLeadingTerm(leadingTerm)) {
@@ -67,7 +73,8 @@
     changes.items().forEach(applier::apply);
     if (prefix.equals(StoreKeys.CANCELLATION_PREFIX)) {
       cancellations.recordCaughtUp(requestedMs);
-      // The store compacts old changes: the barrier must not request those that came before.
+      // The store compacts old changes, so the read barrier must not request changes before this
+      // revision.
       readBarrier.advanceTo(changes.revision());
     }
   }
--- a/src/main/java/eiderfork/controller/recovery/FailoverTimer.java
+++ b/src/main/java/eiderfork/controller/recovery/FailoverTimer.java
@@ -8,7 +8,9 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Measures the phases of a failover, up to the first command that is sent to a worker. */
+/**
+ * Measures the phases of a failover, up to the first command that the new leader sends to a worker.
+ */
 public final class FailoverTimer {
   private static final Logger LOG = LoggerFactory.getLogger(FailoverTimer.class);
 
@@ -21,13 +23,13 @@
   private boolean fromReplica;
   private boolean running;
 
-  /** Makes a timer that does not run. */
+  /** Creates a stopped timer. */
   public FailoverTimer(ControllerContext context, LeaderElection election) {
     this.context = context;
     this.election = election;
   }
 
-  /** A failover begins: this node leads. */
+  /** Starts the timer when this node is elected. */
   public void onElected() {
     electedMs = context.nowMs();
     vacantSinceMs = election.vacancySeenMs() < 0 ? electedMs : election.vacancySeenMs();
@@ -37,23 +39,27 @@
     running = true;
   }
 
-  /** The leadership is over, and a failover that was still under way with it. */
+  /**
+   * Stops the timer when this node loses the leadership, even if the failover has not completed.
+   */
   public void onLeadershipLost() {
     running = false;
   }
 
-  /** Memory holds what is committed, from the replica or from a full read. */
+  /** Records that memory contains everything committed, from the replica or from a full read. */
   public void recordRecovery(boolean usedReplica) {
     recoveredMs = context.nowMs();
     fromReplica = usedReplica;
   }
 
-  /** Whether the state of this term came from the replica. */
+  /** Returns whether the state of this term was recovered from the replica. */
   public boolean isFromReplica() {
     return fromReplica;
   }
 
-  /** Notes the first response and the first command among the effects of an input. */
+  /**
+   * Records the time of the first response and of the first command among the effects of an input.
+   */
   public void observeEffects(List<Effect> effects) {
     if (!running) {
       return;
--- a/src/main/java/eiderfork/controller/recovery/FinishedJobLoader.java
+++ b/src/main/java/eiderfork/controller/recovery/FinishedJobLoader.java
@@ -15,8 +15,8 @@
 import java.util.Map;
 
 /**
- * Loads finished jobs that a new leader's memory had no space for, a page at a time, so that they
- * are archived, too. Meanwhile queries for them are answered from their records.
+ * Loads the finished jobs that did not fit into a new leader's memory, one page at a time, so that
+ * they are archived as well. Until then, queries for them are answered from their stored records.
  */
 public final class FinishedJobLoader {
   private final ControllerContext context;
@@ -26,13 +26,13 @@
   private final CancellationTracker cancellations;
   private final JobPageReader jobPageReader;
 
-  /** The uid after which the next page begins; null where every finished job is in memory. */
+  /** The uid after which the next page begins; null if every finished job is in memory. */
   private String nextAfterUid;
 
   private boolean readInFlight;
   private long generation;
 
-  /** Makes a loader that has nothing left to read. */
+  /** Creates a loader that has nothing left to read. */
   public FinishedJobLoader(
       ControllerContext context,
       LeaderElection election,
@@ -48,20 +48,24 @@
     this.jobPageReader = jobPageReader;
   }
 
-  /** Forgets reads in flight; called when a term begins or ends. */
+  /**
+   * Ignores the replies to reads in flight and discards the position; called when a term begins or
+   * ends.
+   */
   public void reset() {
     generation++;
     nextAfterUid = null;
     readInFlight = false;
   }
 
-  /** Whether some finished jobs are not in memory. */
+  /** Returns whether some finished jobs are not in memory. */
   public boolean isIncomplete() {
     return nextAfterUid != null;
   }
 
   /**
-   * Evicts finished jobs of a page that a new leader has read while memory holds too many of them.
+   * Evicts archivable finished jobs of a page that a new leader has read, as long as memory
+   * contains too many finished jobs.
    *
    * @param afterUid the uid after which the page began
    */
@@ -79,36 +83,44 @@
     }
   }
 
-  /** A finished job was not restored: all jobs are swept from the first on. */
-  void restart() {
+  /**
+   * Makes the loader read all pages from the first one, because a finished job was not restored.
+   */
+  void requestFullLoad() {
     nextAfterUid = "";
   }
 
-  /** Reads the next page once the archiver has made space; called on a recovered leader only. */
+  /**
+   * Reads the next page once the archiver has freed enough memory. Must be called on a recovered
+   * leader only.
+   */
   public void tick() {
     boolean hasSpace = jobs.finishedJobs().size() <= context.settings.operator().maxEndedJobs() / 2;
     if (nextAfterUid == null || readInFlight || !hasSpace) {
       return;
     }
     readInFlight = true;
-    long sentGeneration = generation;
+    long requestGeneration = generation;
     jobPageReader.read(
         nextAfterUid,
         election.currentTerm(),
         RequestPriority.CLEANUP,
         page -> {
-          if (sentGeneration == generation) {
+          if (requestGeneration == generation) {
             readInFlight = false;
-            nextAfterUid = page.continueAfter();
-            loadFinished(page);
+            nextAfterUid = page.nextAfterUid();
+            loadFinishedJobs(page);
           }
         });
   }
 
-  /** Adds the finished jobs that are not in memory; a new job comes with the watch. */
-  private void loadFinished(JobPageReader.JobPage page) {
+  /**
+   * Adds a page's finished jobs that are not in memory. Unfinished ones are not added: new jobs
+   * arrive through the watch.
+   */
+  private void loadFinishedJobs(JobPageReader.JobPage page) {
     Map<String, Reply.Item> allocations = new HashMap<>();
-    page.allocs().forEach(item -> allocations.put(StoreKeys.withoutPrefix(item.key()), item));
+    page.allocations().forEach(item -> allocations.put(StoreKeys.withoutPrefix(item.key()), item));
     for (Reply.Item item : page.jobs()) {
       String uid = StoreKeys.withoutPrefix(item.key());
       if (jobs.get(uid) == null && item.record() instanceof StoredRecord.JobSpec spec) {
@@ -118,7 +130,9 @@
   }
 
   /**
-   * @param allocation the allocation's item, or null where there is none
+   * Adds a job if it is finished or cancelled.
+   *
+   * @param allocation the item of the job's allocation, or null if it has none
    */
   private void loadIfFinished(Job spec, long specVersion, Reply.Item allocation) {
     boolean isCancelled = cancellations.contains(spec.uid());
--- a/src/main/java/eiderfork/controller/recovery/FullReadRecovery.java
+++ b/src/main/java/eiderfork/controller/recovery/FullReadRecovery.java
@@ -7,14 +7,17 @@
 import eiderfork.controller.store.RequestPriority;
 import java.util.function.LongConsumer;
 
-/** Brings a new leader's memory up to what is committed by reading it all from the store. */
+/** Recovers a new leader's state by reading everything that is committed from the store. */
 public final class FullReadRecovery {
-  /** Cancellations come first: no worker's lease is renewed before they are known. */
-  private static final ImmutableList<String> BEFORE_JOBS =
+  /**
+   * The ranges that are read before the jobs. Cancellations come first, because no worker's lease
+   * is renewed before they are known.
+   */
+  private static final ImmutableList<String> RANGES_BEFORE_JOBS =
       ImmutableList.of(
           StoreKeys.CANCELLATION_PREFIX, StoreKeys.CLUSTER_VERSION, StoreKeys.MACHINE_TYPES);
 
-  private static final ImmutableList<String> AFTER_JOBS =
+  private static final ImmutableList<String> RANGES_AFTER_JOBS =
       ImmutableList.of(StoreKeys.RENT_PREFIX, StoreKeys.RETURN_PREFIX);
 
   private static final String FIRST_PAGE = "";
@@ -26,7 +29,7 @@
   private final CancellationTracker cancellations;
   private final FinishedJobLoader finishedJobLoader;
 
-  /** Makes the recovery; it begins with {@link #read}. */
+  /** Creates a recovery, which starts when {@link #read} is called. */
   public FullReadRecovery(
       ControllerContext context,
       RangeReader reader,
@@ -43,27 +46,35 @@
   }
 
   /**
-   * Reads and restores everything, as long as this node leads this term.
+   * Reads and restores everything, as long as this node leads in the given term.
    *
-   * @param onComplete takes the revision of the first read, after which changes may be missing
+   * @param onComplete takes the revision of the first read; changes after this revision may be
+   *     missing
    */
   void read(long leadingTerm, LongConsumer onComplete) {
     readRanges(
-        BEFORE_JOBS,
+        RANGES_BEFORE_JOBS,
         leadingTerm,
         revision ->
-            readJobs(FIRST_PAGE, leadingTerm, () -> readRest(leadingTerm, revision, onComplete)));
+            readJobs(
+                FIRST_PAGE,
+                leadingTerm,
+                () -> readRangesAfterJobs(leadingTerm, revision, onComplete)));
   }
 
-  private void readRest(long leadingTerm, long firstRevision, LongConsumer onComplete) {
-    readRanges(AFTER_JOBS, leadingTerm, revision -> onComplete.accept(firstRevision));
+  private void readRangesAfterJobs(long leadingTerm, long firstRevision, LongConsumer onComplete) {
+    readRanges(RANGES_AFTER_JOBS, leadingTerm, revision -> onComplete.accept(firstRevision));
   }
 
-  /** Reads one range after the other; {@code onComplete} takes the revision of the first. */
+  /**
+   * Reads the ranges one after the other.
+   *
+   * @param onComplete takes the revision of the first range
+   */
   private void readRanges(
       ImmutableList<String> prefixes, long leadingTerm, LongConsumer onComplete) {
     String prefix = prefixes.get(0);
-    ImmutableList<String> others = prefixes.subList(1, prefixes.size());
+    ImmutableList<String> remaining = prefixes.subList(1, prefixes.size());
     long requestedMs = context.nowMs();
     reader.scan(
         prefix,
@@ -72,31 +83,32 @@
         restorer::restore,
         revision -> {
           if (prefix.equals(StoreKeys.CANCELLATION_PREFIX)) {
-            // Pages are read one after the other, so that only the first request's time is sure.
+            // Pages are read one after the other, so only what was stored at the time of the first
+            // request is certain to be complete.
             cancellations.recordCaughtUp(requestedMs);
           }
-          if (others.isEmpty()) {
+          if (remaining.isEmpty()) {
             onComplete.accept(revision);
           } else {
-            readRanges(others, leadingTerm, ignored -> onComplete.accept(revision));
+            readRanges(remaining, leadingTerm, ignored -> onComplete.accept(revision));
           }
         });
   }
 
-  /** Reads jobs a page at a time, and keeps of the finished ones what memory can hold. */
-  private void readJobs(String afterJob, long leadingTerm, Runnable onComplete) {
+  /** Reads jobs one page at a time, and keeps only as many finished jobs as fit into memory. */
+  private void readJobs(String afterUid, long leadingTerm, Runnable onComplete) {
     jobPageReader.read(
-        afterJob,
+        afterUid,
         leadingTerm,
         RequestPriority.START,
         page -> {
           page.jobs().forEach(restorer::restore);
-          page.allocs().forEach(restorer::restore);
-          finishedJobLoader.evictExcess(page, afterJob);
-          if (page.continueAfter() == null) {
+          page.allocations().forEach(restorer::restore);
+          finishedJobLoader.evictExcess(page, afterUid);
+          if (page.nextAfterUid() == null) {
             onComplete.run();
           } else {
-            readJobs(page.continueAfter(), leadingTerm, onComplete);
+            readJobs(page.nextAfterUid(), leadingTerm, onComplete);
           }
         });
   }
--- a/src/main/java/eiderfork/controller/recovery/JobPageReader.java
+++ b/src/main/java/eiderfork/controller/recovery/JobPageReader.java
@@ -6,28 +6,29 @@
 import eiderfork.controller.store.RequestPriority;
 
 /**
- * Reads stored jobs a page at a time, each page with the allocations of its jobs, so that a reader
- * can drop what it has no use for before it reads on.
+ * Reads stored jobs one page at a time, each page with the allocations of its jobs, so that the
+ * caller can discard what it does not need before it reads the next page.
  */
 public final class JobPageReader {
   /**
-   * A page of submissions, and the allocations between the page before and this one's end.
+   * A page of submissions, with the allocations between the end of the previous page and the end of
+   * this one.
    *
-   * @param continueAfter the id of the job after which the next page begins; null where this is the
-   *     last
+   * @param nextAfterUid the uid of the job after which the next page begins; null if this is the
+   *     last page
    */
   public record JobPage(
-      ImmutableList<Reply.Item> jobs, ImmutableList<Reply.Item> allocs, String continueAfter) {}
+      ImmutableList<Reply.Item> jobs, ImmutableList<Reply.Item> allocations, String nextAfterUid) {}
 
-  /** Takes a page. */
+  /** A consumer of pages. */
   public interface PageConsumer {
-    /** Takes the page. */
+    /** Accepts a page. */
     void accept(JobPage page);
   }
 
   private final RangeReader reader;
 
-  /** Makes a reader of jobs over a reader of ranges. */
+  /** Creates a reader of jobs that uses the given reader of key ranges. */
   public JobPageReader(RangeReader reader) {
     this.reader = reader;
   }
@@ -35,25 +36,25 @@
   /**
    * Reads a page.
    *
-   * @param afterJob the id of the job after which the page begins; empty for the first page
+   * @param afterUid the uid of the job after which the page begins; empty for the first page
    * @param leadingTerm the term in which this node leads
    */
   public void read(
-      String afterJob, long leadingTerm, RequestPriority priority, PageConsumer pageConsumer) {
+      String afterUid, long leadingTerm, RequestPriority priority, PageConsumer pageConsumer) {
     reader.readPage(
         StoreKeys.JOB_PREFIX,
-        keyAfter(StoreKeys.JOB_PREFIX, afterJob),
+        keyAfter(StoreKeys.JOB_PREFIX, afterUid),
         leadingTerm,
         priority,
         page -> {
-          String last = null;
+          String lastUid = null;
           if (page.hasMore()) {
-            last = StoreKeys.withoutPrefix(page.items().get(page.items().size() - 1).key());
+            lastUid = StoreKeys.withoutPrefix(page.items().get(page.items().size() - 1).key());
           }
-          readAllocs(
+          readAllocations(
               page.items(),
-              afterJob,
-              last,
+              afterUid,
+              lastUid,
               ImmutableList.builder(),
               leadingTerm,
               priority,
@@ -61,36 +62,36 @@
         });
   }
 
-  private static String keyAfter(String prefix, String after) {
-    return after.isEmpty() ? "" : prefix + after;
+  private static String keyAfter(String prefix, String uid) {
+    return uid.isEmpty() ? "" : prefix + uid;
   }
 
-  private void readAllocs(
+  private void readAllocations(
       ImmutableList<Reply.Item> jobs,
-      String afterJob,
-      String lastJob,
-      ImmutableList.Builder<Reply.Item> allocs,
+      String afterUid,
+      String lastUid,
+      ImmutableList.Builder<Reply.Item> allocations,
       long leadingTerm,
       RequestPriority priority,
       PageConsumer pageConsumer) {
     reader.readPage(
         StoreKeys.ALLOC_PREFIX,
-        keyAfter(StoreKeys.ALLOC_PREFIX, afterJob),
+        keyAfter(StoreKeys.ALLOC_PREFIX, afterUid),
         leadingTerm,
         priority,
         page -> {
-          String uid = afterJob;
+          String uid = afterUid;
           for (Reply.Item item : page.items()) {
             uid = StoreKeys.withoutPrefix(item.key());
-            if (lastJob == null || uid.compareTo(lastJob) <= 0) {
-              allocs.add(item);
+            if (lastUid == null || uid.compareTo(lastUid) <= 0) {
+              allocations.add(item);
             }
           }
-          boolean more = page.hasMore() && (lastJob == null || uid.compareTo(lastJob) < 0);
-          if (more) {
-            readAllocs(jobs, uid, lastJob, allocs, leadingTerm, priority, pageConsumer);
+          boolean hasMore = page.hasMore() && (lastUid == null || uid.compareTo(lastUid) < 0);
+          if (hasMore) {
+            readAllocations(jobs, uid, lastUid, allocations, leadingTerm, priority, pageConsumer);
           } else {
-            pageConsumer.accept(new JobPage(jobs, allocs.build(), lastJob));
+            pageConsumer.accept(new JobPage(jobs, allocations.build(), lastUid));
           }
         });
   }
--- a/src/main/java/eiderfork/controller/recovery/LeaderRecovery.java
+++ b/src/main/java/eiderfork/controller/recovery/LeaderRecovery.java
@@ -12,16 +12,21 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Brings a new leader's memory up to what was committed in earlier terms, and keeps it so: from the
- * replica that it kept as a standby where that is proved complete ({@link ReplicaRecovery}), or by
- * reading everything ({@link FullReadRecovery}). Then it watches what other nodes commit.
+ * Recovers a new leader's state from what was committed in earlier terms. It uses the replica that
+ * the node kept as a standby if that is proved complete ({@link ReplicaRecovery}), and otherwise
+ * reads everything from the store ({@link FullReadRecovery}). Then it starts to watch for changes
+ * that other nodes commit.
  */
 public final class LeaderRecovery {
   private static final Logger LOG = LoggerFactory.getLogger(LeaderRecovery.class);
 
-  /** What follows a recovery. */
+  /** A listener for the end of a recovery. */
   public interface Listener {
-    /** Memory holds all that was committed, from a replica or from a full read. */
+    /**
+     * Called when memory contains everything committed.
+     *
+     * @param fromReplica whether it came from a replica rather than from a full read
+     */
     void onRecovered(boolean fromReplica);
   }
 
@@ -36,7 +41,7 @@
   private final RoundTrigger rounds;
   private final Listener listener;
 
-  /** Makes the recovery of a node; it begins with {@link #recover}. */
+  /** Creates the recovery of a node, which starts when {@link #recover} is called. */
   public LeaderRecovery(
       LeaderElection election,
       Standby standby,
@@ -60,26 +65,26 @@
     this.listener = listener;
   }
 
-  /** Begins the recovery of the term in which this node leads. */
+  /** Starts the recovery for the term in which this node leads. */
   public void recover() {
     long leadingTerm = election.currentTerm();
     StandbyReplica replica = standby.replica();
     if (!replica.isFollowing()) {
-      readEverything(leadingTerm);
+      startFullRead(leadingTerm);
       return;
     }
     replica.catchUp(
         election.leaderRevision(),
-        complete -> {
-          if (complete) {
+        isComplete -> {
+          if (isComplete) {
             replicaRecovery.restore(replica, revision -> finish(leadingTerm, revision, true));
           } else {
-            readEverything(leadingTerm);
+            startFullRead(leadingTerm);
           }
         });
   }
 
-  private void readEverything(long leadingTerm) {
+  private void startFullRead(long leadingTerm) {
     fullReadRecovery.read(leadingTerm, revision -> finish(leadingTerm, revision, false));
   }
 
--- a/src/main/java/eiderfork/controller/recovery/MachineHintPublisher.java
+++ b/src/main/java/eiderfork/controller/recovery/MachineHintPublisher.java
@@ -20,18 +20,19 @@
 import java.util.Set;
 
 /**
- * Publishes to the standbys which images the machines have: some machines with each batch, so that
- * all are published within a lease, and none while writes wait, which are worth more.
+ * Publishes to the standbys which images the machines have. Each batch covers some of the machines,
+ * so that all of them are covered within a worker lease. No batch is sent while store writes are
+ * waiting, because writes are more important.
  */
 public final class MachineHintPublisher {
-  /** The images published of a machine, those used last. */
+  /** The maximum number of images published per machine; the most recently used ones are chosen. */
   private static final int MAX_IMAGES_PER_MACHINE = 8;
 
-  /** A batch stays far below the largest body of a request. */
+  /** The size at which a batch is closed. It is far below the maximum size of a request body. */
   private static final int MAX_BATCH_BYTES = 32 * 1024;
 
-  /** What an image takes in a batch beside its name. */
-  private static final int IMAGE_BYTES = 24;
+  /** The size of an image's entry in a batch without its name. */
+  private static final int IMAGE_OVERHEAD_BYTES = 24;
 
   private final ControllerContext context;
   private final LeaderElection election;
@@ -39,7 +40,7 @@
   private final MachineRegistry fleet;
   private final Standby standby;
 
-  /** Standbys that have not replied to the last batch. */
+  /** The standbys that have not replied to the last batch. */
   private final Set<String> unacknowledged = new HashSet<>();
 
   private long sequence;
@@ -48,7 +49,7 @@
   /** The number of the machine that was published last. */
   private int lastMachineNumber;
 
-  /** Makes a publisher that begins with the first machine. */
+  /** Creates a publisher that starts with the first machine. */
   public MachineHintPublisher(
       ControllerContext context,
       LeaderElection election,
@@ -62,14 +63,14 @@
     this.standby = standby;
   }
 
-  /** A term begins, and with it a new sequence of batches. */
+  /** Starts a new sequence of batches at the start of a term. */
   public void onElected() {
     unacknowledged.clear();
     sequence = 0;
     lastMachineNumber = 0;
   }
 
-  /** Sends the next batch where one is due; only a recovered leader does. */
+  /** Sends the next batch if one is due. Must be called on a recovered leader only. */
   public void tick() {
     if (context.settings.operator().standbyCount() == 0 || context.nowMs() < nextSendMs) {
       return;
@@ -92,14 +93,18 @@
     context.call(
         callId -> new Effect.SendHints(callId, node, batch, context.stepMs()),
         reply -> {
-          // A node of a version without hints refuses each batch: one request a step.
+          // A node whose version does not support hints rejects every batch, which costs one
+          // request per step.
           if (election.currentTerm() == sentTerm) {
             unacknowledged.remove(node);
           }
         });
   }
 
-  /** The hints of the machines after the one published last, and of the first after the end. */
+  /**
+   * Returns the hints for the machines that follow the one published last, continuing with the
+   * first machine after the last one.
+   */
   private ImmutableList<MachineHint> nextHints() {
     int machineCount =
         (int) Math.ceil(fleet.machines().size() * context.stepS() * 1000 / context.workerLeaseMs());
@@ -108,22 +113,22 @@
     for (int i = 0; i < machineCount && bytes < MAX_BATCH_BYTES; i++) {
       MachineState machine = fleet.nextAfter(lastMachineNumber);
       lastMachineNumber = machine.number();
-      MachineHint hint = hint(machine);
+      MachineHint hint = hintFor(machine);
       hints.add(hint);
-      bytes += bytes(hint);
+      bytes += encodedBytes(hint);
     }
     return hints.build();
   }
 
-  private static int bytes(MachineHint hint) {
+  private static int encodedBytes(MachineHint hint) {
     int bytes = hint.machine().length();
     for (MachineHint.ImageHint image : hint.images()) {
-      bytes += image.image().length() + IMAGE_BYTES;
+      bytes += image.image().length() + IMAGE_OVERHEAD_BYTES;
     }
     return bytes;
   }
 
-  private MachineHint hint(MachineState machine) {
+  private MachineHint hintFor(MachineState machine) {
     List<MachineHint.ImageHint> images = new ArrayList<>();
     for (Map.Entry<String, Double> image : machine.images().sizesGb().entrySet()) {
       long readyInMs = machine.images().remainingFetchMs(image.getKey(), context.nowMs());
@@ -134,7 +139,7 @@
         machine.name(), ImmutableList.copyOf(images.subList(from, images.size())));
   }
 
-  /** Applies the hints of an earlier leader to the machines that this one has. */
+  /** Applies the hints of an earlier leader to the machines that this leader knows. */
   public void apply(MachineHintStore hints) {
     hints.forEach(
         (hint, receivedMs) -> {
@@ -150,8 +155,8 @@
 
   private static void apply(
       MachineState machine, MachineType type, MachineHint.ImageHint image, long receivedMs) {
-    boolean known = machine.images().contains(image.image());
-    if (!known) {
+    boolean isKnown = machine.images().contains(image.image());
+    if (!isKnown) {
       machine.images().recordUse(image.image(), image.sizeGb(), type.imageCacheGb());
     }
     if (machine.images().contains(image.image()) && !machine.images().hasReadyTime(image.image())) {
--- a/src/main/java/eiderfork/controller/recovery/RangeReader.java
+++ b/src/main/java/eiderfork/controller/recovery/RangeReader.java
@@ -14,45 +14,46 @@
 import java.util.function.Consumer;
 import java.util.function.LongConsumer;
 
-/** A leader's reads of whole ranges of keys. One that fails is retried at the next tick. */
+/** Reads whole ranges of keys for a leader. A failed read is retried at the next tick. */
 public final class RangeReader {
   private final StoreClient store;
   private final LeaderElection election;
-  private final List<Runnable> deferred = new ArrayList<>();
+  private final List<Runnable> deferredActions = new ArrayList<>();
 
-  /** Makes a reader that reads while this node leads. */
+  /** Creates a reader that reads while this node leads. */
   public RangeReader(StoreClient store, LeaderElection election) {
     this.store = store;
     this.election = election;
   }
 
-  /** Retries what has failed, and runs what was left for this tick. */
+  /** Retries the failed reads and runs the actions that were deferred to this tick. */
   public void tick() {
-    List<Runnable> due = List.copyOf(deferred);
-    deferred.clear();
+    List<Runnable> due = List.copyOf(deferredActions);
+    deferredActions.clear();
     due.forEach(Runnable::run);
   }
 
-  /** Drops what was left for the next tick. */
+  /** Discards the reads and actions that are deferred to the next tick. */
   public void cancelPending() {
-    deferred.clear();
+    deferredActions.clear();
   }
 
-  /** Has an action run at the next tick. */
+  /** Defers an action to the next tick. */
   public void runAtNextTick(Runnable action) {
-    deferred.add(action);
+    deferredActions.add(action);
   }
 
-  /** Whether this node still leads this term. */
+  /** Returns whether this node still leads in the given term. */
   public boolean isLeadingTerm(long leadingTerm) {
     return election.isLeading() && election.currentTerm() == leadingTerm;
   }
 
   /**
-   * Reads all keys under a prefix, page by page, as often as it takes while this node leads.
+   * Reads all keys under a prefix page by page. Failed reads are retried as long as this node
+   * leads.
    *
-   * @param consumer takes each of them
-   * @param onComplete takes the revision of the first page once all were read
+   * @param consumer takes each item
+   * @param onComplete takes the revision of the first page once all pages are read
    */
   public void scan(
       String prefix,
@@ -68,10 +69,10 @@
         page -> {
           page.items().forEach(consumer);
           if (page.hasMore()) {
-            String last = page.items().get(page.items().size() - 1).key();
+            String lastKey = page.items().get(page.items().size() - 1).key();
             scan(
                 prefix,
-                last,
+                lastKey,
                 leadingTerm,
                 consumer,
                 revision -> onComplete.accept(page.revision()));
@@ -81,7 +82,9 @@
         });
   }
 
-  /** Reads one page of the keys under a prefix, as often as it takes while this node leads. */
+  /**
+   * Reads one page of the keys under a prefix. A failed read is retried as long as this node leads.
+   */
   public void readPage(
       String prefix,
       String afterKey,
@@ -106,11 +109,11 @@
   /**
    * Reads the names of the machines whose leases other nodes renew as proxies.
    *
-   * @param onComplete takes the names, or null where a record can't be read
+   * @param onComplete takes the names, or null if a record cannot be read
    */
   public void readProxiedMachines(Consumer<Set<String>> onComplete) {
     Set<String> names = new HashSet<>();
-    boolean[] readable = {true};
+    boolean[] allReadable = {true};
     scan(
         StoreKeys.LEASE_PROXY_PREFIX,
         "",
@@ -119,9 +122,9 @@
           if (item.record() instanceof StoredRecord.ProxiedLeases proxiedLeases) {
             names.addAll(proxiedLeases.machines());
           } else {
-            readable[0] = false;
+            allReadable[0] = false;
           }
         },
-        revision -> onComplete.accept(readable[0] ? names : null));
+        revision -> onComplete.accept(allReadable[0] ? names : null));
   }
 }
--- a/src/main/java/eiderfork/controller/recovery/ReplicaRecovery.java
+++ b/src/main/java/eiderfork/controller/recovery/ReplicaRecovery.java
@@ -8,12 +8,15 @@
 import eiderfork.model.StoredRecord;
 import java.util.function.LongConsumer;
 
-/** Brings a new leader's memory up to what is committed from its replica of the store. */
+/** Recovers a new leader's state from its replica of the store. */
 public final class ReplicaRecovery {
-  /** Few enough that workers, who wait for replies meanwhile, keep their leases on a slow core. */
+  /**
+   * The maximum number of jobs restored per tick. It is low enough that even on a slow core
+   * workers, which wait for responses meanwhile, keep their leases.
+   */
   private static final int JOBS_PER_TICK = 1500;
 
-  private static final ImmutableList<String> AFTER_JOBS =
+  private static final ImmutableList<String> RANGES_AFTER_JOBS =
       ImmutableList.of(StoreKeys.RENT_PREFIX, StoreKeys.RETURN_PREFIX);
 
   private final RangeReader reader;
@@ -21,7 +24,7 @@
   private final CancellationTracker cancellations;
   private final FinishedJobLoader finishedJobLoader;
 
-  /** Makes the recovery; it begins with {@link #restore}. */
+  /** Creates a recovery, which starts when {@link #restore} is called. */
   public ReplicaRecovery(
       RangeReader reader,
       StoredRecordRestorer restorer,
@@ -34,8 +37,9 @@
   }
 
   /**
-   * Restores what the replica holds, in the order in which its keys would be read, and clears it.
-   * Cancellations are restored at once, so that workers get replies; jobs are spread over ticks.
+   * Restores the contents of the replica in the order in which a full read would read the keys, and
+   * then clears the replica. Cancellations are restored at once, so that workers get responses;
+   * jobs are spread over several ticks.
    *
    * @param onComplete takes the revision up to which everything is restored
    */
@@ -56,8 +60,8 @@
     String lastKey = afterKey;
     for (Reply.Item job : replica.itemsAfter(StoreKeys.JOB_PREFIX, afterKey)) {
       if (restored >= JOBS_PER_TICK) {
-        String continueAfter = lastKey;
-        reader.runAtNextTick(() -> restoreJobs(replica, continueAfter, onComplete));
+        String nextAfterKey = lastKey;
+        reader.runAtNextTick(() -> restoreJobs(replica, nextAfterKey, onComplete));
         return;
       }
       lastKey = job.key();
@@ -68,12 +72,17 @@
     finish(replica, onComplete);
   }
 
-  /** Restores a job with its allocation; one that is over is left to the loader. */
+  /**
+   * Restores a job with its allocation, unless the job is finished; those are left to the {@link
+   * FinishedJobLoader}.
+   *
+   * @return whether the job was restored
+   */
   private boolean restoreJob(StandbyReplica replica, Reply.Item job) {
     String uid = StoreKeys.withoutPrefix(job.key());
     Reply.Item allocation = replica.item(StoreKeys.ALLOC_PREFIX, StoreKeys.alloc(uid));
-    if (isOver(uid, allocation)) {
-      finishedJobLoader.restart();
+    if (isFinished(uid, allocation)) {
+      finishedJobLoader.requestFullLoad();
       return false;
     }
     restorer.restore(job);
@@ -83,8 +92,11 @@
     return true;
   }
 
-  /** Whether nothing is left to do about a job, and none of its reservations is unsettled. */
-  private boolean isOver(String uid, Reply.Item allocationItem) {
+  /**
+   * Returns whether a job is done, or is cancelled without any unsettled reservation, so that
+   * nothing is left to do for it.
+   */
+  private boolean isFinished(String uid, Reply.Item allocationItem) {
     StoredRecord.Allocation allocation = StoredRecord.Allocation.EMPTY;
     if (allocationItem != null
         && allocationItem.record() instanceof StoredRecord.Allocation stored) {
@@ -95,7 +107,7 @@
   }
 
   private void finish(StandbyReplica replica, LongConsumer onComplete) {
-    AFTER_JOBS.forEach(prefix -> restoreRange(replica, prefix));
+    RANGES_AFTER_JOBS.forEach(prefix -> restoreRange(replica, prefix));
     long revision = replica.revision();
     replica.clear("this node leads");
     onComplete.accept(revision);
--- a/src/main/java/eiderfork/controller/recovery/StoredRecordRestorer.java
+++ b/src/main/java/eiderfork/controller/recovery/StoredRecordRestorer.java
@@ -13,7 +13,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Puts committed records into a leader's memory, each where it belongs. */
+/** Restores committed records into the parts of a leader's memory to which they belong. */
 public final class StoredRecordRestorer {
   private static final Logger LOG = LoggerFactory.getLogger(StoredRecordRestorer.class);
 
@@ -23,7 +23,7 @@
   private final CancellationTracker cancellations;
   private final ClusterVersion version;
 
-  /** Makes a restorer into these parts of the leader's memory. */
+  /** Creates a restorer for these parts of the leader's memory. */
   public StoredRecordRestorer(
       JobRegistry jobs,
       MachineRegistry fleet,
@@ -37,7 +37,7 @@
     this.version = version;
   }
 
-  /** Restores one record; an allocation only where its job is restored already. */
+  /** Restores one record. An allocation is ignored unless its job has been restored. */
   void restore(Reply.Item item) {
     StoredRecord record = item.record();
     if (record instanceof StoredRecord.Unreadable unreadable) {
@@ -67,19 +67,19 @@
   }
 
   /**
-   * Adds a submitted job. Jobs and cancellations are read side by side, so that a job may come
-   * after its own cancellation.
+   * Adds a submitted job. Jobs and cancellations are read independently, so a job may arrive after
+   * its own cancellation.
    *
-   * @param order the revision of the submission, by which jobs are ordered
+   * @param revision the revision of the submission, by which jobs are ordered
    */
-  void addJob(Job job, long order) {
-    jobs.add(job, order);
+  void addJob(Job job, long revision) {
+    jobs.add(job, revision);
     if (cancellations.contains(job.uid())) {
       jobs.markCancelled(job.uid());
     }
   }
 
-  /** Freezes the job of a record that can't be read; all others go on without it. */
+  /** Freezes the job of a record that cannot be read. All other jobs are unaffected. */
   void freezeUnreadable(String key, StoredRecord.Unreadable record) {
     LOG.error("record-unreadable key={} reason={}", key, record.reason());
     if (key.startsWith(StoreKeys.JOB_PREFIX) || key.startsWith(StoreKeys.ALLOC_PREFIX)) {
--- a/src/main/java/eiderfork/controller/workers/CancellationFollower.java
+++ b/src/main/java/eiderfork/controller/workers/CancellationWatcher.java
@@ -11,70 +11,73 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reads all cancellations from the store and follows their changes, on a node that proxies. */
-final class CancellationFollower {
-  /** How long a watch waits for changes, in steps. */
-  private static final int WATCH_STEPS = 2;
+/**
+ * Keeps a lease proxy's list of cancelled jobs current: reads all cancellations from the store,
+ * then watches them for changes.
+ */
+final class CancellationWatcher {
+  /** The time a watch request waits for changes, in steps. */
+  private static final int WATCH_WAIT_STEPS = 2;
 
-  /** The revision before the first page is read. */
+  /** Stands for the revision of the first page until that page is read. */
   private static final long NO_REVISION = -1;
 
   private final ControllerContext context;
   private final StoreClient store;
   private final CancellationTracker cancellations;
-  private final List<Runnable> retries = new ArrayList<>();
+  private final List<Runnable> failedRequests = new ArrayList<>();
 
-  /** Counts starts and stops, so that replies to requests from before them are ignored. */
+  /** The number of starts and stops. A reply to a request of an earlier generation is ignored. */
   private long generation;
 
-  CancellationFollower(
+  CancellationWatcher(
       ControllerContext context, StoreClient store, CancellationTracker cancellations) {
     this.context = context;
     this.store = store;
     this.cancellations = cancellations;
   }
 
-  /** Reads all cancellations, and then follows their changes. */
+  /** Reads all cancellations, then watches for changes. */
   void start() {
     generation++;
     readAll(generation);
   }
 
-  /** Ignores replies to all open requests. */
+  /** Stops reading and watching; replies to requests in flight are ignored. */
   void stop() {
     generation++;
   }
 
-  /** Sends requests again that failed since this was last called. */
+  /** Retries the requests that have failed since the last call. */
   void retryFailed() {
-    List<Runnable> due = List.copyOf(retries);
-    retries.clear();
+    List<Runnable> due = List.copyOf(failedRequests);
+    failedRequests.clear();
     due.forEach(Runnable::run);
   }
 
-  private void readAll(long ofGeneration) {
-    readPage(ofGeneration, "", context.nowMs(), NO_REVISION);
+  private void readAll(long requestGeneration) {
+    readPage(requestGeneration, "", context.nowMs(), NO_REVISION);
   }
 
   /**
-   * Reads the page behind a key.
+   * Reads the page of cancellations that follows a key.
    *
-   * @param firstRequestMs when the first page was requested
-   * @param firstRevision the first page's revision, from which changes are followed
+   * @param firstRequestMs the time at which the first page was requested
+   * @param firstRevision the revision of the first page, from which changes are watched
    */
   private void readPage(
-      long ofGeneration, String afterKey, long firstRequestMs, long firstRevision) {
+      long requestGeneration, String afterKey, long firstRequestMs, long firstRevision) {
     store.send(
         new StoreRequest.Scan(StoreKeys.CANCELLATION_PREFIX, afterKey),
         RequestPriority.LEASE,
         reply -> {
-          if (ofGeneration != generation) {
+          if (requestGeneration != generation) {
             return;
           }
           if (!(reply instanceof Reply.Page page)) {
             retryLater(
-                ofGeneration,
-                () -> readPage(ofGeneration, afterKey, firstRequestMs, firstRevision));
+                requestGeneration,
+                () -> readPage(requestGeneration, afterKey, firstRequestMs, firstRevision));
             return;
           }
           String lastKey = afterKey;
@@ -84,32 +87,32 @@
           }
           long revision = firstRevision == NO_REVISION ? page.revision() : firstRevision;
           if (page.hasMore()) {
-            readPage(ofGeneration, lastKey, firstRequestMs, revision);
+            readPage(requestGeneration, lastKey, firstRequestMs, revision);
           } else {
             cancellations.recordCaughtUp(firstRequestMs);
-            follow(ofGeneration, revision);
+            watch(requestGeneration, revision);
           }
         });
   }
 
-  private void follow(long ofGeneration, long revision) {
+  private void watch(long requestGeneration, long revision) {
     long requestedMs = context.nowMs();
     store.send(
         new StoreRequest.Watch(
-            StoreKeys.CANCELLATION_PREFIX, revision, WATCH_STEPS * context.stepMs()),
+            StoreKeys.CANCELLATION_PREFIX, revision, WATCH_WAIT_STEPS * context.stepMs()),
         RequestPriority.LEASE,
         reply -> {
-          if (ofGeneration != generation) {
+          if (requestGeneration != generation) {
             return;
           }
           if (reply instanceof Reply.Changes changes) {
             changes.items().forEach(this::apply);
             cancellations.recordCaughtUp(requestedMs);
-            follow(ofGeneration, changes.revision());
+            watch(requestGeneration, changes.revision());
           } else if (StoreClient.requiresFullRead(reply)) {
-            readAll(ofGeneration);
+            readAll(requestGeneration);
           } else {
-            retryLater(ofGeneration, () -> follow(ofGeneration, revision));
+            retryLater(requestGeneration, () -> watch(requestGeneration, revision));
           }
         });
   }
@@ -122,10 +125,10 @@
     }
   }
 
-  private void retryLater(long ofGeneration, Runnable request) {
-    retries.add(
+  private void retryLater(long requestGeneration, Runnable request) {
+    failedRequests.add(
         () -> {
-          if (ofGeneration == generation) {
+          if (requestGeneration == generation) {
             request.run();
           }
         });
--- a/src/main/java/eiderfork/controller/workers/CommandBuilder.java
+++ b/src/main/java/eiderfork/controller/workers/CommandBuilder.java
@@ -15,9 +15,14 @@
 import java.util.List;
 import java.util.Set;
 
-/** Derives a worker's commands from its newest heartbeat and the reservations on its machine. */
+/**
+ * Builds the commands for a worker from its newest heartbeat and the reservations on its machine.
+ */
 public final class CommandBuilder {
-  /** How much longer than it should a checkpoint may take before it is given up, in steps. */
+  /**
+   * The time by which a checkpoint may exceed its expected duration before the task is killed, in
+   * steps.
+   */
   public static final int CHECKPOINT_MARGIN_STEPS = 3;
 
   private final ControllerContext context;
@@ -39,14 +44,15 @@
     this.reconciler = reconciler;
   }
 
-  /** The commands that stop the machine's tasks of cancelled jobs. */
+  /** Returns the commands that stop the machine's tasks of cancelled jobs. */
   ImmutableList<WorkerCommand> stopsOfCancelledJobs(MachineState machine) {
     return stopsOfCancelledJobs(machine.reportedTasks(), cancellations);
   }
 
   /**
-   * The commands that stop those of the tasks whose job is cancelled. They are right without the
-   * store and before anything is recovered: a confirmed cancellation is final.
+   * Returns the commands that stop those of the given tasks whose job is cancelled. They may be
+   * sent without access to the store and before recovery, because a confirmed cancellation is
+   * final.
    */
   static ImmutableList<WorkerCommand> stopsOfCancelledJobs(
       List<TaskStatus> tasks, CancellationTracker cancellations) {
@@ -59,10 +65,13 @@
     return commands.build();
   }
 
-  /** All commands that the worker needs now; the reservations record their starts as sent. */
+  /**
+   * Builds all commands that the worker needs now, and records the starts among them as sent in
+   * their reservations.
+   */
   ImmutableList<WorkerCommand> build(MachineState machine) {
     List<WorkerCommand> commands = new ArrayList<>();
-    boolean agrees = addStopsAndClears(machine, commands);
+    boolean isConsistent = addStopsAndClears(machine, commands);
     if (commands.stream().anyMatch(WorkerCommand.Clear.class::isInstance)) {
       machine.commandChannel().outdateDirectStarts();
     }
@@ -70,18 +79,22 @@
       addStarts(machine, commands);
     }
     machine.commandChannel().clearCommandDue();
-    machine.recordReconciliation(agrees);
+    machine.recordReconciliation(isConsistent);
     return ImmutableList.copyOf(commands);
   }
 
-  /** Compares the reported tasks with the reservations; whether they agree. */
+  /**
+   * Adds a kill or clear command for each reported task that needs one.
+   *
+   * @return whether the reported tasks match the reservations
+   */
   private boolean addStopsAndClears(MachineState machine, List<WorkerCommand> commands) {
     Set<Attempt> committed = committedAttempts(machine);
-    boolean agrees = machine.reportedTasks().size() == machine.reservations().size();
+    boolean isConsistent = machine.reportedTasks().size() == machine.reservations().size();
     for (TaskStatus task : machine.reportedTasks()) {
       Attempt attempt = task.attempt();
       if (jobs.isFrozen(attempt.task().jobUid())) {
-        agrees = false;
+        isConsistent = false;
         continue;
       }
       JobState job = jobs.get(attempt.task().jobUid());
@@ -89,10 +102,10 @@
           job == null || !committed.contains(attempt)
               ? null
               : job.reservations().get(attempt.task().index());
-      agrees &= reservation != null && isAsReserved(task, reservation);
+      isConsistent &= reservation != null && matchesReservation(task, reservation);
       addStopOrClear(commands, task, job, reservation);
     }
-    return agrees;
+    return isConsistent;
   }
 
   private static Set<Attempt> committedAttempts(MachineState machine) {
@@ -105,8 +118,11 @@
     return committed;
   }
 
-  /** Whether the task is as its reservation wants it; gangs are compared at every heartbeat. */
-  private static boolean isAsReserved(TaskStatus task, Reservation reservation) {
+  /**
+   * Returns whether the task is in the state that its reservation asks for. Always false for tasks
+   * of gangs, so that they are reconciled at every heartbeat.
+   */
+  private static boolean matchesReservation(TaskStatus task, Reservation reservation) {
     return reservation.isDesired() && reservation.job().gang() == null && isActive(task);
   }
 
@@ -133,7 +149,10 @@
     return job != null && jobs.mustRetainAttempt(job, attempt.number(), attempt.task().index());
   }
 
-  /** A checkpoint that hangs is given up: its GPUs are needed, and the task would never end. */
+  /**
+   * Returns whether the task's checkpoint has exceeded its time limit. Such a task is killed
+   * without a grace period: it would never end by itself, and its GPUs are needed.
+   */
   private boolean isCheckpointOverdue(Reservation reservation) {
     return context.settings.operator().isLendingEnabled()
         && reservation.job().gang() == null
--- a/src/main/java/eiderfork/controller/workers/CommandPermission.java
+++ b/src/main/java/eiderfork/controller/workers/CommandPermission.java
@@ -2,7 +2,10 @@
 
 import eiderfork.controller.election.LeaderElection;
 
-/** Which commands this leader may send: only stops before its state is recovered. */
+/**
+ * Decides which commands this leader may send: only stops of cancelled jobs until its state has
+ * been recovered.
+ */
 final class CommandPermission {
   private final LeaderElection election;
   private boolean recovered;
@@ -11,22 +14,24 @@
     this.election = election;
   }
 
-  /** A term begins, in which nothing is recovered yet. */
+  /** Marks the state as not recovered at the start of a term. */
   void onElected() {
     recovered = false;
   }
 
-  /** The leader's state is recovered from the store. */
+  /** Marks the leader's state as recovered from the store. */
   void onRecovered() {
     recovered = true;
   }
 
-  /** Whether the leader's state is recovered from the store. */
+  /** Returns whether the leader's state has been recovered from the store. */
   boolean isRecovered() {
     return recovered;
   }
 
-  /** Whether any command may be sent; stops of cancelled jobs need no permission. */
+  /**
+   * Returns whether all kinds of commands may be sent. Stops of cancelled jobs need no permission.
+   */
   boolean canCommand() {
     return election.isLeaseValid() && recovered;
   }
--- a/src/main/java/eiderfork/controller/workers/DeferredHeartbeats.java
+++ b/src/main/java/eiderfork/controller/workers/DeferredHeartbeats.java
@@ -7,13 +7,13 @@
 import java.util.Queue;
 import java.util.function.Predicate;
 
-/** Heartbeats that can't be answered yet, in the order of their arrival. */
+/** A queue of heartbeats that cannot be answered yet, in order of arrival. */
 final class DeferredHeartbeats {
-  /** A heartbeat that waits for its response. */
-  record PendingHeartbeat(long ticket, Heartbeat heartbeat, long receivedMs) {}
+  /** A heartbeat whose response is deferred. */
+  record DeferredHeartbeat(long ticket, Heartbeat heartbeat, long receivedMs) {}
 
   private final ControllerContext context;
-  private final Queue<PendingHeartbeat> pending = new ArrayDeque<>();
+  private final Queue<DeferredHeartbeat> pending = new ArrayDeque<>();
 
   DeferredHeartbeats(ControllerContext context) {
     this.context = context;
@@ -21,17 +21,18 @@
 
   /** Defers the response to a heartbeat that has just arrived. */
   void add(long ticket, Heartbeat heartbeat) {
-    pending.add(new PendingHeartbeat(ticket, heartbeat, context.nowMs()));
+    pending.add(new DeferredHeartbeat(ticket, heartbeat, context.nowMs()));
   }
 
   /**
-   * Tries to resolve each of them.
+   * Retries all deferred heartbeats, and removes those that are resolved.
    *
-   * @param isResolved tries to respond, and tells whether the heartbeat need not wait any more
+   * @param tryResolve tries to respond; returns true if the heartbeat need not be deferred any
+   *     longer
    */
-  void retry(Predicate<PendingHeartbeat> isResolved) {
-    for (Iterator<PendingHeartbeat> iterator = pending.iterator(); iterator.hasNext(); ) {
-      if (isResolved.test(iterator.next())) {
+  void retry(Predicate<DeferredHeartbeat> tryResolve) {
+    for (Iterator<DeferredHeartbeat> iterator = pending.iterator(); iterator.hasNext(); ) {
+      if (tryResolve.test(iterator.next())) {
         iterator.remove();
       }
     }
--- a/src/main/java/eiderfork/controller/workers/DirectCommandSender.java
+++ b/src/main/java/eiderfork/controller/workers/DirectCommandSender.java
@@ -9,9 +9,12 @@
 import eiderfork.controller.registry.MachineState;
 import eiderfork.model.WorkerCommand;
 
-/** Sends commands to workers' own addresses where the next heartbeat would be too late. */
+/**
+ * Sends commands directly to workers' own addresses when waiting for the next heartbeat would take
+ * too long.
+ */
 final class DirectCommandSender {
-  /** How long a direct command waits for its reply, in steps. */
+  /** The timeout of a direct command's reply, in steps. */
   private static final int REPLY_TIMEOUT_STEPS = 2;
 
   private final ControllerContext context;
@@ -46,14 +49,16 @@
     this.heartbeatRecorder = heartbeatRecorder;
   }
 
-  /** A term begins. */
+  /** Records the start of a term. */
   void onElected() {
     electedMs = context.nowMs();
   }
 
   /**
-   * Contacts the machines that need it. Connections are bounded: after a failover every worker
-   * connects to the new leader while it sends commands, and sockets are scarce.
+   * Sends direct commands to the machines that need them. The number of concurrent connections is
+   * limited because sockets are scarce: after a failover, every worker connects to the new leader
+   * while the leader sends commands. A new term is introduced to further workers only while more
+   * than half of the connections are free, so that the rest is reserved for commands.
    */
   void sendDue() {
     int maxConnections = context.settings.controllerResources().maxOutboundConnections();
@@ -73,9 +78,9 @@
     }
   }
 
-  private void contactIfDue(MachineState machine, boolean canIntroduce) {
+  private void contactIfDue(MachineState machine, boolean canIntroduceTerm) {
     if (!liveness.hasTokenOfTerm(machine)) {
-      if (canIntroduce
+      if (canIntroduceTerm
           && !machine.lifecycle().isBooting()
           && context.nowMs() - electedMs > context.stepMs()) {
         introduceTerm(machine);
@@ -89,7 +94,10 @@
     }
   }
 
-  /** Reaches a worker directly, so that an earlier leader's token ends there soon. */
+  /**
+   * Contacts a worker directly so that it sees a fencing token of this term soon, and stops
+   * accepting the tokens of earlier leaders.
+   */
   private void introduceTerm(MachineState machine) {
     if (machine.lastHeartbeat() == null) {
       machine.commandChannel().onDirectCommandSent();
@@ -109,7 +117,10 @@
     }
   }
 
-  /** Sends what cannot wait for the next heartbeat: everything but clears. */
+  /**
+   * Sends the commands that cannot wait for the next heartbeat, which are all except clears. If
+   * there are none, a raised fencing token is still sent.
+   */
   private void sendCommands(MachineState machine) {
     boolean isTokenRaised =
         machine.commandChannel().fencingToken() > machine.lastHeartbeat().fencingToken();
@@ -128,7 +139,7 @@
 
   private void send(MachineState machine, ImmutableList<WorkerCommand> commands) {
     machine.commandChannel().onDirectCommandSent();
-    leaseLog.commandsSent(machine, commands, true);
+    leaseLog.logCommandsSent(machine, commands, true);
     long token = machine.commandChannel().fencingToken();
     long incarnation = machine.incarnation().number();
     context.call(
@@ -156,9 +167,9 @@
 
   private void onWorkerReply(MachineState machine, Reply.WorkerReply reply) {
     machine.commandChannel().onReply();
-    long shownToken = reply.heartbeat().fencingToken();
-    if (shownToken >= election.endOfFencingTokens()) {
-      election.observeTerm(shownToken >> LeaderElection.TOKEN_SEQUENCE_BITS);
+    long reportedToken = reply.heartbeat().fencingToken();
+    if (reportedToken >= election.endOfFencingTokens()) {
+      election.observeTerm(reportedToken >> LeaderElection.TOKEN_SEQUENCE_BITS);
       return;
     }
     heartbeatRecorder.record(machine, reply.heartbeat(), true);
@@ -168,7 +179,10 @@
     }
   }
 
-  /** Unanswered commands may be executed yet; a higher token ends that. */
+  /**
+   * Raises the fencing token, because the worker may still execute the commands that got no reply;
+   * a higher token prevents this. The next direct command is delayed by one to two steps.
+   */
   private void onNoReply(MachineState machine, long sentToken) {
     if (sentToken > 0) {
       reconciler.raiseFencingToken(machine);
--- a/src/main/java/eiderfork/controller/workers/FaultDetector.java
+++ b/src/main/java/eiderfork/controller/workers/FaultDetector.java
@@ -9,15 +9,21 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Decides from the ends of tasks whether a machine is faulty or a job fails everywhere. */
+/**
+ * Decides from the outcomes of tasks whether a machine is faulty or whether a job fails on every
+ * machine.
+ */
 final class FaultDetector {
   private static final Logger LOG = LoggerFactory.getLogger(FaultDetector.class);
 
-  /** Jobs that must fail on a machine, and on no other, before it counts as faulty. */
-  private static final int FAULTY_AFTER_JOBS = 2;
+  /**
+   * The number of jobs that must fail on a machine before it counts as faulty. Jobs that are found
+   * to be at fault themselves are not counted.
+   */
+  private static final int MIN_FAILED_JOBS = 2;
 
-  /** The same where tasks of other jobs run on the machine. */
-  private static final int FAULTY_AFTER_JOBS_BESIDE_WORK = 4;
+  /** The number of failed jobs that makes a machine faulty while tasks of other jobs run on it. */
+  private static final int MIN_FAILED_JOBS_WITH_OTHER_TASKS = 4;
 
   private final MachineRegistry fleet;
 
@@ -25,7 +31,10 @@
     this.fleet = fleet;
   }
 
-  /** A task of the job failed on the machine: counts it against the machine or the job. */
+  /**
+   * Records that a task of the job failed on the machine, and attributes the failure to the machine
+   * or to the job.
+   */
   void recordFailure(MachineState machine, JobState job) {
     if (job.failureHistory().isJobAtFault()) {
       discardFailures(job);
@@ -35,30 +44,39 @@
     markIfFaulty(machine);
   }
 
-  /** A task of the job succeeded on the machine: machines where the job failed are suspects. */
+  /**
+   * Records that a task of the job succeeded on the machine. The machines on which the job failed
+   * earlier become suspects, unless the job itself is suspected.
+   */
   void recordSuccess(MachineState machine, JobState job) {
     machine.failures().recordSuccess();
     if (job.failureHistory().isJobAtFault() || job.failureHistory().isSuspected()) {
       return;
     }
     for (String name : job.failureHistory().failedMachines()) {
-      MachineState failed = fleet.get(name);
-      if (failed != null && failed != machine && failed.failures().hasFailed(job.spec().uid())) {
-        failed.failures().recordSuccessElsewhere(job.spec().uid());
-        markIfFaulty(failed);
+      MachineState failedMachine = fleet.get(name);
+      if (failedMachine != null
+          && failedMachine != machine
+          && failedMachine.failures().hasFailed(job.spec().uid())) {
+        failedMachine.failures().recordSuccessElsewhere(job.spec().uid());
+        markIfFaulty(failedMachine);
       }
     }
   }
 
   /**
-   * Two jobs with a mistake may come to a good machine first. Where tasks of other jobs run, the
-   * machine is given up only once two failed jobs succeeded elsewhere, or more jobs have failed.
+   * Marks the machine as faulty if enough jobs have failed on it. Two jobs that are themselves
+   * broken may happen to start on a healthy machine first. A machine on which tasks of other jobs
+   * run is therefore marked only once two of the failed jobs have succeeded elsewhere, or once more
+   * jobs have failed.
    */
   private static void markIfFaulty(MachineState machine) {
     MachineFailures failures = machine.failures();
-    int needed = hasOtherRunningTasks(machine) ? FAULTY_AFTER_JOBS_BESIDE_WORK : FAULTY_AFTER_JOBS;
+    int requiredJobs =
+        hasOtherRunningTasks(machine) ? MIN_FAILED_JOBS_WITH_OTHER_TASKS : MIN_FAILED_JOBS;
     boolean faulty =
-        failures.failedJobCount() >= needed || failures.failedOnlyHereCount() >= FAULTY_AFTER_JOBS;
+        failures.failedJobCount() >= requiredJobs
+            || failures.failedOnlyHereCount() >= MIN_FAILED_JOBS;
     if (faulty && !failures.isFaulty()) {
       LOG.warn("machine-faulty machine={}", machine.name());
       failures.markFaulty();
@@ -75,7 +93,10 @@
     return false;
   }
 
-  /** The job fails everywhere, so that none of the machines where it failed is to blame. */
+  /**
+   * Discards the job's failures on all machines: the job fails everywhere, so none of these
+   * machines is at fault.
+   */
   private void discardFailures(JobState job) {
     for (String name : job.failureHistory().failedMachines()) {
       MachineState machine = fleet.get(name);
--- a/src/main/java/eiderfork/controller/workers/HeartbeatHandler.java
+++ b/src/main/java/eiderfork/controller/workers/HeartbeatHandler.java
@@ -8,15 +8,17 @@
 import eiderfork.model.Heartbeat;
 
 /**
- * Handles heartbeats that arrive at this node: answers them where it may, redirects workers to the
- * leader where it may not, and defers the response for a moment where that may change.
+ * Handles heartbeats that arrive at this node. It answers a worker if this node may do so, as
+ * leader or lease proxy; otherwise it redirects the worker to the leader, or defers the response
+ * briefly if this node may be able to answer soon.
  */
 public final class HeartbeatHandler {
   /**
-   * How long a worker that lost the leader may wait here for another one, in steps. It is less than
-   * a worker's response time-out and less than a leader lease.
+   * The time for which the heartbeat of a worker that has lost the leader is deferred while a new
+   * leader may be elected, in steps. It is shorter than a worker's response timeout and than a
+   * leader lease.
    */
-  private static final int LOST_LEADER_STEPS = 3;
+  private static final int LOST_LEADER_WAIT_STEPS = 3;
 
   private final ControllerContext context;
   private final LeaderElection election;
@@ -27,7 +29,7 @@
   private final DeferredHeartbeats deferredHeartbeats;
   private final WorkerRedirector redirector;
 
-  /** Makes a handler without pending heartbeats. */
+  /** Creates a handler without deferred heartbeats. */
   public HeartbeatHandler(
       ControllerContext context,
       LeaderElection election,
@@ -51,32 +53,38 @@
     if (tryAnswer(ticket, heartbeat)) {
       return;
     }
-    if (leaseProxy.canAnswer(heartbeat) || mayAnswerSoon() || redirector.hasLostLeader(heartbeat)) {
+    if (leaseProxy.prepareToAnswer(heartbeat)
+        || mayAnswerSoon()
+        || redirector.hasLostLeader(heartbeat)) {
       deferredHeartbeats.add(ticket, heartbeat);
     } else {
       redirect(ticket, heartbeat);
     }
   }
 
-  /** Tries to respond to deferred heartbeats after an input that may allow it. */
+  /** Retries the deferred heartbeats after an input that may allow a response. */
   public void retryPending(Input input) {
-    if (canResolvePending(input)) {
+    if (canResolveDeferred(input)) {
       deferredHeartbeats.retry(this::answerOrRedirect);
     }
   }
 
-  /** Forgets outdated redirects. */
+  /** Removes outdated redirects. */
   public void tick() {
     redirector.tick();
   }
 
-  /** Answers a worker where this node may, as leader or as lease proxy; whether it did. */
+  /**
+   * Answers a worker if this node may do so now, as leader or as lease proxy.
+   *
+   * @return whether the worker was answered
+   */
   private boolean tryAnswer(long ticket, Heartbeat heartbeat) {
     if (election.isLeading() && cancellations.mayRenewLeases()) {
       commander.handleHeartbeat(ticket, heartbeat);
       return true;
     }
-    if (leaseProxy.canAnswer(heartbeat) && leaseProxy.canAnswerNow(heartbeat)) {
+    if (leaseProxy.prepareToAnswer(heartbeat) && leaseProxy.canAnswerNow(heartbeat)) {
       leaseProxy.answer(ticket, heartbeat);
       return true;
     }
@@ -84,29 +92,28 @@
   }
 
   /**
-   * Tries to answer a deferred heartbeat, and redirects its worker once it has waited long enough.
-   * A worker that is redirected without a node's name tries the next node only a second later, when
-   * its lease may be over.
+   * Tries to answer a deferred heartbeat, and redirects its worker after the maximum wait. A worker
+   * that is redirected without a node's name waits for a second before it tries the next node, and
+   * its lease may expire in that time.
    *
-   * @return whether the heartbeat need not wait any more
+   * @return whether the heartbeat need not be deferred any longer
    */
-  private boolean answerOrRedirect(DeferredHeartbeats.PendingHeartbeat pendingHeartbeat) {
-    if (tryAnswer(pendingHeartbeat.ticket(), pendingHeartbeat.heartbeat())) {
+  private boolean answerOrRedirect(DeferredHeartbeats.DeferredHeartbeat deferred) {
+    if (tryAnswer(deferred.ticket(), deferred.heartbeat())) {
       return true;
     }
-    if (context.nowMs() - pendingHeartbeat.receivedMs()
-        < maxPendingMs(pendingHeartbeat.heartbeat())) {
+    if (context.nowMs() - deferred.receivedMs() < maxDeferralMs(deferred.heartbeat())) {
       return false;
     }
-    redirect(pendingHeartbeat.ticket(), pendingHeartbeat.heartbeat());
+    redirect(deferred.ticket(), deferred.heartbeat());
     return true;
   }
 
-  /** How long a heartbeat may wait here, by what this node knows now. */
-  private long maxPendingMs(Heartbeat heartbeat) {
-    boolean mayAnswer = leaseProxy.canAnswer(heartbeat);
+  /** Returns the time for which a heartbeat may be deferred, given this node's current state. */
+  private long maxDeferralMs(Heartbeat heartbeat) {
+    boolean mayAnswer = leaseProxy.prepareToAnswer(heartbeat);
     if (redirector.hasLostLeader(heartbeat) && !mayAnswer) {
-      return LOST_LEADER_STEPS * context.stepMs();
+      return LOST_LEADER_WAIT_STEPS * context.stepMs();
     }
     if (!mayAnswer && !mayAnswerSoon()) {
       return 0;
@@ -115,8 +122,9 @@
   }
 
   /**
-   * Whether this node may know soon how to answer a worker: who leads or, where it leads with a
-   * valid lease, which jobs were cancelled while the store was unavailable to it.
+   * Returns whether this node may soon be able to answer workers. A node without a known leader may
+   * learn of one. A leader with a valid lease may learn which jobs were cancelled while it could
+   * not reach the store.
    */
   private boolean mayAnswerSoon() {
     return election.isLeading() ? election.isLeaseValid() : election.leader() == null;
@@ -124,11 +132,11 @@
 
   private void redirect(long ticket, Heartbeat heartbeat) {
     leaseProxy.recordRedirect(heartbeat);
-    context.emit(new Effect.RedirectWorker(ticket, redirector.target(heartbeat)));
+    context.emit(new Effect.RedirectWorker(ticket, redirector.redirectTarget(heartbeat)));
   }
 
-  /** Whether an input can allow a response to deferred heartbeats; most inputs can't. */
-  private static boolean canResolvePending(Input input) {
+  /** Returns whether an input can allow a response to deferred heartbeats; most inputs cannot. */
+  private static boolean canResolveDeferred(Input input) {
     return input instanceof Input.Tick
         || input instanceof Input.Answered
         || input instanceof Input.PeerPing;
--- a/src/main/java/eiderfork/controller/workers/HeartbeatRecorder.java
+++ b/src/main/java/eiderfork/controller/workers/HeartbeatRecorder.java
@@ -6,7 +6,10 @@
 import eiderfork.controller.registry.MachineState;
 import eiderfork.model.Heartbeat;
 
-/** Applies heartbeats to the leader's state, whether a worker sent them or replied with them. */
+/**
+ * Applies heartbeats to the leader's state, whether a worker sent them by itself or in reply to a
+ * direct command.
+ */
 final class HeartbeatRecorder {
   private final ControllerContext context;
   private final LeaderElection election;
@@ -34,10 +37,10 @@
   }
 
   /**
-   * Applies a heartbeat if it is the newest of its machine.
+   * Applies a heartbeat if it is newer than the machine's last one.
    *
-   * @param isCommandReply the heartbeat came as the reply to a direct command
-   * @return whether it was the newest
+   * @param isCommandReply whether the heartbeat is the reply to a direct command
+   * @return whether the heartbeat was newer
    */
   boolean record(MachineState machine, Heartbeat heartbeat, boolean isCommandReply) {
     if (!machine.incarnation().isNewer(heartbeat)) {
@@ -54,12 +57,14 @@
       machine.recordReconciliation(false);
       reconciler.reconcile(machine);
     }
-    contradictSkippedSearch(machine);
+    invalidateSkippedSearches(machine);
     return true;
   }
 
-  /** Searches that skipped the machine must not rely on that once it takes tasks again. */
-  void contradictSkippedSearch(MachineState machine) {
+  /**
+   * Invalidates the results of searches that skipped the machine, once tasks can start on it again.
+   */
+  void invalidateSkippedSearches(MachineState machine) {
     if (machine.isSkippedBySearch() && liveness.isSchedulable(machine)) {
       machine.onSchedulableAgain();
     }
@@ -76,7 +81,10 @@
     }
   }
 
-  /** Once a worker has shown a token of this term, only this leader's answers renew its lease. */
+  /**
+   * Records it if the worker has reported a fencing token of this term. From then on, only this
+   * leader's responses renew the worker's lease.
+   */
   private void recordTokenOfTerm(MachineState machine, Heartbeat previous) {
     if (!liveness.hasTokenOfTerm(machine)) {
       return;
@@ -88,8 +96,9 @@
   }
 
   /**
-   * Whether a heartbeat has the tasks of the previous one, which agreed with the reservations. Most
-   * do, and nothing follows from them but that the machine is alive.
+   * Returns whether a heartbeat reports the same as the previous one, which matched the
+   * reservations. Most heartbeats do, and then nothing but the time of the last contact has to be
+   * updated.
    */
   private static boolean isUnchanged(MachineState machine, Heartbeat heartbeat) {
     Heartbeat previous = machine.lastHeartbeat();
--- a/src/main/java/eiderfork/controller/workers/LeaseExpiry.java
+++ b/src/main/java/eiderfork/controller/workers/LeaseExpiry.java
@@ -10,21 +10,30 @@
 import java.util.function.Consumer;
 
 /**
- * Settles the reservations of machines whose worker leases have surely expired, unless a {@link
- * LeaseProxy} renewed them.
+ * Settles the reservations of machines whose worker leases are certain to have expired and were not
+ * renewed by a {@link LeaseProxy}.
  */
 public final class LeaseExpiry {
-  /** The share of a lease after which plans replace a silent machine. */
-  private static final double SUSPECT_SHARE = 0.5;
+  /**
+   * The fraction of a lease after which a silent machine is suspected, and plans may replace it.
+   */
+  private static final double SUSPECT_LEASE_SHARE = 0.5;
 
-  /** The same where its whole zone is unreachable: lease proxies take until then to start. */
-  private static final double PARTITIONED_SUSPECT_SHARE = 0.75;
+  /**
+   * The same fraction if the machine's whole zone is unreachable; lease proxies may take this long
+   * to start.
+   */
+  private static final double PARTITIONED_SUSPECT_LEASE_SHARE = 0.75;
 
-  /** A lease that has expired, and from when it ran. */
+  /**
+   * A machine's expired lease.
+   *
+   * @param leaseStartMs the time from which the lease ran
+   */
   private record ExpiredLease(MachineState machine, long leaseStartMs) {
     /**
-     * Whether it is still the machine's lease. An earlier read of the records says nothing of a
-     * lease that began later, even if that has expired by now.
+     * Returns whether this is still the machine's lease. A read of the proxy records says nothing
+     * about a lease that began after the read was sent, even if that lease has expired by now.
      */
     boolean isCurrent() {
       return machine.incarnation().leaseStartMs() == leaseStartMs;
@@ -42,10 +51,10 @@
   private long nextProxyReadMs;
 
   /**
-   * Makes an instance for all terms of this node.
+   * Creates an instance for all terms of this node.
    *
-   * @param readProxiedMachines reads which machines' leases other nodes renew
-   * @param requestRound is called where a scheduling round has something new to place
+   * @param readProxiedMachines reads the names of the machines whose leases other nodes renew
+   * @param requestRound requests a scheduling round, called when settled tasks can be placed again
    */
   public LeaseExpiry(
       ControllerContext context,
@@ -64,36 +73,46 @@
     this.requestRound = requestRound;
   }
 
-  /** A term begins; a read of an earlier one is not waited for. */
+  /**
+   * Resets the state at the start of a term; a read that an earlier term has in flight is not
+   * awaited.
+   */
   public void onElected() {
     proxyReadInFlight = false;
   }
 
-  /** Whether a lease proxy's record was seen lately that names the machine. */
+  /**
+   * Returns whether a lease proxy's record that names the machine was read within the last two
+   * steps.
+   */
   public boolean isProxied(MachineState machine) {
     return machine.leaseProxySeenMs() > 0
         && context.nowMs() - machine.leaseProxySeenMs() <= 2 * context.stepMs();
   }
 
   /**
-   * Whether a silent machine may be lost. Where its whole zone is unreachable it is suspected
-   * later, since nodes there may renew its lease.
+   * Returns whether a silent machine may be lost. If its whole zone is unreachable it is suspected
+   * later, because nodes in that zone may renew its lease.
    */
   public boolean isSuspected(MachineState machine) {
     double share =
-        peers.isZoneUnreachable(machine.zone()) ? PARTITIONED_SUSPECT_SHARE : SUSPECT_SHARE;
+        peers.isZoneUnreachable(machine.zone())
+            ? PARTITIONED_SUSPECT_LEASE_SHARE
+            : SUSPECT_LEASE_SHARE;
     return !isProxied(machine)
         && liveness.timeSinceLastContactMs(machine) > context.workerLeaseMs() * share;
   }
 
-  /** Settles the reservations of machines whose leases have expired and were not proxied. */
+  /**
+   * Settles the reservations of machines whose leases have expired and were not renewed by proxies.
+   */
   void settleExpired() {
     if (proxyReadInFlight || context.nowMs() < nextProxyReadMs) {
       return;
     }
     List<ExpiredLease> expiredLeases = new ArrayList<>();
     boolean hasSilentMachine = false;
-    long suspectMs = (long) (context.workerLeaseMs() * SUSPECT_SHARE);
+    long suspectMs = (long) (context.workerLeaseMs() * SUSPECT_LEASE_SHARE);
     for (MachineState machine : fleet.withLeaseNotRenewedFor(suspectMs)) {
       if (!machine.reservations().isEmpty()) {
         if (hasExpired(machine)) {
@@ -103,7 +122,7 @@
             machine.lastHeartbeat() != null && liveness.timeSinceLastContactMs(machine) > suspectMs;
       }
     }
-    if (!canBeProxied()) {
+    if (!hasNodeInOtherZone()) {
       expiredLeases.forEach(expired -> settle(expired.machine, 0));
     } else if (hasSilentMachine || !expiredLeases.isEmpty()) {
       proxyReadInFlight = true;
@@ -113,17 +132,19 @@
     }
   }
 
-  /** Whether another zone has nodes, since only those renew leases for the leader. */
-  private boolean canBeProxied() {
+  /**
+   * Returns whether a peer is in another zone; only such nodes renew leases on the leader's behalf.
+   */
+  private boolean hasNodeInOtherZone() {
     return context.settings.peerZones().values().stream()
         .anyMatch(zone -> !zone.equals(context.settings.zone()));
   }
 
   /**
-   * Settles what a read of the proxies' records does not contradict.
+   * Settles the expired leases that the proxy records show not to be renewed.
    *
-   * @param requestedMs when the read was sent, after all of the leases had expired
-   * @param machineNames the machines that the records name; null where the read failed
+   * @param requestedMs the time at which the read was sent, after all of the leases had expired
+   * @param machineNames the machines named by the records, or null if a record could not be read
    */
   private void onProxiedMachinesRead(
       List<ExpiredLease> expiredLeases, long requestedMs, Set<String> machineNames) {
@@ -143,37 +164,38 @@
         continue;
       }
       if (machineNames.contains(machine.name())) {
-        leaseLog.keptByProxy();
+        leaseLog.recordKeptByProxy();
       } else if (!expired.isCurrent()) {
-        leaseLog.staleRead();
+        leaseLog.recordStaleRead();
       } else {
         settle(machine, context.nowMs() - requestedMs);
       }
     }
   }
 
-  private void settle(MachineState machine, long readMs) {
-    leaseLog.leaseExpired(machine, readMs);
+  private void settle(MachineState machine, long proxyReadMs) {
+    leaseLog.recordExpiredLease(machine, proxyReadMs);
     fleet.settleReservations(machine);
     requestRound.run();
   }
 
   /**
-   * Whether the worker has surely ended and forgotten all earlier tasks. While it has not shown a
-   * token of this term, an earlier leader may have renewed its lease until that leader's term ended
-   * for sure.
+   * Returns whether the machine's lease is certain to have expired, so that the worker has ended
+   * all earlier tasks and no longer reports them. Until the worker has reported a fencing token of
+   * this term, an earlier leader may have renewed its lease, at the latest when that leader's term
+   * is certain to have ended.
    */
   public boolean hasExpired(MachineState machine) {
     if (!machine.incarnation().mayLeaseHaveExpired(context.nowMs(), context.workerLeaseMs())) {
       return false;
     }
-    long olderTermsMs = liveness.hasTokenOfTerm(machine) ? 0 : peers.earlierTermsEndedMs();
-    if (olderTermsMs == Long.MAX_VALUE) {
+    long earlierTermsEndMs = liveness.hasTokenOfTerm(machine) ? 0 : peers.earlierTermsEndedMs();
+    if (earlierTermsEndMs == Long.MAX_VALUE) {
       return false;
     }
     return machine
         .incarnation()
         .hasLeaseSurelyExpired(
-            context.nowMs(), context.workerLeaseMs(), olderTermsMs, context.stepMs() / 2);
+            context.nowMs(), context.workerLeaseMs(), earlierTermsEndMs, context.stepMs() / 2);
   }
 }
--- a/src/main/java/eiderfork/controller/workers/LeaseProxy.java
+++ b/src/main/java/eiderfork/controller/workers/LeaseProxy.java
@@ -15,15 +15,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Renews leases of workers that can't reach the leader, while this node can reach the store, so
- * that a network partition between two zones does not end the tasks of one of them.
+ * Renews the leases of workers that cannot reach the leader, as long as this node can reach the
+ * store. This keeps a network partition between two zones from ending the tasks in one of them.
  *
- * <p>A lease proxy renews leases under the fencing token that a worker shows, and commands nothing
- * but the stops of cancelled jobs. Before it answers a worker, a record that names the machine
- * stands in the store, under a lease that outlasts every worker lease that the proxy renews ({@link
- * LeaseProxyRecords}). The leader counts no worker lease as expired before it has read, after the
- * expiry, that no such record names the machine. So either it sees the record, or the proxy's first
- * answer comes after the expiry and renews an incarnation that has lost all earlier tasks.
+ * <p>A lease proxy renews a lease under the fencing token that the worker reports, and sends no
+ * commands except stops of cancelled jobs. Before it answers a worker, it commits a record that
+ * names the machine to the store, under a store lease that outlasts every worker lease that the
+ * proxy renews ({@link LeaseProxyRecords}). The leader treats a worker lease as expired only if a
+ * read sent after the expiry shows no such record for the machine. So either the leader sees the
+ * record, or the proxy first answers the worker after the expiry, and then renews the lease of an
+ * incarnation that has lost all earlier tasks.
  */
 public final class LeaseProxy {
   private static final Logger LOG = LoggerFactory.getLogger(LeaseProxy.class);
@@ -33,15 +34,15 @@
   private final PeerMonitor peers;
   private final CancellationTracker cancellations;
   private final LeaseProxyRecords records;
-  private final CancellationFollower cancellationFollower;
+  private final CancellationWatcher cancellationWatcher;
 
-  /** When each worker was last redirected from here to the leader. */
+  /** The time at which each worker was last redirected from here to the leader. */
   private final Map<String, Long> redirectedMs = new HashMap<>();
 
   private boolean active;
   private long lastAnswerMs;
 
-  /** Makes a proxy that renews no lease yet. */
+  /** Creates an inactive proxy. */
   public LeaseProxy(
       ControllerContext context,
       StoreClient store,
@@ -53,15 +54,17 @@
     this.peers = peers;
     this.cancellations = cancellations;
     records = new LeaseProxyRecords(context, store);
-    cancellationFollower = new CancellationFollower(context, store, cancellations);
+    cancellationWatcher = new CancellationWatcher(context, store, cancellations);
   }
 
   /**
-   * Whether this node may answer this worker in the leader's place, now or soon; if so, it prepares
-   * for that. The worker must have tasks and be in this node's zone, and the leader must be
-   * unreachable from here: with all of its zone, or also for the worker that was redirected to it.
+   * Returns whether this node may answer a worker in place of the leader, now or soon, and starts
+   * the preparations for that: it names the machine in the next record and activates the proxy. The
+   * worker must have tasks and be in this node's zone. The leader must be in another zone and
+   * unreachable from this node, and either its whole zone is unreachable or the worker was
+   * redirected to it and has come back.
    */
-  boolean canAnswer(Heartbeat heartbeat) {
+  boolean prepareToAnswer(Heartbeat heartbeat) {
     if (!isCandidate(heartbeat)) {
       return false;
     }
@@ -102,7 +105,10 @@
     return context.settings.peerZones().getOrDefault(node, "");
   }
 
-  /** Whether a worker that was redirected to the leader came back, as it could not reach it. */
+  /**
+   * Returns whether a worker that was redirected to the leader has come back because it could not
+   * reach the leader.
+   */
   private boolean hasReturnedFromLeader(String machineName) {
     Long sentMs = redirectedMs.get(machineName);
     return sentMs != null
@@ -110,7 +116,10 @@
         && context.nowMs() - sentMs < context.workerLeaseMs();
   }
 
-  /** Whether a worker for which {@link #canAnswer} holds may be answered now. */
+  /**
+   * Returns whether a worker for which {@link #prepareToAnswer} returned true may be answered now:
+   * its record is committed and outlasts the renewed lease, and the cancellations are current.
+   */
   boolean canAnswerNow(Heartbeat heartbeat) {
     long leaseEndMs =
         context.nowMs()
@@ -121,7 +130,10 @@
         && cancellations.mayRenewLeases();
   }
 
-  /** Renews the worker's lease under the token that it shows, and stops cancelled jobs. */
+  /**
+   * Renews the worker's lease under the fencing token that it reports, and stops its tasks of
+   * cancelled jobs.
+   */
   void answer(long ticket, Heartbeat heartbeat) {
     lastAnswerMs = context.nowMs();
     ImmutableList<WorkerCommand> stops =
@@ -129,14 +141,14 @@
     context.emit(new Effect.RespondToWorker(ticket, heartbeat.fencingToken(), stops));
   }
 
-  /** A worker was redirected to the leader. */
+  /** Records that a worker was redirected to the leader. */
   void recordRedirect(Heartbeat heartbeat) {
     if (!heartbeat.tasks().isEmpty()) {
       redirectedMs.put(heartbeat.machine().name(), context.nowMs());
     }
   }
 
-  /** How many machines this node answers in the leader's place. */
+  /** Returns the number of machines for which this node may answer in place of the leader. */
   int proxiedMachineCount() {
     return records.recordedMachineCount();
   }
@@ -148,24 +160,24 @@
     LOG.info("lease-proxy-started leader={}", election.leader());
     active = true;
     lastAnswerMs = context.nowMs();
-    cancellationFollower.start();
+    cancellationWatcher.start();
   }
 
-  /** Answers no worker any more; the records stand until their lease expires. */
+  /** Stops answering workers. The records remain in the store until their lease expires. */
   public void stop() {
     active = false;
-    cancellationFollower.stop();
+    cancellationWatcher.stop();
     records.reset();
   }
 
-  /** Keeps the records and the cancellations current, and stops where no worker needs a proxy. */
+  /** Keeps the records and the cancellations current, and stops the proxy if no worker needs it. */
   public void tick() {
-    cancellationFollower.retryFailed();
+    cancellationWatcher.retryFailed();
     redirectedMs.values().removeIf(sentMs -> context.nowMs() - sentMs > context.workerLeaseMs());
     if (!active) {
       return;
     }
-    if (isUnused()) {
+    if (haveRenewedLeasesExpired()) {
       LOG.info("lease-proxy-stopped");
       records.release();
       stop();
@@ -175,8 +187,8 @@
     records.tick();
   }
 
-  /** Whether every lease that this node renewed has expired. */
-  private boolean isUnused() {
+  /** Returns whether every worker lease that this node renewed has expired. */
+  private boolean haveRenewedLeasesExpired() {
     long leaseMs = ControllerContext.withClockDrift(context.workerLeaseMs());
     return context.nowMs() - lastAnswerMs > leaseMs + context.stepMs();
   }
--- a/src/main/java/eiderfork/controller/workers/LeaseProxyRecords.java
+++ b/src/main/java/eiderfork/controller/workers/LeaseProxyRecords.java
@@ -15,42 +15,45 @@
 import java.util.Set;
 
 /**
- * The stored records that name the machines whose leases this node renews, and the store lease
- * under which they stand.
+ * The stored records that name the machines whose leases this node renews, and the store lease to
+ * which they are attached.
  */
 final class LeaseProxyRecords {
-  /** The store lease's time to live, in worker leases; one that is renewed now fits within. */
+  /**
+   * The store lease's time to live, as a multiple of the worker lease, so that a worker lease
+   * renewed now ends before the store lease.
+   */
   private static final int TTL_WORKER_LEASES = 3;
 
   private static final int RENEWALS_PER_TTL = 6;
 
-  /** How much of a stored value the names of a record may fill. */
+  /** The fraction of the maximum size of a stored value that the names in a record may fill. */
   private static final double MAX_VALUE_SHARE = 0.8;
 
-  /** Quotes and comma around a name. */
-  private static final int BYTES_AROUND_NAME = 3;
+  /** The quotes and the comma around a name, in bytes. */
+  private static final int NAME_OVERHEAD_BYTES = 3;
 
   private static final int BYTES_PER_KB = 1024;
 
   private static final int STATUS_LEASE_NOT_FOUND = 404;
   private static final int STATUS_LEASE_INVALID = 400;
-  private static final long NO_LEASE = 0;
+  private static final long NO_LEASE_ID = 0;
 
   private final ControllerContext context;
   private final StoreClient store;
   private final String keyPrefix;
   private final long ttlMs;
 
-  /** Machines that a committed record names. */
+  /** The machines that are named by committed records. */
   private final Set<String> recordedMachines = new HashSet<>();
 
-  /** Machines that the next record will name. */
+  /** The machines to be named by the next records. */
   private final Set<String> pendingMachines = new LinkedHashSet<>();
 
-  /** Counts resets, so that replies to requests from before them are ignored. */
+  /** The number of resets. A reply to a request of an earlier generation is ignored. */
   private long generation;
 
-  private long storeLease = NO_LEASE;
+  private long storeLeaseId = NO_LEASE_ID;
   private long leaseValidUntilMs;
   private long nextRenewMs;
   private boolean leaseRequestInFlight;
@@ -61,7 +64,8 @@
   LeaseProxyRecords(ControllerContext context, StoreClient store) {
     this.context = context;
     this.store = store;
-    // Unique to this process: a late write of an earlier one must not change its records.
+    // Unique to this process, so that a delayed write of an earlier process cannot change its
+    // records.
     keyPrefix =
         StoreKeys.LEASE_PROXY_PREFIX
             + context.settings.nodeName()
@@ -71,32 +75,32 @@
     ttlMs = TTL_WORKER_LEASES * context.workerLeaseMs();
   }
 
-  /** Whether a committed record names the machine. */
+  /** Returns whether a committed record names the machine. */
   boolean isRecorded(String machineName) {
     return recordedMachines.contains(machineName);
   }
 
-  /** How many machines committed records name. */
+  /** Returns the number of machines that committed records name. */
   int recordedMachineCount() {
     return recordedMachines.size();
   }
 
-  /** Whether the records surely stand until after the given time. */
+  /** Returns whether the records are certain to outlast the given time. */
   boolean isValidUntil(long endMs) {
     return endMs < leaseValidUntilMs;
   }
 
-  /** Names the machine in the next record. */
+  /** Adds the machine to the next record. */
   void add(String machineName) {
     pendingMachines.add(machineName);
   }
 
-  /** Renews the store lease and writes the next record where that is due. */
+  /** Renews the store lease and writes the next record, each if it is due. */
   void tick() {
     if (!leaseRequestInFlight && context.nowMs() >= nextRenewMs) {
       renewLease();
     }
-    if (storeLease != NO_LEASE
+    if (storeLeaseId != NO_LEASE_ID
         && !writeInFlight
         && !pendingMachines.isEmpty()
         && context.nowMs() >= nextWriteMs) {
@@ -106,17 +110,19 @@
 
   /** Releases the store lease, which removes the records. */
   void release() {
-    if (storeLease != NO_LEASE) {
-      store.send(new StoreRequest.Release(storeLease), RequestPriority.LEASE, reply -> {});
+    if (storeLeaseId != NO_LEASE_ID) {
+      store.send(new StoreRequest.Release(storeLeaseId), RequestPriority.LEASE, reply -> {});
     }
   }
 
-  /** Forgets all machines and the store lease; the records stand until the lease expires. */
+  /**
+   * Discards all machines and the store lease. The stored records remain until the lease expires.
+   */
   void reset() {
     generation++;
     recordedMachines.clear();
     pendingMachines.clear();
-    storeLease = NO_LEASE;
+    storeLeaseId = NO_LEASE_ID;
     leaseValidUntilMs = 0;
     leaseRequestInFlight = false;
     writeInFlight = false;
@@ -127,24 +133,24 @@
   private void renewLease() {
     leaseRequestInFlight = true;
     long requestedMs = context.nowMs();
-    long renewedLease = storeLease;
-    long ofGeneration = generation;
+    long renewedLeaseId = storeLeaseId;
+    long requestGeneration = generation;
     store.send(
-        renewedLease == NO_LEASE
+        renewedLeaseId == NO_LEASE_ID
             ? new StoreRequest.Grant(ttlMs)
-            : new StoreRequest.Renew(renewedLease),
+            : new StoreRequest.Renew(renewedLeaseId),
         RequestPriority.LEASE,
         reply -> {
-          if (ofGeneration == generation) {
-            onLeaseReply(reply, renewedLease, requestedMs);
+          if (requestGeneration == generation) {
+            onLeaseReply(reply, renewedLeaseId, requestedMs);
           }
         });
   }
 
-  private void onLeaseReply(Reply reply, long renewedLease, long requestedMs) {
+  private void onLeaseReply(Reply reply, long renewedLeaseId, long requestedMs) {
     leaseRequestInFlight = false;
     if (reply instanceof Reply.Leased leased) {
-      storeLease = renewedLease == NO_LEASE ? leased.leaseId() : renewedLease;
+      storeLeaseId = renewedLeaseId == NO_LEASE_ID ? leased.leaseId() : renewedLeaseId;
       long driftMs = ControllerContext.withClockDrift(ttlMs) - ttlMs;
       leaseValidUntilMs = requestedMs + ttlMs - driftMs;
       nextRenewMs = requestedMs + ttlMs / RENEWALS_PER_TTL;
@@ -156,9 +162,12 @@
     }
   }
 
-  /** The records are gone with their lease; the machines that they named need new ones. */
+  /**
+   * Queues the recorded machines for new records, because the store removed the old ones with their
+   * lease.
+   */
   private void onLeaseLost() {
-    storeLease = NO_LEASE;
+    storeLeaseId = NO_LEASE_ID;
     leaseValidUntilMs = 0;
     pendingMachines.addAll(recordedMachines);
     recordedMachines.clear();
@@ -168,30 +177,30 @@
     writeInFlight = true;
     nextWriteMs = context.nowMs() + context.stepMs() / 2;
     ImmutableList<String> batch = nextBatch();
-    long underLease = storeLease;
-    long ofGeneration = generation;
+    long writeLeaseId = storeLeaseId;
+    long requestGeneration = generation;
     String key = keyPrefix + ++recordCount;
     store.send(
         new StoreRequest.Transaction(
-            // Each key is written once, so that a late write removes no name.
+            // Each key is written only once, so that a delayed write cannot remove names.
             ImmutableList.of(new StoreRequest.Condition(key, 0)),
             ImmutableList.of(
-                new StoreRequest.Change(key, new StoredRecord.ProxiedLeases(batch), underLease))),
+                new StoreRequest.Change(key, new StoredRecord.ProxiedLeases(batch), writeLeaseId))),
         RequestPriority.LEASE,
         reply -> {
-          if (ofGeneration == generation) {
-            onWriteReply(reply, batch, underLease);
+          if (requestGeneration == generation) {
+            onWriteReply(reply, batch, writeLeaseId);
           }
         });
   }
 
-  /** As many pending machines as fit into one stored value. */
+  /** Returns as many pending machines as fit into one stored value. */
   private ImmutableList<String> nextBatch() {
     List<String> batch = new ArrayList<>();
-    double leftBytes = context.settings.safeValueKb() * BYTES_PER_KB * MAX_VALUE_SHARE;
+    double remainingBytes = context.settings.safeValueKb() * BYTES_PER_KB * MAX_VALUE_SHARE;
     for (String name : pendingMachines) {
-      leftBytes -= name.length() + BYTES_AROUND_NAME;
-      if (leftBytes < 0) {
+      remainingBytes -= name.length() + NAME_OVERHEAD_BYTES;
+      if (remainingBytes < 0) {
         break;
       }
       batch.add(name);
@@ -199,9 +208,9 @@
     return ImmutableList.copyOf(batch);
   }
 
-  private void onWriteReply(Reply reply, ImmutableList<String> batch, long underLease) {
+  private void onWriteReply(Reply reply, ImmutableList<String> batch, long writeLeaseId) {
     writeInFlight = false;
-    if (reply instanceof Reply.Committed && storeLease == underLease) {
+    if (reply instanceof Reply.Committed && storeLeaseId == writeLeaseId) {
       recordedMachines.addAll(batch);
       batch.forEach(pendingMachines::remove);
     } else if (reply instanceof Reply.Refused refused && refused.status() == STATUS_LEASE_INVALID) {
--- a/src/main/java/eiderfork/controller/workers/MachineLiveness.java
+++ b/src/main/java/eiderfork/controller/workers/MachineLiveness.java
@@ -4,61 +4,70 @@
 import eiderfork.controller.election.LeaderElection;
 import eiderfork.controller.registry.MachineState;
 
-/** Judges whether machines are reachable, take this leader's commands and may get tasks. */
+/** Determines whether machines are reachable, execute this leader's commands and may get tasks. */
 public final class MachineLiveness {
-  /** The longest time between two heartbeats of a worker, in heartbeat intervals. */
+  /**
+   * The longest time between two heartbeats of a worker, as a multiple of the heartbeat interval.
+   */
   private static final double MAX_HEARTBEAT_INTERVALS = 1.25;
 
-  /** Allows for a heartbeat that was lost or went to another node first. */
+  /** Additional time for a heartbeat that was lost or that went to another node first, in steps. */
   private static final double HEARTBEAT_GRACE_STEPS = 1.35;
 
-  /** This many unanswered direct commands in a row make a machine unschedulable. */
+  /** The number of consecutive unanswered direct commands that makes a machine unschedulable. */
   private static final int MAX_UNANSWERED_COMMANDS = 2;
 
   private final ControllerContext context;
   private final LeaderElection election;
 
-  /** Judges machines by the terms of this election. */
+  /** Creates an instance that takes this leader's term from the given election. */
   public MachineLiveness(ControllerContext context, LeaderElection election) {
     this.context = context;
     this.election = election;
   }
 
-  /** After how long without a heartbeat a machine counts as silent. */
+  /** Returns the time without a heartbeat after which a machine counts as silent. */
   public long heartbeatTimeoutMs() {
     return (long)
         (context.heartbeatIntervalMs() * MAX_HEARTBEAT_INTERVALS
             + context.stepMs() * HEARTBEAT_GRACE_STEPS);
   }
 
-  /** Whether the worker has seen a token of this term, and so drops earlier leaders' commands. */
+  /**
+   * Returns whether the worker has reported a fencing token of this term, and so rejects commands
+   * of earlier leaders.
+   */
   boolean hasTokenOfTerm(MachineState machine) {
     return machine.lastHeartbeat() != null
         && machine.lastHeartbeat().fencingToken() >= election.firstFencingToken();
   }
 
-  /** Whether the machine's newest heartbeat is recent enough that it is not silent. */
+  /** Returns whether the machine's newest heartbeat is within the heartbeat timeout. */
   public boolean hasRecentHeartbeat(MachineState machine) {
     return machine.incarnation().lastHeartbeatMs() > 0
         && context.nowMs() - machine.incarnation().lastHeartbeatMs() <= heartbeatTimeoutMs();
   }
 
-  /** How long ago the machine last sent a heartbeat or was answered in this term. */
+  /** Returns the time since the machine last sent a heartbeat or was answered in this term. */
   public long timeSinceLastContactMs(MachineState machine) {
     return context.nowMs()
         - Math.max(machine.incarnation().lastHeartbeatMs(), machine.incarnation().leaseStartMs());
   }
 
-  /** Whether heartbeats arrive from the machine but commands do not reach it. */
+  /**
+   * Returns whether the machine sends heartbeats but commands have not reached it for longer than
+   * the heartbeat timeout.
+   */
   public boolean isUnresponsive(MachineState machine) {
     return machine.commandChannel().unresponsiveSinceMs() > 0
         && context.nowMs() - machine.commandChannel().unresponsiveSinceMs() > heartbeatTimeoutMs();
   }
 
   /**
-   * Whether tasks may start on the machine. The lease must be valid, too: a worker that is reached
-   * by direct commands alone still sends heartbeats after its lease has expired, and what would
-   * start then would be settled together with the tasks that the expiry has ended.
+   * Returns whether tasks may start on the machine. This requires a lease that is still valid. A
+   * worker that is reached by direct commands alone still sends heartbeats after its lease has
+   * expired, and a task started then would be settled together with the tasks that the expiry has
+   * ended.
    */
   public boolean isSchedulable(MachineState machine) {
     return isInService(machine)
@@ -73,9 +82,9 @@
   }
 
   /**
-   * Whether capacity that is being freed on the machine may be waited for: the machine is in
-   * service and has answered all commands. It may be silent: after a failover workers send no
-   * heartbeat for seconds while they look for the leader.
+   * Returns whether it makes sense to wait for capacity that is being freed on the machine: the
+   * machine is in service and has answered all commands. It may be silent, because after a failover
+   * workers send no heartbeat for seconds while they look for the leader.
    */
   public boolean canHoldClaims(MachineState machine) {
     return isInService(machine) && machine.commandChannel().unansweredCommands() == 0;
--- a/src/main/java/eiderfork/controller/workers/ReservationReconciler.java
+++ b/src/main/java/eiderfork/controller/workers/ReservationReconciler.java
@@ -17,7 +17,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Updates reservations from heartbeats, and settles those that a heartbeat proves ended. */
+/**
+ * Updates reservations from heartbeats, and settles the reservations of tasks that a heartbeat
+ * shows to have ended.
+ */
 final class ReservationReconciler {
   private static final Logger LOG = LoggerFactory.getLogger(ReservationReconciler.class);
 
@@ -74,7 +77,10 @@
     }
   }
 
-  /** A new leader learns from the tasks which images a machine has. */
+  /**
+   * Updates the machine's images from a task's state. This is how a new leader learns which images
+   * a machine has.
+   */
   private void reconcileImage(MachineState machine, Reservation reservation, TaskStatus task) {
     String image = reservation.job().spec().image();
     if (task.state() == TaskStatus.State.RUNNING && reservation.runningSinceMs() == 0) {
@@ -89,8 +95,9 @@
   }
 
   /**
-   * A task that checkpoints was stopped, if not by this leader then by an earlier one. A new leader
-   * must not count it as one that goes on, or it would preempt another one in its place.
+   * Records that a task is checkpointing. Such a task was told to stop, by this leader or an
+   * earlier one. A new leader must not count it as one that continues to run, or it would preempt
+   * another task in its place.
    */
   private void reconcileCheckpoint(Reservation reservation) {
     reservation.onSavingReported(context.nowMs());
@@ -106,8 +113,8 @@
     }
     Double terminationNoticeS = machine.lastHeartbeat().terminationNoticeS();
     if (reservation.reportedState() == TaskStatus.State.CHECKPOINTING) {
-      // An earlier leader has begun to stop the gang; a task that is not stopped in time fails the
-      // checkpoint of all.
+      // An earlier leader has begun to stop the gang. The checkpoint of the whole gang fails if one
+      // of its tasks is not stopped in time.
       reservation.job().gang().requestSave();
       jobs.refreshIndexes(reservation.job());
     } else if (terminationNoticeS != null
@@ -129,12 +136,13 @@
       jobs.settle(reservation, false);
       requestRound.run();
     } else if (reservation.startToken() >= machine.commandChannel().fencingToken()) {
-      // Outdates the unanswered start, so that its absence can be believed.
+      // Invalidates the unanswered start, so that a later heartbeat without the task proves that it
+      // does not run.
       raiseFencingToken(machine);
     }
   }
 
-  /** Whether a start that is still on its way would be dropped by the worker. */
+  /** Returns whether the worker would reject a start command that is still in flight. */
   private boolean isStartOutdated(Heartbeat heartbeat, Reservation reservation) {
     boolean isLaterIncarnation =
         reservation.startIncarnation() > 0
@@ -184,13 +192,13 @@
         task.cause());
   }
 
-  /** Raises the fencing token, so that no unanswered command is executed any more. */
+  /** Raises the fencing token, so that the worker rejects all unanswered commands. */
   void raiseFencingToken(MachineState machine) {
     machine.commandChannel().raiseTokenAbove(election.firstFencingToken());
     machine.requestCommand();
   }
 
-  /** The machine is given this task's image, or shows that it has it. */
+  /** Records that the machine fetches the task's image or reports that it has it. */
   void recordImageUse(MachineState machine, Reservation reservation) {
     MachineType type = fleet.typeOf(machine);
     String image = reservation.job().spec().image();
--- a/src/main/java/eiderfork/controller/workers/WorkerCommander.java
+++ b/src/main/java/eiderfork/controller/workers/WorkerCommander.java
@@ -14,8 +14,8 @@
 import eiderfork.model.WorkerCommand;
 
 /**
- * The leader's side of the worker protocol: answers heartbeats, and brings what workers run and
- * what is reserved on their machines together.
+ * The leader's side of the worker protocol: answers heartbeats, and sends the commands that make
+ * the tasks on each worker match the reservations on its machine.
  */
 public final class WorkerCommander {
   private final ControllerContext context;
@@ -31,9 +31,10 @@
   private final DirectCommandSender directCommands;
 
   /**
-   * Makes a commander that commands nothing before its node is elected and recovered.
+   * Creates a commander that sends no commands until its node is elected and its state is
+   * recovered.
    *
-   * @param requestRound is called where a scheduling round has something new to place
+   * @param requestRound requests a scheduling round, called when there is something new to place
    */
   public WorkerCommander(
       ControllerContext context,
@@ -69,7 +70,7 @@
             heartbeatRecorder);
   }
 
-  /** This node is elected leader; its state is not recovered yet. */
+  /** Starts a term in which this node leads and its state is not recovered yet. */
   public void onElected() {
     permission.onElected();
     leaseExpiry.onElected();
@@ -77,7 +78,7 @@
     directCommands.onElected();
   }
 
-  /** The leader's state is recovered from the store. */
+  /** Allows all commands, once the leader's state is recovered from the store. */
   public void onRecovered() {
     permission.onRecovered();
   }
@@ -87,10 +88,10 @@
     reconciler.reconcile(machine);
   }
 
-  /** Handles a heartbeat that a worker sent to this node, which leads. */
+  /** Handles a heartbeat that a worker sent to this node, which must be the leader. */
   public void handleHeartbeat(long ticket, Heartbeat heartbeat) {
     if (heartbeat.fencingToken() >= election.endOfFencingTokens()) {
-      // A later leader commands this worker, so this one's term is over.
+      // The token was issued by a later leader, so this node's term is over.
       election.observeTerm(heartbeat.fencingToken() >> LeaderElection.TOKEN_SEQUENCE_BITS);
       context.emit(new Effect.RedirectWorker(ticket, null));
     } else if (fleet.isRemoved(heartbeat.machine().name())) {
@@ -106,23 +107,23 @@
     boolean isNewest = heartbeatRecorder.record(machine, heartbeat, false);
     channel.issueFirstToken(election.firstFencingToken() + 1);
     fleet.renewLease(machine);
-    heartbeatRecorder.contradictSkippedSearch(machine);
+    heartbeatRecorder.invalidateSkippedSearches(machine);
     ImmutableList<WorkerCommand> commands = ImmutableList.of();
-    // A response could overtake direct commands that are in flight.
+    // A response with commands could overtake direct commands that are in flight.
     if (isNewest && !machine.isReconciled() && !channel.isCommandInFlight()) {
       commands =
           permission.canCommand()
               ? commandBuilder.build(machine)
               : commandBuilder.stopsOfCancelledJobs(machine);
-      leaseLog.commandsSent(machine, commands, false);
+      leaseLog.logCommandsSent(machine, commands, false);
     }
     context.emit(new Effect.RespondToWorker(ticket, channel.fencingToken(), commands));
   }
 
   /**
-   * A job turned out to be cancelled: its reported tasks are to stop. A recovered leader that has
-   * the job in memory stops them by their reservations instead, and tasks without one at the next
-   * heartbeat.
+   * Requests commands for the workers that report live tasks of a cancelled job. If the leader is
+   * recovered and has the job in memory, its tasks are stopped through their reservations instead;
+   * a task without a reservation is stopped at the next heartbeat.
    */
   public void onJobCancelled(String uid) {
     if (permission.isRecovered() && jobs.get(uid) != null) {
@@ -137,7 +138,7 @@
     }
   }
 
-  /** Settles expired leases and sends the direct commands that are due. */
+  /** Settles expired leases, and sends the direct commands that are due. */
   public void tick() {
     if (permission.isRecovered()) {
       leaseExpiry.settleExpired();
--- a/src/main/java/eiderfork/controller/workers/WorkerLeaseLog.java
+++ b/src/main/java/eiderfork/controller/workers/WorkerLeaseLog.java
@@ -10,14 +10,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Logs workers' incarnations and leases: what was known of them when tasks were settled or started.
- * Since a partition can end thousands of leases at once, the lines of a step are limited and the
- * rest is counted.
+ * Logs the incarnations and leases of workers, with the state on which decisions to settle or start
+ * tasks were based. A network partition can end thousands of leases at once, so the number of log
+ * lines per step is limited and further ones are only counted.
  */
 public final class WorkerLeaseLog {
   private static final Logger LOG = LoggerFactory.getLogger(WorkerLeaseLog.class);
 
-  /** The most lines that are written in a step. */
+  /** The maximum number of log lines per step. */
   private static final int MAX_LINES_PER_STEP = 20;
 
   private static final long SUMMARY_INTERVAL_MS = 60_000;
@@ -40,12 +40,12 @@
   private long stepEndsMs;
   private long nextSummaryMs;
 
-  /** Makes a log with all counts at 0. */
+  /** Creates a log with all counters at 0. */
   public WorkerLeaseLog(ControllerContext context) {
     this.context = context;
   }
 
-  /** Sets all counts to 0, as a term begins. */
+  /** Resets all counters. */
   void reset() {
     startedByHeartbeat = 0;
     startedByCommand = 0;
@@ -57,26 +57,33 @@
     suppressedLines = 0;
   }
 
-  /** How many incarnations were first seen in a command reply since the last summary. */
+  /**
+   * Returns the number of incarnations that were first seen in a command reply since the last
+   * summary.
+   */
   public long startedByCommand() {
     return startedByCommand;
   }
 
-  /** How many expired leases were renewed after the proxy records were requested. */
+  /**
+   * Returns the number of expired leases since the last summary that were renewed or replaced after
+   * the proxy records were requested.
+   */
   public long staleReads() {
     return staleReads;
   }
 
-  /** How many lines were suppressed since the last summary. */
+  /** Returns the number of log lines that were suppressed since the last summary. */
   public long suppressedLines() {
     return suppressedLines;
   }
 
   /**
-   * A worker shows another incarnation than before.
+   * Records that a worker reports a new incarnation.
    *
-   * @param previousLeaseStartMs the latest time from which the previous lease may have run
-   * @param byCommand whether the reply to a direct command shows it
+   * @param previousLeaseStartMs the latest time from which the previous incarnation's lease may
+   *     have run
+   * @param byCommand whether the reply to a direct command reported it
    */
   public void recordIncarnationStart(
       MachineState machine,
@@ -103,14 +110,16 @@
   }
 
   /**
-   * A lease has surely expired, and the reservations on the machine are settled.
+   * Records that a lease is certain to have expired and that the reservations on the machine are
+   * settled.
    *
-   * @param readMs how long the read of the lease proxies' records took, 0 for none
+   * @param proxyReadMs the duration of the read of the lease proxies' records, or 0 if none was
+   *     needed
    */
-  void leaseExpired(MachineState machine, long readMs) {
+  void recordExpiredLease(MachineState machine, long proxyReadMs) {
     int running = 0;
-    for (Reservation task : machine.reservations()) {
-      running += task.reportedState() == TaskStatus.State.RUNNING ? 1 : 0;
+    for (Reservation reservation : machine.reservations()) {
+      running += reservation.reportedState() == TaskStatus.State.RUNNING ? 1 : 0;
     }
     expiredLeases++;
     settledTasks += machine.reservations().size();
@@ -123,24 +132,27 @@
           machine.incarnation().number(),
           context.nowMs() - machine.incarnation().leaseStartMs(),
           context.nowMs() - machine.incarnation().lastHeartbeatMs(),
-          readMs,
+          proxyReadMs,
           machine.reservations().size(),
           running);
     }
   }
 
-  /** An expired lease is kept, since a lease proxy may have renewed it. */
-  void keptByProxy() {
+  /** Records that an expired lease is not settled because a lease proxy may have renewed it. */
+  void recordKeptByProxy() {
     keptByProxy++;
   }
 
-  /** An expired lease is kept, since it was renewed or replaced after the read was sent. */
-  void staleRead() {
+  /**
+   * Records that an expired lease is not settled because it was renewed or replaced after the read
+   * of the proxy records was sent.
+   */
+  void recordStaleRead() {
     staleReads++;
   }
 
-  /** Commands are sent to a worker, in response to its heartbeat or directly. */
-  void commandsSent(MachineState machine, List<WorkerCommand> commands, boolean sentDirectly) {
+  /** Logs commands that are sent to a worker, in response to its heartbeat or directly. */
+  void logCommandsSent(MachineState machine, List<WorkerCommand> commands, boolean sentDirectly) {
     if (LOG.isDebugEnabled() && !commands.isEmpty()) {
       LOG.debug(
           "commands-sent machine={} incarnation={} fencingToken={} sentBy={} sinceHeartbeatMs={}"
@@ -155,7 +167,7 @@
     }
   }
 
-  /** Logs the counts since the last summary once a minute, where anything happened. */
+  /** Logs and resets the counters once a minute; logs nothing if no event was counted. */
   void logSummaryIfDue() {
     if (context.nowMs() < nextSummaryMs) {
       return;
--- a/src/main/java/eiderfork/controller/workers/WorkerReachability.java
+++ b/src/main/java/eiderfork/controller/workers/WorkerReachability.java
@@ -11,22 +11,30 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Which workers send heartbeats to this node. A leader that most of them can't reach resigns in
- * favour of a peer that more of them reach.
+ * Tracks which workers send heartbeats to this node. A leader that most workers cannot reach
+ * resigns if a peer reaches more of them.
  */
 public final class WorkerReachability {
   private static final Logger LOG = LoggerFactory.getLogger(WorkerReachability.class);
 
-  /** How long a new leader waits for the first heartbeat of any machine, in steps. */
-  private static final int FIRST_HEARTBEATS_STEPS = 4;
+  /** The time for which a new leader waits for the first heartbeat of any machine, in steps. */
+  private static final int FIRST_HEARTBEAT_WAIT_STEPS = 4;
 
-  /** How long workers may take to find a new leader: a response time-out and a heartbeat. */
-  private static final int RECONNECT_STEPS = 6;
+  /**
+   * The time in which workers find a new leader, in steps: a response timeout and a heartbeat
+   * interval.
+   */
+  private static final int RECONNECT_WAIT_STEPS = 6;
 
-  /** Of fewer machines all may be silent by chance. */
+  /**
+   * The minimum number of known machines for which silence of all counts as a network failure;
+   * fewer may all be silent by chance.
+   */
   private static final int MIN_MACHINES_FOR_SILENCE = 3;
 
-  /** Of fewer machines the reachable ones say nothing of the network. */
+  /**
+   * The minimum number of machines for which the reachable share says anything about the network.
+   */
   private static final int MIN_MACHINES_FOR_MAJORITY = 2;
 
   private final ControllerContext context;
@@ -36,7 +44,7 @@
   private final PeerMonitor peers;
   private final LeaseProxy leaseProxy;
 
-  /** When each machine last sent a heartbeat here, whether this node leads or not. */
+  /** The time of each machine's last heartbeat to this node, whether this node led or not. */
   private final Map<String, Long> lastHeartbeatMs = new HashMap<>();
 
   private long lastCountMs;
@@ -44,7 +52,7 @@
   private long electedMs;
   private long resumedMs;
 
-  /** Makes a monitor that has seen no worker. */
+  /** Creates a monitor that has seen no worker. */
   public WorkerReachability(
       ControllerContext context,
       LeaderElection election,
@@ -60,27 +68,35 @@
     this.leaseProxy = leaseProxy;
   }
 
-  /** This node leads now. */
+  /** Records the start of a term in which this node leads. */
   public void onElected() {
     electedMs = context.nowMs();
   }
 
-  /** A heartbeat of the machine arrived here. */
+  /** Records that a heartbeat of the machine arrived at this node. */
   void recordHeartbeat(String machineName) {
     lastHeartbeatMs.put(machineName, context.nowMs());
   }
 
-  /** How many machines send heartbeats here, counted once in half a step. */
+  /**
+   * Returns the number of machines that send heartbeats to this node and whose leases it does not
+   * proxy, updated every half step.
+   */
   public int reachableMachineCount() {
     if (context.nowMs() - lastCountMs >= context.stepMs() / 2) {
       lastCountMs = context.nowMs();
-      lastHeartbeatMs.values().removeIf(at -> context.nowMs() - at > liveness.heartbeatTimeoutMs());
+      lastHeartbeatMs
+          .values()
+          .removeIf(receivedMs -> context.nowMs() - receivedMs > liveness.heartbeatTimeoutMs());
     }
-    // Machines whose leases this node proxies don't need it to lead.
+    // Machines whose leases this node proxies do not need this node to lead.
     return Math.max(0, lastHeartbeatMs.size() - leaseProxy.proxiedMachineCount());
   }
 
-  /** Resigns where workers can't reach this leader but reach a peer. */
+  /**
+   * Resigns if workers cannot reach this leader and a peer may serve them instead. Checked every
+   * half step.
+   */
   public void resignIfUnreachable() {
     if (context.nowMs() < nextCheckMs) {
       return;
@@ -88,29 +104,29 @@
     boolean wasSuspended = context.nowMs() - nextCheckMs > context.stepMs();
     nextCheckMs = context.nowMs() + context.stepMs() / 2;
     if (wasSuspended) {
-      // Heartbeats that arrived meanwhile are still unread.
+      // Heartbeats that arrived during the pause have not been read yet.
       resumedMs = context.nowMs();
     }
     MachineCounts counts = countMachines();
-    if (isCutOffFromAll(counts)) {
+    if (hasLostAllWorkers(counts)) {
       LOG.warn("workers-unreachable machines={}", counts.known);
       election.resign(context.workerLeaseMs());
-    } else if (isBehindPeer(counts)) {
+    } else if (peerReachesMoreWorkers(counts)) {
       LOG.warn(
           "peer-reaches-more-workers reachable={} machines={}", counts.reachable, counts.known);
       election.resign(context.workerLeaseMs());
-    } else if (isUnknownToWorkers(counts)) {
+    } else if (hasNoWorkerConnected(counts)) {
       LOG.warn("no-worker-connected machinesWithTasks={}", counts.withTasks);
       election.resign(context.workerLeaseMs());
     }
   }
 
   /**
-   * Machines by what this leader knows of them.
+   * Counts of machines, as this leader knows them.
    *
-   * @param known have sent a heartbeat in this term and are not being returned
-   * @param reachable have sent one lately
-   * @param withTasks hold reservations
+   * @param known machines that have sent a heartbeat in this term and are not being scaled in
+   * @param reachable known machines that have sent a heartbeat recently
+   * @param withTasks machines with reservations
    */
   private record MachineCounts(int known, int reachable, int withTasks) {}
 
@@ -129,57 +145,63 @@
   }
 
   /**
-   * All workers are silent at once, so that this node is cut off and not they. Peers need not have
-   * heartbeats yet: workers wait here for an answer before they try the next node, and half of
-   * their lease would be over by then.
+   * Returns whether all workers are silent at once, which means that this node is cut off rather
+   * than the workers. The peers need not have received heartbeats yet: workers wait for this node's
+   * response before they try the next node, and half of their lease would be over by then.
    */
-  private boolean isCutOffFromAll(MachineCounts counts) {
+  private boolean hasLostAllWorkers(MachineCounts counts) {
     return counts.known >= MIN_MACHINES_FOR_SILENCE
         && counts.reachable == 0
         && hasRunLongEnough()
         && peers.isAnyServedByStore();
   }
 
-  private boolean isBehindPeer(MachineCounts counts) {
+  private boolean peerReachesMoreWorkers(MachineCounts counts) {
     return counts.known >= MIN_MACHINES_FOR_MAJORITY
         && counts.reachable * 2 < counts.known
-        && hasReconnectTimePassed()
+        && hasReconnectWaitPassed()
         && peers.hasPeerWithMoreMachines(counts.reachable);
   }
 
-  /** The leader was cut off from the workers when it was elected, and knows none of them. */
-  private boolean isUnknownToWorkers(MachineCounts counts) {
+  /**
+   * Returns whether no worker has sent a heartbeat in this term although machines have tasks and a
+   * peer receives heartbeats. The leader was then cut off from the workers when it was elected.
+   */
+  private boolean hasNoWorkerConnected(MachineCounts counts) {
     return counts.known == 0
         && counts.withTasks >= MIN_MACHINES_FOR_MAJORITY
-        && hasFirstHeartbeatsTimePassed()
+        && hasFirstHeartbeatWaitPassed()
         && peers.hasPeerWithMoreMachines(minMachinesAtPeer());
   }
 
   /**
-   * More machines than this have to reach a peer. After a while one is enough: where the previous
-   * leader can't reach the store, workers try all nodes in turn, and each is seldom seen at the one
-   * that could lead.
+   * Returns the number of machines that a peer must exceed to take over from a leader without
+   * workers. After some time one machine at the peer is enough: if the previous leader cannot reach
+   * the store, workers try all nodes in turn, so each is rarely seen at the node that could lead.
    */
   private int minMachinesAtPeer() {
-    return context.nowMs() - electedMs > 2 * FIRST_HEARTBEATS_STEPS * context.stepMs() ? 0 : 1;
+    return context.nowMs() - electedMs > 2 * FIRST_HEARTBEAT_WAIT_STEPS * context.stepMs() ? 0 : 1;
   }
 
   /**
-   * Whether this node has led, and run without a pause, for long enough that missing heartbeats are
-   * not of its own making. Where no worker reaches any node, this keeps the lead from moving to and
-   * fro.
+   * Returns whether this node has led, and run without a pause, for so long that missing heartbeats
+   * are not its own fault. If no worker can reach any node, this prevents the leadership from
+   * moving back and forth.
    */
   private boolean hasRunLongEnough() {
     return context.nowMs() - Math.max(electedMs, resumedMs) > context.workerLeaseMs();
   }
 
-  /** Whether workers that waited for a response elsewhere have had the time to reconnect here. */
-  private boolean hasReconnectTimePassed() {
-    return context.nowMs() - electedMs > RECONNECT_STEPS * context.stepMs();
+  /**
+   * Returns whether workers that were waiting for another node's response have had enough time to
+   * reconnect to this node.
+   */
+  private boolean hasReconnectWaitPassed() {
+    return context.nowMs() - electedMs > RECONNECT_WAIT_STEPS * context.stepMs();
   }
 
-  /** Whether workers that can reach this node have had the time to find it. */
-  private boolean hasFirstHeartbeatsTimePassed() {
-    return context.nowMs() - electedMs > FIRST_HEARTBEATS_STEPS * context.stepMs();
+  /** Returns whether workers that can reach this node have had enough time to find it. */
+  private boolean hasFirstHeartbeatWaitPassed() {
+    return context.nowMs() - electedMs > FIRST_HEARTBEAT_WAIT_STEPS * context.stepMs();
   }
 }
--- a/src/main/java/eiderfork/controller/workers/WorkerRedirector.java
+++ b/src/main/java/eiderfork/controller/workers/WorkerRedirector.java
@@ -7,12 +7,13 @@
 import java.util.Map;
 
 /**
- * Chooses the node that a worker is redirected to which this node does not answer.
+ * Chooses the node to which a worker is redirected when this node does not answer it.
  *
- * <p>A worker that was served by the leader and comes here could not reach it. Redirected back at
- * once, it would wait there for a response until half of its lease is over. So its heartbeat is
- * deferred while a new leader may be elected, and a worker that returns from the leader again is
- * redirected without a node's name: the next node that it tries may be one that could lead.
+ * <p>A worker that was served by the leader and then contacts this node could not reach the leader.
+ * If it were redirected back at once, it would wait for the leader's response until half of its
+ * lease is over. Its heartbeat is therefore deferred while a new leader may be elected. A worker
+ * that comes back from the leader once more is redirected without a node's name, because the next
+ * node that it tries may be able to lead.
  */
 final class WorkerRedirector {
   /** The last redirect of a worker to the leader. */
@@ -27,7 +28,7 @@
     this.election = election;
   }
 
-  /** Whether a worker with tasks was served by the current leader and has left it. */
+  /** Returns whether a worker with tasks was served by the current leader and has left it. */
   boolean hasLostLeader(Heartbeat heartbeat) {
     return !election.isLeading()
         && election.leader() != null
@@ -36,8 +37,11 @@
         && heartbeat.fencingToken() < election.endOfFencingTokens();
   }
 
-  /** The node that a worker is redirected to, or null for the next one in its own order. */
-  String target(Heartbeat heartbeat) {
+  /**
+   * Returns the node to which the worker is redirected, or null if it should try the next node in
+   * its own order.
+   */
+  String redirectTarget(Heartbeat heartbeat) {
     String leader = election.leader();
     if (leader == null || leader.equals(context.settings.nodeName())) {
       return null;
@@ -52,12 +56,12 @@
     if (!hasReturned) {
       return leader;
     }
-    // The next time it is redirected to the leader again.
+    // Without this entry, the worker's next redirect names the leader again.
     lastRedirects.remove(machineName);
     return null;
   }
 
-  /** Forgets outdated redirects. */
+  /** Removes outdated redirects. */
   void tick() {
     lastRedirects
         .values()
--- a/src/main/java/eiderfork/controller/workers/package-info.java
+++ b/src/main/java/eiderfork/controller/workers/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The dealings with workers: heartbeats, incarnations and leases, commands, and reconciliation of
- * reservations with what workers report. The lease proxy is the part that followers run.
+ * Communication with workers: heartbeats, incarnations and leases, commands, and the reconciliation
+ * of reservations with the tasks that workers report. The lease proxy is the part that followers
+ * run.
  */
 package eiderfork.controller.workers;
