--- a/src/main/java/eiderfork/controller/autoscaling/Autoscaler.java
+++ b/src/main/java/eiderfork/controller/autoscaling/Autoscaler.java
@@ -23,15 +23,18 @@
 import java.util.Map;
 
 /**
- * Plans the size of the fleet: packs waiting tasks, and headroom for arrivals, onto the machines
- * that are in service or on their way, scales out for what is left over, and scales in what nothing
- * was packed on.
+ * Plans the size of the fleet. Packs pending tasks and the headroom for arrivals onto the machines
+ * that are in service or being provisioned, scales out for the tasks that fit on none of them, and
+ * scales in the machines that nothing was packed on.
  */
 public final class Autoscaler {
-  /** The most machines that the protocol lets one rent ask for. */
-  private static final int MAX_RENT_COUNT = 50;
+  /** The maximum number of machines that the cloud protocol allows in one rent request. */
+  private static final int MAX_MACHINES_PER_RENT = 50;
 
-  /** How long a job that seems to fail everywhere waits before a machine is rented for it. */
+  /**
+   * The time, in worker leases, that a job suspected of failing on every machine waits for free
+   * capacity before a machine is rented for it.
+   */
   private static final int SUSPECT_JOB_WAIT_LEASES = 3;
 
   private final ControllerContext context;
@@ -42,14 +45,14 @@
   private final Scheduler scheduler;
   private final MachineConsolidation consolidation;
   private final ArrayParallelism arrayParallelism;
-  private final BootTimeEstimator bootTimes;
+  private final BootDelayDetector bootDelays;
   private final PlannableMachines plannableMachines;
   private final ArrivalForecast arrivals;
   private final ScaleInPolicy scaleInPolicy;
-  private final FleetLog log;
+  private final FleetLog fleetLog;
   private int examinedBins;
 
-  /** Makes an autoscaler that has seen no arrivals. */
+  /** Creates an autoscaler without recorded arrivals. */
   public Autoscaler(
       ControllerContext context,
       StoreClient store,
@@ -67,33 +70,33 @@
     this.scheduler = scheduler;
     consolidation = new MachineConsolidation(context, jobs, fleet, liveness, scheduler);
     arrayParallelism = new ArrayParallelism(context);
-    bootTimes = new BootTimeEstimator(context);
-    plannableMachines = new PlannableMachines(fleet, liveness, cloud, bootTimes);
+    bootDelays = new BootDelayDetector(context);
+    plannableMachines = new PlannableMachines(fleet, liveness, cloud, bootDelays);
     arrivals = new ArrivalForecast(context, fleet);
-    scaleInPolicy = new ScaleInPolicy(context, fleet, liveness, leaseExpiry, cloud, bootTimes);
-    log = new FleetLog(context, store, jobs, fleet, liveness);
+    scaleInPolicy = new ScaleInPolicy(context, fleet, liveness, leaseExpiry, cloud, bootDelays);
+    fleetLog = new FleetLog(context, store, jobs, fleet, liveness);
   }
 
-  /** Forgets what was observed in a term that is over. */
+  /** Discards the arrivals observed in an earlier term. */
   public void reset() {
     arrivals.reset();
   }
 
-  /** A job was submitted. */
+  /** Records the submission of a job for the headroom forecast. */
   public void recordArrival(Job job) {
     arrivals.recordArrival(job);
   }
 
-  /** How many bins the last plan examined. */
+  /** Returns the number of bin examinations in the last plan. */
   public int examinedBins() {
     return examinedBins;
   }
 
-  /** Plans anew and carries the plan out. */
+  /** Computes a new plan and carries it out. */
   public void plan() {
     BinPacking packing = pack();
     examinedBins = packing.examinedBins();
-    log.logIfDue(scheduler.examinedMachines(), examinedBins);
+    fleetLog.logIfDue(scheduler.examinedMachines(), examinedBins);
     scaleOut(packing.binsToRent());
     consolidation.plan(packing, !packing.binsToRent().isEmpty());
     scaleInPolicy.returnUnneeded(packing.existingBins());
@@ -108,10 +111,10 @@
             cloud,
             scheduler.cpusPerGpu(),
             plannableMachines.toBins(),
-            bootTimes.lateKinds(fleet));
+            bootDelays.lateKinds(fleet));
     packQueue(queue, packing);
     packTasksOfSuspectedMachines(packing);
-    arrivals.forEachClass((sampleJob, tasks) -> packHeadroom(sampleJob, tasks, packing));
+    arrivals.forEachJobClass((sampleJob, tasks) -> packHeadroom(sampleJob, tasks, packing));
     return packing;
   }
 
@@ -134,19 +137,20 @@
       return;
     }
     Resources used = usedByTeam.computeIfAbsent(spec.team(), jobs.resourceUsage()::used);
-    int tasks = team.countWithinLimit(used, spec.taskResources(), wantedTasks(job));
+    int tasks = team.countWithinLimit(used, spec.taskResources(), tasksToPlanFor(job));
     if (tasks > 0) {
       Map<String, Integer> tasksByZone = PlacementConstraints.countTasksByZone(job);
-      int placed = packing.place(spec, tasks, tasksByZone, spec.maxTasksPerZone());
-      usedByTeam.put(spec.team(), used.plus(spec.taskResources().times(placed)));
+      int packed = packing.packTasks(spec, tasks, tasksByZone, spec.maxTasksPerZone());
+      usedByTeam.put(spec.team(), used.plus(spec.taskResources().times(packed)));
     }
   }
 
   /**
-   * How many tasks of a job to plan for. A job that seems to fail everywhere is tried on free
-   * capacity; a machine is rented for one task of it only after it found none for long.
+   * Returns the number of a job's tasks to plan capacity for. A job suspected of failing on every
+   * machine is retried on free capacity; a machine is rented for one of its tasks only if it has
+   * found no free capacity for a long time.
    */
-  private int wantedTasks(JobState job) {
+  private int tasksToPlanFor(JobState job) {
     if (!job.failureHistory().isConfirmedSuspect()) {
       return arrayParallelism.tasksToPlanFor(job);
     }
@@ -156,8 +160,9 @@
   }
 
   /**
-   * Packs the tasks of machines that have been silent for a while: they need other machines when
-   * the leases expire, and a machine takes a boot time to come.
+   * Packs replacements for the tasks of machines that are suspected to have failed. These tasks
+   * need other machines when the leases expire, and a new machine is ready only after its boot
+   * time.
    */
   private void packTasksOfSuspectedMachines(BinPacking packing) {
     for (MachineState machine : suspectedMachines()) {
@@ -169,7 +174,10 @@
     }
   }
 
-  /** None where most are suspected: then it is this node that is cut off. */
+  /**
+   * Returns the machines that are suspected to have failed; none if most live machines are
+   * suspected, since then this node is probably the one that is disconnected.
+   */
   private List<MachineState> suspectedMachines() {
     List<MachineState> suspected = new ArrayList<>();
     int live = 0;
@@ -188,16 +196,16 @@
     Job spec = reservation.job().spec();
     Map<String, Integer> tasksByZone = PlacementConstraints.countTasksByZone(reservation.job());
     tasksByZone.merge(reservation.machine().zone(), -1, Integer::sum);
-    packing.place(spec, 1, tasksByZone, spec.maxTasksPerZone());
+    packing.packTasks(spec, 1, tasksByZone, spec.maxTasksPerZone());
   }
 
   private static void packHeadroom(Job sampleJob, int tasks, BinPacking packing) {
-    int maxPerZone = sampleJob.spreadZones() ? (tasks + 1) / 2 : tasks;
-    packing.place(sampleJob, tasks, new HashMap<>(), maxPerZone);
+    int maxTasksPerZone = sampleJob.spreadZones() ? (tasks + 1) / 2 : tasks;
+    packing.packTasks(sampleJob, tasks, new HashMap<>(), maxTasksPerZone);
   }
 
   private void scaleOut(List<Bin> binsToRent) {
-    // While rents wait for the rate limit, further demand is collected into fewer, larger ones.
+    // While earlier rents wait for the rate limit, demand accumulates into fewer, larger rents.
     if (!cloud.hasCompleteListing() || cloud.scaleOut().hasUnsentRents()) {
       return;
     }
@@ -206,12 +214,12 @@
     countByKind.forEach(this::scaleOut);
   }
 
-  /** Rents so many machines of a kind, as far as rents of it may be open at once. */
+  /** Rents {@code count} machines of a kind, in at most as many requests as are allowed at once. */
   private void scaleOut(MachineKind kind, int count) {
     int remaining = count;
     for (int i = 0; i < cloud.scaleOut().maxConcurrentRents(kind) && remaining > 0; i++) {
-      cloud.scaleOut().rent(kind, Math.min(remaining, MAX_RENT_COUNT));
-      remaining -= MAX_RENT_COUNT;
+      cloud.scaleOut().rent(kind, Math.min(remaining, MAX_MACHINES_PER_RENT));
+      remaining -= MAX_MACHINES_PER_RENT;
     }
   }
 }
--- a/src/main/java/eiderfork/controller/autoscaling/Bin.java
+++ b/src/main/java/eiderfork/controller/autoscaling/Bin.java
@@ -5,7 +5,7 @@
 import eiderfork.model.MachineType;
 import eiderfork.model.Resources;
 
-/** A machine that a plan packs tasks on, existing or yet to be rented. */
+/** A machine onto which a plan packs tasks, either existing or yet to be rented. */
 final class Bin {
   private final MachineState machine;
   private final MachineKind kind;
@@ -14,8 +14,8 @@
   private Resources free;
 
   /**
-   * @param machine null for a machine that is yet to be rented, or rented and not known by name
-   * @param free what no reservation takes
+   * @param machine null if the machine is yet to be rented, or rented but not known by name yet
+   * @param free the capacity that no reservation uses
    */
   Bin(MachineState machine, MachineKind kind, Resources capacity, Resources free) {
     this.machine = machine;
@@ -25,17 +25,17 @@
     initialFreeShare = free.shareOf(capacity);
   }
 
-  /** An empty machine that is not known by name yet. */
-  static Bin ofUnnamed(MachineKind kind, MachineType type) {
+  /** Returns a bin for an empty machine that is not known by name yet. */
+  static Bin forUnnamedMachine(MachineKind kind, MachineType type) {
     return new Bin(null, kind, type.capacity(), type.capacity());
   }
 
-  /** Null unless {@link #hasMachine}. */
+  /** Returns the machine; null unless {@link #hasMachine}. */
   MachineState machine() {
     return machine;
   }
 
-  /** Whether the machine is known by name. */
+  /** Returns whether the machine is known by name. */
   boolean hasMachine() {
     return machine != null;
   }
@@ -48,7 +48,7 @@
     return capacity;
   }
 
-  /** What is neither reserved nor packed. */
+  /** Returns the capacity that is neither reserved nor used by packed tasks. */
   Resources free() {
     return free;
   }
@@ -57,17 +57,20 @@
     return free.shareOf(capacity);
   }
 
-  /** The share of the capacity that was free when the plan began. */
+  /** Returns the share of the capacity that was free before anything was packed. */
   double initialFreeShare() {
     return initialFreeShare;
   }
 
-  /** Whether all of the machine is free. */
+  /** Returns whether the whole capacity is free. */
   boolean isUnused() {
     return free.equals(capacity);
   }
 
-  /** Packs a task that needs this much; whoever holds bins in a {@link FirstFitTree} updates it. */
+  /**
+   * Packs a task with this demand. If the bin is in a {@link FirstFitTree}, the caller has to
+   * update the tree.
+   */
   void pack(Resources demand) {
     free = free.minus(demand);
   }
--- a/src/main/java/eiderfork/controller/autoscaling/BinPacking.java
+++ b/src/main/java/eiderfork/controller/autoscaling/BinPacking.java
@@ -11,8 +11,8 @@
 import java.util.function.Consumer;
 
 /**
- * The bin packing of one plan: puts tasks onto machines that are in service or on their way, first
- * fit, and onto machines yet to be rented where none of these has free capacity.
+ * The bin packing of one plan. Packs tasks first-fit onto machines that are in service or being
+ * provisioned, and onto machines yet to be rented if none of these has free capacity.
  */
 final class BinPacking {
   private static final int NO_BIN = -1;
@@ -24,8 +24,8 @@
   private final int existingBinCount;
 
   /**
-   * @param bins the machines that the plan counts on; machines to rent are added at its end
-   * @param overdueKinds kinds of which machines are overdue, see {@link MachineKindSelector}
+   * @param bins the machines that the plan can use; machines to rent are appended
+   * @param lateKinds the kinds that boot late, see {@link MachineKindSelector}
    */
   BinPacking(
       ControllerContext context,
@@ -33,55 +33,55 @@
       CloudProvisioner cloud,
       CpusPerGpu cpusPerGpu,
       List<Bin> bins,
-      Set<MachineKind> overdueKinds) {
+      Set<MachineKind> lateKinds) {
     this.cpusPerGpu = cpusPerGpu;
     this.bins = bins;
     existingBinCount = bins.size();
     tree = new FirstFitTree(bins, cpusPerGpu);
-    kindSelector = new MachineKindSelector(context, fleet, cloud, overdueKinds);
+    kindSelector = new MachineKindSelector(context, fleet, cloud, lateKinds);
     bins.forEach(bin -> kindSelector.countMachine(bin.kind()));
   }
 
-  /** The machines that the packing began with. */
+  /** Returns the machines that the packing began with. */
   List<Bin> existingBins() {
     return bins.subList(0, existingBinCount);
   }
 
-  /** The machines that have to be rented for what was packed. */
+  /** Returns the machines that have to be rented for the packed tasks. */
   List<Bin> binsToRent() {
     return bins.subList(existingBinCount, bins.size());
   }
 
-  /** How often a bin was examined for a task. */
+  /** Returns the number of times that a bin was examined for a task. */
   int examinedBins() {
-    return tree.visitedBins();
+    return tree.visitedBinCount();
   }
 
   /**
-   * Packs tasks of a job, which are all alike, one after the other.
+   * Packs identical tasks of a job one by one.
    *
-   * <p>A task without GPUs goes onto a GPU machine only where that leaves its free GPUs the
-   * processors that they need, or where no other machine can be had: small services would use up
-   * the processors of GPU machines for good.
+   * <p>A task without GPUs is packed onto a GPU machine only if the machine's free GPUs keep the
+   * CPUs that they need, or if no other machine is available. Otherwise small services would
+   * permanently use up the CPUs of GPU machines.
    *
-   * @param tasksByZone how many tasks of the job each zone holds; packed ones are counted in
-   * @param maxPerZone how many a zone may hold
-   * @return for how many a machine, existing or to be rented, was found
+   * @param tasksByZone the number of the job's tasks in each zone; updated as tasks are packed
+   * @param maxTasksPerZone the maximum number of the job's tasks in a zone
+   * @return the number of packed tasks
    */
-  int place(Job job, int tasks, Map<String, Integer> tasksByZone, int maxPerZone) {
-    PackingDemand demand = new PackingDemand(job, tasksByZone, maxPerZone);
-    int placed = 0;
-    while (placed < tasks) {
+  int packTasks(Job job, int tasks, Map<String, Integer> tasksByZone, int maxTasksPerZone) {
+    PackingDemand demand = new PackingDemand(job, tasksByZone, maxTasksPerZone);
+    int packed = 0;
+    while (packed < tasks) {
       int index = findBin(demand);
       if (index == NO_BIN) {
-        return placed;
+        return packed;
       }
-      placed += fillBin(index, demand, tasks - placed);
+      packed += fillBin(index, demand, tasks - packed);
     }
-    return placed;
+    return packed;
   }
 
-  /** The index of the bin for the next task of a job. */
+  /** Returns the index of the bin for the next task, or {@link #NO_BIN}. */
   private int findBin(PackingDemand demand) {
     long kindMask = tree.kindMask(demand::allows);
     int index = NO_BIN;
@@ -97,9 +97,12 @@
     return index == NO_BIN ? addBinToRent(demand, false) : index;
   }
 
-  private int findExistingBin(PackingDemand demand, long kindMask, boolean sparesGpus) {
+  private int findExistingBin(PackingDemand demand, long kindMask, boolean avoidsStrandedGpus) {
     return tree.findFirst(
-        demand.taskResources(), kindMask, sparesGpus, bin -> canHold(bin, demand, sparesGpus));
+        demand.taskResources(),
+        kindMask,
+        avoidsStrandedGpus,
+        bin -> canHold(bin, demand, avoidsStrandedGpus));
   }
 
   private int addBinToRent(PackingDemand demand, boolean onlyWithoutGpus) {
@@ -112,30 +115,37 @@
     return bins.size() - 1;
   }
 
-  /** Packs the first task into the bin that was found for it, and further ones that fit, too. */
+  /**
+   * Packs one task into the bin that was found for it, then more of them while they fit.
+   *
+   * @return the number of packed tasks
+   */
   private int fillBin(int index, PackingDemand demand, int tasks) {
     Bin bin = bins.get(index);
-    boolean sparesGpus = demand.isWithoutGpus() && !strandsGpus(demand, bin);
+    boolean avoidsStrandedGpus = demand.isWithoutGpus() && !strandsGpus(demand, bin);
     int packed = 0;
     do {
       demand.packOn(bin);
       packed++;
-    } while (packed < tasks && canHold(bin, demand, sparesGpus));
+    } while (packed < tasks && canHold(bin, demand, avoidsStrandedGpus));
     tree.update(index);
     return packed;
   }
 
-  private boolean canHold(Bin bin, PackingDemand demand, boolean sparesGpus) {
+  private boolean canHold(Bin bin, PackingDemand demand, boolean avoidsStrandedGpus) {
     return demand.taskResources().fitsIn(bin.free())
         && demand.allows(bin.kind())
-        && !(sparesGpus && strandsGpus(demand, bin));
+        && !(avoidsStrandedGpus && strandsGpus(demand, bin));
   }
 
   private boolean strandsGpus(PackingDemand demand, Bin bin) {
     return cpusPerGpu.strandedGpusBy(demand.taskResources(), bin.free()) > 0;
   }
 
-  /** Shows the bins that have free capacity for one task of a job and are of a kind it allows. */
+  /**
+   * Passes each bin to the consumer that is of a kind the job allows and has free capacity for one
+   * of its tasks.
+   */
   void forEachWithFreeCapacity(Job job, Consumer<Bin> consumer) {
     long kindMask = tree.kindMask(kind -> PackingDemand.allowsKind(job, kind));
     tree.forEachWithFreeCapacity(job.taskResources(), kindMask, consumer);
--- a/src/main/java/eiderfork/controller/autoscaling/BootTimeEstimator.java
+++ b/src/main/java/eiderfork/controller/autoscaling/BootDelayDetector.java
@@ -10,43 +10,44 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** Judges which machines should have booted by now, and which kinds boot late. */
-final class BootTimeEstimator {
-  /** A boot that takes this many times the usual counts as late. */
+/** Detects machines that boot late or have failed to boot, and kinds of machine that boot late. */
+final class BootDelayDetector {
+  /** A boot counts as late after this many times the type's boot time. */
   private static final double LATE_BOOT_FACTOR = 2.0;
 
-  /** A boot that takes this many times the usual counts as failed. */
+  /** A boot counts as failed after this many times the type's boot time. */
   private static final double FAILED_BOOT_FACTOR = 4.0;
 
   /**
-   * How long an unreachable machine is kept beside the time that another one would take to boot, in
-   * worker leases. A machine that hangs or is cut off mostly recovers before a new one would be
-   * ready, and its tasks are placed elsewhere after the first lease. A machine that has died is
-   * missing from the cloud's list before that.
+   * The time, in worker leases, that an unreachable machine is kept in addition to the boot time of
+   * a replacement. A machine that hangs or is disconnected usually recovers before a replacement
+   * would be ready, and its tasks are placed elsewhere after the first lease. A machine that has
+   * died disappears from the cloud's list before that.
    */
   static final int UNREACHABLE_GRACE_LEASES = 2;
 
   private final ControllerContext context;
 
-  BootTimeEstimator(ControllerContext context) {
+  BootDelayDetector(ControllerContext context) {
     this.context = context;
   }
 
-  /** Whether the machine's boot is late, so that plans don't rely on it. */
+  /** Returns whether the machine's boot is late, so that plans should not rely on the machine. */
   boolean isLate(MachineState machine, MachineType type) {
-    return isOverdue(machine, type, LATE_BOOT_FACTOR, 0);
+    return isHeartbeatOverdue(machine, type, LATE_BOOT_FACTOR, 0);
   }
 
-  /** Whether the machine's boot has failed. */
+  /** Returns whether the machine's boot has failed. */
   boolean hasFailed(MachineState machine, MachineType type) {
-    return isOverdue(machine, type, FAILED_BOOT_FACTOR, type.bootS() * 1000);
+    return isHeartbeatOverdue(machine, type, FAILED_BOOT_FACTOR, type.bootS() * 1000);
   }
 
   /**
-   * Whether a machine without a heartbeat in this term should have sent one. A running machine may
-   * not have found a new leader yet, and gets some leases' time for that whatever its age.
+   * Returns whether a machine without a heartbeat in this term should have sent one by now. A
+   * running machine may not have found the new leader yet, so it has {@link
+   * #UNREACHABLE_GRACE_LEASES} for that regardless of its age.
    */
-  private boolean isOverdue(
+  private boolean isHeartbeatOverdue(
       MachineState machine, MachineType type, double bootFactor, double graceMs) {
     return machine.lifecycle().firstRunningMs() > 0
         ? context.nowMs() - machine.lifecycle().firstRunningMs()
@@ -54,7 +55,7 @@
         : context.nowMs() - machine.lifecycle().knownSinceMs() > type.bootS() * 1000 * bootFactor;
   }
 
-  /** The kinds of which at least half of the machines requested lately are late. */
+  /** Returns the kinds for which at least half of the recently requested machines are late. */
   Set<MachineKind> lateKinds(MachineRegistry fleet) {
     Multiset<MachineKind> recent = HashMultiset.create();
     Multiset<MachineKind> late = HashMultiset.create();
--- a/src/main/java/eiderfork/controller/autoscaling/CloudProvisioner.java
+++ b/src/main/java/eiderfork/controller/autoscaling/CloudProvisioner.java
@@ -6,15 +6,15 @@
 import eiderfork.controller.registry.MachineRegistry;
 import eiderfork.controller.store.StoreClient;
 
-/** The leader's calls to the cloud, all within one rate limit. */
+/** Makes the leader's calls to the cloud, all of which share one rate limit. */
 public final class CloudProvisioner {
-  /** The share of the cloud's rate limit that is used, as clocks may differ. */
+  /** The used share of the cloud's rate limit; the rest is a margin for clock differences. */
   private static final double CALL_RATE_SHARE = 0.9;
 
-  /** The calls that may be made at once after a pause, in seconds of the rate. */
+  /** The maximum burst after an idle period, as seconds of the call rate. */
   private static final double BURST_S = 2;
 
-  /** How long the cloud may take over a call, in steps. */
+  /** The timeout of a call to the cloud, in steps. */
   private static final int CALL_TIMEOUT_STEPS = 5;
 
   private final MachineRegistry fleet;
@@ -23,7 +23,7 @@
   private final MachineTypePoller types;
   private final MachineListPoller machineList;
 
-  /** Makes a provisioner without open requests. */
+  /** Creates a provisioner without open requests. */
   public CloudProvisioner(
       ControllerContext context,
       LeaderElection election,
@@ -40,7 +40,7 @@
     machineList = new MachineListPoller(context, fleet, callBudget, scaleOut::removeSettled);
   }
 
-  /** Begins anew, for a new term. */
+  /** Discards the state of an earlier term. */
   public void reset() {
     scaleOut.reset();
     scaleIn.reset();
@@ -48,22 +48,25 @@
     machineList.reset();
   }
 
-  /** Whether a complete list of machines was read in this term. */
+  /** Returns whether a complete list of machines was read in this term. */
   public boolean hasCompleteListing() {
     return machineList.hasCompleteListing();
   }
 
-  /** The calls that rent machines. */
+  /** Returns the requests that rent machines. */
   public ScaleOutRequests scaleOut() {
     return scaleOut;
   }
 
-  /** The calls that return machines. */
+  /** Returns the requests that return machines. */
   public ScaleInRequests scaleIn() {
     return scaleIn;
   }
 
-  /** Makes the calls that are due: returns first, and a list before types are read again. */
+  /**
+   * Makes the calls that are due. When the rate limit is short, returns come first, and the machine
+   * list comes before a refresh of the known machine types.
+   */
   public void tick() {
     scaleIn.tick();
     if (fleet.types().isEmpty()) {
@@ -74,7 +77,7 @@
     types.requestIfDue();
   }
 
-  /** How long a call to the cloud may take. */
+  /** Returns the timeout of a call to the cloud. */
   static long callTimeoutMs(ControllerContext context) {
     return context.stepMs() * CALL_TIMEOUT_STEPS;
   }
--- a/src/main/java/eiderfork/controller/autoscaling/FirstFitTree.java
+++ b/src/main/java/eiderfork/controller/autoscaling/FirstFitTree.java
@@ -11,12 +11,12 @@
 import java.util.function.Predicate;
 
 /**
- * The bins of a plan in their order as the leaves of a binary tree, each node of which has the
- * maxima of what the bins below it have free. The first bin that takes a task is found without
- * visiting bins that are full.
+ * A segment tree over the bins of a plan, in their order. Each node holds the maximum free capacity
+ * of the bins below it, so that the first bin that accepts a task is found without visiting full
+ * bins.
  */
 final class FirstFitTree {
-  /** Kinds of machine past this number share the last bit. */
+  /** The number of bits for machine kinds; kinds beyond this number share the last bit. */
   private static final int MAX_KIND_BITS = Long.SIZE;
 
   private static final int INITIAL_LEAF_COUNT = 16;
@@ -25,29 +25,29 @@
 
   private static final int ROOT = 1;
 
-  /** What a search is for: the kinds as bits, and whether free GPUs keep their processors. */
+  /** A search: a task's demand, the bits of the machine kinds, and a condition on the bin. */
   private record Query(
-      Resources demand, long kindMask, boolean sparesGpus, Predicate<Bin> accepts) {}
+      Resources demand, long kindMask, boolean avoidsStrandedGpus, Predicate<Bin> accepts) {}
 
   private final List<Bin> bins;
   private final CpusPerGpu cpusPerGpu;
   private final Object2IntMap<MachineKind> kindBits = new Object2IntOpenHashMap<>();
 
-  /** How many leaves there are: a power of two. The leaf of bin i is the node leafCount + i. */
+  /** The number of leaves, a power of two. The leaf of bin i is the node leafCount + i. */
   private int leafCount = INITIAL_LEAF_COUNT;
 
   private double[] maxFreeCpus;
   private double[] maxFreeGpus;
   private double[] maxFreeRamGb;
 
-  /** Processors that can be taken without leaving free GPUs too few. */
+  /** The maximum of the CPUs that can be used without stranding free GPUs. */
   private double[] maxSpareCpus;
 
   private long[] kindMasks;
-  private int visitedBins;
+  private int visitedBinCount;
 
   /**
-   * @param bins the leaves; from now on only {@link #add} may lengthen the list
+   * @param bins the leaves; once passed, the list may grow only through {@link #add}
    */
   FirstFitTree(List<Bin> bins, CpusPerGpu cpusPerGpu) {
     this.bins = bins;
@@ -73,7 +73,7 @@
     }
   }
 
-  /** Below nodes without bins nothing fits. */
+  /** Returns node values for a tree without bins, which no demand fits. */
   private double[] emptyNodes() {
     double[] nodes = new double[2 * leafCount];
     Arrays.fill(nodes, Double.NEGATIVE_INFINITY);
@@ -109,7 +109,7 @@
     return bit;
   }
 
-  /** Adds a bin after all others. */
+  /** Appends a bin. */
   void add(Bin bin) {
     bins.add(bin);
     if (bins.size() > leafCount) {
@@ -119,7 +119,7 @@
     }
   }
 
-  /** What a bin has free has changed. */
+  /** Updates the tree after the free capacity of a bin has changed. */
   void update(int index) {
     setLeaf(index);
     for (int node = (leafCount + index) / 2; node > 0; node /= 2) {
@@ -127,38 +127,41 @@
     }
   }
 
-  /** How often a bin was visited. */
-  int visitedBins() {
-    return visitedBins;
+  /** Returns the number of times that a bin was visited. */
+  int visitedBinCount() {
+    return visitedBinCount;
   }
 
-  /** The bits of the kinds of which there are bins, and which the predicate accepts. */
+  /** Returns the bits of those kinds among the bins that the predicate accepts. */
   long kindMask(Predicate<MachineKind> accepts) {
     long bits = 0;
-    for (Object2IntMap.Entry<MachineKind> each : kindBits.object2IntEntrySet()) {
-      if (accepts.test(each.getKey())) {
-        bits |= 1L << each.getIntValue();
+    for (Object2IntMap.Entry<MachineKind> entry : kindBits.object2IntEntrySet()) {
+      if (accepts.test(entry.getKey())) {
+        bits |= 1L << entry.getIntValue();
       }
     }
     return bits;
   }
 
   /**
-   * The index of the first bin that takes the task, or -1.
+   * Returns the index of the first bin that accepts a task, or -1.
    *
-   * @param kindMask the kinds to visit; where kinds share a bit, {@code accepts} distinguishes them
-   * @param sparesGpus only bins whose free GPUs keep the processors that they need
+   * @param kindMask the kinds to visit; for kinds that share a bit, {@code accepts} has to
+   *     distinguish them
+   * @param avoidsStrandedGpus whether to visit only bins on which the task would strand no free
+   *     GPUs
    */
-  int findFirst(Resources demand, long kindMask, boolean sparesGpus, Predicate<Bin> accepts) {
-    return findFirst(ROOT, new Query(demand, kindMask, sparesGpus, accepts));
+  int findFirst(
+      Resources demand, long kindMask, boolean avoidsStrandedGpus, Predicate<Bin> accepts) {
+    return findFirst(ROOT, new Query(demand, kindMask, avoidsStrandedGpus, accepts));
   }
 
   private int findFirst(int node, Query query) {
-    if (!canContain(node, query)) {
+    if (!mayContainMatch(node, query)) {
       return NOT_FOUND;
     }
     if (node >= leafCount) {
-      visitedBins++;
+      visitedBinCount++;
       int index = node - leafCount;
       return query.accepts.test(bins.get(index)) ? index : NOT_FOUND;
     }
@@ -166,15 +169,15 @@
     return found == NOT_FOUND ? findFirst(2 * node + 1, query) : found;
   }
 
-  private boolean canContain(int node, Query query) {
+  private boolean mayContainMatch(int node, Query query) {
     Resources demand = query.demand;
     return (kindMasks[node] & query.kindMask) != 0
         && demand.fitsIn(maxFreeCpus[node], maxFreeGpus[node], maxFreeRamGb[node])
-        && (!query.sparesGpus
+        && (!query.avoidsStrandedGpus
             || demand.cpus() <= maxSpareCpus[node] + Resources.ROUNDING_TOLERANCE);
   }
 
-  /** Shows every bin of these kinds that has free capacity for the task. */
+  /** Passes every bin of these kinds that has free capacity for the task to the consumer. */
   void forEachWithFreeCapacity(Resources demand, long kindMask, Consumer<Bin> consumer) {
     Predicate<Bin> rejectsAll =
         bin -> {
--- a/src/main/java/eiderfork/controller/autoscaling/FleetLog.java
+++ b/src/main/java/eiderfork/controller/autoscaling/FleetLog.java
@@ -12,7 +12,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Logs the state of the fleet as a whole. */
+/** Logs the aggregate state of the fleet. */
 final class FleetLog {
   private static final Logger LOG = LoggerFactory.getLogger(FleetLog.class);
 
@@ -36,8 +36,8 @@
     this.liveness = liveness;
   }
 
-  /** Logs once in a worker lease how full the fleet is and how much work waits. */
-  void logIfDue(int placementExamined, int planExamined) {
+  /** Logs the free capacity of the fleet and the pending work, once per worker lease. */
+  void logIfDue(int examinedMachines, int examinedBins) {
     if (context.nowMs() < nextLogMs) {
       return;
     }
@@ -45,10 +45,10 @@
     logMachines();
     logJobClasses();
     LOG.info("store-writes {}", store.drainWriteWaits());
-    LOG.info("machines-examined placement={} plan={}", placementExamined, planExamined);
+    LOG.info("machines-examined placement={} plan={}", examinedMachines, examinedBins);
   }
 
-  /** One line per machine type, spot machines apart. */
+  /** Logs one line per machine type, with spot machines on a line of their own. */
   private void logMachines() {
     Map<String, MachineCounts> countsByType = new TreeMap<>();
     for (MachineState machine : fleet.machines()) {
@@ -63,7 +63,7 @@
     countsByType.forEach((type, counts) -> LOG.info("fleet-machines {} {}", type, counts));
   }
 
-  /** One line per job class. */
+  /** Logs one line per job class. */
   private void logJobClasses() {
     Map<String, TaskTotals> totalsByClass = new TreeMap<>();
     for (JobState job : jobs.activeJobs()) {
@@ -73,7 +73,7 @@
         (jobClass, totals) -> LOG.info("fleet-tasks class={} {}", jobClass, totals));
   }
 
-  /** The machines of one type. */
+  /** The machine counts of one type. */
   private final class MachineCounts {
     private int machines;
     private int schedulable;
@@ -100,7 +100,7 @@
     }
   }
 
-  /** The tasks of one job class. */
+  /** The task counts of one job class. */
   private static final class TaskTotals {
     private int reserved;
     private int pending;
--- a/src/main/java/eiderfork/controller/autoscaling/MachineConsolidation.java
+++ b/src/main/java/eiderfork/controller/autoscaling/MachineConsolidation.java
@@ -22,24 +22,27 @@
 
 /**
  * Drains machines whose replicas fit on other machines. After a load peak, replicas are spread over
- * half-empty machines, none of which would ever become idle. A machine is drained only where every
- * replica finds free capacity and its image on a fuller machine, in addition to waiting tasks and
- * headroom.
+ * half-empty machines, none of which would ever become idle. A machine is drained only if each of
+ * its replicas finds free capacity and its image on a fuller machine, beside the capacity planned
+ * for pending tasks and headroom.
  */
 final class MachineConsolidation {
   private static final Logger LOG = LoggerFactory.getLogger(MachineConsolidation.class);
 
-  /** The largest share of a machine that may be in use for it to be drained. */
+  /** The maximum used share of a machine that may be drained. */
   private static final double MAX_USED_SHARE = 0.6;
 
-  /** For each of these machines one more may be drained at the same time. */
-  private static final int MACHINES_PER_DRAIN = 1000;
+  /** The number of machines in the fleet for each further concurrent drain. */
+  private static final int MACHINES_PER_EXTRA_DRAIN = 1000;
 
-  /** How long a drain may take before the machine is used again, in steps. */
+  /** The timeout of a drain, in steps; after it the machine is used again. */
   private static final int MAX_DRAIN_STEPS = 10;
 
-  /** How many of the most expensive candidates, and of the others, a plan examines. */
-  private static final int EXAMINED_CANDIDATES = 8;
+  /**
+   * The number of the most expensive candidates, and of the others, that a plan examines per
+   * allowed drain.
+   */
+  private static final int EXAMINED_CANDIDATES_PER_DRAIN = 8;
 
   private static final double MS_PER_S = 1000;
 
@@ -62,7 +65,10 @@
     this.scheduler = scheduler;
   }
 
-  /** Drains machines by what a plan has left free; none while it scales out. */
+  /**
+   * Drains machines whose tasks fit into the capacity that a plan left free; none during a
+   * scale-out.
+   */
   void plan(BinPacking packing, boolean isScalingOut) {
     cancelStuckDrains();
     if (isScalingOut) {
@@ -75,7 +81,7 @@
     }
   }
 
-  /** Takes machines into service again whose tasks did not end in time. */
+  /** Returns machines to service whose drain has timed out. */
   private void cancelStuckDrains() {
     for (MachineState machine : fleet.machines()) {
       if (machine.lifecycle().isDraining()
@@ -94,16 +100,19 @@
     return draining;
   }
 
-  /** Grows with the fleet, as one at a time would take hours in one of thousands. */
+  /**
+   * Returns the maximum number of concurrent drains. It grows with the fleet, since draining one
+   * machine at a time would take hours in a fleet of thousands.
+   */
   private int maxConcurrentDrains() {
-    return 1 + fleet.machines().size() / MACHINES_PER_DRAIN;
+    return 1 + fleet.machines().size() / MACHINES_PER_EXTRA_DRAIN;
   }
 
   private void drain(List<Bin> candidates, BinPacking packing, int allowedDrains) {
     updateDrainableSince(findDrainable(candidates, packing));
     int remaining = allowedDrains;
     for (Bin bin : candidates) {
-      if (remaining > 0 && isDrainableForLong(bin.machine())) {
+      if (remaining > 0 && hasBeenDrainableLongEnough(bin.machine())) {
         drain(bin.machine());
         remaining--;
       }
@@ -120,14 +129,14 @@
     }
   }
 
-  private boolean isDrainableForLong(MachineState machine) {
+  private boolean hasBeenDrainableLongEnough(MachineState machine) {
     double bootMs = fleet.typeOf(machine).bootS() * MS_PER_S;
-    double keptMs = bootMs * context.settings.operator().idleBootShare();
+    double minDrainableMs = bootMs * context.settings.operator().idleBootShare();
     return machine.lifecycle().drainableSinceMs() > 0
-        && context.nowMs() - machine.lifecycle().drainableSinceMs() >= keptMs;
+        && context.nowMs() - machine.lifecycle().drainableSinceMs() >= minDrainableMs;
   }
 
-  /** The machines that may be drained, those first that save most. */
+  /** Returns the machines that may be drained, in descending order of the saving per task. */
   private List<Bin> findCandidates(BinPacking packing) {
     List<Bin> candidates = new ArrayList<>();
     for (Bin bin : packing.existingBins()) {
@@ -163,7 +172,7 @@
         && context.nowMs() - reservation.runningSinceMs() > ReplicaMigration.MIN_RUNNING_MS;
   }
 
-  /** The machines of which all tasks fit elsewhere, all of them together. */
+  /** Returns machines whose tasks all fit elsewhere, also if all of these machines are drained. */
   private Set<MachineState> findDrainable(List<Bin> candidates, BinPacking packing) {
     Set<MachineState> drainable = new HashSet<>();
     TaskRelocation relocation = new TaskRelocation(context, liveness, scheduler, packing);
@@ -171,7 +180,7 @@
     for (Bin bin : selectForExamination(candidates)) {
       boolean isDrainable =
           drainsSeveral
-              // A machine that is to be drained takes no tasks of another, and vice versa.
+              // A machine that receives relocated tasks is not drained, and vice versa.
               ? !relocation.isTarget(bin) && relocation.relocateAll(bin, drainable)
               : relocation.canRelocateAll(bin);
       if (isDrainable) {
@@ -182,11 +191,11 @@
   }
 
   /**
-   * The candidates to examine: the most expensive, those that were drainable before, and a sample
-   * of the others, since the most expensive may be such as can never be drained.
+   * Returns the candidates to examine: the most expensive, those that were drainable before, and a
+   * random sample of the others, since the most expensive ones may never become drainable.
    */
   private List<Bin> selectForExamination(List<Bin> candidates) {
-    int count = EXAMINED_CANDIDATES * maxConcurrentDrains();
+    int count = EXAMINED_CANDIDATES_PER_DRAIN * maxConcurrentDrains();
     List<Bin> selected = new ArrayList<>();
     List<Bin> others = new ArrayList<>();
     for (Bin bin : candidates) {
--- a/src/main/java/eiderfork/controller/autoscaling/MachineKindSelector.java
+++ b/src/main/java/eiderfork/controller/autoscaling/MachineKindSelector.java
@@ -12,18 +12,20 @@
 
 /** Selects the kind of machine to rent for tasks that fit on no machine of a plan. */
 final class MachineKindSelector {
-  /** The cost factor of a type whose image fetch takes longer than the job may wait. */
-  private static final double SLOW_FETCH_FACTOR = 2;
+  /**
+   * The cost factor of a type on which the image fetch takes longer than the job's wait objective.
+   */
+  private static final double SLOW_FETCH_COST_FACTOR = 2;
 
-  /** The cost factor of a kind of which machines are overdue. */
-  private static final double OVERDUE_FACTOR = 2;
+  /** The cost factor of a kind that boots late. */
+  private static final double LATE_BOOT_COST_FACTOR = 2;
 
   private final ControllerContext context;
   private final MachineRegistry fleet;
   private final CloudProvisioner cloud;
-  private final Set<MachineKind> overdueKinds;
+  private final Set<MachineKind> lateKinds;
 
-  /** How many machines a plan counts on. */
+  /** The number of machines in the plan. */
   private final Object2IntMap<TypeInZone> machineCounts = new Object2IntOpenHashMap<>();
 
   private record TypeInZone(String type, String zone) {
@@ -33,29 +35,29 @@
   }
 
   /**
-   * @param overdueKinds kinds of which machines are overdue; others are preferred where they cost
-   *     less than {@link #OVERDUE_FACTOR} times as much
+   * @param lateKinds the kinds that boot late; other kinds are preferred if they cost less than
+   *     {@link #LATE_BOOT_COST_FACTOR} times as much
    */
   MachineKindSelector(
       ControllerContext context,
       MachineRegistry fleet,
       CloudProvisioner cloud,
-      Set<MachineKind> overdueKinds) {
+      Set<MachineKind> lateKinds) {
     this.context = context;
     this.fleet = fleet;
     this.cloud = cloud;
-    this.overdueKinds = overdueKinds;
+    this.lateKinds = lateKinds;
   }
 
-  /** The plan counts on one more machine of this kind. */
+  /** Counts a machine of this kind that was added to the plan. */
   void countMachine(MachineKind kind) {
     machineCounts.mergeInt(TypeInZone.of(kind), 1, Integer::sum);
   }
 
   /**
-   * A bin for a new machine of the cheapest kind in stock that takes the tasks, or null for none.
-   * Of zones that cost the same the one with the fewest machines of the type is taken, so that jobs
-   * that must be spread find free capacity in each.
+   * Returns a bin for a new machine of the cheapest kind that is in stock and can run the tasks, or
+   * null if there is none. Among equally expensive zones it selects the one with the fewest
+   * machines of the type, so that jobs with a zone spread find free capacity in each zone.
    */
   Bin selectCheapest(PackingDemand demand, boolean onlyWithoutGpus) {
     Bin best = null;
@@ -73,26 +75,29 @@
         double cost = costPerTask(demand.job(), type, kind, tasksPerMachine);
         if (cost < bestCost) {
           bestCost = cost;
-          best = Bin.ofUnnamed(kind, type);
+          best = Bin.forUnnamedMachine(kind, type);
         }
       }
     }
     return best;
   }
 
-  /** The type in the zone that has the fewest of it, zones where it is overdue last, or null. */
+  /**
+   * Returns the type in the zone with the fewest machines of it, or null. A zone where the type
+   * boots late is selected only if there is no other.
+   */
   private MachineKind selectZone(PackingDemand demand, MachineType type, boolean spot) {
     MachineKind best = null;
-    boolean isBestOverdue = true;
-    int fewest = Integer.MAX_VALUE;
+    boolean isBestLate = true;
+    int fewestMachines = Integer.MAX_VALUE;
     for (String zone : type.zones()) {
       MachineKind kind = new MachineKind(type.name(), zone, spot);
       int count = machineCounts.getInt(TypeInZone.of(kind));
-      boolean isOverdue = overdueKinds.contains(kind);
-      boolean isBetter = isOverdue == isBestOverdue ? count < fewest : !isOverdue;
+      boolean isLate = lateKinds.contains(kind);
+      boolean isBetter = isLate == isBestLate ? count < fewestMachines : !isLate;
       if (isBetter && canRent(kind) && demand.allows(kind)) {
-        isBestOverdue = isOverdue;
-        fewest = count;
+        isBestLate = isLate;
+        fewestMachines = count;
         best = kind;
       }
     }
@@ -104,16 +109,19 @@
         && cloud.scaleOut().isInStock(kind);
   }
 
-  /** The price of one task on a full machine, with factors for slow fetches and late boots. */
+  /**
+   * Returns the hourly price per task on a full machine, with factors for slow image fetches and
+   * late boots.
+   */
   private double costPerTask(Job job, MachineType type, MachineKind kind, int tasksPerMachine) {
     double fetchS = job.imageGb() / type.imageFetchGbPerS();
     double maxWaitS = context.settings.shortestObjectiveS(Objective.Kind.WAIT, job.jobClass());
     double cost = type.hourlyPrice(kind.spot()) / tasksPerMachine;
     if (fetchS > maxWaitS) {
-      cost *= SLOW_FETCH_FACTOR;
+      cost *= SLOW_FETCH_COST_FACTOR;
     }
-    if (overdueKinds.contains(kind)) {
-      cost *= OVERDUE_FACTOR;
+    if (lateKinds.contains(kind)) {
+      cost *= LATE_BOOT_COST_FACTOR;
     }
     return cost;
   }
--- a/src/main/java/eiderfork/controller/autoscaling/MachineListPoller.java
+++ b/src/main/java/eiderfork/controller/autoscaling/MachineListPoller.java
@@ -10,9 +10,9 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Reads the cloud's list of machines again and again, page by page. */
+/** Polls the cloud's list of machines, which is read page by page. */
 final class MachineListPoller {
-  /** A list that is not complete after this many of its lags is begun anew. */
+  /** The maximum duration of reading a list, in list lags; after it the read starts over. */
   private static final int MAX_LISTING_LAGS = 4;
 
   private final ControllerContext context;
@@ -24,10 +24,10 @@
   private boolean isInFlight;
   private boolean hasCompleteListing;
 
-  /** The list that is being read; null between lists. */
+  /** The list that is being read; null between reads. */
   private Listing listing;
 
-  /** The pages of a list that were read. */
+  /** The pages of a list that have been read. */
   private static final class Listing {
     private final long startedMs;
     private final Map<String, ListedMachine> entriesByName = new LinkedHashMap<>();
@@ -37,19 +37,23 @@
       this.startedMs = startedMs;
     }
 
-    /** Whether the page took the list further. */
+    /**
+     * Adds a page.
+     *
+     * @return whether the page advanced the list
+     */
     boolean add(Reply.Hosts page) {
-      String before = lastName;
+      String previousLastName = lastName;
       for (ListedMachine entry : page.entries()) {
         lastName = entry.machine().name();
         entriesByName.put(lastName, entry);
       }
-      return !lastName.equals(before);
+      return !lastName.equals(previousLastName);
     }
   }
 
   /**
-   * @param onListed called after each complete list
+   * @param onListed run after each complete read of the list
    */
   MachineListPoller(
       ControllerContext context, MachineRegistry fleet, TokenBucket callBudget, Runnable onListed) {
@@ -60,7 +64,7 @@
     backoff = new Backoff(context.stepMs(), context.cloudListLagMs());
   }
 
-  /** Begins anew, for a new term. */
+  /** Discards the state of an earlier term. */
   void reset() {
     listing = null;
     isInFlight = false;
@@ -68,12 +72,12 @@
     nextRequestMs = 0;
   }
 
-  /** Whether a complete list was read in this term. */
+  /** Returns whether a complete list was read in this term. */
   boolean hasCompleteListing() {
     return hasCompleteListing;
   }
 
-  /** Requests the next page where that is due and the budget allows it. */
+  /** Requests the next page if it is due and the call budget allows it. */
   void requestIfDue() {
     if (!isInFlight && context.nowMs() >= nextRequestMs && callBudget.tryTake(1, context.nowMs())) {
       requestPage();
@@ -103,7 +107,7 @@
 
   private void onReply(Listing current, Reply reply) {
     if (!(reply instanceof Reply.Hosts page)) {
-      // The pages that were read stay valid.
+      // The pages read so far stay valid; the retry continues after them.
       nextRequestMs = context.nowMs() + backoff.nextPauseMs(context.random);
       return;
     }
--- a/src/main/java/eiderfork/controller/autoscaling/MachineTypePoller.java
+++ b/src/main/java/eiderfork/controller/autoscaling/MachineTypePoller.java
@@ -13,9 +13,9 @@
 import eiderfork.controller.store.RequestPriority;
 import eiderfork.controller.store.StoreClient;
 
-/** Reads the cloud's machine types now and then, as prices change, and stores them. */
+/** Polls the cloud's machine types, whose prices change, and stores them. */
 final class MachineTypePoller {
-  /** The interval, in lags of the cloud's list of machines. */
+  /** The polling interval, in lags of the cloud's list of machines. */
   private static final int REFRESH_LAGS = 8;
 
   private final ControllerContext context;
@@ -26,7 +26,7 @@
   private final Backoff backoff;
   private long nextRequestMs;
   private boolean isInFlight;
-  private boolean isStored;
+  private boolean areTypesStored;
 
   MachineTypePoller(
       ControllerContext context,
@@ -42,14 +42,14 @@
     backoff = new Backoff(context.stepMs(), context.cloudListLagMs());
   }
 
-  /** Begins anew, for a new term. */
+  /** Discards the state of an earlier term. */
   void reset() {
     isInFlight = false;
-    isStored = false;
+    areTypesStored = false;
     nextRequestMs = 0;
   }
 
-  /** Requests the types where that is due and the budget allows it. */
+  /** Requests the types if that is due and the call budget allows it. */
   void requestIfDue() {
     if (!isInFlight && context.nowMs() >= nextRequestMs && callBudget.tryTake(1, context.nowMs())) {
       request();
@@ -75,19 +75,19 @@
     boolean isFirst = fleet.types().isEmpty();
     fleet.updateTypes(types.types());
     nextRequestMs = context.nowMs() + REFRESH_LAGS * context.cloudListLagMs();
-    if (isFirst || !isStored) {
+    if (isFirst || !areTypesStored) {
       storeTypes();
     }
   }
 
   private void storeTypes() {
-    isStored = true;
+    areTypesStored = true;
     store.send(
         new StoreRequest.Transaction(
             ImmutableList.of(election.leaderCondition()),
             ImmutableList.of(
                 StoreRequest.Change.put(StoreKeys.MACHINE_TYPES, fleet.typesRecord()))),
         RequestPriority.CLEANUP,
-        reply -> isStored = reply instanceof Reply.Committed);
+        reply -> areTypesStored = reply instanceof Reply.Committed);
   }
 }
--- a/src/main/java/eiderfork/controller/autoscaling/PackingDemand.java
+++ b/src/main/java/eiderfork/controller/autoscaling/PackingDemand.java
@@ -6,50 +6,56 @@
 import eiderfork.model.Resources;
 import java.util.Map;
 
-/** The tasks of one job that are being packed, all alike, and where they may go. */
+/** The identical tasks of one job that are being packed, and the constraints on their machines. */
 final class PackingDemand {
   private final Job job;
   private final Map<String, Integer> tasksByZone;
-  private final int maxPerZone;
+  private final int maxTasksPerZone;
 
   /**
-   * @param tasksByZone how many tasks of the job each zone holds; packed ones are counted in
-   * @param maxPerZone how many a zone may hold
+   * @param tasksByZone the number of the job's tasks in each zone; updated as tasks are packed
+   * @param maxTasksPerZone the maximum number of the job's tasks in a zone
    */
-  PackingDemand(Job job, Map<String, Integer> tasksByZone, int maxPerZone) {
+  PackingDemand(Job job, Map<String, Integer> tasksByZone, int maxTasksPerZone) {
     this.job = job;
     this.tasksByZone = tasksByZone;
-    this.maxPerZone = maxPerZone;
+    this.maxTasksPerZone = maxTasksPerZone;
   }
 
   Job job() {
     return job;
   }
 
-  /** What one task needs. */
+  /** Returns the resources that one task needs. */
   Resources taskResources() {
     return job.taskResources();
   }
 
-  /** Tasks without GPUs should leave free GPUs the processors that those need. */
+  /**
+   * Returns whether the tasks need no GPUs. Such tasks should leave free GPUs the CPUs that those
+   * need.
+   */
   boolean isWithoutGpus() {
     return job.taskResources().gpus() <= 0;
   }
 
-  /** Whether a further task may go onto a machine of this kind. */
+  /** Returns whether one more task may run on a machine of this kind. */
   boolean allows(MachineKind kind) {
     return allowsKind(job, kind)
-        && PlacementConstraints.canZoneAccept(job, kind.zone(), tasksByZone, maxPerZone);
+        && PlacementConstraints.canZoneAccept(job, kind.zone(), tasksByZone, maxTasksPerZone);
   }
 
-  /** Whether a job's tasks may go onto machines of this kind, whatever its zones hold. */
+  /**
+   * Returns whether a job's tasks may run on machines of this kind, regardless of the job's other
+   * tasks.
+   */
   static boolean allowsKind(Job job, MachineKind kind) {
     return job.allowsType(kind.type())
         && job.allowsZone(kind.zone())
         && (job.spotAllowed() || !kind.spot());
   }
 
-  /** Packs one task. */
+  /** Packs one task into a bin. */
   void packOn(Bin bin) {
     bin.pack(job.taskResources());
     tasksByZone.merge(bin.kind().zone(), 1, Integer::sum);
--- a/src/main/java/eiderfork/controller/autoscaling/PlannableMachines.java
+++ b/src/main/java/eiderfork/controller/autoscaling/PlannableMachines.java
@@ -10,25 +10,25 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** The machines that a plan counts on: those in service, and those that are on their way. */
+/** The machines that a plan can use: those in service and those being provisioned. */
 final class PlannableMachines {
   private final MachineRegistry fleet;
   private final MachineLiveness liveness;
   private final CloudProvisioner cloud;
-  private final BootTimeEstimator bootTimes;
+  private final BootDelayDetector bootDelays;
 
   PlannableMachines(
       MachineRegistry fleet,
       MachineLiveness liveness,
       CloudProvisioner cloud,
-      BootTimeEstimator bootTimes) {
+      BootDelayDetector bootDelays) {
     this.fleet = fleet;
     this.liveness = liveness;
     this.cloud = cloud;
-    this.bootTimes = bootTimes;
+    this.bootDelays = bootDelays;
   }
 
-  /** Bins for all of them, the fullest first. */
+  /** Returns bins for these machines, the fullest first. */
   List<Bin> toBins() {
     List<Bin> bins = new ArrayList<>();
     addMachines(bins);
@@ -54,7 +54,7 @@
 
   private boolean isBooting(MachineState machine) {
     MachineType type = fleet.typeOf(machine);
-    return machine.lastHeartbeat() == null && type != null && !bootTimes.isLate(machine, type);
+    return machine.lastHeartbeat() == null && type != null && !bootDelays.isLate(machine, type);
   }
 
   private void addOpenRents(List<Bin> bins) {
@@ -65,7 +65,7 @@
       }
       MachineKind kind = new MachineKind(rent.type(), rent.zone(), rent.spot());
       for (int i = 0; i < rent.count(); i++) {
-        bins.add(Bin.ofUnnamed(kind, type));
+        bins.add(Bin.forUnnamedMachine(kind, type));
       }
     }
   }
--- a/src/main/java/eiderfork/controller/autoscaling/ProvisioningIntents.java
+++ b/src/main/java/eiderfork/controller/autoscaling/ProvisioningIntents.java
@@ -10,7 +10,7 @@
 import eiderfork.model.StoredRecord;
 import java.util.function.BooleanSupplier;
 
-/** The records that are stored before the cloud is called, so that a later leader finds them. */
+/** The intent records, each stored before the call to the cloud so that a later leader finds it. */
 final class ProvisioningIntents {
   private final LeaderElection election;
   private final StoreClient store;
@@ -21,14 +21,15 @@
   }
 
   /**
-   * Stores an intent. A write without an answer is repeated, since it may have been applied.
+   * Stores an intent. A write without a reply is retried, since it may have been applied.
    *
-   * @param isStillWanted whether the outcome still matters when it is known
+   * @param isStillOpen returns whether the request is still open when the reply arrives; if not,
+   *     neither callback is run
    */
-  void reserve(
+  void storeIntent(
       String key,
       StoredRecord record,
-      BooleanSupplier isStillWanted,
+      BooleanSupplier isStillOpen,
       Runnable onCommitted,
       Runnable onFailed) {
     store.send(
@@ -37,7 +38,7 @@
             ImmutableList.of(StoreRequest.Change.put(key, record))),
         RequestPriority.FLEET,
         reply -> {
-          if (!isStillWanted.getAsBoolean() || !election.isLeading()) {
+          if (!isStillOpen.getAsBoolean() || !election.isLeading()) {
             return;
           }
           if (reply instanceof Reply.Committed || isOwnEarlierWrite(reply)) {
@@ -45,20 +46,23 @@
           } else if (reply instanceof Reply.Conflict) {
             election.leaderConditionFailed();
           } else if (reply instanceof Reply.Unanswered) {
-            reserve(key, record, isStillWanted, onCommitted, onFailed);
+            storeIntent(key, record, isStillOpen, onCommitted, onFailed);
           } else {
             onFailed.run();
           }
         });
   }
 
-  /** No other term writes the key, so where it exists an earlier try of the write was applied. */
+  /**
+   * Returns whether an earlier attempt of this write was applied. The key contains the term, so no
+   * other leader writes it: if it exists, this leader has stored it.
+   */
   private static boolean isOwnEarlierWrite(Reply reply) {
     return reply instanceof Reply.Conflict conflict
         && !conflict.failedKeys().contains(StoreKeys.LEADER);
   }
 
-  /** Removes an intent that is settled. */
+  /** Removes the intent of a settled request. */
   void remove(String key) {
     store.send(
         new StoreRequest.Transaction(
--- a/src/main/java/eiderfork/controller/autoscaling/ProvisioningRequest.java
+++ b/src/main/java/eiderfork/controller/autoscaling/ProvisioningRequest.java
@@ -3,7 +3,7 @@
 import eiderfork.controller.ratelimit.Backoff;
 import java.util.random.RandomGenerator;
 
-/** A call to the cloud, from the intent that is stored for it until it is settled. */
+/** A request to the cloud, from the storing of its intent until it is settled. */
 abstract class ProvisioningRequest {
   private final String key;
   private final Backoff backoff;
@@ -13,55 +13,55 @@
   private long nextAttemptMs;
 
   /**
-   * @param key the store's key of the intent
+   * @param key the key of the intent in the store
    */
   ProvisioningRequest(String key, Backoff backoff) {
     this.key = key;
     this.backoff = backoff;
   }
 
-  /** The store's key of the intent. */
+  /** Returns the key of the intent in the store. */
   final String key() {
     return key;
   }
 
-  /** The intent is stored, so that the call may be made. */
-  final void intentCommitted() {
+  /** Records that the intent is stored, so that the call may be made. */
+  final void onIntentCommitted() {
     committed = true;
   }
 
-  /** Whether the intent is stored. */
+  /** Returns whether the intent is stored. */
   final boolean isCommitted() {
     return committed;
   }
 
-  /** The call is made. */
-  final void callStarted() {
+  /** Records that a call is made. */
+  final void onCallStarted() {
     sent = true;
     inFlight = true;
   }
 
-  /** The call was answered, or is not waited for any more. */
-  final void callEnded() {
+  /** Records that the call was answered or has timed out. */
+  final void onCallEnded() {
     inFlight = false;
   }
 
-  /** Whether the call was made at least once. */
+  /** Returns whether the call was made at least once. */
   final boolean hasBeenSent() {
     return sent;
   }
 
-  /** Whether a call is under way. */
+  /** Returns whether a call is in flight. */
   final boolean isInFlight() {
     return inFlight;
   }
 
-  /** The call has failed and is made again after a growing pause. */
+  /** Schedules a retry of a failed call after the next backoff delay. */
   final void scheduleRetry(long nowMs, RandomGenerator random) {
     nextAttemptMs = nowMs + backoff.nextPauseMs(random);
   }
 
-  /** Whether the call is to be made now. */
+  /** Returns whether the call is to be made now. */
   boolean isDue(long nowMs) {
     return committed && !inFlight && nowMs >= nextAttemptMs;
   }
--- a/src/main/java/eiderfork/controller/autoscaling/ProvisioningRequests.java
+++ b/src/main/java/eiderfork/controller/autoscaling/ProvisioningRequests.java
@@ -13,11 +13,10 @@
 import java.util.Map;
 
 /**
- * The open calls of one kind to the cloud. Each is stored as an intent before it is made, and made
- * again under the same name until it is answered, also by later leaders.
+ * The open requests of one kind to the cloud. An intent is stored for each before its first call.
+ * The call is retried under the same name until it is answered, also by later leaders.
  */
 abstract class ProvisioningRequests<R extends ProvisioningRequest> {
-  /** What the subclasses work with. */
   final ControllerContext context;
 
   final MachineRegistry fleet;
@@ -29,7 +28,7 @@
   private int lastRequestNumber;
 
   /**
-   * @param callBudget the budget of calls to the cloud
+   * @param callBudget the rate limit of calls to the cloud, shared with other requests
    */
   ProvisioningRequests(
       ControllerContext context,
@@ -44,22 +43,22 @@
     this.callBudget = callBudget;
   }
 
-  /** The call that carries a request out. */
+  /** Returns the call that carries out a request. */
   abstract Effect.Call toCall(long callId, R request);
 
-  /** A call of an open request was answered. */
+  /** Handles the reply to a call of an open request. */
   abstract void onReply(R request, Reply reply);
 
-  /** The intent of a request was not stored; the request is given up. */
+  /** Handles the failure to store the intent of a request, which is dropped. */
   void onIntentFailed(R request) {}
 
-  /** Forgets the requests of a term that is over. */
+  /** Discards the requests of an earlier term. */
   void reset() {
     openByKey.clear();
     lastRequestNumber = 0;
   }
 
-  /** A name that no other request of this kind has had in any term. */
+  /** Returns a request name that is unique among the requests of this kind in all terms. */
   final String nextRequestName() {
     return "t" + election.currentTerm() + "-" + ++lastRequestNumber;
   }
@@ -68,38 +67,38 @@
     return new Backoff(context.stepMs(), context.cloudListLagMs());
   }
 
-  /** Stores the intent of a new request; the call is made once that is committed. */
+  /** Stores the intent of a new request; the call is made once the intent is committed. */
   final void submit(R request, StoredRecord intent) {
     openByKey.put(request.key(), request);
-    intents.reserve(
+    intents.storeIntent(
         request.key(),
         intent,
         () -> isOpen(request),
-        request::intentCommitted,
+        request::onIntentCommitted,
         () -> {
           openByKey.remove(request.key());
           onIntentFailed(request);
         });
   }
 
-  /** Takes up a request whose intent an earlier leader stored. */
+  /** Resumes a request whose intent an earlier leader stored. */
   final void restore(R request) {
-    request.intentCommitted();
+    request.onIntentCommitted();
     openByKey.put(request.key(), request);
   }
 
-  /** The requests that are not settled, the oldest first. */
+  /** Returns the requests that are not settled, the oldest first. */
   final List<R> openRequests() {
     return List.copyOf(openByKey.values());
   }
 
-  /** The request is settled: forgets it and removes its intent. */
+  /** Closes a settled request and removes its intent. */
   final void close(R request) {
     openByKey.remove(request.key());
     intents.remove(request.key());
   }
 
-  /** Makes the calls that are due, as far as the budget goes. */
+  /** Makes the calls that are due and that the call budget allows. */
   final void sendDue() {
     for (R request : openRequests()) {
       if (request.isDue(context.nowMs()) && callBudget.tryTake(1, context.nowMs())) {
@@ -109,11 +108,11 @@
   }
 
   private void send(R request) {
-    request.callStarted();
+    request.onCallStarted();
     context.call(
         callId -> toCall(callId, request),
         reply -> {
-          request.callEnded();
+          request.onCallEnded();
           if (isOpen(request)) {
             onReply(request, reply);
           }
--- a/src/main/java/eiderfork/controller/autoscaling/ScaleInPolicy.java
+++ b/src/main/java/eiderfork/controller/autoscaling/ScaleInPolicy.java
@@ -11,9 +11,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** Decides which machines are returned: those that no plan needs, are lost or can't be used. */
+/** Decides which machines to return: those that are not needed, lost or unusable. */
 final class ScaleInPolicy {
-  /** The cloud charges for a machine as if it had run this long at least. */
+  /** The minimum time for which the cloud charges a machine. */
   static final long MIN_CHARGE_MS = 60_000;
 
   private static final double MS_PER_S = 1000;
@@ -23,7 +23,7 @@
   private final MachineLiveness liveness;
   private final LeaseExpiry leaseExpiry;
   private final CloudProvisioner cloud;
-  private final BootTimeEstimator bootTimes;
+  private final BootDelayDetector bootDelays;
 
   ScaleInPolicy(
       ControllerContext context,
@@ -31,23 +31,23 @@
       MachineLiveness liveness,
       LeaseExpiry leaseExpiry,
       CloudProvisioner cloud,
-      BootTimeEstimator bootTimes) {
+      BootDelayDetector bootDelays) {
     this.context = context;
     this.fleet = fleet;
     this.liveness = liveness;
     this.leaseExpiry = leaseExpiry;
     this.cloud = cloud;
-    this.bootTimes = bootTimes;
+    this.bootDelays = bootDelays;
   }
 
   /**
-   * Returns what the plan does not need.
+   * Returns the machines to the cloud that are unusable or that the plan does not need.
    *
-   * @param bins the machines of the plan, with what it packed on them
+   * @param bins the machines of the plan, with the tasks packed onto them
    */
   void returnUnneeded(List<Bin> bins) {
     Map<MachineState, Bin> binsWithoutReservations = binsWithoutReservations(bins);
-    boolean areHeartbeatsConclusive = areMostMachinesHeard();
+    boolean areHeartbeatsConclusive = areMostMachinesReachable();
     for (MachineState machine : ImmutableList.copyOf(fleet.machines())) {
       if (machine.lifecycle().isScalingIn() || machine.spec() == null) {
         continue;
@@ -68,8 +68,11 @@
     return byMachine;
   }
 
-  /** Where most machines are silent at once, it is this node that is cut off. */
-  private boolean areMostMachinesHeard() {
+  /**
+   * Returns whether at least half of the live machines have sent a recent heartbeat. If not, this
+   * node is probably the one that is disconnected.
+   */
+  private boolean areMostMachinesReachable() {
     int silent = 0;
     int live = 0;
     for (MachineState machine : fleet.machines()) {
@@ -81,14 +84,18 @@
     return silent * 2 <= live;
   }
 
-  /** Returns a machine that is faulty or lost; whether it is one, or has not come up yet. */
+  /**
+   * Returns a machine to the cloud that is faulty, lost or failed to boot.
+   *
+   * @return whether the machine is unusable, which includes one that has not booted yet
+   */
   private boolean returnIfUnusable(MachineState machine, boolean areHeartbeatsConclusive) {
     if (machine.failures().isFaulty()) {
       cloud.scaleIn().returnMachine(machine, ScaleInReason.FAULTY);
     } else if (machine.lastHeartbeat() == null) {
       returnIfBootFailed(machine);
     } else if (areHeartbeatsConclusive && isLost(machine)) {
-      cloud.scaleIn().returnSilent(machine, ScaleInReason.SILENT);
+      cloud.scaleIn().returnUnreachable(machine, ScaleInReason.SILENT);
     } else if (areHeartbeatsConclusive && isUnresponsiveForLong(machine)) {
       cloud.scaleIn().returnMachine(machine, ScaleInReason.COMMANDS_LOST);
     } else {
@@ -99,15 +106,15 @@
 
   private void returnIfBootFailed(MachineState machine) {
     MachineType type = fleet.typeOf(machine);
-    if (type != null && bootTimes.hasFailed(machine, type)) {
-      cloud.scaleIn().returnSilent(machine, ScaleInReason.BOOT_FAILED);
+    if (type != null && bootDelays.hasFailed(machine, type)) {
+      cloud.scaleIn().returnUnreachable(machine, ScaleInReason.BOOT_FAILED);
     }
   }
 
   private boolean isLost(MachineState machine) {
     return !leaseExpiry.isProxied(machine)
         && liveness.sinceLastContactMs(machine)
-            > BootTimeEstimator.UNREACHABLE_GRACE_LEASES * context.workerLeaseMs()
+            > BootDelayDetector.UNREACHABLE_GRACE_LEASES * context.workerLeaseMs()
                 + bootMs(machine);
   }
 
@@ -119,9 +126,9 @@
   }
 
   /**
-   * Returns a machine that holds nothing, once it was drained or has been idle for long.
+   * Returns a machine without tasks to the cloud if it is drained or has been idle for long enough.
    *
-   * @param bin what the plan packed on the machine; null where the plan did not count on it
+   * @param bin the machine's bin; null if the plan could not use the machine or it has reservations
    */
   private void returnIfEmpty(MachineState machine, Bin bin) {
     if (!machine.reservations().isEmpty() || !machine.reportedTasks().isEmpty()) {
@@ -132,14 +139,14 @@
       machine.lifecycle().clearIdle();
     } else if (machine.lifecycle().idleSinceMs() == 0) {
       machine.lifecycle().beginIdle(context.nowMs());
-    } else if (isIdleForLong(machine)) {
+    } else if (hasIdleTimeoutElapsed(machine)) {
       cloud.scaleIn().returnMachine(machine, ScaleInReason.IDLE);
     }
   }
 
-  private boolean isIdleForLong(MachineState machine) {
-    double keptMs = bootMs(machine) * context.settings.operator().idleBootShare();
-    return context.nowMs() - machine.lifecycle().idleSinceMs() > keptMs
+  private boolean hasIdleTimeoutElapsed(MachineState machine) {
+    double idleTimeoutMs = bootMs(machine) * context.settings.operator().idleBootShare();
+    return context.nowMs() - machine.lifecycle().idleSinceMs() > idleTimeoutMs
         && context.nowMs() - machine.lifecycle().knownSinceMs() > MIN_CHARGE_MS;
   }
 
--- a/src/main/java/eiderfork/controller/autoscaling/ScaleInReason.java
+++ b/src/main/java/eiderfork/controller/autoscaling/ScaleInReason.java
@@ -1,6 +1,6 @@
 package eiderfork.controller.autoscaling;
 
-/** Why a machine is returned to the cloud. */
+/** The reason for which a machine is returned to the cloud. */
 enum ScaleInReason {
   FAULTY("faulty"),
   BOOT_FAILED("boot-failed"),
@@ -15,7 +15,7 @@
     this.logName = logName;
   }
 
-  /** The name in log lines. */
+  /** Returns the name in log lines. */
   @Override
   public String toString() {
     return logName;
--- a/src/main/java/eiderfork/controller/autoscaling/ScaleInRequests.java
+++ b/src/main/java/eiderfork/controller/autoscaling/ScaleInRequests.java
@@ -18,22 +18,22 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The machines to return to the cloud, and the calls that return them. */
+/** The machines to return to the cloud, and the requests that return them. */
 public final class ScaleInRequests extends ProvisioningRequests<ScaleInRequests.Return> {
   private static final Logger LOG = LoggerFactory.getLogger(ScaleInRequests.class);
 
-  /** The most machines that the protocol lets one call return. */
-  private static final int MAX_RETURN_COUNT = 100;
+  /** The maximum number of machines that the cloud protocol allows in one return call. */
+  private static final int MAX_MACHINES_PER_RETURN = 100;
 
-  /** The share of a stored value that the names of an intent may take. */
-  private static final double VALUE_SHARE = 0.8;
+  /** The maximum share of the size limit of a stored value that the names of an intent may use. */
+  private static final double MAX_INTENT_SIZE_SHARE = 0.8;
 
-  /** Quotes and comma around a name. */
+  /** The size of the quotes and the comma around a name. */
   private static final int NAME_OVERHEAD_BYTES = 3;
 
   private static final int BYTES_PER_KB = 1024;
 
-  /** Machines that are to be returned by a later call. */
+  /** The machines that are to be returned and not yet part of a request. */
   private final Set<String> pendingNames = new HashSet<>();
 
   ScaleInRequests(
@@ -45,11 +45,11 @@
     super(context, election, fleet, intents, callBudget);
   }
 
-  /** The return of several machines. */
+  /** A request that returns several machines. */
   static final class Return extends ProvisioningRequest {
     private final ImmutableList<String> machineNames;
 
-    /** A call was made and not refused, so the machines may be gone at any time. */
+    /** True if a call may have been accepted, so that the machines may disappear at any time. */
     private boolean possiblyApplied;
 
     private Return(String key, ImmutableList<String> machineNames, Backoff backoff) {
@@ -68,7 +68,7 @@
     pendingNames.clear();
   }
 
-  /** Takes up a return whose intent an earlier leader stored, and which it may have called for. */
+  /** Resumes a return whose intent an earlier leader stored, and whose call it may have made. */
   public void restore(String key, StoredRecord.ScaleInIntent intent) {
     Return request = new Return(key, intent.machines(), newBackoff());
     request.possiblyApplied = true;
@@ -76,9 +76,9 @@
     intent.machines().forEach(name -> fleet.getOrRegister(name).lifecycle().beginScaleIn());
   }
 
-  /** Stores intents for what was decided, and makes the calls that are due. */
+  /** Stores an intent for the next batch of machines, and makes the calls that are due. */
   void tick() {
-    keepRecovered();
+    revokeRecovered();
     if (!pendingNames.isEmpty()) {
       submitNextBatch();
     }
@@ -97,13 +97,13 @@
     pendingNames.addAll(request.machineNames);
   }
 
-  /** Returns a machine that sends no heartbeats; it is kept if it recovers before the call. */
-  void returnSilent(MachineState machine, ScaleInReason reason) {
+  /** Returns an unreachable machine to the cloud unless its heartbeats resume before the call. */
+  void returnUnreachable(MachineState machine, ScaleInReason reason) {
     machine.lifecycle().recordUnreachableScaleIn(context.nowMs());
     returnMachine(machine, reason);
   }
 
-  /** Returns a machine. */
+  /** Returns a machine to the cloud. */
   void returnMachine(MachineState machine, ScaleInReason reason) {
     if (!machine.lifecycle().isScalingIn()) {
       LOG.info("scale-in-decided machine={} reason={}", machine.name(), reason);
@@ -113,24 +113,25 @@
   }
 
   /**
-   * Keeps machines that sent a heartbeat before the cloud was called for their return: while it
-   * refuses all calls, a machine that only hung for a moment is of use again.
+   * Revokes the return of unreachable machines whose heartbeats resumed before the cloud accepted
+   * the call. While the cloud refuses all calls, a machine that only hung for a moment becomes
+   * usable again.
    */
-  private void keepRecovered() {
-    pendingNames.removeIf(this::keepIfRecovered);
+  private void revokeRecovered() {
+    pendingNames.removeIf(this::revokeIfRecovered);
     for (Return request : openRequests()) {
       if (!request.canBeRevoked()) {
         continue;
       }
-      List<String> others = new ArrayList<>(request.machineNames);
-      if (others.removeIf(this::keepIfRecovered)) {
+      List<String> remainingNames = new ArrayList<>(request.machineNames);
+      if (remainingNames.removeIf(this::revokeIfRecovered)) {
         close(request);
-        pendingNames.addAll(others);
+        pendingNames.addAll(remainingNames);
       }
     }
   }
 
-  private boolean keepIfRecovered(String name) {
+  private boolean revokeIfRecovered(String name) {
     MachineState machine = fleet.get(name);
     if (machine == null
         || machine.lifecycle().scaledInUnreachableMs() == 0
@@ -142,14 +143,16 @@
     return true;
   }
 
-  /** The machines of the next return, as many as a call may name and an intent may hold. */
+  /**
+   * Returns the machines of the next request, up to the limits of a call and of a stored intent.
+   */
   private ImmutableList<String> nextBatch() {
-    double leftBytes = context.settings.safeValueKb() * BYTES_PER_KB * VALUE_SHARE;
+    double remainingBytes = context.settings.safeValueKb() * BYTES_PER_KB * MAX_INTENT_SIZE_SHARE;
     ImmutableList.Builder<String> batch = ImmutableList.builder();
     int count = 0;
     for (String name : pendingNames) {
-      leftBytes -= name.length() + NAME_OVERHEAD_BYTES;
-      if (count == MAX_RETURN_COUNT || count > 0 && leftBytes < 0) {
+      remainingBytes -= name.length() + NAME_OVERHEAD_BYTES;
+      if (count == MAX_MACHINES_PER_RETURN || count > 0 && remainingBytes < 0) {
         break;
       }
       batch.add(name);
--- a/src/main/java/eiderfork/controller/autoscaling/ScaleOutRequests.java
+++ b/src/main/java/eiderfork/controller/autoscaling/ScaleOutRequests.java
@@ -19,11 +19,13 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The calls that rent machines, and which kinds of machine the cloud is short of. */
+/** The requests that rent machines, and the kinds of machine that are out of stock. */
 public final class ScaleOutRequests extends ProvisioningRequests<ScaleOutRequests.Rent> {
   private static final Logger LOG = LoggerFactory.getLogger(ScaleOutRequests.class);
 
-  /** The pauses after a kind was found out of stock, in lags of the cloud's list. */
+  /**
+   * The first and the maximum backoff delay for a kind out of stock, in lags of the cloud's list.
+   */
   private static final int FIRST_OUT_OF_STOCK_LAGS = 2;
 
   private static final int MAX_OUT_OF_STOCK_LAGS = 8;
@@ -31,8 +33,8 @@
   private final Map<MachineKind, Long> outOfStockUntilMs = new HashMap<>();
   private final Map<MachineKind, Backoff> outOfStockBackoffs = new HashMap<>();
 
-  /** How many rents of a kind the cloud has filled since it was last short of it. */
-  private final Map<MachineKind, Integer> filledRents = new HashMap<>();
+  /** The number of rents filled completely since the kind was last out of stock. */
+  private final Map<MachineKind, Integer> filledRentCounts = new HashMap<>();
 
   ScaleOutRequests(
       ControllerContext context,
@@ -43,11 +45,11 @@
     super(context, election, fleet, intents, callBudget);
   }
 
-  /** A rent; it stays open until the cloud's list has its machines. */
+  /** A request to rent machines; it stays open until the cloud's list contains them. */
   static final class Rent extends ProvisioningRequest {
     private final StoredRecord.ScaleOutIntent intent;
 
-    /** Null until the cloud has answered. */
+    /** Null until the cloud has replied. */
     private ImmutableList<String> machineNames;
 
     private Rent(StoredRecord.ScaleOutIntent intent, Backoff backoff) {
@@ -74,10 +76,10 @@
     super.reset();
     outOfStockUntilMs.clear();
     outOfStockBackoffs.clear();
-    filledRents.clear();
+    filledRentCounts.clear();
   }
 
-  /** Takes up a rent whose intent an earlier leader stored. */
+  /** Resumes a rent whose intent an earlier leader stored. */
   public void restore(StoredRecord.ScaleOutIntent intent) {
     restore(new Rent(intent, newBackoff()));
   }
@@ -87,7 +89,7 @@
     sendDue();
   }
 
-  /** Rents whose machines are not known yet. */
+  /** Returns the intents of the rents whose machines are not known yet. */
   List<StoredRecord.ScaleOutIntent> openRents() {
     List<StoredRecord.ScaleOutIntent> open = new ArrayList<>();
     for (Rent rent : openRequests()) {
@@ -98,17 +100,17 @@
     return open;
   }
 
-  /** Whether a rent was decided that the cloud was not called for yet. */
+  /** Returns whether there is a rent for which no call has been made yet. */
   boolean hasUnsentRents() {
     return openRequests().stream().anyMatch(rent -> !rent.hasBeenSent());
   }
 
-  /** Whether the cloud may have machines of this kind. */
+  /** Returns whether this kind may be in stock. */
   boolean isInStock(MachineKind kind) {
     return outOfStockUntilMs.getOrDefault(kind, 0L) <= context.nowMs();
   }
 
-  /** Rents so many machines of a kind. */
+  /** Rents {@code count} machines of a kind. */
   public void rent(MachineKind kind, int count) {
     StoredRecord.ScaleOutIntent intent =
         new StoredRecord.ScaleOutIntent(
@@ -160,7 +162,7 @@
       markOutOfStock(rent.kind());
     } else {
       outOfStockBackoffs.remove(rent.kind());
-      filledRents.merge(rent.kind(), 1, Integer::sum);
+      filledRentCounts.merge(rent.kind(), 1, Integer::sum);
     }
   }
 
@@ -176,18 +178,18 @@
   }
 
   /**
-   * How many rents of this kind may be made at once: one at first and one more for each that was
-   * filled, since calls for what is out of stock use up the rate; never more than the rate allows
-   * in a step.
+   * Returns the maximum number of concurrent rents of this kind. It starts at one and grows by one
+   * for each filled rent, since calls for a kind that is out of stock use up the rate limit. It
+   * never exceeds the number of calls that the rate limit allows in a step.
    */
   public int maxConcurrentRents(MachineKind kind) {
     double callsPerStep = context.settings.cloudLimits().requestsPerS() * context.stepS();
     int max = (int) Math.max(1, callsPerStep);
-    return Math.min(max, 1 + filledRents.getOrDefault(kind, 0));
+    return Math.min(max, 1 + filledRentCounts.getOrDefault(kind, 0));
   }
 
   private void markOutOfStock(MachineKind kind) {
-    filledRents.remove(kind);
+    filledRentCounts.remove(kind);
     Backoff backoff = outOfStockBackoffs.computeIfAbsent(kind, k -> newOutOfStockBackoff());
     outOfStockUntilMs.put(kind, context.nowMs() + backoff.nextPauseMs(context.random));
   }
@@ -198,7 +200,7 @@
         context.cloudListLagMs() * MAX_OUT_OF_STOCK_LAGS);
   }
 
-  /** Removes the intents of rents whose machines a new leader would find in the cloud's list. */
+  /** Closes the rents whose machines a new leader would find in the cloud's list. */
   void removeSettled() {
     for (Rent rent : openRequests()) {
       if (rent.isAnswered() && rent.machineNames.stream().allMatch(this::isListedOrGone)) {
--- a/src/main/java/eiderfork/controller/autoscaling/TaskRelocation.java
+++ b/src/main/java/eiderfork/controller/autoscaling/TaskRelocation.java
@@ -12,8 +12,8 @@
 import java.util.Set;
 
 /**
- * Whether the tasks of machines fit on other machines, with what the tasks of machines relocated
- * before take there.
+ * Checks whether the tasks of machines fit on other machines, beside the tasks that were relocated
+ * to those before.
  */
 final class TaskRelocation {
   private final ControllerContext context;
@@ -21,7 +21,7 @@
   private final Scheduler scheduler;
   private final BinPacking packing;
 
-  /** What is free on the machines that relocated tasks go to. */
+  /** The remaining free capacity of the machines that relocated tasks go to. */
   private Map<Bin, Resources> freeOnTargets = new Reference2ObjectOpenHashMap<>();
 
   TaskRelocation(
@@ -35,19 +35,19 @@
     this.packing = packing;
   }
 
-  /** Whether relocated tasks go to this machine. */
+  /** Returns whether relocated tasks go to this machine. */
   boolean isTarget(Bin bin) {
     return freeOnTargets.containsKey(bin);
   }
 
   /**
-   * Finds machines for all tasks of a machine, which count as relocated then.
+   * Relocates all tasks of a machine if they fit on other machines.
    *
-   * <p>Tasks of a machine with GPUs may take the processors that GPUs elsewhere would need: waiting
-   * tasks and headroom have theirs already, and as many GPUs as the machine has are returned.
+   * <p>Tasks of a GPU machine may use the CPUs that free GPUs elsewhere would need: pending tasks
+   * and headroom already have their CPUs, and the machine's own GPUs are returned.
    *
-   * @param excluded machines that take no tasks
-   * @return whether all of them fit; nothing is relocated otherwise
+   * @param excluded machines that may not receive tasks
+   * @return whether all tasks fit; if not, none is relocated
    */
   boolean relocateAll(Bin source, Set<MachineState> excluded) {
     Map<Bin, Resources> free = new Reference2ObjectOpenHashMap<>(freeOnTargets);
@@ -58,7 +58,7 @@
     return true;
   }
 
-  /** Whether all tasks of a machine fit elsewhere; nothing is relocated. */
+  /** Returns whether all tasks of a machine fit elsewhere, without relocating any. */
   boolean canRelocateAll(Bin source) {
     return fitsElsewhere(source, new Reference2ObjectOpenHashMap<>(freeOnTargets), Set.of());
   }
@@ -79,27 +79,27 @@
     return free.getOrDefault(bin, bin.free());
   }
 
-  /** The machine that has the smallest share of it free with the task on it, or null. */
+  /** Returns the machine with the smallest free share once the task is on it, or null. */
   private Bin findFullestTarget(
       Job job, Bin source, Map<Bin, Resources> free, Set<MachineState> excluded) {
     FullestBin fullest = new FullestBin();
     packing.forEachWithFreeCapacity(
         job,
         bin -> {
-          Resources freeThere = freeOn(bin, free);
+          Resources targetFree = freeOn(bin, free);
           if (bin != source
               && bin.hasMachine()
               && !excluded.contains(bin.machine())
-              && job.taskResources().fitsIn(freeThere)
+              && job.taskResources().fitsIn(targetFree)
               && canMove(job, source, bin)
-              && !strandsGpus(job, source, freeThere)) {
-            fullest.offer(bin, freeThere.minus(job.taskResources()).shareOf(bin.capacity()));
+              && !strandsGpus(job, source, targetFree)) {
+            fullest.offer(bin, targetFree.minus(job.taskResources()).shareOf(bin.capacity()));
           }
         });
     return fullest.bin;
   }
 
-  /** The bin that was offered with the smallest free share, the first of equal ones. */
+  /** The offered bin with the smallest free share; among equals, the first. */
   private static final class FullestBin {
     private Bin bin;
     private double freeShare;
@@ -117,7 +117,10 @@
         && scheduler.cpusPerGpu().strandedGpusBy(job.taskResources(), free) > 0;
   }
 
-  /** Only to a machine that is fuller and in use, and where the image is there in time. */
+  /**
+   * Returns whether a task may move to this machine: one that is in use, at least as full as the
+   * source, and can have the image within a step.
+   */
   private boolean canMove(Job job, Bin source, Bin target) {
     return !target.machine().reservations().isEmpty()
         && liveness.isSchedulable(target.machine())
@@ -128,7 +131,10 @@
         && scheduler.imageFetch().waitS(job, target.machine()) <= context.stepS();
   }
 
-  /** Another zone is only allowed where it does not depend on the job's other tasks. */
+  /**
+   * Returns whether a task may move to a zone. Tasks of a job that has to spread over zones or stay
+   * in a single zone may not leave their zone, since that depends on the job's other tasks.
+   */
   private static boolean isZoneAllowed(Job job, String sourceZone, String targetZone) {
     boolean isFreeToMove = !job.spreadZones() && !job.singleZone() && job.allowsZone(targetZone);
     return targetZone.equals(sourceZone) || isFreeToMove;
--- a/src/test/java/eiderfork/controller/autoscaling/FirstFitTreeTest.java
+++ b/src/test/java/eiderfork/controller/autoscaling/FirstFitTreeTest.java
@@ -14,10 +14,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The tree finds what a linear search would find. */
+/** Compares the searches of the tree with a linear search. */
 class FirstFitTreeTest {
   private static final Resources CAPACITY = new Resources(64, 8, 512);
-  private static final CpusPerGpu FOUR_CPUS_A_GPU = new CpusPerGpu(4);
+  private static final CpusPerGpu FOUR_CPUS_PER_GPU = new CpusPerGpu(4);
   private static final long ALL_KINDS = -1;
 
   private final Random random = new Random(5);
@@ -52,7 +52,7 @@
   @ValueSource(ints = {3, 100})
   void findsTheFirstBinThatTakesATaskAfterUpdates(int kinds) {
     List<Bin> bins = randomBins(20, kinds);
-    FirstFitTree tree = new FirstFitTree(bins, FOUR_CPUS_A_GPU);
+    FirstFitTree tree = new FirstFitTree(bins, FOUR_CPUS_PER_GPU);
     for (int i = 0; i < 2000; i++) {
       if (random.nextInt(10) == 0) {
         tree.add(randomBin(kinds));
@@ -70,18 +70,19 @@
   }
 
   @Test
-  void findsBinsWhoseFreeGpusKeepTheirProcessors() {
+  void findsBinsWithoutStrandingFreeGpus() {
     List<Bin> bins = randomBins(500, 3);
-    FirstFitTree tree = new FirstFitTree(bins, FOUR_CPUS_A_GPU);
+    FirstFitTree tree = new FirstFitTree(bins, FOUR_CPUS_PER_GPU);
     for (int cpus = 1; cpus < 64; cpus++) {
       Resources demand = new Resources(cpus, 0, 4);
-      Predicate<Bin> sparesGpus = bin -> FOUR_CPUS_A_GPU.strandedGpusBy(demand, bin.free()) <= 0;
-      int expected = firstByLinearSearch(bins, demand, sparesGpus);
-      assertEquals(expected, tree.findFirst(demand, ALL_KINDS, true, sparesGpus));
+      Predicate<Bin> strandsNoGpus =
+          bin -> FOUR_CPUS_PER_GPU.strandedGpusBy(demand, bin.free()) <= 0;
+      int expected = firstByLinearSearch(bins, demand, strandsNoGpus);
+      assertEquals(expected, tree.findFirst(demand, ALL_KINDS, true, strandsNoGpus));
     }
   }
 
-  /** A plan for a large fleet once examined each machine for each waiting job. */
+  /** Guards against plans that examine every machine of a large fleet for each pending job. */
   @Test
   void doesNotVisitFullBins() {
     List<Bin> bins = new ArrayList<>();
@@ -90,21 +91,21 @@
       bins.add(new Bin(null, kind, CAPACITY, Resources.NONE));
     }
     bins.set(4321, new Bin(null, kind, CAPACITY, CAPACITY));
-    FirstFitTree tree = new FirstFitTree(bins, FOUR_CPUS_A_GPU);
+    FirstFitTree tree = new FirstFitTree(bins, FOUR_CPUS_PER_GPU);
     for (int i = 0; i < 100; i++) {
       assertEquals(4321, tree.findFirst(CAPACITY, ALL_KINDS, false, bin -> true));
     }
-    assertEquals(100, tree.visitedBins());
+    assertEquals(100, tree.visitedBinCount());
   }
 
   @Test
-  void showsEveryBinWithFreeCapacity() {
+  void passesEveryBinWithFreeCapacityToTheConsumer() {
     List<Bin> bins = randomBins(300, 3);
-    FirstFitTree tree = new FirstFitTree(bins, FOUR_CPUS_A_GPU);
+    FirstFitTree tree = new FirstFitTree(bins, FOUR_CPUS_PER_GPU);
     Resources demand = new Resources(20, 2, 100);
-    List<Bin> shown = new ArrayList<>();
-    tree.forEachWithFreeCapacity(demand, ALL_KINDS, shown::add);
-    assertEquals(bins.stream().filter(bin -> demand.fitsIn(bin.free())).toList(), shown);
-    assertTrue(shown.size() < bins.size());
+    List<Bin> found = new ArrayList<>();
+    tree.forEachWithFreeCapacity(demand, ALL_KINDS, found::add);
+    assertEquals(bins.stream().filter(bin -> demand.fitsIn(bin.free())).toList(), found);
+    assertTrue(found.size() < bins.size());
   }
 }
