--- a/src/main/java/eiderfork/controller/jobs/FinalStatusCache.java
+++ b/src/main/java/eiderfork/controller/jobs/FinalStatusCache.java
@@ -5,22 +5,22 @@
 import eiderfork.model.JobStatus;
 
 /**
- * The final statuses that this node has seen. They never change, so queries are answered from here
- * at any time, also without the store.
+ * A cache of the final job statuses that this node has seen. Final statuses never change, so
+ * queries can be answered from the cache at any time, also while the store is unreachable.
  */
 final class FinalStatusCache {
-  /** More than users query at a time. */
+  /** The maximum number of entries, more than the number of jobs that users query at a time. */
   private static final int MAX_ENTRIES = 4096;
 
   private final Cache<String, JobStatus> cache =
       Caffeine.newBuilder().maximumSize(MAX_ENTRIES).executor(Runnable::run).build();
 
-  /** The final status of a job; null where it is not known. */
+  /** Returns the final status of a job; null if it is not cached. */
   JobStatus get(String uid) {
     return cache.getIfPresent(uid);
   }
 
-  /** Keeps a status that never changes again. */
+  /** Caches a status if it is final. */
   void putIfFinal(JobStatus status) {
     if (status.phase().isFinal()) {
       cache.put(status.uid(), status);
--- a/src/main/java/eiderfork/controller/jobs/ForwardedQueryHandler.java
+++ b/src/main/java/eiderfork/controller/jobs/ForwardedQueryHandler.java
@@ -6,28 +6,28 @@
 import eiderfork.controller.message.Input;
 import eiderfork.controller.message.UserResponse;
 
-/** Responds to the queries that a peer forwards in one request, to all of them at once. */
+/** Handles the queries that a peer forwards in one request, with one response to all of them. */
 public final class ForwardedQueryHandler {
-  /** Queries of one request get one response, so that they carry no ticket of their own. */
+  /** The ticket of a single query; only the request has one, since it gets one response. */
   private static final long NO_TICKET = 0;
 
   private final ControllerContext context;
   private final UserRequestHandler users;
 
-  /** Makes a handler that answers queries as {@code users} does. */
+  /** Creates a handler that answers queries through {@code users}. */
   public ForwardedQueryHandler(ControllerContext context, UserRequestHandler users) {
     this.context = context;
     this.users = users;
   }
 
-  /** Answers all queries of a request, in their order. */
+  /** Answers all queries of a request, in the order of the request. */
   public void handle(Input.PeerQueries request) {
     if (request.uids().isEmpty()) {
       respond(request, new UserResponse[0]);
       return;
     }
     UserResponse[] responses = new UserResponse[request.uids().size()];
-    int[] missing = {responses.length};
+    int[] remaining = {responses.length};
     for (int i = 0; i < responses.length; i++) {
       int index = i;
       users.handle(
@@ -35,8 +35,8 @@
           false,
           response -> {
             responses[index] = response;
-            missing[0]--;
-            if (missing[0] == 0) {
+            remaining[0]--;
+            if (remaining[0] == 0) {
               respond(request, responses);
             }
           });
--- a/src/main/java/eiderfork/controller/jobs/JobAdmission.java
+++ b/src/main/java/eiderfork/controller/jobs/JobAdmission.java
@@ -25,12 +25,12 @@
 import java.util.function.Consumer;
 import java.util.function.ObjLongConsumer;
 
-/** Validates submissions and stores those that can run; any node stores a job, exactly once. */
+/** Validates submissions and stores the accepted jobs, each exactly once. Any node can do this. */
 final class JobAdmission {
-  /** When to retry a job that waits for the last node to be upgraded. */
+  /** The retry delay for a job that requires all nodes to be upgraded. */
   private static final int VERSION_RETRY_S = 2;
 
-  /** When to retry while the machine types are unknown. */
+  /** The retry delay while the machine types are unknown. */
   private static final int MACHINE_TYPES_RETRY_S = 2;
 
   private static final int BAD_REQUEST_STATUS = 400;
@@ -44,13 +44,13 @@
   private final LoadShedder loadShedder;
   private final ObjLongConsumer<Job> onAccepted;
 
-  /** The users that wait for a write in flight, by the uid of the job that it stores. */
+  /** The callbacks of submissions that wait for a write in flight, by the uid of the job. */
   private final Map<String, List<Consumer<UserResponse>>> pendingSubmissions = new HashMap<>();
 
   private ImmutableMap<String, MachineType> storedMachineTypes = ImmutableMap.of();
 
   /**
-   * @param onAccepted receives each job that this node stored, with the revision of the write
+   * @param onAccepted called with each job that this node stored and the revision of the write
    */
   JobAdmission(
       ControllerContext context,
@@ -69,15 +69,15 @@
     this.onAccepted = onAccepted;
   }
 
-  /** Whether a job has to wait until every node runs the version that can carry it out. */
+  /** Returns whether a job has to wait until every node runs a version that supports it. */
   boolean mustWaitForVersion(Job job) {
     return job.kind() == JobKind.GANG && !version.isSupportedByAll(ClusterVersion.PACKED_ALLOCS);
   }
 
-  /** Handles a submission while memory does not hold all that is committed. */
+  /** Handles a submission while memory may not hold all committed state. */
   void admitAfterLookup(Job job, Consumer<UserResponse> onComplete) {
-    // A known job is never validated again, so it is looked up first. The lookup has the priority
-    // of a submission: behind the polls it would wait for seconds.
+    // The job is looked up first, since a known job must not be validated again. The lookup has the
+    // priority of a submission; queued behind the users' polls it would wait for seconds.
     storedJobs.readStatus(
         job.uid(),
         RequestPriority.SUBMIT,
@@ -111,7 +111,7 @@
         });
   }
 
-  /** Handles a submission of a job that is not in memory. */
+  /** Handles a submission of a job that memory does not hold. */
   void admitNew(Job job, Consumer<UserResponse> onComplete) {
     if (mustWaitForVersion(job)) {
       version.loadStored(() -> admitIfVersionAllows(job, onComplete));
@@ -137,25 +137,27 @@
     }
     String error = rejectionReason(job);
     if (error != null) {
-      // Memory may lag behind a peer that accepted this job; only an unknown job may be refused.
+      // A peer may have accepted this job without memory showing it yet, and an accepted job must
+      // not be refused.
       UserResponse refusal = UserResponse.refused(UNPROCESSABLE_STATUS, error);
       respondWithStoredStatus(job.uid(), refusal, List.of(onComplete));
     } else if (pendingSubmissions.containsKey(job.uid())) {
       pendingSubmissions.get(job.uid()).add(onComplete);
-    } else if (!loadShedder.rejects(store.writeWaitMs(RequestPriority.SUBMIT), onComplete)) {
+    } else if (!loadShedder.rejectIfOverloaded(
+        store.writeWaitMs(RequestPriority.SUBMIT), onComplete)) {
       storeSpec(job, onComplete);
     }
   }
 
   private void storeSpec(Job job, Consumer<UserResponse> onComplete) {
-    List<Consumer<UserResponse>> waiting = new ArrayList<>();
-    waiting.add(onComplete);
-    pendingSubmissions.put(job.uid(), waiting);
+    List<Consumer<UserResponse>> waiters = new ArrayList<>();
+    waiters.add(onComplete);
+    pendingSubmissions.put(job.uid(), waiters);
     store.send(
         new StoreRequest.Transaction(
             ImmutableList.of(
                 new StoreRequest.Condition(StoreKeys.job(job.uid()), 0),
-                // Applied late, this write may follow the job's completion and archival.
+                // A write that is applied late may follow the job's completion and archival.
                 new StoreRequest.Condition(StoreKeys.ended(job.uid()), 0)),
             ImmutableList.of(
                 StoreRequest.Change.put(StoreKeys.job(job.uid()), new StoredRecord.JobSpec(job)))),
@@ -164,38 +166,38 @@
   }
 
   private void onStoreReply(Job job, Reply reply) {
-    List<Consumer<UserResponse>> waiting = pendingSubmissions.remove(job.uid());
+    List<Consumer<UserResponse>> waiters = pendingSubmissions.remove(job.uid());
     if (reply instanceof Reply.Committed committed) {
       onAccepted.accept(job, committed.revision());
       JobStatus status = JobStatus.of(job, StoredRecord.Allocation.EMPTY, 0);
-      waiting.get(0).accept(UserResponse.created(status));
-      waiting.stream().skip(1).forEach(each -> each.accept(UserResponse.ok(status)));
+      waiters.get(0).accept(UserResponse.created(status));
+      waiters.stream().skip(1).forEach(waiter -> waiter.accept(UserResponse.ok(status)));
     } else if (reply instanceof Reply.Conflict) {
-      respondWithStoredStatus(job.uid(), UserResponse.unavailable(), waiting);
+      respondWithStoredStatus(job.uid(), UserResponse.unavailable(), waiters);
     } else if (reply instanceof Reply.Refused refused && refused.isMalformed()) {
-      // A peer may have stored it before the service's limits fell.
+      // A peer may have stored the job before the size limit of the store was lowered.
       UserResponse refusal =
           UserResponse.refused(BAD_REQUEST_STATUS, "larger than what can be stored");
-      respondWithStoredStatus(job.uid(), refusal, waiting);
+      respondWithStoredStatus(job.uid(), refusal, waiters);
     } else {
-      // The write may still be applied; the user's own retry finds out.
-      waiting.forEach(each -> each.accept(UserResponse.unavailable()));
+      // The write may still be applied; a retry by the user finds the stored job.
+      waiters.forEach(waiter -> waiter.accept(UserResponse.unavailable()));
     }
   }
 
-  /** Responds with the job as it is stored, or with {@code whenNotFound} where it is not. */
+  /** Responds with the stored status of a job, or with {@code whenNotFound} if it is not stored. */
   private void respondWithStoredStatus(
-      String uid, UserResponse whenNotFound, List<Consumer<UserResponse>> waiting) {
+      String uid, UserResponse whenNotFound, List<Consumer<UserResponse>> waiters) {
     storedJobs.readStatus(
         uid,
         RequestPriority.SUBMIT,
         lookup -> {
           UserResponse response = lookup.toResponse(whenNotFound);
-          waiting.forEach(each -> each.accept(response));
+          waiters.forEach(waiter -> waiter.accept(response));
         });
   }
 
-  /** Why a job can never run, or null. */
+  /** Returns the reason why a job can never run, or null if it can. */
   private String rejectionReason(Job job) {
     Team team = context.settings.teams().get(job.team());
     if (team == null) {
--- a/src/main/java/eiderfork/controller/jobs/JobArchiver.java
+++ b/src/main/java/eiderfork/controller/jobs/JobArchiver.java
@@ -22,18 +22,18 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Removes terminal jobs from the leader's memory and from the keys that a new leader reads. What
- * stays of a job is one small record of its final state, from which any node answers queries.
+ * Archives terminal jobs: removes them from the leader's memory and from the keys that a new leader
+ * reads. Only a small record of the final state remains, from which any node answers queries.
  *
- * <p>A batch of jobs is moved in one transaction, on the condition that this node leads, that each
- * job's allocation is the one in memory, and that no archived record exists. The archived record is
- * never removed, and every write that could bring the job back, applied however late, is
- * conditional on its absence.
+ * <p>A batch of jobs is archived in one transaction, on the conditions that this node leads, that
+ * each job's allocation is the one in memory, and that no archived record exists. The archived
+ * record is never removed, and every write that could recreate the job, even if it is applied late,
+ * is conditional on the absence of this record.
  */
 public final class JobArchiver {
   private static final Logger LOG = LoggerFactory.getLogger(JobArchiver.class);
 
-  /** One put of the archived record; removals of the spec, the allocation and the cancellation. */
+  /** The put of the archived record and the removals of the spec, allocation and cancellation. */
   private static final int MAX_CHANGES_PER_JOB = 4;
 
   private static final long LOG_INTERVAL_MS = 60_000;
@@ -47,13 +47,13 @@
   private final FinishedJobSweeper sweeper;
 
   private int maxJobsPerBatch;
-  private boolean moveInFlight;
-  private long nextMoveMs;
+  private boolean transactionInFlight;
+  private long nextArchivalMs;
   private long lastLoggedMs;
   private long archivedSinceLog;
   private long generation;
 
-  /** Makes an archiver; {@code sweeper} brings it the jobs that memory does not hold. */
+  /** Creates an archiver; {@code sweeper} loads the finished jobs that memory does not hold. */
   public JobArchiver(
       ControllerContext context,
       StoreClient store,
@@ -72,36 +72,37 @@
     maxJobsPerBatch = context.settings.safeTransactionOps() / MAX_CHANGES_PER_JOB;
   }
 
-  /** Forgets moves in flight; called when a term begins or ends. */
+  /** Ignores the transaction in flight; called when a term begins or ends. */
   public void reset() {
     generation++;
-    moveInFlight = false;
-    nextMoveMs = 0;
+    transactionInFlight = false;
+    nextArchivalMs = 0;
   }
 
   /**
-   * Moves a batch if one is due and the write rate allows it; called on a recovered leader only.
+   * Archives a batch if one is due and the write rate allows it; called only on a leader that has
+   * completed its recovery.
    */
   public void tick() {
-    // A member of an older version would answer 404 for an archived job.
+    // A node of an older version would answer queries for an archived job with 404.
     if (!version.isMinimumVersion(ClusterVersion.ARCHIVED_JOBS)) {
       return;
     }
     logCounts();
-    if (context.nowMs() >= nextMoveMs) {
-      moveNextBatch();
+    if (context.nowMs() >= nextArchivalMs) {
+      archiveNextBatch();
     }
   }
 
-  private void moveNextBatch() {
-    if (moveInFlight || !store.hasSpareWriteCapacity(maxChangesPerBatch())) {
+  private void archiveNextBatch() {
+    if (transactionInFlight || !store.hasSpareWriteCapacity(maxChangesPerBatch())) {
       return;
     }
-    List<JobState> batch = dueJobs();
+    List<JobState> batch = selectDueJobs();
     if (batch.isEmpty()) {
-      nextMoveMs = context.nowMs() + context.stepMs() / 5;
+      nextArchivalMs = context.nowMs() + context.stepMs() / 5;
     } else {
-      moveBatch(batch);
+      archiveBatch(batch);
     }
   }
 
@@ -109,9 +110,9 @@
     return maxJobsPerBatch * MAX_CHANGES_PER_JOB;
   }
 
-  private List<JobState> dueJobs() {
+  private List<JobState> selectDueJobs() {
     long retentionMs = (long) (1000 * context.settings.operator().endedJobRetentionS());
-    // While some are not in memory for lack of space, all that are make space for them.
+    // While memory has no space for some finished jobs, archive all that it holds to make space.
     int maxFinished = sweeper.isIncomplete() ? 0 : context.settings.operator().maxEndedJobs();
     int excess = jobs.finishedJobs().size() - maxFinished;
     List<JobState> batch = new ArrayList<>();
@@ -127,21 +128,21 @@
     return batch;
   }
 
-  private void moveBatch(List<JobState> batch) {
-    moveInFlight = true;
+  private void archiveBatch(List<JobState> batch) {
+    transactionInFlight = true;
     long sentGeneration = generation;
     store.send(
-        moveTransaction(batch),
+        archivalTransaction(batch),
         RequestPriority.CLEANUP,
         reply -> {
           if (sentGeneration == generation) {
-            moveInFlight = false;
+            transactionInFlight = false;
             onReply(batch, reply);
           }
         });
   }
 
-  private StoreRequest.Transaction moveTransaction(List<JobState> batch) {
+  private StoreRequest.Transaction archivalTransaction(List<JobState> batch) {
     ImmutableList.Builder<StoreRequest.Condition> conditions = ImmutableList.builder();
     ImmutableList.Builder<StoreRequest.Change> changes = ImmutableList.builder();
     conditions.add(election.leaderCondition());
@@ -169,12 +170,12 @@
   private void onReply(List<JobState> batch, Reply reply) {
     if (reply instanceof Reply.Committed) {
       batch.forEach(this::onArchived);
-      moveNextBatch();
+      archiveNextBatch();
     } else if (reply instanceof Reply.Conflict conflict) {
       onConflict(batch, conflict);
     } else {
-      // It may still be applied: then the next move finds the archived records.
-      nextMoveMs = context.nowMs() + context.stepMs();
+      // The transaction may still be applied; then the next attempt finds the archived records.
+      nextArchivalMs = context.nowMs() + context.stepMs();
       if (reply instanceof Reply.Refused refused && refused.isMalformed()) {
         maxJobsPerBatch = Math.max(1, maxJobsPerBatch / 2);
       }
@@ -189,7 +190,7 @@
     for (JobState job : batch) {
       String uid = job.spec().uid();
       if (conflict.failedKeys().contains(StoreKeys.ended(uid))) {
-        // An earlier move was applied without a reply, or this job is a late copy.
+        // An earlier transaction was applied without a reply, or a late write recreated the job.
         onArchived(job);
         jobs.removeStaleSpec(job);
       } else if (conflict.failedKeys().contains(StoreKeys.alloc(uid))) {
--- a/src/main/java/eiderfork/controller/jobs/JobCanceller.java
+++ b/src/main/java/eiderfork/controller/jobs/JobCanceller.java
@@ -14,9 +14,12 @@
 import eiderfork.model.StoredRecord;
 import java.util.function.Consumer;
 
-/** Writes the cancellations that users request, on the condition that the job is not done. */
+/** Writes the cancellations that users request, conditional on the job not being done. */
 final class JobCanceller {
-  /** The allocation may change between its read and the write; a few attempts outlast that. */
+  /**
+   * The maximum number of attempts. An attempt fails if the allocation changes between its read and
+   * the write; a few attempts are enough to get past that.
+   */
   private static final int MAX_ATTEMPTS = 5;
 
   private static final UserResponse NO_SUCH_JOB = UserResponse.refused(404, "no such job");
@@ -34,7 +37,7 @@
   /**
    * Cancels a job unless it is done.
    *
-   * @param fromMemory whether memory holds all that is committed
+   * @param fromMemory whether memory holds all committed state
    */
   void cancel(String uid, boolean fromMemory, Consumer<UserResponse> onComplete) {
     JobState job = jobs.get(uid);
@@ -62,7 +65,7 @@
     }
   }
 
-  /** Responds with the final state of an archived job, or with {@code whenNotFound}. */
+  /** Responds with the final status of an archived job, or with {@code whenNotFound}. */
   private void respondWithArchivedStatus(
       String uid, UserResponse whenNotFound, Consumer<UserResponse> onComplete) {
     storedJobs.readArchivedStatus(
@@ -112,7 +115,7 @@
             ImmutableList.of(
                 new StoreRequest.Condition(StoreKeys.cancellation(uid), 0),
                 new StoreRequest.Condition(StoreKeys.alloc(uid), stored.version()),
-                // An archived job has no allocation, as one that never started.
+                // An archived job has no allocation, and neither has a job that never started.
                 new StoreRequest.Condition(StoreKeys.ended(uid), 0)),
             ImmutableList.of(
                 StoreRequest.Change.put(
--- a/src/main/java/eiderfork/controller/jobs/JobLookup.java
+++ b/src/main/java/eiderfork/controller/jobs/JobLookup.java
@@ -5,16 +5,16 @@
 
 /** The result of looking up a job's status in the store. */
 sealed interface JobLookup {
-  /** The store holds the job, or the final state of an archived one. */
+  /** The store holds the job or its archived record. */
   record Found(JobStatus status) implements JobLookup {}
 
   /** The store does not hold the job. */
   record NotFound() implements JobLookup {}
 
-  /** The store could not be read, or holds a record that can't be read. */
+  /** The store could not be reached, or a record of the job is unreadable. */
   record Unavailable() implements JobLookup {}
 
-  /** The response to a user's request that this result ends. */
+  /** Returns the response to a user's request that this result answers. */
   default UserResponse toResponse(UserResponse whenNotFound) {
     if (this instanceof Found found) {
       return UserResponse.ok(found.status());
--- a/src/main/java/eiderfork/controller/jobs/JobQueryHandler.java
+++ b/src/main/java/eiderfork/controller/jobs/JobQueryHandler.java
@@ -11,8 +11,8 @@
 import java.util.function.Consumer;
 
 /**
- * Answers queries for a job's status: from memory behind a read barrier where memory is
- * authoritative, and from the store otherwise.
+ * Answers queries for a job's status, from memory behind a read barrier if memory is authoritative,
+ * and from the store otherwise.
  */
 final class JobQueryHandler {
   private static final UserResponse NO_SUCH_JOB = UserResponse.refused(404, "no such job");
@@ -26,7 +26,7 @@
   private final BooleanSupplier canAnswerFromMemory;
 
   /**
-   * @param canAnswerFromMemory whether this node leads, holds its lease and has recovered
+   * @param canAnswerFromMemory returns whether this node leads with a valid lease and has recovered
    */
   JobQueryHandler(
       StoreClient store,
@@ -45,7 +45,7 @@
     this.canAnswerFromMemory = canAnswerFromMemory;
   }
 
-  /** Answers with a job's status, no older than what any node has answered before. */
+  /** Answers with a status of the job that is no older than any answer of any node before. */
   void query(String uid, Consumer<UserResponse> onComplete) {
     JobState job = canAnswerFromMemory.getAsBoolean() ? jobs.get(uid) : null;
     if (job == null) {
@@ -73,14 +73,14 @@
     }
   }
 
-  /** Whether no record of the job's archival can exist. */
+  /** Returns whether it is certain that no archived record of the job exists. */
   boolean isCertainlyNotArchived(JobState job) {
     return job.isKnownNotArchived() || !version.isMinimumVersion(ClusterVersion.ARCHIVED_JOBS);
   }
 
-  /** Answers from the archive, or from memory once the job is known not to be archived. */
+  /** Answers from the archived record, or from memory if the job turns out not to be archived. */
   private void queryArchived(JobState job, Consumer<UserResponse> onComplete) {
-    if (loadShedder.rejects(store.readWaitMs(), onComplete)) {
+    if (loadShedder.rejectIfOverloaded(store.readWaitMs(), onComplete)) {
       return;
     }
     String uid = job.spec().uid();
@@ -102,10 +102,11 @@
   }
 
   /**
-   * Memory may lag behind a peer that accepted the job, so only the store can deny its existence.
+   * Answers from the store. Memory may lag behind a peer that accepted the job, so only the store
+   * can show that a job does not exist.
    */
   private void queryStored(String uid, Consumer<UserResponse> onComplete) {
-    if (loadShedder.rejects(store.readWaitMs(), onComplete)) {
+    if (loadShedder.rejectIfOverloaded(store.readWaitMs(), onComplete)) {
       return;
     }
     storedJobs.readStatus(
--- a/src/main/java/eiderfork/controller/jobs/LoadShedder.java
+++ b/src/main/java/eiderfork/controller/jobs/LoadShedder.java
@@ -4,28 +4,28 @@
 import eiderfork.controller.message.UserResponse;
 import java.util.function.Consumer;
 
-/** Rejects requests at once that would be queued too long for the store. */
+/** Rejects requests that would wait too long in the queue of store requests. */
 final class LoadShedder {
-  /** How long a request may be queued, in steps. */
+  /** The maximum queueing time of a request, in steps. */
   private static final double MAX_WAIT_STEPS = 0.8;
 
   private final ControllerContext context;
 
-  /** Makes a load shedder, which keeps no state. */
+  /** Creates a load shedder, which keeps no state. */
   LoadShedder(ControllerContext context) {
     this.context = context;
   }
 
   /**
-   * Rejects a request that would be queued for {@code waitMs} where that is too long.
+   * Rejects a request if its expected queueing time is too long.
    *
-   * @return whether it was rejected
+   * @return whether the request was rejected
    */
-  boolean rejects(long waitMs, Consumer<UserResponse> onResponse) {
-    if (waitMs <= context.stepMs() * MAX_WAIT_STEPS) {
+  boolean rejectIfOverloaded(long expectedWaitMs, Consumer<UserResponse> onResponse) {
+    if (expectedWaitMs <= context.stepMs() * MAX_WAIT_STEPS) {
       return false;
     }
-    int retryAfterS = (int) Math.max(1, Math.ceil(waitMs / 1000.0));
+    int retryAfterS = (int) Math.max(1, Math.ceil(expectedWaitMs / 1000.0));
     onResponse.accept(UserResponse.retryAfter(retryAfterS, "too many requests"));
     return true;
   }
--- a/src/main/java/eiderfork/controller/jobs/RequestForwarder.java
+++ b/src/main/java/eiderfork/controller/jobs/RequestForwarder.java
@@ -12,14 +12,17 @@
 import java.util.function.Consumer;
 
 /**
- * Forwards users' queries to the leader, those of one tick in one request: users poll each job
- * every few seconds, so that queries are most of what a node receives.
+ * Forwards users' queries to the leader, batched per tick. Users poll each job every few seconds,
+ * so most of the requests that a node receives are queries.
  */
 final class RequestForwarder {
-  /** The most queries in a request; with the longest ids they stay far below 64 KiB. */
+  /**
+   * The maximum number of queries in a request. With the longest uids the request stays far below
+   * the limit of 64 KiB.
+   */
   private static final int MAX_BATCH_SIZE = 256;
 
-  /** How long a peer may take over a forwarded request, in steps. */
+  /** The timeout of a forwarded request, in steps. */
   private static final double TIMEOUT_STEPS = 0.5;
 
   private record QueuedQuery(String uid, Consumer<UserResponse> onResponse, Runnable fallback) {}
@@ -27,22 +30,30 @@
   private final ControllerContext context;
   private final Queue<QueuedQuery> queue = new ArrayDeque<>();
 
-  /** Makes a forwarder with nothing to forward. */
+  /** Creates a forwarder with an empty queue. */
   RequestForwarder(ControllerContext context) {
     this.context = context;
   }
 
-  /** How long a peer may take over a forwarded request. */
+  /** Returns the timeout of a forwarded request. */
   static long timeoutMs(ControllerContext context) {
     return (long) (context.stepMs() * TIMEOUT_STEPS);
   }
 
-  /** Forwards a query at the next tick; {@code fallback} is run where that brings no response. */
+  /**
+   * Queues a query for the next tick.
+   *
+   * @param fallback run if the leader does not answer the query
+   */
   void enqueueQuery(String uid, Consumer<UserResponse> onResponse, Runnable fallback) {
     queue.add(new QueuedQuery(uid, onResponse, fallback));
   }
 
-  /** Sends what is queued to the leader, or runs the fallbacks where that is null. */
+  /**
+   * Sends the queued queries to the leader.
+   *
+   * @param leader null if there is none; then the fallbacks are run
+   */
   void sendQueued(String leader) {
     while (!queue.isEmpty()) {
       List<QueuedQuery> batch = nextBatch();
--- a/src/main/java/eiderfork/controller/jobs/StoredJobReader.java
+++ b/src/main/java/eiderfork/controller/jobs/StoredJobReader.java
@@ -13,7 +13,7 @@
 
 /** Reads the records of single jobs from the store. */
 final class StoredJobReader {
-  /** An allocation record and the version of its key, which is 0 where there is no record. */
+  /** An allocation record and the version of its key, which is 0 if there is no record. */
   record StoredAllocation(StoredRecord.Allocation allocation, long version) {}
 
   private final StoreClient store;
@@ -25,9 +25,9 @@
   /**
    * Reads a job's status.
    *
-   * <p>A job may be archived between two of the reads, which removes its records. So the
-   * cancellation is read before the allocation, and the archive last, wherever there was no
-   * allocation record.
+   * <p>The job may be archived between two of the reads, which removes its other records. So the
+   * cancellation is read before the allocation, and if there is no allocation record, the archived
+   * record is read last.
    */
   void readStatus(String uid, RequestPriority priority, Consumer<JobLookup> onComplete) {
     store.send(
@@ -82,7 +82,10 @@
         });
   }
 
-  /** Every reserved task counts as running: the records do not show which of them do. */
+  /**
+   * Returns the status by a job's records. They do not show which reserved tasks are running, so
+   * all of them count as running.
+   */
   private static JobStatus statusOf(
       Job job, StoredRecord.Allocation allocation, boolean isCancelled) {
     return isCancelled
@@ -90,7 +93,7 @@
         : JobStatus.of(job, allocation, allocation.reservedTaskCount());
   }
 
-  /** Reads the final status of a job that may be archived. */
+  /** Reads the final status of a job from its archived record, if there is one. */
   void readArchivedStatus(String uid, RequestPriority priority, Consumer<JobLookup> onComplete) {
     store.send(
         new StoreRequest.Get(StoreKeys.ended(uid)),
@@ -106,7 +109,7 @@
         });
   }
 
-  /** Reads a job's allocation; nothing where the store could not be read. */
+  /** Reads a job's allocation; empty if the record could not be read. */
   void readAllocation(
       String uid, RequestPriority priority, Consumer<Optional<StoredAllocation>> onComplete) {
     store.send(
--- a/src/main/java/eiderfork/controller/jobs/UserRequestHandler.java
+++ b/src/main/java/eiderfork/controller/jobs/UserRequestHandler.java
@@ -21,13 +21,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Handles the requests of users. The leader answers from memory while its lease is valid; any other
- * node forwards the request to the leader, and acts on the store itself where that fails.
+ * Handles users' requests. The leader answers from memory while its lease is valid. Any other node
+ * forwards a request to the leader, and handles it through the store if that fails.
  */
 public final class UserRequestHandler {
   private static final Logger LOG = LoggerFactory.getLogger(UserRequestHandler.class);
 
-  /** When to retry for a job with an unreadable record: an operator has to act first. */
+  /** The retry delay for a job with an unreadable record, which an operator has to repair first. */
   private static final int UNREADABLE_RECORD_RETRY_S = 30;
 
   private static final int UNAVAILABLE_STATUS = 503;
@@ -38,7 +38,7 @@
   private final Autoscaler autoscaler;
   private final ReadBarrier readBarrier;
   private final CancellationTracker cancellations;
-  private final Runnable triggerRound;
+  private final Runnable requestSchedulingRound;
 
   private final JobAdmission admission;
   private final JobCanceller canceller;
@@ -47,7 +47,7 @@
   private final FinalStatusCache finalStatuses = new FinalStatusCache();
   private boolean isRecovered;
 
-  /** Makes a handler that answers from memory only once it is set as recovered. */
+  /** Creates a handler that does not answer from memory until {@link #setRecovered} is called. */
   public UserRequestHandler(
       ControllerContext context,
       LeaderElection election,
@@ -58,14 +58,14 @@
       ReadBarrier readBarrier,
       CancellationTracker cancellations,
       ClusterVersion version,
-      Runnable triggerRound) {
+      Runnable requestSchedulingRound) {
     this.context = context;
     this.election = election;
     this.jobs = jobs;
     this.autoscaler = autoscaler;
     this.readBarrier = readBarrier;
     this.cancellations = cancellations;
-    this.triggerRound = triggerRound;
+    this.requestSchedulingRound = requestSchedulingRound;
     forwarder = new RequestForwarder(context);
     LoadShedder loadShedder = new LoadShedder(context);
     StoredJobReader storedJobs = new StoredJobReader(store);
@@ -77,7 +77,7 @@
             store, jobs, readBarrier, version, storedJobs, loadShedder, this::canAnswerFromMemory);
   }
 
-  /** Memory holds all that is committed from now on, or no longer. */
+  /** Sets whether memory holds all committed state. */
   public void setRecovered(boolean isRecovered) {
     this.isRecovered = isRecovered;
   }
@@ -86,23 +86,27 @@
     return isRecovered && election.isLeaseValid();
   }
 
-  /** Sends the requests queued since the last tick. */
+  /** Forwards the queries queued since the last tick, and starts the read barrier's next read. */
   public void tick() {
     readBarrier.tick();
     forwarder.sendQueued(isPeer(election.leader()) ? election.leader() : null);
   }
 
-  /** Handles a user's request, or one that a peer forwarded, which is not forwarded again. */
-  public void handle(Input request, boolean canForward, Consumer<UserResponse> requester) {
-    JobStatus finalStatus = findFinalStatus(uid(request));
+  /**
+   * Handles a request.
+   *
+   * @param canForward false for a request that a peer forwarded, which must not be forwarded again
+   */
+  public void handle(Input request, boolean canForward, Consumer<UserResponse> onResponse) {
+    JobStatus finalStatus = findFinalStatus(jobUid(request));
     if (finalStatus != null) {
-      requester.accept(UserResponse.ok(finalStatus));
+      onResponse.accept(UserResponse.ok(finalStatus));
       return;
     }
     Consumer<UserResponse> onComplete =
         response -> {
           recordResponse(request, response);
-          requester.accept(response);
+          onResponse.accept(response);
         };
     boolean isForwardable =
         canForward
@@ -116,20 +120,23 @@
     }
   }
 
-  /** The final status of a terminal job, which no later answer contradicts; null if not known. */
+  /**
+   * Returns the final status of a terminal job, which no later answer may contradict; null if it is
+   * not known.
+   */
   private JobStatus findFinalStatus(String uid) {
-    JobStatus known = finalStatuses.get(uid);
+    JobStatus cachedStatus = finalStatuses.get(uid);
     JobState job = jobs.get(uid);
-    if (known == null && cancellations.contains(uid) && isCancellationFinal(uid, job)) {
+    if (cachedStatus == null && cancellations.contains(uid) && isCancellationFinal(uid, job)) {
       int doneTasks = job == null ? 0 : job.writes().committed().finishedTaskCount();
       return JobStatus.cancelled(uid, doneTasks);
     }
-    return known;
+    return cachedStatus;
   }
 
   /**
-   * Whether a cancellation that was read is the job's final state. A late write of an older version
-   * may have put one there after the job was done and archived.
+   * Returns whether a cancellation record that was read is the job's final state. A node of an
+   * older version may have written the record late, after the job was done and archived.
    */
   private boolean isCancellationFinal(String uid, JobState job) {
     return cancellations.wasConfirmed(uid) || job != null && queries.isCertainlyNotArchived(job);
@@ -146,7 +153,7 @@
       LOG.info(
           "request-failed request={} job={} status={} error=\"{}\"",
           request.getClass().getSimpleName(),
-          uid(request),
+          jobUid(request),
           response.status(),
           response.error());
     }
@@ -159,8 +166,8 @@
     }
     String leader = election.leader();
     context.call(
-        call ->
-            new Effect.ForwardRequest(call, leader, request, RequestForwarder.timeoutMs(context)),
+        callId ->
+            new Effect.ForwardRequest(callId, leader, request, RequestForwarder.timeoutMs(context)),
         reply -> {
           if (reply instanceof Reply.ForwardedResponse forwarded
               && forwarded.response().status() != UNAVAILABLE_STATUS) {
@@ -171,12 +178,18 @@
         });
   }
 
-  /** Whether an older leader might accept what only the current version handles correctly. */
+  /**
+   * Returns whether a leader of an older version might accept a job that only the current version
+   * handles correctly.
+   */
   private boolean mustWaitForVersion(Input request) {
     return request instanceof Input.Submit submit && admission.mustWaitForVersion(submit.job());
   }
 
-  /** Whether a peer takes the request with its envelope; others are handled by this node alone. */
+  /**
+   * Returns whether the request is within the size limit of forwarded requests; a larger one is
+   * handled by this node.
+   */
   private static boolean fitsForwarding(Input request) {
     return !(request instanceof Input.Submit submit)
         || submit.body().length <= Effect.ForwardRequest.MAX_BODY_BYTES;
@@ -186,7 +199,7 @@
     return node != null && context.settings.peerEndpoints().containsKey(node);
   }
 
-  private static String uid(Input request) {
+  private static String jobUid(Input request) {
     if (request instanceof Input.Submit submit) {
       return submit.job().uid();
     }
@@ -194,7 +207,7 @@
   }
 
   private void handleLocally(Input request, Consumer<UserResponse> onComplete) {
-    if (jobs.isFrozen(uid(request))) {
+    if (jobs.isFrozen(jobUid(request))) {
       onComplete.accept(
           UserResponse.retryAfter(
               UNREADABLE_RECORD_RETRY_S, "a stored record of the job can't be read"));
@@ -226,7 +239,7 @@
     jobs.add(job, specVersion).confirmNotArchived();
     if (isNew) {
       autoscaler.recordArrival(job);
-      triggerRound.run();
+      requestSchedulingRound.run();
     }
   }
 }
--- a/src/test/java/eiderfork/controller/jobs/JobArchiverTransactionTest.java
+++ b/src/test/java/eiderfork/controller/jobs/JobArchiverTransactionTest.java
@@ -34,7 +34,9 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** The move of ended jobs by itself: under which conditions it is written, and what its ends do. */
+/**
+ * Tests the archival transaction in isolation: its conditions, and the handling of each outcome.
+ */
 class JobArchiverTransactionTest {
   private static final Job DONE = TestFixtures.job(1, JobKind.ARRAY, 2, 1);
   private static final Job CANCELLED = TestFixtures.job(2, JobKind.SERVICE, 2, 1);
@@ -57,29 +59,29 @@
   JobArchiverTransactionTest() {
     store.actAsLeader();
     version.recordStored(new StoredRecord.StoredVersion(ClusterVersion.CURRENT), 2);
-    StoredRecord.Allocation ended =
+    StoredRecord.Allocation completedAllocation =
         new StoredRecord.Allocation(
             1, true, ImmutableList.of(), ImmutableList.of(new StoredRecord.TaskRange(0, 1)));
-    jobs.restoreAllocation(done, ended, 9, new MachineRegistry(context, jobs));
+    jobs.restoreAllocation(done, completedAllocation, 9, new MachineRegistry(context, jobs));
     cancellations.recordStored(CANCELLED.uid());
   }
 
-  /** The calls that the next tick after some time makes. */
-  private List<Effect.CallStore> tick() {
+  /** Advances the time by 2 s and returns the store calls of the next tick. */
+  private List<Effect.CallStore> tickAndDrainCalls() {
     context.advanceBy(2000);
     archiver.tick();
     return context.drainEffects().stream().map(Effect.CallStore.class::cast).toList();
   }
 
-  private static StoreRequest.Transaction write(List<Effect.CallStore> calls) {
+  private static StoreRequest.Transaction onlyTransaction(List<Effect.CallStore> calls) {
     assertEquals(1, calls.size());
     return (StoreRequest.Transaction) calls.get(0).request();
   }
 
-  /** Each condition stands against a write or a leader that is late; see the class itself. */
+  /** Each condition guards against a late write or a deposed leader; see {@link JobArchiver}. */
   @Test
-  void batchIsMovedOnConditionThatNothingHasChanged() {
-    StoreRequest.Transaction write = write(tick());
+  void batchIsArchivedOnConditionThatNothingHasChanged() {
+    StoreRequest.Transaction transaction = onlyTransaction(tickAndDrainCalls());
     assertEquals(
         ImmutableList.of(
             election.leaderCondition(),
@@ -87,10 +89,10 @@
             new StoreRequest.Condition(StoreKeys.ended(CANCELLED.uid()), 0),
             new StoreRequest.Condition(StoreKeys.alloc(DONE.uid()), 9),
             new StoreRequest.Condition(StoreKeys.ended(DONE.uid()), 0)),
-        sortedByJob(write.conditions()));
-    assertEquals(6, write.changes().size());
+        sortedByJob(transaction.conditions()));
+    assertEquals(6, transaction.changes().size());
     assertTrue(
-        write
+        transaction
             .changes()
             .containsAll(
                 List.of(
@@ -104,10 +106,13 @@
                         new StoredRecord.ArchivedJob(JobStatus.Phase.ABORTED, 0)),
                     StoreRequest.Change.remove(StoreKeys.job(CANCELLED.uid())),
                     StoreRequest.Change.remove(StoreKeys.cancellation(CANCELLED.uid())))));
-    assertTrue(tick().isEmpty(), "one move is under way at a time");
+    assertTrue(tickAndDrainCalls().isEmpty(), "only one transaction may be in flight");
   }
 
-  /** The jobs may be moved in any order; the leader's condition comes first. */
+  /**
+   * Sorts the conditions by job, as jobs may be archived in any order; the condition on the leader
+   * comes first.
+   */
   private static List<StoreRequest.Condition> sortedByJob(List<StoreRequest.Condition> conditions) {
     if (!conditions.get(1).key().endsWith(DONE.uid())) {
       return conditions;
@@ -121,44 +126,49 @@
   }
 
   @Test
-  void jobsStayInMemoryUntilTheMoveIsKnownToBeApplied() {
-    List<Effect.CallStore> first = tick();
-    context.completeCall(first.get(0).callId(), new Reply.Unanswered());
+  void jobsStayInMemoryUntilTheTransactionIsKnownToBeApplied() {
+    List<Effect.CallStore> firstCalls = tickAndDrainCalls();
+    context.completeCall(firstCalls.get(0).callId(), new Reply.Unanswered());
     assertNotNull(jobs.get(DONE.uid()));
-    List<Effect.CallStore> second = tick();
-    Reply there =
+    List<Effect.CallStore> secondCalls = tickAndDrainCalls();
+    Reply conflict =
         new Reply.Conflict(
             ImmutableList.of(
                 StoreKeys.alloc(DONE.uid()),
                 StoreKeys.ended(DONE.uid()),
                 StoreKeys.ended(CANCELLED.uid())));
-    context.completeCall(second.get(0).callId(), there);
+    context.completeCall(secondCalls.get(0).callId(), conflict);
     assertNull(jobs.get(DONE.uid()));
     assertNull(jobs.get(CANCELLED.uid()));
     assertTrue(!cancellations.contains(CANCELLED.uid()));
     assertEquals(0, jobs.finishedJobs().size());
   }
 
-  /** Its record is not what this leader thinks, so nothing is concluded from what it thinks. */
+  /**
+   * A job whose stored allocation differs from the one in memory must not be archived, since this
+   * leader's view of it is wrong.
+   */
   @Test
   void jobWithAnUnexpectedAllocationIsNotArchived() {
-    List<Effect.CallStore> calls = tick();
+    List<Effect.CallStore> calls = tickAndDrainCalls();
     Reply changed = new Reply.Conflict(ImmutableList.of(StoreKeys.alloc(DONE.uid())));
     context.completeCall(calls.get(0).callId(), changed);
     assertNotNull(jobs.get(DONE.uid()));
-    StoreRequest.Transaction again = write(tick());
-    assertTrue(again.changes().stream().noneMatch(it -> it.key().endsWith(DONE.uid())));
+    StoreRequest.Transaction retried = onlyTransaction(tickAndDrainCalls());
+    assertTrue(retried.changes().stream().noneMatch(change -> change.key().endsWith(DONE.uid())));
   }
 
   @Test
   void replyFromAnEarlierTermIsIgnored() {
-    List<Effect.CallStore> calls = tick();
+    List<Effect.CallStore> calls = tickAndDrainCalls();
     archiver.reset();
     context.completeCall(calls.get(0).callId(), new Reply.Committed(20));
     assertNotNull(jobs.get(DONE.uid()));
   }
 
-  /** A write in flight may still change the job, or commit a reservation. */
+  /**
+   * A job is not archivable while a write in flight may still change it or commit a reservation.
+   */
   @Test
   void jobWithOpenStateIsNotArchivable() {
     assertTrue(done.isArchivable());
@@ -167,18 +177,21 @@
     done.writes().onNotApplied();
     assertTrue(done.isArchivable());
     MachineState machine = new MachineState("n-1", 0, new MachineIndexes(), context.nowMs());
-    Reservation open = new Reservation(done, 0, 1, machine);
-    done.tasks().reserve(open);
+    Reservation reservation = new Reservation(done, 0, 1, machine);
+    done.tasks().reserve(reservation);
     assertTrue(!done.isArchivable());
-    done.tasks().settle(open, true);
+    done.tasks().settle(reservation, true);
     assertTrue(!done.isArchivable());
-    done.tasks().onSettlementsCommitted(List.of(open));
+    done.tasks().onSettlementsCommitted(List.of(reservation));
     assertTrue(done.isArchivable());
     done.freeze();
     assertTrue(!done.isArchivable());
   }
 
-  /** A delayed watch shows a job and its archival together, after memory has evicted it. */
+  /**
+   * Checks that the removal of a job's record evicts it. A delayed watch reports the job and its
+   * archival together, after memory has evicted it.
+   */
   @Test
   void removalSeenByTheWatchEvictsTheJob() {
     StoredRecordRestorer restorer =
@@ -191,18 +204,22 @@
     assertTrue(!cancellations.contains(CANCELLED.uid()));
   }
 
-  /** Past the operators' number the oldest go, however short their stay. */
+  /**
+   * Beyond the configured maximum, the oldest finished jobs are archived before their retention
+   * ends.
+   */
   @Test
   void oldestFinishedJobsAreArchivedPastTheConfiguredMaximum() {
-    ControllerContext few =
+    ControllerContext limitedContext =
         new ControllerContext(TestFixtures.archiving(3600, 1), new Random(1), 0);
-    assertEquals(1, few.settings.operator().maxEndedJobs());
+    assertEquals(1, limitedContext.settings.operator().maxEndedJobs());
     context.advanceBy(2000);
-    JobArchiver limited =
-        new JobArchiver(few, store, election, version, jobs, cancellations, sweeper);
-    limited.tick();
-    StoreRequest.Transaction write =
-        write(context.drainEffects().stream().map(Effect.CallStore.class::cast).toList());
-    assertEquals(1, write.changes().stream().filter(it -> it.record() != null).count());
+    JobArchiver limitedArchiver =
+        new JobArchiver(limitedContext, store, election, version, jobs, cancellations, sweeper);
+    limitedArchiver.tick();
+    StoreRequest.Transaction transaction =
+        onlyTransaction(context.drainEffects().stream().map(Effect.CallStore.class::cast).toList());
+    assertEquals(
+        1, transaction.changes().stream().filter(change -> change.record() != null).count());
   }
 }
--- a/src/test/java/eiderfork/controller/jobs/RequestForwarderTest.java
+++ b/src/test/java/eiderfork/controller/jobs/RequestForwarderTest.java
@@ -15,15 +15,15 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** Queries that are passed on to the leader together. */
+/** Tests the batched forwarding of queries to the leader. */
 class RequestForwarderTest {
   private final ControllerContext context =
       new ControllerContext(TestFixtures.settings("roost-0"), new Random(1), 0);
-  private final RequestForwarder forwards = new RequestForwarder(context);
+  private final RequestForwarder forwarder = new RequestForwarder(context);
   private final List<String> outcomes = new ArrayList<>();
 
   private void enqueue(String uid) {
-    forwards.enqueueQuery(
+    forwarder.enqueueQuery(
         uid,
         response -> outcomes.add(uid + " " + response.status()),
         () -> outcomes.add(uid + " fallback"));
@@ -33,42 +33,46 @@
     return UserResponse.ok(new JobStatus(uid, JobStatus.Phase.RUNNING, 0, 1));
   }
 
-  private List<Effect.ForwardQueries> sent() {
+  private List<Effect.ForwardQueries> drainForwardedQueries() {
     return context.drainEffects().stream().map(Effect.ForwardQueries.class::cast).toList();
   }
 
-  /** Passed on one by one, the questions of a thousand jobs' users took most of the processor. */
+  /**
+   * Guards against forwarding each query in a request of its own, which used most of the CPU with a
+   * thousand jobs.
+   */
   @Test
   void queriesOfATickGoInOneRequestAndEachGetsItsOwnResponse() {
     enqueue("run-1");
     enqueue("run-2");
     enqueue("run-3");
-    forwards.sendQueued("roost-1");
-    List<Effect.ForwardQueries> sent = sent();
-    assertEquals(1, sent.size());
-    assertEquals(List.of("run-1", "run-2", "run-3"), sent.get(0).uids());
-    ImmutableList<UserResponse> answers =
+    forwarder.sendQueued("roost-1");
+    List<Effect.ForwardQueries> requests = drainForwardedQueries();
+    assertEquals(1, requests.size());
+    assertEquals(List.of("run-1", "run-2", "run-3"), requests.get(0).uids());
+    ImmutableList<UserResponse> responses =
         ImmutableList.of(
             running("run-1"),
             UserResponse.refused(404, "no such job"),
             UserResponse.retryAfter(1, "busy"));
-    context.completeCall(sent.get(0).callId(), new Reply.ForwardedResponses(answers));
+    context.completeCall(requests.get(0).callId(), new Reply.ForwardedResponses(responses));
     assertEquals(List.of("run-1 200", "run-2 404", "run-3 fallback"), outcomes);
   }
 
   @Test
   void withoutAResponseFromTheLeaderEachFallsBack() {
     enqueue("run-1");
-    forwards.sendQueued(null);
+    forwarder.sendQueued(null);
     assertEquals(List.of("run-1 fallback"), outcomes);
     enqueue("run-2");
-    forwards.sendQueued("roost-1");
-    context.completeCall(sent().get(0).callId(), new Reply.Unanswered());
+    forwarder.sendQueued("roost-1");
+    context.completeCall(drainForwardedQueries().get(0).callId(), new Reply.Unanswered());
     enqueue("run-3");
     enqueue("run-4");
-    forwards.sendQueued("roost-1");
-    ImmutableList<UserResponse> tooFew = ImmutableList.of(running("run-3"));
-    context.completeCall(sent().get(0).callId(), new Reply.ForwardedResponses(tooFew));
+    forwarder.sendQueued("roost-1");
+    ImmutableList<UserResponse> tooFewResponses = ImmutableList.of(running("run-3"));
+    context.completeCall(
+        drainForwardedQueries().get(0).callId(), new Reply.ForwardedResponses(tooFewResponses));
     assertEquals(
         List.of("run-1 fallback", "run-2 fallback", "run-3 fallback", "run-4 fallback"), outcomes);
   }
@@ -78,9 +82,9 @@
     for (int i = 0; i < 1000; i++) {
       enqueue("run-%060d".formatted(i));
     }
-    forwards.sendQueued("roost-1");
-    List<Effect.ForwardQueries> sent = sent();
-    assertTrue(sent.size() > 1);
-    assertEquals(1000, sent.stream().mapToInt(each -> each.uids().size()).sum());
+    forwarder.sendQueued("roost-1");
+    List<Effect.ForwardQueries> requests = drainForwardedQueries();
+    assertTrue(requests.size() > 1);
+    assertEquals(1000, requests.stream().mapToInt(request -> request.uids().size()).sum());
   }
 }
