--- a/src/test/java/eiderfork/controller/EffectDigest.java
+++ b/src/test/java/eiderfork/controller/EffectDigest.java
@@ -13,10 +13,10 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * A SHA-256 digest of every effect that the controllers of a {@link SimulatedCluster} emit: when,
- * on which node, and what. An effect counts in its wire form, or as values in a fixed order under a
- * fixed tag where it has none, so that names of types and fields don't matter. The numbers under
- * which replies come back are a controller's own and are left out.
+ * A SHA-256 digest of the effects that the controllers of a {@link SimulatedCluster} emit, each
+ * with its time and node. An effect is hashed in its wire form, or without one as a fixed tag and
+ * its values in a fixed order, so that the digest does not depend on names of types and fields.
+ * Call ids are left out, because they are internal to a controller.
  */
 final class EffectDigest {
   private final SimulatedCluster cluster;
@@ -26,146 +26,152 @@
     this.cluster = cluster;
   }
 
-  /** A digest of all that this world's controllers emit from now on. */
+  /** Returns a digest of all effects that this cluster's controllers emit from now on. */
   static EffectDigest of(SimulatedCluster cluster) {
     EffectDigest digest = new EffectDigest(cluster);
     cluster.effectObserver = digest::add;
     return digest;
   }
 
-  /** Ends the digest and tells it in hexadecimal digits. */
+  /** Ends the digest and returns it in hexadecimal digits. */
   String finish() {
     return hasher.hash().toString();
   }
 
   private void add(String node, Effect effect) {
     hasher.putLong(cluster.nowMs);
-    text(node);
+    putText(node);
     if (effect instanceof Effect.Call call) {
       hasher.putLong(call.timeoutMs());
       addCall(call);
-    } else if (effect instanceof Effect.Response answer) {
-      hasher.putLong(answer.ticket());
-      addAnswer(answer);
-    } else if (effect instanceof Effect.FailoverCompleted it) {
-      addTakeover(it);
+    } else if (effect instanceof Effect.Response response) {
+      hasher.putLong(response.ticket());
+      addResponse(response);
+    } else if (effect instanceof Effect.FailoverCompleted failover) {
+      addFailover(failover);
     } else {
-      throw unknown(effect);
+      throw unknownEffect(effect);
     }
   }
 
   private void addCall(Effect.Call call) {
-    if (call instanceof Effect.CallStore it) {
-      addStateRequest(StoreCodec.encodeRequest(it.request()));
+    if (call instanceof Effect.CallStore storeCall) {
+      addStoreRequest(StoreCodec.encodeRequest(storeCall.request()));
     } else if (call instanceof Effect.ListMachineTypes) {
-      message("types", CloudCodec.TYPES_PATH);
-    } else if (call instanceof Effect.RentMachines it) {
-      message("rent", CloudCodec.HOSTS_PATH, CloudCodec.encodeRent(it.rent()));
-    } else if (call instanceof Effect.ReturnMachines it) {
-      message("return", CloudCodec.RETURN_PATH, CloudCodec.encodeReturn(it.machines()));
-    } else if (call instanceof Effect.ListHosts it) {
-      message("hosts", CloudCodec.hostsPath(it.after()));
-    } else if (call instanceof Effect.SendCommands it) {
-      byte[] body = WorkerCodec.encodeCommands(it.fencingToken(), it.incarnation(), it.commands());
-      message("commands", it.address(), body);
-    } else if (call instanceof Effect.InspectWorker it) {
-      message("inspect", it.address());
+      putMessage("types", CloudCodec.TYPES_PATH);
+    } else if (call instanceof Effect.RentMachines rentCall) {
+      putMessage("rent", CloudCodec.HOSTS_PATH, CloudCodec.encodeRent(rentCall.rent()));
+    } else if (call instanceof Effect.ReturnMachines returnCall) {
+      putMessage("return", CloudCodec.RETURN_PATH, CloudCodec.encodeReturn(returnCall.machines()));
+    } else if (call instanceof Effect.ListHosts listCall) {
+      putMessage("hosts", CloudCodec.hostsPath(listCall.after()));
+    } else if (call instanceof Effect.SendCommands commandsCall) {
+      byte[] body =
+          WorkerCodec.encodeCommands(
+              commandsCall.fencingToken(), commandsCall.incarnation(), commandsCall.commands());
+      putMessage("commands", commandsCall.address(), body);
+    } else if (call instanceof Effect.InspectWorker inspectCall) {
+      putMessage("inspect", inspectCall.address());
     } else {
       addPeerCall(call);
     }
   }
 
-  private void addStateRequest(StoreCodec.Request request) {
-    text("state");
-    text(request.method());
-    text(request.path());
+  private void addStoreRequest(StoreCodec.Request request) {
+    putText("state");
+    putText(request.method());
+    putText(request.path());
     hasher.putBoolean(request.body() != null);
     if (request.body() != null) {
-      bytes(request.body());
+      putBytes(request.body());
     }
   }
 
   private void addPeerCall(Effect.Call call) {
-    if (call instanceof Effect.PingPeer it) {
-      message("peer ping", it.node(), PeerStatusCodec.encodeStatus(it.status()));
-    } else if (call instanceof Effect.ForwardRequest it) {
-      message("peer request", it.node(), ForwardingCodec.encodeRequest(it.request()));
-    } else if (call instanceof Effect.ForwardQueries it) {
-      message("peer queries", it.node(), ForwardingCodec.encodeQueries(it.uids()));
-    } else if (call instanceof Effect.SendHints it) {
-      message("peer hints", it.node(), MachineHintCodec.encodeHints(it.hints()));
+    if (call instanceof Effect.PingPeer pingCall) {
+      putMessage("peer ping", pingCall.node(), PeerStatusCodec.encodeStatus(pingCall.status()));
+    } else if (call instanceof Effect.ForwardRequest requestCall) {
+      putMessage(
+          "peer request", requestCall.node(), ForwardingCodec.encodeRequest(requestCall.request()));
+    } else if (call instanceof Effect.ForwardQueries queriesCall) {
+      putMessage(
+          "peer queries", queriesCall.node(), ForwardingCodec.encodeQueries(queriesCall.uids()));
+    } else if (call instanceof Effect.SendHints hintsCall) {
+      putMessage("peer hints", hintsCall.node(), MachineHintCodec.encodeHints(hintsCall.hints()));
     } else {
-      throw unknown(call);
+      throw unknownEffect(call);
     }
   }
 
-  private void addAnswer(Effect.Response answer) {
-    if (answer instanceof Effect.RespondToUser it) {
-      text("answer user");
-      hasher.putInt(it.response().status());
-      hasher.putInt(it.response().retryAfterS());
-      bytes(UserCodec.encodeAnswer(it.response()));
-    } else if (answer instanceof Effect.RespondToHealthCheck it) {
-      text("answer health");
-      bytes(UserCodec.encodeHealth(it.healthy(), it.reason()));
-    } else if (answer instanceof Effect.RespondToWorker it) {
-      text("answer worker");
-      bytes(WorkerCodec.encodeHeartbeatResponse(it.fencingToken(), it.commands()));
-    } else if (answer instanceof Effect.RedirectWorker it) {
-      text("redirect worker");
-      bytes(WorkerCodec.encodeRedirect(it.leader()));
+  private void addResponse(Effect.Response response) {
+    if (response instanceof Effect.RespondToUser userResponse) {
+      putText("answer user");
+      hasher.putInt(userResponse.response().status());
+      hasher.putInt(userResponse.response().retryAfterS());
+      putBytes(UserCodec.encodeAnswer(userResponse.response()));
+    } else if (response instanceof Effect.RespondToHealthCheck healthResponse) {
+      putText("answer health");
+      putBytes(UserCodec.encodeHealth(healthResponse.healthy(), healthResponse.reason()));
+    } else if (response instanceof Effect.RespondToWorker workerResponse) {
+      putText("answer worker");
+      putBytes(
+          WorkerCodec.encodeHeartbeatResponse(
+              workerResponse.fencingToken(), workerResponse.commands()));
+    } else if (response instanceof Effect.RedirectWorker redirect) {
+      putText("redirect worker");
+      putBytes(WorkerCodec.encodeRedirect(redirect.leader()));
     } else {
-      addPeerAnswer(answer);
+      addPeerResponse(response);
     }
   }
 
-  private void addPeerAnswer(Effect.Response answer) {
-    if (answer instanceof Effect.RespondToPing it) {
-      text("answer ping");
-      bytes(PeerStatusCodec.encodeStatus(it.status()));
-    } else if (answer instanceof Effect.RespondToQueries it) {
-      text("answer queries");
-      bytes(ForwardingCodec.encodeAnswers(it.responses()));
-    } else if (answer instanceof Effect.AcknowledgeHints) {
-      text("answer hints");
+  private void addPeerResponse(Effect.Response response) {
+    if (response instanceof Effect.RespondToPing pingResponse) {
+      putText("answer ping");
+      putBytes(PeerStatusCodec.encodeStatus(pingResponse.status()));
+    } else if (response instanceof Effect.RespondToQueries queriesResponse) {
+      putText("answer queries");
+      putBytes(ForwardingCodec.encodeAnswers(queriesResponse.responses()));
+    } else if (response instanceof Effect.AcknowledgeHints) {
+      putText("answer hints");
     } else {
-      throw unknown(answer);
+      throw unknownEffect(response);
     }
   }
 
-  /** A failover goes into a trace file alone and has no wire form. */
-  private void addTakeover(Effect.FailoverCompleted takeover) {
-    text("took over");
-    hasher.putLong(takeover.term());
-    hasher.putInt(takeover.phases().size());
-    for (Effect.Phase phase : takeover.phases()) {
-      text(phase.name());
+  /** Adds a failover by its values; it is written to a trace file only and has no wire form. */
+  private void addFailover(Effect.FailoverCompleted failover) {
+    putText("took over");
+    hasher.putLong(failover.term());
+    hasher.putInt(failover.phases().size());
+    for (Effect.Phase phase : failover.phases()) {
+      putText(phase.name());
       hasher.putLong(phase.fromMs());
       hasher.putLong(phase.toMs());
     }
   }
 
-  private void message(String tag, String to) {
-    text(tag);
-    text(to);
+  private void putMessage(String tag, String to) {
+    putText(tag);
+    putText(to);
   }
 
-  private void message(String tag, String to, byte[] body) {
-    message(tag, to);
-    bytes(body);
+  private void putMessage(String tag, String to, byte[] body) {
+    putMessage(tag, to);
+    putBytes(body);
   }
 
-  private void text(String text) {
-    bytes(text.getBytes(StandardCharsets.UTF_8));
+  private void putText(String text) {
+    putBytes(text.getBytes(StandardCharsets.UTF_8));
   }
 
-  /** The length goes first, so that no two sequences of values look alike. */
-  private void bytes(byte[] bytes) {
+  /** Adds the length before the bytes, so that different sequences of values hash differently. */
+  private void putBytes(byte[] bytes) {
     hasher.putInt(bytes.length);
     hasher.putBytes(bytes);
   }
 
-  private static IllegalStateException unknown(Effect effect) {
-    return new IllegalStateException("an effect that is not in the digest: " + effect);
+  private static IllegalStateException unknownEffect(Effect effect) {
+    return new IllegalStateException("effect type is not covered by the digest: " + effect);
   }
 }
--- a/src/test/java/eiderfork/controller/EffectDigestTest.java
+++ b/src/test/java/eiderfork/controller/EffectDigestTest.java
@@ -23,39 +23,38 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Digests of all that controllers emit in random histories, by which a change of the code's form is
- * shown to change nothing else. The property {@code digest.out} names a file for the digests of
- * every kind of history with the seeds from {@code digest.from} to {@code digest.to}.
+ * Computes digests of all effects that controllers emit in random histories. Equal digests before
+ * and after a refactoring show that it changes no behaviour. The property {@code digest.out} names
+ * a file for the digests of every kind of history with the seeds from {@code digest.from} to {@code
+ * digest.to}.
  */
 class EffectDigestTest {
-  private static final int MOST_THREADS = 6;
-  private static final double QUIET_S = 30;
-  private static final double ANSWERS_S = 5;
+  private static final int MAX_THREADS = 6;
+  private static final double SETTLE_S = 30;
+  private static final double RESPONSE_WAIT_S = 5;
 
-  /** A world where nothing has happened yet, and what plays its history and tells the jobs. */
-  private record History(SimulatedCluster cluster, Supplier<List<Job>> player) {
-    /** The digest of the history, played to its end. */
+  /** A new cluster, and the history to run on it, which returns its jobs. */
+  private record History(SimulatedCluster cluster, Supplier<List<Job>> history) {
+    /** Runs the history to its end and returns its digest. */
     String digest() {
       EffectDigest digest = EffectDigest.of(cluster);
-      askForAll(player.get());
+      queryFinalState(history.get());
       return digest.finish();
     }
 
-    /**
-     * After a quiet while every node is asked for its health and every job: what it knows counts.
-     */
-    private void askForAll(List<Job> jobs) {
+    /** Waits without faults, then queries every node for its health and each job. */
+    private void queryFinalState(List<Job> jobs) {
       cluster.clearFaults();
-      cluster.run(QUIET_S);
+      cluster.run(SETTLE_S);
       cluster
           .nodeNames()
           .forEach(node -> cluster.sendRequest(node, Input.HealthCheck::new, answer -> {}));
       jobs.forEach(job -> cluster.queryAllNodes(job.uid()));
-      cluster.run(ANSWERS_S);
+      cluster.run(RESPONSE_WAIT_S);
     }
   }
 
-  /** Plays the history of a seed. */
+  /** Runs the history of a seed and returns its jobs. */
   private interface Script {
     List<Job> play(SimulatedCluster cluster, long seed);
   }
@@ -63,12 +62,13 @@
   /** The kinds of random histories. */
   private enum Kind {
     PLAIN("plain", scripted(SimulatedCluster::new, RandomHistoryTest::play)),
-    SELDOM_REPORTS(
+    LONG_LEASES(
         "seldom",
         scripted(
             seed -> new SimulatedCluster(seed, TestFixtures.longLeaseSettings()),
             RandomHistoryTest::play)),
-    TROUBLES_MEET("meet", scripted(SimulatedCluster::new, EffectDigestTest::playMeetingTroubles)),
+    CONCURRENT_FAULTS(
+        "meet", scripted(SimulatedCluster::new, EffectDigestTest::playConcurrentFaults)),
     SILENT_WORKERS(
         "silent", scripted(SilentWorkerHistoryTest::newCluster, SilentWorkerHistoryTest::play)),
     SILENT_WORKERS_CHANGING_LEADERS(
@@ -80,19 +80,19 @@
     GANGS("gangs", scripted(SimulatedCluster::new, GangTest::play)),
     SPLIT("split", scripted(LeaseProxyTest::newCluster, LeaseProxyTest::playSplit)),
     ARCHIVE("archive", scripted(JobArchiverTest::newCluster, JobArchiverTest::play)),
-    LENDING("lending", EffectDigestTest::lending);
+    LENDING("lending", EffectDigestTest::borrowingHistory);
 
     private final String label;
-    private final LongFunction<History> bySeed;
+    private final LongFunction<History> historyBySeed;
 
     Kind(String label, LongFunction<History> bySeed) {
       this.label = label;
-      this.bySeed = bySeed;
+      this.historyBySeed = bySeed;
     }
 
-    /** The digest of the history of this kind and seed. */
+    /** Returns the digest of the history of this kind and seed. */
     String digest(long seed) {
-      return bySeed.apply(seed).digest();
+      return historyBySeed.apply(seed).digest();
     }
 
     String line(long seed) {
@@ -101,26 +101,27 @@
   }
 
   private static LongFunction<History> scripted(
-      LongFunction<SimulatedCluster> start, Script script) {
+      LongFunction<SimulatedCluster> newCluster, Script script) {
     return seed -> {
-      SimulatedCluster cluster = start.apply(seed);
+      SimulatedCluster cluster = newCluster.apply(seed);
       return new History(cluster, () -> script.play(cluster, seed));
     };
   }
 
-  private static History lending(long seed) {
-    QuotaCluster lending = QuotaCluster.withBorrowing(seed);
-    return new History(lending.cluster, () -> QuotaReclaimHistoryTest.play(lending, seed));
+  private static History borrowingHistory(long seed) {
+    QuotaCluster quotaCluster = QuotaCluster.withBorrowing(seed);
+    return new History(
+        quotaCluster.cluster, () -> QuotaReclaimHistoryTest.play(quotaCluster, seed));
   }
 
-  private static List<Job> playMeetingTroubles(SimulatedCluster cluster, long seed) {
+  private static List<Job> playConcurrentFaults(SimulatedCluster cluster, long seed) {
     RandomHistoryTest.troublesMeet(cluster, seed);
     return RandomHistoryTest.play(cluster, seed);
   }
 
   @ParameterizedTest
   @EnumSource(Kind.class)
-  void theSameSeedHasTheSameDigestAndAnotherSeedAnother(Kind kind) {
+  void digestIsEqualForSameSeedOnly(Kind kind) {
     String digest = kind.digest(1);
     assertEquals(digest, kind.digest(1));
     assertNotEquals(digest, kind.digest(2));
@@ -128,37 +129,37 @@
 
   /** Writes one line for each history: its kind, its seed and its digest. */
   @Test
-  void writesTheDigestsOfHistories(@TempDir Path directory) throws Exception {
+  void writesDigestsOfAllHistories(@TempDir Path directory) throws Exception {
     long from = Long.getLong("digest.from", 1);
     long to = Long.getLong("digest.to", 2);
-    String named = System.getProperty("digest.out");
-    Path file = named == null ? directory.resolve("digests") : Path.of(named);
+    String path = System.getProperty("digest.out");
+    Path file = path == null ? directory.resolve("digests") : Path.of(path);
     write(file, lines(from, to));
     List<String> written = Files.readAllLines(file);
     assertEquals(Kind.values().length * (to - from + 1), written.size());
-    assertTrue(written.contains(Kind.PLAIN.line(from)), "the same when played alone");
+    assertTrue(written.contains(Kind.PLAIN.line(from)), "same digest when run alone");
   }
 
-  /** Worlds share nothing that changes, so that histories may be played side by side. */
+  /** Runs all histories in parallel, which is safe because clusters share no mutable state. */
   private static List<String> lines(long from, long to)
       throws InterruptedException, ExecutionException {
-    int threads = Math.min(MOST_THREADS, Runtime.getRuntime().availableProcessors());
+    int threads = Math.min(MAX_THREADS, Runtime.getRuntime().availableProcessors());
     ExecutorService pool = Executors.newFixedThreadPool(threads);
     try {
       List<Future<String>> lines = new ArrayList<>();
       for (Kind kind : Kind.values()) {
         for (long seed = from; seed <= to; seed++) {
-          long each = seed;
-          lines.add(pool.submit(() -> kind.line(each)));
+          long currentSeed = seed;
+          lines.add(pool.submit(() -> kind.line(currentSeed)));
         }
       }
-      return allOf(lines);
+      return getAll(lines);
     } finally {
       pool.shutdownNow();
     }
   }
 
-  private static List<String> allOf(List<Future<String>> futures)
+  private static List<String> getAll(List<Future<String>> futures)
       throws InterruptedException, ExecutionException {
     List<String> values = new ArrayList<>();
     for (Future<String> future : futures) {
--- a/src/test/java/eiderfork/controller/ElectedLeader.java
+++ b/src/test/java/eiderfork/controller/ElectedLeader.java
@@ -10,9 +10,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Has a node take the first term, for tests of single parts of a leader. */
+/** Elects a node as leader of the first term, for tests of single components of a leader. */
 final class ElectedLeader {
-  /** A listener for tests in which nothing hangs on who leads. */
+  /** A listener that ignores changes of leadership. */
   static final LeaderElection.Listener NO_LISTENER =
       new LeaderElection.Listener() {
         @Override
@@ -24,7 +24,7 @@
 
   private ElectedLeader() {}
 
-  /** The store holds nothing, and the node becomes the leader of term 1. */
+  /** Makes the node the leader of term 1 with an empty store. */
   static void elect(ControllerContext context, LeaderElection election) {
     election.tick();
     replyToStoreCall(context, new Reply.Value(null, 0));
@@ -34,14 +34,14 @@
     assertTrue(election.isLeading());
   }
 
-  /** Answers the one call to the store that is open. */
+  /** Replies to the only pending call to the store. */
   static void replyToStoreCall(ControllerContext context, Reply reply) {
     List<Effect.CallStore> pending = drainEffects(context, Effect.CallStore.class);
     assertEquals(1, pending.size());
     context.completeCall(pending.get(0).callId(), reply);
   }
 
-  /** Takes all effects, and gives those of this kind. */
+  /** Removes all effects and returns those of this type. */
   static <T extends Effect> List<T> drainEffects(ControllerContext context, Class<T> kind) {
     List<T> found = new ArrayList<>();
     context.drainEffects().stream().filter(kind::isInstance).map(kind::cast).forEach(found::add);
--- a/src/test/java/eiderfork/controller/ExpectedOutcome.java
+++ b/src/test/java/eiderfork/controller/ExpectedOutcome.java
@@ -8,10 +8,10 @@
 import eiderfork.model.JobStatus.Phase;
 import java.util.List;
 
-/** What has to come of every meeting of troubles. */
+/** Assertions on the outcome of a history with faults. */
 final class ExpectedOutcome {
-  /** For how long work may wait once troubles are over while there is room and quota. */
-  private static final double WAITS_S = 90;
+  /** The time that work may wait after the last fault if there is capacity and quota. */
+  private static final double RECOVERY_S = 90;
 
   private ExpectedOutcome() {}
 
@@ -20,12 +20,13 @@
   }
 
   /**
-   * Troubles are over: after 90 s each job that was accepted and not cancelled runs in full or is
-   * done, no task of a cancelled one is left, and every node answers for each.
+   * Ends all faults and asserts the outcome after 90 s: each job was accepted; a job that was not
+   * cancelled runs in full or is done, no task of a cancelled one runs, and every node answers
+   * queries for each.
    */
   static void assertAllJobsServed(SimulatedCluster cluster, List<Job> jobs) {
     cluster.clearFaults();
-    cluster.run(WAITS_S);
+    cluster.run(RECOVERY_S);
     int startsBefore = cluster.checker.startsAfterCancellation;
     int answersBefore = cluster.checker.answeredRequests;
     jobs.forEach(job -> cluster.queryAllNodes(job.uid()));
@@ -34,7 +35,7 @@
     assertEquals(
         answersBefore + cluster.nodeNames().size() * jobs.size(),
         cluster.checker.answeredRequests,
-        "questions answered");
+        "answered queries");
     assertEquals(startsBefore, cluster.checker.startsAfterCancellation);
     for (Job job : jobs) {
       assertTrue(cluster.checker.wasAccepted(job.uid()), job::uid);
--- a/src/test/java/eiderfork/controller/FakeCloud.java
+++ b/src/test/java/eiderfork/controller/FakeCloud.java
@@ -16,9 +16,9 @@
 import java.util.Random;
 import java.util.TreeMap;
 
-/** The scripted cloud: rents machines out, takes them back and lists them late. */
+/** A cloud that rents out machines, takes them back and lists them with a delay. */
 final class FakeCloud {
-  /** A machine, from its rent on. */
+  /** A rented machine. */
   static final class Host {
     final Machine machine;
     final long rentedMs;
@@ -33,21 +33,22 @@
     }
   }
 
-  /** How long a rented machine boots; 0 for 2 to 8 s. */
+  /** The boot time of a rented machine; 0 for a random time of 2 to 8 s. */
   long bootMs;
 
-  /** How long machines of a kind boot where that is not {@link #bootMs}. */
+  /** Boot times of machine kinds, in place of {@link #bootMs}. */
   final Map<MachineKind, Long> bootMsByKind = new HashMap<>();
 
-  /** The cloud refuses every request. */
+  /** True if the cloud refuses every request. */
   boolean isDown;
 
-  /** How much it has of each kind that {@link #stockByKind} does not name. */
+  /** The number of machines available of each kind that {@link #stockByKind} does not name. */
   int defaultStock = 10;
 
-  /** What the cloud has, and how much of each kind where that is not {@link #defaultStock}. */
+  /** The machine types on offer. */
   ImmutableList<MachineType> types = SMALL_TYPES;
 
+  /** The number of machines available by kind, in place of {@link #defaultStock}. */
   final Map<MachineKind, Integer> stockByKind = new HashMap<>();
 
   private static final ImmutableList<MachineType> SMALL_TYPES =
@@ -58,65 +59,67 @@
               "c8", new Resources(8, 0, 32), 50, 1, 1, 0.4, 3, ImmutableList.of("a", "b")));
 
   private final Random random;
-  private final long lagMs;
+  private final long listLagMs;
   private final TreeMap<String, Host> hosts = new TreeMap<>();
   private final Map<String, ImmutableList<String>> requests = new HashMap<>();
   private int lastHostNumber;
 
-  /** How many machines were given back. */
+  /** The number of machines that were returned. */
   int returnedHostCount;
 
   FakeCloud(Random random, double listLagS) {
     this.random = random;
-    lagMs = (long) (listLagS * 1000);
+    listLagMs = (long) (listLagS * 1000);
   }
 
-  /** All machines that there ever were. */
+  /** Returns all machines ever rented, ended ones too. */
   Collection<Host> hosts() {
     return hosts.values();
   }
 
-  /** The machine of this name, or null. */
+  /** Returns the machine of this name, or null. */
   Host host(String name) {
     return hosts.get(name);
   }
 
-  Reply rent(StoredRecord.ScaleOutIntent rent, long nowMs) {
-    ImmutableList<String> known = requests.get(rent.requestName());
-    if (known != null) {
-      return new Reply.Rented(known);
+  /** Rents machines; a repeated request returns the machines of the first one. */
+  Reply rent(StoredRecord.ScaleOutIntent intent, long nowMs) {
+    ImmutableList<String> earlierNames = requests.get(intent.requestName());
+    if (earlierNames != null) {
+      return new Reply.Rented(earlierNames);
     }
     ImmutableList.Builder<String> names = ImmutableList.builder();
-    long same =
+    long existing =
         hosts.values().stream()
             .filter(
-                h ->
-                    h.endedMs == Long.MAX_VALUE
-                        && h.machine.type().equals(rent.type())
-                        && h.machine.zone().equals(rent.zone())
-                        && h.machine.spot() == rent.spot())
+                host ->
+                    host.endedMs == Long.MAX_VALUE
+                        && host.machine.type().equals(intent.type())
+                        && host.machine.zone().equals(intent.zone())
+                        && host.machine.spot() == intent.spot())
             .count();
-    MachineKind kind = new MachineKind(rent.type(), rent.zone(), rent.spot());
-    int count = (int) Math.min(rent.count(), stockByKind.getOrDefault(kind, defaultStock) - same);
+    MachineKind kind = new MachineKind(intent.type(), intent.zone(), intent.spot());
+    int count =
+        (int) Math.min(intent.count(), stockByKind.getOrDefault(kind, defaultStock) - existing);
     for (int i = 0; i < count; i++) {
-      long slowMs = 2000 + random.nextLong(6000);
-      long usualMs = bootMs > 0 ? bootMs : slowMs;
-      long upAfterMs = bootMsByKind.getOrDefault(kind, usualMs);
-      addHost(rent.type(), rent.zone(), rent.spot(), upAfterMs, nowMs);
+      long randomBootMs = 2000 + random.nextLong(6000);
+      long defaultBootMs = bootMs > 0 ? bootMs : randomBootMs;
+      long bootDelayMs = bootMsByKind.getOrDefault(kind, defaultBootMs);
+      addHost(intent.type(), intent.zone(), intent.spot(), bootDelayMs, nowMs);
       names.add(hosts.lastKey());
     }
     if (count <= 0) {
       return new Reply.NoCapacity();
     }
-    requests.put(rent.requestName(), names.build());
+    requests.put(intent.requestName(), names.build());
     return new Reply.Rented(names.build());
   }
 
-  /** A machine that comes up after a while, asked for or not. */
-  void addHost(String type, String zone, boolean spot, long upAfterMs, long nowMs) {
+  /** Adds a machine that boots in this time, whether it was requested or not. */
+  void addHost(String type, String zone, boolean spot, long bootDelayMs, long nowMs) {
     String name = "n-%06d".formatted(++lastHostNumber);
     Machine machine = new Machine(name, name + ":9000", type, zone, spot);
-    hosts.put(name, new Host(machine, nowMs, nowMs + upAfterMs));
+    hosts.put(name, new Host(machine, nowMs, nowMs + bootDelayMs));
   }
 
   void returnHost(String name, long nowMs) {
@@ -124,52 +127,54 @@
     if (host != null && host.endedMs == Long.MAX_VALUE) {
       host.endedMs = nowMs;
       returnedHostCount++;
-      kill(host);
+      stopWorker(host);
     }
   }
 
-  private void kill(Host host) {
+  private void stopWorker(Host host) {
     if (host.worker != null) {
       host.worker.loseAllTasks();
       host.worker.isDead = true;
     }
   }
 
-  /** A machine stops with all that is on it. */
-  void fail(String name, long nowMs) {
+  /** Stops a machine with all its tasks. */
+  void failHost(String name, long nowMs) {
     Host host = hosts.get(name);
     host.endedMs = nowMs;
-    kill(host);
+    stopWorker(host);
   }
 
-  Reply list(String after, long nowMs) {
-    // A list may be as old as twice the lag, and older than the one before it.
-    long asOfMs = nowMs - lagMs / 2 - random.nextLong(lagMs * 3 / 2);
+  Reply listHosts(String afterName, long nowMs) {
+    // A list may be up to twice the lag old, and older than the one before it.
+    long asOfMs = nowMs - listLagMs / 2 - random.nextLong(listLagMs * 3 / 2);
     ImmutableList.Builder<ListedMachine> entries = ImmutableList.builder();
-    for (Host host : hosts.tailMap(after, false).values()) {
+    for (Host host : hosts.tailMap(afterName, false).values()) {
       if (host.rentedMs <= asOfMs && host.endedMs > asOfMs) {
-        ListedMachine.State s =
+        ListedMachine.State state =
             host.bootedMs <= asOfMs ? ListedMachine.State.RUNNING : ListedMachine.State.BOOTING;
-        entries.add(new ListedMachine(host.machine, s, (asOfMs - host.rentedMs) / 1000.0));
+        entries.add(new ListedMachine(host.machine, state, (asOfMs - host.rentedMs) / 1000.0));
       }
     }
     return new Reply.Hosts(entries.build(), false);
   }
 
+  /** Returns the workers of machines that are up. */
   List<FakeWorker> workers() {
     List<FakeWorker> live = new ArrayList<>();
     hosts
         .values()
         .forEach(
-            h -> {
-              if (h.worker != null && !h.worker.isDead) {
-                live.add(h.worker);
+            host -> {
+              if (host.worker != null && !host.worker.isDead) {
+                live.add(host.worker);
               }
             });
     return live;
   }
 
+  /** Returns the number of machines that are rented, booting ones too. */
   long liveHostCount() {
-    return hosts.values().stream().filter(h -> h.endedMs == Long.MAX_VALUE).count();
+    return hosts.values().stream().filter(host -> host.endedMs == Long.MAX_VALUE).count();
   }
 }
--- a/src/test/java/eiderfork/controller/FakeGangs.java
+++ b/src/test/java/eiderfork/controller/FakeGangs.java
@@ -11,12 +11,12 @@
 import java.util.Map;
 
 /**
- * How the tasks of a gang find each other, run, save and end together, written from the protocol. A
- * gang is one attempt number of a job, whatever machines its tasks are on.
+ * Implements the protocol for gangs: their tasks assemble, run, save and end together. All tasks of
+ * a job with the same attempt number form one gang, whatever machines they are on.
  */
 final class FakeGangs {
-  static final long WAIT_MS = 40_000;
-  static final long PEER_MS = 8_000;
+  static final long ASSEMBLY_TIMEOUT_MS = 40_000;
+  static final long PEER_TIMEOUT_MS = 8_000;
 
   private record Key(String uid, long attempt) {}
 
@@ -28,29 +28,30 @@
 
   private static final class Attempt {
     final Map<Integer, Member> members = new HashMap<>();
-    final Map<Integer, Long> gatheredMs = new HashMap<>();
-    boolean running;
+    final Map<Integer, Long> joinedMs = new HashMap<>();
+    boolean isRunning;
     long startedMs;
 
-    /** When a member was found gone; 0 while all are there. */
-    long brokenMs;
+    /** The time when a member was found missing; 0 while all are present. */
+    long memberLostMs;
 
-    /** When the first member was told to save, and which have been told; 0 for none. */
-    long savingMs;
+    /** The time when the first member began to save; 0 for none. */
+    long firstSavingMs;
 
-    final Map<Integer, Long> savingSinceMs = new HashMap<>();
+    /** The time when each member began to save, by task index. */
+    final Map<Integer, Long> savingSinceMsByIndex = new HashMap<>();
   }
 
   private final SimulatedCluster cluster;
   private final Map<Key, Attempt> attempts = new HashMap<>();
 
-  /** How much of each gang's work is safe in a checkpoint. */
+  /** The run time saved in checkpoints, by job. */
   final Map<String, Long> savedProgressMs = new HashMap<>();
 
-  /** How often gangs started, whole. */
+  /** The number of times that a gang was complete and started. */
   int startCount;
 
-  /** How often a gang was seen to save its progress when it was stopped. */
+  /** The number of times that a stopped gang saved its progress. */
   int savedGangs;
 
   FakeGangs(SimulatedCluster cluster) {
@@ -61,26 +62,26 @@
     return new Key(task.attempt.task().jobUid(), task.attempt.number());
   }
 
-  /** A task is told to stop; whether it saves first. */
+  /** Handles a stop command for a task; returns whether the task saves first. */
   boolean startSaving(FakeWorker worker, FakeWorker.Task task, double graceS) {
     Job job = cluster.job(task.attempt.task().jobUid());
     Attempt attempt = attempts.get(key(task));
-    boolean able =
+    boolean canSave =
         job.kind() == JobKind.GANG
             && attempt != null
-            && attempt.running
-            && attempt.brokenMs == 0
+            && attempt.isRunning
+            && attempt.memberLostMs == 0
             && job.checkpointIntervalS() > 0
             && graceS > 0
             && graceS >= job.saveDurationS();
-    if (!able || task.state == State.CHECKPOINTING && graceS <= 0) {
+    if (!canSave || task.state == State.CHECKPOINTING && graceS <= 0) {
       return false;
     }
     if (task.state == State.RUNNING) {
       task.state = State.CHECKPOINTING;
       worker.hasUnsentChanges = true;
-      attempt.savingMs = attempt.savingMs == 0 ? cluster.nowMs : attempt.savingMs;
-      attempt.savingSinceMs.put(task.attempt.task().index(), cluster.nowMs);
+      attempt.firstSavingMs = attempt.firstSavingMs == 0 ? cluster.nowMs : attempt.firstSavingMs;
+      attempt.savingSinceMsByIndex.put(task.attempt.task().index(), cluster.nowMs);
     }
     return true;
   }
@@ -100,14 +101,14 @@
           present.computeIfAbsent(key(task), k -> attempt);
           Member member = new Member(worker, task);
           attempt.members.put(member.index(), member);
-          attempt.gatheredMs.putIfAbsent(member.index(), cluster.nowMs);
+          attempt.joinedMs.putIfAbsent(member.index(), cluster.nowMs);
         }
       }
     }
     new ArrayList<>(attempts.keySet()).forEach(this::advance);
   }
 
-  private boolean isThere(Member member) {
+  private boolean isPresent(Member member) {
     return !member.worker.isDead
         && member.task.state != State.ENDED
         && member.worker.tasks().contains(member.task);
@@ -116,24 +117,26 @@
   private void advance(Key key) {
     Attempt attempt = attempts.get(key);
     Job job = cluster.job(key.uid);
-    attempt.members.values().removeIf(member -> !attempt.running && !isThere(member));
-    attempt.gatheredMs.keySet().retainAll(attempt.members.keySet());
-    List<Member> there = attempt.members.values().stream().filter(this::isThere).toList();
-    if (there.isEmpty()) {
+    attempt.members.values().removeIf(member -> !attempt.isRunning && !isPresent(member));
+    attempt.joinedMs.keySet().retainAll(attempt.members.keySet());
+    List<Member> presentMembers =
+        attempt.members.values().stream().filter(this::isPresent).toList();
+    if (presentMembers.isEmpty()) {
       attempts.remove(key);
-    } else if (!attempt.running) {
-      gather(attempt, job);
-    } else if (attempt.savingMs > 0) {
-      save(attempt, job, there);
+    } else if (!attempt.isRunning) {
+      assemble(attempt, job);
+    } else if (attempt.firstSavingMs > 0) {
+      save(attempt, job, presentMembers);
     } else {
-      run(attempt, job, there);
+      run(attempt, job, presentMembers);
     }
   }
 
-  private void gather(Attempt attempt, Job job) {
-    boolean hangs = attempt.members.values().stream().anyMatch(m -> m.worker.isHanging);
-    if (attempt.members.size() == job.tasks() && !hangs) {
-      attempt.running = true;
+  private void assemble(Attempt attempt, Job job) {
+    boolean isAnyHanging =
+        attempt.members.values().stream().anyMatch(member -> member.worker.isHanging);
+    if (attempt.members.size() == job.tasks() && !isAnyHanging) {
+      attempt.isRunning = true;
       attempt.startedMs = cluster.nowMs;
       startCount++;
       for (Member member : attempt.members.values()) {
@@ -143,22 +146,23 @@
       return;
     }
     for (Member member : List.copyOf(attempt.members.values())) {
-      long waitedMs = cluster.nowMs - attempt.gatheredMs.get(member.index());
-      if (waitedMs > WAIT_MS && !member.worker.isHanging) {
+      long waitedMs = cluster.nowMs - attempt.joinedMs.get(member.index());
+      if (waitedMs > ASSEMBLY_TIMEOUT_MS && !member.worker.isHanging) {
         member.worker.end(member.task, Cause.GANG_INCOMPLETE);
       }
     }
   }
 
-  private void run(Attempt attempt, Job job, List<Member> there) {
-    boolean whole =
-        there.size() == job.tasks() && there.stream().noneMatch(m -> m.worker.isHanging);
-    long beganMs = savedProgressMs.getOrDefault(job.uid(), 0L);
-    long progressMs = beganMs + cluster.nowMs - attempt.startedMs;
-    if (!whole) {
-      fail(attempt, job, there, progressMs);
+  private void run(Attempt attempt, Job job, List<Member> presentMembers) {
+    boolean isComplete =
+        presentMembers.size() == job.tasks()
+            && presentMembers.stream().noneMatch(member -> member.worker.isHanging);
+    long savedMs = savedProgressMs.getOrDefault(job.uid(), 0L);
+    long progressMs = savedMs + cluster.nowMs - attempt.startedMs;
+    if (!isComplete) {
+      endIncompleteGang(attempt, job, presentMembers, progressMs);
     } else if (progressMs >= job.estimatedRunS() * 1000) {
-      for (Member member : there) {
+      for (Member member : presentMembers) {
         TaskId id = member.task.attempt.task();
         cluster.recordCompletion(id);
         member.worker.end(member.task, Cause.DONE);
@@ -166,17 +170,18 @@
     }
   }
 
-  /** The others notice within a while; what was done since the last checkpoint is lost. */
-  private void fail(Attempt attempt, Job job, List<Member> there, long progressMs) {
-    if (attempt.brokenMs == 0) {
-      attempt.brokenMs = cluster.nowMs;
+  /** Ends the remaining members after a delay; progress since the last checkpoint is lost. */
+  private void endIncompleteGang(
+      Attempt attempt, Job job, List<Member> presentMembers, long progressMs) {
+    if (attempt.memberLostMs == 0) {
+      attempt.memberLostMs = cluster.nowMs;
       long stepMs = (long) (job.checkpointIntervalS() * 1000);
       if (stepMs > 0) {
         savedProgressMs.merge(job.uid(), progressMs / stepMs * stepMs, Math::max);
       }
     }
-    if (cluster.nowMs - attempt.brokenMs > PEER_MS / 2) {
-      for (Member member : there) {
+    if (cluster.nowMs - attempt.memberLostMs > PEER_TIMEOUT_MS / 2) {
+      for (Member member : presentMembers) {
         if (!member.worker.isHanging) {
           member.worker.end(member.task, Cause.PEER_LOST);
         }
@@ -184,23 +189,25 @@
     }
   }
 
-  private void save(Attempt attempt, Job job, List<Member> there) {
-    boolean allTold = attempt.savingSinceMs.size() == job.tasks() && there.size() == job.tasks();
-    boolean allSaved =
-        allTold
-            && attempt.savingSinceMs.values().stream()
+  private void save(Attempt attempt, Job job, List<Member> presentMembers) {
+    boolean areAllSaving =
+        attempt.savingSinceMsByIndex.size() == job.tasks() && presentMembers.size() == job.tasks();
+    boolean haveAllSaved =
+        areAllSaving
+            && attempt.savingSinceMsByIndex.values().stream()
                 .allMatch(since -> cluster.nowMs - since >= job.saveDurationS() * 1000);
-    if (allSaved) {
+    if (haveAllSaved) {
       savedGangs++;
       long savedMs =
-          savedProgressMs.getOrDefault(job.uid(), 0L) + attempt.savingMs - attempt.startedMs;
+          savedProgressMs.getOrDefault(job.uid(), 0L) + attempt.firstSavingMs - attempt.startedMs;
       savedProgressMs.put(job.uid(), savedMs);
-      for (Member member : there) {
+      for (Member member : presentMembers) {
         member.task.isProgressSaved = true;
         member.worker.end(member.task, Cause.STOPPED);
       }
-    } else if (there.size() < job.tasks() || cluster.nowMs - attempt.savingMs > PEER_MS) {
-      for (Member member : there) {
+    } else if (presentMembers.size() < job.tasks()
+        || cluster.nowMs - attempt.firstSavingMs > PEER_TIMEOUT_MS) {
+      for (Member member : presentMembers) {
         if (!member.worker.isHanging) {
           member.worker.end(member.task, Cause.PEER_LOST);
         }
--- a/src/test/java/eiderfork/controller/FakeHeartbeats.java
+++ b/src/test/java/eiderfork/controller/FakeHeartbeats.java
@@ -8,48 +8,49 @@
 import java.util.List;
 
 /**
- * The heartbeats of a {@link SimulatedCluster}'s workers on their way: lost, late, doubled, or kept
- * for later.
+ * Delivers the heartbeats of a {@link SimulatedCluster}'s workers, with losses, delays, duplicates
+ * and copies that are delivered to a later leader.
  */
 final class FakeHeartbeats {
   private final SimulatedCluster cluster;
   private final List<eiderfork.model.Heartbeat> keptForNextLeader = new ArrayList<>();
-  private StoredRecord leadership;
-  private long holdHeartbeatsUntilMs;
-  private long heldForMs;
+  private StoredRecord lastLeadership;
+  private long delayWindowEndMs;
+  private long windowDelayMs;
 
   FakeHeartbeats(SimulatedCluster cluster) {
     this.cluster = cluster;
   }
 
-  /** Reports of the next second are held up for this long. */
-  void delayNext(long forMs) {
-    holdHeartbeatsUntilMs = cluster.nowMs + 1000;
-    heldForMs = forMs;
+  /** Delays heartbeats sent within the next second by this time. */
+  void delayNext(long durationMs) {
+    delayWindowEndMs = cluster.nowMs + 1000;
+    windowDelayMs = durationMs;
   }
 
-  /** Brings what was kept for the next leader once there is one. */
+  /** Delivers the copies kept for the next leader after a leader change. */
   void tick() {
     if (!keptForNextLeader.isEmpty() && cluster.store.get(StoreKeys.LEADER) != null) {
-      if (leadership != null && !leadership.equals(cluster.store.get(StoreKeys.LEADER))) {
+      if (lastLeadership != null && !lastLeadership.equals(cluster.store.get(StoreKeys.LEADER))) {
         for (eiderfork.model.Heartbeat heartbeat : keptForNextLeader) {
           cluster.controllers.keySet().forEach(node -> deliverAgain(node, heartbeat));
         }
         keptForNextLeader.clear();
       }
-      leadership = cluster.store.get(StoreKeys.LEADER);
+      lastLeadership = cluster.store.get(StoreKeys.LEADER);
     }
   }
 
+  /** Sends a worker's heartbeat if it is due, sooner if the worker has changes to report. */
   void sendIfDue(FakeWorker worker) {
     if (worker.isDead || worker.isHanging || worker.awaitingResponse) {
       return;
     }
-    boolean early =
+    boolean isDueEarly =
         worker.hasUnsentChanges
             && cluster.nowMs
                 >= Math.min(worker.nextHeartbeatMs - 500, worker.lastHeartbeatMs + 1000);
-    if (cluster.nowMs < worker.nextHeartbeatMs && !early) {
+    if (cluster.nowMs < worker.nextHeartbeatMs && !isDueEarly) {
       return;
     }
     worker.hasUnsentChanges = false;
@@ -62,12 +63,12 @@
     long incarnation = worker.incarnation();
     var heartbeat = worker.nextHeartbeat();
     String node = "roost-" + worker.nodeIndex;
-    boolean[] over = {false};
+    boolean[] isCompleted = {false};
     cluster.schedule(
         4000,
         () -> {
-          if (!over[0]) {
-            over[0] = true;
+          if (!isCompleted[0]) {
+            isCompleted[0] = true;
             worker.awaitingResponse = false;
             worker.nodeIndex = (worker.nodeIndex + 1) % cluster.nodeCount;
             worker.nextHeartbeatMs = cluster.nowMs + 1000;
@@ -75,7 +76,7 @@
         });
     String name = worker.machine.name();
     String link = name + ">" + node;
-    boolean cutOff =
+    boolean isBlocked =
         cluster.isCut("*", node)
             || cluster.isCut(name, node)
             || cluster.blockedConnections.contains(link);
@@ -89,46 +90,49 @@
     }
     int copies = cluster.random.nextDouble() < cluster.duplicateProbability ? 2 : 1;
     for (int i = 0; i < copies; i++) {
-      long heldMs = cluster.nowMs < holdHeartbeatsUntilMs ? heldForMs : 0;
-      heldMs =
-          Math.max(heldMs, cluster.heartbeatsHeldUntilMs.getOrDefault(link, 0L) - cluster.nowMs);
-      long delay = cutOff ? -1 : cluster.messageDelayMs(name, node);
-      if (delay < 0) {
+      long holdMs = cluster.nowMs < delayWindowEndMs ? windowDelayMs : 0;
+      holdMs =
+          Math.max(holdMs, cluster.heartbeatsHeldUntilMs.getOrDefault(link, 0L) - cluster.nowMs);
+      long delayMs = isBlocked ? -1 : cluster.messageDelayMs(name, node);
+      if (delayMs < 0) {
         continue;
       }
       cluster.schedule(
-          heldMs + delay,
+          holdMs + delayMs,
           () ->
               cluster.sendRequest(
                   node,
                   ticket -> new Input.WorkerReport(ticket, heartbeat),
                   effect -> {
-                    long back = cluster.isCut(node, "*") ? -1 : cluster.messageDelayMs(node, name);
-                    if (back >= 0) {
+                    long responseDelayMs =
+                        cluster.isCut(node, "*") ? -1 : cluster.messageDelayMs(node, name);
+                    if (responseDelayMs >= 0) {
                       cluster.schedule(
-                          back, () -> deliverResponse(worker, over, sentMs, incarnation, effect));
+                          responseDelayMs,
+                          () -> deliverResponse(worker, isCompleted, sentMs, incarnation, effect));
                     }
                   }));
     }
   }
 
-  /** An old copy; whatever it is answered reaches nobody. */
+  /** Delivers an old copy of a heartbeat; its response is dropped. */
   private void deliverAgain(String node, eiderfork.model.Heartbeat heartbeat) {
     cluster.sendRequest(node, ticket -> new Input.WorkerReport(ticket, heartbeat), effect -> {});
   }
 
   private void deliverResponse(
-      FakeWorker worker, boolean[] over, long sentMs, long incarnation, Effect effect) {
-    if (over[0] || worker.isDead || worker.isHanging) {
+      FakeWorker worker, boolean[] isCompleted, long sentMs, long incarnation, Effect effect) {
+    if (isCompleted[0] || worker.isDead || worker.isHanging) {
       return;
     }
-    over[0] = true;
+    isCompleted[0] = true;
     worker.awaitingResponse = false;
-    if (effect instanceof Effect.RespondToWorker it) {
-      worker.handleResponse(sentMs, incarnation, it.fencingToken(), it.commands());
-    } else if (effect instanceof Effect.RedirectWorker it) {
-      if (it.leader() != null && !it.leader().equals("roost-" + worker.nodeIndex)) {
-        worker.nodeIndex = it.leader().charAt(it.leader().length() - 1) - '0';
+    if (effect instanceof Effect.RespondToWorker workerResponse) {
+      worker.handleResponse(
+          sentMs, incarnation, workerResponse.fencingToken(), workerResponse.commands());
+    } else if (effect instanceof Effect.RedirectWorker redirect) {
+      if (redirect.leader() != null && !redirect.leader().equals("roost-" + worker.nodeIndex)) {
+        worker.nodeIndex = redirect.leader().charAt(redirect.leader().length() - 1) - '0';
         worker.nextHeartbeatMs = cluster.nowMs + cluster.random.nextLong(500);
       } else {
         worker.nodeIndex = (worker.nodeIndex + 1) % cluster.nodeCount;
--- a/src/test/java/eiderfork/controller/FakeNetwork.java
+++ b/src/test/java/eiderfork/controller/FakeNetwork.java
@@ -10,8 +10,8 @@
 import java.util.function.Supplier;
 
 /**
- * Carries the effects of a {@link SimulatedCluster}'s controllers to the other parties, and answers
- * back.
+ * Executes the effects of a {@link SimulatedCluster}'s controllers: delivers calls and responses to
+ * their receivers, and the replies to the controllers.
  */
 final class FakeNetwork {
   private final SimulatedCluster cluster;
@@ -20,7 +20,7 @@
     this.cluster = cluster;
   }
 
-  /** How long a message takes; -1 where it is lost. */
+  /** Returns the delay of a message, or -1 if it is lost. */
   long messageDelayMs(String from, String to) {
     if (cluster.isCut(from, to) || cluster.random.nextDouble() < cluster.lossProbability) {
       return -1;
@@ -35,89 +35,97 @@
   }
 
   /**
-   * Carries a call out: request and reply each may be lost, world.late or, the request,
-   * world.doubled.
+   * Sends a call: the request and the reply may each be lost or delayed, the request may also be
+   * delivered twice.
    */
   private void call(String node, Effect.Call call, String to, Service service) {
-    int life = cluster.processEpochs.get(node);
-    boolean[] over = {false};
-    Consumer<Reply> back =
+    int epoch = cluster.processEpochs.get(node);
+    boolean[] isCompleted = {false};
+    Consumer<Reply> complete =
         reply -> {
-          if (!over[0] && cluster.processEpochs.get(node) == life) {
-            over[0] = true;
+          if (!isCompleted[0] && cluster.processEpochs.get(node) == epoch) {
+            isCompleted[0] = true;
             cluster.deliver(node, new Input.Answered(call.callId(), reply));
           }
         };
-    cluster.schedule(call.timeoutMs(), () -> back.accept(new Reply.Unanswered()));
+    cluster.schedule(call.timeoutMs(), () -> complete.accept(new Reply.Unanswered()));
     int copies = cluster.random.nextDouble() < cluster.duplicateProbability ? 2 : 1;
     for (int i = 0; i < copies; i++) {
-      long delay = messageDelayMs(node, to);
-      if (delay >= 0) {
+      long requestDelayMs = messageDelayMs(node, to);
+      if (requestDelayMs >= 0) {
         cluster.schedule(
-            delay,
+            requestDelayMs,
             () ->
                 service.serve(
                     reply -> {
-                      long backDelay = messageDelayMs(to, node);
-                      if (backDelay >= 0) {
-                        cluster.schedule(backDelay, () -> back.accept(reply));
+                      long replyDelayMs = messageDelayMs(to, node);
+                      if (replyDelayMs >= 0) {
+                        cluster.schedule(replyDelayMs, () -> complete.accept(reply));
                       }
                     }));
       }
     }
   }
 
-  void carryOut(String node, Effect effect) {
-    if (effect instanceof Effect.CallStore it) {
-      if (it.request() instanceof StoreRequest.Transaction
+  void execute(String node, Effect effect) {
+    if (effect instanceof Effect.CallStore storeCall) {
+      if (storeCall.request() instanceof StoreRequest.Transaction
           && cluster.random.nextDouble() < cluster.lateTransactionProbability) {
         cluster.schedule(
             2000 + cluster.random.nextLong(10_000),
-            () -> cluster.store.execute(it.request(), cluster.nowMs, reply -> {}));
-        call(node, it, "nowhere", onComplete -> {});
-      } else if (it.request() instanceof StoreRequest.Transaction
+            () -> cluster.store.execute(storeCall.request(), cluster.nowMs, reply -> {}));
+        call(node, storeCall, "nowhere", onComplete -> {});
+      } else if (storeCall.request() instanceof StoreRequest.Transaction
           && cluster.random.nextDouble() < cluster.lostStoreReplyProbability) {
         call(
             node,
-            it,
+            storeCall,
             "state",
-            onComplete -> cluster.storeAccess.serve(node, it.request(), reply -> {}));
+            onComplete -> cluster.storeAccess.serve(node, storeCall.request(), reply -> {}));
       } else {
         call(
             node,
-            it,
+            storeCall,
             "state",
-            onComplete -> cluster.storeAccess.serve(node, it.request(), onComplete));
+            onComplete -> cluster.storeAccess.serve(node, storeCall.request(), onComplete));
       }
-    } else if (effect instanceof Effect.ListMachineTypes it) {
-      askCloud(node, it, () -> new Reply.Types(cluster.cloud.types));
-    } else if (effect instanceof Effect.RentMachines it) {
-      askCloud(node, it, () -> cluster.cloud.rent(it.rent(), cluster.nowMs));
-    } else if (effect instanceof Effect.ReturnMachines it) {
-      askCloud(
+    } else if (effect instanceof Effect.ListMachineTypes typesCall) {
+      callCloud(node, typesCall, () -> new Reply.Types(cluster.cloud.types));
+    } else if (effect instanceof Effect.RentMachines rentCall) {
+      callCloud(node, rentCall, () -> cluster.cloud.rent(rentCall.rent(), cluster.nowMs));
+    } else if (effect instanceof Effect.ReturnMachines returnCall) {
+      callCloud(
           node,
-          it,
+          returnCall,
           () -> {
-            it.machines().forEach(name -> cluster.cloud.returnHost(name, cluster.nowMs));
+            returnCall.machines().forEach(name -> cluster.cloud.returnHost(name, cluster.nowMs));
             return new Reply.Returned();
           });
-    } else if (effect instanceof Effect.ListHosts it) {
-      askCloud(node, it, () -> cluster.cloud.list(it.after(), cluster.nowMs));
-    } else if (effect instanceof Effect.SendCommands it) {
-      worker(
+    } else if (effect instanceof Effect.ListHosts listCall) {
+      callCloud(node, listCall, () -> cluster.cloud.listHosts(listCall.after(), cluster.nowMs));
+    } else if (effect instanceof Effect.SendCommands commandsCall) {
+      callWorker(
           node,
-          it,
-          it.address(),
+          commandsCall,
+          commandsCall.address(),
           cluster.commandDelayMs,
-          w -> {
+          worker -> {
             boolean executed =
-                w.handleDirectCommands(it.fencingToken(), it.incarnation(), it.commands());
-            return new Reply.WorkerReply(executed, w.nextHeartbeat());
+                worker.handleDirectCommands(
+                    commandsCall.fencingToken(),
+                    commandsCall.incarnation(),
+                    commandsCall.commands());
+            return new Reply.WorkerReply(executed, worker.nextHeartbeat());
           });
-    } else if (effect instanceof Effect.InspectWorker it) {
-      worker(node, it, it.address(), 0, w -> new Reply.WorkerReply(true, w.nextHeartbeat()));
-    } else if (effect instanceof Effect.Response it) {
-      Consumer<Effect> onComplete = cluster.responseHandlers.remove(it.ticket());
+    } else if (effect instanceof Effect.InspectWorker inspectCall) {
+      callWorker(
+          node,
+          inspectCall,
+          inspectCall.address(),
+          0,
+          worker -> new Reply.WorkerReply(true, worker.nextHeartbeat()));
+    } else if (effect instanceof Effect.Response response) {
+      Consumer<Effect> onComplete = cluster.responseHandlers.remove(response.ticket());
       if (onComplete != null) {
         onComplete.accept(effect);
       }
@@ -127,55 +135,58 @@
   }
 
   private void callPeer(String node, Effect effect) {
-    if (effect instanceof Effect.PingPeer it) {
+    if (effect instanceof Effect.PingPeer pingCall) {
       call(
           node,
-          it,
-          it.node(),
-          askPeer(
-              it.node(),
-              ticket -> new Input.PeerPing(ticket, it.status()),
-              said -> new Reply.PeerPong(((Effect.RespondToPing) said).status())));
-    } else if (effect instanceof Effect.ForwardRequest it) {
+          pingCall,
+          pingCall.node(),
+          peerService(
+              pingCall.node(),
+              ticket -> new Input.PeerPing(ticket, pingCall.status()),
+              response -> new Reply.PeerPong(((Effect.RespondToPing) response).status())));
+    } else if (effect instanceof Effect.ForwardRequest requestCall) {
       call(
           node,
-          it,
-          it.node(),
-          askPeer(
-              it.node(),
-              ticket -> new Input.PeerRequest(ticket, it.request()),
-              said -> new Reply.ForwardedResponse(((Effect.RespondToUser) said).response())));
-    } else if (effect instanceof Effect.SendHints it) {
-      Service refusing = onComplete -> onComplete.accept(new Reply.Refused(404));
-      Service acknowledging =
-          askPeer(
-              it.node(),
-              ticket -> new Input.PeerHints(ticket, it.hints()),
-              said -> new Reply.HintsAcknowledged());
-      Service either =
+          requestCall,
+          requestCall.node(),
+          peerService(
+              requestCall.node(),
+              ticket -> new Input.PeerRequest(ticket, requestCall.request()),
+              response ->
+                  new Reply.ForwardedResponse(((Effect.RespondToUser) response).response())));
+    } else if (effect instanceof Effect.SendHints hintsCall) {
+      Service refusal = onComplete -> onComplete.accept(new Reply.Refused(404));
+      Service acknowledgement =
+          peerService(
+              hintsCall.node(),
+              ticket -> new Input.PeerHints(ticket, hintsCall.hints()),
+              response -> new Reply.HintsAcknowledged());
+      Service service =
           onComplete ->
-              (cluster.olderVersionNodes.contains(it.node()) ? refusing : acknowledging)
+              (cluster.olderVersionNodes.contains(hintsCall.node()) ? refusal : acknowledgement)
                   .serve(onComplete);
-      call(node, it, it.node(), either);
-    } else if (effect instanceof Effect.ForwardQueries it) {
+      call(node, hintsCall, hintsCall.node(), service);
+    } else if (effect instanceof Effect.ForwardQueries queriesCall) {
       call(
           node,
-          it,
-          it.node(),
-          askPeer(
-              it.node(),
-              ticket -> new Input.PeerQueries(ticket, it.uids()),
-              said -> new Reply.ForwardedResponses(((Effect.RespondToQueries) said).responses())));
+          queriesCall,
+          queriesCall.node(),
+          peerService(
+              queriesCall.node(),
+              ticket -> new Input.PeerQueries(ticket, queriesCall.uids()),
+              response ->
+                  new Reply.ForwardedResponses(((Effect.RespondToQueries) response).responses())));
     }
   }
 
-  /** What a peer says to an input, as the reply to a call. */
-  private Service askPeer(String peer, LongFunction<Input> input, Function<Effect, Reply> reply) {
+  /** Returns a service that delivers an input to a peer and converts its response to a reply. */
+  private Service peerService(
+      String peer, LongFunction<Input> input, Function<Effect, Reply> reply) {
     return onComplete ->
-        cluster.sendRequest(peer, input, said -> onComplete.accept(reply.apply(said)));
+        cluster.sendRequest(peer, input, response -> onComplete.accept(reply.apply(response)));
   }
 
-  private void askCloud(String node, Effect.Call call, Supplier<Reply> answer) {
+  private void callCloud(String node, Effect.Call call, Supplier<Reply> answer) {
     call(
         node,
         call,
@@ -184,15 +195,19 @@
             onComplete.accept(cluster.cloud.isDown ? new Reply.Refused(503) : answer.get()));
   }
 
-  private void worker(
-      String node, Effect.Call call, String addr, long lateMs, Function<FakeWorker, Reply> answer) {
-    String name = addr.substring(0, addr.indexOf(':'));
+  private void callWorker(
+      String node,
+      Effect.Call call,
+      String address,
+      long extraDelayMs,
+      Function<FakeWorker, Reply> answer) {
+    String name = address.substring(0, address.indexOf(':'));
     String to = cluster.isCut(node, "*") ? "*" : name;
     call(
         node,
         call,
         to,
-        onComplete -> cluster.schedule(lateMs, () -> deliver(name, answer, onComplete)));
+        onComplete -> cluster.schedule(extraDelayMs, () -> deliver(name, answer, onComplete)));
   }
 
   private void deliver(
@@ -202,46 +217,46 @@
       return;
     }
     if (host.worker.isHanging) {
-      // Held until the machine goes on.
+      // The request waits until the machine resumes.
       cluster.schedule(SimulatedCluster.TICK_MS, () -> deliver(name, answer, onComplete));
     } else {
       onComplete.accept(answer.apply(host.worker));
     }
   }
 
-  /** A zone's machines and one controller are cut off from the other controllers and the cloud. */
-  void isolateZone(String zone, String inside, long forMs) {
+  /** Cuts a zone's machines and one controller off from the other controllers and the store. */
+  void isolateZone(String zone, String insideNode, long durationMs) {
     for (int i = 0; i < cluster.nodeCount; i++) {
       String node = "roost-" + i;
-      if (node.equals(inside)) {
+      if (node.equals(insideNode)) {
         continue;
       }
-      cluster.cutLink(node + ">" + inside, forMs);
-      cluster.cutLink(inside + ">" + node, forMs);
+      cluster.cutLink(node + ">" + insideNode, durationMs);
+      cluster.cutLink(insideNode + ">" + node, durationMs);
       for (FakeWorker worker : cluster.workers()) {
         if (worker.machine.zone().equals(zone)) {
-          cluster.cutLink(node + ">" + worker.machine.name(), forMs);
-          cluster.cutLink(worker.machine.name() + ">" + node, forMs);
+          cluster.cutLink(node + ">" + worker.machine.name(), durationMs);
+          cluster.cutLink(worker.machine.name() + ">" + node, durationMs);
         }
       }
     }
-    cluster.cutLink(inside + ">state", forMs);
-    cluster.cutLink("state>" + inside, forMs);
+    cluster.cutLink(insideNode + ">state", durationMs);
+    cluster.cutLink("state>" + insideNode, durationMs);
   }
 
-  /** Two zones can't reach each other; both reach the store, the cloud and the users. */
-  void splitZones(long forMs) {
+  /** Partitions the two zones; both still reach the store, the cloud and the users. */
+  void splitZones(long durationMs) {
     for (int i = 0; i < cluster.nodeCount; i++) {
       for (int j = 0; j < cluster.nodeCount; j++) {
         if (!TestFixtures.zone(i, cluster.nodeCount)
             .equals(TestFixtures.zone(j, cluster.nodeCount))) {
-          cluster.cutLink("roost-" + i + ">roost-" + j, forMs);
+          cluster.cutLink("roost-" + i + ">roost-" + j, durationMs);
         }
       }
       for (FakeWorker worker : cluster.workers()) {
         if (!worker.machine.zone().equals(TestFixtures.zone(i, cluster.nodeCount))) {
-          cluster.cutLink("roost-" + i + ">" + worker.machine.name(), forMs);
-          cluster.cutLink(worker.machine.name() + ">roost-" + i, forMs);
+          cluster.cutLink("roost-" + i + ">" + worker.machine.name(), durationMs);
+          cluster.cutLink(worker.machine.name() + ">roost-" + i, durationMs);
         }
       }
     }
--- a/src/test/java/eiderfork/controller/FakeProgress.java
+++ b/src/test/java/eiderfork/controller/FakeProgress.java
@@ -12,86 +12,91 @@
 import java.util.function.BiConsumer;
 
 /**
- * The progress of arrays' tasks, written from the protocol: those with checkpoints save by
- * themselves now and then, and when they are stopped with enough time.
+ * Implements the protocol for the progress of array tasks: those with checkpoints save at regular
+ * intervals, and when they are stopped with a sufficient grace period.
  */
 final class FakeProgress {
   private final SimulatedCluster cluster;
-  private final Map<TaskId, Long> safeMs = new HashMap<>();
+  private final Map<TaskId, Long> savedMs = new HashMap<>();
 
-  /** Attempts that were told to stop, and machines on which saves never end. */
-  private final Set<Attempt> stopped = new HashSet<>();
+  /** Attempts that received a stop command. */
+  private final Set<Attempt> stoppedAttempts = new HashSet<>();
 
+  /** Machines on which saving never completes. */
   final Set<String> machinesWithHangingSaves = new HashSet<>();
 
-  /** Told of each attempt that is told to stop for the first time. */
+  /** Called at the first stop command for each attempt. */
   BiConsumer<FakeWorker, Attempt> onStop = (worker, attempt) -> {};
 
-  /** How often a task that was saving was ended before it was through. */
+  /** The number of tasks that were ended before their save was complete. */
   int interruptedSaves;
 
-  /** Run time that has to be done again. */
+  /** Total run time lost, which tasks have to repeat. */
   long lostWorkMs;
 
   FakeProgress(SimulatedCluster cluster) {
     this.cluster = cluster;
   }
 
-  /** How long a task still has to run. */
+  /** Returns the run time that a task has left. */
   long remainingMs(Job job, TaskId id) {
-    return Math.max(0, (long) (job.estimatedRunS() * 1000) - safeMs.getOrDefault(id, 0L));
+    return Math.max(0, (long) (job.estimatedRunS() * 1000) - savedMs.getOrDefault(id, 0L));
   }
 
-  /** An attempt is told to stop, for the first time or again. */
+  /** Records a stop command for an attempt, the first or a repeated one. */
   void recordStop(FakeWorker worker, Attempt attempt) {
-    if (stopped.add(attempt)) {
+    if (stoppedAttempts.add(attempt)) {
       onStop.accept(worker, attempt);
     }
   }
 
-  /** How many attempts of jobs that were not cancelled were told to stop. */
+  /** Returns the number of attempts that received a stop command, without cancelled jobs. */
   long stopCount() {
-    return stopped.stream()
-        .filter(a -> !cluster.checker.wasCancellationRequested(a.task().jobUid()))
+    return stoppedAttempts.stream()
+        .filter(attempt -> !cluster.checker.wasCancellationRequested(attempt.task().jobUid()))
         .count();
   }
 
-  /** The most attempts of any task that were told to stop, of jobs that were not cancelled. */
+  /**
+   * Returns the highest number of attempts of one task that received a stop command, without
+   * cancelled jobs.
+   */
   long maxStopsPerTask() {
     Map<TaskId, Long> byTask = new HashMap<>();
-    for (Attempt attempt : stopped) {
+    for (Attempt attempt : stoppedAttempts) {
       if (!cluster.checker.wasCancellationRequested(attempt.task().jobUid())) {
         byTask.merge(attempt.task(), 1L, Long::sum);
       }
     }
-    return byTask.values().stream().mapToLong(n -> n).max().orElse(0);
+    return byTask.values().stream().mapToLong(stops -> stops).max().orElse(0);
   }
 
-  /** A task is told to stop; whether it saves first, or goes on saving. */
+  /** Handles a stop command for a task; returns whether it saves first or is still saving. */
   boolean startSaving(FakeWorker worker, FakeWorker.Task task, double graceS) {
     Job job = cluster.job(task.attempt.task().jobUid());
-    boolean able = job.kind() == JobKind.ARRAY && job.checkpointIntervalS() > 0 && graceS > 0;
-    if (!able || graceS < job.saveDurationS()) {
+    boolean canSave = job.kind() == JobKind.ARRAY && job.checkpointIntervalS() > 0 && graceS > 0;
+    if (!canSave || graceS < job.saveDurationS()) {
       interruptedSaves += task.state == State.CHECKPOINTING ? 1 : 0;
       return false;
     }
     if (task.state == State.RUNNING) {
       task.state = State.CHECKPOINTING;
       task.savingSinceMs = cluster.nowMs;
-      boolean hangs = machinesWithHangingSaves.contains(worker.machine.name());
-      task.nextMs = hangs ? Long.MAX_VALUE : cluster.nowMs + (long) (job.saveDurationS() * 1000);
+      boolean isHanging = machinesWithHangingSaves.contains(worker.machine.name());
+      task.nextMs =
+          isHanging ? Long.MAX_VALUE : cluster.nowMs + (long) (job.saveDurationS() * 1000);
       worker.hasUnsentChanges = true;
     }
     return task.state == State.CHECKPOINTING;
   }
 
-  /** A task has saved all that it did. */
+  /** Records that a task has saved all its progress. */
   void finishSaving(FakeWorker.Task task) {
     task.isProgressSaved = true;
-    safeMs.merge(task.attempt.task(), task.savingSinceMs - task.runningSinceMs, Long::sum);
+    savedMs.merge(task.attempt.task(), task.savingSinceMs - task.runningSinceMs, Long::sum);
   }
 
-  /** A task ends, whatever for: what it did since its last checkpoint is lost. */
+  /** Records the end of a task for any cause; progress since its last checkpoint is lost. */
   void recordEnd(FakeWorker.Task task) {
     Job job = cluster.job(task.attempt.task().jobUid());
     boolean ran = task.runningSinceMs > 0 && task.state != State.ENDED;
@@ -101,10 +106,10 @@
     long untilMs = task.state == State.CHECKPOINTING ? task.savingSinceMs : cluster.nowMs;
     long ranMs = untilMs - task.runningSinceMs;
     long stepMs = (long) (job.checkpointIntervalS() * 1000);
-    long keptMs = stepMs > 0 ? ranMs / stepMs * stepMs : 0;
-    safeMs.merge(task.attempt.task(), keptMs, Long::sum);
+    long savedRunMs = stepMs > 0 ? ranMs / stepMs * stepMs : 0;
+    savedMs.merge(task.attempt.task(), savedRunMs, Long::sum);
     if (!cluster.isTaskFinished(task.attempt.task())) {
-      lostWorkMs += ranMs - keptMs;
+      lostWorkMs += ranMs - savedRunMs;
     }
   }
 }
--- a/src/test/java/eiderfork/controller/FakeStore.java
+++ b/src/test/java/eiderfork/controller/FakeStore.java
@@ -13,45 +13,48 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 
-/** The store, written from the protocol. */
+/** An in-memory store that implements the store's protocol. */
 final class FakeStore {
-  /** The service's limit on requests, with bursts of a second's worth; null for none. */
+  /** The rate limit on requests, with bursts of one second's worth; null for none. */
   TokenBucket requestLimit;
 
-  /** How many requests were refused for that limit. */
+  /** The number of requests refused by the rate limit on requests. */
   int requestLimitRefusals;
 
-  /** The largest value that the service takes, as its text in JSON. */
+  /** The largest accepted value, in bytes of its JSON text. */
   int maxValueBytes = Integer.MAX_VALUE;
 
-  /** The service's limit on changes, with bursts of a second's worth; null for none. */
+  /** The rate limit on changes, with bursts of one second's worth; null for none. */
   TokenBucket changeLimit;
 
-  /** Transactions that were refused since a value was too large. */
+  /** The number of transactions refused because a value was too large. */
   int oversizedValueRefusals;
 
-  /** Transactions that were refused for the limit on changes. */
+  /** The number of transactions refused by the rate limit on changes. */
   int changeLimitRefusals;
 
-  private record Entry(StoredRecord record, long version, long lease) {}
+  private record Entry(StoredRecord record, long version, long leaseId) {}
 
-  private record Watcher(String prefix, long after, long untilMs, Consumer<Reply> then) {}
+  private record Watcher(
+      String prefix, long afterRevision, long expiresMs, Consumer<Reply> onComplete) {}
 
   private final TreeMap<String, Entry> entries = new TreeMap<>();
   private final Map<Long, long[]> leases = new HashMap<>();
-  private final List<Reply.Item> log = new ArrayList<>();
+  private final List<Reply.Item> changeLog = new ArrayList<>();
   private final List<Watcher> watchers = new ArrayList<>();
-  private long ledger;
-  private long lastLease;
+  private long revision;
+  private long lastLeaseId;
   private long outageSinceMs = -1;
 
-  /** Transactions that changed something; a test may look at what was written. */
+  /** The number of transactions that were committed. */
   int committedTransactions;
 
+  /** Starts an outage: requests are refused, watches and leases wait. */
   void startOutage(long nowMs) {
     outageSinceMs = nowMs;
   }
 
+  /** Ends an outage and extends every lease by its full time. */
   void endOutage(long nowMs) {
     outageSinceMs = -1;
     leases.values().forEach(lease -> lease[1] = nowMs + lease[0]);
@@ -61,6 +64,7 @@
     return outageSinceMs >= 0;
   }
 
+  /** Returns the record under a key, decoded to a plain allocation if it is one, or null. */
   StoredRecord get(String key) {
     StoredRecord stored = getAsStored(key);
     if (stored instanceof StoredRecord.BitmapAllocation bitmap) {
@@ -69,13 +73,13 @@
     return stored instanceof StoredRecord.PackedAllocation packed ? packed.alloc() : stored;
   }
 
-  /** What was written, in the form that it was written in. */
+  /** Returns the record under a key in the form in which it was written, or null. */
   StoredRecord getAsStored(String key) {
     Entry entry = entries.get(key);
     return entry == null ? null : entry.record;
   }
 
-  /** From now on the service holds to these limits; what is stored stays readable. */
+  /** Applies these limits to later transactions; records already stored stay readable. */
   void lowerLimits(double valueKb, double changesPerS, long nowMs) {
     maxValueBytes = (int) (valueKb * 1024);
     changeLimit = new TokenBucket(changesPerS, changesPerS, nowMs);
@@ -85,33 +89,34 @@
     if (change.record() == null) {
       return 0;
     }
-    int with = bytes(StoreRequest.Change.put(change.key(), change.record()));
-    return with - bytes(StoreRequest.Change.remove(change.key()));
+    int putBytes = encodedBytes(StoreRequest.Change.put(change.key(), change.record()));
+    return putBytes - encodedBytes(StoreRequest.Change.remove(change.key()));
   }
 
-  private static int bytes(StoreRequest.Change change) {
+  private static int encodedBytes(StoreRequest.Change change) {
     StoreRequest request =
         new StoreRequest.Transaction(ImmutableList.of(), ImmutableList.of(change));
     return StoreCodec.encodeRequest(request).body().length;
   }
 
-  /** The keys under a prefix. */
+  /** Returns the keys with a prefix. */
   List<String> keys(String prefix) {
     return entries.keySet().stream().filter(key -> key.startsWith(prefix)).toList();
   }
 
-  /** Puts a value there that no version can read. */
+  /** Replaces a value by one that no version can read. */
   void corrupt(String key) {
-    entries.put(key, new Entry(new StoredRecord.Unreadable("spoiled"), ++ledger, 0));
+    entries.put(key, new Entry(new StoredRecord.Unreadable("spoiled"), ++revision, 0));
   }
 
   void tick(long nowMs) {
     if (isDown()) {
       return;
     }
-    List<Watcher> over = new ArrayList<>();
-    watchers.removeIf(w -> w.untilMs <= nowMs && over.add(w));
-    over.forEach(w -> w.then.accept(since(w.prefix, w.after)));
+    List<Watcher> expired = new ArrayList<>();
+    watchers.removeIf(watcher -> watcher.expiresMs <= nowMs && expired.add(watcher));
+    expired.forEach(
+        watcher -> watcher.onComplete.accept(changesSince(watcher.prefix, watcher.afterRevision)));
     leases
         .entrySet()
         .removeIf(
@@ -119,47 +124,51 @@
               if (e.getValue()[1] > nowMs) {
                 return false;
               }
-              drop(e.getKey());
+              deleteKeysOfLease(e.getKey());
               return true;
             });
   }
 
-  private void drop(long lease) {
+  private void deleteKeysOfLease(long leaseId) {
     List<String> keys = new ArrayList<>();
     entries.forEach(
         (key, entry) -> {
-          if (entry.lease == lease) {
+          if (entry.leaseId == leaseId) {
             keys.add(key);
           }
         });
     if (!keys.isEmpty()) {
-      ledger++;
-      keys.forEach(key -> change(key, null, 0));
-      wake();
+      revision++;
+      keys.forEach(key -> apply(key, null, 0));
+      notifyWatchers();
     }
   }
 
-  private void change(String key, StoredRecord record, long lease) {
+  private void apply(String key, StoredRecord record, long leaseId) {
     if (record == null) {
       entries.remove(key);
     } else {
-      entries.put(key, new Entry(record, ledger, lease));
+      entries.put(key, new Entry(record, revision, leaseId));
     }
-    log.add(new Reply.Item(key, record, ledger));
+    changeLog.add(new Reply.Item(key, record, revision));
   }
 
-  private Reply.Changes since(String prefix, long after) {
+  private Reply.Changes changesSince(String prefix, long afterRevision) {
     ImmutableList.Builder<Reply.Item> items = ImmutableList.builder();
-    log.stream()
-        .filter(item -> item.version() > after && item.key().startsWith(prefix))
+    changeLog.stream()
+        .filter(item -> item.version() > afterRevision && item.key().startsWith(prefix))
         .forEach(items::add);
-    return new Reply.Changes(items.build(), ledger);
+    return new Reply.Changes(items.build(), revision);
   }
 
-  private void wake() {
+  private void notifyWatchers() {
     List<Watcher> due = new ArrayList<>();
-    watchers.removeIf(w -> !since(w.prefix, w.after).items().isEmpty() && due.add(w));
-    due.forEach(w -> w.then.accept(since(w.prefix, w.after)));
+    watchers.removeIf(
+        watcher ->
+            !changesSince(watcher.prefix, watcher.afterRevision).items().isEmpty()
+                && due.add(watcher));
+    due.forEach(
+        watcher -> watcher.onComplete.accept(changesSince(watcher.prefix, watcher.afterRevision)));
   }
 
   void execute(StoreRequest request, long nowMs, Consumer<Reply> onComplete) {
@@ -169,57 +178,61 @@
       return;
     }
     if (isDown()) {
-      if (request instanceof StoreRequest.Watch w) {
-        watchers.add(new Watcher(w.prefix(), w.afterRevision(), nowMs + w.timeoutMs(), onComplete));
+      if (request instanceof StoreRequest.Watch watch) {
+        watchers.add(
+            new Watcher(
+                watch.prefix(), watch.afterRevision(), nowMs + watch.timeoutMs(), onComplete));
       } else {
         onComplete.accept(new Reply.Refused(503));
       }
       return;
     }
-    if (request instanceof StoreRequest.Get it) {
-      Entry entry = entries.get(it.key());
+    if (request instanceof StoreRequest.Get get) {
+      Entry entry = entries.get(get.key());
       onComplete.accept(
           entry == null ? new Reply.Value(null, 0) : new Reply.Value(entry.record, entry.version));
-    } else if (request instanceof StoreRequest.Scan it) {
-      onComplete.accept(page(it));
-    } else if (request instanceof StoreRequest.Watch it) {
-      if (it.timeoutMs() > 0 && since(it.prefix(), it.afterRevision()).items().isEmpty()) {
+    } else if (request instanceof StoreRequest.Scan scan) {
+      onComplete.accept(scanPage(scan));
+    } else if (request instanceof StoreRequest.Watch watch) {
+      if (watch.timeoutMs() > 0
+          && changesSince(watch.prefix(), watch.afterRevision()).items().isEmpty()) {
         watchers.add(
-            new Watcher(it.prefix(), it.afterRevision(), nowMs + it.timeoutMs(), onComplete));
+            new Watcher(
+                watch.prefix(), watch.afterRevision(), nowMs + watch.timeoutMs(), onComplete));
       } else {
-        onComplete.accept(since(it.prefix(), it.afterRevision()));
+        onComplete.accept(changesSince(watch.prefix(), watch.afterRevision()));
       }
-    } else if (request instanceof StoreRequest.Grant it) {
-      leases.put(++lastLease, new long[] {it.ttlMs(), nowMs + it.ttlMs()});
-      onComplete.accept(new Reply.Leased(lastLease));
-    } else if (request instanceof StoreRequest.Renew it) {
-      long[] lease = leases.get(it.leaseId());
+    } else if (request instanceof StoreRequest.Grant grant) {
+      leases.put(++lastLeaseId, new long[] {grant.ttlMs(), nowMs + grant.ttlMs()});
+      onComplete.accept(new Reply.Leased(lastLeaseId));
+    } else if (request instanceof StoreRequest.Renew renewal) {
+      long[] lease = leases.get(renewal.leaseId());
       if (lease == null) {
         onComplete.accept(new Reply.Refused(404));
       } else {
         lease[1] = nowMs + lease[0];
-        onComplete.accept(new Reply.Leased(it.leaseId()));
+        onComplete.accept(new Reply.Leased(renewal.leaseId()));
       }
-    } else if (request instanceof StoreRequest.Release it) {
-      if (leases.remove(it.leaseId()) != null) {
-        drop(it.leaseId());
+    } else if (request instanceof StoreRequest.Release release) {
+      if (leases.remove(release.leaseId()) != null) {
+        deleteKeysOfLease(release.leaseId());
       }
       onComplete.accept(new Reply.Leased(0));
-    } else if (request instanceof StoreRequest.Transaction it) {
-      if (it.changes().stream().anyMatch(change -> valueBytes(change) > maxValueBytes)) {
+    } else if (request instanceof StoreRequest.Transaction transaction) {
+      if (transaction.changes().stream().anyMatch(change -> valueBytes(change) > maxValueBytes)) {
         oversizedValueRefusals++;
         onComplete.accept(new Reply.Refused(400));
-      } else if (changeLimit != null && !changeLimit.tryTake(it.changes().size(), nowMs)) {
+      } else if (changeLimit != null && !changeLimit.tryTake(transaction.changes().size(), nowMs)) {
         changeLimitRefusals++;
         onComplete.accept(new Reply.Refused(429));
       } else {
-        onComplete.accept(transact(it));
-        wake();
+        onComplete.accept(commit(transaction));
+        notifyWatchers();
       }
     }
   }
 
-  private Reply page(StoreRequest.Scan scan) {
+  private Reply scanPage(StoreRequest.Scan scan) {
     ImmutableList.Builder<Reply.Item> items = ImmutableList.builder();
     int count = 0;
     boolean more = false;
@@ -228,7 +241,7 @@
         break;
       }
       if (e.getKey().compareTo(scan.afterKey()) > 0) {
-        // Small pages, so that paging is walked through.
+        // A page limit of 7 makes the controllers read several pages.
         if (count++ == 7) {
           more = true;
           break;
@@ -236,12 +249,12 @@
         items.add(new Reply.Item(e.getKey(), e.getValue().record, e.getValue().version));
       }
     }
-    return new Reply.Page(items.build(), more, ledger);
+    return new Reply.Page(items.build(), more, revision);
   }
 
-  private Reply transact(StoreRequest.Transaction it) {
+  private Reply commit(StoreRequest.Transaction transaction) {
     ImmutableList.Builder<String> failed = ImmutableList.builder();
-    for (StoreRequest.Condition condition : it.conditions()) {
+    for (StoreRequest.Condition condition : transaction.conditions()) {
       Entry entry = entries.get(condition.key());
       if ((entry == null ? 0 : entry.version) != condition.version()) {
         failed.add(condition.key());
@@ -250,14 +263,14 @@
     if (!failed.build().isEmpty()) {
       return new Reply.Conflict(failed.build());
     }
-    for (StoreRequest.Change change : it.changes()) {
+    for (StoreRequest.Change change : transaction.changes()) {
       if (change.leaseId() != 0 && !leases.containsKey(change.leaseId())) {
         return new Reply.Refused(400);
       }
     }
-    ledger++;
+    revision++;
     committedTransactions++;
-    it.changes().forEach(change -> change(change.key(), change.record(), change.leaseId()));
-    return new Reply.Committed(ledger);
+    transaction.changes().forEach(change -> apply(change.key(), change.record(), change.leaseId()));
+    return new Reply.Committed(revision);
   }
 }
--- a/src/test/java/eiderfork/controller/FakeUsers.java
+++ b/src/test/java/eiderfork/controller/FakeUsers.java
@@ -6,20 +6,20 @@
 import eiderfork.model.Job;
 import java.util.function.LongFunction;
 
-/** The users of a {@link SimulatedCluster}: they retry, and report all responses to the checker. */
+/** The users of a {@link SimulatedCluster}; they retry and pass all responses to the checker. */
 final class FakeUsers {
   private static final int TIMEOUT_MS = 5000;
   private static final int RETRY_MS = 1000;
   private static final int HOP_MS = 1;
   private static final int MAX_TRIES = 60;
 
-  /** A number of earlier tries past which a request is not retried. */
+  /** The number of earlier tries of a request that is not to be retried. */
   private static final int NO_RETRY = Integer.MAX_VALUE;
 
-  /** When all nodes are queried after an answer that is new. */
+  /** Delays of the queries to all nodes after a response with a new state of a job. */
   private static final int[] PROBE_DELAYS_MS = {0, 1, 3, 10, 40, 120};
 
-  /** A request of a user, and how often it was tried before. */
+  /** A request of a user, with the number of earlier tries. */
   private record Request(LongFunction<Input> input, String uid, boolean isSubmission, int tries) {
     static Request submission(Job job, int tries) {
       return new Request(
@@ -55,32 +55,32 @@
     this.cluster = cluster;
   }
 
-  /** Whether all nodes are queried within moments of each answer that is new. */
-  void setProbesAfterNews(boolean value) {
-    probesAfterNews = value;
+  /** Sets whether all nodes are queried shortly after each response with a new state of a job. */
+  void setProbesAfterNews(boolean isEnabled) {
+    probesAfterNews = isEnabled;
   }
 
-  /** Submits until the job is accepted or refused for good. */
+  /** Submits a job, with retries until it is accepted or rejected. */
   void submit(Job job) {
     cluster.addJob(job);
     cluster.checker.recordSubmission(job);
     sendToRandomNode(Request.submission(job, 0));
   }
 
-  /** Submits to this node once. */
+  /** Submits a job to this node, without retries. */
   void submitOnce(String node, Job job) {
     cluster.addJob(job);
     cluster.checker.recordSubmission(job);
     send(node, Request.submission(job, NO_RETRY));
   }
 
-  /** Cancels until that is confirmed or the job is done. */
+  /** Cancels a job, with retries until that is confirmed or the job is done. */
   void cancel(String uid) {
     cluster.checker.recordCancellation(uid);
     sendToRandomNode(Request.cancellation(uid, 0));
   }
 
-  /** Cancels at this node once. */
+  /** Cancels a job at this node, without retries. */
   void cancelOnce(String node, String uid) {
     cluster.checker.recordCancellation(uid);
     send(node, Request.cancellation(uid, NO_RETRY));
@@ -98,7 +98,7 @@
     }
   }
 
-  /** Queries all nodes at once, and submits the job once more at each. */
+  /** Queries all nodes at once and submits the job again to each. */
   void queryAndResubmitEverywhere(String uid) {
     queryAllNodes(uid);
     for (int i = 0; i < cluster.nodeCount; i++) {
@@ -132,7 +132,7 @@
                         HOP_MS, () -> pending.complete((Effect.RespondToUser) effect))));
   }
 
-  /** A request that has no response yet; the first response or the time-out ends it. */
+  /** A request without a response yet; the first response or the timeout ends it. */
   private final class PendingRequest {
     private final Request request;
     private final ProtocolChecker.KnownState known;
--- a/src/test/java/eiderfork/controller/FakeWorker.java
+++ b/src/test/java/eiderfork/controller/FakeWorker.java
@@ -16,7 +16,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** A worker, written from the protocol; what a gang's tasks do together is in {@link FakeGangs}. */
+/** A worker that implements the worker protocol; {@link FakeGangs} coordinates gang tasks. */
 final class FakeWorker {
   /** An attempt of a task on this machine. */
   static final class Task {
@@ -25,12 +25,13 @@
     TaskStatus.Cause cause;
     long nextMs;
 
-    /** Its progress was saved when it was stopped. */
+    /** True if its progress was saved when it was stopped. */
     boolean isProgressSaved;
 
-    /** When it began to run, and when it was stopped and began to checkpoint. */
+    /** The time when it began to run. */
     long runningSinceMs;
 
+    /** The time when it was stopped and began to save. */
     long savingSinceMs;
 
     Task(Attempt attempt, long nextMs) {
@@ -44,7 +45,7 @@
   private final Map<Attempt, Task> tasks = new LinkedHashMap<>();
   private static final long FETCH_MS = 700;
 
-  /** Tasks whose result is kept: started again they end at once. */
+  /** Tasks that have completed on any machine; further attempts of them end at once. */
   private final Set<TaskId> finishedTasks;
 
   /** Images that the machine has fetched. */
@@ -62,7 +63,7 @@
   boolean isHanging;
   boolean hasUnsentChanges;
 
-  /** Seconds until the cloud takes the machine; null for no notice. */
+  /** Seconds until the cloud reclaims the machine; null if there is no notice. */
   Double terminationNoticeS;
 
   FakeWorker(SimulatedCluster cluster, Machine machine, Set<TaskId> finishedTasks) {
@@ -73,37 +74,43 @@
   }
 
   Heartbeat nextHeartbeat() {
-    ImmutableList.Builder<TaskStatus> list = ImmutableList.builder();
+    ImmutableList.Builder<TaskStatus> statuses = ImmutableList.builder();
     tasks
         .values()
-        .forEach(t -> list.add(new TaskStatus(t.attempt, t.state, t.cause, t.isProgressSaved)));
+        .forEach(
+            task ->
+                statuses.add(
+                    new TaskStatus(task.attempt, task.state, task.cause, task.isProgressSaved)));
     return new Heartbeat(
-        machine, incarnation, ++sequenceNumber, fencingToken, terminationNoticeS, list.build());
+        machine, incarnation, ++sequenceNumber, fencingToken, terminationNoticeS, statuses.build());
   }
 
   long incarnation() {
     return incarnation;
   }
 
-  /** The response to the heartbeat sent at {@code sentMs} in {@code ofIncarnation}. */
+  /**
+   * Handles the response to the heartbeat sent at {@code sentMs} in {@code addressedIncarnation}.
+   */
   void handleResponse(
-      long sentMs, long ofIncarnation, long givenToken, List<WorkerCommand> commands) {
-    if (ofIncarnation != incarnation || givenToken < fencingToken) {
+      long sentMs, long addressedIncarnation, long receivedToken, List<WorkerCommand> commands) {
+    if (addressedIncarnation != incarnation || receivedToken < fencingToken) {
       return;
     }
-    fencingToken = givenToken;
+    fencingToken = receivedToken;
     lastAnsweredHeartbeatMs = Math.max(lastAnsweredHeartbeatMs, sentMs);
     execute(commands);
   }
 
-  boolean handleDirectCommands(long givenToken, long ofIncarnation, List<WorkerCommand> commands) {
-    if (givenToken < fencingToken || ofIncarnation != incarnation) {
+  boolean handleDirectCommands(
+      long receivedToken, long addressedIncarnation, List<WorkerCommand> commands) {
+    if (receivedToken < fencingToken || addressedIncarnation != incarnation) {
       return false;
     }
-    if (givenToken > fencingToken) {
+    if (receivedToken > fencingToken) {
       hasUnsentChanges = true;
     }
-    fencingToken = givenToken;
+    fencingToken = receivedToken;
     execute(commands);
     return true;
   }
@@ -130,16 +137,18 @@
   }
 
   private void run(Attempt attempt) {
-    boolean fetched = !fetchedImages.add(cluster.job(attempt.task().jobUid()).image());
-    long fetchMs = cluster.cachesImages && fetched ? 0 : FETCH_MS;
+    boolean isImageFetched = !fetchedImages.add(cluster.job(attempt.task().jobUid()).image());
+    long fetchMs = cluster.cachesImages && isImageFetched ? 0 : FETCH_MS;
     Task task = new Task(attempt, cluster.nowMs + fetchMs);
-    boolean busy =
+    boolean isAlreadyPresent =
         tasks.values().stream()
             .anyMatch(
-                t -> t.attempt.task().equals(attempt.task()) && t.state != TaskStatus.State.ENDED);
+                other ->
+                    other.attempt.task().equals(attempt.task())
+                        && other.state != TaskStatus.State.ENDED);
     tasks.put(attempt, task);
     hasUnsentChanges = true;
-    if (busy) {
+    if (isAlreadyPresent) {
       end(task, TaskStatus.Cause.BUSY);
     }
   }
@@ -154,14 +163,14 @@
     hasUnsentChanges = true;
   }
 
-  /** Whether a task has its image and has not ended. */
+  /** Returns whether a task in this state has its image and has not ended. */
   private static boolean isOnMachine(TaskStatus.State state) {
     return state == TaskStatus.State.WAITING_FOR_GANG
         || state == TaskStatus.State.RUNNING
         || state == TaskStatus.State.CHECKPOINTING;
   }
 
-  /** The attempts on this machine. */
+  /** Returns the attempts on this machine, ended ones too. */
   List<Task> tasks() {
     return new ArrayList<>(tasks.values());
   }
@@ -194,12 +203,12 @@
           continue;
         }
         task.state = TaskStatus.State.RUNNING;
-        boolean kept = finishedTasks.contains(id);
+        boolean isFinished = finishedTasks.contains(id);
         task.runningSinceMs = cluster.nowMs;
         task.nextMs =
             job.kind() == JobKind.SERVICE
                 ? Long.MAX_VALUE
-                : cluster.nowMs + (kept ? 0 : cluster.progress.remainingMs(job, id));
+                : cluster.nowMs + (isFinished ? 0 : cluster.progress.remainingMs(job, id));
       } else if (task.state == TaskStatus.State.CHECKPOINTING) {
         cluster.progress.finishSaving(task);
         end(task, TaskStatus.Cause.STOPPED);
@@ -235,7 +244,7 @@
 
   Set<TaskId> taskIds() {
     Set<TaskId> ids = new HashSet<>();
-    tasks.values().forEach(t -> ids.add(t.attempt.task()));
+    tasks.values().forEach(task -> ids.add(task.attempt.task()));
     return ids;
   }
 }
--- a/src/test/java/eiderfork/controller/GuaranteeChecker.java
+++ b/src/test/java/eiderfork/controller/GuaranteeChecker.java
@@ -10,40 +10,41 @@
 import java.util.Map;
 
 /**
- * Watches from outside whether teams have the GPUs that they are guaranteed: it reads only what
- * workers run and what users requested. A team that lacks some of its guarantee while another uses
- * more than its own has to get it back; how long that takes, and why, is recorded for each minute.
+ * Checks from outside that teams get the GPUs that they are guaranteed; it reads only the tasks
+ * that workers run and the requests of users. A team below its guarantee has to get it back while
+ * another team exceeds its own; the time that this takes, and the causes, are recorded for each
+ * minute.
  */
 final class GuaranteeChecker {
-  /** Why a team has less than it is guaranteed and requests. */
+  /** The cause for which a team holds less than it requests within its guarantee. */
   enum Cause {
-    /** It has it all, or requests no more. */
+    /** It holds its guarantee or all that it requests. */
     NONE,
-    /** No other team uses more than its own guarantee. */
+    /** No other team exceeds its guarantee. */
     NOBODY_BORROWS,
-    /** What others borrow, and what is free, holds not even one of its gangs or tasks. */
+    /** Borrowed and free GPUs together are too few for any of its waiting gangs or tasks. */
     TOO_LITTLE_IS_BORROWED,
-    /** Its own tasks fetch their images. */
+    /** Its own tasks are fetching their images. */
     STARTING,
-    /** A borrower saves its progress. */
+    /** A task of any team is saving its progress. */
     SAVING,
-    /** Only replicas borrow, which are not preempted for as long as a machine takes to boot. */
+    /** Only replicas borrow; they are not preempted within the boot time of a machine. */
     REPLICAS_BORROW,
-    /** There was a failure, and a lease and a boot have not passed since. */
+    /** A failure is in progress or less than a lease and a boot ago. */
     TROUBLE,
-    /** It was requested, or preempted, a moment ago. */
+    /** The shortfall began less than {@link GuaranteeChecker#REACTION_S} ago. */
     REACTING,
     /** None of these. */
     UNEXPLAINED
   }
 
-  /** A team's minute: the least that it held and the most that it requested at one time. */
+  /** A team's record of one minute: its lowest usage, its highest request and the causes. */
   static final class Minute {
     final long minute;
     final String team;
     final double guaranteed;
     double maxRequested;
-    double minHeld = Double.MAX_VALUE;
+    double minUsed = Double.MAX_VALUE;
     int secondsBelow;
     final Map<Cause, Integer> causes = new LinkedHashMap<>();
 
@@ -63,7 +64,7 @@
               team,
               guaranteed,
               maxRequested,
-              minHeld,
+              minUsed,
               secondsBelow,
               text.toString().trim());
     }
@@ -75,36 +76,36 @@
   private static final long CHECK_INTERVAL_MS = 1000;
   private static final long MINUTE_MS = 60_000;
 
-  /** A heartbeat, a round, a write and a command, each with its slack. */
+  /** The time of a heartbeat, a scheduling round, a write and a command, each with some slack. */
   private static final int REACTION_S = 4;
 
   private final SimulatedCluster cluster;
-  private final long beganMs;
-  private final Map<String, Integer> shortfallS = new LinkedHashMap<>();
+  private final long startedMs;
+  private final Map<String, Integer> currentShortfallS = new LinkedHashMap<>();
   private final Map<String, Minute> currentMinutes = new LinkedHashMap<>();
   final List<Minute> minutes = new ArrayList<>();
 
   private final Map<String, Double> gpusPerType = new HashMap<>();
 
-  /** Until when a failure explains that a guarantee is not held. */
+  /** The time until which a failure explains a shortfall. */
   private long disruptedUntilMs;
 
-  /** The longest that each team lacked its guarantee while another borrowed, in seconds. */
+  /** The longest time that each team was below its guarantee while another borrowed. */
   final Map<String, Integer> longestShortfallS = new LinkedHashMap<>();
 
-  /** Seconds in which a guarantee was not held without a known cause. */
+  /** Descriptions of the seconds in which a team was below its guarantee without a known cause. */
   final List<String> unexplained = new ArrayList<>();
 
   GuaranteeChecker(SimulatedCluster cluster) {
     this.cluster = cluster;
-    beganMs = cluster.nowMs;
+    startedMs = cluster.nowMs;
     check();
   }
 
-  /** Takes note of a failure that lasts this long. */
-  void expectDisruption(long forMs) {
+  /** Excuses shortfalls during a failure of this duration, and a lease and a boot after it. */
+  void expectDisruption(long durationMs) {
     long leaseAndBootMs = (long) (cluster.settings.workerTimings().leaseS() * 1000) + 15_000;
-    disruptedUntilMs = Math.max(disruptedUntilMs, cluster.nowMs + forMs + leaseAndBootMs);
+    disruptedUntilMs = Math.max(disruptedUntilMs, cluster.nowMs + durationMs + leaseAndBootMs);
   }
 
   private void check() {
@@ -115,49 +116,49 @@
   }
 
   private void check(Team team) {
-    double held = cluster.checker.usedResources(team.name()).gpus();
+    double used = cluster.checker.usedResources(team.name()).gpus();
     double requested = cluster.checker.requestedResources(team.name()).gpus();
-    Cause cause = cause(team, held, requested);
-    boolean counts =
+    Cause cause = cause(team, used, requested);
+    boolean isShortfall =
         cause != Cause.NONE
             && cause != Cause.NOBODY_BORROWS
             && cause != Cause.TOO_LITTLE_IS_BORROWED;
-    int lacking = counts ? shortfallS.merge(team.name(), 1, Integer::sum) : 0;
-    shortfallS.put(team.name(), lacking);
-    longestShortfallS.merge(team.name(), lacking, Math::max);
+    int shortfallS = isShortfall ? currentShortfallS.merge(team.name(), 1, Integer::sum) : 0;
+    currentShortfallS.put(team.name(), shortfallS);
+    longestShortfallS.merge(team.name(), shortfallS, Math::max);
     if (cause == Cause.UNEXPLAINED) {
       unexplained.add(
-          "%d s: %s holds %.0f of %.0f, asks for %.0f, for %d s"
+          "%d s: %s uses %.0f of %.0f guaranteed GPUs, requests %.0f, for %d s"
               .formatted(
-                  (cluster.nowMs - beganMs) / 1000,
+                  (cluster.nowMs - startedMs) / 1000,
                   team.name(),
-                  held,
+                  used,
                   team.guaranteedGpus(),
                   requested,
-                  lacking));
+                  shortfallS));
     }
-    record(team, held, requested, cause);
+    record(team, used, requested, cause);
   }
 
-  private void record(Team team, double held, double requested, Cause cause) {
-    long minute = (cluster.nowMs - beganMs) / MINUTE_MS;
-    Minute row = currentMinutes.get(team.name());
-    if (row == null || row.minute != minute) {
-      row = new Minute(minute, team.name(), team.guaranteedGpus());
-      currentMinutes.put(team.name(), row);
-      minutes.add(row);
+  private void record(Team team, double used, double requested, Cause cause) {
+    long minute = (cluster.nowMs - startedMs) / MINUTE_MS;
+    Minute record = currentMinutes.get(team.name());
+    if (record == null || record.minute != minute) {
+      record = new Minute(minute, team.name(), team.guaranteedGpus());
+      currentMinutes.put(team.name(), record);
+      minutes.add(record);
     }
-    row.maxRequested = Math.max(row.maxRequested, requested);
-    row.minHeld = Math.min(row.minHeld, held);
+    record.maxRequested = Math.max(record.maxRequested, requested);
+    record.minUsed = Math.min(record.minUsed, used);
     if (cause != Cause.NONE) {
-      row.secondsBelow++;
-      row.causes.merge(cause, 1, Integer::sum);
+      record.secondsBelow++;
+      record.causes.merge(cause, 1, Integer::sum);
     }
   }
 
-  private Cause cause(Team team, double held, double requested) {
-    double lacked = Math.min(requested, team.guaranteedGpus()) - held;
-    if (lacked < 1) {
+  private Cause cause(Team team, double used, double requested) {
+    double missingGpus = Math.min(requested, team.guaranteedGpus()) - used;
+    if (missingGpus < 1) {
       return Cause.NONE;
     }
     double borrowed = borrowedByOthers(team);
@@ -167,7 +168,7 @@
     if (borrowed + freeGpus() < cluster.checker.smallestWaitingGpus(team.name())) {
       return Cause.TOO_LITTLE_IS_BORROWED;
     }
-    if (gpusInState(team.name(), TaskStatus.State.FETCHING) >= lacked) {
+    if (gpusInState(team.name(), TaskStatus.State.FETCHING) >= missingGpus) {
       return Cause.STARTING;
     }
     if (gpusInState(null, TaskStatus.State.CHECKPOINTING) > 0) {
@@ -176,18 +177,18 @@
     if (cluster.nowMs < disruptedUntilMs) {
       return Cause.TROUBLE;
     }
-    int lackingForS = shortfallS.getOrDefault(team.name(), 0);
-    if (lackingForS < bootS() + REACTION_S && !hasBatchBorrower(team)) {
+    int shortfallS = currentShortfallS.getOrDefault(team.name(), 0);
+    if (shortfallS < bootS() + REACTION_S && !hasBatchBorrower(team)) {
       return Cause.REPLICAS_BORROW;
     }
-    return lackingForS < REACTION_S ? Cause.REACTING : Cause.UNEXPLAINED;
+    return shortfallS < REACTION_S ? Cause.REACTING : Cause.UNEXPLAINED;
   }
 
   private double bootS() {
     return cluster.cloud.types.stream().mapToDouble(MachineType::bootS).max().orElse(0);
   }
 
-  /** Whether another team with batch work on machines exceeds its guarantee. */
+  /** Returns whether another team that runs batch work exceeds its guarantee. */
   private boolean hasBatchBorrower(Team team) {
     for (Team other : cluster.settings.teams().values()) {
       boolean isBorrowing =
@@ -199,17 +200,17 @@
     return false;
   }
 
-  /** The GPUs that other teams hold beyond their guarantees. */
+  /** Returns the GPUs that other teams use beyond their guarantees. */
   private double borrowedByOthers(Team team) {
     double borrowed = 0;
     for (Team other : cluster.settings.teams().values()) {
-      double held = cluster.checker.usedResources(other.name()).gpus();
-      borrowed += other == team ? 0 : Math.max(0, held - other.guaranteedGpus());
+      double used = cluster.checker.usedResources(other.name()).gpus();
+      borrowed += other == team ? 0 : Math.max(0, used - other.guaranteedGpus());
     }
     return borrowed;
   }
 
-  /** The GPUs of machines that are up on which nothing runs. */
+  /** Returns the GPUs of running machines that no task uses. */
   private double freeGpus() {
     double gpus = 0;
     for (FakeWorker worker : cluster.workers()) {
@@ -229,7 +230,7 @@
         .orElse(0);
   }
 
-  /** The GPUs of a team's tasks, or of everybody's, in this state. */
+  /** Returns the GPUs of tasks in this state, of one team or of all if the team is null. */
   private double gpusInState(String team, TaskStatus.State state) {
     double gpus = 0;
     for (FakeWorker worker : cluster.workers()) {
--- a/src/test/java/eiderfork/controller/LeaderAndWorkerFixture.java
+++ b/src/test/java/eiderfork/controller/LeaderAndWorkerFixture.java
@@ -38,13 +38,13 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.BeforeEach;
 
-/** A leader of term 1 that knows one worker and a job of two tasks; time is the test's. */
+/** A leader of term 1 with one worker and a job of two tasks; tests advance the time. */
 abstract class LeaderAndWorkerFixture {
   static final Machine MACHINE = new Machine("n-1", "n-1:1", "g4", "a", false);
   static final long INCARNATION = 1;
 
-  /** Three nodes stand in one zone, five in two. */
-  private final int nodes;
+  /** The number of nodes; three are in one zone, five in two. */
+  private final int nodeCount;
 
   final ControllerContext context;
   final StoreClient store;
@@ -56,17 +56,18 @@
   final WorkerLeaseLog leaseLog;
   final WorkerCommander commander;
 
-  /** Reads of the lease proxies' records that are under way. */
+  /** Pending reads of the lease proxies' records. */
   final Deque<Consumer<Set<String>>> proxyReads = new ArrayDeque<>();
 
   JobState job;
   MachineState machine;
   long firstToken;
 
-  LeaderAndWorkerFixture(int nodes) {
-    this.nodes = nodes;
+  LeaderAndWorkerFixture(int nodeCount) {
+    this.nodeCount = nodeCount;
     context =
-        new ControllerContext(TestFixtures.settings("roost-0", nodes), new Random(1), 1_000_000);
+        new ControllerContext(
+            TestFixtures.settings("roost-0", nodeCount), new Random(1), 1_000_000);
     store = new StoreClient(context);
     election = new LeaderElection(context, store, ElectedLeader.NO_LISTENER);
     ClusterVersion version = new ClusterVersion(context, store, election);
@@ -91,11 +92,11 @@
             () -> {});
   }
 
-  /** This node leads term 1 and knows a job of two tasks and an empty machine. */
+  /** Makes this node the leader of term 1, with a job of two tasks and an empty machine. */
   @BeforeEach
   void becomeLeader() {
     ElectedLeader.elect(context, election);
-    // The leader's share of the rates fills up.
+    // Fills the leader's share of the rate limits.
     context.advanceBy(500);
     assertTrue(election.isLeaseValid());
     context.drainEffects();
@@ -114,7 +115,7 @@
     return ElectedLeader.drainEffects(context, kind);
   }
 
-  /** Time passes, a tick's worth or less, and the leader's own lease is renewed. */
+  /** Advances the time by at most a tick and renews the leader's own lease. */
   void advanceBy(long ms) {
     context.advanceBy(ms);
     election.tick();
@@ -127,7 +128,7 @@
     context.drainEffects();
   }
 
-  /** Answers the one call to the store that is open. */
+  /** Replies to the only pending call to the store. */
   void replyToStoreCall(Reply reply) {
     ElectedLeader.replyToStoreCall(context, reply);
   }
@@ -162,7 +163,7 @@
     return task;
   }
 
-  /** A reserved task that was started and is seen to run, by heartbeat 3. */
+  /** Reserves a task and starts it; heartbeat 3 reports it as running. */
   Reservation startTask() {
     Reservation task = reserveTask();
     sendHeartbeat(INCARNATION, 2, firstToken);
--- a/src/test/java/eiderfork/controller/ProtocolChecker.java
+++ b/src/test/java/eiderfork/controller/ProtocolChecker.java
@@ -16,40 +16,40 @@
 import java.util.Set;
 
 /**
- * Watches a world from outside and holds it to the protocol's rules. It shares no code with the
- * controller: it sees only what machines do and what users are told.
+ * Checks a simulated cluster against the protocol's rules from outside. It shares no code with the
+ * controller: it sees only which tasks machines run and which responses users get.
  */
 final class ProtocolChecker {
   private final Map<String, Team> teams;
-  private final long cancelMs;
+  private final long cancelDeadlineMs;
   private final Map<String, Job> submitted = new HashMap<>();
-  private final Set<String> refused = new HashSet<>();
-  private final Set<String> accepted = new HashSet<>();
-  private final Map<String, Phase> finals = new HashMap<>();
-  private final Set<String> abortAsked = new HashSet<>();
-  private final Map<String, Long> abortToldMs = new HashMap<>();
-  private final Map<TaskId, Map<String, Machine>> on = new HashMap<>();
+  private final Set<String> refusedJobs = new HashSet<>();
+  private final Set<String> acceptedJobs = new HashSet<>();
+  private final Map<String, Phase> finalPhases = new HashMap<>();
+  private final Set<String> cancellationRequests = new HashSet<>();
+  private final Map<String, Long> cancellationConfirmedMs = new HashMap<>();
+  private final Map<TaskId, Map<String, Machine>> machinesByTask = new HashMap<>();
 
-  /** Tasks that ran too long after their cancellation; each is told once. */
-  private final Set<TaskId> late = new HashSet<>();
+  /** Tasks that ran past the deadline of their cancellation; each is reported once. */
+  private final Set<TaskId> overdueTasks = new HashSet<>();
 
-  private final Map<String, Set<Integer>> completed = new HashMap<>();
+  private final Map<String, Set<Integer>> completedIndices = new HashMap<>();
   final List<String> violations = new ArrayList<>();
   int startCount;
 
-  /** Questions and requests that were answered with what is so. */
+  /** The number of responses with status 200 or 404. */
   int answeredRequests;
 
-  /** Starts of jobs whose user had been told that they are cancelled, in time or not. */
+  /** The number of task starts after their job's cancellation was confirmed to a user. */
   int startsAfterCancellation;
 
-  ProtocolChecker(Map<String, Team> teams, long cancelMs) {
+  ProtocolChecker(Map<String, Team> teams, long cancelDeadlineMs) {
     this.teams = teams;
-    this.cancelMs = cancelMs;
+    this.cancelDeadlineMs = cancelDeadlineMs;
   }
 
-  private void breach(String rule, Object what) {
-    violations.add(rule + ": " + what);
+  private void addViolation(String rule, Object detail) {
+    violations.add(rule + ": " + detail);
   }
 
   void recordSubmission(Job job) {
@@ -57,239 +57,245 @@
   }
 
   void recordCancellation(String uid) {
-    abortAsked.add(uid);
+    cancellationRequests.add(uid);
   }
 
-  /** What users had been told of a job when one of them asked; no later answer may be older. */
+  /**
+   * The state of a job already reported to users when one of them sends a request; its response
+   * must not report an older one.
+   */
   record KnownState(boolean isAccepted, Phase finalPhase) {}
 
   KnownState knownState(String uid) {
-    return new KnownState(accepted.contains(uid), finals.get(uid));
+    return new KnownState(acceptedJobs.contains(uid), finalPhases.get(uid));
   }
 
-  /** An answer arrives at a user; whether it says what no user was told before. */
+  /**
+   * Checks a response to a user; returns whether it is the first to report the job as accepted or
+   * in a final phase.
+   */
   boolean checkResponse(
-      long nowMs, String uid, UserResponse response, boolean submission, KnownState job) {
+      long nowMs, String uid, UserResponse response, boolean isSubmission, KnownState known) {
     int status = response.status();
     answeredRequests += status == 200 || status == 404 ? 1 : 0;
-    if (status == 404 && job.isAccepted) {
-      breach("forgotten", uid);
+    if (status == 404 && known.isAccepted) {
+      addViolation("forgotten", uid);
     }
-    if (submission && (status == 400 || status == 422) && job.isAccepted) {
-      breach("forgotten", uid + " repeated got " + status);
+    if (isSubmission && (status == 400 || status == 422) && known.isAccepted) {
+      addViolation("forgotten", uid + " resubmission got " + status);
     }
-    if (submission && status == 422) {
-      refused.add(uid);
+    if (isSubmission && status == 422) {
+      refusedJobs.add(uid);
     }
     if (status != 200 && status != 201) {
       return false;
     }
     if (!submitted.containsKey(uid)) {
-      breach("invented", uid);
+      addViolation("invented", uid);
       return false;
     }
-    boolean news = accepted.add(uid);
-    Phase stance = response.job().phase();
-    news |= (stance == Phase.DONE || stance == Phase.ABORTED) && !finals.containsKey(uid);
-    if (job.finalPhase != null && job.finalPhase != stance) {
-      breach("went_back", uid + " from " + job.finalPhase + " to " + stance);
+    boolean isNews = acceptedJobs.add(uid);
+    Phase phase = response.job().phase();
+    isNews |= (phase == Phase.DONE || phase == Phase.ABORTED) && !finalPhases.containsKey(uid);
+    if (known.finalPhase != null && known.finalPhase != phase) {
+      addViolation("went_back", uid + " from " + known.finalPhase + " to " + phase);
     }
-    if (stance == Phase.ABORTED) {
-      if (!abortAsked.contains(uid)) {
-        breach("went_back", uid + " cancelled unasked");
+    if (phase == Phase.ABORTED) {
+      if (!cancellationRequests.contains(uid)) {
+        addViolation("went_back", uid + " cancelled without a request");
       }
-      abortToldMs.putIfAbsent(uid, nowMs);
+      cancellationConfirmedMs.putIfAbsent(uid, nowMs);
     }
-    if (stance == Phase.DONE
-        && completed.getOrDefault(uid, Set.of()).size() < submitted.get(uid).tasks()) {
-      breach("not_done", uid);
+    if (phase == Phase.DONE
+        && completedIndices.getOrDefault(uid, Set.of()).size() < submitted.get(uid).tasks()) {
+      addViolation("not_done", uid);
     }
-    if (stance == Phase.DONE || stance == Phase.ABORTED) {
-      finals.put(uid, stance);
+    if (phase == Phase.DONE || phase == Phase.ABORTED) {
+      finalPhases.put(uid, phase);
     }
-    return news;
+    return isNews;
   }
 
-  /** A task has its image on a machine and starts. */
+  /** Records that a task has its image on a machine and starts. */
   void recordStart(long nowMs, TaskId task, Machine machine) {
     startCount++;
     Job job = submitted.get(task.jobUid());
     if (job == null) {
-      breach("wrong_place", task + " of no job");
+      addViolation("wrong_place", task + " of an unknown job");
       return;
     }
-    Map<String, Machine> places = on.computeIfAbsent(task, t -> new HashMap<>());
-    if (!places.isEmpty()) {
-      breach("ran_twice", task + " on " + places.keySet() + " and " + machine.name());
+    Map<String, Machine> machines = machinesByTask.computeIfAbsent(task, key -> new HashMap<>());
+    if (!machines.isEmpty()) {
+      addViolation("ran_twice", task + " on " + machines.keySet() + " and " + machine.name());
     }
     if (!job.allowsType(machine.type())
         || !job.allowsZone(machine.zone())
         || (machine.spot() && !job.spotAllowed())) {
-      breach("wrong_place", task + " on " + machine);
+      addViolation("wrong_place", task + " on " + machine);
     }
-    places.put(machine.name(), machine);
-    zones(task, job, machine);
-    quota(job);
-    late(nowMs, task);
-    if (abortToldMs.containsKey(task.jobUid())) {
+    machines.put(machine.name(), machine);
+    checkZones(task, job, machine);
+    checkTeamLimit(job);
+    checkCancellationDeadline(nowMs, task);
+    if (cancellationConfirmedMs.containsKey(task.jobUid())) {
       startsAfterCancellation++;
     }
   }
 
-  private void zones(TaskId task, Job job, Machine machine) {
+  private void checkZones(TaskId task, Job job, Machine machine) {
     Map<String, Integer> tasksByZone = new HashMap<>();
-    on.forEach(
-        (other, places) -> {
+    machinesByTask.forEach(
+        (other, machines) -> {
           if (other.jobUid().equals(job.uid())) {
-            places.values().forEach(m -> tasksByZone.merge(m.zone(), 1, Integer::sum));
+            machines
+                .values()
+                .forEach(usedMachine -> tasksByZone.merge(usedMachine.zone(), 1, Integer::sum));
           }
         });
     if (job.singleZone() && tasksByZone.size() > 1) {
-      breach("wrong_place", task + " apart from its job");
+      addViolation("wrong_place", task + " outside the zone of its job");
     }
     if (job.spreadZones() && tasksByZone.get(machine.zone()) > (job.tasks() + 1) / 2) {
-      breach("wrong_place", task + " makes too many in one zone");
+      addViolation("wrong_place", task + " exceeds half of its job in one zone");
     }
   }
 
-  private void quota(Job job) {
+  private void checkTeamLimit(Job job) {
     Resources used = Resources.NONE;
-    for (Map.Entry<TaskId, Map<String, Machine>> e : on.entrySet()) {
-      Job spec = submitted.get(e.getKey().jobUid());
+    for (Map.Entry<TaskId, Map<String, Machine>> entry : machinesByTask.entrySet()) {
+      Job spec = submitted.get(entry.getKey().jobUid());
       if (spec.team().equals(job.team())) {
-        used = used.plus(spec.taskResources().times(e.getValue().size()));
+        used = used.plus(spec.taskResources().times(entry.getValue().size()));
       }
     }
     Team team = teams.get(job.team());
     if ((team.maxCpus() > 0 && used.cpus() > team.maxCpus() + 1e-6)
         || (team.maxGpus() > 0 && used.gpus() > team.maxGpus() + 1e-6)) {
-      breach("quota", job.team() + " uses " + used);
+      addViolation("quota", job.team() + " uses " + used);
     }
   }
 
-  /** The task is off the machine. */
+  /** Records that the task no longer runs on the machine. */
   void recordEnd(TaskId task, Machine machine) {
-    Map<String, Machine> places = on.get(task);
-    if (places != null) {
-      places.remove(machine.name());
-      if (places.isEmpty()) {
-        on.remove(task);
+    Map<String, Machine> machines = machinesByTask.get(task);
+    if (machines != null) {
+      machines.remove(machine.name());
+      if (machines.isEmpty()) {
+        machinesByTask.remove(task);
       }
     }
   }
 
   void recordCompletion(TaskId task) {
-    completed.computeIfAbsent(task.jobUid(), j -> new HashSet<>()).add(task.index());
+    completedIndices.computeIfAbsent(task.jobUid(), key -> new HashSet<>()).add(task.index());
   }
 
-  /** To be called now and then: tasks of cancelled jobs have to be gone in time. */
+  /** Checks that tasks of cancelled jobs end within the deadline; called at each tick. */
   void checkCancelledTasks(long nowMs) {
-    on.keySet().forEach(task -> late(nowMs, task));
+    machinesByTask.keySet().forEach(task -> checkCancellationDeadline(nowMs, task));
   }
 
-  private void late(long nowMs, TaskId task) {
-    Long told = abortToldMs.get(task.jobUid());
-    if (told != null && nowMs - told > cancelMs && late.add(task)) {
-      breach("ran_cancelled", task + " " + (nowMs - told) + " ms after");
+  private void checkCancellationDeadline(long nowMs, TaskId task) {
+    Long confirmedMs = cancellationConfirmedMs.get(task.jobUid());
+    if (confirmedMs != null && nowMs - confirmedMs > cancelDeadlineMs && overdueTasks.add(task)) {
+      addViolation("ran_cancelled", task + " " + (nowMs - confirmedMs) + " ms after");
     }
   }
 
-  /** What the tasks of a team take that are on machines now. */
+  /** Returns the resources of a team's tasks that run now. */
   Resources usedResources(String team) {
-    Resources held = Resources.NONE;
-    for (Map.Entry<TaskId, Map<String, Machine>> e : on.entrySet()) {
-      Job spec = submitted.get(e.getKey().jobUid());
+    Resources used = Resources.NONE;
+    for (Map.Entry<TaskId, Map<String, Machine>> entry : machinesByTask.entrySet()) {
+      Job spec = submitted.get(entry.getKey().jobUid());
       if (spec != null && spec.team().equals(team)) {
-        held = held.plus(spec.taskResources().times(e.getValue().size()));
+        used = used.plus(spec.taskResources().times(entry.getValue().size()));
       }
     }
-    return held;
+    return used;
   }
 
-  /** Whether a team has arrays or gangs on machines. */
+  /** Returns whether a team has running tasks of arrays or gangs. */
   boolean runsBatchWork(String team) {
-    return on.keySet().stream()
+    return machinesByTask.keySet().stream()
         .map(task -> submitted.get(task.jobUid()))
         .anyMatch(
             spec -> spec != null && spec.team().equals(team) && spec.kind() != JobKind.SERVICE);
   }
 
   /**
-   * What a team's users have asked for that is neither done nor cancelled. A gang that waits, and
-   * would not fit into the guarantee beside what the team holds, is no part of it: a part of it
-   * can't run.
+   * Returns the resources of a team's accepted tasks that are neither completed nor cancelled. A
+   * waiting gang that does not fit into the unused guarantee is left out, because it can't run in
+   * part.
    */
   Resources requestedResources(String team) {
-    double left = teams.get(team).guaranteedGpus() - usedResources(team).gpus();
-    Resources asked = Resources.NONE;
-    for (String uid : accepted) {
+    double unusedGuaranteedGpus = teams.get(team).guaranteedGpus() - usedResources(team).gpus();
+    Resources requested = Resources.NONE;
+    for (String uid : acceptedJobs) {
       Job spec = submitted.get(uid);
-      boolean tooLarge =
+      boolean isTooLarge =
           spec.kind() == JobKind.GANG
               && runningTasks(uid) == 0
-              && spec.taskResources().gpus() * spec.tasks() > left;
+              && spec.taskResources().gpus() * spec.tasks() > unusedGuaranteedGpus;
       if (spec.team().equals(team)
-          && !tooLarge
-          && !abortAsked.contains(uid)
-          && !finals.containsKey(uid)) {
-        asked = asked.plus(spec.taskResources().times(spec.tasks() - completedTasks(uid)));
+          && !isTooLarge
+          && !cancellationRequests.contains(uid)
+          && !finalPhases.containsKey(uid)) {
+        requested = requested.plus(spec.taskResources().times(spec.tasks() - completedTasks(uid)));
       }
     }
-    return asked;
+    return requested;
   }
 
-  /**
-   * The fewest GPUs with which something more of a team could run: a task, or a gang as a whole.
-   */
+  /** Returns the fewest GPUs that another task, or whole gang, of a team needs to start. */
   double smallestWaitingGpus(String team) {
     double smallest = Double.MAX_VALUE;
-    for (String uid : accepted) {
+    for (String uid : acceptedJobs) {
       Job spec = submitted.get(uid);
-      boolean over = abortAsked.contains(uid) || finals.containsKey(uid);
-      long left = spec.tasks() - completedTasks(uid) - runningTasks(uid);
-      if (spec.team().equals(team) && !over && left > 0) {
-        int together = spec.kind() == JobKind.GANG ? spec.tasks() : 1;
-        smallest = Math.min(smallest, spec.taskResources().gpus() * together);
+      boolean isOver = cancellationRequests.contains(uid) || finalPhases.containsKey(uid);
+      long waiting = spec.tasks() - completedTasks(uid) - runningTasks(uid);
+      if (spec.team().equals(team) && !isOver && waiting > 0) {
+        int tasksTogether = spec.kind() == JobKind.GANG ? spec.tasks() : 1;
+        smallest = Math.min(smallest, spec.taskResources().gpus() * tasksTogether);
       }
     }
     return smallest;
   }
 
-  /** Whether a user has asked to cancel the job. */
+  /** Returns whether a user has requested the cancellation of the job. */
   boolean wasCancellationRequested(String uid) {
-    return abortAsked.contains(uid);
+    return cancellationRequests.contains(uid);
   }
 
   boolean allTasksCompleted(String uid) {
     Job job = submitted.get(uid);
     return job.kind() != JobKind.SERVICE
-        && completed.getOrDefault(uid, Set.of()).size() == job.tasks();
+        && completedIndices.getOrDefault(uid, Set.of()).size() == job.tasks();
   }
 
-  /** How many of a job's tasks have ended well. */
+  /** Returns the number of a job's tasks that have completed. */
   int completedTasks(String uid) {
-    return completed.getOrDefault(uid, Set.of()).size();
+    return completedIndices.getOrDefault(uid, Set.of()).size();
   }
 
   long runningTasks(String uid) {
-    return on.keySet().stream().filter(task -> task.jobUid().equals(uid)).count();
+    return machinesByTask.keySet().stream().filter(task -> task.jobUid().equals(uid)).count();
   }
 
-  /** How many tasks run, of whatever job. */
+  /** Returns the number of running tasks of all jobs. */
   long totalRunningTasks() {
-    return on.size();
+    return machinesByTask.size();
   }
 
-  /** Whether a submission of it was refused as one that can never run. */
+  /** Returns whether a submission of the job was rejected as one that can never run. */
   boolean wasRefused(String uid) {
-    return refused.contains(uid);
+    return refusedJobs.contains(uid);
   }
 
   boolean wasAccepted(String uid) {
-    return accepted.contains(uid);
+    return acceptedJobs.contains(uid);
   }
 
   Phase finalPhase(String uid) {
-    return finals.get(uid);
+    return finalPhases.get(uid);
   }
 }
--- a/src/test/java/eiderfork/controller/QuotaCluster.java
+++ b/src/test/java/eiderfork/controller/QuotaCluster.java
@@ -15,8 +15,8 @@
 import java.util.List;
 
 /**
- * Three controllers and four machines of four GPUs, without more to request from the cloud; batch
- * work of one team borrows what another is guaranteed.
+ * A simulated cluster of three controllers and four machines with four GPUs each, and no more
+ * machines in the cloud, for tests in which batch work of one team borrows the guarantee of others.
  */
 final class QuotaCluster {
   static final String DESK = "desk";
@@ -27,7 +27,7 @@
   static final double LAB_GPUS = 4;
   static final int MACHINES = 4;
 
-  /** Within this time a team has its guarantee back where there is no failure. */
+  /** The time within which a team gets its guarantee back if there is no failure. */
   static final double RECLAIM_S = 8;
 
   final SimulatedCluster cluster;
@@ -46,7 +46,7 @@
     return new QuotaCluster(new SimulatedCluster(seed, settings(true)));
   }
 
-  /** The same with this boot time of the machine type, which is the first cooldown. */
+  /** With this boot time of the machine type, which is also the first reclaim cooldown. */
   static QuotaCluster withBorrowing(long seed, double bootS) {
     QuotaCluster scenario = withBorrowing(seed);
     MachineType g4 = scenario.cluster.cloud.types.get(0);
@@ -78,18 +78,18 @@
         TestFixtures.withLending(TestFixtures.settings("roost-0"), lending), teams);
   }
 
-  /** An array with a checkpoint each {@code checkpointS}, and saves of 2 s; 0 for none. */
-  static Job array(int number, int tasks, double runS, double checkpointS, String team) {
-    return job(number, JobKind.ARRAY, tasks, runS, checkpointS, team, Priority.HIGH);
+  /** Returns an array with checkpoints at this interval and saves of 2 s; 0 for no checkpoints. */
+  static Job array(int number, int tasks, double runS, double checkpointIntervalS, String team) {
+    return job(number, JobKind.ARRAY, tasks, runS, checkpointIntervalS, team, Priority.HIGH);
   }
 
-  /** Replicas of the lowest priority, for which only the guarantee preempts others. */
+  /** Returns replicas of the lowest priority, which preempt others only by their guarantee. */
   static Job replicas(int number, int tasks, String team) {
     return job(number, JobKind.SERVICE, tasks, 0, 0, team, Priority.LOW);
   }
 
-  static Job gang(int number, int tasks, double runS, double checkpointS, String team) {
-    return job(number, JobKind.GANG, tasks, runS, checkpointS, team, Priority.HIGH);
+  static Job gang(int number, int tasks, double runS, double checkpointIntervalS, String team) {
+    return job(number, JobKind.GANG, tasks, runS, checkpointIntervalS, team, Priority.HIGH);
   }
 
   static Job job(
@@ -97,22 +97,31 @@
       JobKind kind,
       int tasks,
       double runS,
-      double checkpointS,
+      double checkpointIntervalS,
       String team,
       Priority priority) {
-    double saveS = checkpointS > 0 ? 2 : 0;
-    Resources demand = new Resources(1, 1, 4);
-    return job(number, kind, demand, tasks, runS, checkpointS, saveS, team, priority);
+    double saveDurationS = checkpointIntervalS > 0 ? 2 : 0;
+    Resources taskResources = new Resources(1, 1, 4);
+    return job(
+        number,
+        kind,
+        taskResources,
+        tasks,
+        runS,
+        checkpointIntervalS,
+        saveDurationS,
+        team,
+        priority);
   }
 
   static Job job(
       int number,
       JobKind kind,
-      Resources demand,
+      Resources taskResources,
       int tasks,
       double runS,
-      double checkpointS,
-      double saveS,
+      double checkpointIntervalS,
+      double saveDurationS,
       String team,
       Priority priority) {
     return new Job(
@@ -122,7 +131,7 @@
         kind,
         priority,
         tasks,
-        demand,
+        taskResources,
         null,
         null,
         false,
@@ -131,8 +140,8 @@
         team + "-img-" + kind,
         1,
         runS,
-        checkpointS,
-        saveS,
+        checkpointIntervalS,
+        saveDurationS,
         null);
   }
 
@@ -142,9 +151,9 @@
     return job;
   }
 
-  /** Runs an array of the night team on all machines, of which it borrows three quarters. */
-  Job fillWithNightArray(double runS, double checkpointS) {
-    Job night = submit(array(1, 16, runS, checkpointS, NIGHT));
+  /** Runs an array of the night team on all 16 GPUs, 12 of them borrowed. */
+  Job fillWithNightArray(double runS, double checkpointIntervalS) {
+    Job night = submit(array(1, 16, runS, checkpointIntervalS, NIGHT));
     cluster.run(25);
     if (cluster.checker.runningTasks(night.uid()) != 16) {
       throw new IllegalStateException("the array does not fill the machines");
@@ -156,7 +165,7 @@
     return cluster.checker.runningTasks(job.uid());
   }
 
-  /** The workers on which a task of the job is in this state. */
+  /** Returns the workers on which a task of the job is in this state. */
   List<FakeWorker> workersWith(Job job, TaskStatus.State state) {
     return cluster.workers().stream()
         .filter(
@@ -168,7 +177,7 @@
         .toList();
   }
 
-  /** The leader, or any node where there is none. */
+  /** Returns the leader, or the first node if there is none. */
   String leader() {
     return cluster.leader() == null ? "roost-0" : cluster.leader();
   }
--- a/src/test/java/eiderfork/controller/QuotaDay.java
+++ b/src/test/java/eiderfork/controller/QuotaDay.java
@@ -18,9 +18,9 @@
 import java.util.Random;
 
 /**
- * A simulated day: replicas of two teams in office hours and at peaks, of which one comes and goes
- * within a minute, arrays most of all at night, and gangs each hour. Leaders end during reclaims,
- * machines are lost, the store is unavailable, and a zone is partitioned.
+ * A simulated day of four teams: replicas of two teams in office hours and at peaks, for an hour
+ * with replicas that are cancelled within a minute, arrays mostly at night, and gangs each hour.
+ * Faults are leader crashes during reclaims, lost machines, store outages and zone partitions.
  */
 final class QuotaDay {
   private static final String DESK = "desk";
@@ -34,37 +34,37 @@
   private static final int MACHINES_PER_ZONE = 3;
   private static final double BOOT_S = 40;
 
-  /** Starts of replicas within this time count as in time. */
+  /** The time within which replicas have to start to count as in time. */
   private static final double START_OBJECTIVE_S = 15;
 
-  /** Batch work within this many times its run counts as in time. */
+  /** The multiple of its run time within which batch work has to end to count as in time. */
   private static final double MAX_BATCH_DURATION_FACTOR = 3;
 
   private record Submitted(Job job, long submittedMs) {}
 
   final SimulatedCluster cluster;
   final GuaranteeChecker guaranteeChecker;
-  private final Random script;
-  private final long beganMs;
-  private final long fromMs;
-  private final long untilMs;
-  private int lastJob;
+  private final Random random;
+  private final long startedMs;
+  private final long windowStartMs;
+  private final long windowEndMs;
+  private int lastJobNumber;
 
   private final Map<TaskId, Long> replicaWaitsMs = new LinkedHashMap<>();
-  private final Map<String, Submitted> replicas = new LinkedHashMap<>();
-  private final List<Submitted> batch = new ArrayList<>();
+  private final Map<String, Submitted> replicaJobs = new LinkedHashMap<>();
+  private final List<Submitted> batchJobs = new ArrayList<>();
   private int batchInTime;
   private int batchEnded;
   private double idleGpuS;
   private double gpuS;
-  private int leadersToEnd;
+  private int pendingLeaderCrashes;
 
   /**
    * @param fromHour the hour of the day to begin at
    */
   QuotaDay(long seed, boolean lending, int fromHour, int hours) {
     cluster = new SimulatedCluster(seed, settings(lending));
-    script = new Random(seed * 101);
+    random = new Random(seed * 101);
     MachineType type =
         new MachineType(
             "g4",
@@ -81,18 +81,18 @@
     for (String zone : List.of("a", "b")) {
       cluster.cloud.stockByKind.put(new MachineKind("g4", zone, false), MACHINES_PER_ZONE);
     }
-    beganMs = cluster.nowMs;
-    fromMs = (long) fromHour * HOUR_MS;
-    untilMs = fromMs + (long) hours * HOUR_MS;
+    startedMs = cluster.nowMs;
+    windowStartMs = (long) fromHour * HOUR_MS;
+    windowEndMs = windowStartMs + (long) hours * HOUR_MS;
     guaranteeChecker = new GuaranteeChecker(cluster);
     guaranteeChecker.expectDisruption(MINUTE_MS);
-    cluster.progress.onStop = (worker, attempt) -> endLeaderMidReclaim();
-    permanentReplicas();
-    deskTraffic();
-    pressPeaks();
-    pressFlapping();
-    scanArrays();
-    tuningGangs();
+    cluster.progress.onStop = (worker, attempt) -> crashLeaderMidReclaim();
+    schedulePermanentReplicas();
+    scheduleDeskTraffic();
+    schedulePressPeaks();
+    schedulePressFlapping();
+    scheduleScanArrays();
+    scheduleTuningGangs();
     scheduleFaults();
     measureEverySecond();
   }
@@ -108,120 +108,135 @@
         TestFixtures.withLending(TestFixtures.settings("roost-0"), lending), teams);
   }
 
-  /** Runs the simulated hours. */
   void run() {
-    cluster.run((untilMs - fromMs) / 1000.0);
+    cluster.run((windowEndMs - windowStartMs) / 1000.0);
   }
 
-  private void atTimeOfDay(long ofDayMs, Runnable action) {
-    if (ofDayMs >= fromMs && ofDayMs < untilMs) {
-      cluster.schedule(ofDayMs - fromMs, action);
+  private void atTimeOfDay(long timeOfDayMs, Runnable action) {
+    if (timeOfDayMs >= windowStartMs && timeOfDayMs < windowEndMs) {
+      cluster.schedule(timeOfDayMs - windowStartMs, action);
     }
   }
 
   private Job job(
-      JobKind kind, String team, Priority priority, int tasks, double runS, double checkpointS) {
-    double saveS = checkpointS > 0 ? Math.max(2, checkpointS / 30) : 0;
-    Resources demand = new Resources(2, 1, 8);
+      JobKind kind,
+      String team,
+      Priority priority,
+      int tasks,
+      double runS,
+      double checkpointIntervalS) {
+    double saveDurationS = checkpointIntervalS > 0 ? Math.max(2, checkpointIntervalS / 30) : 0;
+    Resources taskResources = new Resources(2, 1, 8);
     return QuotaCluster.job(
-        ++lastJob, kind, demand, tasks, runS, checkpointS, saveS, team, priority);
+        ++lastJobNumber,
+        kind,
+        taskResources,
+        tasks,
+        runS,
+        checkpointIntervalS,
+        saveDurationS,
+        team,
+        priority);
   }
 
-  private void replicas(String team, int tasks, long fromOfDayMs, long forMs) {
+  private void scheduleReplicas(String team, int tasks, long startTimeOfDayMs, long durationMs) {
     atTimeOfDay(
-        fromOfDayMs,
+        startTimeOfDayMs,
         () -> {
           Job job = job(JobKind.SERVICE, team, Priority.STANDARD, tasks, 0, 0);
-          replicas.put(job.uid(), new Submitted(job, cluster.nowMs));
+          replicaJobs.put(job.uid(), new Submitted(job, cluster.nowMs));
           cluster.submit(job);
           cluster.schedule(
-              forMs,
+              durationMs,
               () -> {
-                replicas.remove(job.uid());
+                replicaJobs.remove(job.uid());
                 cluster.cancel(job.uid());
               });
         });
   }
 
-  private void batch(JobKind kind, String team, int tasks, double runS, double checkpointS) {
-    Job job = job(kind, team, Priority.STANDARD, tasks, runS, checkpointS);
-    batch.add(new Submitted(job, cluster.nowMs));
+  private void submitBatch(
+      JobKind kind, String team, int tasks, double runS, double checkpointIntervalS) {
+    Job job = job(kind, team, Priority.STANDARD, tasks, runS, checkpointIntervalS);
+    batchJobs.add(new Submitted(job, cluster.nowMs));
     cluster.submit(job);
   }
 
   /** Replicas of two teams that run all day. */
-  private void permanentReplicas() {
-    replicas(DESK, 3, fromMs + 5000, 25L * HOUR_MS);
-    replicas(PRESS, 2, fromMs + 9000, 25L * HOUR_MS);
+  private void schedulePermanentReplicas() {
+    scheduleReplicas(DESK, 3, windowStartMs + 5000, 25L * HOUR_MS);
+    scheduleReplicas(PRESS, 2, windowStartMs + 9000, 25L * HOUR_MS);
   }
 
-  private void deskTraffic() {
+  private void scheduleDeskTraffic() {
     for (long ms = 8L * HOUR_MS;
         ms < 19L * HOUR_MS;
-        ms += 4 * MINUTE_MS + script.nextInt(6) * 60_000) {
-      replicas(DESK, 1 + script.nextInt(2), ms, (5 + script.nextInt(15)) * (long) MINUTE_MS);
+        ms += 4 * MINUTE_MS + random.nextInt(6) * 60_000) {
+      scheduleReplicas(
+          DESK, 1 + random.nextInt(2), ms, (5 + random.nextInt(15)) * (long) MINUTE_MS);
     }
   }
 
-  private void pressPeaks() {
+  private void schedulePressPeaks() {
     for (int hour : new int[] {3, 7, 9, 11, 13, 16, 18, 21, 23}) {
-      long ms = (long) hour * HOUR_MS + script.nextInt(40) * (long) MINUTE_MS;
-      replicas(PRESS, 4 + script.nextInt(3), ms, (4 + script.nextInt(20)) * (long) MINUTE_MS);
+      long ms = (long) hour * HOUR_MS + random.nextInt(40) * (long) MINUTE_MS;
+      scheduleReplicas(
+          PRESS, 4 + random.nextInt(3), ms, (4 + random.nextInt(20)) * (long) MINUTE_MS);
     }
   }
 
-  /** For an hour in the afternoon replicas come and go within a minute. */
-  private void pressFlapping() {
+  /** Submits replicas every 75 s for an hour, each cancelled after 40 s. */
+  private void schedulePressFlapping() {
     for (long ms = 14L * HOUR_MS; ms < 15L * HOUR_MS; ms += 75_000) {
-      replicas(PRESS, 5, ms, 40_000);
+      scheduleReplicas(PRESS, 5, ms, 40_000);
     }
   }
 
-  /** Arrays come all day, and most of them at night. */
-  private void scanArrays() {
+  /** Submits arrays all day, at twice the rate at night. */
+  private void scheduleScanArrays() {
     for (int minute = 0; minute < 24 * 60; minute += 3) {
       boolean night = minute < 6 * 60 || minute >= 20 * 60;
-      if (script.nextInt(night ? 2 : 4) == 0) {
-        int tasks = 4 + script.nextInt(10);
-        double runS = 120 + script.nextInt(240);
+      if (random.nextInt(night ? 2 : 4) == 0) {
+        int tasks = 4 + random.nextInt(10);
+        double runS = 120 + random.nextInt(240);
         atTimeOfDay(
             (long) minute * MINUTE_MS,
-            () -> batch(JobKind.ARRAY, SCANS, tasks, runS, script.nextInt(3) == 0 ? 0 : 60));
+            () -> submitBatch(JobKind.ARRAY, SCANS, tasks, runS, random.nextInt(3) == 0 ? 0 : 60));
       }
     }
   }
 
-  private void tuningGangs() {
+  private void scheduleTuningGangs() {
     for (int hour = 0; hour < 24; hour++) {
       int tasks = hour % 3 == 0 ? 8 : 4;
-      double runS = 1200 + script.nextInt(1200);
+      double runS = 1200 + random.nextInt(1200);
       atTimeOfDay(
           (long) hour * HOUR_MS + 10 * MINUTE_MS,
-          () -> batch(JobKind.GANG, TUNING, tasks, runS, 300));
+          () -> submitBatch(JobKind.GANG, TUNING, tasks, runS, 300));
     }
   }
 
   private void scheduleFaults() {
     for (int minute = 50; minute < 24 * 60; minute += 97) {
-      atTimeOfDay((long) minute * MINUTE_MS, () -> leadersToEnd++);
+      atTimeOfDay((long) minute * MINUTE_MS, () -> pendingLeaderCrashes++);
     }
     for (int minute : new int[] {130, 410, 655, 850, 1110}) {
       atTimeOfDay((long) minute * MINUTE_MS, this::loseMachine);
     }
     for (int minute : new int[] {215, 820, 1270}) {
-      atTimeOfDay((long) minute * MINUTE_MS, this::storeOutage);
+      atTimeOfDay((long) minute * MINUTE_MS, this::startStoreOutage);
     }
     for (int minute : new int[] {590, 875}) {
       atTimeOfDay((long) minute * MINUTE_MS, this::partitionZone);
     }
   }
 
-  /** Ends the leader soon after a preemption, where one is to end. */
-  private void endLeaderMidReclaim() {
-    if (leadersToEnd > 0 && cluster.leader() != null) {
-      leadersToEnd--;
+  /** Crashes the leader soon after a preemption if a crash is pending. */
+  private void crashLeaderMidReclaim() {
+    if (pendingLeaderCrashes > 0 && cluster.leader() != null) {
+      pendingLeaderCrashes--;
       guaranteeChecker.expectDisruption(6000);
-      cluster.schedule(script.nextInt(3500), () -> crash(cluster.leader()));
+      cluster.schedule(random.nextInt(3500), () -> crash(cluster.leader()));
     }
   }
 
@@ -242,7 +257,7 @@
             });
   }
 
-  private void storeOutage() {
+  private void startStoreOutage() {
     guaranteeChecker.expectDisruption(45_000);
     cluster.store.startOutage(cluster.nowMs);
     cluster.schedule(45_000, () -> cluster.store.endOutage(cluster.nowMs));
@@ -254,36 +269,36 @@
   }
 
   private void measureEverySecond() {
-    double held = 0;
+    double usedGpus = 0;
     for (String team : cluster.settings.teams().keySet()) {
-      held += cluster.checker.usedResources(team).gpus();
+      usedGpus += cluster.checker.usedResources(team).gpus();
     }
     int gpus = cluster.workers().size() * GPUS_PER_MACHINE;
     gpuS += gpus;
-    idleGpuS += Math.max(0, gpus - held);
+    idleGpuS += Math.max(0, gpus - usedGpus);
     measureReplicaStarts();
-    batch.removeIf(this::isOver);
+    batchJobs.removeIf(this::isOver);
     cluster.schedule(1000, this::measureEverySecond);
   }
 
   private void measureReplicaStarts() {
-    for (Submitted each : replicas.values()) {
-      long running = cluster.checker.runningTasks(each.job.uid());
-      for (int index = 0; index < each.job.tasks(); index++) {
-        TaskId id = new TaskId(each.job.uid(), index);
-        if (running == each.job.tasks()) {
-          replicaWaitsMs.putIfAbsent(id, cluster.nowMs - each.submittedMs);
-        } else if (cluster.nowMs - each.submittedMs > START_OBJECTIVE_S * 1000) {
+    for (Submitted submission : replicaJobs.values()) {
+      long running = cluster.checker.runningTasks(submission.job.uid());
+      for (int index = 0; index < submission.job.tasks(); index++) {
+        TaskId id = new TaskId(submission.job.uid(), index);
+        if (running == submission.job.tasks()) {
+          replicaWaitsMs.putIfAbsent(id, cluster.nowMs - submission.submittedMs);
+        } else if (cluster.nowMs - submission.submittedMs > START_OBJECTIVE_S * 1000) {
           replicaWaitsMs.putIfAbsent(id, Long.MAX_VALUE);
         }
       }
     }
   }
 
-  private boolean isOver(Submitted each) {
-    double ranS = (cluster.nowMs - each.submittedMs) / 1000.0;
-    boolean done = cluster.checker.allTasksCompleted(each.job.uid());
-    boolean late = ranS > MAX_BATCH_DURATION_FACTOR * each.job.estimatedRunS();
+  private boolean isOver(Submitted submission) {
+    double ranS = (cluster.nowMs - submission.submittedMs) / 1000.0;
+    boolean done = cluster.checker.allTasksCompleted(submission.job.uid());
+    boolean late = ranS > MAX_BATCH_DURATION_FACTOR * submission.job.estimatedRunS();
     if (done || late) {
       batchEnded++;
       batchInTime += late ? 0 : 1;
@@ -291,7 +306,7 @@
     return done || late;
   }
 
-  /** The figures of the day, as a line of CSV. */
+  /** Returns the figures of the day as a line of CSV. */
   String summary() {
     long inTime =
         replicaWaitsMs.values().stream().filter(ms -> ms <= START_OBJECTIVE_S * 1000).count();
--- a/src/test/java/eiderfork/controller/QuotaDayTest.java
+++ b/src/test/java/eiderfork/controller/QuotaDayTest.java
@@ -12,9 +12,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Every team's guarantee is held each minute of a simulated day. Two hours of it run by default;
- * the properties {@code day.hours}, {@code day.seeds} and {@code day.out} simulate more, and write
- * the record, see {@code docs/lending.md}.
+ * Tests that every team's guarantee is met in each minute of a simulated day, or its shortfall has
+ * a known cause. Two hours run by default; the properties {@code day.hours} and {@code day.seeds}
+ * select more, and {@code day.out} the directory for the record, see {@code docs/lending.md}.
  */
 class QuotaDayTest {
   private static final int WHOLE_DAY = 24;
@@ -44,11 +44,11 @@
       }
       assertEquals(List.of(), day.cluster.checker.violations, "seed " + seed);
       assertEquals(List.of(), day.guaranteeChecker.unexplained, "seed " + seed);
-      assertTrue(day.cluster.progress.stopCount() > 0, "something was reclaimed");
+      assertTrue(day.cluster.progress.stopCount() > 0, "no task was stopped");
     }
   }
 
-  /** Without lending the record shows guarantees that are not held. */
+  /** Without lending the checker reports unexplained shortfalls. */
   @Test
   void theRecordShowsGuaranteesThatAreNotHeld() {
     QuotaDay day = runDay(1, false, 1);
--- a/src/test/java/eiderfork/controller/SimulatedCluster.java
+++ b/src/test/java/eiderfork/controller/SimulatedCluster.java
@@ -22,16 +22,17 @@
 import java.util.function.Consumer;
 
 /**
- * Controllers on a fake clock among scripted peers: store, cloud, workers and users, with messages
- * that are lost, late and doubled. The same seed plays the same history.
+ * Deterministic simulation of a cluster: real controllers on a simulated clock with a fake store,
+ * cloud, workers and users, and messages that are lost, delayed and duplicated. The same seed
+ * always gives the same history.
  */
 final class SimulatedCluster {
   static final long TICK_MS = 50;
 
-  private record Event(long atMs, long order, Runnable what) implements Comparable<Event> {
+  private record Event(long atMs, long order, Runnable action) implements Comparable<Event> {
     @Override
-    public int compareTo(Event o) {
-      return atMs != o.atMs ? Long.compare(atMs, o.atMs) : Long.compare(order, o.order);
+    public int compareTo(Event other) {
+      return atMs != other.atMs ? Long.compare(atMs, other.atMs) : Long.compare(order, other.order);
     }
   }
 
@@ -46,75 +47,88 @@
   final FakeProgress progress = new FakeProgress(this);
   final Map<String, Controller> controllers = new TreeMap<>();
 
-  /** Nodes that run the version before, now and when they start again. */
+  /** Nodes that run {@link #olderVersion}, now and after a restart. */
   final Set<String> olderVersionNodes = new HashSet<>();
 
-  /** The version that those nodes run. */
+  /** The cluster version that {@link #olderVersionNodes} run. */
   int olderVersion = ClusterVersion.FIRST;
 
+  /**
+   * A number by node that changes at each start and crash; replies to an earlier process are lost.
+   */
   final Map<String, Integer> processEpochs = new HashMap<>();
 
-  /** Links that carry nothing now, as "from>to"; "*" stands for every worker. */
+  /** Links that drop every message, as "from>to"; "*" stands for all workers. */
   final Set<String> cutLinks = new HashSet<>();
 
-  /** The same for connections that the first one opens; answers over others' pass. */
+  /**
+   * Links, as "from>to", over which "from" can't open connections; its responses over connections
+   * that "to" opened still arrive.
+   */
   final Set<String> blockedConnections = new HashSet<>();
 
-  /** Links over which reports are held back, as "from>to", and until when. */
+  /** The time until which heartbeats are held back, by link as "from>to". */
   final Map<String, Long> heartbeatsHeldUntilMs = new HashMap<>();
 
-  /** The chance that a message is lost, and that it is late by up to {@link #maxDelayMs}. */
+  /** The probability that a message is lost. */
   double lossProbability;
 
+  /** The probability that a message is delayed, by up to {@link #maxDelayMs}. */
   double delayProbability;
+
+  /** The probability that a heartbeat or a call is delivered twice. */
   double duplicateProbability;
+
   long maxDelayMs = 15_000;
 
-  /** The chance that a transaction gets no answer and is carried out 2 to 12 s later. */
+  /** The probability that a transaction gets no reply and is executed 2 to 12 s later. */
   double lateTransactionProbability;
 
-  /** The chance that a transaction is carried out at once and only its answer is lost. */
+  /** The probability that a transaction is executed in time and only its reply is lost. */
   double lostStoreReplyProbability;
 
-  /** The chance that a copy of a report comes again, from 2 s to one and a half leases later. */
+  /** The probability that a heartbeat is delivered again, 2 s to 1.5 leases plus 2 s later. */
   double repeatedHeartbeatProbability;
 
-  /** The chance that a copy of a report is kept until a new leader begins, for every node. */
+  /**
+   * The probability that a copy of a heartbeat is delivered to every node after a leader change.
+   */
   double nextLeaderHeartbeatProbability;
 
-  /** Machines keep the images that they have fetched, so that tasks start there at once. */
+  /** True if machines keep fetched images, so that later tasks with them start at once. */
   boolean cachesImages;
 
-  /** Is told each effect of a controller, with its node, before it is carried out. */
+  /** Receives each effect of a controller with its node, before the effect is executed. */
   BiConsumer<String, Effect> effectObserver = (node, effect) -> {};
 
-  private final FakeHeartbeats reports = new FakeHeartbeats(this);
+  private final FakeHeartbeats heartbeats = new FakeHeartbeats(this);
   private final FakeUsers users = new FakeUsers(this);
   private final FakeNetwork network = new FakeNetwork(this);
 
   final FakeStoreAccess storeAccess = new FakeStoreAccess(this);
 
-  /** How much longer the store takes over each request. */
+  /** Extra time that the store takes for each request. */
   long storeDelayMs;
 
-  /** How much longer direct commands are under way. */
+  /** Extra time until direct commands reach their worker. */
   long commandDelayMs;
 
-  /** Machines on which, and jobs of which, every task fails. */
+  /** Machines on which every task fails. */
   final Set<String> failingMachines = new HashSet<>();
 
+  /** Jobs whose tasks fail on every machine. */
   final Set<String> failingJobs = new HashSet<>();
 
   /** Tasks that fail on every machine. */
   final Set<TaskId> failingTasks = new HashSet<>();
 
   long nowMs = 1_000_000;
-  private final PriorityQueue<Event> queue = new PriorityQueue<>();
-  private long order;
-  private long tickets;
+  private final PriorityQueue<Event> eventQueue = new PriorityQueue<>();
+  private long nextEventOrder;
+  private long lastTicket;
   final Map<Long, Consumer<Effect>> responseHandlers = new HashMap<>();
   private final Map<String, Job> jobs = new LinkedHashMap<>();
-  private final Set<TaskId> results = new HashSet<>();
+  private final Set<TaskId> finishedTasks = new HashSet<>();
 
   SimulatedCluster(long seed) {
     this(seed, TestFixtures.settings("roost-0"));
@@ -124,14 +138,14 @@
     this(seed, settings, 3);
   }
 
-  /** The names of all nodes, running or not. */
+  /** Returns the names of all nodes, running or not. */
   List<String> nodeNames() {
     return java.util.stream.IntStream.range(0, nodeCount).mapToObj(i -> "roost-" + i).toList();
   }
 
-  SimulatedCluster(long seed, Settings settings, int count) {
+  SimulatedCluster(long seed, Settings settings, int nodeCount) {
     this.settings = settings;
-    this.nodeCount = count;
+    this.nodeCount = nodeCount;
     random = new Random(seed);
     cloud = new FakeCloud(random, settings.cloudLimits().listLagS());
     checker =
@@ -140,7 +154,7 @@
     for (String node : nodeNames()) {
       startNode(node);
     }
-    every(TICK_MS, this::tickWorld);
+    scheduleEvery(TICK_MS, this::tick);
   }
 
   Job job(String uid) {
@@ -151,26 +165,26 @@
     jobs.put(job.uid(), job);
   }
 
-  /** Whether every task of an array has ended well, whoever knows of it. */
+  /** Returns whether every task of the job has completed on a worker, reported or not. */
   boolean allTasksFinished(Job job) {
     return java.util.stream.IntStream.range(0, job.tasks())
-        .allMatch(index -> results.contains(new TaskId(job.uid(), index)));
+        .allMatch(index -> finishedTasks.contains(new TaskId(job.uid(), index)));
   }
 
-  /** Whether the store holds that the job is done. */
+  /** Returns whether the job is recorded as done in the store. */
   boolean isDoneInStore(Job job) {
     return store.get(StoreKeys.alloc(job.uid())) instanceof StoredRecord.Allocation allocation
         && allocation.done();
   }
 
-  /** Whether a task has ended well, whoever knows of it. */
+  /** Returns whether the task has completed on a worker, reported or not. */
   boolean isTaskFinished(TaskId id) {
-    return results.contains(id);
+    return finishedTasks.contains(id);
   }
 
-  /** A task has completed; its result is kept. */
+  /** Records that a task has completed; later attempts of it end at once. */
   void recordCompletion(TaskId id) {
-    results.add(id);
+    finishedTasks.add(id);
     checker.recordCompletion(id);
   }
 
@@ -182,43 +196,45 @@
 
   // Time.
 
+  /** Runs an action after a delay in simulated time. */
   void schedule(long delayMs, Runnable action) {
-    queue.add(new Event(nowMs + delayMs, order++, action));
+    eventQueue.add(new Event(nowMs + delayMs, nextEventOrder++, action));
   }
 
-  private void every(long ms, Runnable action) {
+  private void scheduleEvery(long intervalMs, Runnable action) {
     schedule(
-        ms,
+        intervalMs,
         () -> {
           action.run();
-          every(ms, action);
+          scheduleEvery(intervalMs, action);
         });
   }
 
+  /** Advances simulated time and runs all events that become due. */
   void run(double seconds) {
     long endMs = nowMs + (long) (seconds * 1000);
-    while (!queue.isEmpty() && queue.peek().atMs <= endMs) {
-      Event event = queue.poll();
+    while (!eventQueue.isEmpty() && eventQueue.peek().atMs <= endMs) {
+      Event event = eventQueue.poll();
       nowMs = event.atMs;
-      event.what.run();
+      event.action.run();
     }
     nowMs = endMs;
   }
 
-  private void tickWorld() {
+  private void tick() {
     store.tick(nowMs);
-    reports.tick();
+    heartbeats.tick();
     for (String node : List.copyOf(controllers.keySet())) {
       deliver(node, new Input.Tick());
     }
     gangs.tick();
     for (FakeCloud.Host host : cloud.hosts()) {
       if (host.worker == null && nowMs >= host.bootedMs && host.endedMs == Long.MAX_VALUE) {
-        host.worker = new FakeWorker(this, host.machine, results);
+        host.worker = new FakeWorker(this, host.machine, finishedTasks);
       }
       if (host.worker != null) {
         host.worker.tick();
-        reports.sendIfDue(host.worker);
+        heartbeats.sendIfDue(host.worker);
       }
     }
     checker.checkCancelledTasks(nowMs);
@@ -226,9 +242,10 @@
 
   // Nodes.
 
+  /** Starts a controller process with the settings of this node. */
   void startNode(String node) {
     processEpochs.merge(node, 1, Integer::sum);
-    Settings own =
+    Settings nodeSettings =
         TestFixtures.settings(
             node,
             settings.workerTimings(),
@@ -236,67 +253,70 @@
             settings.controllerResources().cpuShare(),
             settings.controllerResources().sockets(),
             nodeCount);
-    own = TestFixtures.withNextLimits(own, settings.nextStoreLimits());
-    own = TestFixtures.withObjectives(own, settings.objectives());
-    own = TestFixtures.withOperator(own, settings.operator());
-    own = TestFixtures.withTeams(own, settings.teams());
+    nodeSettings = TestFixtures.withNextLimits(nodeSettings, settings.nextStoreLimits());
+    nodeSettings = TestFixtures.withObjectives(nodeSettings, settings.objectives());
+    nodeSettings = TestFixtures.withOperator(nodeSettings, settings.operator());
+    nodeSettings = TestFixtures.withTeams(nodeSettings, settings.teams());
     if (olderVersionNodes.contains(node)) {
-      own = TestFixtures.withLending(own, false);
+      nodeSettings = TestFixtures.withLending(nodeSettings, false);
     }
-    own = TestFixtures.withCloudRate(own, settings.cloudLimits().requestsPerS());
-    controllers.put(node, new Controller(own, new Random(random.nextLong()), nowMs, version(node)));
+    nodeSettings = TestFixtures.withCloudRate(nodeSettings, settings.cloudLimits().requestsPerS());
+    controllers.put(
+        node, new Controller(nodeSettings, new Random(random.nextLong()), nowMs, version(node)));
   }
 
-  /** The version that a node runs. */
+  /** Returns the cluster version that a node runs. */
   int version(String node) {
     return olderVersionNodes.contains(node) ? olderVersion : ClusterVersion.CURRENT;
   }
 
-  void crashNode(String node, long forMs) {
+  /** Ends a controller process and starts it again after this time. */
+  void crashNode(String node, long durationMs) {
     if (controllers.remove(node) != null) {
       processEpochs.merge(node, 1, Integer::sum);
-      schedule(forMs, () -> startNode(node));
+      schedule(durationMs, () -> startNode(node));
     }
   }
 
-  void cutLink(String link, long forMs) {
+  void cutLink(String link, long durationMs) {
     cutLinks.add(link);
-    schedule(forMs, () -> cutLinks.remove(link));
+    schedule(durationMs, () -> cutLinks.remove(link));
   }
 
-  /** Reports of this machine arrive once that time is over. */
-  void holdHeartbeats(String machine, long forMs) {
-    nodeNames().forEach(node -> heartbeatsHeldUntilMs.put(machine + ">" + node, nowMs + forMs));
+  /** Holds back heartbeats of this machine until this time has passed. */
+  void holdHeartbeats(String machine, long durationMs) {
+    nodeNames()
+        .forEach(node -> heartbeatsHeldUntilMs.put(machine + ">" + node, nowMs + durationMs));
   }
 
-  /** A worker can't open connections to this node; commands and their answers pass. */
-  void blockHeartbeats(String machine, String node, long forMs) {
+  /** Keeps a worker from opening connections to this node; commands and their responses pass. */
+  void blockHeartbeats(String machine, String node, long durationMs) {
     String link = machine + ">" + node;
     blockedConnections.add(link);
-    schedule(forMs, () -> blockedConnections.remove(link));
+    schedule(durationMs, () -> blockedConnections.remove(link));
   }
 
-  /** A worker can't open connections to any controller; commands and their answers pass. */
-  void blockHeartbeats(String machine, long forMs) {
-    nodeNames().forEach(node -> blockHeartbeats(machine, node, forMs));
+  /** Keeps a worker from opening connections to any node; commands and their responses pass. */
+  void blockHeartbeats(String machine, long durationMs) {
+    nodeNames().forEach(node -> blockHeartbeats(machine, node, durationMs));
   }
 
   boolean isCut(String from, String to) {
     return cutLinks.contains(from + ">" + to);
   }
 
-  private final Map<String, Long> stillUntilMs = new HashMap<>();
+  private final Map<String, Long> frozenUntilMs = new HashMap<>();
 
-  /** The process stands still; what comes meanwhile waits for it. */
-  void freezeNode(String node, long forMs) {
-    stillUntilMs.put(node, nowMs + forMs);
+  /** Suspends a controller process; its ticks are dropped, other inputs arrive when it resumes. */
+  void freezeNode(String node, long durationMs) {
+    frozenUntilMs.put(node, nowMs + durationMs);
   }
 
   void deliver(String node, Input input) {
-    long stillMs = stillUntilMs.getOrDefault(node, 0L) - nowMs;
-    if (stillMs > 0) {
+    long frozenMs = frozenUntilMs.getOrDefault(node, 0L) - nowMs;
+    if (frozenMs > 0) {
       if (!(input instanceof Input.Tick)) {
-        schedule(stillMs, () -> deliver(node, input));
+        schedule(frozenMs, () -> deliver(node, input));
       }
       return;
     }
@@ -304,47 +324,47 @@
     if (controller != null) {
       for (Effect effect : controller.handle(nowMs, input)) {
         effectObserver.accept(node, effect);
-        network.carryOut(node, effect);
+        network.execute(node, effect);
       }
     }
   }
 
-  /** How long a message takes; -1 where it is lost. */
+  /** Returns the delay of a message, or -1 if it is lost. */
   long messageDelayMs(String from, String to) {
     return network.messageDelayMs(from, to);
   }
 
-  /** The store refuses this node alone; its open watches wait. */
-  void refuseStoreRequests(String node, long forMs) {
+  /** Makes the store refuse requests of this node; its watches stay open. */
+  void refuseStoreRequests(String node, long durationMs) {
     storeAccess.refusedNodes.add(node);
-    schedule(forMs, () -> storeAccess.refusedNodes.remove(node));
+    schedule(durationMs, () -> storeAccess.refusedNodes.remove(node));
   }
 
-  /** A controller loses the store and its peers, not its workers or users. */
-  void isolateNode(String node, long forMs) {
-    cutLink(node + ">state", forMs);
+  /** Disconnects a controller from the store and its peers, not from workers or users. */
+  void isolateNode(String node, long durationMs) {
+    cutLink(node + ">state", durationMs);
     for (int i = 0; i < nodeCount; i++) {
-      cutLink(node + ">roost-" + i, forMs);
-      cutLink("roost-" + i + ">" + node, forMs);
+      cutLink(node + ">roost-" + i, durationMs);
+      cutLink("roost-" + i + ">" + node, durationMs);
     }
   }
 
-  /** A zone's machines and one controller are cut off from the other controllers and the cloud. */
-  void isolateZone(String zone, String inside, long forMs) {
-    network.isolateZone(zone, inside, forMs);
+  /** Cuts a zone's machines and one controller off from the other controllers and the store. */
+  void isolateZone(String zone, String insideNode, long durationMs) {
+    network.isolateZone(zone, insideNode, durationMs);
   }
 
-  /** Two zones can't reach each other; both reach the store, the cloud and the users. */
-  void splitZones(long forMs) {
-    network.splitZones(forMs);
+  /** Partitions the two zones; both still reach the store, the cloud and the users. */
+  void splitZones(long durationMs) {
+    network.splitZones(durationMs);
   }
 
-  /** Reports of the next second are held up for this long. */
-  void delayNextHeartbeats(long forMs) {
-    reports.delayNext(forMs);
+  /** Delays heartbeats sent within the next second by this time. */
+  void delayNextHeartbeats(long durationMs) {
+    heartbeats.delayNext(durationMs);
   }
 
-  /** All troubles are over. */
+  /** Ends faults of links, nodes, workers and the store; configured task failures remain. */
   void clearFaults() {
     lossProbability = 0;
     delayProbability = 0;
@@ -359,31 +379,32 @@
     blockedConnections.clear();
     heartbeatsHeldUntilMs.clear();
     storeAccess.refusedNodes.clear();
-    stillUntilMs.clear();
+    frozenUntilMs.clear();
     workers().forEach(worker -> worker.isHanging = false);
     if (store.isDown()) {
       store.endOutage(nowMs);
     }
   }
 
-  /** The machine hears nobody while its reports arrive. */
-  void cutLinksTo(String machine, long forMs) {
+  /** Drops all messages from controllers to this machine; its heartbeats still arrive. */
+  void cutLinksTo(String machine, long durationMs) {
     for (int i = 0; i < nodeCount; i++) {
-      cutLink("roost-" + i + ">" + machine, forMs);
+      cutLink("roost-" + i + ">" + machine, durationMs);
     }
   }
 
-  /** The machine reaches no controller while commands reach it. */
-  void cutLinksFrom(String machine, long forMs) {
+  /** Drops all messages from this machine to controllers; commands still reach it. */
+  void cutLinksFrom(String machine, long durationMs) {
     for (int i = 0; i < nodeCount; i++) {
-      cutLink(machine + ">roost-" + i, forMs);
+      cutLink(machine + ">roost-" + i, durationMs);
     }
   }
 
+  /** Delivers a request to a node if it runs; the callback receives the response. */
   void sendRequest(
       String node, java.util.function.LongFunction<Input> request, Consumer<Effect> onComplete) {
     if (controllers.containsKey(node)) {
-      long ticket = ++tickets;
+      long ticket = ++lastTicket;
       responseHandlers.put(ticket, onComplete);
       deliver(node, request.apply(ticket));
     }
@@ -395,54 +416,56 @@
     return cloud.workers();
   }
 
-  /** A machine stops with all that is on it. */
+  /** Stops a machine with all its tasks. */
   void failMachine(String name) {
-    cloud.fail(name, nowMs);
+    cloud.failHost(name, nowMs);
   }
 
   // Users.
 
-  /** A user submits until the job is accepted or refused for good. */
+  /** Submits a job, with retries until it is accepted or rejected. */
   void submit(Job job) {
     users.submit(job);
   }
 
-  /** A user submits to this node once. */
+  /** Submits a job to this node, without retries. */
   void submitOnce(String node, Job job) {
     users.submitOnce(node, job);
   }
 
+  /** Cancels a job, with retries until that is confirmed or the job is done. */
   void cancel(String uid) {
     users.cancel(uid);
   }
 
-  /** Asks this node once to cancel. */
+  /** Cancels a job at this node, without retries. */
   void cancelOnce(String node, String uid) {
     users.cancelOnce(node, uid);
   }
 
-  /** Asks a random live node once. */
+  /** Queries a random node once. */
   void queryRandomNode(String uid) {
     users.queryRandomNode(uid);
   }
 
-  /** Asks all nodes at once. */
+  /** Queries all nodes at once. */
   void queryAllNodes(String uid) {
     users.queryAllNodes(uid);
   }
 
-  /** Asks all nodes at once, and submits the job once more at each. */
+  /** Queries all nodes at once and submits the job again to each. */
   void queryAndResubmitEverywhere(String uid) {
     users.queryAndResubmitEverywhere(uid);
   }
 
-  /** After each answer that says something new of a job, all nodes are asked within moments. */
-  void setProbesAfterNews(boolean value) {
-    users.setProbesAfterNews(value);
+  /** Sets whether all nodes are queried shortly after each response with a new state of a job. */
+  void setProbesAfterNews(boolean isEnabled) {
+    users.setProbesAfterNews(isEnabled);
   }
 
+  /** Returns the leader recorded in the store, or null. */
   String leader() {
     StoredRecord record = store.get(StoreKeys.LEADER);
-    return record instanceof StoredRecord.Leadership it ? it.node() : null;
+    return record instanceof StoredRecord.Leadership leadership ? leadership.node() : null;
   }
 }
--- a/src/test/java/eiderfork/controller/StandbyFixtures.java
+++ b/src/test/java/eiderfork/controller/StandbyFixtures.java
@@ -5,24 +5,24 @@
 import eiderfork.model.JobKind;
 import eiderfork.model.Priority;
 
-/** Settings with standbys, for the tests of the packages below this one, too. */
+/** Settings with standbys and jobs, shared with tests in subpackages. */
 public final class StandbyFixtures {
   private StandbyFixtures() {}
 
-  /** The usual settings with so many standbys. */
-  public static Settings settings(int standbys) {
-    return TestFixtures.withStandbys(TestFixtures.settings("roost-0"), standbys);
+  /** Returns the default settings with this number of standbys. */
+  public static Settings settings(int standbyCount) {
+    return TestFixtures.withStandbys(TestFixtures.settings("roost-0"), standbyCount);
   }
 
-  /** The settings of a node of a cluster of so many in two zones. */
-  public static Settings settings(String node, int nodes, int standbys) {
-    Settings like = TestFixtures.settings("roost-0");
+  /** Returns the settings of one node of a cluster with these numbers of nodes and standbys. */
+  public static Settings settings(String node, int nodeCount, int standbyCount) {
+    Settings base = TestFixtures.settings("roost-0");
     return TestFixtures.withStandbys(
-        TestFixtures.settings(node, like.workerTimings(), like.storeLimits(), 0.2, 160, nodes),
-        standbys);
+        TestFixtures.settings(node, base.workerTimings(), base.storeLimits(), 0.2, 160, nodeCount),
+        standbyCount);
   }
 
-  /** A service with this id. */
+  /** Returns a service of two replicas with this id. */
   public static Job job(String uid) {
     Job template = TestFixtures.job(1, JobKind.SERVICE, 2, 1, "blue", Priority.HIGH, false, false);
     return new Job(
--- a/src/test/java/eiderfork/controller/TestFixtures.java
+++ b/src/test/java/eiderfork/controller/TestFixtures.java
@@ -15,53 +15,55 @@
 import eiderfork.model.Resources;
 import eiderfork.model.Team;
 
-/** Settings and jobs that tests have in common. */
+/** Settings and jobs shared by tests. */
 public final class TestFixtures {
-  /** The timings of small deployments, and of those with many machines. */
+  /** The timings of small deployments. */
   static final Settings.WorkerTimings SHORT_LEASES = new Settings.WorkerTimings(1, 10, 30);
 
+  /** The timings of fleets with many machines. */
   static final Settings.WorkerTimings LONG_LEASES = new Settings.WorkerTimings(4, 22, 42);
 
   private TestFixtures() {}
 
-  /** Three nodes are in one zone; more are spread over two zones by turns. */
-  static String zone(int node, int count) {
-    return count > 3 && node % 2 == 1 ? "b" : "a";
+  /** Returns the zone of a node: "a" for up to three nodes, else "a" and "b" alternate. */
+  static String zone(int node, int nodeCount) {
+    return nodeCount > 3 && node % 2 == 1 ? "b" : "a";
   }
 
-  /** Settings with the timings of a fleet with many machines. */
+  /** Returns settings with {@link #LONG_LEASES}. */
   static Settings longLeaseSettings() {
     return settings("roost-0", LONG_LEASES, new Settings.StoreLimits(200, 40, 4, 16), 0.2, 160, 3);
   }
 
-  /** Settings of one of three controllers, with a heartbeat each second. */
+  /** Returns settings of one of three controllers, with a heartbeat each second. */
   public static Settings settings(String node) {
     return settings(node, 3);
   }
 
-  /** The same with this number of nodes. */
-  static Settings settings(String node, int count) {
-    return settings(node, SHORT_LEASES, new Settings.StoreLimits(200, 40, 8, 16), 0.2, 160, count);
+  /** Returns settings of one of this number of controllers, with a heartbeat each second. */
+  static Settings settings(String node, int nodeCount) {
+    return settings(
+        node, SHORT_LEASES, new Settings.StoreLimits(200, 40, 8, 16), 0.2, 160, nodeCount);
   }
 
   static Settings settings(
       String node,
-      Settings.WorkerTimings workers,
-      Settings.StoreLimits stateLimits,
+      Settings.WorkerTimings workerTimings,
+      Settings.StoreLimits storeLimits,
       double cpuShare,
       int sockets,
-      int count) {
+      int nodeCount) {
     ImmutableMap.Builder<String, Settings.Endpoint> peers = ImmutableMap.builder();
     ImmutableMap.Builder<String, String> peerZones = ImmutableMap.builder();
-    for (int i = 0; i < count; i++) {
+    for (int i = 0; i < nodeCount; i++) {
       if (!node.equals("roost-" + i)) {
         peers.put("roost-" + i, new Settings.Endpoint("10.0.0." + (i + 1), 8081));
-        peerZones.put("roost-" + i, zone(i, count));
+        peerZones.put("roost-" + i, zone(i, nodeCount));
       }
     }
     return new Settings(
         node,
-        zone(node.charAt(node.length() - 1) - '0', count),
+        zone(node.charAt(node.length() - 1) - '0', nodeCount),
         new Settings.Endpoint("10.0.0.1", 8080),
         new Settings.Endpoint("10.0.0.1", 8081),
         peers.build(),
@@ -72,20 +74,21 @@
         ImmutableList.of(
             new Settings.Objective(Settings.Objective.Kind.WAIT, "web", 5, 1, 0.9),
             new Settings.Objective(Settings.Objective.Kind.FINISHED, "batch", 40, 1, 0.9)),
-        workers,
-        stateLimits,
-        stateLimits,
+        workerTimings,
+        storeLimits,
+        storeLimits,
         new Settings.CloudLimits(2, 4),
         new Settings.ControllerResources(cpuShare, sockets, 148),
         OperatorSettings.DEFAULTS);
   }
 
-  /** The same settings, with announced limits of the store. */
-  static Settings withNextLimits(Settings base, Settings.StoreLimits next) {
-    return copy(base, base.teams(), base.objectives(), next, base.cloudLimits(), base.operator());
+  /** Returns the same settings with these announced limits of the store. */
+  static Settings withNextLimits(Settings base, Settings.StoreLimits nextLimits) {
+    return copy(
+        base, base.teams(), base.objectives(), nextLimits, base.cloudLimits(), base.operator());
   }
 
-  /** The same settings, with other operator settings. */
+  /** Returns the same settings with these operator settings. */
   static Settings withOperator(Settings base, OperatorSettings operator) {
     return copy(
         base,
@@ -96,36 +99,42 @@
         operator);
   }
 
-  /** Settings with which jobs are archived that long after their end. */
-  public static Settings archivingSettings(double seconds) {
-    return archivingSettings(seconds, OperatorSettings.DEFAULTS.maxEndedJobs());
+  /** Returns settings that archive jobs this long after their end. */
+  public static Settings archivingSettings(double retentionS) {
+    return archivingSettings(retentionS, OperatorSettings.DEFAULTS.maxEndedJobs());
   }
 
-  /** Settings with which jobs are archived that long after their end, or past this number. */
-  public static Settings archivingSettings(double seconds, int maxEndedJobs) {
+  /** Returns settings that archive jobs this long after their end, or beyond this number. */
+  public static Settings archivingSettings(double retentionS, int maxEndedJobs) {
     OperatorSettings defaults = OperatorSettings.DEFAULTS;
     return withOperator(
         settings("roost-0"),
-        operator(seconds, maxEndedJobs, defaults.standbyCount(), defaults.isLendingEnabled()));
+        operator(retentionS, maxEndedJobs, defaults.standbyCount(), defaults.isLendingEnabled()));
   }
 
-  /** The same settings, with this number of standbys. */
-  static Settings withStandbys(Settings base, int standbys) {
-    OperatorSettings own = base.operator();
+  /** Returns the same settings with this number of standbys. */
+  static Settings withStandbys(Settings base, int standbyCount) {
+    OperatorSettings current = base.operator();
     return withOperator(
         base,
-        operator(own.endedJobRetentionS(), own.maxEndedJobs(), standbys, own.isLendingEnabled()));
+        operator(
+            current.endedJobRetentionS(),
+            current.maxEndedJobs(),
+            standbyCount,
+            current.isLendingEnabled()));
   }
 
-  /** The same settings, with or without quota borrowing. */
+  /** Returns the same settings with or without quota borrowing. */
   static Settings withLending(Settings base, boolean lending) {
-    OperatorSettings own = base.operator();
+    OperatorSettings current = base.operator();
     return withOperator(
-        base, operator(own.endedJobRetentionS(), own.maxEndedJobs(), own.standbyCount(), lending));
+        base,
+        operator(
+            current.endedJobRetentionS(), current.maxEndedJobs(), current.standbyCount(), lending));
   }
 
   private static OperatorSettings operator(
-      double endedJobRetentionS, int maxEndedJobs, int standbys, boolean lending) {
+      double endedJobRetentionS, int maxEndedJobs, int standbyCount, boolean lending) {
     OperatorSettings defaults = OperatorSettings.DEFAULTS;
     return new OperatorSettings(
         defaults.updateWindowShare(),
@@ -135,13 +144,13 @@
         defaults.isSpotAllowed(),
         endedJobRetentionS,
         maxEndedJobs,
-        standbys,
+        standbyCount,
         lending,
         defaults.loanCooldownBoots(),
         defaults.traceFile());
   }
 
-  /** The same settings, with other teams. */
+  /** Returns the same settings with these teams. */
   static Settings withTeams(Settings base, ImmutableMap<String, Team> teams) {
     return copy(
         base,
@@ -152,14 +161,15 @@
         base.operator());
   }
 
-  /** The same settings, with another rate limit of the cloud. */
-  static Settings withCloudRate(Settings base, double rps) {
-    Settings.CloudLimits cloud = new Settings.CloudLimits(rps, base.cloudLimits().listLagS());
+  /** Returns the same settings with this rate limit of the cloud. */
+  static Settings withCloudRate(Settings base, double requestsPerS) {
+    Settings.CloudLimits cloud =
+        new Settings.CloudLimits(requestsPerS, base.cloudLimits().listLagS());
     return copy(
         base, base.teams(), base.objectives(), base.nextStoreLimits(), cloud, base.operator());
   }
 
-  /** The same settings, with other service-level objectives. */
+  /** Returns the same settings with these service-level objectives. */
   public static Settings withObjectives(
       Settings base, ImmutableList<Settings.Objective> objectives) {
     return copy(
@@ -175,7 +185,7 @@
       Settings base,
       ImmutableMap<String, Team> teams,
       ImmutableList<Settings.Objective> objectives,
-      Settings.StoreLimits next,
+      Settings.StoreLimits nextLimits,
       Settings.CloudLimits cloud,
       OperatorSettings operator) {
     return new Settings(
@@ -191,20 +201,22 @@
         objectives,
         base.workerTimings(),
         base.storeLimits(),
-        next,
+        nextLimits,
         cloud,
         base.controllerResources(),
         operator);
   }
 
-  /** The same job with tasks of this size and run time, on machines of this type, spot or not. */
-  public static Job withTaskShape(Job template, Resources demand, double runS, String type) {
-    return with(template, template.priority(), demand, ImmutableSet.of(type), true, runS);
+  /** Returns the same job with these task resources, run time and machine type, spot allowed. */
+  public static Job withTaskShape(
+      Job template, Resources taskResources, double runS, String machineType) {
+    return copyJob(
+        template, template.priority(), taskResources, ImmutableSet.of(machineType), true, runS);
   }
 
-  /** The same job with another run time of its tasks. */
+  /** Returns the same job with this run time of its tasks. */
   static Job withRunTime(Job template, double runS) {
-    return with(
+    return copyJob(
         template,
         template.priority(),
         template.taskResources(),
@@ -214,7 +226,7 @@
   }
 
   static Job withPriority(Job template, Priority priority) {
-    return with(
+    return copyJob(
         template,
         priority,
         template.taskResources(),
@@ -223,12 +235,12 @@
         template.estimatedRunS());
   }
 
-  private static Job with(
+  private static Job copyJob(
       Job template,
       Priority priority,
-      Resources demand,
-      ImmutableSet<String> types,
-      boolean spot,
+      Resources taskResources,
+      ImmutableSet<String> allowedTypes,
+      boolean isSpotAllowed,
       double runS) {
     return new Job(
         template.uid(),
@@ -237,12 +249,12 @@
         template.kind(),
         priority,
         template.tasks(),
-        demand,
-        types,
+        taskResources,
+        allowedTypes,
         template.requiredZone(),
         template.singleZone(),
         template.spreadZones(),
-        spot,
+        isSpotAllowed,
         template.image(),
         template.imageGb(),
         runS,
@@ -251,13 +263,19 @@
         template.deadlineS());
   }
 
-  /** A gang that saves every 2 s of its work, and takes 1 s to save when it is stopped. */
-  public static Job gang(int number, int tasks, double cpus, double runS, boolean oneZone) {
-    return gang(number, tasks, cpus, runS, oneZone, "blue", false);
+  /** Returns a gang with a checkpoint every 2 s that takes 1 s to save when it is stopped. */
+  public static Job gang(int number, int tasks, double cpus, double runS, boolean singleZone) {
+    return gang(number, tasks, cpus, runS, singleZone, "blue", false);
   }
 
   static Job gang(
-      int number, int tasks, double cpus, double runS, boolean oneZone, String team, boolean spot) {
+      int number,
+      int tasks,
+      double cpus,
+      double runS,
+      boolean singleZone,
+      String team,
+      boolean isSpotAllowed) {
     return new Job(
         "run-%06d".formatted(number),
         "plan",
@@ -268,9 +286,9 @@
         new Resources(cpus, team.equals("red") ? 1 : 0, 4),
         null,
         null,
-        oneZone,
+        singleZone,
         false,
-        spot,
+        isSpotAllowed,
         "img",
         1,
         runS,
@@ -279,17 +297,17 @@
         null);
   }
 
-  /** A job of team blue with the image {@code img}. */
+  /** Returns a job of team blue with the image {@code img}. */
   public static Job job(int number, JobKind kind, int tasks, double gpus) {
     return job(number, kind, tasks, gpus, "blue", Priority.HIGH, false, false);
   }
 
-  /** A job of team blue with this image. */
+  /** Returns a job of team blue with this image. */
   public static Job job(int number, JobKind kind, int tasks, double gpus, String image) {
     return job(number, kind, tasks, gpus, "blue", Priority.HIGH, false, false, image, 1);
   }
 
-  /** A job with the image {@code img}. */
+  /** Returns a job with the image {@code img}. */
   public static Job job(
       int number,
       JobKind kind,
@@ -297,12 +315,12 @@
       double gpus,
       String team,
       Priority priority,
-      boolean spread,
-      boolean spot) {
-    return job(number, kind, tasks, gpus, team, priority, spread, spot, "img", 1);
+      boolean isSpread,
+      boolean isSpotAllowed) {
+    return job(number, kind, tasks, gpus, team, priority, isSpread, isSpotAllowed, "img", 1);
   }
 
-  /** A job; the other forms call this one with defaults. */
+  /** Returns a job; the overloads call this method with defaults. */
   public static Job job(
       int number,
       JobKind kind,
@@ -310,8 +328,8 @@
       double gpus,
       String team,
       Priority priority,
-      boolean spread,
-      boolean spot,
+      boolean isSpread,
+      boolean isSpotAllowed,
       String image,
       double imageGb) {
     return new Job(
@@ -325,8 +343,8 @@
         null,
         null,
         false,
-        spread,
-        spot,
+        isSpread,
+        isSpotAllowed,
         image,
         imageGb,
         kind == JobKind.SERVICE ? 0 : 4,
@@ -335,7 +353,7 @@
         null);
   }
 
-  /** A job as a leader holds it that has just added it. */
+  /** Returns the state of a job that a leader has just added. */
   public static JobState jobState(Job job) {
     Backoff backoff = new Backoff(1, 2);
     return new JobState(
