--- a/src/test/java/eiderfork/controller/EffectDigest.java
+++ b/src/test/java/eiderfork/controller/EffectDigest.java
@@ -65,11 +65,11 @@
       putMessage("return", CloudCodec.RETURN_PATH, CloudCodec.encodeReturn(returnCall.machines()));
     } else if (call instanceof Effect.ListHosts listCall) {
       putMessage("hosts", CloudCodec.hostsPath(listCall.after()));
-    } else if (call instanceof Effect.SendCommands commandsCall) {
+    } else if (call instanceof Effect.SendCommands sendCall) {
       byte[] body =
           WorkerCodec.encodeCommands(
-              commandsCall.fencingToken(), commandsCall.incarnation(), commandsCall.commands());
-      putMessage("commands", commandsCall.address(), body);
+              sendCall.fencingToken(), sendCall.incarnation(), sendCall.commands());
+      putMessage("commands", sendCall.address(), body);
     } else if (call instanceof Effect.InspectWorker inspectCall) {
       putMessage("inspect", inspectCall.address());
     } else {
--- a/src/test/java/eiderfork/controller/FakeHeartbeats.java
+++ b/src/test/java/eiderfork/controller/FakeHeartbeats.java
@@ -33,7 +33,7 @@
     if (!keptForNextLeader.isEmpty() && cluster.store.get(StoreKeys.LEADER) != null) {
       if (lastLeadership != null && !lastLeadership.equals(cluster.store.get(StoreKeys.LEADER))) {
         for (eiderfork.model.Heartbeat heartbeat : keptForNextLeader) {
-          cluster.controllers.keySet().forEach(node -> deliverAgain(node, heartbeat));
+          cluster.controllers.keySet().forEach(node -> redeliver(node, heartbeat));
         }
         keptForNextLeader.clear();
       }
@@ -48,42 +48,38 @@
     }
     boolean isDueEarly =
         worker.hasUnsentChanges
-            && cluster.nowMs
-                >= Math.min(worker.nextHeartbeatMs - 500, worker.lastHeartbeatMs + 1000);
-    if (cluster.nowMs < worker.nextHeartbeatMs && !isDueEarly) {
+            && cluster.nowMs >= Math.min(worker.nextDueMs - 500, worker.lastSentMs + 1000);
+    if (cluster.nowMs < worker.nextDueMs && !isDueEarly) {
       return;
     }
     worker.hasUnsentChanges = false;
     worker.awaitingResponse = true;
-    worker.lastHeartbeatMs = cluster.nowMs;
+    worker.lastSentMs = cluster.nowMs;
     long intervalMs = (long) (cluster.settings.workerTimings().heartbeatS() * 1000);
-    worker.nextHeartbeatMs =
-        cluster.nowMs + intervalMs * 3 / 4 + cluster.random.nextLong(intervalMs / 2);
+    worker.nextDueMs = cluster.nowMs + intervalMs * 3 / 4 + cluster.random.nextLong(intervalMs / 2);
     long sentMs = cluster.nowMs;
     long incarnation = worker.incarnation();
     var heartbeat = worker.nextHeartbeat();
     String node = "roost-" + worker.nodeIndex;
-    boolean[] isCompleted = {false};
+    boolean[] done = {false};
     cluster.schedule(
         4000,
         () -> {
-          if (!isCompleted[0]) {
-            isCompleted[0] = true;
+          if (!done[0]) {
+            done[0] = true;
             worker.awaitingResponse = false;
             worker.nodeIndex = (worker.nodeIndex + 1) % cluster.nodeCount;
-            worker.nextHeartbeatMs = cluster.nowMs + 1000;
+            worker.nextDueMs = cluster.nowMs + 1000;
           }
         });
     String name = worker.machine.name();
     String link = name + ">" + node;
     boolean isBlocked =
-        cluster.isCut("*", node)
-            || cluster.isCut(name, node)
-            || cluster.blockedConnections.contains(link);
+        cluster.isCut("*", node) || cluster.isCut(name, node) || cluster.oneWayCuts.contains(link);
     if (cluster.random.nextDouble() < cluster.repeatedHeartbeatProbability) {
       long leaseMs = (long) (cluster.settings.workerTimings().leaseS() * 1000);
       cluster.schedule(
-          2000 + cluster.random.nextLong(leaseMs * 3 / 2), () -> deliverAgain(node, heartbeat));
+          2000 + cluster.random.nextLong(leaseMs * 3 / 2), () -> redeliver(node, heartbeat));
     }
     if (cluster.random.nextDouble() < cluster.nextLeaderHeartbeatProbability) {
       keptForNextLeader.add(heartbeat);
@@ -91,9 +87,8 @@
     int copies = cluster.random.nextDouble() < cluster.duplicateProbability ? 2 : 1;
     for (int i = 0; i < copies; i++) {
       long holdMs = cluster.nowMs < delayWindowEndMs ? windowDelayMs : 0;
-      holdMs =
-          Math.max(holdMs, cluster.heartbeatsHeldUntilMs.getOrDefault(link, 0L) - cluster.nowMs);
-      long delayMs = isBlocked ? -1 : cluster.messageDelayMs(name, node);
+      holdMs = Math.max(holdMs, cluster.heldUntilMs.getOrDefault(link, 0L) - cluster.nowMs);
+      long delayMs = isBlocked ? -1 : cluster.delayMs(name, node);
       if (delayMs < 0) {
         continue;
       }
@@ -104,28 +99,26 @@
                   node,
                   ticket -> new Input.WorkerReport(ticket, heartbeat),
                   effect -> {
-                    long responseDelayMs =
-                        cluster.isCut(node, "*") ? -1 : cluster.messageDelayMs(node, name);
-                    if (responseDelayMs >= 0) {
+                    long backMs = cluster.isCut(node, "*") ? -1 : cluster.delayMs(node, name);
+                    if (backMs >= 0) {
                       cluster.schedule(
-                          responseDelayMs,
-                          () -> deliverResponse(worker, isCompleted, sentMs, incarnation, effect));
+                          backMs, () -> deliverResponse(worker, done, sentMs, incarnation, effect));
                     }
                   }));
     }
   }
 
   /** Delivers an old copy of a heartbeat; its response is dropped. */
-  private void deliverAgain(String node, eiderfork.model.Heartbeat heartbeat) {
+  private void redeliver(String node, eiderfork.model.Heartbeat heartbeat) {
     cluster.sendRequest(node, ticket -> new Input.WorkerReport(ticket, heartbeat), effect -> {});
   }
 
   private void deliverResponse(
-      FakeWorker worker, boolean[] isCompleted, long sentMs, long incarnation, Effect effect) {
-    if (isCompleted[0] || worker.isDead || worker.isHanging) {
+      FakeWorker worker, boolean[] done, long sentMs, long incarnation, Effect effect) {
+    if (done[0] || worker.isDead || worker.isHanging) {
       return;
     }
-    isCompleted[0] = true;
+    done[0] = true;
     worker.awaitingResponse = false;
     if (effect instanceof Effect.RespondToWorker workerResponse) {
       worker.handleResponse(
@@ -133,10 +126,10 @@
     } else if (effect instanceof Effect.RedirectWorker redirect) {
       if (redirect.leader() != null && !redirect.leader().equals("roost-" + worker.nodeIndex)) {
         worker.nodeIndex = redirect.leader().charAt(redirect.leader().length() - 1) - '0';
-        worker.nextHeartbeatMs = cluster.nowMs + cluster.random.nextLong(500);
+        worker.nextDueMs = cluster.nowMs + cluster.random.nextLong(500);
       } else {
         worker.nodeIndex = (worker.nodeIndex + 1) % cluster.nodeCount;
-        worker.nextHeartbeatMs = cluster.nowMs + 1000;
+        worker.nextDueMs = cluster.nowMs + 1000;
       }
     }
   }
--- a/src/test/java/eiderfork/controller/FakeNetwork.java
+++ b/src/test/java/eiderfork/controller/FakeNetwork.java
@@ -21,7 +21,7 @@
   }
 
   /** Returns the delay of a message, or -1 if it is lost. */
-  long messageDelayMs(String from, String to) {
+  long delayMs(String from, String to) {
     if (cluster.isCut(from, to) || cluster.random.nextDouble() < cluster.lossProbability) {
       return -1;
     }
@@ -51,14 +51,14 @@
     cluster.schedule(call.timeoutMs(), () -> complete.accept(new Reply.Unanswered()));
     int copies = cluster.random.nextDouble() < cluster.duplicateProbability ? 2 : 1;
     for (int i = 0; i < copies; i++) {
-      long requestDelayMs = messageDelayMs(node, to);
+      long requestDelayMs = delayMs(node, to);
       if (requestDelayMs >= 0) {
         cluster.schedule(
             requestDelayMs,
             () ->
                 service.serve(
                     reply -> {
-                      long replyDelayMs = messageDelayMs(to, node);
+                      long replyDelayMs = delayMs(to, node);
                       if (replyDelayMs >= 0) {
                         cluster.schedule(replyDelayMs, () -> complete.accept(reply));
                       }
@@ -103,18 +103,16 @@
           });
     } else if (effect instanceof Effect.ListHosts listCall) {
       callCloud(node, listCall, () -> cluster.cloud.listHosts(listCall.after(), cluster.nowMs));
-    } else if (effect instanceof Effect.SendCommands commandsCall) {
+    } else if (effect instanceof Effect.SendCommands sendCall) {
       callWorker(
           node,
-          commandsCall,
-          commandsCall.address(),
+          sendCall,
+          sendCall.address(),
           cluster.commandDelayMs,
           worker -> {
             boolean executed =
                 worker.handleDirectCommands(
-                    commandsCall.fencingToken(),
-                    commandsCall.incarnation(),
-                    commandsCall.commands());
+                    sendCall.fencingToken(), sendCall.incarnation(), sendCall.commands());
             return new Reply.WorkerReply(executed, worker.nextHeartbeat());
           });
     } else if (effect instanceof Effect.InspectWorker inspectCall) {
--- a/src/test/java/eiderfork/controller/FakeWorker.java
+++ b/src/test/java/eiderfork/controller/FakeWorker.java
@@ -55,8 +55,8 @@
   private long sequenceNumber;
   long fencingToken;
   private long lastAnsweredHeartbeatMs;
-  long nextHeartbeatMs;
-  long lastHeartbeatMs;
+  long nextDueMs;
+  long lastSentMs;
   boolean awaitingResponse;
   int nodeIndex;
   boolean isDead;
--- a/src/test/java/eiderfork/controller/SilentWorkerHistoryTest.java
+++ b/src/test/java/eiderfork/controller/SilentWorkerHistoryTest.java
@@ -84,12 +84,12 @@
     assertEquals(2, silent.taskIds().size());
     assertEquals(4, full.taskIds().size());
 
-    long heardMs = silent.lastHeartbeatMs;
-    while (silent.lastHeartbeatMs == heardMs || silent.awaitingResponse) {
+    long heardMs = silent.lastSentMs;
+    while (silent.lastSentMs == heardMs || silent.awaitingResponse) {
       cluster.run(0.01);
     }
     String name = silent.machine.name();
-    long sinceMs = cluster.nowMs - silent.lastHeartbeatMs;
+    long sinceMs = cluster.nowMs - silent.lastSentMs;
     cluster.holdHeartbeats(name, heldMs - sinceMs);
     cluster.schedule(
         heldMs + 100 - sinceMs, () -> cluster.blockHeartbeats(name, cluster.leader(), 20_000));
--- a/src/test/java/eiderfork/controller/SimulatedCluster.java
+++ b/src/test/java/eiderfork/controller/SimulatedCluster.java
@@ -65,10 +65,10 @@
    * Links, as "from>to", over which "from" can't open connections; its responses over connections
    * that "to" opened still arrive.
    */
-  final Set<String> blockedConnections = new HashSet<>();
+  final Set<String> oneWayCuts = new HashSet<>();
 
   /** The time until which heartbeats are held back, by link as "from>to". */
-  final Map<String, Long> heartbeatsHeldUntilMs = new HashMap<>();
+  final Map<String, Long> heldUntilMs = new HashMap<>();
 
   /** The probability that a message is lost. */
   double lossProbability;
@@ -285,15 +285,14 @@
 
   /** Holds back heartbeats of this machine until this time has passed. */
   void holdHeartbeats(String machine, long durationMs) {
-    nodeNames()
-        .forEach(node -> heartbeatsHeldUntilMs.put(machine + ">" + node, nowMs + durationMs));
+    nodeNames().forEach(node -> heldUntilMs.put(machine + ">" + node, nowMs + durationMs));
   }
 
   /** Keeps a worker from opening connections to this node; commands and their responses pass. */
   void blockHeartbeats(String machine, String node, long durationMs) {
     String link = machine + ">" + node;
-    blockedConnections.add(link);
-    schedule(durationMs, () -> blockedConnections.remove(link));
+    oneWayCuts.add(link);
+    schedule(durationMs, () -> oneWayCuts.remove(link));
   }
 
   /** Keeps a worker from opening connections to any node; commands and their responses pass. */
@@ -330,8 +329,8 @@
   }
 
   /** Returns the delay of a message, or -1 if it is lost. */
-  long messageDelayMs(String from, String to) {
-    return network.messageDelayMs(from, to);
+  long delayMs(String from, String to) {
+    return network.delayMs(from, to);
   }
 
   /** Makes the store refuse requests of this node; its watches stay open. */
@@ -376,8 +375,8 @@
     commandDelayMs = 0;
     storeDelayMs = 0;
     cutLinks.clear();
-    blockedConnections.clear();
-    heartbeatsHeldUntilMs.clear();
+    oneWayCuts.clear();
+    heldUntilMs.clear();
     storeAccess.refusedNodes.clear();
     frozenUntilMs.clear();
     workers().forEach(worker -> worker.isHanging = false);
