--- a/src/main/java/eiderfork/controller/autoscaling/ProvisioningIntents.java
+++ b/src/main/java/eiderfork/controller/autoscaling/ProvisioningIntents.java
@@ -44,7 +44,7 @@
           if (reply instanceof Reply.Committed || isOwnEarlierWrite(reply)) {
             onCommitted.run();
           } else if (reply instanceof Reply.Conflict) {
-            election.leaderConditionFailed();
+            election.onLeaderConditionFailed();
           } else if (reply instanceof Reply.Unanswered) {
             storeIntent(key, record, isStillOpen, onCommitted, onFailed);
           } else {
@@ -71,7 +71,7 @@
         RequestPriority.CLEANUP,
         reply -> {
           if (reply instanceof Reply.Conflict) {
-            election.leaderConditionFailed();
+            election.onLeaderConditionFailed();
           }
         });
   }
--- a/src/main/java/eiderfork/controller/cluster/CancellationTracker.java
+++ b/src/main/java/eiderfork/controller/cluster/CancellationTracker.java
@@ -111,7 +111,7 @@
   }
 
   /** The job is archived, so that nothing of it runs; its cancellation is not read any more. */
-  public void jobArchived(String uid) {
+  public void recordArchived(String uid) {
     storedUids.remove(uid);
   }
 
--- a/src/main/java/eiderfork/controller/election/LeaderElection.java
+++ b/src/main/java/eiderfork/controller/election/LeaderElection.java
@@ -93,7 +93,7 @@
   private boolean requestPending;
 
   private long nextAttemptMs;
-  private long vacancySeenMs = NEVER;
+  private long leaderLossDetectedMs = NEVER;
 
   /** Makes a follower; {@code listener} is notified of changes of leadership. */
   public LeaderElection(ControllerContext context, StoreClient store, Listener listener) {
@@ -138,7 +138,7 @@
   }
 
   /** The smallest fencing token of the next term. */
-  public long endOfFencingTokens() {
+  public long firstFencingTokenOfNextTerm() {
     return (term + 1) << TOKEN_SEQUENCE_BITS;
   }
 
@@ -153,13 +153,13 @@
   }
 
   /** The revision as which this leader's key was written. */
-  public long leaderRevision() {
+  public long leaderKeyRevision() {
     return leaderKeyVersion;
   }
 
   /** When the leadership that this node holds was first seen to be vacant; -1 where it was not. */
-  public long vacancySeenMs() {
-    return vacancySeenMs;
+  public long leaderLossDetectedMs() {
+    return leaderLossDetectedMs;
   }
 
   /** Renews the lease, or looks for a leadership that is vacant. */
@@ -189,7 +189,7 @@
   }
 
   /** The leader key's conditions failed: another node's key stands there. */
-  public void leaderConditionFailed() {
+  public void onLeaderConditionFailed() {
     if (isLeading()) {
       LOG.warn("leadership-lost reason=leader-key-changed term={}", term);
       stepDown();
@@ -273,7 +273,7 @@
             retryAfterBackoff();
           } else if (!changes.items().isEmpty()) {
             leader = null;
-            vacancySeenMs = context.nowMs();
+            leaderLossDetectedMs = context.nowMs();
           }
         });
   }
--- a/src/main/java/eiderfork/controller/jobs/JobArchiver.java
+++ b/src/main/java/eiderfork/controller/jobs/JobArchiver.java
@@ -188,7 +188,7 @@
 
   private void onConflict(List<JobState> batch, Reply.Conflict conflict) {
     if (conflict.failedKeys().contains(StoreKeys.LEADER)) {
-      election.leaderConditionFailed();
+      election.onLeaderConditionFailed();
       return;
     }
     for (JobState job : batch) {
@@ -207,7 +207,7 @@
   private void onArchived(JobState job) {
     archivedSinceLog++;
     jobs.evict(job);
-    cancellations.jobArchived(job.spec().uid());
+    cancellations.recordArchived(job.spec().uid());
   }
 
   private void logCounts() {
--- a/src/main/java/eiderfork/controller/recovery/CommittedChangeApplier.java
+++ b/src/main/java/eiderfork/controller/recovery/CommittedChangeApplier.java
@@ -59,7 +59,7 @@
   private void applyRemoval(String key) {
     String uid = StoreKeys.withoutPrefix(key);
     if (key.startsWith(StoreKeys.CANCELLATION_PREFIX)) {
-      cancellations.jobArchived(uid);
+      cancellations.recordArchived(uid);
     } else if (key.startsWith(StoreKeys.JOB_PREFIX) && jobs.get(uid) != null) {
       jobs.evict(jobs.get(uid));
     }
--- a/src/main/java/eiderfork/controller/recovery/FailoverTimer.java
+++ b/src/main/java/eiderfork/controller/recovery/FailoverTimer.java
@@ -32,7 +32,8 @@
   /** Starts the timer when this node is elected. */
   public void onElected() {
     electedMs = context.nowMs();
-    vacantSinceMs = election.vacancySeenMs() < 0 ? electedMs : election.vacancySeenMs();
+    vacantSinceMs =
+        election.leaderLossDetectedMs() < 0 ? electedMs : election.leaderLossDetectedMs();
     recoveredMs = 0;
     firstResponseMs = 0;
     fromReplica = false;
--- a/src/main/java/eiderfork/controller/recovery/LeaderRecovery.java
+++ b/src/main/java/eiderfork/controller/recovery/LeaderRecovery.java
@@ -74,7 +74,7 @@
       return;
     }
     replica.catchUp(
-        election.leaderRevision(),
+        election.leaderKeyRevision(),
         isComplete -> {
           if (isComplete) {
             replicaRecovery.restore(replica, revision -> finish(leadingTerm, revision, true));
--- a/src/main/java/eiderfork/controller/registry/AllocationWriter.java
+++ b/src/main/java/eiderfork/controller/registry/AllocationWriter.java
@@ -192,7 +192,7 @@
   private void onConflict(PendingWrite write, Reply.Conflict conflict) {
     String uid = write.uid();
     if (conflict.failedKeys().contains(StoreKeys.LEADER)) {
-      election.leaderConditionFailed();
+      election.onLeaderConditionFailed();
     } else if (conflict.failedKeys().contains(StoreKeys.ended(uid))) {
       LOG.info("archived-job-resubmitted job={}", uid);
       jobs.evict(write.job);
--- a/src/main/java/eiderfork/controller/workers/CancellationWatcher.java
+++ b/src/main/java/eiderfork/controller/workers/CancellationWatcher.java
@@ -119,7 +119,7 @@
 
   private void apply(Reply.Item item) {
     if (item.record() == null) {
-      cancellations.jobArchived(StoreKeys.withoutPrefix(item.key()));
+      cancellations.recordArchived(StoreKeys.withoutPrefix(item.key()));
     } else if (item.record() instanceof StoredRecord.Cancellation cancellation) {
       cancellations.recordStored(cancellation.uid());
     }
--- a/src/main/java/eiderfork/controller/workers/DirectCommandSender.java
+++ b/src/main/java/eiderfork/controller/workers/DirectCommandSender.java
@@ -168,7 +168,7 @@
   private void onWorkerReply(MachineState machine, Reply.WorkerReply reply) {
     machine.commandChannel().onReply();
     long reportedToken = reply.heartbeat().fencingToken();
-    if (reportedToken >= election.endOfFencingTokens()) {
+    if (reportedToken >= election.firstFencingTokenOfNextTerm()) {
       election.observeTerm(reportedToken >> LeaderElection.TOKEN_SEQUENCE_BITS);
       return;
     }
--- a/src/main/java/eiderfork/controller/workers/WorkerCommander.java
+++ b/src/main/java/eiderfork/controller/workers/WorkerCommander.java
@@ -90,7 +90,7 @@
 
   /** Handles a heartbeat that a worker sent to this node, which must be the leader. */
   public void handleHeartbeat(long ticket, Heartbeat heartbeat) {
-    if (heartbeat.fencingToken() >= election.endOfFencingTokens()) {
+    if (heartbeat.fencingToken() >= election.firstFencingTokenOfNextTerm()) {
       // The token was issued by a later leader, so this node's term is over.
       election.observeTerm(heartbeat.fencingToken() >> LeaderElection.TOKEN_SEQUENCE_BITS);
       context.emit(new Effect.RedirectWorker(ticket, null));
--- a/src/main/java/eiderfork/controller/workers/WorkerRedirector.java
+++ b/src/main/java/eiderfork/controller/workers/WorkerRedirector.java
@@ -34,7 +34,7 @@
         && election.leader() != null
         && !heartbeat.tasks().isEmpty()
         && heartbeat.fencingToken() >= election.firstFencingToken()
-        && heartbeat.fencingToken() < election.endOfFencingTokens();
+        && heartbeat.fencingToken() < election.firstFencingTokenOfNextTerm();
   }
 
   /**
--- a/src/test/java/eiderfork/controller/WorkerCommanderTest.java
+++ b/src/test/java/eiderfork/controller/WorkerCommanderTest.java
@@ -299,7 +299,7 @@
 
   @Test
   void tokenOfALaterTermEndsThisOne() {
-    sendHeartbeat(INCARNATION, 2, election.endOfFencingTokens());
+    sendHeartbeat(INCARNATION, 2, election.firstFencingTokenOfNextTerm());
     assertFalse(election.isLeading());
   }
 
