--- a/src/test/java/eiderfork/controller/EffectDigestTest.java
+++ b/src/test/java/eiderfork/controller/EffectDigestTest.java
@@ -74,7 +74,7 @@
     SILENT_WORKERS_CHANGING_LEADERS(
         "silent-leaders",
         scripted(
-            SilentWorkerHistoryTest::changingCluster, SilentWorkerHistoryTest::playWithChanges)),
+            SilentWorkerHistoryTest::newVariedCluster, SilentWorkerHistoryTest::playWithFaults)),
     STANDBY("standby", scripted(StandbyFailoverTest::randomCluster, StandbyFailoverTest::play)),
     UPGRADE("upgrade", scripted(RollingUpgradeTest::older, RollingUpgradeTest::play)),
     GANGS("gangs", scripted(SimulatedCluster::new, GangTest::play)),
@@ -115,7 +115,7 @@
   }
 
   private static List<Job> playConcurrentFaults(SimulatedCluster cluster, long seed) {
-    RandomHistoryTest.troublesMeet(cluster, seed);
+    RandomHistoryTest.scheduleOverlappingFaults(cluster, seed);
     return RandomHistoryTest.play(cluster, seed);
   }
 
--- a/src/test/java/eiderfork/controller/RandomHistoryTest.java
+++ b/src/test/java/eiderfork/controller/RandomHistoryTest.java
@@ -33,12 +33,12 @@
   @ValueSource(longs = {31, 32, 33, 34, 35, 36, 37, 38, 39, 40, 41, 42, 43, 44, 45, 46})
   void rulesHoldWhereTroublesMeet(long seed) {
     SimulatedCluster cluster = new SimulatedCluster(seed);
-    troublesMeet(cluster, seed);
+    scheduleOverlappingFaults(cluster, seed);
     rulesHold(cluster, seed);
   }
 
   /** Has several kinds of trouble meet in a history that is not played yet. */
-  static void troublesMeet(SimulatedCluster cluster, long seed) {
+  static void scheduleOverlappingFaults(SimulatedCluster cluster, long seed) {
     Random script = new Random(seed * 37);
     cluster.lateTransactionProbability = 0.08;
     cluster.lostStoreReplyProbability = 0.08;
--- a/src/test/java/eiderfork/controller/SilentWorkerHistoryTest.java
+++ b/src/test/java/eiderfork/controller/SilentWorkerHistoryTest.java
@@ -122,18 +122,18 @@
   @ParameterizedTest
   @MethodSource("seeds")
   void noTaskIsInTwoPlacesWhereLeadersChange(long seed) {
-    SimulatedCluster cluster = changingCluster(seed);
-    playWithChanges(cluster, seed);
+    SimulatedCluster cluster = newVariedCluster(seed);
+    playWithFaults(cluster, seed);
     rulesHold(cluster);
   }
 
   /** Where the histories with changing leaders are played. */
-  static SimulatedCluster changingCluster(long seed) {
+  static SimulatedCluster newVariedCluster(long seed) {
     return newCluster(seed, settings(seed));
   }
 
   /** Plays the history of this seed with changing leaders, and tells the jobs. */
-  static List<Job> playWithChanges(SimulatedCluster cluster, long seed) {
+  static List<Job> playWithFaults(SimulatedCluster cluster, long seed) {
     Random script = new Random(seed * 43);
     for (int i = 0; i < TROUBLES; i++) {
       cluster.schedule(8000 + script.nextInt(TROUBLED_MS), () -> injectFault(cluster, script));
