--- a/src/test/java/eiderfork/controller/EffectDigestTest.java
+++ b/src/test/java/eiderfork/controller/EffectDigestTest.java
@@ -76,7 +76,7 @@
         scripted(
             SilentWorkerHistoryTest::changingCluster, SilentWorkerHistoryTest::playWithChanges)),
     STANDBY("standby", scripted(StandbyFailoverTest::randomCluster, StandbyFailoverTest::play)),
-    UPGRADE("upgrade", scripted(RollingUpgradeTest::older, RollingUpgradeTest::play)),
+    UPGRADE("upgrade", scripted(RollingUpgradeTest::olderVersionCluster, RollingUpgradeTest::play)),
     GANGS("gangs", scripted(SimulatedCluster::new, GangTest::play)),
     SPLIT("split", scripted(LeaseProxyTest::newCluster, LeaseProxyTest::playSplit)),
     ARCHIVE("archive", scripted(JobArchiverTest::newCluster, JobArchiverTest::play)),
--- a/src/test/java/eiderfork/controller/RollingUpgradeTest.java
+++ b/src/test/java/eiderfork/controller/RollingUpgradeTest.java
@@ -27,7 +27,7 @@
   private static final StoreLimits NEXT = new StoreLimits(200, 18, 2, 16);
 
   /** Three nodes of the version before. */
-  static SimulatedCluster older(long seed) {
+  static SimulatedCluster olderVersionCluster(long seed) {
     SimulatedCluster cluster =
         new SimulatedCluster(
             seed,
@@ -66,7 +66,7 @@
   @ParameterizedTest
   @MethodSource("orders")
   void anUpgradeInAnyOrderLosesNothing(List<Integer> order) {
-    SimulatedCluster cluster = older(31);
+    SimulatedCluster cluster = olderVersionCluster(31);
     List<Job> jobs = new ArrayList<>();
     for (int i = 1; i <= 12; i++) {
       Job job = TestFixtures.job(i, i % 3 == 0 ? JobKind.SERVICE : JobKind.ARRAY, 1 + i % 4, 1);
@@ -104,7 +104,7 @@
   /** A version that reads the packed form, but not the bitmaps, never finds one. */
   @Test
   void bitmapsWaitUntilEveryNodeReadsThem() {
-    SimulatedCluster cluster = older(34);
+    SimulatedCluster cluster = olderVersionCluster(34);
     cluster.olderVersion = ClusterVersion.ARCHIVED_JOBS;
     cluster.nodeNames().forEach(node -> cluster.crashNode(node, 100));
     cluster.run(5);
@@ -132,7 +132,7 @@
   /** The gate's proof is stored: nobody has to be asked again when all nodes end. */
   @Test
   void aLaterLeaderNeedsNoProof() {
-    SimulatedCluster cluster = older(32);
+    SimulatedCluster cluster = olderVersionCluster(32);
     cluster.run(5);
     cluster.nodeNames().forEach(node -> upgrade(cluster, node));
     cluster.run(12);
@@ -162,7 +162,7 @@
   /** A node that is away may be an old one: nothing but gangs and the packed form waits for it. */
   @Test
   void aMissingNodeKeepsTheGateShut() {
-    SimulatedCluster cluster = older(33);
+    SimulatedCluster cluster = olderVersionCluster(33);
     cluster.run(5);
     upgrade(cluster, "roost-0");
     upgrade(cluster, "roost-1");
@@ -187,7 +187,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
   void rulesHoldWhileBothVersionsServeUnderTroubles(long seed) {
-    SimulatedCluster cluster = older(seed);
+    SimulatedCluster cluster = olderVersionCluster(seed);
     ExpectedOutcome.assertAllJobsServed(cluster, play(cluster, seed));
   }
 
@@ -252,7 +252,7 @@
   @ParameterizedTest
   @CsvSource({"0,-1", "0,0", "0,400", "500,0", "2000,600", "6000,-1", "6000,300"})
   void aRecordThatProductionLeftTooLargeIsStillWritten(int lowerAfterMs, int crashAfterMs) {
-    SimulatedCluster cluster = older(34);
+    SimulatedCluster cluster = olderVersionCluster(34);
     cluster.cloud.defaultStock = 60;
     cluster.run(8);
     Job array = manyMachines(1, 120, 45);
@@ -280,7 +280,7 @@
   /** While a node is missing the packed form may not be written; the job still runs to its end. */
   @Test
   void aRecordThatIsTooLargeIsWrittenOnceEnoughTasksHaveEnded() {
-    SimulatedCluster cluster = older(34);
+    SimulatedCluster cluster = olderVersionCluster(34);
     cluster.cloud.defaultStock = 60;
     cluster.run(8);
     Job array = manyMachines(1, 160, 45);
@@ -315,7 +315,7 @@
    */
   @Test
   void aSubmissionThatCannotBeStoredIsRefusedAtOnce() {
-    SimulatedCluster cluster = older(35);
+    SimulatedCluster cluster = olderVersionCluster(35);
     cluster.nodeNames().forEach(node -> upgrade(cluster, node));
     cluster.run(12);
     Job before = withImage(TestFixtures.job(1, JobKind.ARRAY, 1, 1), "x".repeat(2500));
@@ -347,7 +347,7 @@
   /** The leader keeps to the lower rate once a change was refused, and loses no term over it. */
   @Test
   void aLowerRateOfChangesStarvesNobody() {
-    SimulatedCluster cluster = older(36);
+    SimulatedCluster cluster = olderVersionCluster(36);
     cluster.nodeNames().forEach(node -> upgrade(cluster, node));
     cluster.run(15);
     String leader = cluster.leader();
