--- a/src/main/java/eiderfork/controller/jobs/UserRequestHandler.java
+++ b/src/main/java/eiderfork/controller/jobs/UserRequestHandler.java
@@ -152,7 +152,7 @@
     } else if (!(request instanceof Input.Query) || LOG.isDebugEnabled()) {
       LOG.info(
           "request-failed request={} job={} status={} error=\"{}\"",
-          request.getClass().getSimpleName(),
+          request.loggedName(),
           jobUid(request),
           response.status(),
           response.error());
--- a/src/main/java/eiderfork/controller/message/Input.java
+++ b/src/main/java/eiderfork/controller/message/Input.java
@@ -6,6 +6,14 @@
 
 /** What a controller has to handle. */
 public sealed interface Input {
+  /**
+   * Returns the input's kind as logs and metrics name it. A record that is renamed keeps its old
+   * name here and in {@code toString}, since dashboards and log searches match it.
+   */
+  default String loggedName() {
+    return getClass().getSimpleName();
+  }
+
   /** Time has passed. */
   record Tick() implements Input {}
 
--- a/src/main/java/eiderfork/net/EventLoopMetrics.java
+++ b/src/main/java/eiderfork/net/EventLoopMetrics.java
@@ -40,7 +40,7 @@
 
   /** An input took that long, including its effects. */
   void recordInput(Input input, long nanos) {
-    String kind = input.getClass().getSimpleName();
+    String kind = input.loggedName();
     statsByKind.computeIfAbsent(kind, k -> new InputStats()).add(nanos);
   }
 
