--- a/src/main/java/eiderfork/controller/Controller.java
+++ b/src/main/java/eiderfork/controller/Controller.java
@@ -232,12 +232,12 @@
   }
 
   /** How many looks at a machine the last round and the last plan took. */
-  int machinesExamined() {
+  int totalMachineExaminations() {
     return scheduler.machineExaminations() + autoscaler.examinedBins();
   }
 
   /** How many looks at a machine the last round took. */
-  int machinesExaminedInRound() {
+  int roundMachineExaminations() {
     return scheduler.machineExaminations();
   }
 
@@ -259,15 +259,15 @@
   private void dispatch(Input input) {
     if (input instanceof Input.Tick) {
       tick();
-    } else if (input instanceof Input.Answered answered) {
+    } else if (input instanceof Input.CallCompleted answered) {
       context.completeCall(answered.callId(), answered.reply());
-    } else if (input instanceof Input.WorkerReport heartbeat) {
-      heartbeats.handle(heartbeat.ticket(), heartbeat.report());
+    } else if (input instanceof Input.WorkerHeartbeat heartbeat) {
+      heartbeats.handle(heartbeat.ticket(), heartbeat.heartbeat());
     } else if (input instanceof Input.Submit submission) {
       handleUserRequest(submission.ticket(), submission, true);
     } else if (input instanceof Input.Query query) {
       handleUserRequest(query.ticket(), query, true);
-    } else if (input instanceof Input.Abort cancellation) {
+    } else if (input instanceof Input.Cancel cancellation) {
       handleUserRequest(cancellation.ticket(), cancellation, true);
     } else if (input instanceof Input.PeerRequest forwarded) {
       handleUserRequest(forwarded.ticket(), forwarded.request(), false);
--- a/src/main/java/eiderfork/controller/autoscaling/MachineListPoller.java
+++ b/src/main/java/eiderfork/controller/autoscaling/MachineListPoller.java
@@ -92,7 +92,7 @@
     long timeoutMs = CloudProvisioner.callTimeoutMs(context);
     isInFlight = true;
     context.call(
-        callId -> new Effect.ListHosts(callId, current.lastName, timeoutMs),
+        callId -> new Effect.ListMachines(callId, current.lastName, timeoutMs),
         reply -> {
           if (listing == current) {
             isInFlight = false;
--- a/src/main/java/eiderfork/controller/autoscaling/ScaleInRequests.java
+++ b/src/main/java/eiderfork/controller/autoscaling/ScaleInRequests.java
@@ -88,7 +88,7 @@
   private void submitNextBatch() {
     ImmutableList<String> batch = nextBatch();
     batch.forEach(pendingNames::remove);
-    String key = StoreKeys.RETURN_PREFIX + nextRequestName();
+    String key = StoreKeys.SCALE_IN_INTENT_PREFIX + nextRequestName();
     submit(new Return(key, batch, newBackoff()), new StoredRecord.ScaleInIntent(batch));
   }
 
--- a/src/main/java/eiderfork/controller/autoscaling/ScaleOutRequests.java
+++ b/src/main/java/eiderfork/controller/autoscaling/ScaleOutRequests.java
@@ -53,7 +53,7 @@
     private ImmutableList<String> machineNames;
 
     private Rent(StoredRecord.ScaleOutIntent intent, Backoff backoff) {
-      super(StoreKeys.RENT_PREFIX + intent.requestName(), backoff);
+      super(StoreKeys.SCALE_OUT_INTENT_PREFIX + intent.requestName(), backoff);
       this.intent = intent;
     }
 
--- a/src/main/java/eiderfork/controller/election/LeaderLease.java
+++ b/src/main/java/eiderfork/controller/election/LeaderLease.java
@@ -74,7 +74,7 @@
 
   /** Ends the lease in the store, and with it the leader key. */
   void release() {
-    store.send(new StoreRequest.Release(leaseId), RequestPriority.LEASE, reply -> {});
+    store.send(new StoreRequest.RevokeLease(leaseId), RequestPriority.LEASE, reply -> {});
   }
 
   /** Whether the lease surely holds. */
@@ -95,7 +95,7 @@
     nextRenewalMs = sentMs + durationMs / RENEWALS_PER_LEASE;
     long renewedLeaseId = leaseId;
     store.send(
-        new StoreRequest.Renew(renewedLeaseId),
+        new StoreRequest.RenewLease(renewedLeaseId),
         RequestPriority.LEASE,
         reply -> {
           renewalPending = false;
--- a/src/main/java/eiderfork/controller/election/LeadershipClaim.java
+++ b/src/main/java/eiderfork/controller/election/LeadershipClaim.java
@@ -67,7 +67,7 @@
   private void requestLease(long newTerm, long termKeyVersion) {
     long requestedMs = context.nowMs();
     store.send(
-        new StoreRequest.Grant(leaseMs),
+        new StoreRequest.GrantLease(leaseMs),
         RequestPriority.LEASE,
         reply -> {
           if (reply instanceof Reply.Leased leased) {
@@ -87,7 +87,7 @@
             onWon.accept(new Leadership(newTerm, leaseId, requestedMs, committed.revision()));
           } else {
             // Without a reply it may still be applied: the lease then expires, as nobody renews it.
-            store.send(new StoreRequest.Release(leaseId), RequestPriority.LEASE, ignored -> {});
+            store.send(new StoreRequest.RevokeLease(leaseId), RequestPriority.LEASE, ignored -> {});
             onFailed.run();
           }
         });
--- a/src/main/java/eiderfork/controller/jobs/JobAdmission.java
+++ b/src/main/java/eiderfork/controller/jobs/JobAdmission.java
@@ -158,7 +158,7 @@
             ImmutableList.of(
                 new StoreRequest.Condition(StoreKeys.job(job.uid()), 0),
                 // A write that is applied late may follow the job's completion and archival.
-                new StoreRequest.Condition(StoreKeys.ended(job.uid()), 0)),
+                new StoreRequest.Condition(StoreKeys.archivedJob(job.uid()), 0)),
             ImmutableList.of(
                 StoreRequest.Change.put(StoreKeys.job(job.uid()), new StoredRecord.JobSpec(job)))),
         RequestPriority.SUBMIT,
--- a/src/main/java/eiderfork/controller/jobs/JobArchiver.java
+++ b/src/main/java/eiderfork/controller/jobs/JobArchiver.java
@@ -152,12 +152,12 @@
     conditions.add(election.leaderCondition());
     for (JobState job : batch) {
       String uid = job.spec().uid();
-      conditions.add(new StoreRequest.Condition(StoreKeys.alloc(uid), job.writes().version()));
-      conditions.add(new StoreRequest.Condition(StoreKeys.ended(uid), 0));
-      changes.add(StoreRequest.Change.put(StoreKeys.ended(uid), toArchivedJob(job)));
+      conditions.add(new StoreRequest.Condition(StoreKeys.allocation(uid), job.writes().version()));
+      conditions.add(new StoreRequest.Condition(StoreKeys.archivedJob(uid), 0));
+      changes.add(StoreRequest.Change.put(StoreKeys.archivedJob(uid), toArchivedJob(job)));
       changes.add(StoreRequest.Change.remove(StoreKeys.job(uid)));
       if (job.writes().version() > 0) {
-        changes.add(StoreRequest.Change.remove(StoreKeys.alloc(uid)));
+        changes.add(StoreRequest.Change.remove(StoreKeys.allocation(uid)));
       }
       if (job.isCancelled()) {
         changes.add(StoreRequest.Change.remove(StoreKeys.cancellation(uid)));
@@ -193,11 +193,11 @@
     }
     for (JobState job : batch) {
       String uid = job.spec().uid();
-      if (conflict.failedKeys().contains(StoreKeys.ended(uid))) {
+      if (conflict.failedKeys().contains(StoreKeys.archivedJob(uid))) {
         // An earlier transaction was applied without a reply, or a late write recreated the job.
         onArchived(job);
         jobs.removeStaleSpec(job);
-      } else if (conflict.failedKeys().contains(StoreKeys.alloc(uid))) {
+      } else if (conflict.failedKeys().contains(StoreKeys.allocation(uid))) {
         LOG.error("allocation-mismatch job={} action=not-archived", uid);
         jobs.finishedJobs().remove(uid);
       }
--- a/src/main/java/eiderfork/controller/jobs/JobCanceller.java
+++ b/src/main/java/eiderfork/controller/jobs/JobCanceller.java
@@ -114,9 +114,9 @@
         new StoreRequest.Transaction(
             ImmutableList.of(
                 new StoreRequest.Condition(StoreKeys.cancellation(uid), 0),
-                new StoreRequest.Condition(StoreKeys.alloc(uid), stored.version()),
+                new StoreRequest.Condition(StoreKeys.allocation(uid), stored.version()),
                 // An archived job has no allocation, and neither has a job that never started.
-                new StoreRequest.Condition(StoreKeys.ended(uid), 0)),
+                new StoreRequest.Condition(StoreKeys.archivedJob(uid), 0)),
             ImmutableList.of(
                 StoreRequest.Change.put(
                     StoreKeys.cancellation(uid), new StoredRecord.Cancellation(uid)))),
@@ -135,7 +135,7 @@
       onCancelled(uid, stored.allocation(), onComplete);
     } else if (!(reply instanceof Reply.Conflict conflict)) {
       onFailed(uid, onComplete);
-    } else if (conflict.failedKeys().contains(StoreKeys.ended(uid))) {
+    } else if (conflict.failedKeys().contains(StoreKeys.archivedJob(uid))) {
       respondWithArchivedStatus(uid, UserResponse.unavailable(), onComplete);
     } else if (conflict.failedKeys().contains(StoreKeys.cancellation(uid))) {
       onCancelled(uid, stored.allocation(), onComplete);
--- a/src/main/java/eiderfork/controller/jobs/StoredJobReader.java
+++ b/src/main/java/eiderfork/controller/jobs/StoredJobReader.java
@@ -96,7 +96,7 @@
   /** Reads the final status of a job from its archived record, if there is one. */
   void readArchivedStatus(String uid, RequestPriority priority, Consumer<JobLookup> onComplete) {
     store.send(
-        new StoreRequest.Get(StoreKeys.ended(uid)),
+        new StoreRequest.Get(StoreKeys.archivedJob(uid)),
         priority,
         reply -> {
           if (!isReadable(reply)) {
@@ -113,7 +113,7 @@
   void readAllocation(
       String uid, RequestPriority priority, Consumer<Optional<StoredAllocation>> onComplete) {
     store.send(
-        new StoreRequest.Get(StoreKeys.alloc(uid)),
+        new StoreRequest.Get(StoreKeys.allocation(uid)),
         priority,
         reply -> onComplete.accept(toStoredAllocation(reply)));
   }
--- a/src/main/java/eiderfork/controller/jobs/UserRequestHandler.java
+++ b/src/main/java/eiderfork/controller/jobs/UserRequestHandler.java
@@ -203,7 +203,7 @@
     if (request instanceof Input.Submit submit) {
       return submit.job().uid();
     }
-    return request instanceof Input.Query query ? query.uid() : ((Input.Abort) request).uid();
+    return request instanceof Input.Query query ? query.uid() : ((Input.Cancel) request).uid();
   }
 
   private void handleLocally(Input request, Consumer<UserResponse> onComplete) {
@@ -215,7 +215,7 @@
       submit(submit.job(), onComplete);
     } else if (request instanceof Input.Query query) {
       queries.query(query.uid(), onComplete);
-    } else if (request instanceof Input.Abort abort) {
+    } else if (request instanceof Input.Cancel abort) {
       canceller.cancel(abort.uid(), canAnswerFromMemory(), onComplete);
     }
   }
--- a/src/main/java/eiderfork/controller/message/Effect.java
+++ b/src/main/java/eiderfork/controller/message/Effect.java
@@ -6,7 +6,9 @@
 
 /** What a controller has done by the node that it runs in. */
 public sealed interface Effect {
-  /** A request whose reply comes back as {@link Input.Answered}; none in time is Unanswered. */
+  /**
+   * A request whose reply comes back as {@link Input.CallCompleted}; none in time is Unanswered.
+   */
   sealed interface Call extends Effect {
     /** The id with which the reply comes back. */
     long callId();
@@ -28,7 +30,7 @@
   record ListMachineTypes(long callId, long timeoutMs) implements Call {}
 
   /** Rents machines from the cloud. */
-  record RentMachines(long callId, StoredRecord.ScaleOutIntent rent, long timeoutMs)
+  record RentMachines(long callId, StoredRecord.ScaleOutIntent intent, long timeoutMs)
       implements Call {}
 
   /** Returns machines to the cloud. */
@@ -36,7 +38,7 @@
       implements Call {}
 
   /** Requests a page of the cloud's list of machines, beginning after {@code after}. */
-  record ListHosts(long callId, String after, long timeoutMs) implements Call {}
+  record ListMachines(long callId, String after, long timeoutMs) implements Call {}
 
   /** Sends commands to a worker directly. */
   record SendCommands(
@@ -75,10 +77,10 @@
   record AcknowledgeHints(long ticket) implements Response {}
 
   /** This node has completed a failover, whose phases are traced. */
-  record FailoverCompleted(long term, ImmutableList<Phase> phases) implements Effect {}
+  record FailoverCompleted(long term, ImmutableList<FailoverPhase> phases) implements Effect {}
 
   /** A phase of a failover, from one moment of the steady time to another. */
-  record Phase(String name, long fromMs, long toMs) {}
+  record FailoverPhase(String name, long fromMs, long toMs) {}
 
   /** Responds to queries that a peer forwarded, in their order. */
   record RespondToQueries(long ticket, ImmutableList<UserResponse> responses) implements Response {}
--- a/src/main/java/eiderfork/controller/message/Input.java
+++ b/src/main/java/eiderfork/controller/message/Input.java
@@ -24,13 +24,33 @@
   record Query(long ticket, String uid) implements Input {}
 
   /** A user cancels a job. */
-  record Abort(long ticket, String uid) implements Input {}
+  record Cancel(long ticket, String uid) implements Input {
+    @Override
+    public String loggedName() {
+      return "Abort";
+    }
+
+    @Override
+    public String toString() {
+      return loggedName() + "[ticket=" + ticket + ", uid=" + uid + "]";
+    }
+  }
 
   /** The load balancer checks whether this node can take requests. */
   record HealthCheck(long ticket) implements Input {}
 
   /** A heartbeat of a worker. */
-  record WorkerReport(long ticket, Heartbeat report) implements Input {}
+  record WorkerHeartbeat(long ticket, Heartbeat heartbeat) implements Input {
+    @Override
+    public String loggedName() {
+      return "WorkerReport";
+    }
+
+    @Override
+    public String toString() {
+      return loggedName() + "[ticket=" + ticket + ", report=" + heartbeat + "]";
+    }
+  }
 
   /** A submission, query or cancellation forwarded by a peer. */
   record PeerRequest(long ticket, Input request) implements Input {}
@@ -45,5 +65,15 @@
   record PeerHints(long ticket, MachineHintBatch hints) implements Input {}
 
   /** The reply to a call, see {@link Effect.Call}. */
-  record Answered(long callId, Reply reply) implements Input {}
+  record CallCompleted(long callId, Reply reply) implements Input {
+    @Override
+    public String loggedName() {
+      return "Answered";
+    }
+
+    @Override
+    public String toString() {
+      return loggedName() + "[callId=" + callId + ", reply=" + reply + "]";
+    }
+  }
 }
--- a/src/main/java/eiderfork/controller/message/StoreKeys.java
+++ b/src/main/java/eiderfork/controller/message/StoreKeys.java
@@ -15,19 +15,19 @@
   public static final String JOB_PREFIX = "job/";
 
   /** Reservations and finished tasks by job. */
-  public static final String ALLOC_PREFIX = "alloc/";
+  public static final String ALLOCATION_PREFIX = "alloc/";
 
   /** Confirmed cancellations by job. */
   public static final String CANCELLATION_PREFIX = "abort/";
 
   /** Final states by job, of jobs that are archived. */
-  public static final String ENDED_PREFIX = "ended/";
+  public static final String ARCHIVED_JOB_PREFIX = "ended/";
 
   /** Intents to scale out. */
-  public static final String RENT_PREFIX = "rent/";
+  public static final String SCALE_OUT_INTENT_PREFIX = "rent/";
 
   /** Intents to scale in. */
-  public static final String RETURN_PREFIX = "return/";
+  public static final String SCALE_IN_INTENT_PREFIX = "return/";
 
   /** The version that every member runs. */
   public static final String CLUSTER_VERSION = "cluster-version";
@@ -43,8 +43,8 @@
   }
 
   /** The key of the leader's record of a job. */
-  public static String alloc(String uid) {
-    return ALLOC_PREFIX + uid;
+  public static String allocation(String uid) {
+    return ALLOCATION_PREFIX + uid;
   }
 
   /** The key of a confirmed cancellation. */
@@ -53,8 +53,8 @@
   }
 
   /** The key of the final state of an archived job. */
-  public static String ended(String uid) {
-    return ENDED_PREFIX + uid;
+  public static String archivedJob(String uid) {
+    return ARCHIVED_JOB_PREFIX + uid;
   }
 
   /** What follows the first slash. */
--- a/src/main/java/eiderfork/controller/message/StoreRequest.java
+++ b/src/main/java/eiderfork/controller/message/StoreRequest.java
@@ -35,11 +35,11 @@
   record Watch(String prefix, long afterRevision, long timeoutMs) implements StoreRequest {}
 
   /** Grants a new lease. */
-  record Grant(long ttlMs) implements StoreRequest {}
+  record GrantLease(long ttlMs) implements StoreRequest {}
 
   /** Renews a lease. */
-  record Renew(long leaseId) implements StoreRequest {}
+  record RenewLease(long leaseId) implements StoreRequest {}
 
   /** Ends a lease, and with it the keys attached to it. */
-  record Release(long leaseId) implements StoreRequest {}
+  record RevokeLease(long leaseId) implements StoreRequest {}
 }
--- a/src/main/java/eiderfork/controller/recovery/FailoverTimer.java
+++ b/src/main/java/eiderfork/controller/recovery/FailoverTimer.java
@@ -98,9 +98,9 @@
         new Effect.FailoverCompleted(
             election.currentTerm(),
             ImmutableList.of(
-                new Effect.Phase("election", vacantSinceMs, electedMs),
-                new Effect.Phase(fromReplica ? "copy" : "read", electedMs, recoveredMs),
-                new Effect.Phase("first answer", vacantSinceMs, firstResponseMs),
-                new Effect.Phase("first command", recoveredMs, context.nowMs()))));
+                new Effect.FailoverPhase("election", vacantSinceMs, electedMs),
+                new Effect.FailoverPhase(fromReplica ? "copy" : "read", electedMs, recoveredMs),
+                new Effect.FailoverPhase("first answer", vacantSinceMs, firstResponseMs),
+                new Effect.FailoverPhase("first command", recoveredMs, context.nowMs()))));
   }
 }
--- a/src/main/java/eiderfork/controller/recovery/FullReadRecovery.java
+++ b/src/main/java/eiderfork/controller/recovery/FullReadRecovery.java
@@ -18,7 +18,7 @@
           StoreKeys.CANCELLATION_PREFIX, StoreKeys.CLUSTER_VERSION, StoreKeys.MACHINE_TYPES);
 
   private static final ImmutableList<String> RANGES_AFTER_JOBS =
-      ImmutableList.of(StoreKeys.RENT_PREFIX, StoreKeys.RETURN_PREFIX);
+      ImmutableList.of(StoreKeys.SCALE_OUT_INTENT_PREFIX, StoreKeys.SCALE_IN_INTENT_PREFIX);
 
   private static final String FIRST_PAGE = "";
 
--- a/src/main/java/eiderfork/controller/recovery/JobPageReader.java
+++ b/src/main/java/eiderfork/controller/recovery/JobPageReader.java
@@ -75,8 +75,8 @@
       RequestPriority priority,
       PageConsumer pageConsumer) {
     reader.readPage(
-        StoreKeys.ALLOC_PREFIX,
-        keyAfter(StoreKeys.ALLOC_PREFIX, afterUid),
+        StoreKeys.ALLOCATION_PREFIX,
+        keyAfter(StoreKeys.ALLOCATION_PREFIX, afterUid),
         leadingTerm,
         priority,
         page -> {
--- a/src/main/java/eiderfork/controller/recovery/ReplicaRecovery.java
+++ b/src/main/java/eiderfork/controller/recovery/ReplicaRecovery.java
@@ -17,7 +17,7 @@
   private static final int JOBS_PER_TICK = 1500;
 
   private static final ImmutableList<String> RANGES_AFTER_JOBS =
-      ImmutableList.of(StoreKeys.RENT_PREFIX, StoreKeys.RETURN_PREFIX);
+      ImmutableList.of(StoreKeys.SCALE_OUT_INTENT_PREFIX, StoreKeys.SCALE_IN_INTENT_PREFIX);
 
   private final RangeReader reader;
   private final StoredRecordRestorer restorer;
@@ -80,7 +80,7 @@
    */
   private boolean restoreJob(StandbyReplica replica, Reply.Item job) {
     String uid = StoreKeys.withoutPrefix(job.key());
-    Reply.Item allocation = replica.item(StoreKeys.ALLOC_PREFIX, StoreKeys.alloc(uid));
+    Reply.Item allocation = replica.item(StoreKeys.ALLOCATION_PREFIX, StoreKeys.allocation(uid));
     if (isFinished(uid, allocation)) {
       finishedJobLoader.requestFullLoad();
       return false;
--- a/src/main/java/eiderfork/controller/recovery/StoredRecordRestorer.java
+++ b/src/main/java/eiderfork/controller/recovery/StoredRecordRestorer.java
@@ -82,7 +82,7 @@
   /** Freezes the job of a record that cannot be read. All other jobs are unaffected. */
   void freezeUnreadable(String key, StoredRecord.Unreadable record) {
     LOG.error("record-unreadable key={} reason={}", key, record.reason());
-    if (key.startsWith(StoreKeys.JOB_PREFIX) || key.startsWith(StoreKeys.ALLOC_PREFIX)) {
+    if (key.startsWith(StoreKeys.JOB_PREFIX) || key.startsWith(StoreKeys.ALLOCATION_PREFIX)) {
       jobs.freeze(StoreKeys.withoutPrefix(key));
     }
   }
--- a/src/main/java/eiderfork/controller/registry/AllocationWriter.java
+++ b/src/main/java/eiderfork/controller/registry/AllocationWriter.java
@@ -109,7 +109,7 @@
     }
     StoreRequest.Change change =
         StoreRequest.Change.put(
-            StoreKeys.alloc(write.uid()), toShortestReadableForm(write.allocation));
+            StoreKeys.allocation(write.uid()), toShortestReadableForm(write.allocation));
     store.send(
         new StoreRequest.Transaction(conditions(write.job), ImmutableList.of(change)),
         write.priority,
@@ -139,11 +139,11 @@
     long committedVersion = job.writes().version();
     ImmutableList.Builder<StoreRequest.Condition> conditions = ImmutableList.builder();
     conditions.add(election.leaderCondition());
-    conditions.add(new StoreRequest.Condition(StoreKeys.alloc(uid), committedVersion));
+    conditions.add(new StoreRequest.Condition(StoreKeys.allocation(uid), committedVersion));
     conditions.add(new StoreRequest.Condition(StoreKeys.cancellation(uid), 0));
     if (committedVersion == 0) {
       // Version 0 also matches an archived job, which has no allocation; it must not start again.
-      conditions.add(new StoreRequest.Condition(StoreKeys.ended(uid), 0));
+      conditions.add(new StoreRequest.Condition(StoreKeys.archivedJob(uid), 0));
     }
     return conditions.build();
   }
@@ -193,11 +193,11 @@
     String uid = write.uid();
     if (conflict.failedKeys().contains(StoreKeys.LEADER)) {
       election.leaderConditionFailed();
-    } else if (conflict.failedKeys().contains(StoreKeys.ended(uid))) {
+    } else if (conflict.failedKeys().contains(StoreKeys.archivedJob(uid))) {
       LOG.info("archived-job-resubmitted job={}", uid);
       jobs.evict(write.job);
       removeStaleSpec(write.job);
-    } else if (conflict.failedKeys().contains(StoreKeys.alloc(uid))) {
+    } else if (conflict.failedKeys().contains(StoreKeys.allocation(uid))) {
       onAllocationChanged(write, conflict.failedKeys().contains(StoreKeys.cancellation(uid)));
     } else {
       onCancelled(write.job);
@@ -251,7 +251,7 @@
 
   private void readBack(PendingWrite write, Consumer<Reply.Value> onComplete) {
     store.send(
-        new StoreRequest.Get(StoreKeys.alloc(write.uid())),
+        new StoreRequest.Get(StoreKeys.allocation(write.uid())),
         RequestPriority.START,
         reply -> {
           if (isStale(write)) {
--- a/src/main/java/eiderfork/controller/standby/StandbyReplica.java
+++ b/src/main/java/eiderfork/controller/standby/StandbyReplica.java
@@ -35,9 +35,9 @@
           StoreKeys.CLUSTER_VERSION,
           StoreKeys.MACHINE_TYPES,
           StoreKeys.JOB_PREFIX,
-          StoreKeys.ALLOC_PREFIX,
-          StoreKeys.RENT_PREFIX,
-          StoreKeys.RETURN_PREFIX);
+          StoreKeys.ALLOCATION_PREFIX,
+          StoreKeys.SCALE_OUT_INTENT_PREFIX,
+          StoreKeys.SCALE_IN_INTENT_PREFIX);
 
   private static final String FIRST_PAGE = "";
 
--- a/src/main/java/eiderfork/controller/workers/HeartbeatHandler.java
+++ b/src/main/java/eiderfork/controller/workers/HeartbeatHandler.java
@@ -138,7 +138,7 @@
   /** Returns whether an input can allow a response to deferred heartbeats; most inputs cannot. */
   private static boolean canResolveDeferred(Input input) {
     return input instanceof Input.Tick
-        || input instanceof Input.Answered
+        || input instanceof Input.CallCompleted
         || input instanceof Input.PeerPing;
   }
 }
--- a/src/main/java/eiderfork/controller/workers/LeaseProxyRecords.java
+++ b/src/main/java/eiderfork/controller/workers/LeaseProxyRecords.java
@@ -111,7 +111,7 @@
   /** Releases the store lease, which removes the records. */
   void release() {
     if (storeLeaseId != NO_LEASE_ID) {
-      store.send(new StoreRequest.Release(storeLeaseId), RequestPriority.LEASE, reply -> {});
+      store.send(new StoreRequest.RevokeLease(storeLeaseId), RequestPriority.LEASE, reply -> {});
     }
   }
 
@@ -137,8 +137,8 @@
     long requestGeneration = generation;
     store.send(
         renewedLeaseId == NO_LEASE_ID
-            ? new StoreRequest.Grant(ttlMs)
-            : new StoreRequest.Renew(renewedLeaseId),
+            ? new StoreRequest.GrantLease(ttlMs)
+            : new StoreRequest.RenewLease(renewedLeaseId),
         RequestPriority.LEASE,
         reply -> {
           if (requestGeneration == generation) {
--- a/src/main/java/eiderfork/loadtest/PreloadedJobs.java
+++ b/src/main/java/eiderfork/loadtest/PreloadedJobs.java
@@ -28,7 +28,7 @@
     String value =
         StoreServerCodec.encodeRecord(new StoredRecord.ArchivedJob(JobStatus.Phase.DONE, 1));
     for (int i = 0; i < count; i++) {
-      state.preload(StoreKeys.ENDED_PREFIX + uid(random), value);
+      state.preload(StoreKeys.ARCHIVED_JOB_PREFIX + uid(random), value);
     }
   }
 
@@ -42,7 +42,7 @@
           StoreKeys.JOB_PREFIX + uid,
           StoreServerCodec.encodeRecord(new StoredRecord.JobSpec(job(uid))));
       state.preload(
-          StoreKeys.ALLOC_PREFIX + uid,
+          StoreKeys.ALLOCATION_PREFIX + uid,
           StoreServerCodec.encodeRecord(new StoredRecord.PackedAllocation(allocation)));
     }
   }
--- a/src/main/java/eiderfork/net/CallSender.java
+++ b/src/main/java/eiderfork/net/CallSender.java
@@ -44,10 +44,10 @@
       callStore(call);
     } else if (effect instanceof Effect.ListMachineTypes call) {
       getFromCloud(call, CloudCodec.TYPES_PATH, CloudCodec::decodeTypes);
-    } else if (effect instanceof Effect.ListHosts call) {
+    } else if (effect instanceof Effect.ListMachines call) {
       getFromCloud(call, CloudCodec.hostsPath(call.after()), CloudCodec::decodeHosts);
     } else if (effect instanceof Effect.RentMachines call) {
-      byte[] body = CloudCodec.encodeRent(call.rent());
+      byte[] body = CloudCodec.encodeRent(call.intent());
       postToCloud(call, CloudCodec.HOSTS_PATH, body, CloudCodec::decodeRentReply);
     } else if (effect instanceof Effect.ReturnMachines call) {
       byte[] body = CloudCodec.encodeReturn(call.machines());
@@ -196,7 +196,7 @@
   }
 
   private void handleReply(Effect.Call call, Reply reply) {
-    inputs.handle(new Input.Answered(call.callId(), reply));
+    inputs.handle(new Input.CallCompleted(call.callId(), reply));
   }
 
   private static Reply decode(int status, byte[] response, ReplyDecoder decoder)
--- a/src/main/java/eiderfork/net/FailoverSpanTracer.java
+++ b/src/main/java/eiderfork/net/FailoverSpanTracer.java
@@ -31,7 +31,7 @@
 
   @Override
   public void trace(Effect.FailoverCompleted takeover) {
-    List<Effect.Phase> phases = takeover.phases();
+    List<Effect.FailoverPhase> phases = takeover.phases();
     // Phases are in steady time, spans in wall-clock time.
     long offsetMs = System.currentTimeMillis() - System.nanoTime() / 1_000_000;
     Span whole =
@@ -41,7 +41,7 @@
             .setAttribute("term", takeover.term())
             .setStartTimestamp(offsetMs + phases.get(0).fromMs(), TimeUnit.MILLISECONDS)
             .startSpan();
-    for (Effect.Phase phase : phases) {
+    for (Effect.FailoverPhase phase : phases) {
       tracer
           .spanBuilder(phase.name())
           .setParent(Context.root().with(whole))
--- a/src/main/java/eiderfork/net/RequestRouter.java
+++ b/src/main/java/eiderfork/net/RequestRouter.java
@@ -58,7 +58,7 @@
   private void onHeartbeat(HttpServer.Exchange exchange) throws MalformedMessageException {
     if (hasMethod(exchange, "POST")) {
       Heartbeat heartbeat = WorkerCodec.decodeHeartbeat(exchange.body());
-      inputs.handle(new Input.WorkerReport(openExchanges.open(exchange), heartbeat));
+      inputs.handle(new Input.WorkerHeartbeat(openExchanges.open(exchange), heartbeat));
     }
   }
 
@@ -86,7 +86,7 @@
       if (!UserCodec.isJobId(uid)) {
         reject(exchange, HttpStatus.NOT_FOUND, "no such job");
       } else if (isCancellation) {
-        inputs.handle(new Input.Abort(openExchanges.open(exchange), uid));
+        inputs.handle(new Input.Cancel(openExchanges.open(exchange), uid));
       } else {
         inputs.handle(new Input.Query(openExchanges.open(exchange), uid));
       }
--- a/src/main/java/eiderfork/wire/ForwardingCodec.java
+++ b/src/main/java/eiderfork/wire/ForwardingCodec.java
@@ -35,7 +35,7 @@
       record.put("body", ByteBuffer.wrap(submission.body()));
     } else if (request instanceof Input.Query query) {
       putKind(record, QUERY, query.uid());
-    } else if (request instanceof Input.Abort cancellation) {
+    } else if (request instanceof Input.Cancel cancellation) {
       putKind(record, CANCELLATION, cancellation.uid());
     }
     return AvroCodec.encode(record);
@@ -58,7 +58,7 @@
     return switch (record.get("kind").toString()) {
       case SUBMISSION -> decodeSubmission(record.get("body"));
       case QUERY -> new Input.Query(NO_TICKET, uid);
-      default -> new Input.Abort(NO_TICKET, uid);
+      default -> new Input.Cancel(NO_TICKET, uid);
     };
   }
 
--- a/src/main/java/eiderfork/wire/StoreCodec.java
+++ b/src/main/java/eiderfork/wire/StoreCodec.java
@@ -30,15 +30,15 @@
       return new Request("GET", path(scan), null);
     } else if (request instanceof StoreRequest.Watch watch) {
       return new Request("GET", path(watch), null);
-    } else if (request instanceof StoreRequest.Grant grant) {
+    } else if (request instanceof StoreRequest.GrantLease grant) {
       byte[] body =
           JsonReader.toBytes(
               JsonReader.newObject().put(ProtocolFields.LEASE_TTL_MS, grant.ttlMs()));
       return new Request("POST", LEASES_PATH, body);
-    } else if (request instanceof StoreRequest.Renew renew) {
+    } else if (request instanceof StoreRequest.RenewLease renew) {
       byte[] body = JsonReader.toBytes(JsonReader.newObject());
       return new Request("POST", LEASES_PATH + "/" + renew.leaseId() + "/renew", body);
-    } else if (request instanceof StoreRequest.Release release) {
+    } else if (request instanceof StoreRequest.RevokeLease release) {
       return new Request("DELETE", LEASES_PATH + "/" + release.leaseId(), null);
     }
     throw new IllegalArgumentException("unknown request " + request);
@@ -94,13 +94,13 @@
       JsonNode node = JsonReader.parse(body);
       return new Reply.Conflict(CloudCodec.decodeTexts(JsonReader.array(node, "failed")));
     }
-    if (request instanceof StoreRequest.Release && status / 100 == 2) {
+    if (request instanceof StoreRequest.RevokeLease && status / 100 == 2) {
       return new Reply.Leased(0);
     }
     if (status != HttpStatus.OK) {
       return new Reply.Refused(status);
     }
-    if (request instanceof StoreRequest.Renew renew) {
+    if (request instanceof StoreRequest.RenewLease renew) {
       return new Reply.Leased(renew.leaseId());
     }
     return decodeOk(request, JsonReader.parse(body));
@@ -123,7 +123,7 @@
       return decodePage(node);
     } else if (request instanceof StoreRequest.Watch) {
       return decodeChanges(node);
-    } else if (request instanceof StoreRequest.Grant) {
+    } else if (request instanceof StoreRequest.GrantLease) {
       return new Reply.Leased(JsonReader.integer(node, ProtocolFields.LEASE));
     }
     throw new IllegalArgumentException("unknown request " + request);
--- a/src/main/java/eiderfork/wire/StoredRecordCodec.java
+++ b/src/main/java/eiderfork/wire/StoredRecordCodec.java
@@ -85,7 +85,7 @@
   private static StoredRecord decode(String key, JsonNode node) throws MalformedMessageException {
     if (key.startsWith(StoreKeys.JOB_PREFIX)) {
       return new StoredRecord.JobSpec(UserCodec.decodeJob(node));
-    } else if (key.startsWith(StoreKeys.ALLOC_PREFIX)) {
+    } else if (key.startsWith(StoreKeys.ALLOCATION_PREFIX)) {
       return decodeAllocation(node);
     } else if (key.startsWith(StoreKeys.CANCELLATION_PREFIX)) {
       return new StoredRecord.Cancellation(JsonReader.text(node, "uid"));
@@ -94,13 +94,13 @@
           JsonReader.text(node, "node"), JsonReader.integer(node, "term"));
     } else if (key.equals(StoreKeys.TERM)) {
       return new StoredRecord.TermCounter(JsonReader.integer(node, "term"));
-    } else if (key.startsWith(StoreKeys.RENT_PREFIX)) {
+    } else if (key.startsWith(StoreKeys.SCALE_OUT_INTENT_PREFIX)) {
       return decodeScaleOutIntent(node);
-    } else if (key.startsWith(StoreKeys.RETURN_PREFIX)) {
+    } else if (key.startsWith(StoreKeys.SCALE_IN_INTENT_PREFIX)) {
       return new StoredRecord.ScaleInIntent(decodeMachines(node));
     } else if (key.startsWith(StoreKeys.LEASE_PROXY_PREFIX)) {
       return new StoredRecord.ProxiedLeases(decodeMachines(node));
-    } else if (key.startsWith(StoreKeys.ENDED_PREFIX)) {
+    } else if (key.startsWith(StoreKeys.ARCHIVED_JOB_PREFIX)) {
       return decodeArchivedJob(node);
     } else if (key.equals(StoreKeys.CLUSTER_VERSION)) {
       return new StoredRecord.StoredVersion((int) JsonReader.integer(node, "version"));
--- a/src/test/java/eiderfork/controller/ControllerTest.java
+++ b/src/test/java/eiderfork/controller/ControllerTest.java
@@ -44,7 +44,7 @@
 
   private static Input heartbeat(long ticket) {
     Machine machine = new Machine("n-1", "n-1:1", "g4", "a", false);
-    return new Input.WorkerReport(
+    return new Input.WorkerHeartbeat(
         ticket, new Heartbeat(machine, 1, 5, 3, null, ImmutableList.of()));
   }
 
@@ -77,7 +77,8 @@
             .callId();
     handle(
         nowMs,
-        new Input.Answered(read, new Reply.Value(new StoredRecord.Leadership("roost-2", 4), 9)));
+        new Input.CallCompleted(
+            read, new Reply.Value(new StoredRecord.Leadership("roost-2", 4), 9)));
   }
 
   /** A worker with a task that shows the token of term 4, and one that has none. */
@@ -88,7 +89,7 @@
             new Attempt(new TaskId("run-000001", 0), 1), TaskStatus.State.RUNNING, null, false);
     ImmutableList<TaskStatus> tasks = hasTask ? ImmutableList.of(task) : ImmutableList.of();
     long token = (4L << LeaderElection.TOKEN_SEQUENCE_BITS) + 1;
-    return new Input.WorkerReport(ticket, new Heartbeat(machine, 1, 5, token, null, tasks));
+    return new Input.WorkerHeartbeat(ticket, new Heartbeat(machine, 1, 5, token, null, tasks));
   }
 
   /** Sent back at once it waits at the leader that it has lost, until half of its lease is over. */
--- a/src/test/java/eiderfork/controller/EffectDigest.java
+++ b/src/test/java/eiderfork/controller/EffectDigest.java
@@ -60,10 +60,10 @@
     } else if (call instanceof Effect.ListMachineTypes) {
       putMessage("types", CloudCodec.TYPES_PATH);
     } else if (call instanceof Effect.RentMachines rentCall) {
-      putMessage("rent", CloudCodec.HOSTS_PATH, CloudCodec.encodeRent(rentCall.rent()));
+      putMessage("rent", CloudCodec.HOSTS_PATH, CloudCodec.encodeRent(rentCall.intent()));
     } else if (call instanceof Effect.ReturnMachines returnCall) {
       putMessage("return", CloudCodec.RETURN_PATH, CloudCodec.encodeReturn(returnCall.machines()));
-    } else if (call instanceof Effect.ListHosts listCall) {
+    } else if (call instanceof Effect.ListMachines listCall) {
       putMessage("hosts", CloudCodec.hostsPath(listCall.after()));
     } else if (call instanceof Effect.SendCommands commandsCall) {
       byte[] body =
@@ -144,7 +144,7 @@
     putText("took over");
     hasher.putLong(failover.term());
     hasher.putInt(failover.phases().size());
-    for (Effect.Phase phase : failover.phases()) {
+    for (Effect.FailoverPhase phase : failover.phases()) {
       putText(phase.name());
       hasher.putLong(phase.fromMs());
       hasher.putLong(phase.toMs());
--- a/src/test/java/eiderfork/controller/FakeHeartbeats.java
+++ b/src/test/java/eiderfork/controller/FakeHeartbeats.java
@@ -102,7 +102,7 @@
           () ->
               cluster.sendRequest(
                   node,
-                  ticket -> new Input.WorkerReport(ticket, heartbeat),
+                  ticket -> new Input.WorkerHeartbeat(ticket, heartbeat),
                   effect -> {
                     long responseDelayMs =
                         cluster.isCut(node, "*") ? -1 : cluster.messageDelayMs(node, name);
@@ -117,7 +117,7 @@
 
   /** Delivers an old copy of a heartbeat; its response is dropped. */
   private void deliverAgain(String node, eiderfork.model.Heartbeat heartbeat) {
-    cluster.sendRequest(node, ticket -> new Input.WorkerReport(ticket, heartbeat), effect -> {});
+    cluster.sendRequest(node, ticket -> new Input.WorkerHeartbeat(ticket, heartbeat), effect -> {});
   }
 
   private void deliverResponse(
--- a/src/test/java/eiderfork/controller/FakeNetwork.java
+++ b/src/test/java/eiderfork/controller/FakeNetwork.java
@@ -45,7 +45,7 @@
         reply -> {
           if (!isCompleted[0] && cluster.processEpochs.get(node) == epoch) {
             isCompleted[0] = true;
-            cluster.deliver(node, new Input.Answered(call.callId(), reply));
+            cluster.deliver(node, new Input.CallCompleted(call.callId(), reply));
           }
         };
     cluster.schedule(call.timeoutMs(), () -> complete.accept(new Reply.Unanswered()));
@@ -92,7 +92,7 @@
     } else if (effect instanceof Effect.ListMachineTypes typesCall) {
       callCloud(node, typesCall, () -> new Reply.Types(cluster.cloud.types));
     } else if (effect instanceof Effect.RentMachines rentCall) {
-      callCloud(node, rentCall, () -> cluster.cloud.rent(rentCall.rent(), cluster.nowMs));
+      callCloud(node, rentCall, () -> cluster.cloud.rent(rentCall.intent(), cluster.nowMs));
     } else if (effect instanceof Effect.ReturnMachines returnCall) {
       callCloud(
           node,
@@ -101,7 +101,7 @@
             returnCall.machines().forEach(name -> cluster.cloud.returnHost(name, cluster.nowMs));
             return new Reply.Returned();
           });
-    } else if (effect instanceof Effect.ListHosts listCall) {
+    } else if (effect instanceof Effect.ListMachines listCall) {
       callCloud(node, listCall, () -> cluster.cloud.listHosts(listCall.after(), cluster.nowMs));
     } else if (effect instanceof Effect.SendCommands commandsCall) {
       callWorker(
--- a/src/test/java/eiderfork/controller/FakeStore.java
+++ b/src/test/java/eiderfork/controller/FakeStore.java
@@ -202,10 +202,10 @@
       } else {
         onComplete.accept(changesSince(watch.prefix(), watch.afterRevision()));
       }
-    } else if (request instanceof StoreRequest.Grant grant) {
+    } else if (request instanceof StoreRequest.GrantLease grant) {
       leases.put(++lastLeaseId, new long[] {grant.ttlMs(), nowMs + grant.ttlMs()});
       onComplete.accept(new Reply.Leased(lastLeaseId));
-    } else if (request instanceof StoreRequest.Renew renewal) {
+    } else if (request instanceof StoreRequest.RenewLease renewal) {
       long[] lease = leases.get(renewal.leaseId());
       if (lease == null) {
         onComplete.accept(new Reply.Refused(404));
@@ -213,7 +213,7 @@
         lease[1] = nowMs + lease[0];
         onComplete.accept(new Reply.Leased(renewal.leaseId()));
       }
-    } else if (request instanceof StoreRequest.Release release) {
+    } else if (request instanceof StoreRequest.RevokeLease release) {
       if (leases.remove(release.leaseId()) != null) {
         deleteKeysOfLease(release.leaseId());
       }
--- a/src/test/java/eiderfork/controller/FakeUsers.java
+++ b/src/test/java/eiderfork/controller/FakeUsers.java
@@ -27,7 +27,7 @@
     }
 
     static Request cancellation(String uid, int tries) {
-      return new Request(ticket -> new Input.Abort(ticket, uid), uid, false, tries);
+      return new Request(ticket -> new Input.Cancel(ticket, uid), uid, false, tries);
     }
 
     static Request query(String uid) {
--- a/src/test/java/eiderfork/controller/JobArchiverTest.java
+++ b/src/test/java/eiderfork/controller/JobArchiverTest.java
@@ -45,15 +45,17 @@
   }
 
   private static boolean isArchived(SimulatedCluster cluster, Job job) {
-    return cluster.store.get(StoreKeys.ended(job.uid())) != null;
+    return cluster.store.get(StoreKeys.archivedJob(job.uid())) != null;
   }
 
   /** Nothing of the job is left but the record of its final state. */
   private static void assertArchivedCompletely(SimulatedCluster cluster, Job job) {
     assertInstanceOf(
-        StoredRecord.ArchivedJob.class, cluster.store.get(StoreKeys.ended(job.uid())), job::uid);
+        StoredRecord.ArchivedJob.class,
+        cluster.store.get(StoreKeys.archivedJob(job.uid())),
+        job::uid);
     assertNull(cluster.store.get(StoreKeys.job(job.uid())), job::uid);
-    assertNull(cluster.store.get(StoreKeys.alloc(job.uid())), job::uid);
+    assertNull(cluster.store.get(StoreKeys.allocation(job.uid())), job::uid);
     assertNull(cluster.store.get(StoreKeys.cancellation(job.uid())), job::uid);
   }
 
@@ -83,7 +85,8 @@
   }
 
   private static void abortLateAsOlderVersion(SimulatedCluster cluster, Job job) {
-    StoreRequest.Condition neverStarted = new StoreRequest.Condition(StoreKeys.alloc(job.uid()), 0);
+    StoreRequest.Condition neverStarted =
+        new StoreRequest.Condition(StoreKeys.allocation(job.uid()), 0);
     write(
         cluster,
         neverStarted,
@@ -203,7 +206,7 @@
     assertEquals(JobStatus.Phase.DONE, cluster.checker.finalPhase(done.uid()));
     assertEquals(
         new StoredRecord.ArchivedJob(JobStatus.Phase.DONE, 3),
-        cluster.store.get(StoreKeys.ended(done.uid())));
+        cluster.store.get(StoreKeys.archivedJob(done.uid())));
   }
 
   /** Both late writes at once, and a leader with no reason yet to check the job again. */
@@ -379,7 +382,7 @@
     Job service = TestFixtures.job(1, JobKind.SERVICE, 2, 1);
     cluster.submit(service);
     cluster.run(10);
-    cluster.store.corrupt(StoreKeys.alloc(service.uid()));
+    cluster.store.corrupt(StoreKeys.allocation(service.uid()));
     cluster.crashNode(cluster.leader(), 1000);
     cluster.run(5);
     cluster.cancel(service.uid());
--- a/src/test/java/eiderfork/controller/LargeCellTest.java
+++ b/src/test/java/eiderfork/controller/LargeCellTest.java
@@ -89,7 +89,7 @@
       context.advanceBy(50);
       cloud.tick();
       for (Effect effect : context.drainEffects()) {
-        if (effect instanceof Effect.ListHosts it) {
+        if (effect instanceof Effect.ListMachines it) {
           calls++;
           // The cloud may count others' calls, too.
           boolean refuses = calls == 7 && !refusedOne;
@@ -178,7 +178,7 @@
     int most = 0;
     for (int i = 0; i < 160; i++) {
       cluster.run(0.05);
-      most = Math.max(most, leader.machinesExaminedInRound());
+      most = Math.max(most, leader.roundMachineExaminations());
     }
     assertEquals(4, cluster.checker.runningTasks(late.uid()));
     assertTrue(most < MACHINES / 4, most + " looks at machines for four tasks");
--- a/src/test/java/eiderfork/controller/LeaderAndWorkerFixture.java
+++ b/src/test/java/eiderfork/controller/LeaderAndWorkerFixture.java
@@ -121,7 +121,7 @@
     election.tick();
     store.sendQueued();
     for (Effect.CallStore storeCall : drainEffects(Effect.CallStore.class)) {
-      if (storeCall.request() instanceof StoreRequest.Renew renew) {
+      if (storeCall.request() instanceof StoreRequest.RenewLease renew) {
         context.completeCall(storeCall.callId(), new Reply.Leased(renew.leaseId()));
       }
     }
--- a/src/test/java/eiderfork/controller/LeaderLeaseTest.java
+++ b/src/test/java/eiderfork/controller/LeaderLeaseTest.java
@@ -51,7 +51,7 @@
     reply(pendingStoreCall(), new Reply.Value(null, 0));
     reply(pendingStoreCall(), new Reply.Value(null, 0));
     Effect.CallStore grant = pendingStoreCall();
-    assertEquals(new StoreRequest.Grant(LEASE_MS), grant.request());
+    assertEquals(new StoreRequest.GrantLease(LEASE_MS), grant.request());
     return grant;
   }
 
@@ -86,7 +86,7 @@
     long renewedMs = context.nowMs();
     election.tick();
     Effect.CallStore renewal = pendingStoreCall();
-    assertEquals(new StoreRequest.Renew(7), renewal.request());
+    assertEquals(new StoreRequest.RenewLease(7), renewal.request());
     advance(pauseMs);
     reply(renewal, new Reply.Leased(7));
     assertEquals(pauseMs < LEASE_MS * 9 / 10, election.isLeaseValid());
--- a/src/test/java/eiderfork/controller/RollingUpgradeTest.java
+++ b/src/test/java/eiderfork/controller/RollingUpgradeTest.java
@@ -48,7 +48,7 @@
   }
 
   private static boolean anyPacked(SimulatedCluster cluster) {
-    return cluster.store.keys(StoreKeys.ALLOC_PREFIX).stream()
+    return cluster.store.keys(StoreKeys.ALLOCATION_PREFIX).stream()
         .anyMatch(key -> !(cluster.store.getAsStored(key) instanceof StoredRecord.Allocation));
   }
 
@@ -125,7 +125,7 @@
   }
 
   private static boolean anyBitmap(SimulatedCluster cluster) {
-    return cluster.store.keys(StoreKeys.ALLOC_PREFIX).stream()
+    return cluster.store.keys(StoreKeys.ALLOCATION_PREFIX).stream()
         .anyMatch(key -> cluster.store.getAsStored(key) instanceof StoredRecord.BitmapAllocation);
   }
 
@@ -148,14 +148,14 @@
     cluster.run(12);
     assertInstanceOf(
         StoredRecord.BitmapAllocation.class,
-        cluster.store.getAsStored(StoreKeys.alloc(array.uid())));
+        cluster.store.getAsStored(StoreKeys.allocation(array.uid())));
     Job gang = TestFixtures.gang(1, 3, 1, 4, true);
     cluster.submitOnce("roost-1", gang);
     cluster.run(30);
     assertTrue(cluster.checker.allTasksCompleted(gang.uid()));
     assertInstanceOf(
         StoredRecord.BitmapAllocation.class,
-        cluster.store.getAsStored(StoreKeys.alloc(gang.uid())));
+        cluster.store.getAsStored(StoreKeys.allocation(gang.uid())));
     ExpectedOutcome.assertAllJobsServed(cluster, List.of(gang));
   }
 
@@ -259,7 +259,8 @@
     cluster.submit(array);
     cluster.run(22);
     assertInstanceOf(
-        StoredRecord.Allocation.class, cluster.store.getAsStored(StoreKeys.alloc(array.uid())));
+        StoredRecord.Allocation.class,
+        cluster.store.getAsStored(StoreKeys.allocation(array.uid())));
     assertTrue(cluster.checker.runningTasks(array.uid()) >= 100, "on machines of their own");
     for (String node : cluster.nodeNames()) {
       upgrade(cluster, node);
--- a/src/test/java/eiderfork/controller/SchedulingWorkTest.java
+++ b/src/test/java/eiderfork/controller/SchedulingWorkTest.java
@@ -30,7 +30,7 @@
     for (int i = 0; i < 800; i++) {
       cluster.run(0.05);
       for (Controller node : cluster.controllers.values()) {
-        maxExamined = Math.max(maxExamined, node.machinesExamined());
+        maxExamined = Math.max(maxExamined, node.totalMachineExaminations());
       }
     }
     long machines = cluster.cloud.liveHostCount();
@@ -73,7 +73,7 @@
     for (int i = 0; i < 200; i++) {
       cluster.run(0.05);
       for (Controller node : cluster.controllers.values()) {
-        maxExamined = Math.max(maxExamined, node.machinesExaminedInRound());
+        maxExamined = Math.max(maxExamined, node.roundMachineExaminations());
       }
     }
     assertTrue(
--- a/src/test/java/eiderfork/controller/SimulatedCluster.java
+++ b/src/test/java/eiderfork/controller/SimulatedCluster.java
@@ -173,7 +173,7 @@
 
   /** Returns whether the job is recorded as done in the store. */
   boolean isDoneInStore(Job job) {
-    return store.get(StoreKeys.alloc(job.uid())) instanceof StoredRecord.Allocation allocation
+    return store.get(StoreKeys.allocation(job.uid())) instanceof StoredRecord.Allocation allocation
         && allocation.done();
   }
 
--- a/src/test/java/eiderfork/controller/SingleFailureTest.java
+++ b/src/test/java/eiderfork/controller/SingleFailureTest.java
@@ -429,7 +429,7 @@
     Job broken = submit(TestFixtures.job(1, JobKind.SERVICE, 2, 1));
     cluster.run(20);
     int starts = cluster.checker.startCount;
-    cluster.store.corrupt(StoreKeys.alloc(broken.uid()));
+    cluster.store.corrupt(StoreKeys.allocation(broken.uid()));
     cluster.crashNode(cluster.leader(), 3000);
     cluster.run(20);
     Job other = submit(TestFixtures.job(2, JobKind.SERVICE, 2, 1));
--- a/src/test/java/eiderfork/controller/StandbyFailoverTest.java
+++ b/src/test/java/eiderfork/controller/StandbyFailoverTest.java
@@ -128,7 +128,10 @@
     assertTrue(leading(cluster).recoveredFromReplica());
     jobs.subList(0, 4).forEach(job -> cluster.cancel(job.uid()));
     ExpectedOutcome.assertAllJobsServed(cluster, jobs);
-    assertEquals(List.of(), cluster.store.keys(StoreKeys.RENT_PREFIX), "rents that nobody settles");
+    assertEquals(
+        List.of(),
+        cluster.store.keys(StoreKeys.SCALE_OUT_INTENT_PREFIX),
+        "rents that nobody settles");
   }
 
   /** Watches bring nothing for a while; what was written meanwhile comes with the proof. */
--- a/src/test/java/eiderfork/controller/UserRequestHandlerTest.java
+++ b/src/test/java/eiderfork/controller/UserRequestHandlerTest.java
@@ -70,10 +70,10 @@
   /** Cancels, and replies to reads until the cancellation is to be written. */
   private StoreRequest.Transaction cancelUntilWrite(
       StoredRecord.Allocation allocation, long allocVersion) {
-    requests.handle(new Input.Abort(1, JOB.uid()), true, answers::add);
+    requests.handle(new Input.Cancel(1, JOB.uid()), true, answers::add);
     assertEquals(new StoreRequest.Get(StoreKeys.job(JOB.uid())), nextRequest(null, 0));
     Reply job = new Reply.Value(new StoredRecord.JobSpec(JOB), 3);
-    assertEquals(new StoreRequest.Get(StoreKeys.alloc(JOB.uid())), nextRequest(job, lastCall));
+    assertEquals(new StoreRequest.Get(StoreKeys.allocation(JOB.uid())), nextRequest(job, lastCall));
     return (StoreRequest.Transaction)
         nextRequest(new Reply.Value(allocation, allocVersion), lastCall);
   }
@@ -89,16 +89,17 @@
     assertEquals(
         ImmutableList.of(
             new StoreRequest.Condition(StoreKeys.cancellation(JOB.uid()), 0),
-            new StoreRequest.Condition(StoreKeys.alloc(JOB.uid()), 9),
-            new StoreRequest.Condition(StoreKeys.ended(JOB.uid()), 0)),
+            new StoreRequest.Condition(StoreKeys.allocation(JOB.uid()), 9),
+            new StoreRequest.Condition(StoreKeys.archivedJob(JOB.uid()), 0)),
         write.conditions());
   }
 
   @Test
   void jobThatCompletesMeanwhileIsNotCancelled() {
     cancelUntilWrite(alloc(false), 9);
-    Reply conflict = new Reply.Conflict(ImmutableList.of(StoreKeys.alloc(JOB.uid())));
-    assertEquals(new StoreRequest.Get(StoreKeys.alloc(JOB.uid())), nextRequest(conflict, lastCall));
+    Reply conflict = new Reply.Conflict(ImmutableList.of(StoreKeys.allocation(JOB.uid())));
+    assertEquals(
+        new StoreRequest.Get(StoreKeys.allocation(JOB.uid())), nextRequest(conflict, lastCall));
     context.completeCall(lastCall, new Reply.Value(alloc(true), 10));
     assertEquals(JobStatus.Phase.DONE, answers.get(0).job().phase());
   }
@@ -109,8 +110,9 @@
     cancelUntilWrite(StoredRecord.Allocation.EMPTY, 0);
     Reply conflict =
         new Reply.Conflict(
-            ImmutableList.of(StoreKeys.cancellation(JOB.uid()), StoreKeys.ended(JOB.uid())));
-    assertEquals(new StoreRequest.Get(StoreKeys.ended(JOB.uid())), nextRequest(conflict, lastCall));
+            ImmutableList.of(StoreKeys.cancellation(JOB.uid()), StoreKeys.archivedJob(JOB.uid())));
+    assertEquals(
+        new StoreRequest.Get(StoreKeys.archivedJob(JOB.uid())), nextRequest(conflict, lastCall));
     StoredRecord ended = new StoredRecord.ArchivedJob(JobStatus.Phase.DONE, 2);
     context.completeCall(lastCall, new Reply.Value(ended, 12));
     assertEquals(JobStatus.Phase.DONE, answers.get(0).job().phase());
@@ -125,7 +127,8 @@
     requests.handle(new Input.Submit(1, GANG, new byte[0]), true, answers::add);
     assertEquals(new StoreRequest.Get(StoreKeys.job(GANG.uid())), nextRequest(null, 0));
     Reply none = new Reply.Value(null, 0);
-    assertEquals(new StoreRequest.Get(StoreKeys.ended(GANG.uid())), nextRequest(none, lastCall));
+    assertEquals(
+        new StoreRequest.Get(StoreKeys.archivedJob(GANG.uid())), nextRequest(none, lastCall));
     assertEquals(new StoreRequest.Get(StoreKeys.MACHINE_TYPES), nextRequest(none, lastCall));
     MachineType type =
         new MachineType("g4", new Resources(16, 4, 64), 9, 2, 8, 3, 4, ImmutableList.of("a"));
@@ -169,7 +172,7 @@
     nextRequest(new Reply.Value(null, 0), lastCall);
     // Without an alloc record the job may have been archived between the reads.
     assertEquals(
-        new StoreRequest.Get(StoreKeys.ended(GANG.uid())),
+        new StoreRequest.Get(StoreKeys.archivedJob(GANG.uid())),
         nextRequest(new Reply.Value(null, 0), lastCall));
     context.completeCall(lastCall, new Reply.Value(null, 0));
     assertEquals(200, answers.get(0).status());
--- a/src/test/java/eiderfork/controller/WorkerCommanderTest.java
+++ b/src/test/java/eiderfork/controller/WorkerCommanderTest.java
@@ -326,7 +326,7 @@
     assertEquals(
         ImmutableList.of(
             election.leaderCondition(),
-            new StoreRequest.Condition(StoreKeys.alloc(uid), 5),
+            new StoreRequest.Condition(StoreKeys.allocation(uid), 5),
             new StoreRequest.Condition(StoreKeys.cancellation(uid), 0)),
         write.conditions());
     assertEquals(new StoreRequest.Condition(StoreKeys.LEADER, 1), election.leaderCondition());
--- a/src/test/java/eiderfork/controller/jobs/JobArchiverTransactionTest.java
+++ b/src/test/java/eiderfork/controller/jobs/JobArchiverTransactionTest.java
@@ -85,10 +85,10 @@
     assertEquals(
         ImmutableList.of(
             election.leaderCondition(),
-            new StoreRequest.Condition(StoreKeys.alloc(CANCELLED.uid()), 0),
-            new StoreRequest.Condition(StoreKeys.ended(CANCELLED.uid()), 0),
-            new StoreRequest.Condition(StoreKeys.alloc(DONE.uid()), 9),
-            new StoreRequest.Condition(StoreKeys.ended(DONE.uid()), 0)),
+            new StoreRequest.Condition(StoreKeys.allocation(CANCELLED.uid()), 0),
+            new StoreRequest.Condition(StoreKeys.archivedJob(CANCELLED.uid()), 0),
+            new StoreRequest.Condition(StoreKeys.allocation(DONE.uid()), 9),
+            new StoreRequest.Condition(StoreKeys.archivedJob(DONE.uid()), 0)),
         sortedByJob(transaction.conditions()));
     assertEquals(6, transaction.changes().size());
     assertTrue(
@@ -97,12 +97,12 @@
             .containsAll(
                 List.of(
                     StoreRequest.Change.put(
-                        StoreKeys.ended(DONE.uid()),
+                        StoreKeys.archivedJob(DONE.uid()),
                         new StoredRecord.ArchivedJob(JobStatus.Phase.DONE, 2)),
                     StoreRequest.Change.remove(StoreKeys.job(DONE.uid())),
-                    StoreRequest.Change.remove(StoreKeys.alloc(DONE.uid())),
+                    StoreRequest.Change.remove(StoreKeys.allocation(DONE.uid())),
                     StoreRequest.Change.put(
-                        StoreKeys.ended(CANCELLED.uid()),
+                        StoreKeys.archivedJob(CANCELLED.uid()),
                         new StoredRecord.ArchivedJob(JobStatus.Phase.ABORTED, 0)),
                     StoreRequest.Change.remove(StoreKeys.job(CANCELLED.uid())),
                     StoreRequest.Change.remove(StoreKeys.cancellation(CANCELLED.uid())))));
@@ -134,9 +134,9 @@
     Reply conflict =
         new Reply.Conflict(
             ImmutableList.of(
-                StoreKeys.alloc(DONE.uid()),
-                StoreKeys.ended(DONE.uid()),
-                StoreKeys.ended(CANCELLED.uid())));
+                StoreKeys.allocation(DONE.uid()),
+                StoreKeys.archivedJob(DONE.uid()),
+                StoreKeys.archivedJob(CANCELLED.uid())));
     context.completeCall(secondCalls.get(0).callId(), conflict);
     assertNull(jobs.get(DONE.uid()));
     assertNull(jobs.get(CANCELLED.uid()));
@@ -151,7 +151,7 @@
   @Test
   void jobWithAnUnexpectedAllocationIsNotArchived() {
     List<Effect.CallStore> calls = tickAndDrainCalls();
-    Reply changed = new Reply.Conflict(ImmutableList.of(StoreKeys.alloc(DONE.uid())));
+    Reply changed = new Reply.Conflict(ImmutableList.of(StoreKeys.allocation(DONE.uid())));
     context.completeCall(calls.get(0).callId(), changed);
     assertNotNull(jobs.get(DONE.uid()));
     StoreRequest.Transaction retried = onlyTransaction(tickAndDrainCalls());
--- a/src/test/java/eiderfork/controller/standby/StandbyReplicaTest.java
+++ b/src/test/java/eiderfork/controller/standby/StandbyReplicaTest.java
@@ -174,22 +174,24 @@
 
   @Test
   void compactedChangesDropTheReplica() {
-    context.completeCall(watches.remove(StoreKeys.ALLOC_PREFIX).callId(), new Reply.Refused(410));
+    context.completeCall(
+        watches.remove(StoreKeys.ALLOCATION_PREFIX).callId(), new Reply.Refused(410));
     assertDropped();
   }
 
   @Test
   void oversizedReplyDropsTheReplica() {
-    context.completeCall(watches.remove(StoreKeys.ALLOC_PREFIX).callId(), new Reply.Oversized());
+    context.completeCall(
+        watches.remove(StoreKeys.ALLOCATION_PREFIX).callId(), new Reply.Oversized());
     assertDropped();
   }
 
   @Test
   void unreadableRecordDropsTheReplica() {
     replyToWatch(
-        StoreKeys.ALLOC_PREFIX,
+        StoreKeys.ALLOCATION_PREFIX,
         12,
-        new Reply.Item(StoreKeys.alloc("run-1"), new StoredRecord.Unreadable("spoiled"), 12));
+        new Reply.Item(StoreKeys.allocation("run-1"), new StoredRecord.Unreadable("spoiled"), 12));
     assertDropped();
   }
 
@@ -298,11 +300,11 @@
   void replyFromBeforeTheElectionIsNotEnough() {
     catchUp(30);
     for (String prefix : List.copyOf(watches.keySet())) {
-      replyToWatch(prefix, prefix.equals(StoreKeys.ALLOC_PREFIX) ? 29 : 30);
+      replyToWatch(prefix, prefix.equals(StoreKeys.ALLOCATION_PREFIX) ? 29 : 30);
     }
     assertEquals(List.of(), caughtUp);
     advance(1500);
-    replyToWatch(StoreKeys.ALLOC_PREFIX, 30);
+    replyToWatch(StoreKeys.ALLOCATION_PREFIX, 30);
     assertEquals(List.of(true), caughtUp);
   }
 
--- a/src/test/java/eiderfork/net/EventLoopMetricsTest.java
+++ b/src/test/java/eiderfork/net/EventLoopMetricsTest.java
@@ -40,18 +40,18 @@
     assertLogged(
         "Submit", "Submit[ticket=1, job=null, body=null]", new Input.Submit(1, null, null));
     assertLogged("Query", "Query[ticket=2, uid=run-1]", new Input.Query(2, "run-1"));
-    assertLogged("Abort", "Abort[ticket=3, uid=run-1]", new Input.Abort(3, "run-1"));
+    assertLogged("Abort", "Abort[ticket=3, uid=run-1]", new Input.Cancel(3, "run-1"));
     assertLogged("HealthCheck", "HealthCheck[ticket=4]", new Input.HealthCheck(4));
     assertLogged(
         "WorkerReport",
         "WorkerReport[ticket=5, report=Heartbeat[machine=Machine[name=m-1, address=null, "
             + "type=large, zone=zone-a, spot=true], incarnation=1, sequenceNumber=5, "
             + "fencingToken=3, terminationNoticeS=null, tasks=[]]]",
-        new Input.WorkerReport(5, heartbeat));
+        new Input.WorkerHeartbeat(5, heartbeat));
     assertLogged(
         "PeerRequest",
         "PeerRequest[ticket=6, request=Abort[ticket=0, uid=run-1]]",
-        new Input.PeerRequest(6, new Input.Abort(0, "run-1")));
+        new Input.PeerRequest(6, new Input.Cancel(0, "run-1")));
     assertLogged(
         "PeerQueries",
         "PeerQueries[ticket=7, uids=[run-1]]",
@@ -61,7 +61,7 @@
     assertLogged(
         "Answered",
         "Answered[callId=10, reply=Unanswered[]]",
-        new Input.Answered(10, new Reply.Unanswered()));
+        new Input.CallCompleted(10, new Reply.Unanswered()));
   }
 
   private static void assertLogged(String name, String printed, Input input) {
--- a/src/test/java/eiderfork/net/FailoverTracerTest.java
+++ b/src/test/java/eiderfork/net/FailoverTracerTest.java
@@ -21,7 +21,8 @@
       new Effect.FailoverCompleted(
           5,
           ImmutableList.of(
-              new Effect.Phase("election", 1000, 1030), new Effect.Phase("copy", 1030, 1050)));
+              new Effect.FailoverPhase("election", 1000, 1030),
+              new Effect.FailoverPhase("copy", 1030, 1050)));
 
   @TempDir private Path folder;
 
--- a/src/test/java/eiderfork/wire/ProductionCompatibilityTest.java
+++ b/src/test/java/eiderfork/wire/ProductionCompatibilityTest.java
@@ -103,7 +103,8 @@
     Input.Submit submit = (Input.Submit) ForwardingCodec.decodeRequest(message("submit"));
     assertEquals("run-000412", submit.job().uid());
     assertEquals(new Input.Query(0, "run-000412"), ForwardingCodec.decodeRequest(message("query")));
-    assertEquals(new Input.Abort(0, "run-000412"), ForwardingCodec.decodeRequest(message("abort")));
+    assertEquals(
+        new Input.Cancel(0, "run-000412"), ForwardingCodec.decodeRequest(message("abort")));
     UserResponse ok =
         new UserResponse(200, new JobStatus("run-000412", JobStatus.Phase.RUNNING, 4, 3), 0, null);
     UserResponse later = new UserResponse(503, null, 2, "the machine types are not known yet");
@@ -124,7 +125,7 @@
         hex(ForwardingCodec.encodeRequest(new Input.Query(0, "run-000412"))));
     assertEquals(
         hex(message("abort")),
-        hex(ForwardingCodec.encodeRequest(new Input.Abort(0, "run-000412"))));
+        hex(ForwardingCodec.encodeRequest(new Input.Cancel(0, "run-000412"))));
     Reply.ForwardedResponses answers =
         (Reply.ForwardedResponses) ForwardingCodec.decodeAnswers(message("answers"));
     assertEquals(hex(message("answers")), hex(ForwardingCodec.encodeAnswers(answers.responses())));
