--- a/src/test/java/eiderfork/controller/FakeHeartbeats.java
+++ b/src/test/java/eiderfork/controller/FakeHeartbeats.java
@@ -97,7 +97,7 @@
           () ->
               cluster.sendRequest(
                   node,
-                  ticket -> new Input.WorkerReport(ticket, heartbeat),
+                  ticket -> new Input.WorkerHeartbeat(ticket, heartbeat),
                   effect -> {
                     long backMs = cluster.isCut(node, "*") ? -1 : cluster.delayMs(node, name);
                     if (backMs >= 0) {
@@ -110,7 +110,7 @@
 
   /** Delivers an old copy of a heartbeat; its response is dropped. */
   private void redeliver(String node, eiderfork.model.Heartbeat heartbeat) {
-    cluster.sendRequest(node, ticket -> new Input.WorkerReport(ticket, heartbeat), effect -> {});
+    cluster.sendRequest(node, ticket -> new Input.WorkerHeartbeat(ticket, heartbeat), effect -> {});
   }
 
   private void deliverResponse(
