--- a/src/test/java/eiderfork/controller/FailoverTest.java
+++ b/src/test/java/eiderfork/controller/FailoverTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The lead changes hands while something else goes wrong. */
+/** Failovers that coincide with another fault or with cancellations. */
 class FailoverTest {
   private static LongStream seeds() {
     return LongStream.rangeClosed(1, 8);
@@ -34,16 +34,18 @@
     return jobs;
   }
 
-  private static void crashLeader(SimulatedCluster cluster, long forMs) {
+  private static void crashLeader(SimulatedCluster cluster, long durationMs) {
     if (cluster.leader() != null) {
-      cluster.crashNode(cluster.leader(), forMs);
+      cluster.crashNode(cluster.leader(), durationMs);
     }
   }
 
-  /** Leaders change ten times in two minutes, also inside an outage. */
+  /**
+   * The leader crashes every 12 s for two minutes; with even seeds the store also has an outage.
+   */
   @ParameterizedTest
   @MethodSource("seeds")
-  void theLeadChangesTenTimesInTwoMinutes(long seed) {
+  void tenFailoversInTwoMinutesLoseNoJob(long seed) {
     SimulatedCluster cluster = new SimulatedCluster(seed);
     List<Job> jobs = services(cluster, 5);
     for (int i = 0; i < 12; i++) {
@@ -66,10 +68,13 @@
     ExpectedOutcome.assertAllJobsServed(cluster, jobs);
   }
 
-  /** Controllers hand over and back, all end, and one returns, also within a second. */
+  /**
+   * Leadership changes twice, then all controllers crash within 100 ms and one restarts after 0.1
+   * to 20 s.
+   */
   @ParameterizedTest
   @ValueSource(ints = {100, 300, 600, 900, 1500, 3000, 8000, 13_000, 20_000})
-  void allEndAndOneReturns(int awayMs) {
+  void jobsAreServedAfterOneOfThreeCrashedControllersRestarts(int downtimeMs) {
     SimulatedCluster cluster = new SimulatedCluster(3);
     List<Job> jobs = services(cluster, 5);
     Job cancelled = TestFixtures.job(20, JobKind.SERVICE, 3, 1);
@@ -81,52 +86,55 @@
     crashLeader(cluster, 900);
     cluster.run(5);
     cluster.schedule(50, () -> cluster.cancel(cancelled.uid()));
-    cluster.crashNode("roost-0", awayMs);
+    cluster.crashNode("roost-0", downtimeMs);
     cluster.schedule(30, () -> cluster.crashNode("roost-1", 30_000));
     cluster.schedule(90, () -> cluster.crashNode("roost-2", 30_000));
     cluster.run(50);
     ExpectedOutcome.assertAllJobsServed(cluster, jobs);
   }
 
-  /** Jobs are cancelled in the seconds in which one controller's work changes hands. */
+  /** Jobs are cancelled up to 4.2 s after the leader has crashed or been suspended. */
   @ParameterizedTest
   @ValueSource(ints = {0, 100, 500, 1500, 2500, 3000, 3200, 3300, 3400, 3500, 3600, 3800, 4200})
-  void cancellationsWhileTheWorkChangesHands(int afterMs) {
-    for (boolean frozen : new boolean[] {false, true}) {
+  void cancellationsDuringAFailoverAreExecuted(int delayMs) {
+    for (boolean isSuspended : new boolean[] {false, true}) {
       SimulatedCluster cluster = new SimulatedCluster(2);
       List<Job> jobs = services(cluster, 5);
       cluster.run(25);
       Job starting = TestFixtures.job(30, JobKind.ARRAY, 6, 1);
       jobs.add(starting);
       cluster.submit(starting);
-      String old = cluster.leader();
-      if (frozen) {
-        cluster.freezeNode(old, 7000);
+      String leader = cluster.leader();
+      if (isSuspended) {
+        cluster.freezeNode(leader, 7000);
       } else {
-        cluster.crashNode(old, 7000);
+        cluster.crashNode(leader, 7000);
       }
       for (Job job : List.copyOf(jobs).subList(2, 6)) {
-        cluster.schedule(afterMs, () -> cluster.cancel(job.uid()));
+        cluster.schedule(delayMs, () -> cluster.cancel(job.uid()));
       }
       cluster.run(40);
       ExpectedOutcome.assertAllJobsServed(cluster, jobs);
     }
   }
 
-  /** A leader ends while machines with long tasks can't be reached, or don't hear its successor. */
+  /**
+   * The leader crashes while more than half of the workers receive no messages from controllers, or
+   * while their own messages to controllers are lost.
+   */
   @ParameterizedTest
   @ValueSource(ints = {2000, 6000, 9000, 11_000, 14_000, 25_000})
-  void machinesThatDoNotHearTheNewLeader(int forMs) {
-    for (boolean deaf : new boolean[] {true, false}) {
+  void jobsAreServedWhenWorkersCannotCommunicateWithTheNewLeader(int durationMs) {
+    for (boolean dropsInbound : new boolean[] {true, false}) {
       SimulatedCluster cluster = new SimulatedCluster(4);
       List<Job> jobs = services(cluster, 5);
       cluster.run(25);
       List<FakeWorker> workers = cluster.workers();
       for (FakeWorker worker : workers.subList(0, workers.size() / 2 + 1)) {
-        if (deaf) {
-          cluster.cutLinksTo(worker.machine.name(), forMs);
+        if (dropsInbound) {
+          cluster.cutLinksTo(worker.machine.name(), durationMs);
         } else {
-          cluster.cutLinksFrom(worker.machine.name(), forMs);
+          cluster.cutLinksFrom(worker.machine.name(), durationMs);
         }
       }
       cluster.run(0.5);
@@ -138,22 +146,22 @@
   }
 
   /**
-   * An older leader, cut from the store and its peers, renews the leases of machines that its
-   * successor can't reach. None of their tasks starts elsewhere while that may go on.
+   * A former leader, isolated from the store and its peers, goes on renewing the leases of workers
+   * that its successor cannot reach. Their tasks must not start elsewhere while it may do so.
    */
   @ParameterizedTest
   @ValueSource(ints = {12_000, 18_000, 25_000, 40_000})
-  void leasesThatAnOlderLeaderRenewsDoNotCountAsLapsed(int forMs) {
+  void leasesThatAFormerLeaderRenewsAreNotCountedAsExpired(int durationMs) {
     SimulatedCluster cluster = new SimulatedCluster(4);
     List<Job> jobs = services(cluster, 5);
     cluster.run(25);
-    String old = cluster.leader();
-    cluster.isolateNode(old, forMs);
+    String formerLeader = cluster.leader();
+    cluster.isolateNode(formerLeader, durationMs);
     for (FakeWorker worker : cluster.workers()) {
       for (String node : cluster.nodeNames()) {
-        if (!node.equals(old)) {
-          cluster.cutLink(node + ">" + worker.machine.name(), forMs);
-          cluster.cutLink(worker.machine.name() + ">" + node, forMs);
+        if (!node.equals(formerLeader)) {
+          cluster.cutLink(node + ">" + worker.machine.name(), durationMs);
+          cluster.cutLink(worker.machine.name() + ">" + node, durationMs);
         }
       }
     }
@@ -161,9 +169,9 @@
     ExpectedOutcome.assertAllJobsServed(cluster, jobs);
   }
 
-  /** Workers can't open connections to any controller, while direct commands still reach them. */
+  /** Messages from workers to controllers are lost, while direct commands still reach them. */
   @Test
-  void machinesThatReachNobodyAreNotStartedOnTwice() {
+  void tasksOfWorkersThatReachNoControllerDoNotStartTwice() {
     SimulatedCluster cluster = new SimulatedCluster(4);
     List<Job> jobs = services(cluster, 5);
     cluster.run(25);
@@ -173,10 +181,10 @@
     ExpectedOutcome.assertAllJobsServed(cluster, jobs);
   }
 
-  /** Jobs of two or three tasks end far apart across a change of leader. */
+  /** Tasks of one job end at different times, before and after failovers. */
   @ParameterizedTest
   @ValueSource(ints = {0, 200, 500, 900, 1500, 2200, 3000})
-  void tasksThatEndFarApart(int afterMs) {
+  void tasksOfOneJobMayEndBeforeAndAfterAFailover(int delayMs) {
     SimulatedCluster cluster = new SimulatedCluster(6);
     cluster.cloud.defaultStock = 1;
     cluster.cloud.stockByKind.put(new MachineKind("g4", "b", false), 0);
@@ -186,38 +194,39 @@
     }
     jobs.forEach(cluster::submit);
     cluster.run(16);
-    cluster.schedule(afterMs, () -> crashLeader(cluster, 2000));
-    cluster.schedule(9000 + afterMs, () -> crashLeader(cluster, 2000));
+    cluster.schedule(delayMs, () -> crashLeader(cluster, 2000));
+    cluster.schedule(9000 + delayMs, () -> crashLeader(cluster, 2000));
     cluster.run(40);
     ExpectedOutcome.assertAllJobsServed(cluster, jobs);
   }
 
-  /** A zone with workers and a controller is cut off for longer than a lease. */
+  /** A zone with its workers and one controller is isolated, in most cases longer than a lease. */
   @ParameterizedTest
   @ValueSource(ints = {5000, 12_000, 25_000, 40_000})
-  void aZoneIsCutOff(int forMs) {
-    for (String inside : List.of("roost-0", "roost-1", "roost-2")) {
+  void jobsAreServedAfterAZoneWasIsolated(int durationMs) {
+    for (String insideNode : List.of("roost-0", "roost-1", "roost-2")) {
       SimulatedCluster cluster = new SimulatedCluster(5);
       List<Job> jobs = services(cluster, 6);
       Job spread = TestFixtures.job(20, JobKind.SERVICE, 4, 1, "blue", Priority.HIGH, true, false);
       jobs.add(spread);
       cluster.submit(spread);
       cluster.run(25);
-      cluster.isolateZone("b", inside, forMs);
+      cluster.isolateZone("b", insideNode, durationMs);
       cluster.schedule(1000, () -> cluster.cancel(jobs.get(0).uid()));
       cluster.run(60);
       ExpectedOutcome.assertAllJobsServed(cluster, jobs);
     }
   }
 
-  /** Jobs bound to one zone, arrays too, lose machines. */
+  /** Services and arrays that are bound to one zone lose up to four machines, and the leader. */
   @ParameterizedTest
   @MethodSource("seeds")
-  void jobsBoundToOneZoneLoseMachines(long seed) {
+  void jobsBoundToOneZoneRecoverFromMachineFailures(long seed) {
     SimulatedCluster cluster = new SimulatedCluster(seed);
     List<Job> jobs = new ArrayList<>();
     for (int i = 1; i <= 6; i++) {
-      jobs.add(inOneZone(i, i % 2 == 0 ? JobKind.ARRAY : JobKind.SERVICE, 4, i > 4 ? "b" : null));
+      jobs.add(
+          zoneBoundJob(i, i % 2 == 0 ? JobKind.ARRAY : JobKind.SERVICE, 4, i > 4 ? "b" : null));
     }
     jobs.forEach(cluster::submit);
     cluster.run(14);
@@ -237,7 +246,7 @@
     ExpectedOutcome.assertAllJobsServed(cluster, jobs);
   }
 
-  private static Job inOneZone(int number, JobKind kind, int tasks, String zone) {
+  private static Job zoneBoundJob(int number, JobKind kind, int tasks, String zone) {
     return new Job(
         "run-%06d".formatted(number),
         "bound",
@@ -259,10 +268,13 @@
         null);
   }
 
-  /** A store that answers slowly, or refuses one node, while users cancel and ask. */
+  /**
+   * The store answers slowly, refuses the leader and then has an outage, while users cancel and
+   * query jobs.
+   */
   @ParameterizedTest
   @MethodSource("seeds")
-  void aSlowStateServiceAndThenARefusal(long seed) {
+  void jobsAreServedWhileTheStoreIsSlowAndThenRefusesTheLeader(long seed) {
     SimulatedCluster cluster = new SimulatedCluster(seed);
     List<Job> jobs = services(cluster, 6);
     cluster.run(25);
--- a/src/test/java/eiderfork/controller/IncarnationLeaseExpiryTest.java
+++ b/src/test/java/eiderfork/controller/IncarnationLeaseExpiryTest.java
@@ -21,29 +21,32 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A task ran in two places. Its worker had been cut off for a lease, had lost its tasks and begun a
- * new incarnation, of which the leader knew by the reply to a direct command alone. The leader
- * started the task anew there, but counted the lease from its last answer to a heartbeat of the
- * incarnation before; when that was over it took the running task for lost and started it on
- * another machine.
+ * Guards against a fault by which a task ran on two machines. Its worker had been cut off for a
+ * lease, had lost its tasks and begun a new incarnation, which the leader knew only from the reply
+ * to a direct command. The leader restarted the task there, but counted the lease from its last
+ * response to a heartbeat of the previous incarnation. When that lease expired, the leader took the
+ * running task for lost and started it on another machine.
  *
- * <p>In the records the first machine was not heard from second 57 to 65 and 69 to 74, its task was
- * written anew at 69.10 (revision 589), no lease proxy had a record (0 items up to 71.83), and the
- * second start was carried out at 76.45: a lease of 10 s and its margin after the machine was heard
- * at 65, while an incarnation that began at 66 or later still had its lease.
+ * <p>In the incident, no heartbeat of the first machine arrived from second 57 to 65 and from 69 to
+ * 74. Its task was reserved again at 69.10 (revision 589), and no lease proxy had a record (0 items
+ * up to 71.83). The second start was executed at 76.45: a lease of 10 s and its margin after the
+ * heartbeat at 65, while an incarnation that began at 66 or later still had its lease.
  */
 class IncarnationLeaseExpiryTest extends LeaderAndWorkerFixture {
   private static final long NEXT_INCARNATION = INCARNATION + 1;
   private static final long TICK_MS = 50;
 
-  /** How long reads of the lease proxies' records take. */
-  private static final long READ_MS = 100;
+  /** The duration of a read of the lease proxies' records. */
+  private static final long READ_DURATION_MS = 100;
 
-  /** How long after its end a lease has surely been judged: margin, pause and time of a read. */
-  private static final long JUDGED_MS = 1200;
+  /**
+   * The time after the end of a lease by which the leader has settled its reservations: margin,
+   * pause and duration of a read.
+   */
+  private static final long SETTLED_AFTER_MS = 1200;
 
-  /** The longest time between two direct commands that the leader hears the machine by. */
-  private static final long COMMAND_MS = 2000;
+  /** The longest time between two direct commands whose replies show that the worker is alive. */
+  private static final long COMMAND_INTERVAL_MS = 2000;
 
   private long sequenceNumber = 100;
 
@@ -51,25 +54,28 @@
     super(5);
   }
 
-  /** Time passes by ticks; reads of the lease proxies' records find none. */
+  /** Advances the time tick by tick; reads of the lease proxies' records find none. */
   private void elapse(long ms) {
     long endMs = context.nowMs() + ms;
-    long readMs = Long.MAX_VALUE;
+    long readEndMs = Long.MAX_VALUE;
     while (context.nowMs() < endMs) {
       advanceBy(Math.min(TICK_MS, endMs - context.nowMs()));
       commander.tick();
       if (proxyReads.isEmpty()) {
-        readMs = Long.MAX_VALUE;
-      } else if (readMs == Long.MAX_VALUE) {
-        readMs = context.nowMs() + READ_MS;
-      } else if (context.nowMs() >= readMs) {
+        readEndMs = Long.MAX_VALUE;
+      } else if (readEndMs == Long.MAX_VALUE) {
+        readEndMs = context.nowMs() + READ_DURATION_MS;
+      } else if (context.nowMs() >= readEndMs) {
         proxyReads.remove().accept(Set.of());
       }
     }
   }
 
-  /** The leader finds that the lease has expired and reads the lease proxies' records. */
-  private Consumer<Set<String>> beginToExpire() {
+  /**
+   * Advances the time until the lease has expired and the leader reads the lease proxies' records;
+   * returns the callback of this read.
+   */
+  private Consumer<Set<String>> expireAndReadProxies() {
     elapse(context.workerLeaseMs());
     while (!leaseExpiry.hasExpired(machine) || proxyReads.isEmpty()) {
       proxyReads.clear();
@@ -80,43 +86,43 @@
     return proxyReads.remove();
   }
 
-  /** Answers the one direct command that is in flight with what the worker then reports. */
-  private Effect.SendCommands answerDirectly(
+  /** Replies to the only direct command in flight with a heartbeat that reports these tasks. */
+  private Effect.SendCommands replyToCommand(
       boolean executed, long incarnation, TaskStatus... tasks) {
     List<Effect.SendCommands> sent = drainEffects(Effect.SendCommands.class);
     assertEquals(1, sent.size());
-    Effect.SendCommands it = sent.get(0);
+    Effect.SendCommands command = sent.get(0);
     context.completeCall(
-        it.callId(),
+        command.callId(),
         new Reply.WorkerReply(
-            executed, heartbeat(incarnation, ++sequenceNumber, it.fencingToken(), tasks)));
-    return it;
+            executed, heartbeat(incarnation, ++sequenceNumber, command.fencingToken(), tasks)));
+    return command;
   }
 
-  /** A direct command that only raises the token, and its answer. */
-  private void commandDirectly(boolean executed, long incarnation, TaskStatus... tasks) {
+  /** Sends a direct command that only raises the fencing token, and replies to it. */
+  private void sendCommandAndReply(boolean executed, long incarnation, TaskStatus... tasks) {
     machine.commandChannel().raiseTokenAbove(0);
     machine.requestCommand();
     commander.tick();
-    answerDirectly(executed, incarnation, tasks);
+    replyToCommand(executed, incarnation, tasks);
   }
 
-  /** Time passes while the leader hears the machine by the answers to direct commands alone. */
-  private void elapseUnderCommands(long ms, Reservation task) {
+  /** Advances the time while the worker only replies to direct commands and sends no heartbeat. */
+  private void elapseWithCommandReplies(long ms, Reservation task) {
     long endMs = context.nowMs() + ms;
-    while (context.nowMs() + COMMAND_MS < endMs) {
-      elapse(COMMAND_MS);
-      commandDirectly(true, INCARNATION, runningStatus(task));
+    while (context.nowMs() + COMMAND_INTERVAL_MS < endMs) {
+      elapse(COMMAND_INTERVAL_MS);
+      sendCommandAndReply(true, INCARNATION, runningStatus(task));
     }
     elapse(endMs - context.nowMs());
   }
 
-  /** Reserves the task anew and starts it by a direct command in the next incarnation. */
+  /** Reserves the task again and starts it by a direct command in the next incarnation. */
   private Reservation startInNextIncarnation() {
     Reservation task = reserveTask();
     machine.requestCommand();
     commander.tick();
-    Effect.SendCommands sent = answerDirectly(true, NEXT_INCARNATION, runningStatus(task));
+    Effect.SendCommands sent = replyToCommand(true, NEXT_INCARNATION, runningStatus(task));
     assertEquals(ImmutableList.of(new WorkerCommand.Run(task.toAttempt())), sent.commands());
     assertEquals(NEXT_INCARNATION, sent.incarnation());
     assertEquals(TaskStatus.State.RUNNING, task.reportedState());
@@ -124,68 +130,73 @@
   }
 
   /**
-   * The last answer lies so many milliseconds before the lease is over in the worker's eyes: a
-   * heartbeat that had been held back is answered when its worker has long given it up.
+   * The leader responds to the last heartbeat {@code responseBeforeExpiryMs} before the lease
+   * expires for the worker. That heartbeat had been delayed, and its worker had long stopped
+   * waiting for the response.
    */
   @ParameterizedTest
   @ValueSource(ints = {10_000, 9900, 9500, 9000, 6000, 3000, 1000, 500, 100})
-  void taskOfANewIncarnationOutlivesThePreviousLease(int answeredBeforeMs) {
+  void taskOfANewIncarnationOutlivesThePreviousLease(int responseBeforeExpiryMs) {
     Reservation first = startTask();
-    elapseUnderCommands(context.workerLeaseMs() - answeredBeforeMs, first);
+    elapseWithCommandReplies(context.workerLeaseMs() - responseBeforeExpiryMs, first);
     sendHeartbeat(
         INCARNATION,
         ++sequenceNumber,
         machine.commandChannel().fencingToken(),
         runningStatus(first));
-    elapseUnderCommands(answeredBeforeMs + TICK_MS, first);
-    commandDirectly(false, NEXT_INCARNATION);
-    assertNull(job.reservations().get(0), "the previous incarnation is over");
+    elapseWithCommandReplies(responseBeforeExpiryMs + TICK_MS, first);
+    sendCommandAndReply(false, NEXT_INCARNATION);
+    assertNull(
+        job.reservations().get(0), "the reservation of the previous incarnation was not settled");
     assertEquals(1, leaseLog.startedByCommand());
-    long seenMs = context.nowMs();
+    long discoveredMs = context.nowMs();
     Reservation task = startInNextIncarnation();
 
-    elapse(seenMs + context.workerLeaseMs() - context.nowMs());
-    assertSame(task, job.reservations().get(0), "the new incarnation's lease is not over");
-    elapse(JUDGED_MS);
-    assertNull(job.reservations().get(0), "the new incarnation's lease is surely over");
+    elapse(discoveredMs + context.workerLeaseMs() - context.nowMs());
+    assertSame(
+        task, job.reservations().get(0), "settled before the new incarnation's lease expired");
+    elapse(SETTLED_AFTER_MS);
+    assertNull(job.reservations().get(0), "not settled after the new incarnation's lease expired");
   }
 
-  /** A read from before a lease expired does not show who has renewed it since. */
+  /** A read requested before a lease expired does not show who has renewed the lease since. */
   @Test
-  void readFromBeforeANewIncarnationSettlesNothingOfIt() {
+  void readRequestedBeforeANewIncarnationSettlesNoneOfItsTasks() {
     startTask();
-    Consumer<Set<String>> read = beginToExpire();
+    Consumer<Set<String>> read = expireAndReadProxies();
     sendHeartbeat(INCARNATION, ++sequenceNumber, machine.commandChannel().fencingToken());
     advanceBy(TICK_MS);
-    commandDirectly(false, NEXT_INCARNATION);
+    sendCommandAndReply(false, NEXT_INCARNATION);
     Reservation task = startInNextIncarnation();
-    context.advanceBy(context.workerLeaseMs() + JUDGED_MS);
+    context.advanceBy(context.workerLeaseMs() + SETTLED_AFTER_MS);
     read.accept(Set.of());
     assertSame(task, job.reservations().get(0));
     assertEquals(1, leaseLog.staleReads());
   }
 
-  /** The same where a heartbeat of the incarnation that was taken for expired is answered. */
+  /**
+   * Such a read is also outdated once the leader responds to a heartbeat of the same incarnation.
+   */
   @Test
-  void readFromBeforeTheLastAcknowledgementSettlesNothing() {
+  void readRequestedBeforeTheLastHeartbeatResponseSettlesNothing() {
     Reservation task = startTask();
-    Consumer<Set<String>> read = beginToExpire();
+    Consumer<Set<String>> read = expireAndReadProxies();
     sendHeartbeat(
         INCARNATION,
         ++sequenceNumber,
         machine.commandChannel().fencingToken(),
         runningStatus(task));
-    context.advanceBy(context.workerLeaseMs() + JUDGED_MS);
+    context.advanceBy(context.workerLeaseMs() + SETTLED_AFTER_MS);
     read.accept(Set.of());
     assertSame(task, job.reservations().get(0));
     assertEquals(1, leaseLog.staleReads());
   }
 
-  /** What would start there is settled with the rest before it is seen to run. */
+  /** A task started there would be settled with the others before a heartbeat shows it running. */
   @Test
-  void nothingIsStartedWhereALeaseHasExpired() {
+  void machineWithAnExpiredLeaseIsNotSchedulable() {
     Reservation task = startTask();
-    elapseUnderCommands(context.workerLeaseMs() + context.stepMs(), task);
+    elapseWithCommandReplies(context.workerLeaseMs() + context.stepMs(), task);
     assertTrue(liveness.hasRecentHeartbeat(machine));
     assertTrue(leaseExpiry.hasExpired(machine));
     assertFalse(liveness.isSchedulable(machine));
@@ -194,19 +205,21 @@
         ++sequenceNumber,
         machine.commandChannel().fencingToken(),
         runningStatus(task));
-    assertTrue(liveness.isSchedulable(machine), "its lease is renewed");
+    assertTrue(liveness.isSchedulable(machine), "not schedulable after its lease was renewed");
   }
 
   @Test
-  void reservationsAreSettledOnceTheLeaseHasSurelyExpired() {
+  void reservationsAreSettledAfterTheLeaseAndItsMargin() {
     Reservation task = startTask();
     elapse(context.workerLeaseMs());
     assertSame(task, job.reservations().get(0));
-    elapse(JUDGED_MS);
+    elapse(SETTLED_AFTER_MS);
     assertNull(job.reservations().get(0));
   }
 
-  /** The clocks may drift, and half a step is kept to spare. */
+  /**
+   * The expiry allows for clock drift between leader and worker, and for a margin of half a step.
+   */
   @Test
   void leaseExpiresAfterClockDriftAndMargin() {
     long expiryMs =
@@ -219,9 +232,9 @@
     assertTrue(leaseExpiry.hasExpired(machine));
   }
 
-  /** A partition that ends thousands of incarnations at once does not flood the log. */
+  /** A partition that ends thousands of incarnations at once must not flood the log. */
   @Test
-  void linesPerStepAreLimitedAndTheRestIsCounted() {
+  void logLinesPerStepAreLimitedAndTheRestIsCounted() {
     for (int i = 0; i < 100; i++) {
       leaseLog.recordIncarnationStart(machine, INCARNATION, context.nowMs(), true);
     }
--- a/src/test/java/eiderfork/controller/LeaderLeaseTest.java
+++ b/src/test/java/eiderfork/controller/LeaderLeaseTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A controller that is paused while its clock runs on counts on no lease that may have expired. */
+/** A controller that was suspended relies on no leader lease that may have expired meanwhile. */
 class LeaderLeaseTest {
   private static final long LEASE_MS = 3300;
 
@@ -28,7 +28,7 @@
   private final LeaderElection election =
       new LeaderElection(context, store, ElectedLeader.NO_LISTENER);
 
-  /** The one call to the store that is pending now. */
+  /** Returns the only pending effect, which must be a call to the store. */
   private Effect.CallStore pendingStoreCall() {
     List<Effect> effects = new ArrayList<>(context.drainEffects());
     assertEquals(1, effects.size(), effects.toString());
@@ -45,7 +45,7 @@
     store.sendQueued();
   }
 
-  /** Follows the steps of an election up to the lease that was granted. */
+  /** Runs an election up to its request for a lease, and returns this request. */
   private Effect.CallStore electUpToGrant() {
     election.tick();
     reply(pendingStoreCall(), new Reply.Value(null, 0));
@@ -56,14 +56,15 @@
   }
 
   /**
-   * The lease was counted from when the lead was taken: a node that stood still after the grant was
-   * sure of it for up to half a lease longer than it lasted, and another could lead by then.
+   * The lease once counted from the time at which the node took the leadership. A node that was
+   * suspended after the grant considered its lease valid for up to half a lease too long, while
+   * another node could already lead.
    */
   @ParameterizedTest
   @ValueSource(longs = {0, 500, 1000, 2000, 2900, 3200})
   void leaseCountsFromItsRequest(long pauseMs) {
     Effect.CallStore grant = electUpToGrant();
-    long grantedMs = context.nowMs();
+    long requestedMs = context.nowMs();
     advance(pauseMs);
     reply(grant, new Reply.Leased(7));
     Effect.CallStore claim = pendingStoreCall();
@@ -71,32 +72,34 @@
     reply(claim, new Reply.Committed(11));
     assertTrue(election.isLeading());
     for (long ms = pauseMs; ms <= 2 * LEASE_MS; ms += 50) {
-      context.advanceTo(grantedMs + ms);
-      assertFalse(election.isLeaseValid() && ms >= LEASE_MS, "sure " + ms + " ms after the grant");
+      context.advanceTo(requestedMs + ms);
+      assertFalse(
+          election.isLeaseValid() && ms >= LEASE_MS,
+          "lease considered valid " + ms + " ms after its request");
     }
   }
 
-  /** The same for the answer to the transaction, and for that to a renewal. */
+  /** A renewed lease, too, counts from the time of the request, not from that of its reply. */
   @ParameterizedTest
   @ValueSource(longs = {0, 1000, 3000, 5000, 20_000})
   void renewalCountsFromItsRequest(long pauseMs) {
     reply(electUpToGrant(), new Reply.Leased(7));
     reply(pendingStoreCall(), new Reply.Committed(11));
     advance(50);
-    long renewedMs = context.nowMs();
+    long renewalRequestedMs = context.nowMs();
     election.tick();
     Effect.CallStore renewal = pendingStoreCall();
     assertEquals(new StoreRequest.Renew(7), renewal.request());
     advance(pauseMs);
     reply(renewal, new Reply.Leased(7));
     assertEquals(pauseMs < LEASE_MS * 9 / 10, election.isLeaseValid());
-    context.advanceTo(Math.max(context.nowMs(), renewedMs + LEASE_MS));
+    context.advanceTo(Math.max(context.nowMs(), renewalRequestedMs + LEASE_MS));
     assertFalse(election.isLeaseValid());
   }
 
-  /** Woken after its lease, a node says so to nobody's face until the store has answered. */
+  /** A leader that resumes after its lease relies on it only once the store confirms a renewal. */
   @Test
-  void noLeaseIsValidAfterAPauseBeforeARenewalIsConfirmed() {
+  void leaseIsInvalidAfterAPauseUntilARenewalIsConfirmed() {
     reply(electUpToGrant(), new Reply.Leased(7));
     reply(pendingStoreCall(), new Reply.Committed(11));
     assertTrue(election.isLeaseValid());
--- a/src/test/java/eiderfork/controller/LeaseProxyTest.java
+++ b/src/test/java/eiderfork/controller/LeaseProxyTest.java
@@ -18,8 +18,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Two zones can't reach each other while both reach the store: nodes of the other zone answer
- * workers in the leader's place ({@link LeaseProxy}).
+ * Two zones cannot reach each other, but both reach the store. Nodes in the zone without the leader
+ * then renew the leases of its workers on the leader's behalf ({@link
+ * eiderfork.controller.workers.LeaseProxy}).
  */
 class LeaseProxyTest {
   private static LongStream seeds() {
@@ -30,7 +31,7 @@
     return new SimulatedCluster(seed, TestFixtures.settings("roost-0"), 7);
   }
 
-  /** Services spread over both zones, which all run. */
+  /** Submits services spread over both zones and waits until all of their tasks run. */
   private static List<Job> runSpreadServices(SimulatedCluster cluster, int count) {
     List<Job> jobs = new ArrayList<>();
     for (int i = 1; i <= count; i++) {
@@ -46,66 +47,69 @@
     return (cluster.leader().charAt(6) - '0') % 2 == 0 ? "b" : "a";
   }
 
-  private static FakeWorker busyIn(SimulatedCluster cluster, String zone) {
+  private static FakeWorker workerWithTasksIn(SimulatedCluster cluster, String zone) {
     return cluster.workers().stream()
         .filter(worker -> worker.machine.zone().equals(zone) && !worker.taskIds().isEmpty())
         .findFirst()
         .orElseThrow();
   }
 
-  /** Half of the fleet once lost all its tasks a lease after the zones lost each other. */
+  /** Half of the fleet once lost all its tasks one lease after the zones were partitioned. */
   @ParameterizedTest
   @MethodSource("seeds")
-  void tasksOfTheOtherZoneOutliveASplit(long seed) {
+  void tasksOfTheOtherZoneSurviveAPartition(long seed) {
     SimulatedCluster cluster = newCluster(seed);
     List<Job> jobs = runSpreadServices(cluster, 4);
-    int starts = cluster.checker.startCount;
+    int startsBefore = cluster.checker.startCount;
     cluster.splitZones(30_000);
     cluster.run(30);
     jobs.forEach(job -> assertEquals(4, cluster.checker.runningTasks(job.uid()), job::uid));
     cluster.run(10);
-    assertEquals(starts, cluster.checker.startCount, "nothing was lost and started again");
+    assertEquals(startsBefore, cluster.checker.startCount, "tasks were lost and restarted");
     ExpectedOutcome.assertAllJobsServed(cluster, jobs);
-    assertTrue(cluster.store.keys(StoreKeys.LEASE_PROXY_PREFIX).isEmpty(), "the records are gone");
+    assertTrue(
+        cluster.store.keys(StoreKeys.LEASE_PROXY_PREFIX).isEmpty(),
+        "records of lease proxies remain in the store");
   }
 
-  /** The zones lose each other once more, so long after they found each other. */
-  private static void tasksOutliveASecondSplit(long seed, long gapMs) {
+  /** The zones are partitioned a second time, {@code gapMs} after the first partition ended. */
+  private static void assertTasksSurviveASecondPartition(long seed, long gapMs) {
     SimulatedCluster cluster = newCluster(seed);
     List<Job> jobs = runSpreadServices(cluster, 4);
-    int starts = cluster.checker.startCount;
+    int startsBefore = cluster.checker.startCount;
     cluster.splitZones(20_000);
     cluster.run(20 + gapMs / 1000.0);
-    assertEquals(starts, cluster.checker.startCount, "nothing was lost in the first");
+    assertEquals(
+        startsBefore, cluster.checker.startCount, "tasks were restarted in the first partition");
     cluster.splitZones(25_000);
     cluster.run(40);
-    assertEquals(starts, cluster.checker.startCount, "nothing was lost in the second");
+    assertEquals(
+        startsBefore, cluster.checker.startCount, "tasks were restarted in the second partition");
     ExpectedOutcome.assertAllJobsServed(cluster, jobs);
   }
 
   /**
-   * A node that stood in for the leader stopped, and stood in anew in the seconds after. It did not
-   * ask for a lease for its records until that of the records of before would have had to be
-   * renewed; by then the leases of half the fleet had expired. In 10 of these 12 histories 4 or 8
-   * of 16 tasks were started anew where the zones lost each other again after 7 s, in none from 9 s
-   * on.
+   * A node stopped being a lease proxy and became one again a few seconds later. It requested no
+   * store lease for its new records until the lease of its previous records would have been due for
+   * renewal; by then the leases of half the fleet had expired. With a gap of 7 s, 4 or 8 of 16
+   * tasks were restarted in 10 of these 12 histories; with a gap of 9 s or more, in none.
    */
   @ParameterizedTest
   @MethodSource("seeds")
-  void tasksOutliveASecondSplitAfterSevenSeconds(long seed) {
-    tasksOutliveASecondSplit(seed, 7000);
+  void tasksSurviveASecondPartitionAfterSevenSeconds(long seed) {
+    assertTasksSurviveASecondPartition(seed, 7000);
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1000, 5000, 6000, 8000, 9000, 10_000, 11_000, 12_000, 15_000, 20_000})
-  void tasksOutliveASecondSplitHoweverLongAfterTheFirst(long gapMs) {
-    tasksOutliveASecondSplit(4, gapMs);
+  void tasksSurviveASecondPartitionAfterAnyGap(long gapMs) {
+    assertTasksSurviveASecondPartition(4, gapMs);
   }
 
-  /** A node that has just been elected may leave the lead to one that more machines reach. */
+  /** A limit on elections: a new leader may resign in favour of a node that more machines reach. */
   private static final int MAX_ELECTIONS = 6;
 
-  /** Ends all other nodes until this one leads, and waits until all is as it was. */
+  /** Crashes all other nodes until this one leads, and waits until they have restarted. */
   private static void makeLeader(SimulatedCluster cluster, String node) {
     for (int i = 0; i < MAX_ELECTIONS && !node.equals(cluster.leader()); i++) {
       for (String other : cluster.nodeNames()) {
@@ -119,13 +123,14 @@
   }
 
   /**
-   * A worker tries the nodes in their order, 5 s each. Behind the last of seven comes the first, in
-   * the same zone, and no node of the other zone is asked before the lease has expired: with that
-   * one leading, a split once cost all tasks of the other zone.
+   * A worker tries the nodes in a fixed order, 5 s each. The last of seven nodes is followed by the
+   * first, which is in the same zone, so that the worker tries no node of the other zone before its
+   * lease has expired. With the last node leading, a partition once cost all tasks of the other
+   * zone.
    */
   @ParameterizedTest
   @MethodSource("seeds")
-  void aNodeBehindWhichWorkersFindItsOwnZoneLeadsOnlyWhereNoOtherCan(long seed) {
+  void aNodeFollowedByOneOfItsOwnZoneLeadsOnlyIfNoOtherCan(long seed) {
     SimulatedCluster cluster = newCluster(seed);
     cluster.run(5);
     for (int i = 0; i < 10; i++) {
@@ -136,58 +141,62 @@
     makeLeader(cluster, "roost-6");
   }
 
-  /** Whichever of the nodes leads that are preferred, no zone loses its tasks in a split. */
+  /** Whichever of the preferred nodes leads, no zone loses its tasks in a partition. */
   @ParameterizedTest
   @ValueSource(ints = {0, 1, 2, 3, 4, 5})
-  void tasksOutliveASplitUnderEachLeader(int node) {
+  void tasksSurviveAPartitionUnderEachPreferredLeader(int node) {
     SimulatedCluster cluster = newCluster(7);
     List<Job> jobs = runSpreadServices(cluster, 4);
     makeLeader(cluster, "roost-" + node);
     jobs.forEach(job -> assertEquals(4, cluster.checker.runningTasks(job.uid()), job::uid));
-    int starts = cluster.checker.startCount;
+    int startsBefore = cluster.checker.startCount;
     cluster.splitZones(25_000);
     cluster.run(40);
-    assertEquals(starts, cluster.checker.startCount, "nothing was lost and started again");
+    assertEquals(startsBefore, cluster.checker.startCount, "tasks were lost and restarted");
     ExpectedOutcome.assertAllJobsServed(cluster, jobs);
   }
 
-  /** The leader stops nothing in the other zone; the node that answers a worker does. */
+  /** The leader cannot stop tasks in the other zone; the lease proxy of the worker does. */
   @ParameterizedTest
   @ValueSource(ints = {0, 1000, 3000, 5000, 6000, 7000, 9000, 15_000, 25_000})
-  void aCancellationDuringASplitIsCarriedOutByTheLeaseProxy(int afterMs) {
+  void aCancellationDuringAPartitionIsExecutedByTheLeaseProxy(int delayMs) {
     SimulatedCluster cluster = newCluster(3);
     List<Job> jobs = runSpreadServices(cluster, 4);
     cluster.splitZones(80_000);
-    cluster.schedule(afterMs, () -> cluster.cancel(jobs.get(0).uid()));
-    cluster.run(afterMs / 1000.0 + 25);
+    cluster.schedule(delayMs, () -> cluster.cancel(jobs.get(0).uid()));
+    cluster.run(delayMs / 1000.0 + 25);
     assertEquals(Phase.ABORTED, cluster.checker.finalPhase(jobs.get(0).uid()));
     assertEquals(0, cluster.checker.runningTasks(jobs.get(0).uid()));
     cluster.run(60);
     ExpectedOutcome.assertAllJobsServed(cluster, jobs);
   }
 
-  /** A machine that dies meanwhile is replaced once its leaseProxy's records are gone. */
+  /**
+   * A machine that fails during a partition is replaced once its lease proxy's records are gone.
+   */
   @ParameterizedTest
   @ValueSource(ints = {0, 2000, 8000, 20_000, 29_000})
-  void aMachineThatDiesDuringASplitIsReplaced(int afterMs) {
+  void aMachineThatFailsDuringAPartitionIsReplaced(int delayMs) {
     SimulatedCluster cluster = newCluster(4);
     List<Job> jobs = runSpreadServices(cluster, 4);
-    FakeWorker worker = busyIn(cluster, otherZone(cluster));
+    FakeWorker worker = workerWithTasksIn(cluster, otherZone(cluster));
     cluster.splitZones(30_000);
-    cluster.schedule(afterMs, () -> cluster.failMachine(worker.machine.name()));
+    cluster.schedule(delayMs, () -> cluster.failMachine(worker.machine.name()));
     cluster.run(80);
     ExpectedOutcome.assertAllJobsServed(cluster, jobs);
   }
 
-  /** Lease proxies end, the leader ends, all end, and the store is out, during a split. */
+  /**
+   * Random nodes and the leader crash during a partition; with even seeds the store is down, too.
+   */
   @ParameterizedTest
   @MethodSource("seeds")
-  void rulesHoldWhateverEndsDuringASplit(long seed) {
+  void noViolationsWhenNodesCrashDuringAPartition(long seed) {
     SimulatedCluster cluster = newCluster(seed);
     ExpectedOutcome.assertAllJobsServed(cluster, playSplit(cluster, seed));
   }
 
-  /** Plays a split of the zones while nodes end, and tells the jobs. */
+  /** Plays a partition of the zones while nodes crash, and returns the jobs. */
   static List<Job> playSplit(SimulatedCluster cluster, long seed) {
     List<Job> jobs = runSpreadServices(cluster, 4);
     cluster.lossProbability = 0.01;
@@ -210,10 +219,11 @@
           }
         });
     if (seed % 2 == 0) {
-      long outMs = script.nextInt(40_000);
-      cluster.schedule(outMs, () -> cluster.store.startOutage(cluster.nowMs));
+      long outageStartMs = script.nextInt(40_000);
+      cluster.schedule(outageStartMs, () -> cluster.store.startOutage(cluster.nowMs));
       cluster.schedule(
-          outMs + 5000 + script.nextInt(30_000), () -> cluster.store.endOutage(cluster.nowMs));
+          outageStartMs + 5000 + script.nextInt(30_000),
+          () -> cluster.store.endOutage(cluster.nowMs));
     }
     for (int i = 5; i <= 12; i++) {
       Job job = TestFixtures.job(i, i % 2 == 0 ? JobKind.SERVICE : JobKind.ARRAY, 3, 1);
@@ -242,17 +252,17 @@
         .toList();
   }
 
-  /** All nodes of the other zone stand still, and go on where leases and records are over. */
+  /** All nodes of the other zone are suspended until worker leases and records have expired. */
   @ParameterizedTest
   @ValueSource(ints = {0, 2000, 4000, 5000, 5500, 6000, 7000, 9000, 14_000, 20_000})
-  void rulesHoldWhereLeaseProxiesAreSuspended(int afterMs) {
+  void noViolationsWhenLeaseProxiesAreSuspended(int delayMs) {
     SimulatedCluster cluster = newCluster(6);
     List<Job> jobs = runSpreadServices(cluster, 4);
-    List<String> others = nodesIn(cluster, otherZone(cluster));
+    List<String> otherNodes = nodesIn(cluster, otherZone(cluster));
     cluster.splitZones(70_000);
     cluster.schedule(
-        afterMs, () -> others.forEach(node -> cluster.freezeNode(node, 12_000 + afterMs)));
-    cluster.schedule(afterMs + 1000, () -> cluster.cancel(jobs.get(0).uid()));
+        delayMs, () -> otherNodes.forEach(node -> cluster.freezeNode(node, 12_000 + delayMs)));
+    cluster.schedule(delayMs + 1000, () -> cluster.cancel(jobs.get(0).uid()));
     cluster.run(120);
     ExpectedOutcome.assertAllJobsServed(cluster, jobs);
   }
@@ -260,39 +270,40 @@
   /** The store refuses the nodes of the other zone, before and after they become proxies. */
   @ParameterizedTest
   @ValueSource(ints = {0, 2000, 4000, 5000, 5500, 6000, 7000, 9000, 14_000, 20_000})
-  void rulesHoldWhereTheStoreRefusesLeaseProxies(int afterMs) {
+  void noViolationsWhenTheStoreRefusesLeaseProxies(int delayMs) {
     SimulatedCluster cluster = newCluster(8);
     List<Job> jobs = runSpreadServices(cluster, 4);
-    List<String> others = nodesIn(cluster, otherZone(cluster));
+    List<String> otherNodes = nodesIn(cluster, otherZone(cluster));
     cluster.splitZones(70_000);
     cluster.schedule(
-        afterMs, () -> others.forEach(node -> cluster.refuseStoreRequests(node, 25_000)));
-    cluster.schedule(afterMs + 1000, () -> cluster.cancel(jobs.get(0).uid()));
+        delayMs, () -> otherNodes.forEach(node -> cluster.refuseStoreRequests(node, 25_000)));
+    cluster.schedule(delayMs + 1000, () -> cluster.cancel(jobs.get(0).uid()));
     cluster.run(120);
     ExpectedOutcome.assertAllJobsServed(cluster, jobs);
   }
 
-  /** The lead goes to the other zone within a split, and back. */
+  /** During a partition, leadership moves to the other zone and back. */
   @ParameterizedTest
   @ValueSource(ints = {500, 3000, 5000, 6000, 8000, 10_000, 15_000})
-  void rulesHoldWhereTheLeadCrossesASplitAndComesBack(int afterMs) {
+  void noViolationsWhenLeadershipMovesAcrossAPartitionAndBack(int delayMs) {
     SimulatedCluster cluster = newCluster(9);
     List<Job> jobs = runSpreadServices(cluster, 4);
-    String there = otherZone(cluster);
-    List<String> here = nodesIn(cluster, there.equals("a") ? "b" : "a");
+    String otherZone = otherZone(cluster);
+    List<String> leaderZoneNodes = nodesIn(cluster, otherZone.equals("a") ? "b" : "a");
     cluster.splitZones(60_000);
-    cluster.schedule(afterMs, () -> here.forEach(node -> cluster.crashNode(node, 6000)));
+    cluster.schedule(delayMs, () -> leaderZoneNodes.forEach(node -> cluster.crashNode(node, 6000)));
     cluster.schedule(
-        afterMs + 15_000, () -> nodesIn(cluster, there).forEach(n -> cluster.crashNode(n, 6000)));
-    cluster.schedule(afterMs + 2000, () -> cluster.cancel(jobs.get(0).uid()));
+        delayMs + 15_000,
+        () -> nodesIn(cluster, otherZone).forEach(node -> cluster.crashNode(node, 6000)));
+    cluster.schedule(delayMs + 2000, () -> cluster.cancel(jobs.get(0).uid()));
     cluster.run(120);
     ExpectedOutcome.assertAllJobsServed(cluster, jobs);
   }
 
-  /** Replies of the store are lost, or its transactions late, during a split. */
+  /** During a partition, replies of the store are lost, or transactions are executed late. */
   @ParameterizedTest
   @MethodSource("seeds")
-  void rulesHoldWhereProxyRecordsAreWrittenLateOrUnanswered(long seed) {
+  void noViolationsWhenProxyRecordsAreWrittenLateOrWithoutAReply(long seed) {
     SimulatedCluster cluster = newCluster(seed);
     List<Job> jobs = runSpreadServices(cluster, 4);
     cluster.lateTransactionProbability = seed % 2 == 0 ? 0.4 : 0;
@@ -307,27 +318,29 @@
     ExpectedOutcome.assertAllJobsServed(cluster, jobs);
   }
 
-  /** A split that comes and goes: leases renewed by either side are never counted as expired. */
+  /**
+   * The partition comes and goes: a lease that either side has renewed must not count as expired.
+   */
   @ParameterizedTest
   @MethodSource("seeds")
-  void rulesHoldWhereASplitComesAndGoes(long seed) {
+  void noViolationsWhenAPartitionComesAndGoes(long seed) {
     SimulatedCluster cluster = newCluster(seed);
     List<Job> jobs = runSpreadServices(cluster, 4);
     java.util.Random script = new java.util.Random(seed);
-    long atMs = 0;
+    long splitStartMs = 0;
     for (int i = 0; i < 8; i++) {
-      long forMs = 2000 + script.nextInt(14_000);
-      cluster.schedule(atMs, () -> cluster.splitZones(forMs));
-      atMs += forMs + script.nextInt(6000);
+      long durationMs = 2000 + script.nextInt(14_000);
+      cluster.schedule(splitStartMs, () -> cluster.splitZones(durationMs));
+      splitStartMs += durationMs + script.nextInt(6000);
     }
     cluster.schedule(script.nextInt(60_000), () -> cluster.cancel(jobs.get(0).uid()));
     cluster.run(110);
     ExpectedOutcome.assertAllJobsServed(cluster, jobs);
   }
 
-  /** Where connections between controllers are refused, workers still go to the leader. */
+  /** Connections between controllers fail, but workers still connect to the leader. */
   @Test
-  void noNodeProxiesForALeaderThatWorkersReach() {
+  void noNodeProxiesLeasesWhileWorkersReachTheLeader() {
     SimulatedCluster cluster = newCluster(5);
     List<Job> jobs = runSpreadServices(cluster, 3);
     for (String from : cluster.nodeNames()) {
@@ -336,11 +349,14 @@
       }
     }
     cluster.run(20);
-    Job next = TestFixtures.job(9, JobKind.SERVICE, 8, 2, "blue", Priority.HIGH, true, false);
-    jobs.add(next);
-    cluster.submit(next);
+    Job largeJob = TestFixtures.job(9, JobKind.SERVICE, 8, 2, "blue", Priority.HIGH, true, false);
+    jobs.add(largeJob);
+    cluster.submit(largeJob);
     cluster.run(15);
-    assertEquals(8, cluster.checker.runningTasks(next.uid()), "new machines found the leader");
+    assertEquals(
+        8,
+        cluster.checker.runningTasks(largeJob.uid()),
+        "tasks on new machines, which have to find the leader");
     ExpectedOutcome.assertAllJobsServed(cluster, jobs);
   }
 }
--- a/src/test/java/eiderfork/controller/RandomHistoryTest.java
+++ b/src/test/java/eiderfork/controller/RandomHistoryTest.java
@@ -13,31 +13,31 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Random histories under every trouble that the protocol names; the rules hold in all. */
+/** Random histories with every fault that the protocol tolerates; all invariants must hold. */
 class RandomHistoryTest {
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
-  void rulesHoldAndWorkGetsDone(long seed) {
-    rulesHold(new SimulatedCluster(seed), seed);
+  void noViolationsAndJobsAreServed(long seed) {
+    playAndAssertOutcome(new SimulatedCluster(seed), seed);
   }
 
-  /** Reports that come seldom and leases that are long: users and workers wait no longer for it. */
+  /** Rare heartbeats and long leases must not make users and workers wait longer. */
   @ParameterizedTest
   @ValueSource(longs = {21, 22, 23, 24, 25, 26})
-  void rulesHoldWhereReportsComeSeldom(long seed) {
-    rulesHold(new SimulatedCluster(seed, TestFixtures.longLeaseSettings()), seed);
+  void noViolationsWithLongLeases(long seed) {
+    playAndAssertOutcome(new SimulatedCluster(seed, TestFixtures.longLeaseSettings()), seed);
   }
 
-  /** Troubles that meet: late and lost transactions, old reports, refusals before an outage. */
+  /** Overlapping faults: late and lost transactions, old heartbeats, refusals before an outage. */
   @ParameterizedTest
   @ValueSource(longs = {31, 32, 33, 34, 35, 36, 37, 38, 39, 40, 41, 42, 43, 44, 45, 46})
-  void rulesHoldWhereTroublesMeet(long seed) {
+  void noViolationsWithOverlappingFaults(long seed) {
     SimulatedCluster cluster = new SimulatedCluster(seed);
     scheduleOverlappingFaults(cluster, seed);
-    rulesHold(cluster, seed);
+    playAndAssertOutcome(cluster, seed);
   }
 
-  /** Has several kinds of trouble meet in a history that is not played yet. */
+  /** Schedules faults that overlap each other; called before the history is played. */
   static void scheduleOverlappingFaults(SimulatedCluster cluster, long seed) {
     Random script = new Random(seed * 37);
     cluster.lateTransactionProbability = 0.08;
@@ -51,11 +51,12 @@
     for (int i = 0; i < 7; i++) {
       int kind = (i + (int) seed) % 7;
       cluster.schedule(
-          12_000 + i * 11_000L + script.nextInt(8000), () -> meeting(cluster, script, kind));
+          12_000 + i * 11_000L + script.nextInt(8000),
+          () -> injectOverlappingFault(cluster, script, kind));
     }
   }
 
-  private static void meeting(SimulatedCluster cluster, Random script, int kind) {
+  private static void injectOverlappingFault(SimulatedCluster cluster, Random script, int kind) {
     String node = "roost-" + script.nextInt(3);
     String leader = cluster.leader() == null ? node : cluster.leader();
     List<FakeWorker> workers = cluster.workers();
@@ -70,20 +71,20 @@
       case 2 -> cluster.freezeNode(leader, 1000 + script.nextInt(12_000));
       case 3 -> {
         for (int i = 0; i < 3; i++) {
-          cluster.schedule(i * 4200L, () -> cluster.crashNode(leaderOr(cluster, node), 300));
+          cluster.schedule(i * 4200L, () -> cluster.crashNode(leaderOrElse(cluster, node), 300));
         }
       }
       case 4 -> {
         workers.stream()
             .limit(3)
             .forEach(worker -> cluster.cutLinksTo(worker.machine.name(), 14_000));
-        cluster.schedule(800, () -> cluster.crashNode(leaderOr(cluster, node), 3000));
+        cluster.schedule(800, () -> cluster.crashNode(leaderOrElse(cluster, node), 3000));
       }
       case 5 -> {
         workers.stream()
             .limit(3)
             .forEach(worker -> cluster.cutLinksFrom(worker.machine.name(), 14_000));
-        cluster.schedule(800, () -> cluster.crashNode(leaderOr(cluster, node), 3000));
+        cluster.schedule(800, () -> cluster.crashNode(leaderOrElse(cluster, node), 3000));
       }
       default -> {
         cluster.storeDelayMs = 300;
@@ -94,11 +95,11 @@
     }
   }
 
-  private static String leaderOr(SimulatedCluster cluster, String node) {
+  private static String leaderOrElse(SimulatedCluster cluster, String node) {
     return cluster.leader() == null ? node : cluster.leader();
   }
 
-  /** Plays the random history of this seed to its quiet end, and tells the jobs. */
+  /** Plays the random history of this seed, ends all faults, and returns the jobs. */
   static List<Job> play(SimulatedCluster cluster, long seed) {
     Random script = new Random(seed * 31);
     cluster.lossProbability = 0.01;
@@ -125,7 +126,8 @@
     }
     for (int i = 0; i < 14; i++) {
       int kind = i;
-      cluster.schedule(10_000 + script.nextInt(80_000), () -> trouble(cluster, script, kind % 10));
+      cluster.schedule(
+          10_000 + script.nextInt(80_000), () -> injectFault(cluster, script, kind % 10));
     }
     for (int i = 0; i < 400; i++) {
       cluster.schedule(
@@ -138,7 +140,7 @@
     return jobs;
   }
 
-  private static void rulesHold(SimulatedCluster cluster, long seed) {
+  private static void playAndAssertOutcome(SimulatedCluster cluster, long seed) {
     List<Job> jobs = play(cluster, seed);
     assertEquals(List.of(), cluster.checker.violations);
     assertTrue(cluster.checker.startCount > 10);
@@ -155,14 +157,14 @@
       if (!job.team().equals("blue")) {
         continue;
       }
-      // Without trouble for so long, what was accepted runs in full; the red team has a limit.
+      // So long after the last fault, accepted jobs run in full. The red team has a limit.
       assertEquals(JobKind.SERVICE, job.kind(), job::uid);
       assertEquals(job.tasks(), cluster.checker.runningTasks(job.uid()), job::uid);
     }
     assertTrue(jobs.stream().anyMatch(job -> cluster.checker.finalPhase(job.uid()) == Phase.DONE));
   }
 
-  private static void trouble(SimulatedCluster cluster, Random script, int kind) {
+  private static void injectFault(SimulatedCluster cluster, Random script, int kind) {
     String node = "roost-" + script.nextInt(3);
     String leader = cluster.leader() == null ? node : cluster.leader();
     List<FakeWorker> workers = cluster.workers();
@@ -207,7 +209,7 @@
         cluster.schedule(15_000, () -> cluster.cloud.isDown = false);
       }
       default -> {
-        // Reports arrive, answers and commands do not.
+        // Heartbeats arrive at the nodes; their responses and direct commands are lost.
         if (!workers.isEmpty()) {
           String name = workers.get(script.nextInt(workers.size())).machine.name();
           for (int i = 0; i < 3; i++) {
--- a/src/test/java/eiderfork/controller/ReadBarrierTest.java
+++ b/src/test/java/eiderfork/controller/ReadBarrierTest.java
@@ -17,19 +17,19 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** A query is answered only from memory that holds every cancellation committed before it. */
+/** Queries are answered only once memory holds every cancellation committed before them. */
 class ReadBarrierTest {
   private final ControllerContext context =
       new ControllerContext(TestFixtures.settings("roost-0"), new Random(1), 1000);
   private final StoreClient store = new StoreClient(context);
-  private final List<String> aborted = new ArrayList<>();
-  private final List<Long> caughtUp = new ArrayList<>();
+  private final List<String> cancelledUids = new ArrayList<>();
+  private final List<Long> caughtUpTimesMs = new ArrayList<>();
   private final ReadBarrier readBarrier =
       new ReadBarrier(
           context,
           store,
-          item -> aborted.add(((StoredRecord.Cancellation) item.record()).uid()),
-          caughtUp::add);
+          item -> cancelledUids.add(((StoredRecord.Cancellation) item.record()).uid()),
+          caughtUpTimesMs::add);
 
   private Effect.CallStore nextStoreCall() {
     context.advanceBy(1000);
@@ -41,21 +41,24 @@
   }
 
   @Test
-  void servesWaitersTogetherAndNeverFromAnEarlierRead() {
+  void servesWaitersTogetherButNotFromAReadRequestedBefore() {
     List<String> outcomes = new ArrayList<>();
     readBarrier.advanceTo(5);
-    readBarrier.awaitCaughtUp(ok -> outcomes.add("first " + ok + aborted));
+    readBarrier.awaitCaughtUp(isCaughtUp -> outcomes.add("first " + isCaughtUp + cancelledUids));
     Effect.CallStore read = nextStoreCall();
     assertEquals(new StoreRequest.Watch(StoreKeys.CANCELLATION_PREFIX, 5, 0), read.request());
-    readBarrier.awaitCaughtUp(ok -> outcomes.add("second " + ok + aborted));
-    readBarrier.awaitCaughtUp(ok -> outcomes.add("third " + ok + aborted));
+    readBarrier.awaitCaughtUp(isCaughtUp -> outcomes.add("second " + isCaughtUp + cancelledUids));
+    readBarrier.awaitCaughtUp(isCaughtUp -> outcomes.add("third " + isCaughtUp + cancelledUids));
     readBarrier.tick();
-    assertTrue(context.drainEffects().isEmpty(), "a read is pending");
+    assertTrue(context.drainEffects().isEmpty(), "sent another read while one is pending");
     long requestedMs = context.nowMs();
     context.advanceBy(400);
     context.completeCall(read.callId(), new Reply.Changes(ImmutableList.of(), 6));
     assertEquals(List.of("first true[]"), outcomes);
-    assertEquals(List.of(requestedMs), caughtUp, "the time of the request, not of the reply");
+    assertEquals(
+        List.of(requestedMs),
+        caughtUpTimesMs,
+        "caught up to the time of the reply instead of the request");
     Effect.CallStore nextRead = nextStoreCall();
     assertEquals(new StoreRequest.Watch(StoreKeys.CANCELLATION_PREFIX, 6, 0), nextRead.request());
     Reply.Item item = new Reply.Item("abort/run-1", new StoredRecord.Cancellation("run-1"), 7);
--- a/src/test/java/eiderfork/controller/SilentControllersTest.java
+++ b/src/test/java/eiderfork/controller/SilentControllersTest.java
@@ -18,12 +18,12 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Controllers that are silent, or stand still, for longer than every lease. */
+/** Controllers that are disconnected for longer than every lease, or suspended. */
 class SilentControllersTest {
-  private static final long SILENT_MS = 75_000;
+  private static final long DISCONNECTED_MS = 75_000;
 
-  /** What a controller may lose. */
-  enum Loss {
+  /** A way in which a controller is disconnected; {@code REFUSED} means by the store. */
+  enum Disconnection {
     ALL,
     STATE_SERVICE,
     WORKERS,
@@ -33,201 +33,228 @@
   private final SimulatedCluster cluster = new SimulatedCluster(21);
 
   @AfterEach
-  void rulesHold() {
+  void assertNoViolations() {
     assertEquals(List.of(), cluster.checker.violations);
   }
 
-  private void lose(String node, Loss loss, long forMs) {
-    switch (loss) {
+  private void disconnect(String node, Disconnection disconnection, long durationMs) {
+    switch (disconnection) {
       case ALL -> {
-        cluster.isolateNode(node, forMs);
-        loseWorkers(node, forMs);
+        cluster.isolateNode(node, durationMs);
+        disconnectFromWorkers(node, durationMs);
       }
-      case STATE_SERVICE -> cluster.cutLink(node + ">state", forMs);
-      case WORKERS -> loseWorkers(node, forMs);
-      case REFUSED -> cluster.refuseStoreRequests(node, forMs);
-      default -> throw new IllegalArgumentException(loss.toString());
+      case STATE_SERVICE -> cluster.cutLink(node + ">state", durationMs);
+      case WORKERS -> disconnectFromWorkers(node, durationMs);
+      case REFUSED -> cluster.refuseStoreRequests(node, durationMs);
+      default -> throw new IllegalArgumentException(disconnection.toString());
     }
   }
 
-  /** Reports don't reach the node, and its commands reach no machine. */
-  private void loseWorkers(String node, long forMs) {
-    cluster.cutLink("*>" + node, forMs);
-    cluster.cutLink(node + ">*", forMs);
+  /** Drops heartbeats to the node and its commands to all workers. */
+  private void disconnectFromWorkers(String node, long durationMs) {
+    cluster.cutLink("*>" + node, durationMs);
+    cluster.cutLink(node + ">*", durationMs);
   }
 
-  private long term() {
-    return cluster.store.get(StoreKeys.TERM) instanceof StoredRecord.TermCounter it ? it.term() : 0;
+  private long storedTerm() {
+    return cluster.store.get(StoreKeys.TERM) instanceof StoredRecord.TermCounter counter
+        ? counter.term()
+        : 0;
   }
 
-  /** Services and arrays that come all the while, some of which are cancelled. */
-  private List<Job> work(int from, int count, long everyMs) {
+  /** Schedules services and arrays at regular intervals, and cancels every fourth job. */
+  private List<Job> scheduleJobs(int firstNumber, int count, long intervalMs) {
     List<Job> jobs = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      Job job = TestFixtures.job(from + i, i % 2 == 0 ? JobKind.SERVICE : JobKind.ARRAY, 2, 1);
+      Job job =
+          TestFixtures.job(firstNumber + i, i % 2 == 0 ? JobKind.SERVICE : JobKind.ARRAY, 2, 1);
       jobs.add(job);
-      cluster.schedule(1000 + i * everyMs, () -> cluster.submit(job));
+      cluster.schedule(1000 + i * intervalMs, () -> cluster.submit(job));
       if (i % 4 == 2) {
-        cluster.schedule(9000 + i * everyMs, () -> cluster.cancel(job.uid()));
+        cluster.schedule(9000 + i * intervalMs, () -> cluster.cancel(job.uid()));
       }
     }
     return jobs;
   }
 
   /**
-   * Somebody leads who reaches the rest, users are served meanwhile, and the lead does not go to
-   * and fro.
+   * A controller that reaches the store and the workers takes over and serves users, and leadership
+   * does not go back and forth.
    */
   @ParameterizedTest
-  @EnumSource(Loss.class)
-  void aLeaderThatIsSilentForOverAMinuteIsReplacedOnce(Loss loss) {
-    List<Job> jobs = work(1, 20, 4000);
+  @EnumSource(Disconnection.class)
+  void aLeaderDisconnectedForOverAMinuteIsReplacedOnce(Disconnection disconnection) {
+    List<Job> jobs = scheduleJobs(1, 20, 4000);
     cluster.run(20);
-    String silent = cluster.leader();
-    long term = term();
-    lose(silent, loss, SILENT_MS);
+    String disconnectedNode = cluster.leader();
+    long termBefore = storedTerm();
+    disconnect(disconnectedNode, disconnection, DISCONNECTED_MS);
     cluster.run(20);
-    assertNotEquals(silent, cluster.leader());
+    assertNotEquals(disconnectedNode, cluster.leader());
     assertTrue(cluster.controllers.get(cluster.leader()) != null);
     cluster.run(70);
-    assertTrue(term() <= term + 2, "terms " + term + " to " + term());
+    assertTrue(
+        storedTerm() <= termBefore + 2, "term rose from " + termBefore + " to " + storedTerm());
     ExpectedOutcome.assertAllJobsServed(cluster, jobs);
   }
 
   /**
-   * Workers that lose the leader alone find the next one within their lease. Sent back to it by its
-   * peers, they waited there in vain for four seconds at a time, and half of them lost their tasks.
+   * Workers that cannot reach the leader find its successor within their lease. The peers once
+   * redirected them to the old leader, where each attempt timed out after 4 s, and half of the
+   * workers lost their tasks.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-  void aLeaderThatWorkersLoseCostsThemNoLease(long seed) {
-    SimulatedCluster hung = new SimulatedCluster(seed);
+  void workersThatCannotReachTheLeaderKeepTheirLeases(long seed) {
+    SimulatedCluster seededCluster = new SimulatedCluster(seed);
     for (int i = 1; i <= 12; i++) {
-      hung.submit(TestFixtures.job(i, JobKind.SERVICE, 2, 2));
+      seededCluster.submit(TestFixtures.job(i, JobKind.SERVICE, 2, 2));
     }
-    hung.run(30);
-    List<Long> sessions = hung.workers().stream().map(FakeWorker::incarnation).toList();
-    String leader = hung.leader();
-    hung.cutLink("*>" + leader, SILENT_MS);
-    hung.cutLink(leader + ">*", SILENT_MS);
-    hung.run(25);
-    assertNotEquals(leader, hung.leader());
-    List<Long> after = hung.workers().stream().map(FakeWorker::incarnation).toList();
-    assertEquals(sessions, after.subList(0, sessions.size()), "leases lapsed");
-    assertEquals(List.of(), hung.checker.violations);
+    seededCluster.run(30);
+    List<Long> incarnationsBefore =
+        seededCluster.workers().stream().map(FakeWorker::incarnation).toList();
+    String leader = seededCluster.leader();
+    seededCluster.cutLink("*>" + leader, DISCONNECTED_MS);
+    seededCluster.cutLink(leader + ">*", DISCONNECTED_MS);
+    seededCluster.run(25);
+    assertNotEquals(leader, seededCluster.leader());
+    List<Long> incarnationsAfter =
+        seededCluster.workers().stream().map(FakeWorker::incarnation).toList();
+    assertEquals(
+        incarnationsBefore,
+        incarnationsAfter.subList(0, incarnationsBefore.size()),
+        "worker leases expired");
+    assertEquals(List.of(), seededCluster.checker.violations);
   }
 
-  /** Two are silent together; the third leads, or nobody where it can't be told from an outage. */
+  /**
+   * Two controllers are disconnected together; the third leads, or none where this cannot be told
+   * from an outage.
+   */
   @ParameterizedTest
   @CsvSource({"ALL,ALL", "ALL,WORKERS", "STATE_SERVICE,WORKERS", "REFUSED,ALL", "WORKERS,WORKERS"})
-  void theThirdLeadsWhileTwoAreSilent(Loss first, Loss second) {
-    List<Job> jobs = work(1, 20, 4000);
+  void theThirdControllerLeadsWhileTwoAreDisconnected(Disconnection first, Disconnection second) {
+    List<Job> jobs = scheduleJobs(1, 20, 4000);
     cluster.run(20);
     String leader = cluster.leader();
     List<String> others =
         cluster.nodeNames().stream().filter(node -> !node.equals(leader)).toList();
-    long term = term();
-    lose(leader, first, SILENT_MS);
-    lose(others.get(0), second, SILENT_MS);
+    long termBefore = storedTerm();
+    disconnect(leader, first, DISCONNECTED_MS);
+    disconnect(others.get(0), second, DISCONNECTED_MS);
     cluster.run(40);
     assertEquals(others.get(1), cluster.leader());
     cluster.run(60);
-    assertTrue(term() <= term + 4, "terms " + term + " to " + term());
+    assertTrue(
+        storedTerm() <= termBefore + 4, "term rose from " + termBefore + " to " + storedTerm());
     ExpectedOutcome.assertAllJobsServed(cluster, jobs);
   }
 
-  /** A leader cut from workers while its peers are cut from the store: nobody is better. */
+  /**
+   * The leader is cut off from workers, but its peers are cut off from the store: none is better.
+   */
   @Test
-  void aLeaderThatNobodyCouldReplaceKeepsTheLead() {
-    List<Job> jobs = work(1, 12, 5000);
+  void aLeaderThatNoPeerCanReplaceKeepsTheLeadership() {
+    List<Job> jobs = scheduleJobs(1, 12, 5000);
     cluster.run(20);
     String leader = cluster.leader();
-    long term = term();
-    lose(leader, Loss.WORKERS, SILENT_MS);
+    long termBefore = storedTerm();
+    disconnect(leader, Disconnection.WORKERS, DISCONNECTED_MS);
     for (String node : cluster.nodeNames()) {
       if (!node.equals(leader)) {
-        lose(node, Loss.STATE_SERVICE, SILENT_MS);
+        disconnect(node, Disconnection.STATE_SERVICE, DISCONNECTED_MS);
       }
     }
     cluster.run(60);
     assertEquals(leader, cluster.leader());
-    assertEquals(term, term(), "the lead went to and fro");
+    assertEquals(termBefore, storedTerm(), "leadership changed");
     cluster.run(60);
     ExpectedOutcome.assertAllJobsServed(cluster, jobs);
   }
 
-  /** What a node held before it stood still renews, confirms and places nothing afterwards. */
+  /**
+   * After it resumes, a suspended leader must not renew leases, confirm cancellations or place
+   * tasks on the basis of its state from before.
+   */
   @ParameterizedTest
   @ValueSource(ints = {1, 5, 20})
-  void aLeaderThatStandsStillInTheMiddleOfAnythingBreaksNoRule(int seconds) {
+  void aLeaderSuspendedDuringAnyOperationCausesNoViolation(int seconds) {
     for (long offsetMs = 0; offsetMs < 600; offsetMs += 50) {
-      SimulatedCluster still = new SimulatedCluster(100 + offsetMs);
+      SimulatedCluster seededCluster = new SimulatedCluster(100 + offsetMs);
       List<Job> jobs = new ArrayList<>();
-      still.run(2);
+      seededCluster.run(2);
       for (int i = 1; i <= 8; i++) {
         Job job = TestFixtures.job(i, i % 2 == 0 ? JobKind.SERVICE : JobKind.ARRAY, 2, 1);
         jobs.add(job);
-        still.schedule(i * 700L, () -> still.submit(job));
+        seededCluster.schedule(i * 700L, () -> seededCluster.submit(job));
       }
-      still.run(12);
-      String leader = still.leader();
+      seededCluster.run(12);
+      String leader = seededCluster.leader();
       Job started = TestFixtures.job(20, JobKind.SERVICE, 2, 1);
       Job cancelled = jobs.get(1);
       jobs.add(started);
-      // A write, a command, an answer and a cancellation are under way as it stops.
-      still.submit(started);
-      still.cancel(cancelled.uid());
-      still.schedule(offsetMs, () -> still.freezeNode(leader, seconds * 1000L));
-      // Another node confirms a cancellation that the sleeper can't have heard of.
-      still.schedule(
+      // A write, a command, a reply and a cancellation are in flight when the leader is suspended.
+      seededCluster.submit(started);
+      seededCluster.cancel(cancelled.uid());
+      seededCluster.schedule(offsetMs, () -> seededCluster.freezeNode(leader, seconds * 1000L));
+      // Another node confirms a cancellation that the suspended leader cannot know of.
+      seededCluster.schedule(
           offsetMs + seconds * 500L,
           () -> {
-            for (String node : still.nodeNames()) {
+            for (String node : seededCluster.nodeNames()) {
               if (!node.equals(leader)) {
-                still.cancelOnce(node, jobs.get(3).uid());
+                seededCluster.cancelOnce(node, jobs.get(3).uid());
               }
             }
           });
-      still.run(70);
-      assertEquals(List.of(), still.checker.violations, "stopped after " + offsetMs + " ms");
-      assertEquals(Phase.ABORTED, still.checker.finalPhase(cancelled.uid()));
-      assertEquals(2, still.checker.runningTasks(started.uid()));
+      seededCluster.run(70);
+      assertEquals(
+          List.of(),
+          seededCluster.checker.violations,
+          "leader suspended after " + offsetMs + " ms");
+      assertEquals(Phase.ABORTED, seededCluster.checker.finalPhase(cancelled.uid()));
+      assertEquals(2, seededCluster.checker.runningTasks(started.uid()));
     }
   }
 
   /**
-   * Workers try the nodes in their order and wait four seconds at one that is silent: after one has
-   * gone silent, the node before it leads only where no other can.
+   * Workers try the nodes in a fixed order and wait 4 s for one that does not respond. While a node
+   * is down, the node before it in this order should lead only if no other can.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void theNodeBeforeASilentOneDoesNotLead(long seed) {
-    SimulatedCluster three = new SimulatedCluster(seed);
+  void theNodeBeforeACrashedOneDoesNotLead(long seed) {
+    SimulatedCluster seededCluster = new SimulatedCluster(seed);
     for (int i = 1; i <= 8; i++) {
-      three.submit(TestFixtures.job(i, JobKind.SERVICE, 2, 2));
+      seededCluster.submit(TestFixtures.job(i, JobKind.SERVICE, 2, 2));
     }
-    three.run(30);
-    int silent = three.leader().charAt(three.leader().length() - 1) - '0';
-    three.crashNode(three.leader(), SILENT_MS);
-    three.run(15);
-    int second = three.leader().charAt(three.leader().length() - 1) - '0';
+    seededCluster.run(30);
+    int crashedIndex = seededCluster.leader().charAt(seededCluster.leader().length() - 1) - '0';
+    seededCluster.crashNode(seededCluster.leader(), DISCONNECTED_MS);
+    seededCluster.run(15);
+    int leaderIndex = seededCluster.leader().charAt(seededCluster.leader().length() - 1) - '0';
     assertNotEquals(
-        silent, (second + 1) % three.nodeCount, "workers would try the silent node next");
-    List<FakeWorker> workers = three.workers();
-    List<Long> sessions = workers.stream().map(FakeWorker::incarnation).toList();
-    three.freezeNode(three.leader(), 20_000);
-    three.run(25);
-    assertEquals(sessions, workers.stream().map(FakeWorker::incarnation).toList(), "leases lapsed");
-    assertEquals(List.of(), three.checker.violations);
+        crashedIndex,
+        (leaderIndex + 1) % seededCluster.nodeCount,
+        "workers would try the crashed node next");
+    List<FakeWorker> workers = seededCluster.workers();
+    List<Long> incarnationsBefore = workers.stream().map(FakeWorker::incarnation).toList();
+    seededCluster.freezeNode(seededCluster.leader(), 20_000);
+    seededCluster.run(25);
+    assertEquals(
+        incarnationsBefore,
+        workers.stream().map(FakeWorker::incarnation).toList(),
+        "worker leases expired");
+    assertEquals(List.of(), seededCluster.checker.violations);
   }
 
-  /** Late boots meet a leader that is refused by the store as machines are taken back. */
+  /** Machines boot after 60 s, while the store refuses the leader and machines are returned. */
   @Test
-  void lateBootsMeetALeaderThatIsRefused() {
+  void lateBootsWhileTheStoreRefusesTheLeaderDoNotRentTooManyMachines() {
     cluster.cloud.bootMs = 60_000;
-    List<Job> jobs = work(1, 8, 1000);
+    List<Job> jobs = scheduleJobs(1, 8, 1000);
     cluster.run(12);
-    lose(cluster.leader(), Loss.REFUSED, SILENT_MS);
+    disconnect(cluster.leader(), Disconnection.REFUSED, DISCONNECTED_MS);
     cluster.run(30);
     cluster.cloud.bootMs = 0;
     cluster.run(60);
--- a/src/test/java/eiderfork/controller/SilentWorkerHistoryTest.java
+++ b/src/test/java/eiderfork/controller/SilentWorkerHistoryTest.java
@@ -19,20 +19,20 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Workers that reach the leader late or not at all, for half a lease to two leases, while direct
- * commands reach them: {@link IncarnationLeaseExpiryTest} tells what once came of it. Five
- * controllers stand in two zones, and machines keep their images, so that a task starts at once
- * where it is sent.
+ * Heartbeats of workers reach the leader late or not at all, for half a lease to two leases, while
+ * direct commands still reach the workers. {@link IncarnationLeaseExpiryTest} describes the fault
+ * that this once caused. Five controllers run in two zones, and machines cache their images, so
+ * that a task starts as soon as its command arrives.
  *
- * <p>The properties {@code silences.from} and {@code silences.to} name other seeds.
+ * <p>The system properties {@code silences.from} and {@code silences.to} select other seeds.
  */
 class SilentWorkerHistoryTest {
-  private static final int NODES = 5;
-  private static final int JOBS = 160;
-  private static final int SILENCES = 8;
-  private static final int TROUBLES = 6;
-  private static final int TROUBLED_MS = 90_000;
-  private static final int AFTERWARDS_S = 30;
+  private static final int NODE_COUNT = 5;
+  private static final int JOB_COUNT = 160;
+  private static final int WORKER_ISOLATIONS = 8;
+  private static final int FAULTS = 6;
+  private static final int FAULT_PERIOD_MS = 90_000;
+  private static final int RECOVERY_PERIOD_S = 30;
 
   static LongStream seeds() {
     return LongStream.rangeClosed(
@@ -44,17 +44,17 @@
   }
 
   private static SimulatedCluster newCluster(long seed, Settings settings) {
-    SimulatedCluster cluster = new SimulatedCluster(seed, settings, NODES);
+    SimulatedCluster cluster = new SimulatedCluster(seed, settings, NODE_COUNT);
     cluster.cachesImages = true;
     return cluster;
   }
 
-  /** Short and long leases, with and without lending and a standby. */
+  /** Returns settings that vary with the seed: lease lengths, lending and the standby. */
   private static Settings settings(long seed) {
-    Settings figures =
+    Settings leaseSettings =
         seed % 3 == 0 ? TestFixtures.longLeaseSettings() : TestFixtures.settings("roost-0");
-    Settings lending = TestFixtures.withLending(figures, seed % 2 == 0);
-    return TestFixtures.withStandbys(lending, seed % 5 == 0 ? 1 : 0);
+    Settings lendingSettings = TestFixtures.withLending(leaseSettings, seed % 2 == 0);
+    return TestFixtures.withStandbys(lendingSettings, seed % 5 == 0 ? 1 : 0);
   }
 
   private static Job replica(int number) {
@@ -62,13 +62,14 @@
   }
 
   /**
-   * The incident, by its instants: reports of a worker are held back until its lease is nearly over
-   * and then lost, while commands still reach it. Its tasks are lost with the lease, start there
-   * anew, and may start elsewhere only once the next incarnation's lease is over, too.
+   * Replays the incident: heartbeats of a worker are delayed until its lease has nearly expired and
+   * then lost, while commands still reach it. It loses its tasks with the lease and restarts them
+   * in a new incarnation. They may start elsewhere only once the lease of that one has expired,
+   * too.
    */
   @ParameterizedTest
   @ValueSource(ints = {7500, 7900, 8300, 8700, 9000, 9200, 9400})
-  void tasksThatStartedAnewAfterALapseAreInOnePlace(int heldMs) {
+  void tasksRestartedAfterALeaseExpiredRunOnOneMachine(int holdMs) {
     SimulatedCluster cluster = newCluster(5);
     cluster.cloud.defaultStock = 0;
     cluster.cloud.stockByKind.put(new MachineKind("g4", "a", false), 1);
@@ -77,66 +78,70 @@
       cluster.submit(replica(i));
     }
     cluster.run(30);
-    List<FakeWorker> byTasks = new ArrayList<>(cluster.workers());
-    byTasks.sort(Comparator.comparing(worker -> worker.taskIds().size()));
-    FakeWorker silent = byTasks.get(0);
-    FakeWorker full = byTasks.get(1);
-    assertEquals(2, silent.taskIds().size());
-    assertEquals(4, full.taskIds().size());
-
-    long heardMs = silent.lastHeartbeatMs;
-    while (silent.lastHeartbeatMs == heardMs || silent.awaitingResponse) {
+    List<FakeWorker> workersByTaskCount = new ArrayList<>(cluster.workers());
+    workersByTaskCount.sort(Comparator.comparing(worker -> worker.taskIds().size()));
+    FakeWorker silentWorker = workersByTaskCount.get(0);
+    FakeWorker fullWorker = workersByTaskCount.get(1);
+    assertEquals(2, silentWorker.taskIds().size());
+    assertEquals(4, fullWorker.taskIds().size());
+
+    long previousHeartbeatMs = silentWorker.lastHeartbeatMs;
+    while (silentWorker.lastHeartbeatMs == previousHeartbeatMs || silentWorker.awaitingResponse) {
       cluster.run(0.01);
     }
-    String name = silent.machine.name();
-    long sinceMs = cluster.nowMs - silent.lastHeartbeatMs;
-    cluster.holdHeartbeats(name, heldMs - sinceMs);
+    String name = silentWorker.machine.name();
+    long heartbeatAgeMs = cluster.nowMs - silentWorker.lastHeartbeatMs;
+    cluster.holdHeartbeats(name, holdMs - heartbeatAgeMs);
     cluster.schedule(
-        heldMs + 100 - sinceMs, () -> cluster.blockHeartbeats(name, cluster.leader(), 20_000));
-    cluster.schedule(heldMs + 400 - sinceMs, () -> cluster.submit(replica(7)));
-    cluster.schedule(10_300 - sinceMs, () -> cluster.submit(replica(8)));
-    List<TaskId> others = List.copyOf(full.taskIds());
-    cluster.schedule(16_900 - sinceMs, () -> others.forEach(task -> cluster.cancel(task.jobUid())));
+        holdMs + 100 - heartbeatAgeMs,
+        () -> cluster.blockHeartbeats(name, cluster.leader(), 20_000));
+    cluster.schedule(holdMs + 400 - heartbeatAgeMs, () -> cluster.submit(replica(7)));
+    cluster.schedule(10_300 - heartbeatAgeMs, () -> cluster.submit(replica(8)));
+    List<TaskId> otherTasks = List.copyOf(fullWorker.taskIds());
+    cluster.schedule(
+        16_900 - heartbeatAgeMs, () -> otherTasks.forEach(task -> cluster.cancel(task.jobUid())));
     cluster.run(16);
-    assertEquals(2, silent.incarnation());
-    assertEquals(4, silent.taskIds().size(), "all started anew");
+    assertEquals(2, silentWorker.incarnation());
+    assertEquals(4, silentWorker.taskIds().size(), "tasks restarted in the new incarnation");
     cluster.run(14);
     ExpectedOutcome.assertNoViolations(cluster);
-    assertEquals(4, full.taskIds().size(), "all moved on");
+    assertEquals(4, fullWorker.taskIds().size(), "tasks moved to the other worker");
   }
 
   @ParameterizedTest
   @MethodSource("seeds")
-  void noTaskIsInTwoPlaces(long seed) {
+  void noTaskRunsOnTwoMachines(long seed) {
     SimulatedCluster cluster = newCluster(seed);
     play(cluster, seed);
-    rulesHold(cluster);
+    assertNoViolationsAndTasksStarted(cluster);
   }
 
-  /** Plays the history of this seed under one leader, and tells the jobs. */
+  /** Plays the history of this seed without faults of controllers, and returns the jobs. */
   static List<Job> play(SimulatedCluster cluster, long seed) {
     return play(cluster, seed, new Random(seed * 41));
   }
 
-  /** The same while leaders end, are cut off or stand still, zones split and machines hang. */
+  /**
+   * Leaders also crash, are isolated or suspended, zones lose their connection and workers hang.
+   */
   @ParameterizedTest
   @MethodSource("seeds")
-  void noTaskIsInTwoPlacesWhereLeadersChange(long seed) {
+  void noTaskRunsOnTwoMachinesWhileLeadersChange(long seed) {
     SimulatedCluster cluster = newVariedCluster(seed);
     playWithFaults(cluster, seed);
-    rulesHold(cluster);
+    assertNoViolationsAndTasksStarted(cluster);
   }
 
-  /** Where the histories with changing leaders are played. */
+  /** Creates a cluster whose settings vary with the seed. */
   static SimulatedCluster newVariedCluster(long seed) {
     return newCluster(seed, settings(seed));
   }
 
-  /** Plays the history of this seed with changing leaders, and tells the jobs. */
+  /** Plays the history of this seed with faults that change the leader, and returns the jobs. */
   static List<Job> playWithFaults(SimulatedCluster cluster, long seed) {
     Random script = new Random(seed * 43);
-    for (int i = 0; i < TROUBLES; i++) {
-      cluster.schedule(8000 + script.nextInt(TROUBLED_MS), () -> injectFault(cluster, script));
+    for (int i = 0; i < FAULTS; i++) {
+      cluster.schedule(8000 + script.nextInt(FAULT_PERIOD_MS), () -> injectFault(cluster, script));
     }
     return play(cluster, seed, script);
   }
@@ -149,25 +154,27 @@
     cluster.delayProbability = seed % 5 * 0.004;
     cluster.lateTransactionProbability = seed % 2 * 0.02;
     cluster.repeatedHeartbeatProbability = seed % 7 * 0.05;
-    for (int i = 1; i <= JOBS; i++) {
+    for (int i = 1; i <= JOB_COUNT; i++) {
       Job job = job(script, i);
       jobs.add(job);
-      long atMs = script.nextInt(TROUBLED_MS);
-      cluster.schedule(atMs, () -> cluster.submit(job));
+      long submitMs = script.nextInt(FAULT_PERIOD_MS);
+      cluster.schedule(submitMs, () -> cluster.submit(job));
       if (job.kind() == JobKind.SERVICE) {
-        cluster.schedule(atMs + 10_000 + script.nextInt(40_000), () -> cluster.cancel(job.uid()));
+        cluster.schedule(
+            submitMs + 10_000 + script.nextInt(40_000), () -> cluster.cancel(job.uid()));
       }
     }
-    for (int i = 0; i < SILENCES; i++) {
-      cluster.schedule(8000 + script.nextInt(TROUBLED_MS), () -> isolateWorker(cluster, script));
+    for (int i = 0; i < WORKER_ISOLATIONS; i++) {
+      cluster.schedule(
+          8000 + script.nextInt(FAULT_PERIOD_MS), () -> isolateWorker(cluster, script));
     }
-    cluster.run(TROUBLED_MS / 1000.0 + AFTERWARDS_S);
+    cluster.run(FAULT_PERIOD_MS / 1000.0 + RECOVERY_PERIOD_S);
     return jobs;
   }
 
-  private static void rulesHold(SimulatedCluster cluster) {
+  private static void assertNoViolationsAndTasksStarted(SimulatedCluster cluster) {
     ExpectedOutcome.assertNoViolations(cluster);
-    assertTrue(cluster.checker.startCount > JOBS);
+    assertTrue(cluster.checker.startCount > JOB_COUNT);
   }
 
   private static String leader(SimulatedCluster cluster) {
@@ -176,19 +183,19 @@
 
   private static void injectFault(SimulatedCluster cluster, Random script) {
     String leader = leader(cluster);
-    long forMs = 2000 + script.nextInt(12_000);
+    long durationMs = 2000 + script.nextInt(12_000);
     switch (script.nextInt(6)) {
       case 0 -> cluster.crashNode(leader, 500 + script.nextInt(4000));
-      case 1 -> cluster.splitZones(forMs);
-      case 2 -> cluster.freezeNode(leader, forMs);
-      case 3 -> cluster.isolateNode(leader, forMs);
-      case 4 -> cluster.cutLink(leader + ">state", forMs);
+      case 1 -> cluster.splitZones(durationMs);
+      case 2 -> cluster.freezeNode(leader, durationMs);
+      case 3 -> cluster.isolateNode(leader, durationMs);
+      case 4 -> cluster.cutLink(leader + ">state", durationMs);
       default -> {
         List<FakeWorker> workers = cluster.workers();
         if (!workers.isEmpty()) {
           FakeWorker worker = workers.get(script.nextInt(workers.size()));
           worker.isHanging = true;
-          cluster.schedule(forMs, () -> worker.isHanging = false);
+          cluster.schedule(durationMs, () -> worker.isHanging = false);
         }
       }
     }
@@ -210,17 +217,17 @@
       return;
     }
     long leaseMs = (long) (cluster.settings.workerTimings().leaseS() * 1000);
-    long forMs = leaseMs / 2 + script.nextLong(leaseMs * 3 / 2);
+    long durationMs = leaseMs / 2 + script.nextLong(leaseMs * 3 / 2);
     String name = workers.get(script.nextInt(workers.size())).machine.name();
     String leader = leader(cluster);
     switch (script.nextInt(6)) {
-      case 0 -> cluster.cutLinksTo(name, forMs);
-      case 1 -> cluster.blockHeartbeats(name, leader, forMs);
-      case 2 -> cluster.blockHeartbeats(name, forMs);
+      case 0 -> cluster.cutLinksTo(name, durationMs);
+      case 1 -> cluster.blockHeartbeats(name, leader, durationMs);
+      case 2 -> cluster.blockHeartbeats(name, durationMs);
       default -> {
-        long heldMs = leaseMs / 2 + script.nextLong(leaseMs / 2);
-        cluster.holdHeartbeats(name, heldMs);
-        cluster.schedule(heldMs + 100, () -> cluster.blockHeartbeats(name, leader, forMs));
+        long holdMs = leaseMs / 2 + script.nextLong(leaseMs / 2);
+        cluster.holdHeartbeats(name, holdMs);
+        cluster.schedule(holdMs + 100, () -> cluster.blockHeartbeats(name, leader, durationMs));
       }
     }
   }
--- a/src/test/java/eiderfork/controller/SingleFailureTest.java
+++ b/src/test/java/eiderfork/controller/SingleFailureTest.java
@@ -17,16 +17,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** One failure at a time, and what has to come of it. */
+/** Single failures, each with the outcome that it must have. */
 class SingleFailureTest {
   private final SimulatedCluster cluster = new SimulatedCluster(7);
 
   @AfterEach
-  void rulesHold() {
+  void assertNoViolations() {
     assertEquals(List.of(), cluster.checker.violations);
   }
 
-  /** A worker that has tasks. */
+  /** Returns a worker that has tasks. */
   private FakeWorker busyWorker() {
     return cluster.workers().stream()
         .filter(worker -> !worker.taskIds().isEmpty())
@@ -40,7 +40,7 @@
   }
 
   @Test
-  void aQuietDayRunsEverything() {
+  void jobsOfAllKindsRunWithoutFailures() {
     Job array = submit(TestFixtures.job(1, JobKind.ARRAY, 6, 1));
     Job gang = submit(TestFixtures.job(2, JobKind.GANG, 3, 1));
     Job service = submit(TestFixtures.job(3, JobKind.SERVICE, 3, 1));
@@ -52,27 +52,27 @@
     cluster.run(3);
     assertEquals(0, cluster.checker.runningTasks(service.uid()));
     cluster.run(120);
-    assertTrue(cluster.cloud.liveHostCount() <= 1, "no more than the headroom is kept");
+    assertTrue(cluster.cloud.liveHostCount() <= 1, "more machines than the headroom are kept");
   }
 
   @ParameterizedTest
   @ValueSource(ints = {0, 50, 100, 150, 200, 250, 300, 400, 600, 1000, 2000})
-  void aCrashBetweenAnyTwoStepsOfAStartLosesNothing(int afterMs) {
+  void leaderCrashAtAnyStepOfAStartLosesNoTask(int delayMs) {
     submit(TestFixtures.job(1, JobKind.SERVICE, 1, 1));
     cluster.run(20);
     Job job = submit(TestFixtures.job(2, JobKind.SERVICE, 2, 1));
-    cluster.schedule(afterMs, () -> cluster.crashNode(cluster.leader(), 3000));
+    cluster.schedule(delayMs, () -> cluster.crashNode(cluster.leader(), 3000));
     cluster.run(40);
     assertEquals(2, cluster.checker.runningTasks(job.uid()));
   }
 
   @ParameterizedTest
   @ValueSource(ints = {0, 20, 60, 100, 200, 500})
-  void aCrashBetweenAnyTwoStepsOfACancellationLosesNothing(int afterMs) {
+  void leaderCrashAtAnyStepOfACancellationDoesNotLoseIt(int delayMs) {
     Job job = submit(TestFixtures.job(1, JobKind.SERVICE, 2, 1));
     cluster.run(20);
     cluster.cancel(job.uid());
-    cluster.schedule(afterMs, () -> cluster.crashNode(cluster.leader(), 3000));
+    cluster.schedule(delayMs, () -> cluster.crashNode(cluster.leader(), 3000));
     cluster.run(20);
     assertEquals(Phase.ABORTED, cluster.checker.finalPhase(job.uid()));
     assertEquals(0, cluster.checker.runningTasks(job.uid()));
@@ -80,25 +80,25 @@
 
   @ParameterizedTest
   @ValueSource(ints = {0, 50, 100, 200, 400, 800, 1500, 3000})
-  void aCrashBetweenAnyTwoStepsOfARentLosesNoMachine(int afterMs) {
+  void leaderCrashAtAnyStepOfARentLosesNoMachine(int delayMs) {
     cluster.run(3);
     Job job = submit(TestFixtures.job(1, JobKind.SERVICE, 4, 4));
-    cluster.schedule(afterMs, () -> cluster.crashNode(cluster.leader(), 3000));
+    cluster.schedule(delayMs, () -> cluster.crashNode(cluster.leader(), 3000));
     cluster.run(45);
     assertEquals(4, cluster.checker.runningTasks(job.uid()));
     cluster.cancel(job.uid());
     cluster.run(150);
-    assertTrue(cluster.cloud.liveHostCount() <= 1, "no machine is left running unused");
+    assertTrue(cluster.cloud.liveHostCount() <= 1, "unused machines are left running");
   }
 
   @ParameterizedTest
   @ValueSource(ints = {0, 250, 500, 750, 1000, 1500, 2000})
-  void aCrashBetweenAnyTwoStepsOfAnEndKeepsTheResult(int afterMs) {
+  void leaderCrashAtAnyStepOfATaskEndKeepsTheResult(int delayMs) {
     submit(TestFixtures.job(1, JobKind.SERVICE, 1, 1));
     cluster.run(20);
     Job job = submit(TestFixtures.job(2, JobKind.ARRAY, 3, 1));
-    // Tasks fetch for 0.7 s and run for 4 s, so the crash falls around their end.
-    cluster.schedule(4500 + afterMs, () -> cluster.crashNode(cluster.leader(), 3000));
+    // Tasks fetch their image for 0.7 s and run for 4 s, so the leader crashes around their end.
+    cluster.schedule(4500 + delayMs, () -> cluster.crashNode(cluster.leader(), 3000));
     cluster.run(30);
     cluster.queryRandomNode(job.uid());
     cluster.run(2);
@@ -107,118 +107,123 @@
 
   @ParameterizedTest
   @ValueSource(ints = {0, 100, 300, 600, 1000, 2000})
-  void aCrashBetweenAnyTwoStepsOfAStopAndAReturnLeavesNothingBehind(int afterMs) {
+  void leaderCrashAtAnyStepOfAPreemptionOrAReturnLeavesNoMachineBehind(int delayMs) {
     cluster.cloud.defaultStock = 1;
     Job low = submit(TestFixtures.job(1, JobKind.ARRAY, 8, 1, "blue", Priority.LOW, false, false));
     cluster.run(12);
     Job urgent =
         submit(
             TestFixtures.job(2, JobKind.SERVICE, 2, 4, "blue", Priority.PRODUCTION, false, false));
-    cluster.schedule(afterMs, () -> cluster.crashNode(cluster.leader(), 2000));
+    cluster.schedule(delayMs, () -> cluster.crashNode(cluster.leader(), 2000));
     cluster.run(30);
     assertEquals(2, cluster.checker.runningTasks(urgent.uid()));
     cluster.cancel(urgent.uid());
     cluster.cancel(low.uid());
-    cluster.schedule(60_000 + afterMs, () -> cluster.crashNode(cluster.leader(), 2000));
+    cluster.schedule(60_000 + delayMs, () -> cluster.crashNode(cluster.leader(), 2000));
     cluster.run(200);
     assertTrue(cluster.cloud.liveHostCount() <= 1);
   }
 
   @Test
-  void tasksOutliveTheLeaderAndItsMachinesAreKept() {
+  void tasksAndMachinesSurviveALeaderCrash() {
     Job job = submit(TestFixtures.job(1, JobKind.SERVICE, 4, 2));
     cluster.run(30);
-    int starts = cluster.checker.startCount;
-    int returned = cluster.cloud.returnedHostCount;
+    int startsBefore = cluster.checker.startCount;
+    int returnedBefore = cluster.cloud.returnedHostCount;
     cluster.crashNode(cluster.leader(), 8000);
     cluster.run(8);
-    // A new leader once took machines that it had not heard yet for ones that never came up.
-    assertEquals(returned, cluster.cloud.returnedHostCount);
+    // A new leader once returned machines that had not sent it a heartbeat yet, as if their boot
+    // had
+    // failed.
+    assertEquals(returnedBefore, cluster.cloud.returnedHostCount);
     assertEquals(4, cluster.checker.runningTasks(job.uid()));
-    assertEquals(starts, cluster.checker.startCount);
+    assertEquals(startsBefore, cluster.checker.startCount);
   }
 
   @Test
-  void tasksOutliveAnOutageOfTheStateService() {
+  void tasksSurviveAStoreOutage() {
     Job job = submit(TestFixtures.job(1, JobKind.SERVICE, 4, 2));
     cluster.run(30);
-    int starts = cluster.checker.startCount;
+    int startsBefore = cluster.checker.startCount;
     cluster.store.startOutage(cluster.nowMs);
     cluster.run(25);
     assertEquals(4, cluster.checker.runningTasks(job.uid()));
     cluster.store.endOutage(cluster.nowMs);
     cluster.run(5);
-    assertEquals(starts, cluster.checker.startCount);
+    assertEquals(startsBefore, cluster.checker.startCount);
     Job next = submit(TestFixtures.job(2, JobKind.SERVICE, 1, 1));
     cluster.run(15);
     assertEquals(1, cluster.checker.runningTasks(next.uid()));
   }
 
   /**
-   * Its successor finds nearly all tasks running: only a worker that tries the third node last may
-   * come too late for its lease.
+   * The successor finds nearly all tasks running: only a worker that tries the third node last may
+   * connect after its lease has expired.
    */
   @Test
   void aLeaderThatWorkersCannotReachResigns() {
     long survived = 0;
     for (int seed = 1; seed <= 20; seed++) {
-      SimulatedCluster cutOff = new SimulatedCluster(seed);
+      SimulatedCluster seededCluster = new SimulatedCluster(seed);
       Job job = TestFixtures.job(1, JobKind.SERVICE, 4, 4);
-      cutOff.submit(job);
-      cutOff.run(30);
-      String first = cutOff.leader();
-      cutOff.cutLink("*>" + first, 30_000);
-      cutOff.cutLink(first + ">*", 30_000);
-      cutOff.run(9);
-      assertNotEquals(first, cutOff.leader());
-      assertEquals(List.of(), cutOff.checker.violations);
-      survived += cutOff.checker.runningTasks(job.uid());
+      seededCluster.submit(job);
+      seededCluster.run(30);
+      String first = seededCluster.leader();
+      seededCluster.cutLink("*>" + first, 30_000);
+      seededCluster.cutLink(first + ">*", 30_000);
+      seededCluster.run(9);
+      assertNotEquals(first, seededCluster.leader());
+      assertEquals(List.of(), seededCluster.checker.violations);
+      survived += seededCluster.checker.runningTasks(job.uid());
     }
-    assertTrue(survived >= 70, survived + " of 80 tasks outlive it");
+    assertTrue(survived >= 70, "only " + survived + " of 80 tasks survive the failover");
   }
 
-  /** It knew no machine by a report, so that it missed none. */
+  /**
+   * Such a leader once kept leading: without any heartbeat it knew no machine that it could miss.
+   */
   @Test
-  void aLeaderThatNoWorkerCouldReachFromTheStartResigns() {
+  void aNewLeaderThatNoWorkerCanReachResigns() {
     submit(TestFixtures.job(1, JobKind.SERVICE, 4, 4));
     cluster.run(30);
     List<String> others =
-        cluster.nodeNames().stream().filter(n -> !n.equals(cluster.leader())).toList();
-    String cutOff = others.get(0);
-    cluster.cutLink("*>" + cutOff, 60_000);
-    cluster.cutLink(cutOff + ">*", 60_000);
+        cluster.nodeNames().stream().filter(node -> !node.equals(cluster.leader())).toList();
+    String cutOffLeader = others.get(0);
+    cluster.cutLink("*>" + cutOffLeader, 60_000);
+    cluster.cutLink(cutOffLeader + ">*", 60_000);
     cluster.refuseStoreRequests(others.get(1), 6000);
     cluster.crashNode(cluster.leader(), 12_000);
     cluster.run(6);
-    assertEquals(cutOff, cluster.leader());
+    assertEquals(cutOffLeader, cluster.leader());
     cluster.run(6);
-    assertNotEquals(cutOff, cluster.leader());
+    assertNotEquals(cutOffLeader, cluster.leader());
   }
 
   @Test
-  void manySubmissionsDoNotHoldRentsUp() {
+  void manySubmissionsDoNotDelayRents() {
     cluster.run(3);
     for (int i = 1; i <= 400; i++) {
       submit(TestFixtures.job(i, JobKind.SERVICE, 1, 1));
       cluster.run(0.005);
     }
     assertTrue(
-        cluster.cloud.liveHostCount() > 2, "machines are on their way while submissions queue");
+        cluster.cloud.liveHostCount() > 2, "no machines were rented while submissions queue");
   }
 
   @Test
-  void headroomFadesAfterTheLastArrivals() {
+  void headroomShrinksAfterTheLastSubmissions() {
     Job job = submit(TestFixtures.job(1, JobKind.SERVICE, 6, 1));
     cluster.run(20);
     cluster.cancel(job.uid());
     cluster.run(5);
-    assertTrue(cluster.cloud.liveHostCount() > 0, "as many may come again");
+    assertTrue(
+        cluster.cloud.liveHostCount() > 0, "no headroom is kept after the job was cancelled");
     cluster.run(120);
     assertEquals(0, cluster.cloud.liveHostCount());
   }
 
   @Test
-  void aMachineThatDiesIsReplaced() {
+  void aFailedMachineIsReplaced() {
     Job job = submit(TestFixtures.job(1, JobKind.SERVICE, 4, 2));
     cluster.run(30);
     cluster.failMachine(cluster.workers().get(0).machine.name());
@@ -234,14 +239,17 @@
     worker.isHanging = true;
     cluster.schedule(17_000, () -> worker.isHanging = false);
     cluster.run(25);
-    assertFalse(worker.isDead, "it is not returned before it goes on");
+    assertFalse(worker.isDead, "the machine was returned before it resumed");
     cluster.run(20);
     assertEquals(4, cluster.checker.runningTasks(job.uid()));
   }
 
-  /** While a new leader waited to hear a machine that was cut off, its tasks ran nowhere. */
+  /**
+   * A new leader once waited for a heartbeat of a machine that was cut off, and its tasks ran
+   * nowhere.
+   */
   @Test
-  void tasksOfAMachineThatANewLeaderNeverHeardArePlacedAnewAfterALease() {
+  void tasksOfAMachineSilentSinceAFailoverAreRestartedElsewhereAfterALease() {
     Job job = submit(TestFixtures.job(1, JobKind.SERVICE, 4, 2));
     cluster.run(30);
     FakeWorker worker = busyWorker();
@@ -254,23 +262,23 @@
   }
 
   @Test
-  void theyWaitWhileNobodyKnowsWhetherTheOlderLeaderHoldsThem() {
+  void tasksOfASilentMachineWaitWhileAFormerLeaderMayStillRenewItsLease() {
     Job job = submit(TestFixtures.job(1, JobKind.SERVICE, 4, 2));
     cluster.run(30);
     FakeWorker worker = busyWorker();
     worker.isHanging = true;
-    int starts = cluster.checker.startCount;
+    int startsBefore = cluster.checker.startCount;
     cluster.run(1);
     cluster.crashNode(cluster.leader(), 40_000);
     cluster.run(17);
-    assertEquals(starts, cluster.checker.startCount);
+    assertEquals(startsBefore, cluster.checker.startCount);
     cluster.run(40);
     assertEquals(4, cluster.checker.runningTasks(job.uid()));
   }
 
-  /** All machines of a zone that was cut off for a little over two leases were once given back. */
+  /** All machines of a zone that was cut off for slightly over two leases were once returned. */
   @Test
-  void aSilentMachineIsKeptForTheTimeThatAnotherWouldBoot() {
+  void aSilentMachineIsKeptForAsLongAsAReplacementTakesToBoot() {
     submit(TestFixtures.job(1, JobKind.SERVICE, 4, 4));
     cluster.run(30);
     FakeWorker worker = busyWorker();
@@ -283,17 +291,20 @@
   }
 
   @Test
-  void roomForTheTasksOfASilentMachineIsRentedBeforeItsLeaseLapses() {
+  void aReplacementForASilentMachineIsRentedBeforeItsLeaseExpires() {
     submit(TestFixtures.job(1, JobKind.SERVICE, 4, 4));
     cluster.run(150);
-    long before = cluster.cloud.liveHostCount();
+    long hostsBefore = cluster.cloud.liveHostCount();
     cluster.failMachine(busyWorker().machine.name());
     cluster.run(8);
-    assertEquals(before, cluster.cloud.liveHostCount(), "one died and another is on its way");
+    assertEquals(
+        hostsBefore,
+        cluster.cloud.liveHostCount(),
+        "no replacement was rented for the failed machine");
   }
 
   @Test
-  void replicasOnHalfEmptyMachinesAreMovedTogether() {
+  void replicasOnHalfEmptyMachinesAreConsolidated() {
     for (int i = 1; i <= 8; i++) {
       submit(TestFixtures.job(i, JobKind.SERVICE, 1, 2));
       cluster.run(12);
@@ -303,15 +314,16 @@
       worker.taskIds().stream().skip(1).forEach(task -> cluster.cancel(task.jobUid()));
     }
     cluster.run(2);
-    long before = cluster.cloud.liveHostCount();
-    long running = cluster.checker.totalRunningTasks();
+    long hostsBefore = cluster.cloud.liveHostCount();
+    long runningBefore = cluster.checker.totalRunningTasks();
     cluster.run(120);
-    assertTrue(cluster.cloud.liveHostCount() < before, before + " machines stay");
-    assertEquals(running, cluster.checker.totalRunningTasks());
+    assertTrue(
+        cluster.cloud.liveHostCount() < hostsBefore, "no machine was returned of " + hostsBefore);
+    assertEquals(runningBefore, cluster.checker.totalRunningTasks());
   }
 
   @Test
-  void aReplicaMovesForOneThatWouldFetchForTooLongElsewhere() {
+  void aReplicaMovesForOneWhoseImageFetchElsewhereWouldTakeTooLong() {
     cluster.cloud.defaultStock = 2;
     Job first = submit(large(1, 3));
     cluster.run(35);
@@ -333,18 +345,21 @@
     Job next = submit(large(4, 4));
     cluster.run(5);
     assertTrue(cached.taskIds().stream().anyMatch(t -> t.jobUid().equals(next.uid())));
-    assertEquals(1, cluster.checker.runningTasks(next.uid()), "the image comes too late elsewhere");
+    assertEquals(
+        1,
+        cluster.checker.runningTasks(next.uid()),
+        "the job did not start where its image is cached");
     assertEquals(1, cluster.checker.runningTasks(small.uid()));
   }
 
-  /** A replica whose image takes 10 s to fetch, twice as long as its class may wait. */
+  /** Creates a replica whose image takes 10 s to fetch, twice as long as its priority may wait. */
   private static Job large(int number, double gpus) {
     return TestFixtures.job(
         number, JobKind.SERVICE, 1, gpus, "blue", Priority.PRODUCTION, false, false, "large", 20);
   }
 
   @Test
-  void aMachineHeardAgainWhileTheCloudIsOutIsKept() {
+  void aMachineThatResumesDuringACloudOutageIsKept() {
     cluster.cloud.defaultStock = 1;
     Job job = submit(TestFixtures.job(1, JobKind.SERVICE, 2, 4));
     cluster.run(30);
@@ -353,25 +368,26 @@
     cluster.cloud.isDown = true;
     cluster.schedule(30_000, () -> worker.isHanging = false);
     cluster.run(40);
-    assertEquals(2, cluster.checker.runningTasks(job.uid()), "it runs there again");
+    assertEquals(
+        2, cluster.checker.runningTasks(job.uid()), "tasks do not run on the machine again");
     cluster.cloud.isDown = false;
     cluster.run(20);
-    assertFalse(worker.isDead, "its return was called off");
+    assertFalse(worker.isDead, "the return of the machine was not cancelled");
     assertEquals(2, cluster.checker.runningTasks(job.uid()));
   }
 
   @Test
-  void anUnexpectedMachineIsGivenBack() {
+  void anUnexpectedMachineIsReturned() {
     submit(TestFixtures.job(1, JobKind.SERVICE, 1, 1));
     cluster.run(30);
-    long before = cluster.cloud.liveHostCount();
+    long hostsBefore = cluster.cloud.liveHostCount();
     cluster.cloud.addHost("g4", "a", false, 1000, cluster.nowMs);
     cluster.run(100);
-    assertTrue(cluster.cloud.liveHostCount() <= before);
+    assertTrue(cluster.cloud.liveHostCount() <= hostsBefore);
   }
 
   @Test
-  void aJobThatFailsEverywhereCondemnsNoMachine() {
+  void aJobThatFailsEverywhereMarksNoMachineAsFaulty() {
     Job good = submit(TestFixtures.job(1, JobKind.SERVICE, 8, 2));
     cluster.run(30);
     List<String> hosts =
@@ -412,7 +428,7 @@
   }
 
   @Test
-  void urgentServicesTakeTheRoomOfLowArrays() {
+  void productionServicesPreemptLowPriorityArrays() {
     cluster.cloud.defaultStock = 1;
     Job low = submit(TestFixtures.job(1, JobKind.ARRAY, 8, 1, "blue", Priority.LOW, false, false));
     cluster.run(12);
@@ -425,10 +441,10 @@
   }
 
   @Test
-  void aJobWithARecordThatCannotBeReadIsLeftAloneAndTheRestGoesOn() {
+  void aJobWithAnUnreadableRecordIsLeftUntouchedWhileOthersAreScheduled() {
     Job broken = submit(TestFixtures.job(1, JobKind.SERVICE, 2, 1));
     cluster.run(20);
-    int starts = cluster.checker.startCount;
+    int startsBefore = cluster.checker.startCount;
     cluster.store.corrupt(StoreKeys.alloc(broken.uid()));
     cluster.crashNode(cluster.leader(), 3000);
     cluster.run(20);
@@ -437,11 +453,11 @@
     cluster.run(20);
     assertEquals(2, cluster.checker.runningTasks(broken.uid()));
     assertEquals(2, cluster.checker.runningTasks(other.uid()));
-    assertEquals(starts + 2, cluster.checker.startCount);
+    assertEquals(startsBefore + 2, cluster.checker.startCount);
   }
 
   @Test
-  void whatIsKnownIsNeverRefusedAndWhatIsNotIsDenied() {
+  void knownJobsAreNotRejectedAndUnknownJobsAreNotFound() {
     Job job = submit(TestFixtures.job(1, JobKind.SERVICE, 1, 1));
     cluster.run(10);
     cluster.submit(job);
@@ -452,7 +468,7 @@
   }
 
   @Test
-  void smallArraysGoBeforeLargeOnesForAWhileOnly() {
+  void smallArraysPrecedeLargeOnesWithoutStarvingThem() {
     cluster.cloud.defaultStock = 1;
     submit(TestFixtures.job(1, JobKind.SERVICE, 1, 0));
     cluster.run(20);
@@ -466,11 +482,11 @@
       submit(TestFixtures.job(i, JobKind.ARRAY, 8, 2));
       cluster.run(2);
     }
-    assertTrue(cluster.checker.allTasksCompleted(large.uid()), "the large one has its turn");
+    assertTrue(cluster.checker.allTasksCompleted(large.uid()), "the large array was starved");
   }
 
   @Test
-  void aFullTeamWaitsForItsLimit() {
+  void jobsOfATeamAtItsQuotaWait() {
     Job first =
         submit(TestFixtures.job(1, JobKind.SERVICE, 5, 2, "red", Priority.HIGH, false, false));
     cluster.run(20);
--- a/src/test/java/eiderfork/controller/StaleMessageTest.java
+++ b/src/test/java/eiderfork/controller/StaleMessageTest.java
@@ -13,13 +13,13 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Reports, commands and transactions that come late, again or in another order. */
+/** Heartbeats, commands and transactions that are delayed, duplicated or reordered. */
 class StaleMessageTest {
   private static LongStream seeds() {
     return LongStream.rangeClosed(1, 10);
   }
 
-  /** Work of every kind that starts, ends and is cancelled for a minute. */
+  /** Submits jobs of all kinds, some of which are cancelled, over about a minute. */
   private static List<Job> submitChurn(SimulatedCluster cluster, long seed) {
     List<Job> jobs = new ArrayList<>();
     for (int i = 1; i <= 24; i++) {
@@ -36,29 +36,30 @@
   }
 
   /**
-   * Old reports arrive after newer ones, also from an earlier incarnation or attempt. The larger
-   * (incarnation, sequence number) is the newer, and an end is one whenever it is heard.
+   * Old heartbeats arrive after newer ones, also from an earlier incarnation or attempt. The one
+   * with the larger (incarnation, sequence number) is newer; the end of a task counts in either.
    */
   @ParameterizedTest
   @MethodSource("seeds")
-  void oldReportsAfterNewerOnes(long seed) {
+  void heartbeatsThatArriveAfterNewerOnesAreHarmless(long seed) {
     SimulatedCluster cluster = new SimulatedCluster(seed);
     cluster.repeatedHeartbeatProbability = 0.3;
     List<Job> jobs = submitChurn(cluster, seed);
     for (int i = 0; i < 4; i++) {
-      cluster.schedule(15_000 + 9000L * i, () -> hang(cluster, 11_000 + 500 * seed));
+      cluster.schedule(15_000 + 9000L * i, () -> hangRandomWorker(cluster, 11_000 + 500 * seed));
     }
     cluster.run(70);
     ExpectedOutcome.assertAllJobsServed(cluster, jobs);
   }
 
   /**
-   * Old reports reach every controller just as a new leader begins, which has no newer one to
-   * compare with. They show an older term's token, so nothing that they lack counts as absent.
+   * Old heartbeats reach every controller just after a new leader is elected, which has no newer
+   * one to compare with. They carry a fencing token of an older term, so a task that is missing in
+   * them does not count as absent.
    */
   @ParameterizedTest
   @MethodSource("seeds")
-  void oldReportsAtANewLeader(long seed) {
+  void oldHeartbeatsAtANewLeaderAreHarmless(long seed) {
     SimulatedCluster cluster = new SimulatedCluster(seed);
     cluster.nextLeaderHeartbeatProbability = 0.4;
     List<Job> jobs = submitChurn(cluster, seed);
@@ -75,33 +76,33 @@
     ExpectedOutcome.assertAllJobsServed(cluster, jobs);
   }
 
-  /** A report is held back until a new leader has acted, and then arrives there. */
+  /** A heartbeat is delayed and reaches the new leader only after it has started to act. */
   @ParameterizedTest
   @ValueSource(ints = {3500, 4000, 4500, 5000, 6000, 8000, 12_000, 16_000})
-  void aReportHeldBackUntilTheNewLeaderHasActed(int heldMs) {
+  void aHeartbeatThatArrivesAfterTheNewLeaderHasActedIsHarmless(int delayMs) {
     SimulatedCluster cluster = new SimulatedCluster(4);
     List<Job> jobs = new ArrayList<>();
     jobs.add(TestFixtures.job(1, JobKind.ARRAY, 4, 1));
     jobs.add(TestFixtures.job(2, JobKind.SERVICE, 4, 1));
     jobs.forEach(cluster::submit);
     cluster.run(8);
-    cluster.delayNextHeartbeats(heldMs);
+    cluster.delayNextHeartbeats(delayMs);
     cluster.run(1.2);
     cluster.crashNode(cluster.leader(), 20_000);
     cluster.run(40);
     ExpectedOutcome.assertAllJobsServed(cluster, jobs);
   }
 
-  /** A command or its answer is held up for seconds, and the machine then goes on. */
+  /** Commands and their replies are delayed for seconds while workers hang and resume. */
   @ParameterizedTest
   @MethodSource("seeds")
-  void commandsHeldUpWhileTheMachineHangs(long seed) {
+  void delayedCommandsToHangingWorkersAreHarmless(long seed) {
     SimulatedCluster cluster = new SimulatedCluster(seed);
     cluster.delayProbability = 0.1;
     cluster.maxDelayMs = 9000;
     List<Job> jobs = submitChurn(cluster, seed);
     for (int i = 0; i < 8; i++) {
-      cluster.schedule(8000 + 5000L * i, () -> hang(cluster, 2000 + 700 * seed));
+      cluster.schedule(8000 + 5000L * i, () -> hangRandomWorker(cluster, 2000 + 700 * seed));
     }
     cluster.schedule(
         30_000,
@@ -110,19 +111,19 @@
     ExpectedOutcome.assertAllJobsServed(cluster, jobs);
   }
 
-  private static void hang(SimulatedCluster cluster, long ms) {
+  private static void hangRandomWorker(SimulatedCluster cluster, long durationMs) {
     List<FakeWorker> workers = cluster.workers();
     if (!workers.isEmpty()) {
       FakeWorker worker = workers.get(cluster.random.nextInt(workers.size()));
       worker.isHanging = true;
-      cluster.schedule(ms, () -> worker.isHanging = false);
+      cluster.schedule(durationMs, () -> worker.isHanging = false);
     }
   }
 
-  /** Transactions without an answer are carried out late, after newer ones of the same node. */
+  /** Transactions without a reply are executed late, after newer ones of the same node. */
   @ParameterizedTest
   @MethodSource("seeds")
-  void transactionsAfterNewerOnes(long seed) {
+  void transactionsThatExecuteAfterNewerOnesAreHarmless(long seed) {
     SimulatedCluster cluster = new SimulatedCluster(seed);
     cluster.schedule(4000, () -> cluster.lateTransactionProbability = 0.25);
     List<Job> jobs = submitChurn(cluster, seed);
@@ -132,16 +133,16 @@
     ExpectedOutcome.assertAllJobsServed(cluster, jobs);
   }
 
-  private static void crashLeader(SimulatedCluster cluster, long forMs) {
+  private static void crashLeader(SimulatedCluster cluster, long durationMs) {
     if (cluster.leader() != null) {
-      cluster.crashNode(cluster.leader(), forMs);
+      cluster.crashNode(cluster.leader(), durationMs);
     }
   }
 
-  /** New machines are up within two seconds and get work while writes lag, and the leader ends. */
+  /** Machines boot in 0.3 s and get work while transactions are late and the leader crashes. */
   @ParameterizedTest
   @ValueSource(ints = {0, 100, 200, 400, 700, 1000, 1500, 2000, 2500, 3000, 4000, 6000})
-  void workForMachinesThatAreUpAtOnceWhileWritesLag(int crashAfterMs) {
+  void tasksStartOnNewMachinesWhileTransactionsAreLate(int crashAfterMs) {
     SimulatedCluster cluster = new SimulatedCluster(9);
     cluster.cloud.bootMs = 300;
     cluster.run(4);
@@ -158,10 +159,10 @@
     assertTrue(cluster.checker.startCount > 0);
   }
 
-  /** What can't be counted twice: a report that comes twice, also from an earlier incarnation. */
+  /** Messages that arrive twice or late, also from an earlier incarnation, take effect once. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5})
-  void doubledAndLateMessagesOfEveryKind(long seed) {
+  void duplicatedAndDelayedMessagesTakeEffectOnce(long seed) {
     SimulatedCluster cluster = new SimulatedCluster(seed);
     cluster.duplicateProbability = 0.2;
     cluster.delayProbability = 0.05;
@@ -170,6 +171,7 @@
     List<Job> jobs = submitChurn(cluster, seed);
     cluster.run(80);
     ExpectedOutcome.assertAllJobsServed(cluster, jobs);
-    assertEquals(0, cluster.checker.startsAfterCancellation, "of a cancelled job nothing starts");
+    assertEquals(
+        0, cluster.checker.startsAfterCancellation, "tasks started after their job was cancelled");
   }
 }
--- a/src/test/java/eiderfork/controller/WorkerCommanderTest.java
+++ b/src/test/java/eiderfork/controller/WorkerCommanderTest.java
@@ -27,8 +27,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The guards between a leader and one worker, each looked at alone: in the histories of other tests
- * another guard often stands behind the one that fails.
+ * Tests each safety check between a leader and one worker in isolation. In the simulated histories
+ * of other tests, another check often hides the failure of one.
  */
 class WorkerCommanderTest extends LeaderAndWorkerFixture {
   WorkerCommanderTest() {
@@ -39,15 +39,15 @@
   void startIsSentOnlyAfterItsReservationIsCommitted() {
     Reservation task = jobs.propose(job, 0, 1, machine);
     jobs.write(job, RequestPriority.START);
-    long call = drainEffects(Effect.CallStore.class).get(0).callId();
+    long callId = drainEffects(Effect.CallStore.class).get(0).callId();
     assertEquals(List.of(), sendHeartbeat(INCARNATION, 2, firstToken));
-    context.completeCall(call, new Reply.Committed(5));
+    context.completeCall(callId, new Reply.Committed(5));
     assertEquals(
         List.of(new WorkerCommand.Run(task.toAttempt())),
         sendHeartbeat(INCARNATION, 3, firstToken));
   }
 
-  /** Most heartbeats have the tasks of the previous one; memory holds their tasks once. */
+  /** Most heartbeats report the same tasks as the previous one; memory holds the list only once. */
   @Test
   void unchangedTasksOnlyRenewTheLease() {
     Reservation task = startTask();
@@ -111,7 +111,7 @@
     assertEquals(start, sendHeartbeat(INCARNATION, 6, firstToken, runningStatus(task)));
   }
 
-  /** Before memory holds the jobs, only what machines show tells where a cancelled one runs. */
+  /** Until a new leader has loaded the jobs, only heartbeats show where a cancelled job runs. */
   @Test
   void cancellationBeforeRecoveryReachesMachinesThatReportTheJob() {
     Reservation task = startTask();
@@ -124,21 +124,23 @@
     assertTrue(machine.commandChannel().isCommandDue());
   }
 
-  /** Searches skipped the machine while it was silent, though it had free capacity. */
+  /** Searches skipped the machine while it sent no heartbeat, though it had free capacity. */
   @Test
-  void skippedMachineContradictsTheSearchOnceItIsSchedulable() {
-    Job waits = TestFixtures.job(2, JobKind.SERVICE, 1, 1);
-    FailedSearchCache proved = fleet.indexes().capacityIndex().failedSearches();
-    proved.recordFailure(waits, "a");
+  void skippedMachineInvalidatesFailedSearchesOnceItIsSchedulable() {
+    Job waitingJob = TestFixtures.job(2, JobKind.SERVICE, 1, 1);
+    FailedSearchCache failedSearches = fleet.indexes().capacityIndex().failedSearches();
+    failedSearches.recordFailure(waitingJob, "a");
     sendHeartbeat(INCARNATION, 2, firstToken);
-    assertTrue(proved.isRuledOut(waits, "a"), "nothing has changed");
+    assertTrue(
+        failedSearches.isRuledOut(waitingJob, "a"),
+        "ruling invalidated although no search skipped the machine");
     machine.onSkippedBySearch();
     sendHeartbeat(INCARNATION, 3, firstToken);
-    assertFalse(proved.isRuledOut(waits, "a"));
+    assertFalse(failedSearches.isRuledOut(waitingJob, "a"));
     assertFalse(machine.isSkippedBySearch());
   }
 
-  /** Leases that may have expired are searched from the front of this order. */
+  /** Leases that may have expired are searched from the front of this list. */
   @Test
   void machinesAreOrderedByLeaseStart() {
     MachineState other = fleet.getOrRegister(new Machine("n-2", "n-2:1", "g4", "a", false));
@@ -153,11 +155,12 @@
   }
 
   /**
-   * The first of this order whose lease was renewed lately ends the search, so a machine that
-   * begins an incarnation goes behind all others; in front it would hide their expiry.
+   * The search for expired leases ends at the first machine whose lease was renewed recently. A
+   * machine that begins an incarnation must therefore go to the end of the list; at the front it
+   * would hide the expired leases of the others.
    */
   @Test
-  void machineThatStartsAnIncarnationIsLast() {
+  void machineThatBeginsAnIncarnationIsLastInLeaseOrder() {
     MachineState other = fleet.getOrRegister(new Machine("n-2", "n-2:1", "g4", "a", false));
     fleet.renewLease(machine);
     context.advanceBy(1000);
@@ -167,9 +170,9 @@
     assertEquals(List.of(other), fleet.machinesWithLeaseOlderThan(10_000));
   }
 
-  /** It was passed over since its lease might have been over, and is usable with this answer. */
+  /** A search skipped the machine as its lease might have expired; the response makes it usable. */
   @Test
-  void skippedMachineWithExpiredLeaseContradictsTheSearchOnceItsLeaseIsRenewed() {
+  void skippedMachineWithExpiredLeaseInvalidatesFailedSearchesOnceItsLeaseIsRenewed() {
     context.advanceBy(context.workerLeaseMs() + context.stepMs());
     assertFalse(liveness.isSchedulable(machine));
     machine.onSkippedBySearch();
@@ -178,7 +181,7 @@
     assertFalse(machine.isSkippedBySearch());
   }
 
-  /** Tasks of another incarnation are other runs, though they look alike. */
+  /** Tasks of another incarnation are other executions, even if the reported tasks are equal. */
   @Test
   void unchangedTasksOfALaterIncarnationAreReconciled() {
     Reservation task = startTask();
@@ -191,20 +194,21 @@
   void olderHeartbeatThatArrivesLaterIsIgnored() {
     Reservation task = startTask();
     sendHeartbeat(INCARNATION, 2, firstToken + 100);
-    assertEquals(task, job.reservations().get(0), "an older sequence number");
+    assertEquals(
+        task, job.reservations().get(0), "settled by a heartbeat with an older sequence number");
     sendHeartbeat(INCARNATION + 1, 1, firstToken, runningStatus(task));
     sendHeartbeat(INCARNATION, 9, firstToken + 100);
-    assertEquals(task, job.reservations().get(0), "an older incarnation");
+    assertEquals(task, job.reservations().get(0), "settled by a heartbeat of an older incarnation");
   }
 
   @Test
   void missingTaskIsSettledOnlyOnceItsStartIsOutdated() {
     Reservation task = startTask();
     sendHeartbeat(INCARNATION, 4, firstToken);
-    assertEquals(task, job.reservations().get(0), "the start may still be under way");
+    assertEquals(task, job.reservations().get(0), "settled while the start may still be in flight");
     assertTrue(
         machine.commandChannel().fencingToken() > task.startToken(),
-        "a higher token outdates the start");
+        "no higher token was issued to outdate the start");
     sendHeartbeat(INCARNATION, 5, machine.commandChannel().fencingToken());
     assertNull(job.reservations().get(0));
   }
@@ -216,7 +220,7 @@
     assertNull(job.reservations().get(0));
   }
 
-  /** A leader that takes over before the write would start the task again. */
+  /** A leader elected before that write would start the task again. */
   @Test
   void endedTaskCountsForTheQuotaUntilItsEndIsWritten() {
     Reservation task = startTask();
@@ -229,46 +233,46 @@
     assertEquals(0, job.quotaTaskCount());
   }
 
-  /** Once cleared, a late copy of its start would run the task again. */
+  /** Once the worker has cleared the task, a delayed duplicate of its start would run it again. */
   @Test
   void endedTaskIsClearedOnlyAfterItsEndIsWritten() {
     Reservation task = startTask();
     Attempt attempt = task.toAttempt();
     assertEquals(List.of(), sendHeartbeat(INCARNATION, 4, firstToken, doneStatus(task)));
     jobs.write(job, RequestPriority.BATCH);
-    long call = drainEffects(Effect.CallStore.class).get(0).callId();
+    long callId = drainEffects(Effect.CallStore.class).get(0).callId();
     assertEquals(List.of(), sendHeartbeat(INCARNATION, 5, firstToken, doneStatus(task)));
-    context.completeCall(call, new Reply.Committed(6));
+    context.completeCall(callId, new Reply.Committed(6));
     assertEquals(
         List.of(new WorkerCommand.Clear(attempt)),
         sendHeartbeat(INCARNATION, 6, firstToken, doneStatus(task)));
   }
 
   /**
-   * An earlier leader stopped one task of a gang. If the others are not stopped soon, the
-   * checkpoint fails and all fall back to their checkpoint.
+   * An earlier leader stopped one task of a gang. If the others are not stopped soon, the new
+   * checkpoint fails and all tasks fall back to the previous one.
    */
   @Test
-  void checkpointThatAnEarlierLeaderBeganIsContinued() {
+  void checkpointBegunByAnEarlierLeaderIsContinued() {
     job = jobs.add(TestFixtures.gang(2, 2, 1, 30, true), 2);
     Reservation stopped = jobs.propose(job, 0, 1, machine);
     Reservation other = jobs.propose(job, 1, 1, machine);
     jobs.write(job, RequestPriority.START);
     replyToStoreCall(new Reply.Committed(5));
     sendHeartbeat(INCARNATION, 2, firstToken);
-    TaskStatus saving =
+    TaskStatus checkpointingStatus =
         new TaskStatus(stopped.toAttempt(), TaskStatus.State.CHECKPOINTING, null, false);
     double graceS = job.spec().saveDurationS();
     assertEquals(
         List.of(
             new WorkerCommand.Kill(stopped.toAttempt(), graceS),
             new WorkerCommand.Kill(other.toAttempt(), graceS)),
-        sendHeartbeat(INCARNATION, 3, firstToken, saving, runningStatus(other)));
+        sendHeartbeat(INCARNATION, 3, firstToken, checkpointingStatus, runningStatus(other)));
   }
 
-  /** The write went out twice; the first copy was applied before the limits fell. */
+  /** The write was sent twice; the first copy was applied before the size limit was lowered. */
   @Test
-  void writeThatIsTooLargeMayHaveBeenAppliedBefore() {
+  void rejectedRetryOfAWriteIsReadBackAsItMayHaveBeenApplied() {
     Reservation task = jobs.propose(job, 0, 1, machine);
     StoredRecord.Allocation record = AllocationRecordBuilder.build(job);
     jobs.write(job, RequestPriority.START);
@@ -282,9 +286,9 @@
     assertEquals(5, job.writes().version());
   }
 
-  /** 400 is final: what was to be reserved waits for its turn again. */
+  /** Status 400 is final: the task becomes pending again. */
   @Test
-  void writeThatIsTooLargeIsNotRepeated() {
+  void writeRejectedAsTooLargeIsNotRetried() {
     jobs.propose(job, 0, 1, machine);
     jobs.write(job, RequestPriority.START);
     replyToStoreCall(new Reply.Refused(400));
@@ -292,13 +296,13 @@
     assertTrue(job.reservations().isEmpty());
     assertTrue(job.tasks().isPending(0));
     assertFalse(job.writes().isInFlight());
-    assertFalse(job.canWrite(context.nowMs()), "not at once");
+    assertFalse(job.canWrite(context.nowMs()), "the job may be written again without a delay");
     jobs.tick();
     assertTrue(drainEffects(Effect.CallStore.class).isEmpty());
   }
 
   @Test
-  void tokenOfALaterTermEndsThisOne() {
+  void tokenOfALaterTermEndsLeadership() {
     sendHeartbeat(INCARNATION, 2, election.endOfFencingTokens());
     assertFalse(election.isLeading());
   }
@@ -314,9 +318,12 @@
     assertTrue(machine.commandChannel().fencingToken() > sent.fencingToken());
   }
 
-  /** Without any one of them a leader that is deposed, late or cancelled against would write. */
+  /**
+   * Without one of these conditions a leader could write after it was deposed, over a newer version
+   * or after a cancellation.
+   */
   @Test
-  void reservationIsWrittenUnderLeadershipItsVersionAndNoCancellation() {
+  void reservationIsWrittenOnlyIfLeaderVersionAndCancellationAreUnchanged() {
     reserveTask();
     jobs.propose(job, 1, 2, machine);
     jobs.write(job, RequestPriority.START);
--- a/src/test/java/eiderfork/controller/WorkerReachabilityTest.java
+++ b/src/test/java/eiderfork/controller/WorkerReachabilityTest.java
@@ -23,11 +23,11 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** When a leader that hears few workers gives the lead up. */
+/** A leader that receives heartbeats from few workers resigns, but not right after its election. */
 class WorkerReachabilityTest {
   private static final int MACHINES = 4;
 
-  private static final long LONG_AGO_MS = 1;
+  private static final long OLD_HEARTBEAT_TIME_MS = 1;
 
   private long sequenceNumber = 1;
 
@@ -46,14 +46,14 @@
       new WorkerReachability(
           context, election, fleet, new MachineLiveness(context, election), peers, proxy);
 
-  /** This node has just been elected; of its machines it hears one. */
+  /** Elects this node, which knows four machines that have sent no recent heartbeat. */
   @BeforeEach
   void elect() {
     ElectedLeader.elect(context, election);
     reachability.onElected();
     for (int i = 0; i < MACHINES; i++) {
       Heartbeat heartbeat = heartbeat("n-" + i, 1);
-      fleet.getOrRegister(heartbeat.machine()).recordHeartbeat(heartbeat, LONG_AGO_MS);
+      fleet.getOrRegister(heartbeat.machine()).recordHeartbeat(heartbeat, OLD_HEARTBEAT_TIME_MS);
     }
   }
 
@@ -62,28 +62,30 @@
     return new Heartbeat(machine, 1, sequenceNumber, 0, null, ImmutableList.of());
   }
 
-  /** Half a step passes; one machine and a peer that all machines reach are heard from. */
+  /** Advances half a step; one machine and a peer that all machines reach send their status. */
   private void advanceHalfStep() {
     context.advanceBy(context.stepMs() / 2);
     fleet.recordHeartbeat(fleet.get("n-0"), heartbeat("n-0", ++sequenceNumber));
-    CancellationGossip none = cancellations.gossipFor("roost-1");
+    CancellationGossip emptyGossip = cancellations.gossipFor("roost-1");
     peers.receiveStatus(
-        new PeerStatus("roost-1", election.currentTerm(), false, 0, MACHINES, 4, none));
+        new PeerStatus("roost-1", election.currentTerm(), false, 0, MACHINES, 4, emptyGossip));
     reachability.resignIfUnreachable();
   }
 
-  /** Workers that waited four seconds for the leader before need time to come. */
+  /** Workers that were still waiting 4 s for the previous leader need time to reconnect. */
   @Test
-  void newLeaderKeepsTheLeadBeforeWorkersCouldReconnect() {
+  void newLeaderDoesNotResignBeforeWorkersCanReconnect() {
     long electedMs = context.nowMs();
     while (context.nowMs() - electedMs < 6 * context.stepMs()) {
       advanceHalfStep();
-      assertTrue(election.isLeading(), () -> "after " + (context.nowMs() - electedMs) + " ms");
+      assertTrue(
+          election.isLeading(),
+          () -> "resigned " + (context.nowMs() - electedMs) + " ms after its election");
     }
   }
 
   @Test
-  void leaderThatFewerWorkersReachThanAPeerResigns() {
+  void leaderResignsWhenMoreWorkersReachAPeer() {
     long electedMs = context.nowMs();
     while (context.nowMs() - electedMs < 8 * context.stepMs()) {
       advanceHalfStep();
