--- a/src/main/java/eiderfork/controller/Controller.java
+++ b/src/main/java/eiderfork/controller/Controller.java
@@ -45,50 +45,50 @@
 import java.util.random.RandomGenerator;
 
 /**
- * A controller node as a state machine: takes timed inputs and returns what to send, write and
- * answer. It uses no clock, thread or socket.
+ * A controller node as a deterministic state machine: takes timed inputs and returns the requests
+ * and responses to send as effects. It uses no clock, thread or socket.
  *
- * <p>The constructor assembles the parts in the order in which they need each other. Four calls go
- * against that order, from an earlier part to a later one, and only once inputs are handled: the
- * election notifies this class ({@link LeaderElection.Listener}) and is given the reachability of
- * peers and the rule of the standbys; cancellations notify {@link #onCancelled}; the recovery
- * notifies {@link #onRecovered}.
+ * <p>The constructor creates the components in the order of their dependencies. Four callbacks go
+ * against that order, from an earlier component to a later one, and are only called while an input
+ * is handled: the election notifies this class ({@link LeaderElection.Listener}) and consults the
+ * reachability of peers and the standbys' yield rule, which are set after its construction; the
+ * cancellation tracker notifies {@link #onCancelled}; the recovery notifies {@link #onRecovered}.
  */
 public final class Controller implements LeaderElection.Listener {
-  /** Ticks in a step: the finest grain of anything timed. */
+  /** The number of ticks per step; a tick is the resolution of all timers. */
   private static final int TICKS_PER_STEP = 20;
 
-  // The store, and who leads.
+  // Store access and leader election.
   private final ControllerContext context;
   private final StoreClient store;
   private final LeaderElection election;
 
-  // What members know of each other.
-  private final ClusterVersion version;
+  // State exchanged between the members of the cluster.
+  private final ClusterVersion clusterVersion;
   private final CancellationTracker cancellations;
   private final PeerMonitor peers;
   private final LeaseProxy leaseProxy;
 
-  // The leader's memory of jobs and machines.
+  // The leader's in-memory state of jobs and machines.
   private final JobRegistry jobs;
   private final MachineRegistry fleet;
 
-  // Workers.
+  // Communication with workers.
   private final WorkerReachability reachability;
-  private final RangeReader reader;
+  private final RangeReader rangeReader;
   private final WorkerCommander commander;
   private final HeartbeatHandler heartbeats;
 
   // Scheduling and scaling.
-  private final RoundTrigger rounds = new RoundTrigger();
+  private final RoundTrigger roundTrigger = new RoundTrigger();
   private final Scheduler scheduler;
   private final CloudProvisioner cloud;
   private final Autoscaler autoscaler;
   private final SchedulingLoop schedulingLoop;
 
-  // Users, and jobs that are over.
+  // User requests, and jobs that have ended.
   private final ReadBarrier readBarrier;
-  private final UserRequestHandler users;
+  private final UserRequestHandler userRequests;
   private final ForwardedQueryHandler forwardedQueries;
   private final HealthCheckHandler healthChecks;
   private final FinishedJobLoader finishedJobLoader;
@@ -102,33 +102,33 @@
   private boolean recovered;
 
   /**
-   * Makes a controller that follows until it is elected.
+   * Creates a controller that is a follower until it is elected.
    *
-   * @param random the source of backoffs and samples
-   * @param nowMs the steady time now
+   * @param random the source of random backoffs and samples
+   * @param nowMs the current monotonic time
    */
   public Controller(Settings settings, RandomGenerator random, long nowMs) {
     this(settings, random, nowMs, ClusterVersion.CURRENT);
   }
 
-  /** Makes a controller that reports this version to its peers, and holds itself to it. */
+  /** Creates a controller that reports this version to its peers and behaves accordingly. */
   Controller(Settings settings, RandomGenerator random, long nowMs, int ownVersion) {
     context = new ControllerContext(settings, random, nowMs);
     store = new StoreClient(context);
     election = new LeaderElection(context, store, this);
 
-    version = new ClusterVersion(context, store, election, ownVersion);
+    clusterVersion = new ClusterVersion(context, store, election, ownVersion);
     cancellations = new CancellationTracker(context, this::onCancelled);
-    peers = new PeerMonitor(context, election, cancellations, version);
+    peers = new PeerMonitor(context, election, cancellations, clusterVersion);
     election.setPeerReachability(peers);
     leaseProxy = new LeaseProxy(context, store, election, peers, cancellations);
 
-    jobs = new JobRegistry(context, store, election, version);
+    jobs = new JobRegistry(context, store, election, clusterVersion);
     fleet = new MachineRegistry(context, jobs);
 
     MachineLiveness liveness = new MachineLiveness(context, election);
     reachability = new WorkerReachability(context, election, fleet, liveness, peers, leaseProxy);
-    reader = new RangeReader(store, election);
+    rangeReader = new RangeReader(store, election);
     WorkerLeaseLog leaseLog = new WorkerLeaseLog(context);
     LeaseExpiry leaseExpiry =
         new LeaseExpiry(
@@ -137,25 +137,25 @@
             peers,
             liveness,
             leaseLog,
-            reader::readProxiedMachines,
-            rounds::request);
+            rangeReader::readProxiedMachines,
+            roundTrigger::request);
     commander = newCommander(liveness, leaseExpiry, leaseLog);
     heartbeats =
         new HeartbeatHandler(context, election, commander, cancellations, leaseProxy, reachability);
-    scheduler = new Scheduler(context, store, jobs, fleet, liveness, version);
+    scheduler = new Scheduler(context, store, jobs, fleet, liveness, clusterVersion);
     cloud = new CloudProvisioner(context, election, store, fleet);
     autoscaler =
         new Autoscaler(context, store, jobs, fleet, liveness, leaseExpiry, cloud, scheduler);
     schedulingLoop =
         new SchedulingLoop(
-            context, rounds, fleet, scheduler, autoscaler, commander, tickIntervalMs());
+            context, roundTrigger, fleet, scheduler, autoscaler, commander, tickIntervalMs());
 
     StoredRecordRestorer restorer =
-        new StoredRecordRestorer(jobs, fleet, cloud, cancellations, version);
+        new StoredRecordRestorer(jobs, fleet, cloud, cancellations, clusterVersion);
     CommittedChangeApplier changes =
-        new CommittedChangeApplier(restorer, jobs, cancellations, autoscaler, rounds);
+        new CommittedChangeApplier(restorer, jobs, cancellations, autoscaler, roundTrigger);
     readBarrier = new ReadBarrier(context, store, changes::apply, cancellations::recordCaughtUp);
-    users =
+    userRequests =
         new UserRequestHandler(
             context,
             election,
@@ -165,15 +165,16 @@
             autoscaler,
             readBarrier,
             cancellations,
-            version,
-            rounds::request);
-    forwardedQueries = new ForwardedQueryHandler(context, users);
+            clusterVersion,
+            roundTrigger::request);
+    forwardedQueries = new ForwardedQueryHandler(context, userRequests);
     healthChecks = new HealthCheckHandler(context, store, peers);
-    JobPageReader jobPages = new JobPageReader(reader);
+    JobPageReader jobPages = new JobPageReader(rangeReader);
     finishedJobLoader =
         new FinishedJobLoader(context, election, jobs, fleet, cancellations, jobPages);
     archiver =
-        new JobArchiver(context, store, election, version, jobs, cancellations, finishedJobLoader);
+        new JobArchiver(
+            context, store, election, clusterVersion, jobs, cancellations, finishedJobLoader);
 
     standby = new Standby(context, election, new StandbyReplica(context, store));
     election.setYieldRule(standby);
@@ -193,7 +194,7 @@
         liveness,
         leaseExpiry,
         leaseLog,
-        rounds::request);
+        roundTrigger::request);
   }
 
   private LeaderRecovery newRecovery(
@@ -201,17 +202,19 @@
     return new LeaderRecovery(
         election,
         standby,
-        new ReplicaRecovery(reader, restorer, cancellations, finishedJobLoader),
-        new FullReadRecovery(context, reader, jobPages, restorer, cancellations, finishedJobLoader),
-        new CommittedChangeWatcher(context, store, reader, readBarrier, cancellations, changes),
+        new ReplicaRecovery(rangeReader, restorer, cancellations, finishedJobLoader),
+        new FullReadRecovery(
+            context, rangeReader, jobPages, restorer, cancellations, finishedJobLoader),
+        new CommittedChangeWatcher(
+            context, store, rangeReader, readBarrier, cancellations, changes),
         readBarrier,
         jobs,
         fleet,
-        rounds,
+        roundTrigger,
         this::onRecovered);
   }
 
-  /** Handles one input at {@code nowMs} of a steady clock, and returns what follows from it. */
+  /** Handles an input at {@code nowMs} of a monotonic clock and returns the resulting effects. */
   public List<Effect> handle(long nowMs, Input input) {
     context.advanceTo(nowMs);
     dispatch(input);
@@ -226,32 +229,32 @@
     return effects;
   }
 
-  /** How often the controller wants a tick. */
+  /** Returns the interval at which the controller expects a {@link Input.Tick}. */
   public long tickIntervalMs() {
     return Math.max(1, context.stepMs() / TICKS_PER_STEP);
   }
 
-  /** How many looks at a machine the last round and the last plan took. */
+  /** Returns the number of machine examinations in the last round plus those in the last plan. */
   int totalMachineExaminations() {
     return scheduler.machineExaminations() + autoscaler.examinedBins();
   }
 
-  /** How many looks at a machine the last round took. */
+  /** Returns the number of machine examinations in the last round. */
   int roundMachineExaminations() {
     return scheduler.machineExaminations();
   }
 
-  /** Whether the leadership of now was recovered from a replica of what is committed. */
+  /** Returns whether the state of the current term was recovered from a standby's replica. */
   boolean recoveredFromReplica() {
     return failoverTimer.isFromReplica();
   }
 
-  /** Whether this node keeps a replica from which it could recover as the leader. */
+  /** Returns whether this node maintains a replica from which it could recover as the leader. */
   boolean isStandby() {
     return standby.replica().isFollowing();
   }
 
-  /** How many jobs this node holds, over or not. */
+  /** Returns the number of jobs in memory, including ended ones. */
   int jobsInMemory() {
     return jobs.size();
   }
@@ -259,10 +262,10 @@
   private void dispatch(Input input) {
     if (input instanceof Input.Tick) {
       tick();
-    } else if (input instanceof Input.CallCompleted answered) {
-      context.completeCall(answered.callId(), answered.reply());
-    } else if (input instanceof Input.WorkerHeartbeat heartbeat) {
-      heartbeats.handle(heartbeat.ticket(), heartbeat.heartbeat());
+    } else if (input instanceof Input.CallCompleted completion) {
+      context.completeCall(completion.callId(), completion.reply());
+    } else if (input instanceof Input.WorkerHeartbeat message) {
+      heartbeats.handle(message.ticket(), message.heartbeat());
     } else if (input instanceof Input.Submit submission) {
       handleUserRequest(submission.ticket(), submission, true);
     } else if (input instanceof Input.Query query) {
@@ -283,7 +286,7 @@
   }
 
   private void handleUserRequest(long ticket, Input request, boolean mayForward) {
-    users.handle(
+    userRequests.handle(
         request, mayForward, response -> context.emit(new Effect.RespondToUser(ticket, response)));
   }
 
@@ -297,7 +300,7 @@
     context.emit(new Effect.AcknowledgeHints(hints.ticket()));
   }
 
-  /** The status that this node reports to a peer. */
+  /** Returns the status that this node sends to a peer. */
   private PeerStatus statusFor(String peer) {
     return new PeerStatus(
         context.settings.nodeName(),
@@ -305,7 +308,7 @@
         election.isLeading(),
         store.sinceServedMs(),
         reachability.reachableMachineCount(),
-        version.ownVersion(),
+        clusterVersion.ownVersion(),
         cancellations.gossipFor(peer));
   }
 
@@ -313,10 +316,10 @@
     election.tick();
     jobs.tick();
     peers.tick(this::statusFor);
-    users.tick();
+    userRequests.tick();
     leaseProxy.tick();
     heartbeats.tick();
-    reader.tick();
+    rangeReader.tick();
     standby.tick();
     if (election.isLeading()) {
       commander.tick();
@@ -329,7 +332,7 @@
 
   private void tickRecoveredLeader() {
     scheduler.tick();
-    version.tick();
+    clusterVersion.tick();
     cloud.tick();
     archiver.tick();
     finishedJobLoader.tick();
@@ -337,12 +340,15 @@
     schedulingLoop.planIfDue();
   }
 
-  /** Whether this node surely leads, and its memory holds what is committed. */
+  /** Returns whether this node certainly leads and its memory contains all committed state. */
   private boolean isRecoveredLeader() {
     return recovered && election.isLeaseValid();
   }
 
-  /** A job turns out to be cancelled: no task of it may go on, whatever memory holds of it. */
+  /**
+   * Handles the cancellation of a job. The leader stops all of its tasks, whatever state of the job
+   * is in memory.
+   */
   private void onCancelled(String uid) {
     if (election.isLeading()) {
       jobs.markCancelled(uid);
@@ -370,8 +376,8 @@
 
   private void clearLeaderState() {
     recovered = false;
-    reader.cancelPending();
-    users.setRecovered(false);
+    rangeReader.cancelPending();
+    userRequests.setRecovered(false);
     readBarrier.failWaiters();
     cancellations.reset();
     archiver.reset();
@@ -388,7 +394,7 @@
     hintPublisher.apply(standby.hints());
     standby.hints().clear();
     failoverTimer.recordRecovery(fromReplica);
-    users.setRecovered(true);
+    userRequests.setRecovered(true);
     commander.onRecovered();
     fleet.machines().forEach(commander::reconcile);
   }
--- a/src/main/java/eiderfork/controller/SchedulingLoop.java
+++ b/src/main/java/eiderfork/controller/SchedulingLoop.java
@@ -7,7 +7,7 @@
 import eiderfork.controller.scheduling.Scheduler;
 import eiderfork.controller.workers.WorkerCommander;
 
-/** When a leader plans its fleet and runs scheduling rounds. */
+/** Decides when a leader plans its fleet and runs scheduling rounds. */
 final class SchedulingLoop {
   private final ControllerContext context;
   private final RoundTrigger trigger;
@@ -20,9 +20,9 @@
   private long nextPlanMs;
 
   /**
-   * Makes a loop in which nothing is due before it is requested.
+   * Creates a loop without a requested round.
    *
-   * @param roundIntervalMs the least time from one round to the next
+   * @param roundIntervalMs the minimum interval between the starts of two rounds
    */
   SchedulingLoop(
       ControllerContext context,
@@ -41,7 +41,7 @@
     this.roundIntervalMs = roundIntervalMs;
   }
 
-  /** Plans the fleet once a step, as soon as the machine types are known. */
+  /** Plans the fleet once per step, if the machine types are known, and requests a round. */
   void planIfDue() {
     if (context.nowMs() >= nextPlanMs && !fleet.types().isEmpty()) {
       nextPlanMs = context.nowMs() + context.stepMs();
@@ -50,7 +50,7 @@
     }
   }
 
-  /** Runs a round where one is requested, and sends the commands that follow from it. */
+  /** Runs a round if one is requested and due, and sends the resulting commands. */
   void runRoundIfDue() {
     if (trigger.isRequested() && context.nowMs() >= nextRoundMs) {
       nextRoundMs = context.nowMs() + roundIntervalMs;
--- a/src/main/java/eiderfork/controller/context/ControllerContext.java
+++ b/src/main/java/eiderfork/controller/context/ControllerContext.java
@@ -10,17 +10,26 @@
 import java.util.function.LongFunction;
 import java.util.random.RandomGenerator;
 
-/** What the parts of one controller share: settings, the time of the input, calls and effects. */
+/**
+ * State shared by the components of a controller: the settings, the time of the current input,
+ * pending calls, and the effects to return.
+ */
 public final class ControllerContext {
-  /** A steady clock may be off by this share; lease expiry is judged with twice that to spare. */
+  /**
+   * The maximum drift of a monotonic clock, as a fraction of the elapsed time. Lease expiry is
+   * decided with a margin of twice that.
+   */
   public static final double MAX_CLOCK_DRIFT = 0.001;
 
   private static final double MS_PER_S = 1000;
 
-  /** How long a worker waits for the reply to a heartbeat, by the protocol. */
+  /** The time that a worker waits for the reply to a heartbeat, as the protocol defines it. */
   private static final long HEARTBEAT_REPLY_TIMEOUT_MS = 4000;
 
-  /** Steps in a worker's wait for a reply; users wait half of that for the reply to a query. */
+  /**
+   * The number of steps ({@link #stepMs}) in a worker's timeout for a reply. A user's timeout for
+   * the reply to a query is half of that.
+   */
   private static final int STEPS_PER_REPLY_TIMEOUT = 4;
 
   /** The settings of this node. */
@@ -29,7 +38,7 @@
   /** The source of all random choices. */
   public final RandomGenerator random;
 
-  /** The steady time of the input that is being handled. */
+  /** The monotonic time of the input that is being handled. */
   private long nowMs;
 
   private final Long2ObjectOpenHashMap<Consumer<Reply>> pendingCalls =
@@ -37,37 +46,38 @@
   private List<Effect> effects = new ArrayList<>();
   private long lastCallId;
 
-  /** Makes a context without pending calls or effects. */
+  /** Creates a context without pending calls or effects. */
   public ControllerContext(Settings settings, RandomGenerator random, long nowMs) {
     this.settings = settings;
     this.random = random;
     this.nowMs = nowMs;
   }
 
-  /** The steady time of the input that is being handled. */
+  /** Returns the monotonic time of the input that is being handled. */
   public long nowMs() {
     return nowMs;
   }
 
-  /** Moves the time to that of an input; it never goes back. */
+  /** Advances the time to that of an input; an earlier time has no effect. */
   public void advanceTo(long inputMs) {
     nowMs = Math.max(nowMs, inputMs);
   }
 
-  /** Moves the time on. */
+  /** Advances the time by a duration. */
   public void advanceBy(long durationMs) {
     nowMs += durationMs;
   }
 
-  /** Adds an effect to those of this input. */
+  /** Adds an effect to those of the current input. */
   public void emit(Effect effect) {
     effects.add(effect);
   }
 
   /**
-   * Emits a call; {@code onReply} takes its reply.
+   * Emits a call and registers the handler of its reply.
    *
-   * @param callFactory makes the call with the id that its reply will carry
+   * @param callFactory creates the call with the given call id
+   * @param onReply accepts the reply
    */
   public void call(LongFunction<Effect.Call> callFactory, Consumer<Reply> onReply) {
     long callId = ++lastCallId;
@@ -75,7 +85,7 @@
     effects.add(callFactory.apply(callId));
   }
 
-  /** Passes a reply to the caller; a second reply to the same call is ignored. */
+  /** Passes a reply to the handler of its call; further replies to the same call are ignored. */
   public void completeCall(long callId, Reply reply) {
     Consumer<Reply> onReply = pendingCalls.remove(callId);
     if (onReply != null) {
@@ -83,42 +93,43 @@
     }
   }
 
-  /** Returns the effects that were emitted since the last call of this method. */
+  /** Returns and removes the effects that were emitted since the last call. */
   public List<Effect> drainEffects() {
     List<Effect> drained = effects;
     effects = new ArrayList<>();
     return drained;
   }
 
-  /** The interval of workers' heartbeats. */
+  /** Returns the interval of a worker's heartbeats. */
   public long heartbeatIntervalMs() {
     return millis(settings.workerTimings().heartbeatS());
   }
 
   /**
-   * The step: the unit of time of everything that a worker or user waits for. It is the heartbeat
-   * interval, or less where workers seldom send heartbeats, as their waits are no longer for that.
+   * Returns the step, the time unit of all timeouts and intervals that workers and users notice.
+   * The step is the heartbeat interval, with an upper limit: where workers send heartbeats less
+   * often, the time that they wait for replies stays the same.
    */
   public long stepMs() {
     return Math.min(heartbeatIntervalMs(), HEARTBEAT_REPLY_TIMEOUT_MS / STEPS_PER_REPLY_TIMEOUT);
   }
 
-  /** The step in seconds. */
+  /** Returns the step ({@link #stepMs}) in seconds. */
   public double stepS() {
     return stepMs() / MS_PER_S;
   }
 
-  /** The duration of a worker's lease. */
+  /** Returns the duration of a worker's lease. */
   public long workerLeaseMs() {
     return millis(settings.workerTimings().leaseS());
   }
 
-  /** The time within which a cancelled task must have ended. */
+  /** Returns the time within which the tasks of a cancelled job must have ended. */
   public long cancellationTimeoutMs() {
     return millis(settings.workerTimings().cancelDeadlineS());
   }
 
-  /** How old the cloud's list of machines may be. */
+  /** Returns the maximum age of the cloud's machine list. */
   public long cloudListLagMs() {
     return millis(settings.cloudLimits().listLagS());
   }
@@ -127,7 +138,10 @@
     return (long) (seconds * MS_PER_S);
   }
 
-  /** A duration on this clock in which another clock surely counts {@code durationMs}. */
+  /**
+   * Returns the duration extended by the maximum clock drift. After this time on the local clock,
+   * at least {@code durationMs} have passed on any other node's clock.
+   */
   public static long withClockDrift(long durationMs) {
     return (long) Math.ceil(durationMs * (1 + MAX_CLOCK_DRIFT));
   }
--- a/src/main/java/eiderfork/controller/message/CancellationGossip.java
+++ b/src/main/java/eiderfork/controller/message/CancellationGossip.java
@@ -3,17 +3,18 @@
 import com.google.common.collect.ImmutableList;
 
 /**
- * What a node sends one peer of the cancellations that it confirmed to users, in the order in which
- * it did. The numbers count from 1 within a process.
+ * Cancellations that a node has confirmed to users, as sent to one peer. Each process numbers its
+ * confirmations consecutively from 1 and sends them in that order.
  *
- * @param processId names the process; another after each start
- * @param uptimeMs how long the process has run
- * @param afterNumber the number up to which the receiver is taken to know them already
- * @param uids the jobs that follow
- * @param complete whether no further ones follow: nothing else that matters was confirmed by this
- *     process after {@code afterNumber}
- * @param acknowledgedProcessId the receiver's process from which the sender received last
- * @param acknowledgedNumber the number up to which the sender knows what that process confirmed
+ * @param processId the id of the sending process; a node has a new one after each start
+ * @param uptimeMs the time since the process started
+ * @param afterNumber the number of the last confirmation that the receiver is assumed to know
+ * @param uids the jobs of the confirmations that follow {@code afterNumber}, in order
+ * @param complete true if the process has confirmed no other cancellation after {@code afterNumber}
+ *     that is still relevant
+ * @param acknowledgedProcessId the receiver's process that the sender last received gossip from
+ * @param acknowledgedNumber the number of the last confirmation of that process that the sender
+ *     knows
  */
 public record CancellationGossip(
     long processId,
@@ -23,11 +24,11 @@
     boolean complete,
     long acknowledgedProcessId,
     long acknowledgedNumber) {
-  /** Of a peer that sends nothing of cancellations. */
+  /** The value for a peer whose status contains no gossip about cancellations. */
   public static final CancellationGossip NONE =
       new CancellationGossip(0, 0, 0, ImmutableList.of(), false, 0, 0);
 
-  /** The number of the last confirmation that the receiver knows with this message. */
+  /** Returns the number of the last confirmation that this message contains. */
   public long lastNumber() {
     return afterNumber + uids.size();
   }
--- a/src/main/java/eiderfork/controller/message/Effect.java
+++ b/src/main/java/eiderfork/controller/message/Effect.java
@@ -4,22 +4,27 @@
 import eiderfork.model.StoredRecord;
 import eiderfork.model.WorkerCommand;
 
-/** What a controller has done by the node that it runs in. */
+/**
+ * An action that a controller requests from the node that it runs in. The node sends a {@link Call}
+ * to another service, worker or peer and returns its {@link Reply} as an input; it sends a {@link
+ * Response} to whoever sent an earlier input.
+ */
 public sealed interface Effect {
   /**
-   * A request whose reply comes back as {@link Input.CallCompleted}; none in time is Unanswered.
+   * A request whose reply is returned as {@link Input.CallCompleted}; after a timeout the reply is
+   * {@link Reply.Unanswered}.
    */
   sealed interface Call extends Effect {
-    /** The id with which the reply comes back. */
+    /** Returns the id of the call, which its reply carries. */
     long callId();
 
-    /** How long to wait for the reply. */
+    /** Returns the time to wait for the reply. */
     long timeoutMs();
   }
 
-  /** A response to an input that carried this ticket. */
+  /** A response to an input that expects one. */
   sealed interface Response extends Effect {
-    /** The ticket of the input that is responded to. */
+    /** Returns the ticket of the input that this responds to. */
     long ticket();
   }
 
@@ -29,7 +34,7 @@
   /** Requests the machine types from the cloud. */
   record ListMachineTypes(long callId, long timeoutMs) implements Call {}
 
-  /** Rents machines from the cloud. */
+  /** Rents machines from the cloud, as a stored intent describes them. */
   record RentMachines(long callId, StoredRecord.ScaleOutIntent intent, long timeoutMs)
       implements Call {}
 
@@ -37,10 +42,10 @@
   record ReturnMachines(long callId, ImmutableList<String> machines, long timeoutMs)
       implements Call {}
 
-  /** Requests a page of the cloud's list of machines, beginning after {@code after}. */
+  /** Requests a page of the cloud's machine list, with names that sort after {@code after}. */
   record ListMachines(long callId, String after, long timeoutMs) implements Call {}
 
-  /** Sends commands to a worker directly. */
+  /** Sends commands to a worker without waiting for its next heartbeat. */
   record SendCommands(
       long callId,
       String address,
@@ -58,34 +63,34 @@
 
   /** Forwards a user's request to a peer. */
   record ForwardRequest(long callId, String node, Input request, long timeoutMs) implements Call {
-    /** Bytes that a forwarded submission's kind, id and lengths may take beside its body. */
+    /** The size limit of a forwarded submission's kind, id and lengths, without its body. */
     private static final int MAX_ENVELOPE_BYTES = 64;
 
-    /** The longest body of a submission that fits a request to a peer, which is 64 KiB at most. */
+    /** The size limit of a forwarded submission's body; requests to peers are limited to 64 KiB. */
     public static final int MAX_BODY_BYTES = 64 * 1024 - MAX_ENVELOPE_BYTES;
   }
 
-  /** Forwards queries of several jobs, whose responses come in the same order. */
+  /** Forwards queries for several jobs to a peer, which responds in the same order. */
   record ForwardQueries(long callId, String node, ImmutableList<String> uids, long timeoutMs)
       implements Call {}
 
-  /** Sends a standby hints of what is not committed. */
+  /** Sends a standby hints about uncommitted state. */
   record SendHints(long callId, String node, MachineHintBatch hints, long timeoutMs)
       implements Call {}
 
   /** Acknowledges a peer's hints. */
   record AcknowledgeHints(long ticket) implements Response {}
 
-  /** This node has completed a failover, whose phases are traced. */
+  /** Traces the phases of a failover that this node has completed. */
   record FailoverCompleted(long term, ImmutableList<FailoverPhase> phases) implements Effect {}
 
-  /** A phase of a failover, from one moment of the steady time to another. */
+  /** A phase of a failover, from one time of the monotonic clock to another. */
   record FailoverPhase(String name, long fromMs, long toMs) {}
 
-  /** Responds to queries that a peer forwarded, in their order. */
+  /** Responds to queries that a peer forwarded, in the order of the queries. */
   record RespondToQueries(long ticket, ImmutableList<UserResponse> responses) implements Response {}
 
-  /** Responds to a user or, for a request that was forwarded, to a peer. */
+  /** Responds to a user or, if the request was forwarded, to a peer. */
   record RespondToUser(long ticket, UserResponse response) implements Response {}
 
   /** Responds to a health check. */
@@ -95,7 +100,7 @@
   record RespondToWorker(long ticket, long fencingToken, ImmutableList<WorkerCommand> commands)
       implements Response {}
 
-  /** Redirects a worker to the leader (421), which is null where it is not known. */
+  /** Redirects a worker to the leader (status 421); {@code leader} is null if unknown. */
   record RedirectWorker(long ticket, String leader) implements Response {}
 
   /** Responds to a peer's ping. */
--- a/src/main/java/eiderfork/controller/message/Input.java
+++ b/src/main/java/eiderfork/controller/message/Input.java
@@ -4,7 +4,10 @@
 import eiderfork.model.Heartbeat;
 import eiderfork.model.Job;
 
-/** What a controller has to handle. */
+/**
+ * An event that a controller handles. The {@code ticket} of an input identifies the request that
+ * the node has received, and is repeated in the {@link Effect.Response} to it.
+ */
 public sealed interface Input {
   /**
    * Returns the input's kind as logs and metrics name it. A record that is renamed keeps its old
@@ -14,13 +17,13 @@
     return getClass().getSimpleName();
   }
 
-  /** Time has passed. */
+  /** A periodic timer event. */
   record Tick() implements Input {}
 
-  /** A submission; {@code body} is what the user sent, for forwarding. */
+  /** A user submits a job; {@code body} is the unparsed request, for forwarding to the leader. */
   record Submit(long ticket, Job job, byte[] body) implements Input {}
 
-  /** A user requests a job's state. */
+  /** A user queries a job's status. */
   record Query(long ticket, String uid) implements Input {}
 
   /** A user cancels a job. */
@@ -36,10 +39,10 @@
     }
   }
 
-  /** The load balancer checks whether this node can take requests. */
+  /** The load balancer checks whether this node can serve requests. */
   record HealthCheck(long ticket) implements Input {}
 
-  /** A heartbeat of a worker. */
+  /** A worker sends a heartbeat. */
   record WorkerHeartbeat(long ticket, Heartbeat heartbeat) implements Input {
     @Override
     public String loggedName() {
@@ -52,19 +55,19 @@
     }
   }
 
-  /** A submission, query or cancellation forwarded by a peer. */
+  /** A peer forwards a submission, query or cancellation. */
   record PeerRequest(long ticket, Input request) implements Input {}
 
-  /** Queries of several jobs, forwarded by a peer. */
+  /** A peer forwards queries for several jobs. */
   record PeerQueries(long ticket, ImmutableList<String> uids) implements Input {}
 
   /** A peer sends its status and requests this node's. */
   record PeerPing(long ticket, PeerStatus status) implements Input {}
 
-  /** The leader sends this node, which may be its standby, hints of what is not committed. */
+  /** The leader sends hints about uncommitted state to this node, which may be its standby. */
   record PeerHints(long ticket, MachineHintBatch hints) implements Input {}
 
-  /** The reply to a call, see {@link Effect.Call}. */
+  /** An {@link Effect.Call} has completed, with a reply or a timeout. */
   record CallCompleted(long callId, Reply reply) implements Input {
     @Override
     public String loggedName() {
--- a/src/main/java/eiderfork/controller/message/MachineHintBatch.java
+++ b/src/main/java/eiderfork/controller/message/MachineHintBatch.java
@@ -3,9 +3,9 @@
 import com.google.common.collect.ImmutableList;
 
 /**
- * One message of the stream of hints from a leader to its standbys.
+ * A message in the stream of hints from a leader to its standbys.
  *
- * @param term the term of the leader
- * @param sequence counts up with each message of a term
+ * @param term the leader's term
+ * @param sequence the message's sequence number within the term
  */
 public record MachineHintBatch(long term, long sequence, ImmutableList<MachineHint> machines) {}
--- a/src/main/java/eiderfork/controller/message/PeerStatus.java
+++ b/src/main/java/eiderfork/controller/message/PeerStatus.java
@@ -1,12 +1,13 @@
 package eiderfork.controller.message;
 
 /**
- * The status that a node sends its peers.
+ * The status that a node sends to its peers.
  *
- * @param storeAgeMs how long ago the store last served the node
- * @param reportingMachines how many machines sent it heartbeats lately, whatever it responded
+ * @param storeAgeMs the time since the store last served a request of the node
+ * @param reportingMachines the number of machines that recently sent heartbeats to the node,
+ *     regardless of its responses
  * @param version the version that the node runs
- * @param cancellations the cancellations that it confirmed and the receiver may not know
+ * @param cancellations the cancellations that the node has confirmed and the receiver may not know
  */
 public record PeerStatus(
     String node,
--- a/src/main/java/eiderfork/controller/message/package-info.java
+++ b/src/main/java/eiderfork/controller/message/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The interface of the state machine: inputs, effects, calls and their replies, and the keys of the
- * key-value store. All types are immutable and hold no logic.
+ * The interface of the controller's state machine: inputs, effects, calls with their replies, and
+ * the keys of the key-value store. All types are immutable and hold no logic.
  */
 package eiderfork.controller.message;
--- a/src/main/java/eiderfork/controller/ratelimit/TokenBucket.java
+++ b/src/main/java/eiderfork/controller/ratelimit/TokenBucket.java
@@ -1,6 +1,6 @@
 package eiderfork.controller.ratelimit;
 
-/** A token bucket for one rate limit of another service. */
+/** A token bucket that enforces a rate limit of another service. */
 public final class TokenBucket {
   private static final double MS_PER_S = 1000;
 
@@ -9,7 +9,7 @@
   private double tokens;
   private long refilledAtMs;
 
-  /** Makes a full bucket of {@code burst} tokens that gains {@code tokensPerS} a second. */
+  /** Creates a full bucket with a capacity of {@code burst} tokens. */
   public TokenBucket(double tokensPerS, double burst, long nowMs) {
     this.tokensPerS = tokensPerS;
     this.burst = burst;
@@ -17,32 +17,36 @@
     this.refilledAtMs = nowMs;
   }
 
-  /** Changes the rate; saved tokens stay as far as the new burst allows. */
+  /** Changes the rate and the capacity; keeps the current tokens up to the new capacity. */
   public void setRate(double newTokensPerS, double newBurst) {
     tokensPerS = newTokensPerS;
     burst = newBurst;
     tokens = Math.min(tokens, burst);
   }
 
-  /** The most tokens that are saved. */
+  /** Returns the capacity of the bucket. */
   public double burst() {
     return burst;
   }
 
-  /** How many tokens are gained in a second. */
+  /** Returns the refill rate. */
   public double tokensPerS() {
     return tokensPerS;
   }
 
   /**
-   * Whether {@code count} tokens could be taken now, or all that can be saved where that is less.
+   * Returns whether {@code count} tokens can be taken now; if {@code count} exceeds the capacity,
+   * whether the bucket is full.
    */
   public boolean hasTokens(double count, long nowMs) {
     refill(nowMs);
     return tokens >= Math.min(count, burst);
   }
 
-  /** Takes {@code count} tokens where there are as many; returns whether there were. */
+  /**
+   * Takes {@code count} tokens if {@link #hasTokens} holds, and returns whether it did. The balance
+   * becomes negative if {@code count} exceeds the capacity.
+   */
   public boolean tryTake(double count, long nowMs) {
     if (!hasTokens(count, nowMs)) {
       return false;
@@ -51,7 +55,7 @@
     return true;
   }
 
-  /** Drops the saved tokens, after the other side refused a request for its rate. */
+  /** Removes all tokens, after the service refused a request because of its rate limit. */
   public void drain(long nowMs) {
     refill(nowMs);
     tokens = Math.min(tokens, 0);
--- a/src/main/java/eiderfork/controller/store/ReadBarrier.java
+++ b/src/main/java/eiderfork/controller/store/ReadBarrier.java
@@ -10,42 +10,43 @@
 import java.util.function.LongConsumer;
 
 /**
- * Brings a leader's memory up to the cancellations committed before a query was received. A peer
- * that could not reach the leader may have committed and confirmed one; the long watch brings it a
- * moment later, and a response from memory in between would contradict it. One request serves all
- * queries that wait.
+ * Updates a leader's memory with all cancellations that were committed before a query was received,
+ * so that the response to the query is linearizable. A peer that could not reach the leader may
+ * have committed and confirmed a cancellation that the leader's watch delivers only later; a
+ * response from memory in the meantime would contradict the confirmation. One store request serves
+ * all waiting queries.
  */
 public final class ReadBarrier {
   private final ControllerContext context;
   private final StoreClient store;
   private final Consumer<Reply.Item> cancellationConsumer;
-  private final LongConsumer caughtUpTo;
+  private final LongConsumer onCaughtUp;
   private List<Consumer<Boolean>> waiters = new ArrayList<>();
   private boolean readPending;
   private long revision;
   private long generation;
 
   /**
-   * @param consumer takes each change of cancellations
-   * @param caughtUpTo takes a moment up to which all cancellations have been passed on
+   * @param cancellationConsumer accepts each changed cancellation
+   * @param onCaughtUp accepts a time; all cancellations committed before it have been passed on
    */
   public ReadBarrier(
       ControllerContext context,
       StoreClient store,
-      Consumer<Reply.Item> consumer,
-      LongConsumer caughtUpTo) {
+      Consumer<Reply.Item> cancellationConsumer,
+      LongConsumer onCaughtUp) {
     this.context = context;
     this.store = store;
-    this.cancellationConsumer = consumer;
-    this.caughtUpTo = caughtUpTo;
+    this.cancellationConsumer = cancellationConsumer;
+    this.onCaughtUp = onCaughtUp;
   }
 
-  /** Memory holds what was committed up to this revision. */
-  public void advanceTo(long upTo) {
-    revision = Math.max(revision, upTo);
+  /** Records that memory contains the cancellations committed up to this revision. */
+  public void advanceTo(long appliedRevision) {
+    revision = Math.max(revision, appliedRevision);
   }
 
-  /** Fails all that wait: this node may not answer from memory any more. */
+  /** Fails all waiting queries, because this node may no longer answer from memory. */
   public void failWaiters() {
     generation++;
     readPending = false;
@@ -55,12 +56,16 @@
     failed.forEach(waiter -> waiter.accept(false));
   }
 
-  /** Calls back once it is known whether memory has caught up with this moment. */
+  /**
+   * Waits for memory to contain all cancellations committed before this call.
+   *
+   * @param onComplete accepts whether it does; false if the read failed
+   */
   public void awaitCaughtUp(Consumer<Boolean> onComplete) {
     waiters.add(onComplete);
   }
 
-  /** Reads for all that began to wait since the last read. */
+  /** Starts a read for all queries that have arrived since the last one, unless one is pending. */
   public void tick() {
     if (!readPending && !waiters.isEmpty()) {
       readChanges();
@@ -71,7 +76,7 @@
     readPending = true;
     long sentGeneration = generation;
     long requestedMs = context.nowMs();
-    List<Consumer<Boolean>> served = waiters;
+    List<Consumer<Boolean>> readWaiters = waiters;
     waiters = new ArrayList<>();
     store.send(
         new StoreRequest.Watch(StoreKeys.CANCELLATION_PREFIX, revision, 0),
@@ -81,7 +86,7 @@
           if (caughtUp) {
             apply((Reply.Changes) reply, requestedMs);
           }
-          served.forEach(waiter -> waiter.accept(caughtUp));
+          readWaiters.forEach(waiter -> waiter.accept(caughtUp));
           if (sentGeneration == generation) {
             readPending = false;
           }
@@ -91,6 +96,6 @@
   private void apply(Reply.Changes changes, long requestedMs) {
     changes.items().forEach(cancellationConsumer);
     revision = Math.max(revision, changes.revision());
-    caughtUpTo.accept(requestedMs);
+    onCaughtUp.accept(requestedMs);
   }
 }
--- a/src/main/java/eiderfork/controller/store/RequestPriority.java
+++ b/src/main/java/eiderfork/controller/store/RequestPriority.java
@@ -1,20 +1,25 @@
 package eiderfork.controller.store;
 
-/** In what order requests to the store are sent while its limits hold some of them back. */
+/**
+ * The priorities of requests to the store, highest first, used when its rate limits delay requests.
+ */
 public enum RequestPriority {
-  /** Grants and renewals of leases, and elections. */
+  /** Lease grants and renewals, and elections. */
   LEASE,
   /** Cancellations by users. */
   ABORT,
-  /** Rents and returns: few, held down by the cloud's limit, and a boot's time ahead of starts. */
+  /**
+   * Scale-out and scale-in intents. They are few because the cloud's rate limit bounds them, and a
+   * machine has to boot before tasks can start on it.
+   */
   FLEET,
   /** Submissions by users. */
   SUBMIT,
-  /** Starts of services and gangs, and the ends of jobs: a user waits for each. */
+  /** Starts of services and gangs, and completions of jobs, each of which a user waits for. */
   START,
-  /** Starts of an array's tasks, and the ends of some of them. */
+  /** Starts of array tasks, and ends of array tasks that do not complete their job. */
   BATCH,
-  /** Cleanup, which waits at no cost. */
+  /** Cleanup, which can be delayed at no cost. */
   CLEANUP,
   /** Queries that a node answers from the store. */
   READ
--- a/src/main/java/eiderfork/controller/store/StoreBudget.java
+++ b/src/main/java/eiderfork/controller/store/StoreBudget.java
@@ -9,17 +9,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * This node's share of the store's limits on requests and writes, which all nodes have in common.
+ * This node's share of the store's rate limits on requests and writes, which apply to all nodes.
  */
 final class StoreBudget {
   private static final Logger LOG = LoggerFactory.getLogger(StoreBudget.class);
 
-  /** The leader's share of the common limit on writes; its peers divide the rest. */
+  /** The leader's share of the write limit; its peers divide the rest. */
   private static final double LEADER_WRITE_SHARE = 0.85;
 
   /**
-   * The leader's share of the common limit on requests. It answers from memory and needs few; a
-   * peer that can't reach it reads for every poll.
+   * The leader's share of the request limit. The leader answers queries from memory and needs few
+   * requests; a peer that cannot reach the leader reads the store for every query.
    */
   private static final double LEADER_REQUEST_SHARE = 0.5;
 
@@ -28,10 +28,10 @@
   private final TokenBucket writes;
   private boolean leading;
 
-  /** Whether the store has been seen to enforce the lower limits that the settings announce. */
+  /** True once a reply shows that the store enforces the lower limits announced in the settings. */
   private boolean limitsLowered;
 
-  /** Makes the budget of a follower. */
+  /** Creates a follower's budget. */
   StoreBudget(ControllerContext context) {
     this.context = context;
     requests = new TokenBucket(1, 1, context.nowMs());
@@ -39,7 +39,7 @@
     setLeading(false);
   }
 
-  /** Takes the leader's share of the limits, or a follower's. */
+  /** Sets the budget to the leader's share of the limits, or to a follower's. */
   void setLeading(boolean isLeader) {
     leading = isLeader;
     double requestsPerS = limits().requestsPerS() * share(LEADER_REQUEST_SHARE);
@@ -57,43 +57,45 @@
     return limitsLowered ? context.settings.nextStoreLimits() : context.settings.storeLimits();
   }
 
-  /** The largest value that the store is known to accept now. */
+  /** Returns the size of the largest value that the store is currently known to accept. */
   double maxValueKb() {
     return limits().valueKb();
   }
 
-  /** The rate at which this node may send requests. */
+  /** Returns the rate at which this node may send requests. */
   double requestsPerS() {
     return requests.tokensPerS();
   }
 
-  /** The rate at which this node may change keys. */
+  /** Returns the rate at which this node may change keys. */
   double writesPerS() {
     return writes.tokensPerS();
   }
 
-  /** Whether a request may be sent now. */
-  boolean hasRequest() {
+  /** Returns whether the budget allows a request now. */
+  boolean canSendRequest() {
     return requests.hasTokens(1, context.nowMs());
   }
 
-  /** Counts a request, as far as the budget has one. */
-  void takeRequest() {
+  /** Deducts a request from the budget, unless the budget is used up. */
+  void recordRequest() {
     requests.tryTake(1, context.nowMs());
   }
 
-  /** Counts so many changes of keys; false where the budget doesn't have them yet. */
+  /** Deducts changes of keys from the budget; returns false if it does not allow them yet. */
   boolean tryTakeWrites(int changes) {
     return writes.tryTake(changes, context.nowMs());
   }
 
-  /** Whether so many changes would leave at least half of what may be written at once. */
+  /**
+   * Returns whether at least half of the maximum burst of writes would remain after the changes.
+   */
   boolean hasSpareWrites(int changes) {
     double reserve = writes.burst() / 2;
     return writes.hasTokens(Math.min(changes + reserve, writes.burst()), context.nowMs());
   }
 
-  /** Adapts to what a reply shows of the store's limits. */
+  /** Adjusts the budget if a reply shows that a limit of the store was exceeded. */
   void observe(StoreRequest request, Reply reply) {
     if (!(reply instanceof Reply.Refused refused)) {
       return;
@@ -106,16 +108,17 @@
   }
 
   /**
-   * The limits change without notice. This node keeps to those of the settings, so a change that is
-   * refused for its size or rate shows that the lower ones are in force. A change on a lease that
-   * has ended is refused with the same status, and shows nothing.
+   * Detects that the store enforces the lower limits, which come into force without notice. Since
+   * this node respects the limits in the settings, a write that is refused for its size or rate
+   * shows that the lower limits apply. A write with an expired lease is refused with the same
+   * status as an oversized one and is therefore ignored.
    */
   private void detectLoweredLimits(StoreRequest request, Reply.Refused refused) {
     if (limitsLowered || !(request instanceof StoreRequest.Transaction transaction)) {
       return;
     }
-    boolean onLease = transaction.changes().stream().anyMatch(change -> change.leaseId() != 0);
-    if (refused.isOverLimit() || refused.isMalformed() && !onLease) {
+    boolean usesLease = transaction.changes().stream().anyMatch(change -> change.leaseId() != 0);
+    if (refused.isOverLimit() || refused.isMalformed() && !usesLease) {
       LOG.warn("store-limits-lowered status={}", refused.status());
       limitsLowered = true;
       setLeading(leading);
--- a/src/main/java/eiderfork/controller/store/StoreClient.java
+++ b/src/main/java/eiderfork/controller/store/StoreClient.java
@@ -12,11 +12,14 @@
 import java.util.function.Consumer;
 
 /**
- * The client of the key-value store: keeps to the store's limits, and sends the request of the
- * highest priority first.
+ * A client of the key-value store that respects the store's rate limits and sends queued requests
+ * in order of priority.
  */
 public final class StoreClient {
-  /** A slow reply takes a few hundred milliseconds; past this many steps it is lost. */
+  /**
+   * The timeout of a request, in steps ({@link ControllerContext#stepMs}). A slow reply takes a few
+   * hundred milliseconds; one that takes longer than the timeout is considered lost.
+   */
   private static final double TIMEOUT_STEPS = 1.5;
 
   private record QueuedRequest(
@@ -28,13 +31,13 @@
       new EnumMap<>(RequestPriority.class);
   private final int[] queuedWrites = new int[RequestPriority.values().length];
 
-  /** How long the writes of each priority were queued, since this was last drained. */
+  /** The times that writes of each priority were queued, since the statistics were last reset. */
   private final Map<RequestPriority, LongSummaryStatistics> writeWaits =
       new EnumMap<>(RequestPriority.class);
 
   private long lastServedAtMs;
 
-  /** Makes the client of a node that follows. */
+  /** Creates the client of a follower. */
   public StoreClient(ControllerContext context) {
     this.context = context;
     budget = new StoreBudget(context);
@@ -45,31 +48,32 @@
     lastServedAtMs = context.nowMs();
   }
 
-  /** Takes the leader's share of the limits. */
+  /** Uses the leader's share of the limits from now on. */
   public void actAsLeader() {
     budget.setLeading(true);
   }
 
-  /** Takes a follower's share of the limits. */
+  /** Uses a follower's share of the limits from now on. */
   public void actAsFollower() {
     budget.setLeading(false);
   }
 
-  /** The largest value that the store is known to accept now. */
+  /** Returns the size of the largest value that the store is currently known to accept. */
   public double maxValueKb() {
     return budget.maxValueKb();
   }
 
   /**
-   * Whether a watch can't be continued: the store has compacted the changes, or they are more than
-   * one response may hold. Requested again, they would be so again.
+   * Returns whether the reply shows that a watch cannot be continued because the store has
+   * compacted the changes, or because they exceed the size limit of a reply. Retrying the watch
+   * would fail again; the keys have to be read instead.
    */
   public static boolean requiresFullRead(Reply reply) {
     return reply instanceof Reply.Oversized
         || reply instanceof Reply.Refused refused && refused.isGone();
   }
 
-  /** Sends a request once the limits allow it; {@code callback} takes its reply. */
+  /** Queues a request and sends it once the limits allow it; {@code callback} accepts its reply. */
   public void send(StoreRequest request, RequestPriority priority, Consumer<Reply> callback) {
     int writes =
         request instanceof StoreRequest.Transaction transaction ? transaction.changes().size() : 0;
@@ -78,34 +82,37 @@
     sendQueued();
   }
 
-  /** How long a write of this priority would be queued. */
+  /** Returns the estimated time that a new write of this priority would be queued. */
   public long writeWaitMs(RequestPriority priority) {
-    double ahead = 0;
+    double writesAhead = 0;
     for (int i = 0; i <= priority.ordinal(); i++) {
-      ahead += queuedWrites[i];
+      writesAhead += queuedWrites[i];
     }
-    return (long) (1000 * ahead / budget.writesPerS());
+    return (long) (1000 * writesAhead / budget.writesPerS());
   }
 
-  /** How long a request of the lowest priority would be queued. */
+  /** Returns the estimated time that a new request of the lowest priority would be queued. */
   public long readWaitMs() {
-    int ahead = 0;
+    int requestsAhead = 0;
     for (Queue<QueuedRequest> queue : queues.values()) {
-      ahead += queue.size();
+      requestsAhead += queue.size();
     }
-    return (long) (1000 * ahead / budget.requestsPerS());
+    return (long) (1000 * requestsAhead / budget.requestsPerS());
   }
 
   /**
-   * Whether so many changes would leave at least half of what may be written at once, and nothing
-   * else is queued.
+   * Returns whether no request is queued and at least half of the maximum burst of writes would
+   * remain after the changes.
    */
   public boolean hasSpareWriteCapacity(int changes) {
     boolean idle = queues.values().stream().allMatch(Queue::isEmpty);
     return idle && budget.hasSpareWrites(changes);
   }
 
-  /** How many writes of each priority were sent since the last call, and how long they waited. */
+  /**
+   * Returns the number and queueing times of the writes of each priority since the last call, as
+   * text for the log.
+   */
   public String drainWriteWaits() {
     StringBuilder text = new StringBuilder();
     writeWaits.forEach(
@@ -125,26 +132,26 @@
     return text.toString();
   }
 
-  /** How long ago the store last replied with anything but a refusal. */
+  /** Returns the time since the store last served a request. */
   public long sinceServedMs() {
     return context.nowMs() - lastServedAtMs;
   }
 
-  /** Sends what is queued, as far as the limits allow now. */
+  /** Sends queued requests in order of priority, as far as the limits currently allow. */
   public void sendQueued() {
     for (RequestPriority priority : RequestPriority.values()) {
       Queue<QueuedRequest> queue = queues.get(priority);
       while (!queue.isEmpty()) {
-        // Without its lease a leader may send nothing else, so that renewals ignore the budget.
-        boolean unlimited = priority == RequestPriority.LEASE;
-        if (!unlimited && !budget.hasRequest()) {
+        // Renewals ignore the budget: without its lease, a leader may not send anything else.
+        boolean ignoresBudget = priority == RequestPriority.LEASE;
+        if (!ignoresBudget && !budget.canSendRequest()) {
           return;
         }
         int writes = queue.peek().writes;
-        if (!unlimited && writes > 0 && !budget.tryTakeWrites(writes)) {
+        if (!ignoresBudget && writes > 0 && !budget.tryTakeWrites(writes)) {
           break;
         }
-        budget.takeRequest();
+        budget.recordRequest();
         sendFirst(priority, queue);
       }
     }
--- a/src/main/java/eiderfork/model/Attempt.java
+++ b/src/main/java/eiderfork/model/Attempt.java
@@ -1,4 +1,4 @@
 package eiderfork.model;
 
-/** One attempt to run a task, numbered within the job. */
+/** An attempt to run a task; attempts are numbered per job. */
 public record Attempt(TaskId task, long number) {}
--- a/src/main/java/eiderfork/model/BitmapAllocationSize.java
+++ b/src/main/java/eiderfork/model/BitmapAllocationSize.java
@@ -3,32 +3,34 @@
 import java.util.BitSet;
 
 /**
- * The bound on the bitmap form of an {@link StoredRecord.Allocation}: two compressed bitmaps of the
- * tasks, and one row for each run of reservations.
+ * The size bound for the bitmap encoding of an {@link StoredRecord.Allocation}, which consists of
+ * two compressed bitmaps of the tasks (reserved and finished) and one row per run of reservations.
  *
- * <p>Nothing of it grows when a task ends. Runs are counted among the reserved tasks alone, so that
- * a task that leaves one never splits it. A compressed bitmap has one word for each that is neither
- * all ones nor all zeros, and a marker for each stretch of others. Only words that hold an
- * unfinished task can change, and each of them accounts for two words at most: itself and a marker
- * of what follows it, or the markers of the stretch that it is and of the one that follows.
+ * <p>The bound does not grow when a task ends. A run is a sequence of reserved tasks with the same
+ * attempt and machine, regardless of tasks in between that are not reserved, so that removing a
+ * task never splits a run. A compressed bitmap stores each mixed word (neither all ones nor all
+ * zeros) literally, and a marker for each sequence of uniform words. Only words with an unfinished
+ * task can change. Each such word takes at most two words of the compressed bitmap: either its
+ * literal and a marker for the words after it, or a marker for the sequence that it belongs to and
+ * one for the next sequence.
  */
 public final class BitmapAllocationSize implements AllocationSize {
-  /** The last attempt, the mark of a job that is done, and the edges of columns and bitmaps. */
+  /** The last attempt, the flag of a completed job, and the overhead of columns and bitmaps. */
   private static final int FRAME_BYTES = 64;
 
-  /** A run's series of machine names. */
+  /** The index of the series that a run's machine name belongs to. */
   private static final int SERIES_INDEX_BYTES = 1;
 
-  /** A reservation between others begins a run of its own and splits another. */
+  /** A reservation between two others starts a run of its own and may split an existing run. */
   private static final int MAX_RUNS_PER_INSERTION = 2;
 
   private static final int TASKS_PER_WORD = 32;
   private static final int BYTES_PER_WORD = 4;
 
-  /** What a word that may change accounts for in each bitmap, see above. */
+  /** The maximum number of compressed words for a word that can change; see the class comment. */
   private static final int WORDS_PER_CHANGING_WORD = 2;
 
-  /** The words that every bitmap has: its sizes, and markers at its two ends. */
+  /** The fixed words of a bitmap: its sizes, and the markers at both ends. */
   private static final int WORDS_PER_BITMAP = 5;
 
   private static final int BITMAPS = 2;
@@ -36,7 +38,8 @@
   private final int tasks;
 
   /**
-   * The words that hold an unfinished task, up to the last one with a finished or reserved task.
+   * The indexes of words with an unfinished task, up to the last word with a finished or reserved
+   * task.
    */
   private final BitSet unfinishedWords;
 
@@ -50,10 +53,10 @@
   private String lastMachine = "";
 
   /**
-   * Begins with a record that reserves nothing.
+   * Creates the bound for a record without reservations.
    *
-   * @param tasks how many tasks the job has
-   * @param finished which of them have finished
+   * @param tasks the number of tasks of the job
+   * @param finished the indexes of the finished tasks
    */
   public BitmapAllocationSize(int tasks, BitSet finished) {
     this.tasks = tasks;
@@ -66,7 +69,7 @@
     }
   }
 
-  /** Counts a reservation of the record so far; to be called in the order of the tasks. */
+  /** Adds a reservation of the existing record. Must be called in ascending order of the tasks. */
   public void addExisting(int index, long attempt, String machine) {
     boolean sameRun = lastIndex >= 0 && attempt == lastAttempt && machine.equals(lastMachine);
     count(index, attempt, machine, sameRun ? 0 : 1);
@@ -103,7 +106,7 @@
   @Override
   public boolean fits(int index, long attempt, String machine, double valueKb) {
     NumberedName.Series nameSeries = NumberedName.of(machine).series();
-    // A run's attempt is stored as its distance from the newest one.
+    // A run's attempt is stored as its difference from the newest attempt.
     int runBytes =
         VarintSize.maxBytes(tasks)
             + VarintSize.maxBytes(attempt)
--- a/src/main/java/eiderfork/model/Heartbeat.java
+++ b/src/main/java/eiderfork/model/Heartbeat.java
@@ -3,15 +3,16 @@
 import com.google.common.collect.ImmutableList;
 
 /**
- * A worker's status message. Of two heartbeats, the one with the larger incarnation, or with the
- * larger sequence number within an incarnation, is the newer.
+ * A worker's status message. Heartbeats are ordered by incarnation, then by sequence number.
  *
  * @param machine the worker's machine
- * @param incarnation counts how often the worker's lease has expired
- * @param sequenceNumber orders the heartbeats of an incarnation
- * @param fencingToken the largest token that the worker has seen
- * @param terminationNoticeS seconds until the cloud takes the machine back; null for no notice
- * @param tasks the worker's tasks
+ * @param incarnation the number of the worker's incarnation, which grows each time its lease
+ *     expires
+ * @param sequenceNumber the number of the heartbeat within the incarnation
+ * @param fencingToken the largest fencing token that the worker has seen
+ * @param terminationNoticeS the time in seconds until the cloud reclaims the machine; null if it
+ *     has not announced this
+ * @param tasks the status of the task attempts on the worker
  */
 public record Heartbeat(
     Machine machine,
@@ -21,13 +22,13 @@
     Double terminationNoticeS,
     ImmutableList<TaskStatus> tasks) {
 
-  /** This heartbeat with an equal list of tasks, so that memory holds one list for both. */
+  /** Returns this heartbeat with an equal list of tasks, so that both share one list in memory. */
   public Heartbeat withTasks(ImmutableList<TaskStatus> equalTasks) {
     return new Heartbeat(
         machine, incarnation, sequenceNumber, fencingToken, terminationNoticeS, equalTasks);
   }
 
-  /** Whether this heartbeat is newer than one with that incarnation and sequence number. */
+  /** Returns whether this heartbeat is newer than one with that incarnation and sequence number. */
   public boolean isNewerThan(long otherIncarnation, long otherSequenceNumber) {
     return incarnation > otherIncarnation
         || (incarnation == otherIncarnation && sequenceNumber > otherSequenceNumber);
--- a/src/main/java/eiderfork/model/JobKind.java
+++ b/src/main/java/eiderfork/model/JobKind.java
@@ -1,10 +1,10 @@
 package eiderfork.model;
 
-/** How the tasks of a job depend on each other and when they end. */
+/** The kind of a job: how its tasks depend on each other and when they end. */
 public enum JobKind {
-  /** Independent tasks, each of which runs to completion. */
+  /** Independent tasks that run to completion. */
   ARRAY,
-  /** Tasks that run together or not at all, each to completion. */
+  /** Tasks that are scheduled all or none, and run to completion. */
   GANG,
   /** Replicas that run until the job is cancelled. */
   SERVICE
--- a/src/main/java/eiderfork/model/JobStatus.java
+++ b/src/main/java/eiderfork/model/JobStatus.java
@@ -1,21 +1,24 @@
 package eiderfork.model;
 
-/** The status of a job as users see it. */
+/** The status of a job, as returned to users. */
 public record JobStatus(String uid, Phase phase, int doneTasks, int runningTasks) {
-  /** The state of a job as users see it. */
+  /** The phase of a job, as returned to users. */
   public enum Phase {
     PENDING,
     RUNNING,
     DONE,
     ABORTED;
 
-    /** Whether a job in this state never changes again. */
+    /** Returns whether a job in this phase never changes again. */
     public boolean isFinal() {
       return this == DONE || this == ABORTED;
     }
   }
 
-  /** The status of a job that was not cancelled, by its committed record and what runs of it. */
+  /**
+   * Returns the status of a job that is not cancelled, from its committed allocation and the number
+   * of its running tasks.
+   */
   public static JobStatus of(Job job, StoredRecord.Allocation allocation, int runningTasks) {
     if (allocation.done()) {
       return new JobStatus(job.uid(), Phase.DONE, job.tasks(), 0);
@@ -24,12 +27,12 @@
     return new JobStatus(job.uid(), phase, allocation.finishedTaskCount(), runningTasks);
   }
 
-  /** The status of a cancelled job. */
+  /** Returns the status of a cancelled job. */
   public static JobStatus cancelled(String uid, int doneTasks) {
     return new JobStatus(uid, Phase.ABORTED, doneTasks, 0);
   }
 
-  /** The status of an archived job. */
+  /** Returns the status of an archived job. */
   public static JobStatus archived(String uid, StoredRecord.ArchivedJob job) {
     return new JobStatus(uid, job.phase(), job.doneTasks(), 0);
   }
--- a/src/main/java/eiderfork/model/ListedMachine.java
+++ b/src/main/java/eiderfork/model/ListedMachine.java
@@ -1,8 +1,8 @@
 package eiderfork.model;
 
-/** A machine in the cloud's machine list. */
+/** An entry of the cloud's machine list. */
 public record ListedMachine(Machine machine, State state, double ageS) {
-  /** The state of a machine as the cloud lists it. */
+  /** The state of a machine, as the cloud reports it. */
   public enum State {
     BOOTING,
     RUNNING,
--- a/src/main/java/eiderfork/model/Machine.java
+++ b/src/main/java/eiderfork/model/Machine.java
@@ -3,10 +3,10 @@
 /**
  * The immutable properties of a machine.
  *
- * @param name unique for all time
- * @param address where its worker takes direct commands; null while it is not known
+ * @param name the machine's name, which is never reused
+ * @param address the endpoint at which its worker accepts commands; null while unknown
  * @param type the name of its machine type
- * @param zone the zone that it is in
- * @param spot whether the cloud may take it back at any time
+ * @param zone the zone of the machine
+ * @param spot whether the cloud may reclaim the machine at any time
  */
 public record Machine(String name, String address, String type, String zone, boolean spot) {}
--- a/src/main/java/eiderfork/model/MachineType.java
+++ b/src/main/java/eiderfork/model/MachineType.java
@@ -5,13 +5,13 @@
 /**
  * A machine type that the cloud offers.
  *
- * @param name its name
- * @param capacity what tasks can use of a machine
+ * @param name the name of the type
+ * @param capacity the resources of a machine that tasks can use
  * @param imageCacheGb the size of a machine's image cache
- * @param imageFetchGbPerS how fast a machine fetches images
- * @param hourlyPrice the price of an ordinary machine for an hour
- * @param spotHourlyPrice the price of a spot machine for an hour
- * @param bootS how long a machine usually takes to boot
+ * @param imageFetchGbPerS the rate at which a machine fetches images
+ * @param hourlyPrice the price per hour of an on-demand machine
+ * @param spotHourlyPrice the price per hour of a spot machine
+ * @param bootS the usual time that a machine takes to boot
  * @param zones the zones that offer it
  */
 public record MachineType(
@@ -24,7 +24,7 @@
     double bootS,
     ImmutableList<String> zones) {
 
-  /** The price of an hour, on a spot machine or an ordinary one. */
+  /** Returns the price per hour of a spot machine or of an on-demand machine. */
   public double hourlyPrice(boolean spot) {
     return spot ? spotHourlyPrice : hourlyPrice;
   }
--- a/src/main/java/eiderfork/model/NameSeriesSize.java
+++ b/src/main/java/eiderfork/model/NameSeriesSize.java
@@ -3,15 +3,17 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** The bound on the series of machine names that a compact record lists. */
+/** The size bound for the list of series of machine names in a packed or bitmap record. */
 final class NameSeriesSize {
-  /** The lengths of a series' prefix and of its numbers, beside the prefix. */
+  /**
+   * The overhead of a series beside its prefix: the length of the prefix and that of its numbers.
+   */
   private static final int OVERHEAD_BYTES = 4;
 
   private final Set<NumberedName.Series> listed = new HashSet<>();
   private int bytes;
 
-  /** Lists one more series; whether it was not listed before. */
+  /** Adds a series to the list; returns false if it is already listed. */
   boolean add(NumberedName.Series series) {
     if (!listed.add(series)) {
       return false;
@@ -20,7 +22,7 @@
     return true;
   }
 
-  /** The bytes of the list with one more series, which may be listed already. */
+  /** Returns the size of the list after adding a series, which may already be listed. */
   int bytesWith(NumberedName.Series series) {
     return listed.contains(series) ? bytes : bytes + bytesOf(series);
   }
--- a/src/main/java/eiderfork/model/NumberedName.java
+++ b/src/main/java/eiderfork/model/NumberedName.java
@@ -1,22 +1,21 @@
 package eiderfork.model;
 
 /**
- * A name as its prefix and the number that it ends with, so that numbered names can be stored in
- * little space.
+ * A name split into a prefix and a trailing number, so that numbered names can be stored compactly.
  *
- * @param series the prefix, and how many digits the number has
- * @param number the number; 0 where the name does not end with one
+ * @param series the prefix and the number of digits
+ * @param number the trailing number; 0 if the name does not end with one
  */
 public record NumberedName(Series series, long number) {
-  /** Characters take at most this many bytes in UTF-8. */
+  /** The maximum number of bytes of a Java character in UTF-8. */
   static final int MAX_BYTES_PER_CHARACTER = 3;
 
-  /** Digits that surely fit into a long. */
+  /** A number of digits that always fits into a long. */
   private static final int MAX_DIGITS = 17;
 
-  /** Names with the same prefix and number of digits. */
+  /** All names with the same prefix and the same number of trailing digits. */
   public record Series(String prefix, int digits) {
-    /** A bound that all numbers of the series are below. */
+    /** Returns an exclusive upper bound on the numbers of the series. */
     long exclusiveUpperBound() {
       long bound = 1;
       for (int i = 0; i < digits; i++) {
@@ -26,7 +25,7 @@
     }
   }
 
-  /** Splits a name. */
+  /** Splits a name into its prefix and its trailing number. */
   public static NumberedName of(String name) {
     int start = name.length();
     while (start > 0 && name.length() - start < MAX_DIGITS && isDigit(name.charAt(start - 1))) {
@@ -41,7 +40,7 @@
     return c >= '0' && c <= '9';
   }
 
-  /** The whole name. */
+  /** Returns the complete name. */
   public String text() {
     String digits = series.digits() == 0 ? "" : Long.toString(number);
     return series.prefix() + "0".repeat(series.digits() - digits.length()) + digits;
--- a/src/main/java/eiderfork/model/PackedAllocationSize.java
+++ b/src/main/java/eiderfork/model/PackedAllocationSize.java
@@ -1,14 +1,14 @@
 package eiderfork.model;
 
 /**
- * The bound on the packed form of an {@link StoredRecord.Allocation}: columns of variable-length
- * integers in Base64.
+ * The size bound for the packed encoding of an {@link StoredRecord.Allocation}, which consists of
+ * columns of variable-length integers in Base64.
  */
 public final class PackedAllocationSize implements AllocationSize {
-  /** The last attempt, whether the job is done, and the bounds of the columns. */
+  /** The last attempt, the flag of a completed job, and the overhead of the columns. */
   private static final int FRAME_BYTES = 64;
 
-  /** The length of a run of tasks and the series of its machine's name. */
+  /** The length of a run of tasks, and the index of the series of its machine name. */
   private static final int SMALL_COLUMNS_BYTES = 3;
 
   private static final int TASKS_PER_BYTE = 8;
@@ -21,10 +21,10 @@
   private long newestAttempt;
 
   /**
-   * Begins with a record that reserves nothing.
+   * Creates the bound for a record without reservations.
    *
-   * @param tasks how many tasks the job has
-   * @param finishedRanges how many separate ranges of its tasks have finished
+   * @param tasks the number of tasks of the job
+   * @param finishedRanges the number of separate ranges of finished tasks
    */
   public PackedAllocationSize(int tasks, int finishedRanges) {
     this.tasks = tasks;
@@ -44,7 +44,8 @@
   public boolean fits(int index, long attempt, String machine, double valueKb) {
     NumberedName name = NumberedName.of(machine);
     int additionalBytes = bytesOf(name);
-    // An attempt is stored as its distance from the newest one, so an older one takes more.
+    // An attempt is stored as its difference from the newest one, so older attempts take more
+    // space.
     int attemptBytes = (reservations + 1) * VarintSize.maxBytes(Math.max(newestAttempt, attempt));
     int rangeCount = finishedRanges + reservations + 1 + 1;
     int finishedBytes =
@@ -59,7 +60,10 @@
     return ValueLimit.fitsBase64(totalBytes, valueKb);
   }
 
-  /** A run of tasks takes no more than its tasks alone, so it does not matter how they end. */
+  /**
+   * Returns the bound for a reservation stored as a run of its own. A run of several tasks takes no
+   * more than its tasks as separate runs, so the bound holds in whatever order tasks end.
+   */
   private int bytesOf(NumberedName name) {
     return VarintSize.maxBytes(tasks)
         + VarintSize.maxBytes(name.series().exclusiveUpperBound())
--- a/src/main/java/eiderfork/model/PlainAllocationSize.java
+++ b/src/main/java/eiderfork/model/PlainAllocationSize.java
@@ -3,15 +3,18 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** The bound on the plain form of an {@link StoredRecord.Allocation}, which every version reads. */
+/**
+ * The size bound for the plain encoding of an {@link StoredRecord.Allocation}, which all versions
+ * can read.
+ */
 public final class PlainAllocationSize implements AllocationSize {
-  /** Braces, field names, the last attempt and whether the job is done. */
+  /** Braces, field names, the last attempt and the flag of a completed job. */
   private static final int FRAME_BYTES = 96;
 
   /** Quotes, colon, braces and comma around an attempt or a machine. */
   private static final int DELIMITER_BYTES = 6;
 
-  /** A character of a bitmap holds six tasks. */
+  /** The number of tasks that a character of a Base64 bitmap encodes. */
   private static final int TASKS_PER_CHARACTER = 6;
 
   private final int tasks;
@@ -22,10 +25,10 @@
   private int groupBytes;
 
   /**
-   * Begins with a record without reservations.
+   * Creates the bound for a record without reservations.
    *
-   * @param tasks how many tasks the job has
-   * @param finishedRanges how many separate ranges of its tasks have finished
+   * @param tasks the number of tasks of the job
+   * @param finishedRanges the number of separate ranges of finished tasks
    */
   public PlainAllocationSize(int tasks, int finishedRanges) {
     this.tasks = tasks;
@@ -50,19 +53,21 @@
   }
 
   /**
-   * A run of tasks takes no more than the tasks alone, so it does not matter how they end. Each may
-   * end between two that go on; the finished ones are ranges or a bitmap, whichever is shorter.
+   * Returns the bound for a record with so many reservations. A run of tasks takes no more than its
+   * tasks as separate runs, so the bound holds in whatever order tasks end. Each reserved task may
+   * add a finished range, if it ends before the tasks on both sides of it. Finished tasks are
+   * stored as ranges or as a bitmap, whichever is shorter.
    */
-  private double totalBytes(int reservationCount, int groupsTakeBytes) {
+  private double totalBytes(int reservationCount, int allGroupBytes) {
     int indexBytes = digits(tasks) + 1;
     double finishedBytes =
         Math.min(
             (double) tasks / TASKS_PER_CHARACTER + DELIMITER_BYTES,
             (finishedRanges + reservationCount + 1.0) * 2 * indexBytes);
-    return FRAME_BYTES + groupsTakeBytes + (double) reservationCount * indexBytes + finishedBytes;
+    return FRAME_BYTES + allGroupBytes + (double) reservationCount * indexBytes + finishedBytes;
   }
 
-  /** Whether a value of this size holds one reservation of a job with that many tasks. */
+  /** Returns whether a value of this size can store a reservation of a job with so many tasks. */
   public static boolean canFitOneReservation(int tasks, int nameBytes, double valueKb) {
     return new PlainAllocationSize(tasks, 1)
         .fits(0, Long.MAX_VALUE, "m".repeat(nameBytes), valueKb);
--- a/src/main/java/eiderfork/model/Priority.java
+++ b/src/main/java/eiderfork/model/Priority.java
@@ -1,6 +1,6 @@
 package eiderfork.model;
 
-/** Most urgent first. */
+/** The priority of a job, in descending order. */
 public enum Priority {
   PRODUCTION,
   HIGH,
--- a/src/main/java/eiderfork/model/Resources.java
+++ b/src/main/java/eiderfork/model/Resources.java
@@ -1,41 +1,43 @@
 package eiderfork.model;
 
-/** An amount of the resources that a machine has and a task uses. */
+/** An amount of resources, such as the capacity of a machine or the demand of a task. */
 public record Resources(double cpus, double gpus, double ramGb) {
   /** No resources. */
   public static final Resources NONE = new Resources(0, 0, 0);
 
-  /** Sums of decimal amounts pick up rounding errors; no real amount is smaller than this. */
+  /**
+   * The tolerance for rounding errors in sums of decimal amounts; smaller than any actual amount.
+   */
   public static final double ROUNDING_TOLERANCE = 1e-6;
 
-  /** The sum of both amounts. */
+  /** Returns the sum of both amounts. */
   public Resources plus(Resources other) {
     return new Resources(cpus + other.cpus, gpus + other.gpus, ramGb + other.ramGb);
   }
 
-  /** The difference of both amounts; may be negative. */
+  /** Returns the difference of both amounts, which may be negative. */
   public Resources minus(Resources other) {
     return new Resources(cpus - other.cpus, gpus - other.gpus, ramGb - other.ramGb);
   }
 
-  /** This amount {@code factor} times. */
+  /** Returns this amount multiplied by {@code factor}. */
   public Resources times(double factor) {
     return new Resources(cpus * factor, gpus * factor, ramGb * factor);
   }
 
-  /** Whether no part of this amount exceeds the same part of {@code capacity}. */
+  /** Returns whether this amount fits into {@code capacity} in every dimension. */
   public boolean fitsIn(Resources capacity) {
     return fitsIn(capacity.cpus, capacity.gpus, capacity.ramGb);
   }
 
-  /** Whether no part of this amount exceeds what is available of it. */
+  /** Returns whether this amount fits into the available amount in every dimension. */
   public boolean fitsIn(double availableCpus, double availableGpus, double availableRamGb) {
     return cpus <= availableCpus + ROUNDING_TOLERANCE
         && gpus <= availableGpus + ROUNDING_TOLERANCE
         && ramGb <= availableRamGb + ROUNDING_TOLERANCE;
   }
 
-  /** How many of {@code unit} fit into this amount. */
+  /** Returns how many times {@code unit} fits into this amount. */
   public int countFitting(Resources unit) {
     double count = Double.MAX_VALUE;
     if (unit.cpus > 0) {
@@ -50,22 +52,25 @@
     return (int) Math.max(0, Math.min(count, Integer.MAX_VALUE));
   }
 
-  /** The mean share of {@code whole} that this amount is, over the kinds that {@code whole} has. */
+  /**
+   * Returns the fraction of {@code whole} that this amount is, averaged over the dimensions in
+   * which {@code whole} is not zero.
+   */
   public double shareOf(Resources whole) {
     double sum = 0;
-    int kinds = 0;
+    int dimensions = 0;
     if (whole.cpus > 0) {
       sum += cpus / whole.cpus;
-      kinds++;
+      dimensions++;
     }
     if (whole.gpus > 0) {
       sum += gpus / whole.gpus;
-      kinds++;
+      dimensions++;
     }
     if (whole.ramGb > 0) {
       sum += ramGb / whole.ramGb;
-      kinds++;
+      dimensions++;
     }
-    return kinds == 0 ? 0 : sum / kinds;
+    return dimensions == 0 ? 0 : sum / dimensions;
   }
 }
--- a/src/main/java/eiderfork/model/StoredRecord.java
+++ b/src/main/java/eiderfork/model/StoredRecord.java
@@ -2,35 +2,38 @@
 
 import com.google.common.collect.ImmutableList;
 
-/** The value of a key in the store. */
+/** A value in the key-value store. */
 public sealed interface StoredRecord {
 
-  /** A job as its user submitted it; written once, never changed. */
+  /** A job as its user submitted it; written once and never changed. */
   record JobSpec(Job job) implements StoredRecord {}
 
-  /** The leader key: the leading node and its term. */
+  /** The leading node and its term. */
   record Leadership(String node, long term) implements StoredRecord {}
 
-  /** A value that this version can't read; what it describes is left alone. */
+  /** A value that this version cannot read; the object that it describes must not be modified. */
   record Unreadable(String reason) implements StoredRecord {}
 
-  /** The counter of terms. */
+  /** The number of the latest term. */
   record TermCounter(long term) implements StoredRecord {}
 
   /** A confirmed cancellation of a job; written once and never removed. */
   record Cancellation(String uid) implements StoredRecord {}
 
-  /** Tasks {@code from} to {@code to}, both included, reserved on a machine as one attempt. */
+  /**
+   * The tasks {@code from} to {@code to} (inclusive), reserved on a machine with the same attempt
+   * number.
+   */
   record ReservedRange(int from, int to, long attempt, String machine) {
-    /** How many tasks the range holds. */
+    /** Returns the number of tasks in the range. */
     public int taskCount() {
       return to - from + 1;
     }
   }
 
-  /** Tasks {@code from} to {@code to}, both included. */
+  /** The tasks {@code from} to {@code to} (inclusive). */
   record TaskRange(int from, int to) {
-    /** How many tasks the range holds. */
+    /** Returns the number of tasks in the range. */
     public int taskCount() {
       return to - from + 1;
     }
@@ -39,7 +42,8 @@
   /**
    * The leader's record of a job's reserved and finished tasks.
    *
-   * @param lastAttempt the largest attempt number ever reserved in this job
+   * @param lastAttempt the largest attempt number ever reserved in the job
+   * @param done whether the job has completed
    */
   record Allocation(
       long lastAttempt,
@@ -47,53 +51,53 @@
       ImmutableList<ReservedRange> reserved,
       ImmutableList<TaskRange> finished)
       implements StoredRecord {
-    /** The allocation of a job of which nothing was ever reserved. */
+    /** The allocation of a job without any reservation so far. */
     public static final Allocation EMPTY =
         new Allocation(0, false, ImmutableList.of(), ImmutableList.of());
 
-    /** How many tasks are reserved. */
+    /** Returns the number of reserved tasks. */
     public int reservedTaskCount() {
       return reserved.stream().mapToInt(ReservedRange::taskCount).sum();
     }
 
-    /** How many tasks have finished. */
+    /** Returns the number of finished tasks. */
     public int finishedTaskCount() {
       return finished.stream().mapToInt(TaskRange::taskCount).sum();
     }
   }
 
   /**
-   * An allocation in a packed form. Versions before the second can't read it; it is read back as
-   * the allocation that it holds.
+   * An allocation to be written in the packed encoding, which only version 2 and later can read. It
+   * is read back as an {@link Allocation}.
    */
   record PackedAllocation(Allocation alloc) implements StoredRecord {}
 
   /**
-   * An allocation in the packed or the bitmap form, whichever is shorter. Versions before the
-   * fourth can't read the bitmap one; both are read back as the allocation that they hold.
+   * An allocation to be written in the packed or the bitmap encoding, whichever is shorter. Only
+   * version 4 and later can read the bitmap encoding. Both are read back as an {@link Allocation}.
    */
   record BitmapAllocation(Allocation alloc) implements StoredRecord {}
 
-  /** A scale-out request, stored before it is sent to the cloud under this request name. */
+  /** A scale-out request, stored before it is sent to the cloud with this request name. */
   record ScaleOutIntent(String requestName, String type, String zone, boolean spot, int count)
       implements StoredRecord {}
 
   /** A scale-in request, stored before it is sent to the cloud. */
   record ScaleInIntent(ImmutableList<String> machines) implements StoredRecord {}
 
-  /** Machines whose leases a node renews in place of a leader that their workers can't reach. */
+  /** The machines whose leases a node renews because their workers cannot reach the leader. */
   record ProxiedLeases(ImmutableList<String> machines) implements StoredRecord {}
 
   /**
-   * The final state of an archived job, whose other records are removed.
+   * The final state of an archived job, whose other records have been removed.
    *
-   * @param doneTasks how many of its tasks had completed
+   * @param doneTasks the number of tasks that had completed
    */
   record ArchivedJob(JobStatus.Phase phase, int doneTasks) implements StoredRecord {}
 
   /** The newest version that every member of the cluster runs. */
   record StoredVersion(int version) implements StoredRecord {}
 
-  /** The machine types, for nodes that have to validate a submission without the cloud. */
+  /** The machine types, stored for nodes that validate submissions without access to the cloud. */
   record MachineTypes(ImmutableList<MachineType> types) implements StoredRecord {}
 }
--- a/src/main/java/eiderfork/model/TaskId.java
+++ b/src/main/java/eiderfork/model/TaskId.java
@@ -1,13 +1,13 @@
 package eiderfork.model;
 
-/** One task of a job, by the job's id and the task's number from 0. */
+/** The id of a task: the job's id and the zero-based index of the task. */
 public record TaskId(String jobUid, int index) {
   @Override
   public String toString() {
     return jobUid + "/" + index;
   }
 
-  /** Parses the text form; null where the text names no task. */
+  /** Parses the text form of an id; returns null if it is not a valid task id. */
   public static TaskId parse(String text) {
     int slash = text.lastIndexOf('/');
     if (slash <= 0) {
--- a/src/main/java/eiderfork/model/TaskStatus.java
+++ b/src/main/java/eiderfork/model/TaskStatus.java
@@ -1,27 +1,27 @@
 package eiderfork.model;
 
 /**
- * The status of one attempt in a worker's heartbeat.
+ * The status of a task attempt in a worker's heartbeat.
  *
  * @param attempt the attempt
- * @param state what it is doing
- * @param cause why it has ended; null unless it has
- * @param checkpointed whether it saved its progress when it was stopped
+ * @param state the state of the attempt
+ * @param cause the reason why the attempt ended; null if it has not
+ * @param checkpointed whether the task saved a checkpoint when it was stopped
  */
 public record TaskStatus(Attempt attempt, State state, Cause cause, boolean checkpointed) {
-  /** What an attempt is doing on its machine. */
+  /** The state of an attempt on its machine. */
   public enum State {
     FETCHING,
-    /** A task of a gang that waits for the other tasks. */
+    /** Waiting for the other tasks of the gang. */
     WAITING_FOR_GANG,
     RUNNING,
     CHECKPOINTING,
-    /** On the machine, in a state that is unknown to this version. */
+    /** On the machine, in a state that this version does not know. */
     OTHER,
     ENDED
   }
 
-  /** Why an attempt has ended, or was refused. */
+  /** The reason why an attempt ended or was refused. */
   public enum Cause {
     DONE,
     STOPPED,
@@ -35,7 +35,7 @@
     GANG_INCOMPLETE
   }
 
-  /** Whether the attempt has ended; only then it has a cause. */
+  /** Returns whether the attempt has ended; only an ended attempt has a cause. */
   public boolean hasEnded() {
     return state == State.ENDED;
   }
--- a/src/main/java/eiderfork/model/Team.java
+++ b/src/main/java/eiderfork/model/Team.java
@@ -1,15 +1,18 @@
 package eiderfork.model;
 
-/** A team's guarantee and limit; a limit of 0 is none. */
+/** A team's guaranteed resources and resource limits; a limit of 0 means no limit. */
 public record Team(
     String name, double guaranteedCpus, double maxCpus, double guaranteedGpus, double maxGpus) {
-  /** Whether {@code used} lies within the team's limit; a limit of 0 is none. */
+  /** Returns whether {@code used} is within the team's limits. */
   public boolean isWithinLimit(Resources used) {
     return new Resources(used.cpus(), used.gpus(), 0)
         .fitsIn(new Resources(limitOrUnbounded(maxCpus), limitOrUnbounded(maxGpus), 0));
   }
 
-  /** How many tasks of this size, up to those requested, the limit allows beside what is used. */
+  /**
+   * Returns how many of the requested tasks, each with the resources {@code demand}, the limits
+   * allow in addition to the used resources.
+   */
   public int countWithinLimit(Resources used, Resources demand, int requestedTasks) {
     Resources left =
         new Resources(
@@ -19,12 +22,16 @@
     return Math.min(requestedTasks, left.countFitting(demand));
   }
 
-  /** Whether the team has a guarantee. */
+  /** Returns whether the team has any guaranteed resources. */
   public boolean hasGuarantee() {
     return guaranteedCpus > 0 || guaranteedGpus > 0;
   }
 
-  /** Whether {@code used} lies within what the team is guaranteed; a guarantee of 0 is none. */
+  /**
+   * Returns whether {@code used} is within the team's guaranteed resources; false if it has no
+   * guarantee. A team with only a GPU guarantee may use any number of CPUs within it; a team with
+   * only a CPU guarantee may use no GPUs.
+   */
   public boolean isWithinGuarantee(Resources used) {
     if (!hasGuarantee()) {
       return false;
--- a/src/main/java/eiderfork/model/WorkerCommand.java
+++ b/src/main/java/eiderfork/model/WorkerCommand.java
@@ -1,16 +1,16 @@
 package eiderfork.model;
 
-/** A controller's command to a worker about one attempt of a task. */
+/** A command from a controller to a worker, concerning one attempt of a task. */
 public sealed interface WorkerCommand {
-  /** The attempt that the command is about. */
+  /** Returns the attempt that the command concerns. */
   Attempt attempt();
 
-  /** Start the attempt; without effect where the worker has it in any state. */
+  /** Starts the attempt; has no effect if the worker already has it, in any state. */
   record Run(Attempt attempt) implements WorkerCommand {}
 
-  /** Stop the attempt, which may save its progress for up to {@code graceS} seconds. */
+  /** Stops the attempt, which has up to {@code graceS} seconds to save a checkpoint. */
   record Kill(Attempt attempt, double graceS) implements WorkerCommand {}
 
-  /** Forget an attempt that has ended. */
+  /** Removes an ended attempt from the worker's status. */
   record Clear(Attempt attempt) implements WorkerCommand {}
 }
