--- a/src/main/java/eiderfork/controller/store/ReadBarrier.java
+++ b/src/main/java/eiderfork/controller/store/ReadBarrier.java
@@ -59,7 +59,7 @@
   /**
    * Waits for memory to contain all cancellations committed before this call.
    *
-   * @param onComplete accepts whether it does; false if the read failed
+   * @param onComplete accepts true once it does, or false if the read failed
    */
   public void awaitCaughtUp(Consumer<Boolean> onComplete) {
     waiters.add(onComplete);
--- a/src/main/java/eiderfork/controller/store/RequestPriority.java
+++ b/src/main/java/eiderfork/controller/store/RequestPriority.java
@@ -9,8 +9,8 @@
   /** Cancellations by users. */
   ABORT,
   /**
-   * Scale-out and scale-in intents. They are few because the cloud's rate limit bounds them, and a
-   * machine has to boot before tasks can start on it.
+   * Scale-out and scale-in intents. They are few because the cloud's rate limit bounds them, and
+   * come before starts because a machine has to boot before tasks can start on it.
    */
   FLEET,
   /** Submissions by users. */
--- a/src/main/java/eiderfork/model/JobKind.java
+++ b/src/main/java/eiderfork/model/JobKind.java
@@ -4,7 +4,7 @@
 public enum JobKind {
   /** Independent tasks that run to completion. */
   ARRAY,
-  /** Tasks that are scheduled all or none, and run to completion. */
+  /** Tasks that are scheduled all together or not at all, and run to completion. */
   GANG,
   /** Replicas that run until the job is cancelled. */
   SERVICE
