--- a/src/main/java/eiderfork/controller/election/CandidacyPolicy.java
+++ b/src/main/java/eiderfork/controller/election/CandidacyPolicy.java
@@ -3,21 +3,22 @@
 import eiderfork.controller.context.ControllerContext;
 
 /**
- * Whether this node leaves a vacant leadership to others for a while. It decides who is likely to
- * lead, and nothing else: safety rests on the leader key alone.
+ * Decides whether this node delays its candidacy so that another node can take a vacant leadership
+ * first. It only influences which node is likely to lead; safety depends on the leader key alone.
  */
 final class CandidacyPolicy {
   /**
-   * How long a node waits for the nodes that are preferred to it, in steps: far more than a slow
-   * store takes over an election, and less than workers' leases leave.
+   * The maximum time, in steps, for which a node waits for preferred nodes to be elected. It is far
+   * longer than an election takes, even with a slow store, and shorter than the time that workers'
+   * leases leave for a failover.
    */
-  private static final double YIELD_STEPS = 1;
+  private static final double MAX_YIELD_STEPS = 1;
 
   private static final long NOT_MISSING = -1;
 
   private final ControllerContext context;
 
-  /** Whether the order of nodes prefers others as leaders. */
+  /** Whether the node order prefers other nodes as leaders. */
   private final boolean yieldsByNodeOrder;
 
   /** The node that workers try after this one. */
@@ -26,15 +27,15 @@
   private LeaderElection.PeerReachability reachability = LeaderElection.PeerReachability.UNKNOWN;
   private LeaderElection.YieldRule yieldRule = byNodeOrder -> byNodeOrder;
 
-  /** The node that led last, as far as known. */
+  /** The last known leader, or null. */
   private String lastLeader;
 
-  /** Since when the leader key has been seen to be missing. */
+  /** The time at which the leader key was first found missing, or {@link #NOT_MISSING}. */
   private long keyMissingSinceMs = NOT_MISSING;
 
   private long pausedUntilMs;
 
-  /** Makes the policy of a node that has seen no leader. */
+  /** Creates the policy of a node that has not seen a leader yet. */
   CandidacyPolicy(ControllerContext context) {
     this.context = context;
     CandidateOrder order = CandidateOrder.of(context.settings);
@@ -42,46 +43,49 @@
     nextNode = order.nextNode();
   }
 
-  /** Has this decide which peers can be reached. */
+  /** Sets the source of information about which peers are reachable. */
   void setReachability(LeaderElection.PeerReachability peerReachability) {
     reachability = peerReachability;
   }
 
-  /** Has this rule decide in place of the order of nodes alone. */
+  /** Sets the rule that decides whether to yield, in place of the node order alone. */
   void setYieldRule(LeaderElection.YieldRule rule) {
     yieldRule = rule;
   }
 
-  /** The leader key names this node. */
+  /** Records that the leader key names {@code node}. */
   void recordLeader(String node) {
     keyMissingSinceMs = NOT_MISSING;
     lastLeader = node;
   }
 
-  /** This node gave the leadership up and stands for no election for a while. */
+  /** Keeps this node from standing for election for {@code pauseMs} after it has resigned. */
   void pause(long pauseMs) {
     pausedUntilMs = context.nowMs() + pauseMs;
   }
 
-  /** Whether this node does not stand for election now, although the leader key is missing. */
-  boolean isLeftToOthers() {
+  /**
+   * Returns whether this node should not stand for election now, although the leader key is
+   * missing.
+   */
+  boolean shouldYield() {
     if (context.nowMs() < pausedUntilMs) {
       return true;
     }
     if (keyMissingSinceMs < 0) {
       keyMissingSinceMs = context.nowMs();
     }
-    return yieldRule.yieldsToOthers(yieldsByNodeOrder || isNextNodeUnreachable())
-        && context.nowMs() - keyMissingSinceMs < YIELD_STEPS * context.stepMs();
+    return yieldRule.yieldsToOthers(yieldsByNodeOrder || isNextNodeUnavailable())
+        && context.nowMs() - keyMissingSinceMs < MAX_YIELD_STEPS * context.stepMs();
   }
 
   /**
-   * Whether the node that workers try after this one is out of reach, or led until now. Workers
-   * that lose this node as a leader would wait for a reply of both in vain, which takes half of
-   * their lease.
+   * Returns whether the node that workers try after this one is unreachable or was the last leader,
+   * while another peer is reachable. If this node led and failed then, workers would wait in vain
+   * for responses from both nodes, which takes half of their lease.
    */
-  private boolean isNextNodeUnreachable() {
-    boolean isOut = nextNode.equals(lastLeader) || reachability.isLost(nextNode);
-    return isOut && reachability.isAnyOtherReachable(nextNode);
+  private boolean isNextNodeUnavailable() {
+    boolean unavailable = nextNode.equals(lastLeader) || reachability.isLost(nextNode);
+    return unavailable && reachability.isAnyOtherReachable(nextNode);
   }
 }
--- a/src/main/java/eiderfork/controller/election/CandidateOrder.java
+++ b/src/main/java/eiderfork/controller/election/CandidateOrder.java
@@ -6,12 +6,12 @@
 import java.util.List;
 
 /**
- * The order in which workers are expected to try the nodes: by their names, shorter ones first, so
- * that {@code node-10} comes after {@code node-9}. It is a hint for who should lead, and safety
+ * The order in which workers are expected to try the nodes: sorted by name, shorter names first, so
+ * that {@code node-10} comes after {@code node-9}. It is a hint for the choice of a leader; safety
  * does not depend on it.
  */
 public record CandidateOrder(List<String> nodes, Settings settings) {
-  /** The order of all nodes that the settings name. */
+  /** Returns the order of all nodes in the settings. */
   public static CandidateOrder of(Settings settings) {
     List<String> nodes = new ArrayList<>(settings.peerEndpoints().keySet());
     nodes.add(settings.nodeName());
@@ -19,15 +19,15 @@
     return new CandidateOrder(List.copyOf(nodes), settings);
   }
 
-  /** The node that workers try after this one. */
+  /** Returns the node that workers try after this one. */
   public String nextNode() {
     return nodes.get((nodes.indexOf(settings.nodeName()) + 1) % nodes.size());
   }
 
   /**
-   * Whether the node that workers try after this one is in another zone, as far as there is one. A
-   * worker that can't reach the leader's zone tries the next node after a timeout; were that one in
-   * the leader's zone too, the second timeout would take the rest of its lease.
+   * Returns whether the node that workers try after this one is in another zone, or there is no
+   * other zone. A worker that can't reach the leader's zone tries the next node after a timeout. If
+   * the next node were in the same zone, a second timeout would use up the rest of the lease.
    */
   public boolean isNextNodeInOtherZone() {
     String own = settings.zone();
--- a/src/main/java/eiderfork/controller/election/LeaderElection.java
+++ b/src/main/java/eiderfork/controller/election/LeaderElection.java
@@ -12,27 +12,27 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Who leads. The leader key in the store is attached to a short lease; the transaction that writes
- * it counts the term up.
+ * Elects the leader. The leader key in the store is attached to a short lease, and the transaction
+ * that writes the key increments the term.
  *
- * <p>A follower watches the leader key and stands for election once it is missing ({@link
- * CandidacyPolicy}, {@link LeadershipClaim}); a leader renews its lease ({@link LeaderLease}).
+ * <p>A follower watches the leader key and stands for election when it is missing ({@link
+ * CandidacyPolicy}, {@link LeadershipClaim}). A leader renews its lease ({@link LeaderLease}).
  */
 public final class LeaderElection {
   private static final Logger LOG = LoggerFactory.getLogger(LeaderElection.class);
 
-  /** What happens on a change of leadership. */
+  /** A listener for changes of this node's leadership. */
   public interface Listener {
-    /** This node leads now, in a term of its own. */
+    /** Called when this node has become the leader of a new term. */
     void onElected();
 
-    /** This node led and surely does so no more; somebody else may. */
+    /** Called when this node has stopped leading; another node may lead from now on. */
     void onLeadershipLost();
   }
 
-  /** Which peers can be reached, for guesses at who should lead. */
+  /** Reports which peers are reachable, as a hint for which node should lead. */
   public interface PeerReachability {
-    /** What is known before any peer has sent its status. */
+    /** The reachability before any peer has sent its status. */
     PeerReachability UNKNOWN =
         new PeerReachability() {
           @Override
@@ -46,32 +46,34 @@
           }
         };
 
-    /** Whether this peer was reachable and is not any more. */
+    /** Returns whether the peer was reachable before and is not now. */
     boolean isLost(String node);
 
-    /** Whether any peer but this one is reachable. */
+    /** Returns whether any peer other than {@code excludedNode} is reachable. */
     boolean isAnyOtherReachable(String excludedNode);
   }
 
-  /** Decides whether a vacant leadership is left to other nodes for a while. */
+  /** Decides whether this node lets other nodes take a vacant leadership first. */
   public interface YieldRule {
     /**
-     * Whether other nodes are preferred as leaders.
+     * Returns whether other nodes are preferred as leaders.
      *
-     * @param byNodeOrder what follows from the order and the reachability of the nodes
+     * @param byNodeOrder whether the order and the reachability of the nodes prefer other nodes
      */
     boolean yieldsToOthers(boolean byNodeOrder);
   }
 
   private enum Role {
-    /** Reads the leader key or waits for it to go. */
+    /** Reads the leader key or watches it until it is deleted. */
     FOLLOWER,
-    /** Takes the leader key. */
+    /** Tries to write the leader key. */
     CANDIDATE,
     LEADER
   }
 
-  /** The term stands in the bits above these of a token, the per-worker sequence below. */
+  /**
+   * The number of low bits of a fencing token that hold the per-worker sequence; the term is above.
+   */
   public static final int TOKEN_SEQUENCE_BITS = 24;
 
   private static final long NEVER = -1;
@@ -89,13 +91,13 @@
   private long term;
   private String leader;
 
-  /** Whether a request of a follower or candidate is under way. */
+  /** Whether a request sent as follower or candidate is in flight. */
   private boolean requestPending;
 
   private long nextAttemptMs;
   private long leaderLossDetectedMs = NEVER;
 
-  /** Makes a follower; {@code listener} is notified of changes of leadership. */
+  /** Creates a follower that notifies {@code listener} of changes of its leadership. */
   public LeaderElection(ControllerContext context, StoreClient store, Listener listener) {
     this.context = context;
     this.store = store;
@@ -107,71 +109,75 @@
     nextAttemptMs = context.nowMs();
   }
 
-  /** Has this rule decide whether a vacant leadership is left to others for a while. */
+  /** Sets the rule that decides whether other nodes may take a vacant leadership first. */
   public void setYieldRule(YieldRule rule) {
     candidacy.setYieldRule(rule);
   }
 
-  /** Has this decide which peers can be reached. */
+  /** Sets the source of information about which peers are reachable. */
   public void setPeerReachability(PeerReachability reachability) {
     candidacy.setReachability(reachability);
   }
 
-  /** Whether this node leads, as far as it knows. */
+  /** Returns whether this node leads as far as it knows; its lease may have expired meanwhile. */
   public boolean isLeading() {
     return role == Role.LEADER;
   }
 
-  /** Whether the lease surely holds, so that nobody else can lead. */
+  /** Returns whether the lease is certain to be valid, so that no other node can lead. */
   public boolean isLeaseValid() {
     return lease.isValid();
   }
 
-  /** The term that this node leads in or follows. */
+  /** Returns the term in which this node leads or follows. */
   public long currentTerm() {
     return term;
   }
 
-  /** The smallest fencing token of this term. */
+  /** Returns the smallest fencing token of this term. */
   public long firstFencingToken() {
     return term << TOKEN_SEQUENCE_BITS;
   }
 
-  /** The smallest fencing token of the next term. */
+  /** Returns the smallest fencing token of the next term. */
   public long firstFencingTokenOfNextTerm() {
     return (term + 1) << TOKEN_SEQUENCE_BITS;
   }
 
-  /** The node that leads as far as known, or null. */
+  /** Returns the known leader, or null. */
   public String leader() {
     return isLeading() ? context.settings.nodeName() : leader;
   }
 
-  /** The condition under which a leader's write is carried out in its own term alone. */
+  /**
+   * Returns the condition that makes the store apply this leader's writes only during its own term.
+   */
   public StoreRequest.Condition leaderCondition() {
     return new StoreRequest.Condition(StoreKeys.LEADER, leaderKeyVersion);
   }
 
-  /** The revision as which this leader's key was written. */
+  /** Returns the revision at which this node's leader key was written. */
   public long leaderKeyRevision() {
     return leaderKeyVersion;
   }
 
-  /** When the leadership that this node holds was first seen to be vacant; -1 where it was not. */
+  /**
+   * Returns the time at which a watch last reported a change of the leader key, or -1 if none did.
+   */
   public long leaderLossDetectedMs() {
     return leaderLossDetectedMs;
   }
 
-  /** Renews the lease, or looks for a leadership that is vacant. */
+  /** Renews the lease as leader; as follower, checks whether the leadership is vacant. */
   public void tick() {
     if (isLeading()) {
-      lease.renewIfDue(this::onLeaseGone);
+      lease.renewIfDue(this::onLeaseLost);
     } else if (role == Role.FOLLOWER && !requestPending && context.nowMs() >= nextAttemptMs) {
       readLeaderKey();
     }
   }
 
-  /** A higher term was seen somewhere: this node's is over. */
+  /** Steps down if the observed term is higher than the one in which this node leads. */
   public void observeTerm(long observedTerm) {
     if (isLeading() && observedTerm > term) {
       LOG.warn("leadership-lost reason=higher-term term={} seenTerm={}", term, observedTerm);
@@ -179,7 +185,7 @@
     }
   }
 
-  /** A peer reports that this node leads. */
+  /** Records a peer's report that {@code node} leads in a term. */
   public void observeLeader(String node, long observedTerm) {
     if (observedTerm > term) {
       observeTerm(observedTerm);
@@ -188,7 +194,10 @@
     }
   }
 
-  /** The leader key's conditions failed: another node's key stands there. */
+  /**
+   * Steps down after a write failed its leader condition, as the leader key is no longer this
+   * node's.
+   */
   public void onLeaderConditionFailed() {
     if (isLeading()) {
       LOG.warn("leadership-lost reason=leader-key-changed term={}", term);
@@ -196,12 +205,12 @@
     }
   }
 
-  private void onLeaseGone() {
+  private void onLeaseLost() {
     LOG.warn("leadership-lost reason=lease-gone term={}", term);
     stepDown();
   }
 
-  /** Gives the leadership up, and leaves it to others for a while. */
+  /** Gives up the leadership, and does not stand for election for {@code pauseMs}. */
   public void resign(long pauseMs) {
     if (!isLeading()) {
       return;
@@ -215,7 +224,7 @@
   private void stepDown() {
     role = Role.FOLLOWER;
     leader = null;
-    lease.giveUp();
+    lease.stopUsing();
     nextAttemptMs = context.nowMs();
     store.actAsFollower();
     listener.onLeadershipLost();
@@ -245,7 +254,7 @@
   private void handleLeaderKey(Reply.Value value) {
     if (value.record() instanceof StoredRecord.Leadership leadership) {
       followLeader(leadership, value.version());
-    } else if (candidacy.isLeftToOthers()) {
+    } else if (candidacy.shouldYield()) {
       retryAfterBackoff();
     } else {
       startElection();
@@ -281,15 +290,16 @@
   private void startElection() {
     role = Role.CANDIDATE;
     leader = null;
-    new LeadershipClaim(context, store, leaseMs, this::lead, this::retryAfterBackoff).start();
+    new LeadershipClaim(context, store, leaseMs, this::becomeLeader, this::retryAfterBackoff)
+        .start();
   }
 
-  private void lead(LeadershipClaim.Leadership won) {
+  private void becomeLeader(LeadershipClaim.Leadership acquired) {
     requestPending = false;
     role = Role.LEADER;
-    term = won.term();
-    leaderKeyVersion = won.leaderKeyVersion();
-    lease.hold(won.leaseId(), won.leaseRequestedMs());
+    term = acquired.term();
+    leaderKeyVersion = acquired.leaderKeyVersion();
+    lease.startUsing(acquired.leaseId(), acquired.leaseRequestedMs());
     store.actAsLeader();
     LOG.info("leadership-acquired term={} firstFencingToken={}", term, firstFencingToken());
     listener.onElected();
--- a/src/main/java/eiderfork/controller/election/LeaderLease.java
+++ b/src/main/java/eiderfork/controller/election/LeaderLease.java
@@ -8,21 +8,24 @@
 import eiderfork.controller.store.StoreClient;
 
 /**
- * The leader's lease in the key-value store: how long it surely holds, and its renewal. The leader
- * key is attached to it and goes when it expires.
+ * The leader's lease in the key-value store: its renewal, and the time until which it is certain to
+ * be valid. The leader key is attached to the lease, so the store deletes the key when it expires.
  */
 final class LeaderLease {
-  /** A lease is renewed this many times in its life, so that two lost renewals are survived. */
+  /** The number of renewals per lease duration. With three, two lost renewals are tolerated. */
   private static final int RENEWALS_PER_LEASE = 3;
 
   /**
-   * The share of the workers' lease that the leader's takes is of no more than this many steps.
-   * Users wait for a new leader as well as workers, and not longer where workers' leases are long.
+   * The maximum worker lease, in steps, that counts when the leader's lease is derived from it.
+   * Users wait for a new leader too, and should not wait longer because worker leases are long.
    */
   private static final int MAX_LEASE_STEPS = 10;
 
-  /** How much of its lease a leader leaves unused, for slow clocks and late replies. */
-  private static final double UNUSED_SHARE = 0.1;
+  /**
+   * The share of the lease that the leader leaves unused, to allow for slow clocks and late
+   * replies.
+   */
+  private static final double SAFETY_MARGIN_SHARE = 0.1;
 
   private final ControllerContext context;
   private final StoreClient store;
@@ -36,9 +39,9 @@
   private long nextRenewalMs;
 
   /**
-   * Makes a lease that is not held.
+   * Creates a lease that is not held.
    *
-   * @param backoff the pauses after failed renewals, which elections share
+   * @param backoff the backoff after failed renewals, shared with the election
    */
   LeaderLease(ControllerContext context, StoreClient store, long durationMs, Backoff backoff) {
     this.context = context;
@@ -47,18 +50,20 @@
     this.backoff = backoff;
   }
 
-  /** How long a leader's lease lasts under these settings. */
+  /** Returns the duration of a leader's lease under the settings of the context. */
   static long durationMs(ControllerContext context) {
-    long longestMs = Math.min(context.workerLeaseMs(), MAX_LEASE_STEPS * context.stepMs());
-    return (long) (longestMs * context.settings.operator().leaderLeaseShare());
+    long cappedWorkerLeaseMs =
+        Math.min(context.workerLeaseMs(), MAX_LEASE_STEPS * context.stepMs());
+    return (long) (cappedWorkerLeaseMs * context.settings.operator().leaderLeaseShare());
   }
 
   /**
-   * Holds a lease that was granted, and renews it at the next tick.
+   * Starts using a granted lease, which is renewed at the next tick.
    *
-   * @param requestedMs when the lease was requested, which is when it began to run at the earliest
+   * @param requestedMs the time of the request, which is the earliest time at which the lease can
+   *     have started
    */
-  void hold(long grantedLeaseId, long requestedMs) {
+  void startUsing(long grantedLeaseId, long requestedMs) {
     held = true;
     leaseId = grantedLeaseId;
     validUntilMs = requestedMs + usableMs();
@@ -66,23 +71,23 @@
     nextRenewalMs = context.nowMs();
   }
 
-  /** Counts on the lease no longer; it is left to expire unless it is released. */
-  void giveUp() {
+  /** Stops using the lease, which expires in the store unless it is released. */
+  void stopUsing() {
     held = false;
     validUntilMs = 0;
   }
 
-  /** Ends the lease in the store, and with it the leader key. */
+  /** Releases the lease in the store, which deletes the leader key too. */
   void release() {
     store.send(new StoreRequest.Release(leaseId), RequestPriority.LEASE, reply -> {});
   }
 
-  /** Whether the lease surely holds. */
+  /** Returns whether the lease is certain to be valid. */
   boolean isValid() {
     return held && context.nowMs() < validUntilMs;
   }
 
-  /** Renews the lease in time; {@code onLost} is run where the store does not have it any more. */
+  /** Renews the lease if due, and runs {@code onLost} if the store no longer has it. */
   void renewIfDue(Runnable onLost) {
     if (!renewalPending && context.nowMs() >= nextRenewalMs) {
       renew(onLost);
@@ -117,6 +122,6 @@
   }
 
   private long usableMs() {
-    return (long) (durationMs * (1 - UNUSED_SHARE));
+    return (long) (durationMs * (1 - SAFETY_MARGIN_SHARE));
   }
 }
--- a/src/main/java/eiderfork/controller/election/LeadershipClaim.java
+++ b/src/main/java/eiderfork/controller/election/LeadershipClaim.java
@@ -11,16 +11,16 @@
 import java.util.function.Consumer;
 
 /**
- * One attempt to take a leader key that is missing: reads the last term, has a lease granted, and
- * writes the leader key on that lease together with the next term, in one compare-and-swap
- * transaction.
+ * One attempt to become the leader while the leader key is missing. It reads the last term,
+ * requests a lease, and writes the leader key, attached to that lease, together with the next term
+ * in one compare-and-swap transaction.
  */
 final class LeadershipClaim {
   /**
-   * A leadership that was taken.
+   * The result of a successful attempt.
    *
-   * @param leaseRequestedMs when the lease was requested, from which it counts
-   * @param leaderKeyVersion the revision as which the leader key was written
+   * @param leaseRequestedMs the time of the lease request, from which the lease is counted
+   * @param leaderKeyVersion the revision at which the leader key was written
    */
   record Leadership(long term, long leaseId, long leaseRequestedMs, long leaderKeyVersion) {}
 
@@ -31,9 +31,9 @@
   private final Runnable onFailed;
 
   /**
-   * Makes an attempt that begins with {@link #start}.
+   * Creates an attempt, which begins when {@link #start} is called.
    *
-   * @param leaseMs how long the lease is to last
+   * @param leaseMs the duration of the lease to request
    */
   LeadershipClaim(
       ControllerContext context,
@@ -48,15 +48,15 @@
     this.onFailed = onFailed;
   }
 
-  /** Reads the last term, and goes on from there. */
+  /** Starts the attempt by reading the last term. */
   void start() {
     store.send(
         new StoreRequest.Get(StoreKeys.TERM),
         RequestPriority.LEASE,
         reply -> {
           if (reply instanceof Reply.Value value) {
-            boolean stored = value.record() instanceof StoredRecord.TermCounter;
-            long lastTerm = stored ? ((StoredRecord.TermCounter) value.record()).term() : 0;
+            boolean isStored = value.record() instanceof StoredRecord.TermCounter;
+            long lastTerm = isStored ? ((StoredRecord.TermCounter) value.record()).term() : 0;
             requestLease(lastTerm + 1, value.version());
           } else {
             onFailed.run();
@@ -86,7 +86,8 @@
           if (reply instanceof Reply.Committed committed) {
             onWon.accept(new Leadership(newTerm, leaseId, requestedMs, committed.revision()));
           } else {
-            // Without a reply it may still be applied: the lease then expires, as nobody renews it.
+            // Without a reply, the transaction may still be applied. The leader key then lasts only
+            // until the lease expires, as nobody renews it.
             store.send(new StoreRequest.Release(leaseId), RequestPriority.LEASE, ignored -> {});
             onFailed.run();
           }
