--- a/src/main/java/eiderfork/controller/cluster/CancellationTracker.java
+++ b/src/main/java/eiderfork/controller/cluster/CancellationTracker.java
@@ -15,48 +15,57 @@
 import java.util.function.Consumer;
 
 /**
- * Which jobs are known to be cancelled, and up to which moment none can be unknown.
+ * Tracks the jobs that are known to be cancelled, and the time up to which every confirmed
+ * cancellation is known to this node.
  *
- * <p>Any node may confirm a cancellation that it wrote to the store itself, and the leader may be
- * cut off from the store just then. So each node remembers what it confirmed and sends it to its
- * peers with each ping until they acknowledge it. A leader lets workers keep their tasks only as
- * far as it is proven that it knows every cancellation confirmed before: from the store, or from
- * all peers.
+ * <p>Any node may confirm a cancellation that it wrote to the store itself, at a time when the
+ * leader has no connection to the store. Each node therefore remembers its confirmations and sends
+ * them to its peers with each ping until they acknowledge them. A leader renews worker leases only
+ * if it is proven, by a read of the store or by replies of all peers, that the leader knows every
+ * cancellation confirmed up to a sufficiently recent time.
  */
 public final class CancellationTracker {
   private static final long NEVER = Long.MIN_VALUE / 4;
 
-  /** The most jobs that one message names; with the longest ids it stays far below 64 KiB. */
+  /**
+   * The maximum number of jobs per message. Even with the longest ids it stays far below 64 KiB.
+   */
   private static final int MAX_JOBS_PER_MESSAGE = 256;
 
-  /** The most confirmations that are remembered for peers, and jobs known besides. */
+  /**
+   * The maximum number of confirmations kept for peers, and the maximum size of {@link
+   * #confirmedAnywhere}.
+   */
   private static final int MAX_REMEMBERED = 16_384;
 
   /**
-   * Past this many cancellation times nothing of a cancelled job can run that a peer could stop.
+   * The retention of confirmations, in cancellation timeouts. After that time no task of the job
+   * can still be running that a peer would have to stop.
    */
   private static final int RETENTION_TIMEOUTS = 2;
 
   private record Confirmation(long number, String uid, long confirmedMs) {}
 
-  /** What was received from a peer, and what it has acknowledged. */
+  /** The progress of the exchange with one peer, in both directions. */
   private static final class PeerState {
     private long processId;
     private long receivedNumber;
     private long acknowledgedNumber;
 
-    /** When a confirmation that it had not acknowledged was last dropped before its time. */
-    private long evictedMs = NEVER;
+    /**
+     * When a confirmation that the peer had not acknowledged was last evicted before its retention.
+     */
+    private long unacknowledgedEvictedMs = NEVER;
 
-    /** Up to when all that the peer confirmed is known here. */
+    /** The time up to which all confirmations by the peer are known to this node. */
     private long completeUpToMs = NEVER;
 
-    private void restart(long newProcessId, long lastEvictedMs) {
+    private void onRestart(long newProcessId, long lastEvictedMs) {
       processId = newProcessId;
       receivedNumber = 0;
       acknowledgedNumber = 0;
-      // A process that knows nothing yet can't be sent what was dropped already.
-      evictedMs = lastEvictedMs;
+      // A new process knows no confirmations yet, and evicted ones can't be sent to it any more.
+      unacknowledgedEvictedMs = lastEvictedMs;
     }
   }
 
@@ -69,21 +78,28 @@
   private final Set<String> confirmedUids = new HashSet<>();
   private long lastNumber;
 
-  /** When a confirmation was last dropped before its time, whoever knew it. */
+  /** When any confirmation was last evicted before its retention, acknowledged or not. */
   private long lastEvictedMs = NEVER;
 
-  /** What was confirmed here or by peers; a hint that a restart or many others may lose. */
+  /**
+   * The jobs whose cancellation this node or a peer confirmed. It is only a hint: a onRestart or an
+   * eviction may lose entries.
+   */
   private final Cache<String, Boolean> confirmedAnywhere =
       Caffeine.newBuilder().maximumSize(MAX_REMEMBERED).executor(Runnable::run).build();
 
-  /** What the store held, as far as it was read in this term. */
+  /** The cancelled jobs that were read from the store in this term. */
   private final Set<String> storedUids = new HashSet<>();
 
+  /** The time up to which all cancellations in the store are known. */
   private long caughtUpMs = NEVER;
+
   private final Map<String, PeerState> peers = new HashMap<>();
 
   /**
-   * @param onLearned takes each job that turns out to be cancelled, once or more often
+   * Creates a tracker that knows no cancellations.
+   *
+   * @param onLearned takes each job that is found to be cancelled, at least once
    */
   public CancellationTracker(ControllerContext context, Consumer<String> onLearned) {
     this.context = context;
@@ -93,29 +109,32 @@
     context.settings.peerEndpoints().keySet().forEach(node -> peers.put(node, new PeerState()));
   }
 
-  /** A term begins or ends: what memory held of it is gone, and proofs with it. */
+  /**
+   * Clears the cancellations read from the store and the proofs of completeness, when a term begins
+   * or ends.
+   */
   public void reset() {
     storedUids.clear();
     caughtUpMs = NEVER;
     peers.values().forEach(peer -> peer.completeUpToMs = NEVER);
   }
 
-  /** Whether the job is known to be cancelled; that never changes. */
+  /** Returns whether the job is known to be cancelled. A cancellation is final. */
   public boolean contains(String uid) {
     return storedUids.contains(uid) || confirmedAnywhere.getIfPresent(uid) != null;
   }
 
-  /** Whether some node has confirmed to a user that the job is cancelled. */
+  /** Returns whether a node is known to have confirmed to a user that the job is cancelled. */
   public boolean wasConfirmed(String uid) {
     return confirmedAnywhere.getIfPresent(uid) != null;
   }
 
-  /** The job is archived, so that nothing of it runs; its cancellation is not read any more. */
+  /** Forgets a stored cancellation, as the job is archived and none of its tasks run any more. */
   public void recordArchived(String uid) {
     storedUids.remove(uid);
   }
 
-  /** This node is about to confirm to a user that the job is cancelled. */
+  /** Records that this node is about to confirm to a user that the job is cancelled. */
   public void confirm(String uid) {
     if (confirmedUids.add(uid)) {
       confirmed.add(new Confirmation(++lastNumber, uid, context.nowMs()));
@@ -132,7 +151,7 @@
     lastEvictedMs = context.nowMs();
     for (PeerState peer : peers.values()) {
       if (peer.acknowledgedNumber < oldest.number) {
-        peer.evictedMs = context.nowMs();
+        peer.unacknowledgedEvictedMs = context.nowMs();
       }
     }
   }
@@ -144,14 +163,14 @@
     }
   }
 
-  /** The store holds this cancellation. */
+  /** Records that the store contains a cancellation of the job. */
   public void recordStored(String uid) {
     if (storedUids.add(uid)) {
       onLearned.accept(uid);
     }
   }
 
-  /** Everything that the store held at this moment is known. */
+  /** Records that all cancellations in the store as of {@code requestedMs} are known. */
   public void recordCaughtUp(long requestedMs) {
     caughtUpMs = Math.max(caughtUpMs, requestedMs);
   }
@@ -160,7 +179,7 @@
     return RETENTION_TIMEOUTS * context.cancellationTimeoutMs();
   }
 
-  /** The message that this node sends a peer now. */
+  /** Returns the message to send to a peer now. */
   public CancellationGossip gossipFor(String node) {
     dropExpired();
     PeerState peer = peers.getOrDefault(node, new PeerState());
@@ -170,8 +189,8 @@
             .limit(MAX_JOBS_PER_MESSAGE)
             .map(Confirmation::uid)
             .collect(ImmutableList.toImmutableList());
-    boolean evicted = context.nowMs() - peer.evictedMs <= retentionMs();
-    // What was dropped because its time is over matters to nobody.
+    boolean evicted = context.nowMs() - peer.unacknowledgedEvictedMs <= retentionMs();
+    // Skips expired confirmations, which no peer needs any more.
     long afterNumber = unacknowledged.isEmpty() ? lastNumber : unacknowledged.peek().number - 1;
     return new CancellationGossip(
         processId,
@@ -189,7 +208,7 @@
     }
   }
 
-  /** The confirmations that a peer has not acknowledged, the oldest first. */
+  /** Returns the confirmations that a peer has not acknowledged, oldest first. */
   private Deque<Confirmation> unacknowledgedBy(PeerState peer) {
     Deque<Confirmation> unacknowledged = new ArrayDeque<>();
     Iterator<Confirmation> newestFirst = confirmed.descendingIterator();
@@ -203,14 +222,14 @@
     return unacknowledged;
   }
 
-  /** Takes what a peer sent, on its own or in reply. */
+  /** Handles a message from a peer, unsolicited or in a reply. */
   void receive(String node, CancellationGossip gossip) {
     PeerState peer = peers.get(node);
     if (peer == null || gossip.processId() == 0) {
       return;
     }
     if (gossip.processId() != peer.processId) {
-      peer.restart(gossip.processId(), lastEvictedMs);
+      peer.onRestart(gossip.processId(), lastEvictedMs);
     }
     if (gossip.acknowledgedProcessId() == processId) {
       peer.acknowledgedNumber = Math.max(peer.acknowledgedNumber, gossip.acknowledgedNumber());
@@ -220,9 +239,10 @@
   }
 
   /**
-   * Takes a peer's reply to a request that was sent at {@code requestedMs}. It proves nothing of
-   * later moments, and counts only where the process that replies has run since before this node
-   * last read the store: an earlier process may have confirmed what nobody remembers.
+   * Handles a peer's reply to a request that was sent at {@code requestedMs}. The reply proves
+   * completeness only up to that time, and only if the replying process started before this node
+   * last read the store: an earlier process may have confirmed cancellations that no node
+   * remembers.
    */
   void receiveReply(String node, CancellationGossip gossip, long requestedMs) {
     receive(node, gossip);
@@ -234,25 +254,28 @@
     }
   }
 
-  /** Every cancellation that any node confirmed before this moment is known here. */
+  /**
+   * Returns the time before which every cancellation confirmed by any node is known to this node.
+   */
   long completeUpToMs() {
     if (caughtUpMs == NEVER) {
       return NEVER;
     }
-    long allPeersMs = context.nowMs();
+    long provenByPeersMs = context.nowMs();
     for (PeerState peer : peers.values()) {
-      allPeersMs = Math.min(allPeersMs, peer.completeUpToMs);
+      provenByPeersMs = Math.min(provenByPeersMs, peer.completeUpToMs);
     }
-    return Math.max(caughtUpMs, allPeersMs);
+    return Math.max(caughtUpMs, provenByPeersMs);
   }
 
   /**
-   * Whether a worker's lease may be renewed now. It runs from when the heartbeat was sent, and has
-   * to end within the cancellation timeout of whatever may have been cancelled without being known.
+   * Returns whether a worker's lease may be renewed now. The lease counts from the sending of the
+   * heartbeat, and must end within the cancellation timeout of the earliest cancellation that may
+   * be unknown to this node.
    */
   public boolean mayRenewLeases() {
-    long sinceMs = ControllerContext.withClockDrift(context.nowMs() - completeUpToMs());
-    return sinceMs
+    long unprovenMs = ControllerContext.withClockDrift(context.nowMs() - completeUpToMs());
+    return unprovenMs
             + ControllerContext.withClockDrift(context.workerLeaseMs())
             + context.stepMs() / 2
         < context.cancellationTimeoutMs();
--- a/src/main/java/eiderfork/controller/cluster/ClusterVersion.java
+++ b/src/main/java/eiderfork/controller/cluster/ClusterVersion.java
@@ -15,29 +15,30 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The newest version that every member of the cluster is known to run. What an older version can't
- * read is written, and what it can't do is accepted, only from that version on.
+ * The newest version that every member of the cluster is known to run. Record formats that an older
+ * version can't read are written, and requests that it can't handle are accepted, only once all
+ * members run the version that introduced them.
  *
- * <p>Each member sends its version with its pings. The first leader that knows all of them to run
- * the current version stores it, so that no later leader needs the proof again; from then on no
+ * <p>Each member sends its version with its pings. The first leader that knows that all members run
+ * the current version stores it, so that later leaders need not prove it again. From then on no
  * member may be rolled back to an older version.
  */
 public final class ClusterVersion {
   private static final Logger LOG = LoggerFactory.getLogger(ClusterVersion.class);
 
-  /** The version of a member that does not send its version. */
+  /** The version assumed for a member that does not send its version. */
   public static final int FIRST = 1;
 
   /** The first version that reads packed allocations and runs gangs. */
   public static final int PACKED_ALLOCS = 2;
 
-  /** The first version that looks for archived jobs before it treats one as unknown. */
+  /** The first version that looks up archived jobs before it treats a job as unknown. */
   public static final int ARCHIVED_JOBS = 3;
 
   /** The first version that reads bitmap allocations. */
   public static final int BITMAP_ALLOCS = 4;
 
-  /** The version of this program. It counts up with each form that the one before can't read. */
+  /** The version of this program, incremented for each format that the previous one can't read. */
   public static final int CURRENT = BITMAP_ALLOCS;
 
   private final ControllerContext context;
@@ -51,9 +52,9 @@
   private long nextStoreMs;
 
   /**
-   * Makes the version of a cluster of which nothing is known.
+   * Creates the version of a cluster about whose other members nothing is known yet.
    *
-   * @param ownVersion the version of this node, which tests set to an earlier one
+   * @param ownVersion the version of this node; tests set an earlier one
    */
   public ClusterVersion(
       ControllerContext context, StoreClient store, LeaderElection election, int ownVersion) {
@@ -63,24 +64,25 @@
     this.election = election;
   }
 
-  /** Makes the version of a cluster in which this node runs the current version. */
+  /** Creates the version of a cluster in which this node runs the current version. */
   public ClusterVersion(ControllerContext context, StoreClient store, LeaderElection election) {
     this(context, store, election, CURRENT);
   }
 
-  /** The version that this node runs. */
+  /** Returns the version that this node runs. */
   public int ownVersion() {
     return ownVersion;
   }
 
-  /** Whether every member is known to run this version or a later one. */
+  /** Returns whether every member is known to run the required version or a later one. */
   public boolean isSupportedByAll(int required) {
     return ownVersion >= required && (storedVersion >= required || allPeersRun(required));
   }
 
   /**
-   * Whether no member may be rolled back to a version before this one. Until then one that was
-   * rolled back would deny a job that it does not find where it was.
+   * Returns whether the required version is stored as the minimum, so that no member may be rolled
+   * back to an earlier one. Otherwise a member that is rolled back could report a job as unknown
+   * that has been moved to where the earlier version does not look.
    */
   public boolean isMinimumVersion(int required) {
     return ownVersion >= required && storedVersion >= required;
@@ -91,25 +93,28 @@
         .allMatch(node -> peerVersions.getOrDefault(node, FIRST) >= required);
   }
 
-  /** A peer replied to a request of this node, so that it runs this version now. */
+  /** Records the version in a peer's reply to a request, which proves that the peer runs it now. */
   void recordReply(String node, int version) {
     peerVersions.put(node, version);
   }
 
-  /** A message that a peer sent on its own may be an old copy, and proves no newer version. */
+  /**
+   * Records the version in an unsolicited message of a peer. The message may be delayed, so it can
+   * lower the known version but not raise it.
+   */
   void recordUnsolicited(String node, int version) {
     if (version < peerVersions.getOrDefault(node, FIRST)) {
       peerVersions.put(node, version);
     }
   }
 
-  /** The store holds this version. */
+  /** Records the version that is stored. */
   public void recordStored(StoredRecord.StoredVersion record, long keyVersion) {
     storedVersion = Math.max(storedVersion, record.version());
     storedKeyVersion = Math.max(storedKeyVersion, keyVersion);
   }
 
-  /** Reads the stored version, for a node that has no proof of its own. */
+  /** Reads the stored version, for a node that has not proved the version itself. */
   public void loadStored(Runnable onComplete) {
     store.send(
         new StoreRequest.Get(StoreKeys.CLUSTER_VERSION),
@@ -123,7 +128,7 @@
         });
   }
 
-  /** Stores the current version once all members run it; only a recovered leader does. */
+  /** Stores the current version once all members run it. Called only on a recovered leader. */
   public void tick() {
     boolean needed = ownVersion >= CURRENT && storedVersion < CURRENT && allPeersRun(CURRENT);
     if (needed && !storePending && context.nowMs() >= nextStoreMs) {
--- a/src/main/java/eiderfork/controller/cluster/HealthCheckHandler.java
+++ b/src/main/java/eiderfork/controller/cluster/HealthCheckHandler.java
@@ -6,25 +6,25 @@
 import eiderfork.controller.store.StoreClient;
 
 /**
- * Answers the load balancer's health checks. A node that neither the store nor any peer replies to
- * is cut off, and of no use to users.
+ * Responds to the load balancer's health checks. A node that gets replies neither from the store
+ * nor from any peer is isolated and can't serve users, so it reports itself as unhealthy.
  */
 public final class HealthCheckHandler {
-  /** How long ago the store may have served this node, in steps. */
+  /** The maximum time since the store last served this node, in steps. */
   private static final int MAX_UNSERVED_STEPS = 2;
 
   private final ControllerContext context;
   private final StoreClient store;
   private final PeerMonitor peers;
 
-  /** Makes a handler, which keeps no state. */
+  /** Creates a handler, which keeps no state of its own. */
   public HealthCheckHandler(ControllerContext context, StoreClient store, PeerMonitor peers) {
     this.context = context;
     this.store = store;
     this.peers = peers;
   }
 
-  /** Answers a health check with what this node can reach. */
+  /** Responds to a health check according to whether the store and peers are reachable. */
   public void handle(Input.HealthCheck check) {
     boolean served = store.sinceServedMs() <= MAX_UNSERVED_STEPS * context.stepMs();
     if (served) {
--- a/src/main/java/eiderfork/controller/cluster/PeerMonitor.java
+++ b/src/main/java/eiderfork/controller/cluster/PeerMonitor.java
@@ -10,9 +10,12 @@
 import java.util.Map;
 import java.util.function.Function;
 
-/** Exchanges status with the peers by pings, and knows which of them can be reached. */
+/** Exchanges status with the peers through pings, and tracks which of them are reachable. */
 public final class PeerMonitor implements LeaderElection.PeerReachability {
-  /** A peer is pinged each step, and counts as out of reach after this many without a status. */
+  /**
+   * The maximum age of a peer's last status, in steps, for the peer to count as reachable. Peers
+   * are pinged once per step.
+   */
   private static final double MAX_STATUS_AGE_STEPS = 3;
 
   private record ReceivedStatus(PeerStatus status, long receivedMs) {}
@@ -24,15 +27,15 @@
   private final Map<String, ReceivedStatus> lastStatuses = new LinkedHashMap<>();
   private final Map<String, Boolean> pingPending = new LinkedHashMap<>();
 
-  /**
-   * When each peer first replied to a ping of this node's {@link #acknowledgedTerm} with that term.
-   */
+  /** When each peer first replied to a ping with {@link #acknowledgedTerm} or a later term. */
   private final Map<String, Long> termAcknowledgedMs = new LinkedHashMap<>();
 
+  /** The term of this node's leadership to which the acknowledgements belong. */
   private long acknowledgedTerm;
+
   private long nextPingMs;
 
-  /** Makes a monitor without the status of any peer. */
+  /** Creates a monitor that has no status of any peer yet. */
   public PeerMonitor(
       ControllerContext context,
       LeaderElection election,
@@ -42,12 +45,12 @@
     this.election = election;
     this.cancellations = cancellations;
     this.version = version;
-    // The first ping loads Avro, which is slow on a small core: election and first replies go
-    // first.
+    // The first ping loads Avro, which is slow on a small core, so it is sent after the election
+    // and the first replies.
     nextPingMs = context.nowMs() + context.stepMs() * 5 / 2;
   }
 
-  /** Pings every peer that has replied to the last ping, with the status that is for it. */
+  /** Sends each peer whose last ping is completed a new ping with the status for that peer. */
   public void tick(Function<String, PeerStatus> statusFor) {
     if (context.nowMs() < nextPingMs) {
       return;
@@ -82,7 +85,7 @@
     }
   }
 
-  /** Takes the status that a peer sent, on its own or in reply. */
+  /** Handles the status from a peer, unsolicited or in a reply. */
   public void receiveStatus(PeerStatus status) {
     Settings settings = context.settings;
     if (!settings.peerEndpoints().containsKey(status.node())) {
@@ -110,9 +113,9 @@
   }
 
   /**
-   * Since when no earlier leader can reply to a worker: every peer has acknowledged this term,
-   * which ends any leadership of an earlier one, and a process started later never had one. {@link
-   * Long#MAX_VALUE} while a peer has not acknowledged it.
+   * Returns the time since which no leader of an earlier term can reply to a worker, or {@link
+   * Long#MAX_VALUE} while some peer has not acknowledged this term. A peer that acknowledges the
+   * term steps down from any earlier one, and a process that starts later has never led in one.
    */
   public long earlierTermsEndedMs() {
     if (acknowledgedTerm != election.currentTerm()
@@ -139,14 +142,14 @@
         .anyMatch(node -> !node.equals(excludedNode) && isReachable(node));
   }
 
-  /** Whether this peer can be reached. */
+  /** Returns whether the peer is reachable. */
   public boolean isReachable(String node) {
     return isFresh(lastStatuses.get(node));
   }
 
   /**
-   * Whether another zone seems out of reach as a whole: none of its nodes can be reached, and one
-   * of this zone can.
+   * Returns whether another zone seems unreachable as a whole: none of its nodes are reachable,
+   * while a peer in this node's zone is.
    */
   public boolean isZoneUnreachable(String zone) {
     boolean ownZoneReachable = false;
@@ -160,12 +163,12 @@
     return ownZoneReachable && !zone.equals(context.settings.zone());
   }
 
-  /** Whether any peer can be reached. */
+  /** Returns whether any peer is reachable. */
   boolean isAnyReachable() {
     return lastStatuses.values().stream().anyMatch(this::isFresh);
   }
 
-  /** Whether a peer can be reached that is served by the store. */
+  /** Returns whether any reachable peer is served by the store. */
   public boolean isAnyServedByStore() {
     return lastStatuses.values().stream().anyMatch(this::isServedByStore);
   }
@@ -175,7 +178,10 @@
         && received.status.storeAgeMs() < context.stepMs() * MAX_STATUS_AGE_STEPS;
   }
 
-  /** Whether a peer that is served by the store gets heartbeats of more machines than this. */
+  /**
+   * Returns whether a peer served by the store gets heartbeats from more than {@code count}
+   * machines.
+   */
   public boolean hasPeerWithMoreMachines(int count) {
     return lastStatuses.values().stream()
         .anyMatch(
