--- a/src/main/java/eiderfork/controller/standby/DelayedActions.java
+++ b/src/main/java/eiderfork/controller/standby/DelayedActions.java
@@ -4,24 +4,24 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Actions that are run after a delay, in the order in which they were scheduled. */
+/** Runs actions after a delay. Actions that are due at the same tick run in scheduling order. */
 final class DelayedActions {
   private record DelayedAction(long dueMs, Runnable action) {}
 
   private final ControllerContext context;
   private final List<DelayedAction> scheduled = new ArrayList<>();
 
-  /** Makes a schedule without actions. */
+  /** Creates a schedule without actions. */
   DelayedActions(ControllerContext context) {
     this.context = context;
   }
 
-  /** Has an action run at the first tick after the delay. */
+  /** Schedules an action for the first tick after the delay. */
   void schedule(long delayMs, Runnable action) {
     scheduled.add(new DelayedAction(context.nowMs() + delayMs, action));
   }
 
-  /** Runs what is due; what that schedules is run at a later tick. */
+  /** Runs the actions that are due. Actions that they schedule run at a later tick. */
   void tick() {
     if (scheduled.isEmpty()) {
       return;
@@ -31,7 +31,7 @@
     due.forEach(delayed -> delayed.action.run());
   }
 
-  /** Runs none of what is scheduled. */
+  /** Cancels all scheduled actions. */
   void clear() {
     scheduled.clear();
   }
--- a/src/main/java/eiderfork/controller/standby/MachineHintStore.java
+++ b/src/main/java/eiderfork/controller/standby/MachineHintStore.java
@@ -7,8 +7,8 @@
 import java.util.function.BiConsumer;
 
 /**
- * What the leader published of machines beside what is committed. A hint may be old, lost or wrong;
- * it is used for better guesses alone.
+ * Stores the hints about machines that the leader publishes in addition to the committed state. A
+ * hint may be outdated, lost or wrong, so it is only used to improve estimates.
  */
 public final class MachineHintStore {
   private record ReceivedHint(MachineHint hint, long receivedMs) {}
@@ -17,19 +17,20 @@
   private long term;
   private long lastSequence;
 
-  /** Makes an empty store. */
+  /** Creates an empty store. */
   public MachineHintStore() {}
 
-  /** Forgets everything. */
+  /** Removes all hints. */
   public void clear() {
     machines.clear();
     lastSequence = 0;
   }
 
-  /** Takes a batch of a leader; one that is older than the last is ignored. */
+  /** Stores a leader's batch of hints, unless it is older than the last one. */
   public void receive(MachineHintBatch batch, long nowMs) {
-    boolean newer = batch.term() > term || batch.term() == term && batch.sequence() > lastSequence;
-    if (!newer) {
+    boolean isNewer =
+        batch.term() > term || batch.term() == term && batch.sequence() > lastSequence;
+    if (!isNewer) {
       return;
     }
     if (batch.term() > term) {
@@ -42,12 +43,12 @@
     }
   }
 
-  /** Passes on each machine's hint with the time at which it was received. */
+  /** Calls {@code action} with each machine's hint and the time at which it was received. */
   public void forEach(BiConsumer<MachineHint, Long> action) {
     machines.values().forEach(received -> action.accept(received.hint, received.receivedMs));
   }
 
-  /** How many machines there are hints of. */
+  /** Returns the number of machines for which there is a hint. */
   public int size() {
     return machines.size();
   }
--- a/src/main/java/eiderfork/controller/standby/ReplicatedRange.java
+++ b/src/main/java/eiderfork/controller/standby/ReplicatedRange.java
@@ -5,7 +5,7 @@
 import java.util.Collection;
 import java.util.TreeMap;
 
-/** The keys under one prefix as of a revision: read once, then kept current by watches. */
+/** A copy of the keys under one prefix as of a revision, read once and then updated by watches. */
 final class ReplicatedRange {
   private static final long NOT_READ = -1;
 
@@ -16,56 +16,56 @@
   private long caughtUpMs;
   private long bytes;
 
-  /** Makes a range of which nothing is read. */
+  /** Creates a range of which nothing has been read. */
   ReplicatedRange(String prefix) {
     this.prefix = prefix;
   }
 
-  /** The prefix of the keys. */
+  /** Returns the prefix of the keys. */
   String prefix() {
     return prefix;
   }
 
-  /** The revision up to which every change has been applied. */
+  /** Returns the revision up to which every change has been applied. */
   long revision() {
     return revision;
   }
 
-  /** A moment up to which all changes have been applied. */
+  /** Returns a time up to which all changes have been applied. */
   long caughtUpMs() {
     return caughtUpMs;
   }
 
-  /** What these keys take of memory, as an estimate on the high side. */
+  /** Returns the estimated memory use of the items in bytes, rather too high than too low. */
   long bytes() {
     return bytes;
   }
 
-  /** How many keys there are. */
+  /** Returns the number of keys. */
   int size() {
     return items.size();
   }
 
-  /** The keys' items in order. */
+  /** Returns the items in the order of their keys. */
   Collection<Reply.Item> items() {
     return items.values();
   }
 
-  /** The items behind one key. */
+  /** Returns the items whose keys follow {@code key}. */
   Collection<Reply.Item> itemsAfter(String key) {
     return items.tailMap(key, false).values();
   }
 
-  /** The item of a key, or null. */
+  /** Returns the item of a key, or null. */
   Reply.Item item(String key) {
     return items.get(key);
   }
 
   /**
-   * Adds a page of the first read. What changes while pages are read comes again with the watch
-   * that continues from the first page's revision.
+   * Adds a page of the initial read. Changes made while pages are read are delivered again by the
+   * watch, which continues from the revision of the first page.
    *
-   * @throws ReplicaInvalidException where it holds what can't be read
+   * @throws ReplicaInvalidException if the page contains an unreadable record
    */
   void addPage(Reply.Page page, long requestedMs) throws ReplicaInvalidException {
     if (revision == NOT_READ) {
@@ -79,25 +79,25 @@
   }
 
   /**
-   * Applies the reply to a watch of what came after a revision.
+   * Applies the reply to a watch of the changes after a revision.
    *
-   * @throws ReplicaInvalidException where the reply does not continue what was applied
+   * @throws ReplicaInvalidException if the reply does not continue from the last applied revision
    */
   void applyChanges(Reply.Changes changes, long afterRevision, long requestedMs)
       throws ReplicaInvalidException {
-    // A reply from before a page was read would undo what the page held.
+    // A reply older than a page would overwrite newer items of that page.
     if (afterRevision != revision
         || changes.revision() < Math.max(afterRevision, newestPageRevision)) {
       throw new ReplicaInvalidException(
-          "a reply for " + prefix + " does not continue the one before");
+          "watch reply for " + prefix + " does not continue from the last applied revision");
     }
-    long last = afterRevision;
+    long lastVersion = afterRevision;
     for (Reply.Item change : changes.items()) {
-      boolean follows = change.version() > afterRevision && change.version() >= last;
-      if (!follows || change.version() > changes.revision()) {
+      boolean inOrder = change.version() > afterRevision && change.version() >= lastVersion;
+      if (!inOrder || change.version() > changes.revision()) {
         throw new ReplicaInvalidException("changes of " + prefix + " are out of order");
       }
-      last = change.version();
+      lastVersion = change.version();
       apply(change);
     }
     revision = changes.revision();
@@ -118,13 +118,13 @@
     }
     remove(item.key());
     items.put(item.key(), item);
-    bytes += RecordFootprint.bytes(item);
+    bytes += RecordMemoryEstimator.estimateBytes(item);
   }
 
   private void remove(String key) {
     Reply.Item removed = items.remove(key);
     if (removed != null) {
-      bytes -= RecordFootprint.bytes(removed);
+      bytes -= RecordMemoryEstimator.estimateBytes(removed);
     }
   }
 }
--- a/src/main/java/eiderfork/controller/standby/Standby.java
+++ b/src/main/java/eiderfork/controller/standby/Standby.java
@@ -6,7 +6,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Whether this node stands by for the leader, and what it keeps for that. */
+/** Runs this node as a standby for the leader, and holds the replica and hints for a takeover. */
 public final class Standby implements LeaderElection.YieldRule {
   private static final Logger LOG = LoggerFactory.getLogger(Standby.class);
 
@@ -17,12 +17,12 @@
   private final StandbyReplica replica;
   private final MachineHintStore hints = new MachineHintStore();
 
-  /** The node that led last, as far as known; null before the first. */
+  /** The last known leader, or null. */
   private String lastLeader;
 
   private long nextLogMs;
 
-  /** Makes a node that stands by where the operators' settings want it. */
+  /** Creates a standby, which is active only if the operator settings enable standbys. */
   public Standby(ControllerContext context, LeaderElection election, StandbyReplica replica) {
     this.context = context;
     this.election = election;
@@ -33,12 +33,15 @@
     return context.settings.operator().standbyCount() > 0;
   }
 
-  /** The nodes that stand by for this leader. */
+  /** Returns the nodes that are standbys for {@code leader}. */
   public ImmutableList<String> standbysOf(String leader) {
     return StandbyRanking.of(context.settings, leader);
   }
 
-  /** A vacant leadership is a standby's before it is another node's. */
+  /**
+   * Returns whether this node lets the standbys of the last leader take a vacant leadership first.
+   * Without standbys or a known last leader, the node order decides.
+   */
   @Override
   public boolean yieldsToOthers(boolean byNodeOrder) {
     if (!isEnabled() || lastLeader == null) {
@@ -47,17 +50,17 @@
     return !isStandbyOf(lastLeader);
   }
 
-  /** The replica of what is committed. */
+  /** Returns the replica of the committed state. */
   public StandbyReplica replica() {
     return replica;
   }
 
-  /** The hints that the leader published. */
+  /** Returns the hints that the leader published. */
   public MachineHintStore hints() {
     return hints;
   }
 
-  /** Follows the leader where this node stands by for it. */
+  /** Updates the replica if this node is a standby for the last leader, and drops it otherwise. */
   public void tick() {
     if (!isEnabled()) {
       return;
@@ -73,7 +76,7 @@
       replica.startIfDue();
       logState();
     } else if (replica.isFollowing()) {
-      replica.clear("another node stands by for " + lastLeader);
+      replica.clear("this node is not a standby for " + lastLeader);
       hints.clear();
     }
   }
@@ -93,9 +96,9 @@
     }
   }
 
-  /** This node's leadership is over; what it held as a standby was used up when it began. */
+  /** Clears the replica and the hints, which were used up when this node became the leader. */
   public void onLeadershipLost() {
-    replica.clear("this node's leadership is over");
+    replica.clear("this node lost the leadership");
     hints.clear();
   }
 }
--- a/src/main/java/eiderfork/controller/standby/StandbyRanking.java
+++ b/src/main/java/eiderfork/controller/standby/StandbyRanking.java
@@ -7,13 +7,14 @@
 import java.util.List;
 
 /**
- * Which nodes stand by for a leader: the ones behind it in the order of nodes, those of other zones
- * first, so that a zone that fails does not take both. Every node finds the same from its settings.
+ * Selects the standbys of a leader: the nodes that follow it in the node order, with nodes of other
+ * zones first, so that a zone failure does not affect both the leader and its first standby. Every
+ * node computes the same result from its settings.
  */
 public final class StandbyRanking {
   private StandbyRanking() {}
 
-  /** The nodes that stand by for this leader, the first one in front. */
+  /** Returns the standbys of a leader in order of preference. */
   public static ImmutableList<String> of(Settings settings, String leader) {
     List<String> nodes = CandidateOrder.of(settings).nodes();
     int leaderIndex = nodes.indexOf(leader);
--- a/src/main/java/eiderfork/controller/standby/StandbyReplica.java
+++ b/src/main/java/eiderfork/controller/standby/StandbyReplica.java
@@ -16,19 +16,20 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A replica of what leaders commit: the keys that a new leader reads, read once and then followed
- * with watches, each change applied in order and with its revision.
+ * A replica of the committed state: the keys that a new leader reads. They are read once and then
+ * followed with watches, and each change is applied in order and with its revision.
  *
- * <p>It is proved before it is used. A new leader whose leader key was written as revision L brings
- * each range to L or later by one unbroken sequence of replies since the first read. What an older
- * leader writes is conditional on its own leader key, so that nothing of it can follow L; what
- * peers may write at any time, submissions and cancellations, is followed as by any leader. Where
- * anything is missing from the sequence the replica is dropped, and everything is read instead.
+ * <p>The replica is proved complete before it is used. A new leader whose leader key was written at
+ * revision L brings each range to L or later through an unbroken sequence of replies since the
+ * initial read. Writes of an earlier leader are conditional on its own leader key, so none can be
+ * committed after L. Submissions and cancellations, which peers may write at any time, are followed
+ * as any leader follows them. If anything is missing from the sequence, the replica is dropped and
+ * the new leader reads everything from the store instead.
  */
 public final class StandbyReplica {
   private static final Logger LOG = LoggerFactory.getLogger(StandbyReplica.class);
 
-  /** In the order in which a new leader restores them. */
+  /** The replicated prefixes, in the order in which a new leader restores them. */
   private static final ImmutableList<String> PREFIXES =
       ImmutableList.of(
           StoreKeys.CANCELLATION_PREFIX,
@@ -41,20 +42,20 @@
 
   private static final String FIRST_PAGE = "";
 
-  /** The share of the store's rate of requests that the watches may take. */
+  /** The share of the store's request rate limit that the watches may use. */
   private static final double REQUEST_SHARE = 0.05;
 
-  /** The pause between a watch's reply and the next watch, in steps, where the rate allows it. */
-  private static final double PAUSE_STEPS = 0.25;
+  /** The minimum pause between a reply and the next watch, in steps. The rate may require more. */
+  private static final double MIN_PAUSE_STEPS = 0.25;
 
-  /** How long a watch waits for a change, in steps. */
-  private static final int WATCH_STEPS = 2;
+  /** The time for which a watch waits for a change, in steps. */
+  private static final int WATCH_TIMEOUT_STEPS = 2;
 
-  /** The share of the process's memory that the replica may take. */
+  /** The share of the process's memory that the replica may use. */
   private static final double MEMORY_SHARE = 0.25;
 
-  /** How long after an invalid replica none is read, in leases of workers. */
-  private static final int RETRY_LEASES = 1;
+  /** The delay before an invalid replica is read again, in worker leases. */
+  private static final int RETRY_DELAY_LEASES = 1;
 
   private static final double BYTES_PER_MB = 1024 * 1024;
 
@@ -62,7 +63,7 @@
     NONE,
     READING,
     FOLLOWING,
-    /** This node leads and requests what is missing. */
+    /** This node leads and requests the missing changes. */
     CATCHING_UP
   }
 
@@ -71,18 +72,18 @@
     private final long generation;
     private final long minRevision;
     private final Consumer<Boolean> onComplete;
-    private int rangesBehind;
+    private int pendingRanges;
 
     CatchUp(long generation, long minRevision, int ranges, Consumer<Boolean> onComplete) {
       this.generation = generation;
       this.minRevision = minRevision;
-      this.rangesBehind = ranges;
+      this.pendingRanges = ranges;
       this.onComplete = onComplete;
     }
 
     void recordRangeCaughtUp() {
-      rangesBehind--;
-      if (rangesBehind == 0) {
+      pendingRanges--;
+      if (pendingRanges == 0) {
         onComplete.accept(true);
       }
     }
@@ -94,25 +95,27 @@
   private final Map<String, ReplicatedRange> ranges = new LinkedHashMap<>();
   private Phase phase = Phase.NONE;
 
-  /** Counts up with each start, drop and catch-up; replies to earlier requests are ignored. */
+  /**
+   * Incremented at each start, drop and catch-up, so that replies to earlier requests are ignored.
+   */
   private long generation;
 
   private long nextReadMs;
   private String dropReason = "never read";
 
-  /** Makes a replica that holds nothing. */
+  /** Creates an empty replica. */
   public StandbyReplica(ControllerContext context, StoreClient store) {
     this.context = context;
     this.store = store;
     delayedActions = new DelayedActions(context);
   }
 
-  /** Whether the replica is followed, so that a new leader may bring it up to its own revision. */
+  /** Returns whether the initial read is complete and the replica is kept current by watches. */
   public boolean isFollowing() {
     return phase == Phase.FOLLOWING;
   }
 
-  /** Begins to read where nothing is held and the pause after a failure is over. */
+  /** Starts the initial read if the replica is empty and the delay after a failure is over. */
   public void startIfDue() {
     if (phase == Phase.NONE && context.nowMs() >= nextReadMs) {
       LOG.info("replica-read-started");
@@ -123,7 +126,7 @@
     }
   }
 
-  /** Drops everything that is held. */
+  /** Drops the contents of the replica and logs the reason. */
   public void clear(String reason) {
     if (phase != Phase.NONE) {
       LOG.info("replica-dropped reason={}", reason);
@@ -135,13 +138,13 @@
     delayedActions.clear();
   }
 
-  /** The replica can't be proved right; it is read again after a while. */
+  /** Drops a replica that can't be proved complete, and delays the next read. */
   private void invalidate(ReplicaInvalidException cause) {
     clear(cause.getMessage());
-    nextReadMs = context.nowMs() + RETRY_LEASES * context.workerLeaseMs();
+    nextReadMs = context.nowMs() + RETRY_DELAY_LEASES * context.workerLeaseMs();
   }
 
-  /** Sends the requests whose pause is over. */
+  /** Sends the requests whose pause has ended. */
   public void tick() {
     delayedActions.tick();
   }
@@ -158,11 +161,11 @@
 
   private long pauseMs() {
     double requestsPerS = context.settings.storeLimits().requestsPerS() * REQUEST_SHARE;
-    double minS = PREFIXES.size() / requestsPerS;
-    return (long) Math.max(context.stepMs() * PAUSE_STEPS, 1000 * minS);
+    double minPauseS = PREFIXES.size() / requestsPerS;
+    return (long) Math.max(context.stepMs() * MIN_PAUSE_STEPS, 1000 * minPauseS);
   }
 
-  // Reading.
+  // Initial read.
 
   private void readPage(int rangeIndex, String afterKey, long startedGeneration) {
     ReplicatedRange range = ranges.get(PREFIXES.get(rangeIndex));
@@ -206,13 +209,14 @@
     }
   }
 
-  // Following.
+  // Watches.
 
   private void follow(ReplicatedRange range, long startedGeneration) {
     long requestedMs = context.nowMs();
     long afterRevision = range.revision();
     store.send(
-        new StoreRequest.Watch(range.prefix(), afterRevision, WATCH_STEPS * context.stepMs()),
+        new StoreRequest.Watch(
+            range.prefix(), afterRevision, WATCH_TIMEOUT_STEPS * context.stepMs()),
         RequestPriority.CLEANUP,
         reply -> {
           if (startedGeneration == generation
@@ -223,8 +227,8 @@
   }
 
   /**
-   * Applies the reply to a watch; one that brought nothing, for want of the store, may be followed
-   * by another watch.
+   * Applies the reply to a watch. If the store did not deliver changes because it is unavailable,
+   * the replica stays valid and the watch can be repeated.
    *
    * @return whether the replica is still valid
    */
@@ -237,7 +241,7 @@
         checkMemory();
       } else if (StoreClient.requiresFullRead(reply)) {
         throw new ReplicaInvalidException(
-            "changes of " + range.prefix() + " are not kept any more");
+            "changes of " + range.prefix() + " are compacted or too large for one reply");
       }
       return true;
     } catch (ReplicaInvalidException e) {
@@ -246,7 +250,10 @@
     }
   }
 
-  /** Records of a form that came with a new version may be in what was read before. */
+  /**
+   * Checks that the cluster version is unchanged. Records that were read before a change may have
+   * the format of the new version.
+   */
   private static void checkVersionUnchanged(ReplicatedRange range, Reply.Changes changes)
       throws ReplicaInvalidException {
     if (range.prefix().equals(StoreKeys.CLUSTER_VERSION) && !changes.items().isEmpty()) {
@@ -257,17 +264,17 @@
   private void checkMemory() throws ReplicaInvalidException {
     double maxMb = context.settings.controllerResources().memoryMb() * MEMORY_SHARE;
     if (memoryMb() > maxMb) {
-      throw new ReplicaInvalidException("it takes more than " + Math.round(maxMb) + " MB");
+      throw new ReplicaInvalidException("replica uses more than " + Math.round(maxMb) + " MB");
     }
   }
 
-  // Using.
+  // Takeover.
 
   /**
-   * Brings the replica to this revision or a later one; only a leader does whose key was written as
-   * that revision.
+   * Brings the replica to {@code minRevision} or later. Called only on a new leader, with the
+   * revision at which its leader key was written.
    *
-   * @param onComplete takes whether the replica holds all that was committed up to there
+   * @param onComplete takes whether the replica contains everything committed up to that revision
    */
   public void catchUp(long minRevision, Consumer<Boolean> onComplete) {
     generation++;
@@ -299,37 +306,37 @@
         });
   }
 
-  /** The items under one of the prefixes, in the order of their keys. */
+  /** Returns the items under one of the prefixes, in the order of their keys. */
   public Collection<Reply.Item> items(String prefix) {
     return ranges.get(prefix).items();
   }
 
-  /** The items under one of the prefixes behind this key. */
+  /** Returns the items under one of the prefixes whose keys follow {@code key}. */
   public Collection<Reply.Item> itemsAfter(String prefix, String key) {
     return ranges.get(prefix).itemsAfter(key);
   }
 
-  /** The item of a key under one of the prefixes, or null. */
+  /** Returns the item of a key under one of the prefixes, or null. */
   public Reply.Item item(String prefix, String key) {
     return ranges.get(prefix).item(key);
   }
 
-  /** A moment up to which all changes under a prefix have been applied. */
+  /** Returns a time up to which all changes under a prefix have been applied. */
   public long caughtUpMs(String prefix) {
     return ranges.get(prefix).caughtUpMs();
   }
 
-  /** The revision up to which every change of every range has been applied. */
+  /** Returns the revision up to which every change of every range has been applied. */
   public long revision() {
     return ranges.values().stream().mapToLong(ReplicatedRange::revision).min().orElse(0);
   }
 
-  /** What the replica takes of memory, as an estimate on the high side. */
+  /** Returns the estimated memory use of the replica, rather too high than too low. */
   public double memoryMb() {
     return ranges.values().stream().mapToLong(ReplicatedRange::bytes).sum() / BYTES_PER_MB;
   }
 
-  /** The state of the replica, for a line in the log. */
+  /** Returns the state of the replica as keys and values for a log line. */
   public String describe() {
     if (phase == Phase.NONE) {
       return "replica=none reason=" + dropReason;
@@ -338,13 +345,14 @@
       return "replica=reading";
     }
     int keys = ranges.values().stream().mapToInt(ReplicatedRange::size).sum();
-    long oldestMs = ranges.values().stream().mapToLong(ReplicatedRange::caughtUpMs).min().orElse(0);
+    long oldestCaughtUpMs =
+        ranges.values().stream().mapToLong(ReplicatedRange::caughtUpMs).min().orElse(0);
     return String.format(
         Locale.ROOT,
         "replica=following keys=%d revision=%d behindS=%.1f memoryMb=%.1f",
         keys,
         revision(),
-        (context.nowMs() - oldestMs) / 1000.0,
+        (context.nowMs() - oldestCaughtUpMs) / 1000.0,
         memoryMb());
   }
 }
