--- a/src/test/java/eiderfork/controller/cluster/CancellationTrackerTest.java
+++ b/src/test/java/eiderfork/controller/cluster/CancellationTrackerTest.java
@@ -13,7 +13,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The gossip of cancellations between peers, and up to when that proves completeness. */
+/**
+ * Tests the exchange of cancellations between peers, and the time up to which it proves that all
+ * are known.
+ */
 class CancellationTrackerTest {
   private final ControllerContext leaderContext =
       new ControllerContext(TestFixtures.settings("roost-0"), new Random(1), 1000);
@@ -27,7 +30,7 @@
   private final CancellationTracker other = new CancellationTracker(otherContext, uid -> {});
 
   @BeforeEach
-  void theLeaderHasReadEverything() {
+  void readStoreAsLeader() {
     advanceTo(60_000);
     leader.recordCaughtUp(60_000);
   }
@@ -38,29 +41,29 @@
     otherContext.advanceTo(nowMs);
   }
 
-  /** The leader pings, and the reply arrives a while after the request. */
-  private void ping(String node, CancellationTracker to, long tookMs) {
+  /** Sends a ping from the leader to a peer and delivers the reply after {@code roundTripMs}. */
+  private void ping(String node, CancellationTracker receiver, long roundTripMs) {
     long requestedMs = leaderContext.nowMs();
-    to.receive("roost-0", leader.gossipFor(node));
-    CancellationGossip gossip = to.gossipFor("roost-0");
-    advanceTo(requestedMs + tookMs);
+    receiver.receive("roost-0", leader.gossipFor(node));
+    CancellationGossip gossip = receiver.gossipFor("roost-0");
+    advanceTo(requestedMs + roundTripMs);
     leader.receiveReply(node, gossip, requestedMs);
   }
 
   @Test
-  void completenessIsProvedUpToThePeersEarliestRequest() {
+  void completenessIsProvedUpToEarliestRequestOfLastReplies() {
     advanceTo(70_000);
     ping("roost-1", peer, 300);
     assertEquals(60_000, leader.completeUpToMs(), "the other peer has not replied");
     ping("roost-2", other, 700);
-    assertEquals(70_000, leader.completeUpToMs(), "not when the replies arrived");
+    assertEquals(70_000, leader.completeUpToMs(), "the time of the request, not of the replies");
     advanceTo(80_000);
     ping("roost-1", peer, 10);
     assertEquals(70_300, leader.completeUpToMs());
   }
 
   @Test
-  void processStartedSinceTheLastReadProvesNothing() {
+  void replyOfProcessStartedAfterLastReadProvesNothing() {
     advanceTo(70_000);
     peer = new CancellationTracker(peerContext, uid -> {});
     advanceTo(71_000);
@@ -71,21 +74,21 @@
     advanceTo(72_000);
     ping("roost-1", peer, 10);
     ping("roost-2", other, 10);
-    assertEquals(72_000, leader.completeUpToMs(), "it has run since before the newest read");
+    assertEquals(72_000, leader.completeUpToMs(), "the process started before the newest read");
   }
 
   @Test
-  void leasesEndWithinTheCancellationTimeoutOfTheProof() {
-    // Leases of 10 s, cancellations of 30 s.
+  void leasesAreRenewedOnlyIfTheyEndWithinCancellationTimeout() {
+    // Worker leases last 10 s, and the cancellation timeout is 30 s.
     advanceTo(79_000);
     assertTrue(leader.mayRenewLeases());
     advanceTo(79_500);
     assertFalse(leader.mayRenewLeases());
   }
 
-  /** More than one message holds: until the last part is there, nothing is proven. */
+  /** More cancellations than fit in one message prove nothing until the last part has arrived. */
   @Test
-  void manyCancellationsAreSentInParts() {
+  void manyCancellationsAreSplitAcrossMessages() {
     for (int i = 0; i < 600; i++) {
       peer.confirm("run-" + i);
     }
@@ -103,9 +106,12 @@
         0, peer.gossipFor("roost-0").uids().size(), "acknowledged ones are not sent again");
   }
 
-  /** What was evicted for want of memory before its time makes the peer's gossip incomplete. */
+  /**
+   * A peer whose memory limit evicted a confirmation before its retention ended must not report its
+   * messages as complete, because the evicted confirmation never reaches the leader.
+   */
   @Test
-  void peerThatEvictedSomeProvesNothing() {
+  void peerProvesNothingAfterEviction() {
     for (int i = 0; i < 17_000; i++) {
       peer.confirm("run-" + i);
     }
@@ -119,19 +125,20 @@
     assertEquals(60_000, leader.completeUpToMs());
     advanceTo(60_000 + 200_000);
     ping("roost-1", peer, 1);
-    assertEquals(60_080, leader.completeUpToMs(), "the last ping of the other peer was long ago");
+    assertEquals(60_080, leader.completeUpToMs(), "the other peer last replied long ago");
     ping("roost-2", other, 1);
-    assertEquals(260_000, leader.completeUpToMs(), "what was evicted matters no more");
+    assertEquals(
+        260_000, leader.completeUpToMs(), "the retention of the evicted confirmations is over");
   }
 
   @Test
-  void lateMessageOfAnEarlierProcessIsApplied() {
+  void delayedMessageOfEarlierProcessIsApplied() {
     peer.confirm("run-1");
-    CancellationGossip late = peer.gossipFor("roost-0");
+    CancellationGossip delayed = peer.gossipFor("roost-0");
     peer = new CancellationTracker(peerContext, uid -> {});
     peer.confirm("run-2");
     ping("roost-1", peer, 10);
-    leader.receive("roost-1", late);
+    leader.receive("roost-1", delayed);
     assertEquals(List.of("run-2", "run-1"), learned);
     ping("roost-1", peer, 10);
     assertTrue(leader.contains("run-1") && leader.contains("run-2"));
--- a/src/test/java/eiderfork/controller/cluster/ClusterVersionTest.java
+++ b/src/test/java/eiderfork/controller/cluster/ClusterVersionTest.java
@@ -11,7 +11,7 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** When all members are known to run the current version. */
+/** Tests when all members are known to run the current version. */
 class ClusterVersionTest {
   private final ControllerContext context =
       new ControllerContext(TestFixtures.settings("roost-0"), new Random(1), 0);
@@ -19,35 +19,36 @@
   private final ClusterVersion version =
       new ClusterVersion(context, store, new LeaderElection(context, store, null));
 
-  private void recordRepliesOfAll() {
+  private void recordCurrentVersionOfAllPeers() {
     version.recordReply("roost-1", ClusterVersion.CURRENT);
     version.recordReply("roost-2", ClusterVersion.CURRENT);
   }
 
   @Test
-  void everyPeerHasToReplyThatItIsNew() {
+  void versionIsSupportedOnceEveryPeerReportsItInReply() {
     version.recordReply("roost-1", ClusterVersion.CURRENT);
     assertFalse(version.isSupportedByAll(ClusterVersion.CURRENT));
     version.recordReply("roost-2", ClusterVersion.FIRST);
     assertFalse(version.isSupportedByAll(ClusterVersion.CURRENT));
-    recordRepliesOfAll();
+    recordCurrentVersionOfAllPeers();
     assertTrue(version.isSupportedByAll(ClusterVersion.CURRENT));
   }
 
-  /** A delayed ping of a process that was rolled back to the older version meanwhile. */
+  /**
+   * An unsolicited ping may be delayed, and its sender rolled back to an older version meanwhile.
+   */
   @Test
-  void unsolicitedVersionMayBeOldAndProvesNothing() {
+  void unsolicitedVersionOnlyLowersKnownVersion() {
     version.recordUnsolicited("roost-1", ClusterVersion.CURRENT);
     version.recordUnsolicited("roost-2", ClusterVersion.CURRENT);
     assertFalse(version.isSupportedByAll(ClusterVersion.CURRENT));
-    recordRepliesOfAll();
+    recordCurrentVersionOfAllPeers();
     version.recordUnsolicited("roost-2", ClusterVersion.FIRST);
-    assertFalse(
-        version.isSupportedByAll(ClusterVersion.CURRENT), "it is back at the older version");
+    assertFalse(version.isSupportedByAll(ClusterVersion.CURRENT), "the peer was rolled back");
   }
 
   @Test
-  void storedVersionHoldsWhateverPeersSend() {
+  void storedVersionIsNotLoweredByPeersOrOlderRecords() {
     version.recordStored(new StoredRecord.StoredVersion(ClusterVersion.CURRENT), 5);
     version.recordUnsolicited("roost-1", ClusterVersion.FIRST);
     assertTrue(version.isSupportedByAll(ClusterVersion.CURRENT));
--- a/src/test/java/eiderfork/controller/standby/StandbyRankingTest.java
+++ b/src/test/java/eiderfork/controller/standby/StandbyRankingTest.java
@@ -6,11 +6,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Every node finds the same standbys, in another zone first. */
+/** Tests that every node selects the same standbys and prefers nodes of another zone. */
 class StandbyRankingTest {
   @Test
-  void nodesOfAnotherZoneComeFirst() {
-    // Nodes with odd numbers stand in the other zone.
+  void nodesOfOtherZoneRankFirst() {
+    // Nodes with odd numbers are in the other zone.
     for (String node : List.of("roost-0", "roost-3", "roost-4")) {
       var settings = StandbyFixtures.settings(node, 5, 2);
       assertEquals(List.of("roost-3", "roost-1"), StandbyRanking.of(settings, "roost-2"));
@@ -20,14 +20,14 @@
   }
 
   @Test
-  void oneZoneHasItsNextNode() {
+  void singleZoneUsesNextNode() {
     assertEquals(
         List.of("roost-0"),
         StandbyRanking.of(StandbyFixtures.settings("roost-1", 3, 1), "roost-2"));
   }
 
   @Test
-  void noneAreChosenWhereNoneAreWantedOrTheLeaderIsUnknown() {
+  void noStandbysIfDisabledOrLeaderUnknown() {
     assertEquals(
         List.of(), StandbyRanking.of(StandbyFixtures.settings("roost-1", 3, 0), "roost-2"));
     assertEquals(
--- a/src/test/java/eiderfork/controller/standby/StandbyReplicaTest.java
+++ b/src/test/java/eiderfork/controller/standby/StandbyReplicaTest.java
@@ -22,14 +22,14 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The replica is what is committed, or it is dropped. */
+/** Tests that the replica either equals the committed state or is dropped. */
 class StandbyReplicaTest {
   private final ControllerContext context =
       new ControllerContext(StandbyFixtures.settings(1), new Random(1), 1_000_000);
   private final StoreClient store = new StoreClient(context);
   private final StandbyReplica replica = new StandbyReplica(context, store);
 
-  /** The pending watches by their prefix. */
+  /** The pending watches by prefix. */
   private final Map<String, Effect.CallStore> watches = new TreeMap<>();
 
   private final List<Effect.CallStore> scans = new ArrayList<>();
@@ -71,10 +71,10 @@
     return new Reply.Item(key, null, version);
   }
 
-  private void replyToScan(boolean more, long revision, Reply.Item... items) {
+  private void replyToScan(boolean hasMore, long revision, Reply.Item... items) {
     Effect.CallStore scan = scans.remove(0);
     context.completeCall(
-        scan.callId(), new Reply.Page(ImmutableList.copyOf(items), more, revision));
+        scan.callId(), new Reply.Page(ImmutableList.copyOf(items), hasMore, revision));
     advance(50);
   }
 
@@ -83,9 +83,9 @@
     context.completeCall(watch.callId(), new Reply.Changes(ImmutableList.copyOf(items), revision));
   }
 
-  /** Everything is read at revision 10, with one job and one cancellation. */
+  /** Completes the initial read at revision 10, with one job and one cancellation. */
   @BeforeEach
-  void readEverything() {
+  void completeInitialRead() {
     replica.startIfDue();
     advance(1000);
     replyToScan(false, 10, cancellation(1, 4));
@@ -109,24 +109,24 @@
     advance(1000);
     replyToWatch(StoreKeys.JOB_PREFIX, 20, removal(StoreKeys.job("run-2"), 18));
     assertEquals(List.of("job/run-1", "job/run-3"), keys(StoreKeys.JOB_PREFIX));
-    assertEquals(10, replica.revision(), "the other ranges are no further");
+    assertEquals(10, replica.revision(), "the other ranges are still at their first revision");
     advance(1000);
     assertEquals(
         20, ((StoreRequest.Watch) watches.get(StoreKeys.JOB_PREFIX).request()).afterRevision());
   }
 
   @Test
-  void watchesPauseForTheirShareOfTheRate() {
+  void nextWatchWaitsForRequestRate() {
     replyToWatch(StoreKeys.JOB_PREFIX, 14, job(2, 12));
     advance(200);
-    assertNull(watches.get(StoreKeys.JOB_PREFIX), "not at once");
+    assertNull(watches.get(StoreKeys.JOB_PREFIX), "the pause is not over");
     advance(1000);
     assertEquals(
         14, ((StoreRequest.Watch) watches.get(StoreKeys.JOB_PREFIX).request()).afterRevision());
   }
 
   @Test
-  void lostReplyIsRequestedAgainFromTheSameRevision() {
+  void watchWithoutReplyIsRepeatedFromSameRevision() {
     context.completeCall(watches.remove(StoreKeys.JOB_PREFIX).callId(), new Reply.Unanswered());
     advance(1500);
     assertEquals(
@@ -139,11 +139,11 @@
     assertEquals(0, replica.memoryMb());
     replica.startIfDue();
     advance(1000);
-    assertTrue(scans.isEmpty(), "not read anew at once");
+    assertTrue(scans.isEmpty(), "the replica is not read again at once");
     advance(context.workerLeaseMs());
     replica.startIfDue();
     advance(1000);
-    assertFalse(scans.isEmpty(), "but after a while");
+    assertFalse(scans.isEmpty(), "the replica is read again after the retry delay");
   }
 
   @Test
@@ -161,13 +161,13 @@
   }
 
   @Test
-  void replyOfAnEarlierRevisionDropsTheReplica() {
+  void replyWithEarlierRevisionDropsTheReplica() {
     replyToWatch(StoreKeys.JOB_PREFIX, 9);
     assertDropped();
   }
 
   @Test
-  void changeBeyondTheReplysRevisionDropsTheReplica() {
+  void changeNewerThanReplyRevisionDropsTheReplica() {
     replyToWatch(StoreKeys.JOB_PREFIX, 12, job(2, 13));
     assertDropped();
   }
@@ -203,17 +203,17 @@
   }
 
   @Test
-  void replicaThatOutgrowsItsShareOfMemoryIsDropped() {
-    List<Reply.Item> many = new ArrayList<>();
+  void replicaOverMemoryLimitIsDropped() {
+    List<Reply.Item> manyJobs = new ArrayList<>();
     for (int i = 0; i < 80_000; i++) {
-      many.add(job(1000 + i, 11 + i));
+      manyJobs.add(job(1000 + i, 11 + i));
     }
-    replyToWatch(StoreKeys.JOB_PREFIX, 100_000, many.toArray(new Reply.Item[0]));
+    replyToWatch(StoreKeys.JOB_PREFIX, 100_000, manyJobs.toArray(new Reply.Item[0]));
     assertDropped();
   }
 
   @Test
-  void replyFromBeforeAPageWasReadDropsTheReplica() {
+  void watchReplyOlderThanPageDropsTheReplica() {
     replica.clear("read anew");
     watches.clear();
     replica.startIfDue();
@@ -230,9 +230,9 @@
     assertDropped();
   }
 
-  /** What changes while pages are read is in a later page and comes again with the watch. */
+  /** A change made while pages are read is in a later page and delivered again by the watch. */
   @Test
-  void pageNewerThanTheFirstIsNotUndone() {
+  void replayedChangesKeepItemsOfNewerPage() {
     replica.clear("read anew");
     watches.clear();
     replica.startIfDue();
@@ -241,7 +241,7 @@
     replyToScan(false, 10);
     replyToScan(false, 10);
     replyToScan(true, 10, job(1, 3));
-    // Between the pages job 2 was removed and written anew as 15, and job 4 was removed as 13.
+    // Between the pages, job 2 was removed and rewritten at 15, and job 4 was removed at 13.
     replyToScan(false, 15, job(2, 15));
     replyToScan(false, 15);
     replyToScan(false, 15);
@@ -255,73 +255,74 @@
     assertEquals(List.of("job/run-1", "job/run-2"), keys(StoreKeys.JOB_PREFIX));
   }
 
-  /** A cancellation that was confirmed while the answer was under way is not in it. */
+  /** A cancellation confirmed after the store sent its reply is missing from the reply. */
   @Test
-  void replicaIsProvedUpToTheTimeOfTheRequest() {
+  void replicaIsCaughtUpToTimeOfRequest() {
     long requestedMs = context.nowMs();
     catchUp(30);
     advance(700);
     replyToWatch(StoreKeys.CANCELLATION_PREFIX, 31);
     assertTrue(
         replica.caughtUpMs(StoreKeys.CANCELLATION_PREFIX) <= requestedMs + 50,
-        "not that of the answer");
+        "the time of the request, not of the reply");
   }
 
-  // Catching up as the new leader.
+  // Catching up as a new leader.
 
-  private final List<Boolean> caughtUp = new ArrayList<>();
+  private final List<Boolean> catchUpResults = new ArrayList<>();
 
-  private void catchUp(long atLeast) {
+  private void catchUp(long minRevision) {
     watches.clear();
-    replica.catchUp(atLeast, caughtUp::add);
+    replica.catchUp(minRevision, catchUpResults::add);
     advance(500);
   }
 
   @Test
-  void newLeaderUsesTheReplicaOnceEveryRangeHasItsRevision() {
+  void catchUpCompletesOnceEveryRangeReachesLeaderRevision() {
     catchUp(30);
     assertEquals(7, watches.size());
     for (String prefix : List.copyOf(watches.keySet())) {
-      assertEquals(List.of(), caughtUp);
+      assertEquals(List.of(), catchUpResults);
       if (prefix.equals(StoreKeys.CANCELLATION_PREFIX)) {
         replyToWatch(prefix, 31, cancellation(2, 22));
       } else {
         replyToWatch(prefix, 30);
       }
     }
-    assertEquals(List.of(true), caughtUp);
+    assertEquals(List.of(true), catchUpResults);
     assertEquals(30, replica.revision());
     assertEquals(List.of("abort/run-1", "abort/run-2"), keys(StoreKeys.CANCELLATION_PREFIX));
   }
 
   @Test
-  void replyFromBeforeTheElectionIsNotEnough() {
+  void replyBelowLeaderRevisionIsNotEnough() {
     catchUp(30);
     for (String prefix : List.copyOf(watches.keySet())) {
       replyToWatch(prefix, prefix.equals(StoreKeys.ALLOC_PREFIX) ? 29 : 30);
     }
-    assertEquals(List.of(), caughtUp);
+    assertEquals(List.of(), catchUpResults);
     advance(1500);
     replyToWatch(StoreKeys.ALLOC_PREFIX, 30);
-    assertEquals(List.of(true), caughtUp);
+    assertEquals(List.of(true), catchUpResults);
   }
 
   @Test
-  void watchFromBeforeTheElectionIsIgnored() {
-    Effect.CallStore before = watches.get(StoreKeys.JOB_PREFIX);
+  void replyToWatchFromBeforeTheElectionIsIgnored() {
+    Effect.CallStore earlierWatch = watches.get(StoreKeys.JOB_PREFIX);
     catchUp(30);
-    context.completeCall(before.callId(), new Reply.Changes(ImmutableList.of(job(2, 12)), 30));
+    context.completeCall(
+        earlierWatch.callId(), new Reply.Changes(ImmutableList.of(job(2, 12)), 30));
     assertEquals(List.of("job/run-1"), keys(StoreKeys.JOB_PREFIX));
   }
 
   @Test
-  void outageIsWaitedForAndAGapHasEverythingRead() {
+  void catchUpRetriesAfterOutageAndFailsAfterCompaction() {
     catchUp(30);
     context.completeCall(watches.remove(StoreKeys.JOB_PREFIX).callId(), new Reply.Refused(503));
     advance(1500);
-    assertEquals(List.of(), caughtUp);
+    assertEquals(List.of(), catchUpResults);
     context.completeCall(watches.remove(StoreKeys.JOB_PREFIX).callId(), new Reply.Refused(410));
-    assertEquals(List.of(false), caughtUp);
+    assertEquals(List.of(false), catchUpResults);
     assertFalse(replica.isFollowing());
   }
 }
