--- a/src/main/java/eiderfork/controller/cluster/CancellationTracker.java
+++ b/src/main/java/eiderfork/controller/cluster/CancellationTracker.java
@@ -53,7 +53,8 @@
     private long acknowledgedNumber;
 
     /**
-     * When a confirmation that the peer had not acknowledged was last evicted before its retention.
+     * The time at which a confirmation that the peer had not acknowledged was last evicted before
+     * its retention ended.
      */
     private long unacknowledgedEvictedMs = NEVER;
 
@@ -78,11 +79,14 @@
   private final Set<String> confirmedUids = new HashSet<>();
   private long lastNumber;
 
-  /** When any confirmation was last evicted before its retention, acknowledged or not. */
+  /**
+   * The time at which any confirmation, acknowledged or not, was last evicted before its retention
+   * ended.
+   */
   private long lastEvictedMs = NEVER;
 
   /**
-   * The jobs whose cancellation this node or a peer confirmed. It is only a hint: a onRestart or an
+   * The jobs whose cancellation this node or a peer confirmed. It is only a hint: a restart or an
    * eviction may lose entries.
    */
   private final Cache<String, Boolean> confirmedAnywhere =
--- a/src/main/java/eiderfork/controller/standby/Standby.java
+++ b/src/main/java/eiderfork/controller/standby/Standby.java
@@ -60,7 +60,10 @@
     return hints;
   }
 
-  /** Updates the replica if this node is a standby for the last leader, and drops it otherwise. */
+  /**
+   * Keeps the replica while this node leads or is a standby for the last leader, and drops it
+   * otherwise.
+   */
   public void tick() {
     if (!isEnabled()) {
       return;
