--- a/src/test/java/eiderfork/controller/SilentControllersTest.java
+++ b/src/test/java/eiderfork/controller/SilentControllersTest.java
@@ -22,7 +22,7 @@
 class SilentControllersTest {
   private static final long DISCONNECTED_MS = 75_000;
 
-  /** A way in which a controller is disconnected; {@code REFUSED} means by the store. */
+  /** A way to disconnect a controller; with {@code REFUSED} the store refuses its requests. */
   enum Disconnection {
     ALL,
     STATE_SERVICE,
@@ -173,8 +173,8 @@
   }
 
   /**
-   * After it resumes, a suspended leader must not renew leases, confirm cancellations or place
-   * tasks on the basis of its state from before.
+   * After a suspended leader resumes, it must not renew leases, confirm cancellations or place
+   * tasks from the state that it had before.
    */
   @ParameterizedTest
   @ValueSource(ints = {1, 5, 20})
--- a/src/test/java/eiderfork/controller/SingleFailureTest.java
+++ b/src/test/java/eiderfork/controller/SingleFailureTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Single failures, each with the outcome that it must have. */
+/** Injects a single failure per test and checks its outcome. */
 class SingleFailureTest {
   private final SimulatedCluster cluster = new SimulatedCluster(7);
 
@@ -132,9 +132,8 @@
     int returnedBefore = cluster.cloud.returnedHostCount;
     cluster.crashNode(cluster.leader(), 8000);
     cluster.run(8);
-    // A new leader once returned machines that had not sent it a heartbeat yet, as if their boot
-    // had
-    // failed.
+    // A new leader once returned machines that had not sent it a heartbeat yet, as if they had
+    // failed to boot.
     assertEquals(returnedBefore, cluster.cloud.returnedHostCount);
     assertEquals(4, cluster.checker.runningTasks(job.uid()));
     assertEquals(startsBefore, cluster.checker.startCount);
@@ -176,7 +175,7 @@
       assertEquals(List.of(), seededCluster.checker.violations);
       survived += seededCluster.checker.runningTasks(job.uid());
     }
-    assertTrue(survived >= 70, "only " + survived + " of 80 tasks survive the failover");
+    assertTrue(survived >= 70, survived + " of 80 tasks survived the failover");
   }
 
   /**
@@ -318,7 +317,8 @@
     long runningBefore = cluster.checker.totalRunningTasks();
     cluster.run(120);
     assertTrue(
-        cluster.cloud.liveHostCount() < hostsBefore, "no machine was returned of " + hostsBefore);
+        cluster.cloud.liveHostCount() < hostsBefore,
+        hostsBefore + " or more machines are still rented");
     assertEquals(runningBefore, cluster.checker.totalRunningTasks());
   }
 
