--- a/src/test/java/eiderfork/controller/SilentWorkerHistoryTest.java
+++ b/src/test/java/eiderfork/controller/SilentWorkerHistoryTest.java
@@ -29,8 +29,8 @@
 class SilentWorkerHistoryTest {
   private static final int NODE_COUNT = 5;
   private static final int JOB_COUNT = 160;
-  private static final int WORKER_ISOLATIONS = 8;
-  private static final int FAULTS = 6;
+  private static final int WORKER_ISOLATION_COUNT = 8;
+  private static final int FAULT_COUNT = 6;
   private static final int FAULT_PERIOD_MS = 90_000;
   private static final int RECOVERY_PERIOD_S = 30;
 
@@ -140,7 +140,7 @@
   /** Plays the history of this seed with faults that change the leader, and returns the jobs. */
   static List<Job> playWithFaults(SimulatedCluster cluster, long seed) {
     Random script = new Random(seed * 43);
-    for (int i = 0; i < FAULTS; i++) {
+    for (int i = 0; i < FAULT_COUNT; i++) {
       cluster.schedule(8000 + script.nextInt(FAULT_PERIOD_MS), () -> injectFault(cluster, script));
     }
     return play(cluster, seed, script);
@@ -164,7 +164,7 @@
             submitMs + 10_000 + script.nextInt(40_000), () -> cluster.cancel(job.uid()));
       }
     }
-    for (int i = 0; i < WORKER_ISOLATIONS; i++) {
+    for (int i = 0; i < WORKER_ISOLATION_COUNT; i++) {
       cluster.schedule(
           8000 + script.nextInt(FAULT_PERIOD_MS), () -> isolateWorker(cluster, script));
     }
