--- a/src/test/java/eiderfork/controller/StandbyFailoverTest.java
+++ b/src/test/java/eiderfork/controller/StandbyFailoverTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A standby takes over with its replica while something else goes wrong. */
+/** Tests that a standby takes over with its replica while further faults occur. */
 class StandbyFailoverTest {
   private static SimulatedCluster newCluster(long seed) {
     return newCluster(seed, 3, 1);
@@ -34,14 +34,17 @@
     return LongStream.rangeClosed(1, 8);
   }
 
-  /** The seeds of random histories; more with {@code -Dhistories.from=... -Dhistories.to=...}. */
+  /**
+   * Returns the seeds of the random histories; {@code -Dhistories.from=... -Dhistories.to=...} sets
+   * others.
+   */
   private static LongStream historySeeds() {
     return LongStream.rangeClosed(
         Long.getLong("histories.from", 1), Long.getLong("histories.to", 8));
   }
 
-  /** Services, an array and a gang, some of them submitted while the first start. */
-  private static List<Job> rollout(SimulatedCluster cluster) {
+  /** Submits services, an array and a gang, the later ones while the first are starting. */
+  private static List<Job> submitRollout(SimulatedCluster cluster) {
     List<Job> jobs = new ArrayList<>();
     for (int i = 1; i <= 8; i++) {
       String team = i % 2 == 0 ? "red" : "blue";
@@ -56,7 +59,8 @@
     return jobs;
   }
 
-  private static String standby(SimulatedCluster cluster) {
+  /** Returns the name of a running standby, or null. */
+  private static String findStandby(SimulatedCluster cluster) {
     return cluster.controllers.entrySet().stream()
         .filter(node -> node.getValue().isStandby())
         .map(java.util.Map.Entry::getKey)
@@ -64,46 +68,49 @@
         .orElse(null);
   }
 
-  private static Controller leading(SimulatedCluster cluster) {
+  private static Controller leaderController(SimulatedCluster cluster) {
     return cluster.controllers.get(cluster.leader());
   }
 
   @Test
-  void standbyFollowsAndLeadsNext() {
+  void standbyTakesOverFromItsReplica() {
     SimulatedCluster cluster = newCluster(1);
-    List<Job> jobs = rollout(cluster);
+    List<Job> jobs = submitRollout(cluster);
     cluster.run(30);
-    String next = standby(cluster);
+    String standby = findStandby(cluster);
     cluster.crashNode(cluster.leader(), 60_000);
     cluster.run(6);
-    assertEquals(next, cluster.leader());
-    assertTrue(leading(cluster).recoveredFromReplica());
+    assertEquals(standby, cluster.leader());
+    assertTrue(leaderController(cluster).recoveredFromReplica());
     cluster.run(10);
-    assertTrue(standby(cluster) != null, "the node that is left stands by now");
+    assertTrue(findStandby(cluster) != null, "the remaining node has not become a standby");
     ExpectedOutcome.assertAllJobsServed(cluster, jobs);
   }
 
   @Test
-  void withoutTheSettingNobodyStandsBy() {
+  void noNodeIsAStandbyUnlessConfigured() {
     SimulatedCluster cluster = newCluster(1, 3, 0);
-    List<Job> jobs = rollout(cluster);
+    List<Job> jobs = submitRollout(cluster);
     cluster.run(30);
-    assertEquals(null, standby(cluster));
+    assertEquals(null, findStandby(cluster));
     cluster.crashNode(cluster.leader(), 60_000);
     cluster.run(6);
-    assertFalse(leading(cluster).recoveredFromReplica());
+    assertFalse(leaderController(cluster).recoveredFromReplica());
     ExpectedOutcome.assertAllJobsServed(cluster, jobs);
   }
 
-  /** At every write of a round, with the replica current, one placement behind, and far behind. */
+  /**
+   * The leader crashes at each write of a scheduling round, while the replica is up to date, one
+   * placement behind or far behind.
+   */
   @ParameterizedTest
   @ValueSource(ints = {0, 50, 100, 150, 200, 300, 400, 500, 700, 900, 1100, 1300, 1600, 2000, 3000})
-  void leaderIsKilledInTheMiddleOfARollout(int afterMs) {
-    for (long stateDelayMs : new long[] {0, 300}) {
+  void leaderCrashesDuringARollout(int afterMs) {
+    for (long storeDelayMs : new long[] {0, 300}) {
       SimulatedCluster cluster = newCluster(2);
       cluster.run(20);
-      List<Job> jobs = rollout(cluster);
-      cluster.storeDelayMs = stateDelayMs;
+      List<Job> jobs = submitRollout(cluster);
+      cluster.storeDelayMs = storeDelayMs;
       cluster.run(afterMs / 1000.0);
       cluster.crashNode(cluster.leader(), 20_000);
       cluster.run(8);
@@ -113,53 +120,64 @@
     }
   }
 
-  /** Rents and returns that the old leader had reserved are settled by the next one. */
+  /**
+   * The crashed leader has stored intents to rent and return machines, and lost the cloud's
+   * replies. The standby settles the intents that it finds in its replica.
+   */
   @ParameterizedTest
   @ValueSource(ints = {0, 50, 100, 200, 500, 1000, 2000})
-  void scaleOutAndScaleInIntentsOfTheReplicaAreSettled(int afterMs) {
+  void scaleOutAndScaleInIntentsInTheReplicaAreSettled(int afterMs) {
     SimulatedCluster cluster = newCluster(12);
     cluster.run(20);
-    List<Job> jobs = rollout(cluster);
+    List<Job> jobs = submitRollout(cluster);
     cluster.run(2);
     cluster.cutLink("cloud>" + cluster.leader(), 10_000);
     cluster.run(afterMs / 1000.0);
     crashLeader(cluster, 20_000);
     cluster.run(8);
-    assertTrue(leading(cluster).recoveredFromReplica());
+    assertTrue(leaderController(cluster).recoveredFromReplica());
     jobs.subList(0, 4).forEach(job -> cluster.cancel(job.uid()));
     ExpectedOutcome.assertAllJobsServed(cluster, jobs);
-    assertEquals(List.of(), cluster.store.keys(StoreKeys.RENT_PREFIX), "rents that nobody settles");
+    assertEquals(List.of(), cluster.store.keys(StoreKeys.RENT_PREFIX), "unsettled rent intents");
   }
 
-  /** Watches bring nothing for a while; what was written meanwhile comes with the proof. */
+  /**
+   * The standby's watches deliver nothing for a while. What was written meanwhile is read when the
+   * replica is proved complete, before the standby leads from it. It then keeps its term, so the
+   * state that it recovered was right.
+   */
   @ParameterizedTest
   @ValueSource(ints = {1, 4, 8})
-  void replicaIsFarBehind(int blindS) {
+  void replicaFarBehindIsBroughtUpToDate(int silentWatchesS) {
     SimulatedCluster cluster = newCluster(13);
     cluster.run(20);
-    String standby = standby(cluster);
+    String standby = findStandby(cluster);
     cluster.storeAccess.nodesWithSilentWatches.add(standby);
-    List<Job> jobs = rollout(cluster);
-    cluster.run(blindS);
+    List<Job> jobs = submitRollout(cluster);
+    cluster.run(silentWatchesS);
     jobs.subList(0, 2).forEach(job -> cluster.cancel(job.uid()));
     cluster.run(1);
     crashLeader(cluster, 20_000);
     cluster.run(6);
     assertEquals(standby, cluster.leader());
-    assertTrue(leading(cluster).recoveredFromReplica());
+    assertTrue(leaderController(cluster).recoveredFromReplica());
     var term = cluster.store.get(StoreKeys.TERM);
     cluster.storeAccess.nodesWithSilentWatches.clear();
     ExpectedOutcome.assertAllJobsServed(cluster, jobs);
-    assertEquals(term, cluster.store.get(StoreKeys.TERM), "what it took up was right");
+    assertEquals(
+        term, cluster.store.get(StoreKeys.TERM), "the term changed: the recovered state was wrong");
   }
 
-  /** A reservation's answer is lost, or it is carried out while the standby leads. */
+  /**
+   * Replies to writes of reservations are lost, or the writes are executed late, when the standby
+   * already leads.
+   */
   @ParameterizedTest
   @MethodSource("seeds")
-  void reservationsAreCarriedOutLateOrLoseTheirAnswers(long seed) {
+  void reservationsAreExecutedLateOrLoseTheirReplies(long seed) {
     SimulatedCluster cluster = newCluster(seed);
     cluster.run(15);
-    List<Job> jobs = rollout(cluster);
+    List<Job> jobs = submitRollout(cluster);
     cluster.lateTransactionProbability = seed % 2 == 0 ? 0.4 : 0;
     cluster.lostStoreReplyProbability = seed % 2 == 0 ? 0 : 0.4;
     cluster.schedule(800 + 150 * seed, () -> crashLeader(cluster, 6000));
@@ -170,22 +188,22 @@
     ExpectedOutcome.assertAllJobsServed(cluster, jobs);
   }
 
-  private static void crashLeader(SimulatedCluster cluster, long forMs) {
+  private static void crashLeader(SimulatedCluster cluster, long durationMs) {
     if (cluster.leader() != null) {
-      cluster.crashNode(cluster.leader(), forMs);
+      cluster.crashNode(cluster.leader(), durationMs);
     }
   }
 
-  /** Answers of watches are lost, late and doubled like all others. */
+  /** Responses to watches are lost, delayed and duplicated, as all other messages are. */
   @ParameterizedTest
   @MethodSource("seeds")
-  void watchesAreLostLateAndDoubled(long seed) {
+  void watchResponsesAreLostDelayedAndDuplicated(long seed) {
     SimulatedCluster cluster = newCluster(seed);
     cluster.lossProbability = 0.1;
     cluster.delayProbability = 0.1;
     cluster.maxDelayMs = 3000;
     cluster.duplicateProbability = 0.2;
-    List<Job> jobs = rollout(cluster);
+    List<Job> jobs = submitRollout(cluster);
     for (int i = 0; i < 4; i++) {
       cluster.schedule(15_000 + i * 9000L + 300 * seed, () -> crashLeader(cluster, 3000));
     }
@@ -197,7 +215,7 @@
   @ValueSource(ints = {-500, 0, 500, 3000, 3400, 3800})
   void storeIsUnavailableDuringTheFailover(int afterMs) {
     SimulatedCluster cluster = newCluster(3);
-    List<Job> jobs = rollout(cluster);
+    List<Job> jobs = submitRollout(cluster);
     cluster.run(25);
     cluster.schedule(500, () -> crashLeader(cluster, 30_000));
     cluster.schedule(500 + afterMs, () -> cluster.store.startOutage(cluster.nowMs));
@@ -208,11 +226,11 @@
 
   @ParameterizedTest
   @ValueSource(ints = {0, 2000, 3300, 4000})
-  void standbyAloneIsRefused(int afterMs) {
+  void storeRefusesOnlyTheStandby(int afterMs) {
     SimulatedCluster cluster = newCluster(4);
-    List<Job> jobs = rollout(cluster);
+    List<Job> jobs = submitRollout(cluster);
     cluster.run(25);
-    String standby = standby(cluster);
+    String standby = findStandby(cluster);
     cluster.schedule(afterMs, () -> cluster.refuseStoreRequests(standby, 15_000));
     crashLeader(cluster, 20_000);
     cluster.run(40);
@@ -220,87 +238,97 @@
   }
 
   @Test
-  void twoStandbysTryAndOneLeads() {
+  void oneOfTwoStandbysLeads() {
     for (long seed = 1; seed <= 6; seed++) {
       SimulatedCluster cluster = newCluster(seed, 5, 2);
-      List<Job> jobs = rollout(cluster);
+      List<Job> jobs = submitRollout(cluster);
       cluster.run(25);
-      long standbys = cluster.controllers.values().stream().filter(Controller::isStandby).count();
-      assertEquals(2, standbys);
+      long standbyCount =
+          cluster.controllers.values().stream().filter(Controller::isStandby).count();
+      assertEquals(2, standbyCount);
       crashLeader(cluster, 20_000);
       cluster.run(8);
-      assertTrue(leading(cluster).recoveredFromReplica());
+      assertTrue(leaderController(cluster).recoveredFromReplica());
       ExpectedOutcome.assertAllJobsServed(cluster, jobs);
     }
   }
 
-  /** While it waits, stands for election, catches up, and right after. */
+  /** The standby crashes while it waits, is elected, catches up, or right after. */
   @ParameterizedTest
   @ValueSource(ints = {0, 1000, 3000, 3300, 3350, 3400, 3450, 3500, 3600, 3800, 4500})
-  void standbyIsKilledAtEachPhase(int afterMs) {
+  void standbyCrashesInEachPhaseOfTheFailover(int afterMs) {
     SimulatedCluster cluster = newCluster(5);
-    List<Job> jobs = rollout(cluster);
+    List<Job> jobs = submitRollout(cluster);
     cluster.run(25);
-    String standby = standby(cluster);
+    String standby = findStandby(cluster);
     crashLeader(cluster, 30_000);
     cluster.schedule(afterMs, () -> cluster.crashNode(standby, 20_000));
     cluster.run(45);
     ExpectedOutcome.assertAllJobsServed(cluster, jobs);
   }
 
+  /** The third node has no replica, so it recovers by reading everything from the store. */
   @Test
-  void leaderAndStandbyAreKilledTogether() {
+  void leaderAndStandbyCrashTogether() {
     SimulatedCluster cluster = newCluster(6);
-    List<Job> jobs = rollout(cluster);
+    List<Job> jobs = submitRollout(cluster);
     cluster.run(25);
-    cluster.crashNode(standby(cluster), 20_000);
+    cluster.crashNode(findStandby(cluster), 20_000);
     crashLeader(cluster, 20_000);
     cluster.run(8);
-    assertFalse(leading(cluster).recoveredFromReplica(), "the third node reads everything");
+    assertFalse(
+        leaderController(cluster).recoveredFromReplica(),
+        "the third node recovered from a replica");
     ExpectedOutcome.assertAllJobsServed(cluster, jobs);
   }
 
-  /** Its late commands, transactions, answers and renewals come when the standby leads. */
+  /**
+   * The leader is suspended and resumes when the standby leads; its delayed commands, transactions,
+   * responses and lease renewals arrive then.
+   */
   @ParameterizedTest
   @CsvSource({"3600,0", "5000,900", "8000,1500", "12000,3000"})
-  void oldLeaderResumesAfterAPause(int stillMs, int commandsLateMs) {
+  void oldLeaderResumesAfterAPause(int pauseMs, int commandDelayMs) {
     SimulatedCluster cluster = newCluster(7);
     cluster.setProbesAfterNews(true);
     cluster.run(15);
-    List<Job> jobs = rollout(cluster);
-    cluster.commandDelayMs = commandsLateMs;
+    List<Job> jobs = submitRollout(cluster);
+    cluster.commandDelayMs = commandDelayMs;
     cluster.repeatedHeartbeatProbability = 0.2;
     cluster.run(1);
-    cluster.freezeNode(cluster.leader(), stillMs);
+    cluster.freezeNode(cluster.leader(), pauseMs);
     cluster.schedule(
-        stillMs - 200, () -> jobs.subList(0, 3).forEach(job -> cluster.cancel(job.uid())));
+        pauseMs - 200, () -> jobs.subList(0, 3).forEach(job -> cluster.cancel(job.uid())));
     cluster.run(40);
     cluster.commandDelayMs = 0;
     cluster.setProbesAfterNews(false);
     ExpectedOutcome.assertAllJobsServed(cluster, jobs);
   }
 
-  /** A third node confirms cancellations, and then the store is out past cancel_s. */
+  /**
+   * The third node confirms cancellations during the failover, and then the store is unavailable
+   * for longer than {@code cancel_s}.
+   */
   @ParameterizedTest
   @ValueSource(ints = {0, 1000, 2500, 3000, 3300, 3400, 3500, 3700, 4200})
-  void cancellationsDuringAFailover(int afterMs) {
-    for (long stateDelayMs : new long[] {0, 700}) {
-      cancelDuringAFailover(afterMs, stateDelayMs);
+  void cancellationsAreKeptDuringAFailover(int afterMs) {
+    for (long storeDelayMs : new long[] {0, 700}) {
+      cancelDuringAFailover(afterMs, storeDelayMs);
     }
   }
 
-  private static void cancelDuringAFailover(int afterMs, long stateDelayMs) {
+  private static void cancelDuringAFailover(int afterMs, long storeDelayMs) {
     SimulatedCluster cluster = newCluster(8);
-    List<Job> jobs = rollout(cluster);
+    List<Job> jobs = submitRollout(cluster);
     cluster.run(25);
     String leader = cluster.leader();
-    String standby = standby(cluster);
+    String standby = findStandby(cluster);
     String third =
         cluster.nodeNames().stream()
             .filter(node -> !node.equals(leader) && !node.equals(standby))
             .findFirst()
             .orElseThrow();
-    cluster.storeDelayMs = stateDelayMs;
+    cluster.storeDelayMs = storeDelayMs;
     crashLeader(cluster, 60_000);
     cluster.schedule(
         afterMs, () -> jobs.subList(2, 6).forEach(job -> cluster.cancelOnce(third, job.uid())));
@@ -310,13 +338,16 @@
     ExpectedOutcome.assertAllJobsServed(cluster, jobs);
   }
 
-  /** Jobs are archived while the replica is followed; some are in it, some go as it is used. */
+  /**
+   * Jobs are archived while standbys follow the store: at a failover some archived jobs are still
+   * in the replica, and some are removed from the store while the replica is taken over.
+   */
   @ParameterizedTest
   @MethodSource("seeds")
-  void archivedJobsInTheReplica(long seed) {
+  void jobsAreArchivedDuringFailovers(long seed) {
     Settings settings = TestFixtures.withStandbys(TestFixtures.archivingSettings(60, 2), 1);
     SimulatedCluster cluster = new SimulatedCluster(seed, settings);
-    List<Job> jobs = rollout(cluster);
+    List<Job> jobs = submitRollout(cluster);
     for (int i = 0; i < 8; i++) {
       Job job = TestFixtures.job(40 + i, JobKind.ARRAY, 1, 0);
       jobs.add(job);
@@ -331,7 +362,7 @@
 
   @ParameterizedTest
   @ValueSource(ints = {0, 100, 200, 300, 400, 600, 1000})
-  void gangIsHalfReserved(int afterMs) {
+  void leaderCrashesWhileGangsArePartlyReserved(int afterMs) {
     SimulatedCluster cluster = newCluster(9);
     cluster.run(20);
     List<Job> jobs = new ArrayList<>();
@@ -346,10 +377,10 @@
     ExpectedOutcome.assertAllJobsServed(cluster, jobs);
   }
 
-  /** Nodes that know no standby are replaced one after the other, in any order. */
+  /** Nodes of an older version, which has no standbys, are upgraded one by one, in any order. */
   @ParameterizedTest
   @ValueSource(strings = {"012", "021", "102", "120", "201", "210"})
-  void anUpgradeInAnyOrder(String order) {
+  void rollingUpgradeInAnyOrder(String order) {
     SimulatedCluster cluster = newCluster(10);
     cluster.olderVersionNodes.addAll(cluster.nodeNames());
     cluster.nodeNames().forEach(node -> cluster.crashNode(node, 100));
@@ -360,9 +391,9 @@
       cluster.schedule(i * 400L, () -> cluster.submit(job));
     }
     cluster.run(20);
-    for (char node : order.toCharArray()) {
-      cluster.olderVersionNodes.remove("roost-" + node);
-      cluster.crashNode("roost-" + node, 500);
+    for (char nodeNumber : order.toCharArray()) {
+      cluster.olderVersionNodes.remove("roost-" + nodeNumber);
+      cluster.crashNode("roost-" + nodeNumber, 500);
       cluster.run(9);
     }
     crashLeader(cluster, 3000);
@@ -370,27 +401,27 @@
     ExpectedOutcome.assertAllJobsServed(cluster, jobs);
   }
 
-  /** Seeded histories of faults; many more are run by hand, see docs/standby.md. */
+  /** Plays random histories of faults; many more are run by hand, see docs/standby.md. */
   @ParameterizedTest
   @MethodSource("historySeeds")
   void randomHistories(long seed) {
     randomHistory(seed);
   }
 
-  /** One random history on three or five nodes with one or two standbys. */
+  /** Plays a random history on three or five nodes with one or two standbys. */
   static void randomHistory(long seed) {
     SimulatedCluster cluster = randomCluster(seed);
     ExpectedOutcome.assertAllJobsServed(cluster, play(cluster, seed));
   }
 
-  /** Where a random history is played. */
+  /** Returns the cluster on which the random history of this seed is played. */
   static SimulatedCluster randomCluster(long seed) {
     return newCluster(seed, seed % 3 == 0 ? 5 : 3, 1 + (int) (seed % 2));
   }
 
-  /** Plays the random history of this seed, and tells the jobs. */
+  /** Plays the random history of this seed and returns the jobs that were submitted. */
   static List<Job> play(SimulatedCluster cluster, long seed) {
-    Random script = new Random(seed * 101);
+    Random random = new Random(seed * 101);
     cluster.lossProbability = 0.01;
     cluster.delayProbability = 0.02;
     cluster.duplicateProbability = 0.02;
@@ -400,42 +431,42 @@
     if (seed % 4 == 0) {
       cluster.setProbesAfterNews(true);
     }
-    List<Job> jobs = rollout(cluster);
+    List<Job> jobs = submitRollout(cluster);
     for (int i = 0; i < 10; i++) {
-      JobKind kind = script.nextBoolean() ? JobKind.ARRAY : JobKind.SERVICE;
-      Job job = TestFixtures.job(60 + i, kind, 1 + script.nextInt(4), script.nextInt(2));
+      JobKind kind = random.nextBoolean() ? JobKind.ARRAY : JobKind.SERVICE;
+      Job job = TestFixtures.job(60 + i, kind, 1 + random.nextInt(4), random.nextInt(2));
       jobs.add(job);
-      cluster.schedule(script.nextInt(50_000), () -> cluster.submit(job));
-      if (script.nextInt(3) == 0) {
-        cluster.schedule(20_000 + script.nextInt(40_000), () -> cluster.cancel(job.uid()));
+      cluster.schedule(random.nextInt(50_000), () -> cluster.submit(job));
+      if (random.nextInt(3) == 0) {
+        cluster.schedule(20_000 + random.nextInt(40_000), () -> cluster.cancel(job.uid()));
       }
     }
     for (int i = 0; i < 8; i++) {
-      cluster.schedule(10_000 + script.nextInt(60_000), () -> injectFault(cluster, script));
+      cluster.schedule(10_000 + random.nextInt(60_000), () -> injectFault(cluster, random));
     }
     cluster.run(80);
     cluster.setProbesAfterNews(false);
     return jobs;
   }
 
-  private static void injectFault(SimulatedCluster cluster, Random script) {
-    String any = cluster.nodeNames().get(script.nextInt(cluster.nodeCount));
-    String leader = cluster.leader() == null ? any : cluster.leader();
-    String standby = standby(cluster) == null ? any : standby(cluster);
-    switch (script.nextInt(7)) {
-      case 0 -> cluster.crashNode(leader, 200 + script.nextInt(6000));
-      case 1 -> cluster.crashNode(standby, 200 + script.nextInt(6000));
+  private static void injectFault(SimulatedCluster cluster, Random random) {
+    String randomNode = cluster.nodeNames().get(random.nextInt(cluster.nodeCount));
+    String leader = cluster.leader() == null ? randomNode : cluster.leader();
+    String standby = findStandby(cluster) == null ? randomNode : findStandby(cluster);
+    switch (random.nextInt(7)) {
+      case 0 -> cluster.crashNode(leader, 200 + random.nextInt(6000));
+      case 1 -> cluster.crashNode(standby, 200 + random.nextInt(6000));
       case 2 -> {
-        cluster.crashNode(leader, 200 + script.nextInt(4000));
-        cluster.crashNode(standby, 200 + script.nextInt(4000));
+        cluster.crashNode(leader, 200 + random.nextInt(4000));
+        cluster.crashNode(standby, 200 + random.nextInt(4000));
       }
-      case 3 -> cluster.freezeNode(leader, 1000 + script.nextInt(9000));
-      case 4 -> cluster.refuseStoreRequests(script.nextBoolean() ? leader : standby, 8000);
+      case 3 -> cluster.freezeNode(leader, 1000 + random.nextInt(9000));
+      case 4 -> cluster.refuseStoreRequests(random.nextBoolean() ? leader : standby, 8000);
       case 5 -> {
         cluster.store.startOutage(cluster.nowMs);
-        cluster.schedule(3000 + script.nextInt(9000), () -> cluster.store.endOutage(cluster.nowMs));
+        cluster.schedule(3000 + random.nextInt(9000), () -> cluster.store.endOutage(cluster.nowMs));
       }
-      default -> cluster.isolateNode(leader, 5000 + script.nextInt(9000));
+      default -> cluster.isolateNode(leader, 5000 + random.nextInt(9000));
     }
   }
 }
