--- a/src/test/java/eiderfork/controller/JobArchiverTest.java
+++ b/src/test/java/eiderfork/controller/JobArchiverTest.java
@@ -27,20 +27,21 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Jobs that leave the working keys and the leader's memory, and what must never bring them back.
+ * Tests that terminal jobs are archived, that is, removed from the leader's memory and from the
+ * keys that a new leader reads, and that no late write restores them.
  */
 class JobArchiverTest {
-  private static final double STAY_S = 0.5;
+  private static final double RETENTION_S = 0.5;
 
   static SimulatedCluster newCluster(long seed) {
-    return new SimulatedCluster(seed, TestFixtures.archivingSettings(STAY_S));
+    return new SimulatedCluster(seed, TestFixtures.archivingSettings(RETENTION_S));
   }
 
   static LongStream seeds() {
     return LongStream.rangeClosed(1, 20);
   }
 
-  private static void assertNoBreaches(SimulatedCluster cluster) {
+  private static void assertNoViolations(SimulatedCluster cluster) {
     assertEquals(List.of(), cluster.checker.violations);
   }
 
@@ -48,7 +49,7 @@
     return cluster.store.get(StoreKeys.ended(job.uid())) != null;
   }
 
-  /** Nothing of the job is left but the record of its final state. */
+  /** Asserts that the archived record with the final state is all that is stored of the job. */
   private static void assertArchivedCompletely(SimulatedCluster cluster, Job job) {
     assertInstanceOf(
         StoredRecord.ArchivedJob.class, cluster.store.get(StoreKeys.ended(job.uid())), job::uid);
@@ -57,8 +58,8 @@
     assertNull(cluster.store.get(StoreKeys.cancellation(job.uid())), job::uid);
   }
 
-  /** An array that is done, and a service that is cancelled. */
-  private static List<Job> runJobsToTheirEnd(SimulatedCluster cluster) {
+  /** Runs an array until it is done and a service until it is cancelled, and returns both. */
+  private static List<Job> runJobsUntilTerminal(SimulatedCluster cluster) {
     Job array = TestFixtures.job(1, JobKind.ARRAY, 3, 1);
     Job service = TestFixtures.job(2, JobKind.SERVICE, 2, 1);
     cluster.submit(array);
@@ -82,7 +83,7 @@
     write(cluster, new StoreRequest.Condition(key, 0), key, new StoredRecord.JobSpec(job));
   }
 
-  private static void abortLateAsOlderVersion(SimulatedCluster cluster, Job job) {
+  private static void cancelLateAsOlderVersion(SimulatedCluster cluster, Job job) {
     StoreRequest.Condition neverStarted = new StoreRequest.Condition(StoreKeys.alloc(job.uid()), 0);
     write(
         cluster,
@@ -92,9 +93,9 @@
   }
 
   @Test
-  void archivedJobsLeaveKeysAndMemoryAndEveryNodeAnswersForThem() {
+  void archivedJobsAreRemovedFromKeysAndMemoryAndAnsweredByEveryNode() {
     SimulatedCluster cluster = newCluster(1);
-    List<Job> jobs = runJobsToTheirEnd(cluster);
+    List<Job> jobs = runJobsUntilTerminal(cluster);
     jobs.forEach(job -> assertArchivedCompletely(cluster, job));
     assertEquals(0, cluster.controllers.get(cluster.leader()).jobsInMemory());
     for (Job job : jobs) {
@@ -103,49 +104,51 @@
         cluster.cancelOnce(node, job.uid());
       }
     }
-    int answers = cluster.checker.answeredRequests;
+    int answersBefore = cluster.checker.answeredRequests;
     cluster.run(5);
-    assertEquals(answers + 2 * 9, cluster.checker.answeredRequests);
-    assertNoBreaches(cluster);
+    assertEquals(answersBefore + 2 * 9, cluster.checker.answeredRequests);
+    assertNoViolations(cluster);
     assertEquals(JobStatus.Phase.DONE, cluster.checker.finalPhase(jobs.get(0).uid()));
     assertEquals(JobStatus.Phase.ABORTED, cluster.checker.finalPhase(jobs.get(1).uid()));
     jobs.forEach(job -> assertArchivedCompletely(cluster, job));
   }
 
-  /** Processes that remember nothing answer from the archived record alone. */
+  /** Restarted processes have no status in memory and answer from the archived record alone. */
   @Test
-  void restartedNodesAnswerForArchivedJobs() {
+  void restartedNodesAnswerFromTheArchivedRecord() {
     SimulatedCluster cluster = newCluster(2);
-    List<Job> jobs = runJobsToTheirEnd(cluster);
+    List<Job> jobs = runJobsUntilTerminal(cluster);
     cluster.nodeNames().forEach(node -> cluster.crashNode(node, 500));
     cluster.run(10);
     jobs.forEach(job -> cluster.queryAndResubmitEverywhere(job.uid()));
-    int answers = cluster.checker.answeredRequests;
+    int answersBefore = cluster.checker.answeredRequests;
     cluster.run(5);
-    assertEquals(answers + 2 * 6, cluster.checker.answeredRequests);
-    assertNoBreaches(cluster);
+    assertEquals(answersBefore + 2 * 6, cluster.checker.answeredRequests);
+    assertNoViolations(cluster);
   }
 
   @Test
   void jobsAreArchivedAfterTheConfiguredRetention() {
     SimulatedCluster cluster = new SimulatedCluster(3, TestFixtures.archivingSettings(60));
-    List<Job> jobs = runJobsToTheirEnd(cluster);
+    List<Job> jobs = runJobsUntilTerminal(cluster);
     jobs.forEach(job -> assertFalse(isArchived(cluster, job)));
     cluster.run(60);
     jobs.forEach(job -> assertArchivedCompletely(cluster, job));
   }
 
   /**
-   * The write of a submission that a process of an older version sent minutes ago knows no archive.
-   * Guards: the condition of a job's first alloc write, and the look into the archive before memory
-   * answers for a job without one.
+   * A node of an older version writes submissions without a check for an archived record. Such a
+   * write, executed minutes late, recreates the spec of an archived job. The job must not start
+   * again and must keep its status: the first write of its allocation is conditional on the absence
+   * of the archived record, and the leader looks for that record before it answers from memory for
+   * a job without an allocation.
    */
   @ParameterizedTest
   @MethodSource("seeds")
-  void lateSubmissionOfAnOlderVersionRestoresNothing(long seed) {
+  void lateSubmissionOfAnOlderVersionDoesNotRestoreArchivedJobs(long seed) {
     SimulatedCluster cluster = newCluster(seed);
-    List<Job> jobs = runJobsToTheirEnd(cluster);
-    int starts = cluster.checker.startCount;
+    List<Job> jobs = runJobsUntilTerminal(cluster);
+    int startsBefore = cluster.checker.startCount;
     jobs.forEach(job -> submitLateAsOlderVersion(cluster, job));
     for (int ms = 0; ms < 2000; ms += 70) {
       cluster.schedule(
@@ -155,67 +158,76 @@
       cluster.schedule(seed * 40, () -> cluster.crashNode(cluster.leader(), 1000));
     }
     cluster.run(20);
-    assertNoBreaches(cluster);
-    assertEquals(starts, cluster.checker.startCount);
-    // The copy itself goes, too, so that later leaders are not bothered by it.
+    assertNoViolations(cluster);
+    assertEquals(startsBefore, cluster.checker.startCount);
+    // The recreated spec is removed, too, so that later leaders don't load it.
     jobs.forEach(job -> assertArchivedCompletely(cluster, job));
   }
 
-  /** The same without capacity, so that no allocation write checks for the archived record. */
+  /**
+   * A late submission as above, but without capacity, so that no allocation write checks for the
+   * archived record.
+   */
   @Test
   void resubmittedArchivedJobIsAnsweredFromTheArchive() {
     SimulatedCluster cluster = newCluster(4);
-    Job job = runJobsToTheirEnd(cluster).get(0);
+    Job job = runJobsUntilTerminal(cluster).get(0);
     cluster.cloud.isDown = true;
     cluster.workers().forEach(worker -> cluster.failMachine(worker.machine.name()));
     cluster.run(60);
     submitLateAsOlderVersion(cluster, job);
     cluster.run(3);
-    // A process that has answered with the final status would answer from its cache.
+    // Processes that have answered with the final status would answer from their cache.
     cluster.nodeNames().forEach(node -> cluster.crashNode(node, 500));
     for (int ms = 3000; ms < 9000; ms += 70) {
       cluster.schedule(ms, () -> cluster.queryAllNodes(job.uid()));
     }
     cluster.run(10);
-    assertNoBreaches(cluster);
+    assertNoViolations(cluster);
   }
 
-  /** A late cancellation of a job that had not started when it was requested, and is done now. */
+  /**
+   * A cancellation of an older version, requested before the job started, is executed when the job
+   * is done and archived.
+   */
   @ParameterizedTest
   @MethodSource("seeds")
   void lateCancellationOfAnOlderVersionChangesNothing(long seed) {
     SimulatedCluster cluster = newCluster(seed);
-    Job done = runJobsToTheirEnd(cluster).get(0);
+    Job done = runJobsUntilTerminal(cluster).get(0);
     cluster.checker.recordCancellation(done.uid());
-    abortLateAsOlderVersion(cluster, done);
+    cancelLateAsOlderVersion(cluster, done);
     if (seed % 2 == 0) {
       submitLateAsOlderVersion(cluster, done);
     }
     cluster.nodeNames().forEach(node -> cluster.crashNode(node, 200 + seed * 50));
     // Queried early, the nodes would answer later queries from their cache.
-    int firstAskedMs = seed % 3 == 0 ? 0 : 7000;
-    for (int ms = firstAskedMs; ms < 9000; ms += 70) {
+    int firstQueryMs = seed % 3 == 0 ? 0 : 7000;
+    for (int ms = firstQueryMs; ms < 9000; ms += 70) {
       cluster.schedule(ms, () -> cluster.queryAllNodes(done.uid()));
     }
     cluster.schedule(9000, () -> cluster.cancelOnce("roost-0", done.uid()));
     cluster.run(15);
-    assertNoBreaches(cluster);
+    assertNoViolations(cluster);
     assertEquals(JobStatus.Phase.DONE, cluster.checker.finalPhase(done.uid()));
     assertEquals(
         new StoredRecord.ArchivedJob(JobStatus.Phase.DONE, 3),
         cluster.store.get(StoreKeys.ended(done.uid())));
   }
 
-  /** Both late writes at once, and a leader with no reason yet to check the job again. */
+  /**
+   * A late submission and a late cancellation recreate the spec and the cancellation of a done job,
+   * and the new leader has no reason yet to look for the archived record.
+   */
   @Test
-  void cancelledCopyOfADoneJobDoesNotChangeItsStatus() {
+  void recreatedAndCancelledDoneJobKeepsItsStatus() {
     SimulatedCluster cluster = new SimulatedCluster(10, TestFixtures.archivingSettings(20));
-    Job done = runJobsToTheirEnd(cluster).get(0);
+    Job done = runJobsUntilTerminal(cluster).get(0);
     cluster.run(30);
     assertArchivedCompletely(cluster, done);
     cluster.checker.recordCancellation(done.uid());
     submitLateAsOlderVersion(cluster, done);
-    abortLateAsOlderVersion(cluster, done);
+    cancelLateAsOlderVersion(cluster, done);
     cluster.nodeNames().forEach(node -> cluster.crashNode(node, 500));
     cluster.run(8);
     for (String node : cluster.nodeNames()) {
@@ -226,25 +238,25 @@
     cluster.run(40);
     cluster.queryAllNodes(done.uid());
     cluster.run(3);
-    assertNoBreaches(cluster);
+    assertNoViolations(cluster);
     assertEquals(JobStatus.Phase.DONE, cluster.checker.finalPhase(done.uid()));
     assertNull(cluster.store.get(StoreKeys.job(done.uid())));
   }
 
   /**
-   * Questions, repeated submissions and cancellations at every instant of the move and at every
-   * node, while writes are carried out late, answers are lost, and leaders end in between. With a
-   * stay of half a second most late writes come after the job has left.
+   * Jobs are queried, resubmitted and cancelled at every node throughout their archiving, while
+   * writes are executed late, replies are lost and leaders crash. With a retention of half a second
+   * most late writes are executed after the job is archived.
    */
   @ParameterizedTest
   @MethodSource("seeds")
   void answersStayConsistentWithLateWritesAndLostReplies(long seed) {
     SimulatedCluster cluster = newCluster(seed);
     List<Job> jobs = play(cluster, seed);
-    assertNoBreaches(cluster);
+    assertNoViolations(cluster);
     jobs.forEach(job -> cluster.queryAllNodes(job.uid()));
     cluster.run(3);
-    assertNoBreaches(cluster);
+    assertNoViolations(cluster);
     for (Job job : jobs) {
       assertNotNull(cluster.checker.finalPhase(job.uid()), job::uid);
       assertArchivedCompletely(cluster, job);
@@ -252,9 +264,9 @@
     assertEquals(0, cluster.controllers.get(cluster.leader()).jobsInMemory());
   }
 
-  /** Plays this seed's history of archive moves to its quiet end, and returns the jobs. */
+  /** Plays this seed's history of archiving, then ends all faults, and returns the jobs. */
   static List<Job> play(SimulatedCluster cluster, long seed) {
-    Random script = new Random(seed);
+    Random random = new Random(seed);
     cluster.setProbesAfterNews(true);
     List<Job> jobs = new ArrayList<>();
     for (int i = 1; i <= 16; i++) {
@@ -269,7 +281,7 @@
     cluster.schedule(9_000, () -> cluster.repeatedHeartbeatProbability = 0.1);
     for (int i = 0; i < 4; i++) {
       cluster.schedule(
-          14_000 + 8000L * i + script.nextInt(6000),
+          14_000 + 8000L * i + random.nextInt(6000),
           () -> {
             if (cluster.leader() != null) {
               cluster.crashNode(cluster.leader(), 2000);
@@ -277,9 +289,9 @@
           });
     }
     for (long ms = 22_000; ms < 60_000; ms += 190) {
-      Job job = jobs.get(script.nextInt(jobs.size()));
+      Job job = jobs.get(random.nextInt(jobs.size()));
       cluster.schedule(ms, () -> cluster.queryAndResubmitEverywhere(job.uid()));
-      cluster.schedule(ms + 60, () -> cluster.cancelOnce("roost-" + script.nextInt(3), job.uid()));
+      cluster.schedule(ms + 60, () -> cluster.cancelOnce("roost-" + random.nextInt(3), job.uid()));
     }
     cluster.run(62);
     cluster.clearFaults();
@@ -287,7 +299,10 @@
     return jobs;
   }
 
-  /** An older version's node would deny what it does not find, so nothing leaves before. */
+  /**
+   * A node of an older version would answer that an archived job is unknown, so nothing is archived
+   * before the last node is upgraded.
+   */
   @Test
   void nothingIsArchivedWhileAMemberMayRunAnOlderVersion() {
     SimulatedCluster cluster = newCluster(5);
@@ -295,7 +310,7 @@
       cluster.olderVersionNodes.add(node);
       cluster.startNode(node);
     }
-    List<Job> jobs = runJobsToTheirEnd(cluster);
+    List<Job> jobs = runJobsUntilTerminal(cluster);
     for (String node : cluster.nodeNames()) {
       jobs.forEach(job -> assertFalse(isArchived(cluster, job), node));
       cluster.olderVersionNodes.remove(node);
@@ -304,20 +319,23 @@
     }
     cluster.run(20);
     jobs.forEach(job -> assertArchivedCompletely(cluster, job));
-    assertNoBreaches(cluster);
+    assertNoViolations(cluster);
   }
 
-  /** All members run the new version, but it is not stored: one may still be downgraded. */
+  /** All members run the new version, but until it is stored one may still be downgraded. */
   @Test
   void nothingIsArchivedBeforeTheVersionIsStored() {
     SimulatedCluster cluster = newCluster(6);
     cluster.store.corrupt(StoreKeys.CLUSTER_VERSION);
-    List<Job> jobs = runJobsToTheirEnd(cluster);
+    List<Job> jobs = runJobsUntilTerminal(cluster);
     jobs.forEach(job -> assertFalse(isArchived(cluster, job)));
-    assertNoBreaches(cluster);
+    assertNoViolations(cluster);
   }
 
-  /** Thirty jobs, half of them cancelled right after their submission and the others later. */
+  /**
+   * Submits thirty jobs and cancels half of them right after their submission, the others 20 s
+   * later.
+   */
   private static List<Job> submitJobsAndCancelThem(SimulatedCluster cluster) {
     List<Job> jobs = new ArrayList<>();
     for (int i = 1; i <= 30; i++) {
@@ -331,22 +349,22 @@
   }
 
   /**
-   * A cluster that has run without an archive for long: its first new leader has no room for all
-   * ended jobs. Memory once held every one of them, and no leader got through its rebuilding.
+   * After a long time without an archive, the first leader of the new version has no memory for all
+   * finished jobs. While leaders held all of them in memory, none completed its recovery.
    */
   @ParameterizedTest
   @MethodSource("seeds")
   void leaderWithoutMemoryForAllFinishedJobsArchivesThemInPages(long seed) {
-    int most = 4;
+    int maxEndedJobs = 4;
     SimulatedCluster cluster =
-        new SimulatedCluster(seed, TestFixtures.archivingSettings(3600, most));
+        new SimulatedCluster(seed, TestFixtures.archivingSettings(3600, maxEndedJobs));
     for (String node : cluster.nodeNames()) {
       cluster.olderVersionNodes.add(node);
       cluster.startNode(node);
     }
     List<Job> jobs = submitJobsAndCancelThem(cluster);
-    Job alive = TestFixtures.job(40, JobKind.SERVICE, 2, 1);
-    cluster.submit(alive);
+    Job runningService = TestFixtures.job(40, JobKind.SERVICE, 2, 1);
+    cluster.submit(runningService);
     cluster.run(60);
     cluster.olderVersionNodes.clear();
     cluster.nodeNames().forEach(node -> cluster.crashNode(node, 500));
@@ -354,27 +372,31 @@
     while (cluster.leader() == null || cluster.store.get(StoreKeys.CLUSTER_VERSION) == null) {
       cluster.run(0.1);
     }
-    // Besides those: a page of the sweep, services whose tasks are not settled yet, and one alive.
-    int inMemory = cluster.controllers.get(cluster.leader()).jobsInMemory();
-    assertTrue(inMemory <= most + 7 + 6 + 1, inMemory + " jobs are in memory");
+    // Besides the maximum: a page of loaded jobs, services whose tasks are not settled yet, and the
+    // running service.
+    int jobsInMemory = cluster.controllers.get(cluster.leader()).jobsInMemory();
+    assertTrue(jobsInMemory <= maxEndedJobs + 7 + 6 + 1, jobsInMemory + " jobs are in memory");
     jobs.forEach(job -> cluster.queryAndResubmitEverywhere(job.uid()));
     cluster.run(1);
     if (seed % 2 == 0) {
       cluster.crashNode(cluster.leader(), 1000);
     }
     cluster.run(60);
-    assertNoBreaches(cluster);
+    assertNoViolations(cluster);
     jobs.forEach(job -> cluster.queryAndResubmitEverywhere(job.uid()));
     cluster.run(5);
-    assertNoBreaches(cluster);
-    long left = jobs.stream().filter(job -> !isArchived(cluster, job)).count();
-    assertTrue(left <= most, left + " are not archived");
-    assertEquals(2, cluster.checker.runningTasks(alive.uid()));
+    assertNoViolations(cluster);
+    long notArchivedCount = jobs.stream().filter(job -> !isArchived(cluster, job)).count();
+    assertTrue(notArchivedCount <= maxEndedJobs, notArchivedCount + " jobs are not archived");
+    assertEquals(2, cluster.checker.runningTasks(runningService.uid()));
   }
 
-  /** The content of an unreadable record is unknown, so nothing is concluded from the others. */
+  /**
+   * The content of an unreadable record is unknown, so nothing is concluded from the job's other
+   * records.
+   */
   @Test
-  void frozenJobIsNotArchived() {
+  void jobWithAnUnreadableRecordIsNotArchived() {
     SimulatedCluster cluster = newCluster(7);
     Job service = TestFixtures.job(1, JobKind.SERVICE, 2, 1);
     cluster.submit(service);
@@ -386,19 +408,22 @@
     cluster.run(60);
     assertFalse(isArchived(cluster, service));
     assertNotNull(cluster.store.get(StoreKeys.job(service.uid())));
-    assertNoBreaches(cluster);
+    assertNoViolations(cluster);
   }
 
-  /** A task of a cancelled job on an unreachable machine counts until it has surely ended. */
+  /**
+   * A task of a cancelled job may run on an unreachable machine until its worker's lease has surely
+   * expired.
+   */
   @Test
-  void cancelledJobIsNotArchivedBeforeItsTasksHaveSurelyEnded() {
+  void cancelledJobIsNotArchivedBeforeItsTasksAreCertainToHaveEnded() {
     SimulatedCluster cluster = newCluster(8);
     Job service = TestFixtures.job(1, JobKind.SERVICE, 1, 1);
     cluster.submit(service);
     cluster.run(15);
     FakeWorker worker =
         cluster.workers().stream()
-            .filter(it -> !it.nextHeartbeat().tasks().isEmpty())
+            .filter(candidate -> !candidate.nextHeartbeat().tasks().isEmpty())
             .findFirst()
             .get();
     worker.isHanging = true;
@@ -408,21 +433,21 @@
     assertFalse(isArchived(cluster, service), "its task may still run");
     cluster.run(60);
     assertArchivedCompletely(cluster, service);
-    assertNoBreaches(cluster);
+    assertNoViolations(cluster);
   }
 
-  /** After the limits have fallen there is less to be had beside starts, but not nothing. */
+  /** With lower limits of the store, fewer writes are left for archiving, but not none. */
   @Test
   void jobsAreArchivedUnderLowerLimits() {
     SimulatedCluster cluster = newCluster(9);
     cluster.store.lowerLimits(2, 12, cluster.nowMs);
-    List<Job> jobs = runJobsToTheirEnd(cluster);
+    List<Job> jobs = runJobsUntilTerminal(cluster);
     cluster.run(20);
     jobs.forEach(job -> assertArchivedCompletely(cluster, job));
-    assertNoBreaches(cluster);
+    assertNoViolations(cluster);
   }
 
-  /** Work has the writes first: while they are short nothing is archived. */
+  /** Writes for running jobs take precedence: nothing is archived while the write rate is short. */
   @Test
   void archivingUsesOnlySpareWrites() {
     ControllerContext context =
@@ -431,7 +456,7 @@
     store.actAsLeader();
     context.advanceBy(1000);
     assertTrue(store.hasSpareWriteCapacity(8));
-    // 0.85 of 40 writes a second may be written at once.
+    // The client may send 0.85 of the limit of 40 writes a second at once.
     ImmutableList.Builder<StoreRequest.Change> changes = ImmutableList.builder();
     for (int i = 0; i < 14; i++) {
       changes.add(StoreRequest.Change.remove("key" + i));
--- a/src/test/java/eiderfork/controller/UserRequestHandlerTest.java
+++ b/src/test/java/eiderfork/controller/UserRequestHandlerTest.java
@@ -29,7 +29,10 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** Cancellations that a node carries out itself, against what the leader writes meanwhile. */
+/**
+ * Tests requests that a node executes against the store itself because it can't reach a leader, and
+ * their conflicts with concurrent writes.
+ */
 class UserRequestHandlerTest {
   private static final Job JOB = TestFixtures.job(1, JobKind.ARRAY, 2, 1);
 
@@ -51,38 +54,42 @@
           new CancellationTracker(context, uid -> {}),
           version,
           () -> {});
-  private final List<UserResponse> answers = new ArrayList<>();
+  private final List<UserResponse> responses = new ArrayList<>();
 
-  private StoreRequest nextRequest(Reply replyToLast, long call) {
-    if (replyToLast != null) {
-      context.completeCall(call, replyToLast);
+  /**
+   * Completes a call with a reply, if there is one, and returns the one request to the store that
+   * follows.
+   */
+  private StoreRequest nextRequest(Reply reply, long callId) {
+    if (reply != null) {
+      context.completeCall(callId, reply);
     }
     context.advanceBy(1000);
     store.sendQueued();
     List<Effect> effects = context.drainEffects();
     assertEquals(1, effects.size());
-    lastCall = ((Effect.CallStore) effects.get(0)).callId();
+    lastCallId = ((Effect.CallStore) effects.get(0)).callId();
     return ((Effect.CallStore) effects.get(0)).request();
   }
 
-  private long lastCall;
+  private long lastCallId;
 
-  /** Cancels, and replies to reads until the cancellation is to be written. */
+  /** Cancels the job, replies to the reads and returns the write of the cancellation. */
   private StoreRequest.Transaction cancelUntilWrite(
       StoredRecord.Allocation allocation, long allocVersion) {
-    requests.handle(new Input.Abort(1, JOB.uid()), true, answers::add);
+    requests.handle(new Input.Abort(1, JOB.uid()), true, responses::add);
     assertEquals(new StoreRequest.Get(StoreKeys.job(JOB.uid())), nextRequest(null, 0));
     Reply job = new Reply.Value(new StoredRecord.JobSpec(JOB), 3);
-    assertEquals(new StoreRequest.Get(StoreKeys.alloc(JOB.uid())), nextRequest(job, lastCall));
+    assertEquals(new StoreRequest.Get(StoreKeys.alloc(JOB.uid())), nextRequest(job, lastCallId));
     return (StoreRequest.Transaction)
-        nextRequest(new Reply.Value(allocation, allocVersion), lastCall);
+        nextRequest(new Reply.Value(allocation, allocVersion), lastCallId);
   }
 
   private static StoredRecord.Allocation alloc(boolean done) {
     return new StoredRecord.Allocation(1, done, ImmutableList.of(), ImmutableList.of());
   }
 
-  /** Without the condition on the allocation a job that was reported as done could be cancelled. */
+  /** Without the condition on the allocation, a job already reported as done could be cancelled. */
   @Test
   void cancellationIsConditionalOnTheAllocationThatWasRead() {
     StoreRequest.Transaction write = cancelUntilWrite(alloc(false), 9);
@@ -98,88 +105,95 @@
   void jobThatCompletesMeanwhileIsNotCancelled() {
     cancelUntilWrite(alloc(false), 9);
     Reply conflict = new Reply.Conflict(ImmutableList.of(StoreKeys.alloc(JOB.uid())));
-    assertEquals(new StoreRequest.Get(StoreKeys.alloc(JOB.uid())), nextRequest(conflict, lastCall));
-    context.completeCall(lastCall, new Reply.Value(alloc(true), 10));
-    assertEquals(JobStatus.Phase.DONE, answers.get(0).job().phase());
+    assertEquals(
+        new StoreRequest.Get(StoreKeys.alloc(JOB.uid())), nextRequest(conflict, lastCallId));
+    context.completeCall(lastCallId, new Reply.Value(alloc(true), 10));
+    assertEquals(JobStatus.Phase.DONE, responses.get(0).job().phase());
   }
 
-  /** An older version's late writes may have brought job and cancellation of a done job back. */
+  /** Late writes of an older version may have recreated a done job and its cancellation. */
   @Test
   void cancellationOfAnArchivedJobIsAnsweredWithItsFinalStatus() {
     cancelUntilWrite(StoredRecord.Allocation.EMPTY, 0);
     Reply conflict =
         new Reply.Conflict(
             ImmutableList.of(StoreKeys.cancellation(JOB.uid()), StoreKeys.ended(JOB.uid())));
-    assertEquals(new StoreRequest.Get(StoreKeys.ended(JOB.uid())), nextRequest(conflict, lastCall));
+    assertEquals(
+        new StoreRequest.Get(StoreKeys.ended(JOB.uid())), nextRequest(conflict, lastCallId));
     StoredRecord ended = new StoredRecord.ArchivedJob(JobStatus.Phase.DONE, 2);
-    context.completeCall(lastCall, new Reply.Value(ended, 12));
-    assertEquals(JobStatus.Phase.DONE, answers.get(0).job().phase());
+    context.completeCall(lastCallId, new Reply.Value(ended, 12));
+    assertEquals(JobStatus.Phase.DONE, responses.get(0).job().phase());
   }
 
   private static final Job GANG = TestFixtures.gang(2, 3, 1, 4, true);
 
   /**
-   * Submits a gang to this node, which can't reach a leader, and replies until the version is read.
+   * Submits a gang to this node, which can't reach a leader, and replies to the reads until the
+   * cluster version is read.
    */
   private void submitGang() {
-    requests.handle(new Input.Submit(1, GANG, new byte[0]), true, answers::add);
+    requests.handle(new Input.Submit(1, GANG, new byte[0]), true, responses::add);
     assertEquals(new StoreRequest.Get(StoreKeys.job(GANG.uid())), nextRequest(null, 0));
-    Reply none = new Reply.Value(null, 0);
-    assertEquals(new StoreRequest.Get(StoreKeys.ended(GANG.uid())), nextRequest(none, lastCall));
-    assertEquals(new StoreRequest.Get(StoreKeys.MACHINE_TYPES), nextRequest(none, lastCall));
+    Reply absent = new Reply.Value(null, 0);
+    assertEquals(
+        new StoreRequest.Get(StoreKeys.ended(GANG.uid())), nextRequest(absent, lastCallId));
+    assertEquals(new StoreRequest.Get(StoreKeys.MACHINE_TYPES), nextRequest(absent, lastCallId));
     MachineType type =
         new MachineType("g4", new Resources(16, 4, 64), 9, 2, 8, 3, 4, ImmutableList.of("a"));
     Reply types = new Reply.Value(new StoredRecord.MachineTypes(ImmutableList.of(type)), 2);
-    assertEquals(new StoreRequest.Get(StoreKeys.CLUSTER_VERSION), nextRequest(types, lastCall));
+    assertEquals(new StoreRequest.Get(StoreKeys.CLUSTER_VERSION), nextRequest(types, lastCallId));
   }
 
-  /** An old leader would take it, and carry it out by older rules. */
+  /** A leader of an older version would accept the gang and run it by older rules. */
   @Test
   void gangIsNotForwardedWhileTheLeaderMayRunAnOlderVersion() {
     election.observeLeader("roost-1", 4);
     assertEquals("roost-1", election.leader());
     submitGang();
-    context.completeCall(lastCall, new Reply.Value(null, 0));
-    assertEquals(503, answers.get(0).status());
-    assertTrue(answers.get(0).retryAfterS() > 0);
+    context.completeCall(lastCallId, new Reply.Value(null, 0));
+    assertEquals(503, responses.get(0).status());
+    assertTrue(responses.get(0).retryAfterS() > 0);
   }
 
   @Test
   void nodeWithoutConfirmedVersionReadsTheStoredOne() {
     submitGang();
-    Reply current = new Reply.Value(new StoredRecord.StoredVersion(ClusterVersion.CURRENT), 8);
-    StoreRequest.Transaction write = (StoreRequest.Transaction) nextRequest(current, lastCall);
+    Reply storedVersion =
+        new Reply.Value(new StoredRecord.StoredVersion(ClusterVersion.CURRENT), 8);
+    StoreRequest.Transaction write =
+        (StoreRequest.Transaction) nextRequest(storedVersion, lastCallId);
     assertEquals(
         StoreRequest.Change.put(StoreKeys.job(GANG.uid()), new StoredRecord.JobSpec(GANG)),
         write.changes().get(0));
   }
 
-  /** A peer may have taken the job before the limits fell: then it is known, and not refused. */
+  /** A peer may have stored the job before the limits were lowered; then it is not refused. */
   @Test
   void oversizedSubmissionIsLookedUpBeforeItIsRefused() {
     submitGang();
     nextRequest(
-        new Reply.Value(new StoredRecord.StoredVersion(ClusterVersion.CURRENT), 8), lastCall);
+        new Reply.Value(new StoredRecord.StoredVersion(ClusterVersion.CURRENT), 8), lastCallId);
     assertEquals(
         new StoreRequest.Get(StoreKeys.job(GANG.uid())),
-        nextRequest(new Reply.Refused(400), lastCall));
-    Reply there = new Reply.Value(new StoredRecord.JobSpec(GANG), 7);
+        nextRequest(new Reply.Refused(400), lastCallId));
+    Reply storedSpec = new Reply.Value(new StoredRecord.JobSpec(GANG), 7);
     assertEquals(
-        new StoreRequest.Get(StoreKeys.cancellation(GANG.uid())), nextRequest(there, lastCall));
-    nextRequest(new Reply.Value(null, 0), lastCall);
+        new StoreRequest.Get(StoreKeys.cancellation(GANG.uid())),
+        nextRequest(storedSpec, lastCallId));
+    nextRequest(new Reply.Value(null, 0), lastCallId);
     // Without an alloc record the job may have been archived between the reads.
     assertEquals(
         new StoreRequest.Get(StoreKeys.ended(GANG.uid())),
-        nextRequest(new Reply.Value(null, 0), lastCall));
-    context.completeCall(lastCall, new Reply.Value(null, 0));
-    assertEquals(200, answers.get(0).status());
+        nextRequest(new Reply.Value(null, 0), lastCallId));
+    context.completeCall(lastCallId, new Reply.Value(null, 0));
+    assertEquals(200, responses.get(0).status());
   }
 
   @Test
   void cancellationWithoutReplyIsNotConfirmed() {
     cancelUntilWrite(alloc(false), 9);
-    context.completeCall(lastCall, new Reply.Unanswered());
-    assertEquals(503, answers.get(0).status());
+    context.completeCall(lastCallId, new Reply.Unanswered());
+    assertEquals(503, responses.get(0).status());
     assertTrue(context.drainEffects().isEmpty());
   }
 }
