--- a/src/test/java/eiderfork/controller/LargeCellTest.java
+++ b/src/test/java/eiderfork/controller/LargeCellTest.java
@@ -28,10 +28,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What once was bound to a fixed number, at six thousand machines. */
+/** Tests operations that were once bounded by fixed numbers, on a cell of six thousand machines. */
 class LargeCellTest {
   private static final int MACHINES = 6000;
-  private static final int PAGE = 500;
+  private static final int PAGE_SIZE = 500;
   private static final ImmutableList<String> ZONES = ImmutableList.of("a", "b", "c");
   private static final MachineType TYPE =
       new MachineType("c8", new Resources(8, 0, 64), 50, 2, 1, 0.4, 3, ZONES);
@@ -46,146 +46,161 @@
   private final CloudProvisioner cloud = new CloudProvisioner(context, election, store, fleet);
 
   @BeforeEach
-  void lead() {
+  void electLeader() {
     ElectedLeader.elect(context, election);
     context.drainEffects();
     assertTrue(election.isLeaseValid());
     fleet.updateTypes(ImmutableList.of(TYPE));
   }
 
-  private <T extends Effect> List<T> effects(Class<T> kind) {
-    return ElectedLeader.drainEffects(context, kind);
+  private <T extends Effect> List<T> drainEffects(Class<T> type) {
+    return ElectedLeader.drainEffects(context, type);
   }
 
-  private void answerState(Reply reply) {
-    for (Effect.CallStore storeCall : effects(Effect.CallStore.class)) {
+  private void replyToStoreCalls(Reply reply) {
+    for (Effect.CallStore storeCall : drainEffects(Effect.CallStore.class)) {
       context.completeCall(storeCall.callId(), reply);
     }
   }
 
-  private static String name(int number) {
+  private static String machineName(int number) {
     return "n-%06d".formatted(number);
   }
 
-  /** The page of the list that begins after a machine. */
-  private static Reply page(String after) {
-    int first = after.isEmpty() ? 1 : Integer.parseInt(after.substring(2)) + 1;
+  /** Returns the page of the machine list that begins after a machine. */
+  private static Reply listPage(String afterName) {
+    int first = afterName.isEmpty() ? 1 : Integer.parseInt(afterName.substring(2)) + 1;
     ImmutableList.Builder<ListedMachine> entries = ImmutableList.builder();
-    for (int i = first; i < first + PAGE && i <= MACHINES; i++) {
-      Machine machine = new Machine(name(i), name(i) + ":1", "c8", ZONES.get(i % 3), false);
+    for (int i = first; i < first + PAGE_SIZE && i <= MACHINES; i++) {
+      Machine machine =
+          new Machine(machineName(i), machineName(i) + ":1", "c8", ZONES.get(i % 3), false);
       entries.add(new ListedMachine(machine, ListedMachine.State.RUNNING, 100));
     }
-    return new Reply.Hosts(entries.build(), first + PAGE <= MACHINES);
+    return new Reply.Hosts(entries.build(), first + PAGE_SIZE <= MACHINES);
   }
 
-  /** Twelve pages at once were past the cloud's rate, and a list that failed began anew. */
+  /**
+   * Reading all twelve pages at once exceeded the cloud's rate limit, and a list with a refused
+   * page was read again from the start.
+   */
   @Test
-  void aWholeListIsReadWithinTheRateOfCalls() {
+  void wholeListIsReadWithinTheRateLimit() {
     double rps = context.settings.cloudLimits().requestsPerS();
-    long beganMs = context.nowMs();
+    long startMs = context.nowMs();
     int calls = 0;
-    boolean refusedOne = false;
+    boolean hasRefused = false;
     while (!cloud.hasCompleteListing()) {
       context.advanceBy(50);
       cloud.tick();
       for (Effect effect : context.drainEffects()) {
-        if (effect instanceof Effect.ListHosts it) {
+        if (effect instanceof Effect.ListHosts list) {
           calls++;
-          // The cloud may count others' calls, too.
-          boolean refuses = calls == 7 && !refusedOne;
-          refusedOne |= refuses;
-          context.completeCall(it.callId(), refuses ? new Reply.Refused(429) : page(it.after()));
-        } else if (effect instanceof Effect.ListMachineTypes it) {
+          // Other clients' calls may count towards the cloud's limit, too.
+          boolean refuses = calls == 7 && !hasRefused;
+          hasRefused |= refuses;
+          context.completeCall(
+              list.callId(), refuses ? new Reply.Refused(429) : listPage(list.after()));
+        } else if (effect instanceof Effect.ListMachineTypes listTypes) {
           calls++;
-          context.completeCall(it.callId(), new Reply.Types(ImmutableList.of(TYPE)));
+          context.completeCall(listTypes.callId(), new Reply.Types(ImmutableList.of(TYPE)));
         }
       }
-      double seconds = (context.nowMs() - beganMs) / 1000.0;
+      double seconds = (context.nowMs() - startMs) / 1000.0;
       assertTrue(calls <= 2 * rps + rps * seconds, calls + " calls in " + seconds + " s");
-      assertTrue(seconds < 30, "no list in its time");
+      assertTrue(seconds < 30, "the list took 30 s or longer");
     }
     assertEquals(MACHINES, fleet.machines().size());
-    assertEquals(MACHINES / PAGE + 2, calls, "the refused page alone was asked for again");
+    assertEquals(
+        MACHINES / PAGE_SIZE + 2,
+        calls,
+        "one call for each page, the machine types and the refused page");
   }
 
-  /** The names of machines that are gone once gathered for as long as a leader led. */
+  /** The names of removed machines once accumulated for as long as a leader led. */
   @Test
-  void machinesThatAreLongGoneAreForgotten() {
+  void namesOfMachinesRemovedLongAgoAreDropped() {
     for (int i = 0; i < MACHINES; i++) {
-      fleet.remove(fleet.getOrRegister(name(i)), "it died");
+      fleet.remove(fleet.getOrRegister(machineName(i)), "it died");
     }
     fleet.applyMachineList(java.util.Map.of(), context.nowMs());
-    assertTrue(fleet.isRemoved(name(1)));
+    assertTrue(fleet.isRemoved(machineName(1)));
     context.advanceBy(60 * context.workerLeaseMs() + 1);
     fleet.applyMachineList(java.util.Map.of(), context.nowMs());
-    assertFalse(fleet.isRemoved(name(1)));
+    assertFalse(fleet.isRemoved(machineName(1)));
   }
 
-  /** One rent of fifty for a kind and plan took two minutes for six thousand machines. */
+  /**
+   * With one rent of fifty machines for each kind and plan, renting six thousand machines took two
+   * minutes.
+   */
   @Test
-  void rentsOfAKindThatIsFilledAreAskedForTogether() {
+  void rentsOfAKindThatIsFilledRunConcurrently() {
     ScaleOutRequests scaleOut = cloud.scaleOut();
     MachineKind kind = new MachineKind("c8", "a", false);
-    assertEquals(1, scaleOut.maxConcurrentRents(kind), "what the cloud has is not known");
-    int last = 0;
+    assertEquals(
+        1, scaleOut.maxConcurrentRents(kind), "concurrent rents while the stock is unknown");
+    int lastNumber = 0;
     for (int i = 0; i < 4; i++) {
       scaleOut.rent(kind, 50);
       context.advanceBy(1000);
       store.sendQueued();
-      answerState(new Reply.Committed(10 + i));
+      replyToStoreCalls(new Reply.Committed(10 + i));
       scaleOut.tick();
-      List<Effect.RentMachines> asked = effects(Effect.RentMachines.class);
-      assertEquals(1, asked.size());
+      List<Effect.RentMachines> rents = drainEffects(Effect.RentMachines.class);
+      assertEquals(1, rents.size());
       ImmutableList.Builder<String> names = ImmutableList.builder();
       for (int j = 0; j < 50; j++) {
-        names.add(name(++last));
+        names.add(machineName(++lastNumber));
       }
-      context.completeCall(asked.get(0).callId(), new Reply.Rented(names.build()));
+      context.completeCall(rents.get(0).callId(), new Reply.Rented(names.build()));
     }
     assertEquals(
         (int) context.settings.cloudLimits().requestsPerS(),
         scaleOut.maxConcurrentRents(kind),
-        "the rate bounds it");
+        "concurrent rents at the rate limit");
     scaleOut.rent(kind, 50);
     context.advanceBy(1000);
     store.sendQueued();
-    answerState(new Reply.Committed(20));
+    replyToStoreCalls(new Reply.Committed(20));
     scaleOut.tick();
     context.completeCall(
-        effects(Effect.RentMachines.class).get(0).callId(), new Reply.NoCapacity());
-    assertEquals(1, scaleOut.maxConcurrentRents(kind), "it has no more");
+        drainEffects(Effect.RentMachines.class).get(0).callId(), new Reply.NoCapacity());
+    assertEquals(
+        1, scaleOut.maxConcurrentRents(kind), "concurrent rents after the kind was out of stock");
   }
 
   /**
-   * Six thousand machines, full but for a tenth: what a round and a plan look at depends on what
-   * waits and on where there is room, and a tick at which nothing changes looks at nothing.
+   * Runs a cell of six thousand machines, nine tenths of them full. The number of machines that a
+   * round and a plan examine must depend on the pending tasks and on the machines with free
+   * capacity, not on the size of the cell, and a tick without changes must examine none.
    */
   @Test
-  void aRoundLooksAtNoFullMachine() {
-    SimulatedCluster cluster = clusterOfManyMachines();
-    int tasks = 0;
-    for (int i = 0; tasks < MACHINES * 9 / 10; i++) {
+  void roundsExamineNoFullMachines() {
+    SimulatedCluster cluster = newLargeCluster();
+    int taskCount = 0;
+    for (int i = 0; taskCount < MACHINES * 9 / 10; i++) {
       Job template =
           TestFixtures.job(i, JobKind.SERVICE, 50, 0, "blue", Priority.HIGH, false, false);
       cluster.submit(TestFixtures.withTaskShape(template, TYPE.capacity(), 0, TYPE.name()));
-      tasks += template.tasks();
+      taskCount += template.tasks();
     }
     cluster.run(18);
-    assertEquals(tasks, cluster.checker.totalRunningTasks());
+    assertEquals(taskCount, cluster.checker.totalRunningTasks());
     Controller leader = cluster.controllers.get(cluster.leader());
-    Job late = TestFixtures.job(9999, JobKind.SERVICE, 4, 0, "blue", Priority.HIGH, false, false);
-    cluster.submit(late);
-    int most = 0;
+    Job lateJob =
+        TestFixtures.job(9999, JobKind.SERVICE, 4, 0, "blue", Priority.HIGH, false, false);
+    cluster.submit(lateJob);
+    int maxExamined = 0;
     for (int i = 0; i < 160; i++) {
       cluster.run(0.05);
-      most = Math.max(most, leader.machinesExaminedInRound());
+      maxExamined = Math.max(maxExamined, leader.machinesExaminedInRound());
     }
-    assertEquals(4, cluster.checker.runningTasks(late.uid()));
-    assertTrue(most < MACHINES / 4, most + " looks at machines for four tasks");
+    assertEquals(4, cluster.checker.runningTasks(lateJob.uid()));
+    assertTrue(maxExamined < MACHINES / 4, maxExamined + " machines examined for four tasks");
     assertEquals(List.of(), cluster.checker.violations);
   }
 
-  private static SimulatedCluster clusterOfManyMachines() {
+  private static SimulatedCluster newLargeCluster() {
     Settings.StoreLimits limits = new Settings.StoreLimits(4000, 400, 8, 16);
     Settings settings =
         TestFixtures.settings("roost-0", TestFixtures.LONG_LEASES, limits, 1, 8000, 3);
--- a/src/test/java/eiderfork/controller/MonotonicReadTest.java
+++ b/src/test/java/eiderfork/controller/MonotonicReadTest.java
@@ -16,42 +16,46 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** No node answers a user with an older status than any node has answered before. */
+/**
+ * Tests that reads are monotonic: no node answers with an older status of a job than any node has
+ * answered before.
+ */
 class MonotonicReadTest {
   private static LongStream seeds() {
     return LongStream.rangeClosed(1, 20);
   }
 
-  /** Users poll once more: every job is terminal at every node. */
+  /** Queries all jobs at all nodes and asserts that every job is terminal. */
   private static void assertAllTerminal(SimulatedCluster cluster, List<Job> jobs) {
     jobs.forEach(job -> cluster.queryAllNodes(job.uid()));
     cluster.run(3);
-    assertNoBreaches(cluster);
+    assertNoViolations(cluster);
     jobs.forEach(job -> assertNotNull(cluster.checker.finalPhase(job.uid()), job::uid));
   }
 
-  private static void assertNoBreaches(SimulatedCluster cluster) {
+  private static void assertNoViolations(SimulatedCluster cluster) {
     assertEquals(List.of(), cluster.checker.violations);
   }
 
-  /** Arrays of a few tasks that end one after the other, and services that are cancelled. */
-  private static List<Job> submitLoad(SimulatedCluster cluster, int jobs) {
-    List<Job> all = new ArrayList<>();
-    for (int i = 1; i <= jobs; i++) {
+  /** Schedules arrays of a few tasks that end one after the other, and services to be cancelled. */
+  private static List<Job> submitLoad(SimulatedCluster cluster, int jobCount) {
+    List<Job> jobs = new ArrayList<>();
+    for (int i = 1; i <= jobCount; i++) {
       Job job = TestFixtures.job(i, i % 3 == 0 ? JobKind.SERVICE : JobKind.ARRAY, 1 + i % 3, i % 2);
-      all.add(job);
+      jobs.add(job);
       cluster.schedule(500L * i, () -> cluster.submit(job));
       if (job.kind() == JobKind.SERVICE) {
         cluster.schedule(12_000 + 700L * i, () -> cluster.cancel(job.uid()));
       }
     }
-    return all;
+    return jobs;
   }
 
   /**
-   * All nodes are queried, and the submission is repeated at each, within milliseconds of every
-   * answer that is new. Guards: {@link ReadBarrier} for cancellations that a peer wrote, the state
-   * service alone for what is not in memory, {@link FinalStatusCache} for what is over.
+   * Queries all nodes and resubmits the job to each within milliseconds of every answer with a new
+   * status. Three mechanisms keep the answers consistent: {@link ReadBarrier} for cancellations
+   * that a peer wrote, reads from the store alone for jobs that are not in memory, and {@link
+   * FinalStatusCache} for terminal jobs.
    */
   @ParameterizedTest
   @MethodSource("seeds")
@@ -60,14 +64,15 @@
     cluster.setProbesAfterNews(true);
     List<Job> jobs = submitLoad(cluster, 18);
     cluster.run(60);
-    assertNoBreaches(cluster);
+    assertNoViolations(cluster);
     assertAllTerminal(cluster, jobs);
   }
 
   /**
-   * A transaction is carried out at once and only its answer is lost, while other nodes read what
-   * it wrote: the leader's own write of a job's end among them, which another node reports as done
-   * while the leader does not know yet. Until that settles it does not answer from memory.
+   * Transactions are executed at once and only their replies are lost, while other nodes read what
+   * was written. If the leader's write that a job is done loses its reply, another node reports the
+   * job as done before the leader knows. Until the outcome of the write is known, the leader must
+   * not answer from memory.
    */
   @ParameterizedTest
   @MethodSource("seeds")
@@ -75,7 +80,7 @@
     SimulatedCluster cluster = new SimulatedCluster(seed);
     cluster.setProbesAfterNews(true);
     cluster.schedule(5_000, () -> cluster.lostStoreReplyProbability = 0.5);
-    // Polls reach the store also through nodes that can't reach the leader.
+    // Nodes that can't reach the leader answer queries from the store.
     cluster.schedule(5_000, () -> cluster.cutLink("roost-0>roost-2", 40_000));
     cluster.schedule(5_000, () -> cluster.cutLink("roost-1>roost-2", 40_000));
     cluster.schedule(5_000, () -> cluster.cutLink("roost-2>roost-0", 40_000));
@@ -86,11 +91,11 @@
     }
     cluster.schedule(50_000, () -> cluster.lostStoreReplyProbability = 0);
     cluster.run(90);
-    assertNoBreaches(cluster);
+    assertNoViolations(cluster);
     assertAllTerminal(cluster, jobs);
   }
 
-  /** The same with transactions that are carried out late, after newer ones. */
+  /** Reads stay monotonic while transactions are executed late, after newer ones. */
   @ParameterizedTest
   @MethodSource("seeds")
   void readsStayMonotonicWithLateTransactions(long seed) {
@@ -103,44 +108,44 @@
         () -> cluster.crashNode(cluster.leader() == null ? "roost-0" : cluster.leader(), 3000));
     cluster.schedule(50_000, () -> cluster.lateTransactionProbability = 0);
     cluster.run(100);
-    assertNoBreaches(cluster);
+    assertNoViolations(cluster);
     assertAllTerminal(cluster, jobs);
   }
 
   /**
-   * A cancellation, a query or a repeated submission races with the end of a job's last task. The
-   * write of the end is conditional on no cancellation, and that of the cancellation on an
-   * unchanged allocation.
+   * Cancellations, queries and resubmissions race with the end of a job's last task. The write that
+   * completes the job is conditional on the absence of a cancellation, and the write of the
+   * cancellation on an unchanged allocation.
    */
   @ParameterizedTest
   @ValueSource(
       ints = {0, 50, 100, 150, 200, 250, 300, 350, 400, 450, 500, 600, 700, 800, 900, 1000, 1200})
   void cancellationRacingWithCompletionHasOneFinalStatus(int afterMs) {
     for (int i = 0; i < 9; i++) {
-      String at = "roost-" + i % 3;
+      String node = "roost-" + i % 3;
       SimulatedCluster cluster = new SimulatedCluster(7);
       cluster.setProbesAfterNews(true);
-      // The slower the store, the wider the moment between the read and the write.
+      // The slower the store, the longer the time between the read and the write.
       cluster.storeDelayMs = 80 * (i / 3);
       cluster.submit(TestFixtures.job(1, JobKind.SERVICE, 1, 1));
       cluster.run(20);
       Job job = TestFixtures.job(2, JobKind.ARRAY, 1, 1);
       cluster.submit(job);
-      // It fetches for 0.7 s and runs for 4 s.
-      cluster.schedule(4600 + afterMs, () -> cluster.cancelOnce(at, job.uid()));
+      // Its task fetches the image for 0.7 s and runs for 4 s.
+      cluster.schedule(4600 + afterMs, () -> cluster.cancelOnce(node, job.uid()));
       for (int ms = 4400; ms < 9000; ms += 20) {
         cluster.schedule(ms, () -> cluster.queryAllNodes(job.uid()));
       }
       cluster.run(20);
-      assertNoBreaches(cluster);
+      assertNoViolations(cluster);
       cluster.queryRandomNode(job.uid());
       cluster.run(2);
-      assertNoBreaches(cluster);
+      assertNoViolations(cluster);
       assertNotNull(cluster.checker.finalPhase(job.uid()));
     }
   }
 
-  /** A job is cancelled while its submission is still on its way at other nodes. */
+  /** A job is cancelled while other nodes may still be processing its submission. */
   @ParameterizedTest
   @MethodSource("seeds")
   void cancellationRightAfterSubmissionIsKept(long seed) {
@@ -154,7 +159,7 @@
       cluster.run(1);
     }
     cluster.run(30);
-    assertNoBreaches(cluster);
+    assertNoViolations(cluster);
     for (int i = 1; i <= 10; i++) {
       String uid = "run-%06d".formatted(i);
       assertEquals(Phase.ABORTED, cluster.checker.finalPhase(uid));
@@ -162,7 +167,7 @@
     }
   }
 
-  /** Malformed, impossible, unknown and terminal jobs are answered as such, at any time. */
+  /** Requests for impossible, unknown and terminal jobs are answered as such during a failover. */
   @Test
   void unusualRequestsAreAnsweredDuringAFailover() {
     SimulatedCluster cluster = new SimulatedCluster(3);
@@ -180,7 +185,7 @@
       cluster.schedule(i * 40L, () -> cluster.queryRandomNode("run-009999"));
     }
     cluster.run(40);
-    assertNoBreaches(cluster);
+    assertNoViolations(cluster);
     assertEquals(Phase.DONE, cluster.checker.finalPhase(done.uid()));
     assertEquals(1, cluster.checker.runningTasks(running.uid()));
     for (int i = 0; i < 200; i++) {
--- a/src/test/java/eiderfork/controller/RateLimitTest.java
+++ b/src/test/java/eiderfork/controller/RateLimitTest.java
@@ -34,10 +34,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The limits on requests to the store and the cloud are kept. */
+/** Tests that the rate limits on requests to the store are kept. */
 class RateLimitTest {
   @Test
-  void bucketHoldsItsBurstAndFillsAtItsRate() {
+  void bucketHoldsItsBurstAndRefillsAtItsRate() {
     TokenBucket bucket = new TokenBucket(10, 2, 0);
     assertTrue(bucket.tryTake(1, 0));
     assertTrue(bucket.tryTake(1, 0));
@@ -47,13 +47,13 @@
   }
 
   @Test
-  void pausesGrowWithJitterUpToTheirMaximum() {
+  void backoffDelaysGrowWithJitterUpToTheirMaximum() {
     Backoff backoff = new Backoff(100, 1000);
     Random random = new Random(3);
     for (int i = 0; i < 20; i++) {
-      long base = Math.min(1000, 100L << Math.min(i, 16));
-      long pause = backoff.nextPauseMs(random);
-      assertTrue(pause >= base / 2 && pause <= base, i + ": " + pause);
+      long baseMs = Math.min(1000, 100L << Math.min(i, 16));
+      long delayMs = backoff.nextPauseMs(random);
+      assertTrue(delayMs >= baseMs / 2 && delayMs <= baseMs, "delay " + i + ": " + delayMs + " ms");
     }
   }
 
@@ -66,23 +66,27 @@
     for (int i = 0; i < 200; i++) {
       sendWrite(store, "batch/" + i, RequestPriority.BATCH);
     }
-    int burst = context.drainEffects().size();
-    assertTrue(burst < 200, "the rate holds some back");
+    int sentAtOnce = context.drainEffects().size();
+    assertTrue(sentAtOnce < 200, "the rate limit held back no write");
     sendWrite(store, "abort/1", RequestPriority.ABORT);
     assertTrue(context.drainEffects().isEmpty());
     context.advanceBy(100);
     store.sendQueued();
     List<String> keys = new ArrayList<>();
     for (Effect effect : context.drainEffects()) {
-      StoreRequest.Transaction it =
+      StoreRequest.Transaction write =
           (StoreRequest.Transaction) ((Effect.CallStore) effect).request();
-      keys.add(it.changes().get(0).key());
+      keys.add(write.changes().get(0).key());
     }
     assertEquals("abort/1", keys.get(0));
-    assertEquals("batch/" + burst, keys.get(1));
+    assertEquals("batch/" + sentAtOnce, keys.get(1));
   }
 
-  /** Polls once held submissions up for seconds at nodes that could not reach the leader. */
+  /**
+   * A node that can't reach the leader executes requests against the store itself. Polls for job
+   * statuses once delayed submissions there by seconds, so it refuses excess queries at once and
+   * sends submissions first.
+   */
   @Test
   void isolatedNodeShedsQueriesAndSendsSubmissionsFirst() {
     ControllerContext context =
@@ -104,33 +108,35 @@
             new CancellationTracker(context, uid -> {}),
             version,
             () -> {});
-    List<UserResponse> refused = new ArrayList<>();
+    List<UserResponse> responses = new ArrayList<>();
     for (int i = 0; i < 500; i++) {
-      users.handle(new Input.Query(i, "run-%06d".formatted(i)), true, refused::add);
+      users.handle(new Input.Query(i, "run-%06d".formatted(i)), true, responses::add);
     }
-    assertTrue(refused.size() > 300, "most are answered at once: " + refused.size());
-    assertTrue(refused.stream().allMatch(a -> a.status() == 503 && a.retryAfterS() > 0));
+    assertTrue(responses.size() > 300, "queries refused at once: " + responses.size());
+    assertTrue(
+        responses.stream()
+            .allMatch(response -> response.status() == 503 && response.retryAfterS() > 0));
     context.drainEffects();
     users.handle(
         new Input.Submit(1, TestFixtures.job(999, JobKind.SERVICE, 1, 1), new byte[0]),
         true,
-        refused::add);
+        responses::add);
     context.advanceBy(100);
     store.sendQueued();
     Effect.CallStore first = (Effect.CallStore) context.drainEffects().get(0);
     assertEquals(new StoreRequest.Get("job/run-000999"), first.request());
   }
 
-  private static void sendWrite(StoreClient store, String key, RequestPriority urgency) {
+  private static void sendWrite(StoreClient store, String key, RequestPriority priority) {
     store.send(
         new StoreRequest.Transaction(
             ImmutableList.of(),
             ImmutableList.of(StoreRequest.Change.put(key, new StoredRecord.TermCounter(1)))),
-        urgency,
+        priority,
         reply -> {});
   }
 
-  /** Sixty requests a second have to do for seven nodes that are all started anew at once. */
+  /** Seven nodes that all restart at once must not exceed sixty requests a second together. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5})
   void restartOfSevenNodesKeepsTheRequestRate(long seed) {
@@ -158,7 +164,7 @@
     ExpectedOutcome.assertAllJobsServed(cluster, jobs);
   }
 
-  /** Behind the starts of other arrays, ends were once written 6 to 12 s late. */
+  /** The end of a job was once written 6 to 12 s late, queued behind the starts of other arrays. */
   @Test
   void endOfJobIsWrittenAtOnceWhileManyArraysStart() {
     Settings settings =
@@ -177,18 +183,18 @@
     }
     jobs.forEach(cluster::submit);
     Map<Job, Long> finishedMs = new HashMap<>();
-    long mostLateMs = 0;
+    long maxDelayMs = 0;
     for (int i = 0; i < 1200; i++) {
       cluster.run(0.1);
       for (Job job : jobs) {
         if (cluster.allTasksFinished(job) && !cluster.isDoneInStore(job)) {
           finishedMs.putIfAbsent(job, cluster.nowMs);
-          mostLateMs = Math.max(mostLateMs, cluster.nowMs - finishedMs.get(job));
+          maxDelayMs = Math.max(maxDelayMs, cluster.nowMs - finishedMs.get(job));
         }
       }
     }
     assertTrue(jobs.stream().allMatch(cluster::isDoneInStore));
-    assertTrue(mostLateMs <= 3000, mostLateMs + " ms until the end of a job was written");
+    assertTrue(maxDelayMs <= 3000, maxDelayMs + " ms until the end of a job was written");
     ExpectedOutcome.assertNoViolations(cluster);
   }
 }
