--- a/src/test/java/eiderfork/controller/ControllerTest.java
+++ b/src/test/java/eiderfork/controller/ControllerTest.java
@@ -32,14 +32,14 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** A single controller, input by input. */
+/** Tests a single controller, one input at a time. */
 class ControllerTest {
-  private final Controller node =
+  private final Controller controller =
       new Controller(TestFixtures.settings("roost-0"), new Random(1), 0);
   private final List<Effect> effects = new ArrayList<>();
 
   private void handle(long nowMs, Input input) {
-    effects.addAll(node.handle(nowMs, input));
+    effects.addAll(controller.handle(nowMs, input));
   }
 
   private static Input heartbeat(long ticket) {
@@ -55,9 +55,12 @@
         .toList();
   }
 
-  /** Without a name a worker waits a second more, which its lease did not have after a crash. */
+  /**
+   * A worker that is redirected without the leader's name waits another second. After a crash of
+   * the leader, its lease expired in that time.
+   */
   @Test
-  void heartbeatWaitsForTheLeadersNameButNotForLong() {
+  void heartbeatIsDeferredUntilTheLeaderIsKnown() {
     handle(0, new Input.Tick());
     handle(10, heartbeat(7));
     assertTrue(redirects().isEmpty());
@@ -67,47 +70,55 @@
 
   /** The node learns that another one leads term 4. */
   private void observeLeader(long nowMs) {
-    long read =
+    long readCallId =
         effects.stream()
             .filter(Effect.CallStore.class::isInstance)
             .map(Effect.CallStore.class::cast)
-            .filter(ask -> ask.request().equals(new StoreRequest.Get(StoreKeys.LEADER)))
+            .filter(call -> call.request().equals(new StoreRequest.Get(StoreKeys.LEADER)))
             .findFirst()
             .orElseThrow()
             .callId();
     handle(
         nowMs,
-        new Input.Answered(read, new Reply.Value(new StoredRecord.Leadership("roost-2", 4), 9)));
+        new Input.Answered(
+            readCallId, new Reply.Value(new StoredRecord.Leadership("roost-2", 4), 9)));
   }
 
-  /** A worker with a task that shows the token of term 4, and one that has none. */
+  /** Returns a heartbeat with a fencing token of term 4, with a running task or without tasks. */
   private static Input heartbeatOfTerm4(long ticket, boolean hasTask) {
     Machine machine = new Machine("n-" + ticket, "n-" + ticket + ":1", "g4", "a", false);
     TaskStatus task =
         new TaskStatus(
             new Attempt(new TaskId("run-000001", 0), 1), TaskStatus.State.RUNNING, null, false);
     ImmutableList<TaskStatus> tasks = hasTask ? ImmutableList.of(task) : ImmutableList.of();
-    long token = (4L << LeaderElection.TOKEN_SEQUENCE_BITS) + 1;
-    return new Input.WorkerReport(ticket, new Heartbeat(machine, 1, 5, token, null, tasks));
+    long fencingToken = (4L << LeaderElection.TOKEN_SEQUENCE_BITS) + 1;
+    return new Input.WorkerReport(ticket, new Heartbeat(machine, 1, 5, fencingToken, null, tasks));
   }
 
-  /** Sent back at once it waits at the leader that it has lost, until half of its lease is over. */
+  /**
+   * A worker with tasks that was served by the leader of this term and now contacts this node could
+   * not reach the leader. Redirected back at once, it would wait for that leader until half of its
+   * lease is over.
+   */
   @Test
-  void workerThatHasLostTheLeaderIsKeptForAWhile() {
+  void workerThatHasLostTheLeaderIsNotRedirectedBackAtOnce() {
     handle(0, new Input.Tick());
     observeLeader(10);
     handle(20, heartbeatOfTerm4(7, true));
     handle(20, heartbeatOfTerm4(8, false));
     assertEquals(List.of(new Effect.RedirectWorker(8, "roost-2")), redirects());
     handle(2900, new Input.Tick());
-    assertEquals(1, redirects().size(), "three steps are not over");
+    assertEquals(1, redirects().size(), "redirects before three steps have passed");
     handle(3050, new Input.Tick());
     assertEquals(7, redirects().get(1).ticket());
   }
 
-  /** Commands to every machine at once, beside every worker's report, once took all sockets. */
+  /**
+   * Commands to all machines at once, in addition to the heartbeats of all workers, once used up
+   * all sockets.
+   */
   @Test
-  void newLeaderReachesNoMoreMachinesAtOnceThanItsSocketsAllow() {
+  void newLeaderContactsNoMoreMachinesAtOnceThanItsSocketsAllow() {
     ControllerContext context =
         new ControllerContext(TestFixtures.settings("roost-0"), new Random(1), 0);
     StoreClient store = new StoreClient(context);
@@ -138,10 +149,10 @@
     commander.onElected();
     context.advanceTo(5000);
     commander.tick();
-    int outbound = context.settings.controllerResources().maxOutboundConnections();
-    assertEquals(outbound - outbound / 2, context.drainEffects().size());
+    int maxConnections = context.settings.controllerResources().maxOutboundConnections();
+    assertEquals(maxConnections - maxConnections / 2, context.drainEffects().size());
     commander.tick();
-    assertTrue(context.drainEffects().isEmpty(), "the rest waits for answers");
+    assertTrue(context.drainEffects().isEmpty(), "further machines contacted before a response");
   }
 
   @Test
@@ -153,12 +164,16 @@
     assertEquals(List.of(new Effect.RedirectWorker(7, null)), redirects());
   }
 
-  /** A wait of a report interval outlived the worker's own, which is 4 s whatever the interval. */
+  /**
+   * A worker's own timeout is 4 s whatever the heartbeat interval. Deferring a response for a whole
+   * long interval exceeded that timeout.
+   */
   @Test
-  void heartbeatWaitsNoLongerWhereTheIntervalIsLong() {
-    Controller slow = new Controller(TestFixtures.longLeaseSettings(), new Random(1), 0);
-    slow.handle(10, heartbeat(7));
-    List<Effect> later = slow.handle(1010, new Input.Tick());
-    assertTrue(later.contains(new Effect.RedirectWorker(7, null)), later::toString);
+  void heartbeatIsDeferredNoLongerWithALongInterval() {
+    Controller longLeaseController =
+        new Controller(TestFixtures.longLeaseSettings(), new Random(1), 0);
+    longLeaseController.handle(10, heartbeat(7));
+    List<Effect> laterEffects = longLeaseController.handle(1010, new Input.Tick());
+    assertTrue(laterEffects.contains(new Effect.RedirectWorker(7, null)), laterEffects::toString);
   }
 }
--- a/src/test/java/eiderfork/controller/LateBootTest.java
+++ b/src/test/java/eiderfork/controller/LateBootTest.java
@@ -12,9 +12,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Machines that come up late, never, or at once, and lists that tell of them late. */
+/** Tests machines that boot late, never or at once, and machine lists that contain them late. */
 class LateBootTest {
-  /** The boot time of the scripted cloud's machines with GPUs. */
+  /** The boot time of the fake cloud's machines with GPUs. */
   private static final double BOOT_S = 4;
 
   private static final long NEVER_MS = 10_000_000;
@@ -22,7 +22,7 @@
   private final SimulatedCluster cluster = new SimulatedCluster(17);
 
   @AfterEach
-  void rulesHold() {
+  void assertNoViolations() {
     assertEquals(List.of(), cluster.checker.violations);
   }
 
@@ -32,7 +32,7 @@
     }
   }
 
-  /** Another zone is taken within a bound that follows from the boot time. */
+  /** Replicas start in another zone within a bound that follows from the boot time. */
   @ParameterizedTest
   @ValueSource(longs = {20 * 4000, NEVER_MS})
   void replicasDoNotWaitForOverdueBoot(long bootMs) {
@@ -40,27 +40,32 @@
     setBootTime("b", 3000);
     Job job = TestFixtures.job(1, JobKind.SERVICE, 4, 4);
     cluster.submit(job);
-    // Overdue after two boots, then a plan, a rent, a boot and an image.
+    // A boot is overdue after twice the boot time; then come a plan, a rent, a boot and an image.
     cluster.run(2 + BOOT_S * 2 + 2 + 3 + 3);
     assertEquals(4, cluster.checker.runningTasks(job.uid()));
     cluster.run(120);
     assertEquals(4, cluster.checker.runningTasks(job.uid()));
-    assertTrue(cluster.cloud.liveHostCount() <= 6, "what came up late is used or returned");
+    assertTrue(
+        cluster.cloud.liveHostCount() <= 6,
+        "machines that booted late are neither used nor returned");
   }
 
-  /** While the first rent of a need is not known to be late, no second one follows. */
+  /** No second rent follows the first one before that is known to be late. */
   @Test
   void noReplacementIsRentedBeforeBootIsOverdue() {
     setBootTime("a", (long) (BOOT_S * 1.9 * 1000));
     setBootTime("b", (long) (BOOT_S * 1.9 * 1000));
     cluster.submit(TestFixtures.job(1, JobKind.SERVICE, 4, 4));
     cluster.run(4);
-    int rented = cluster.cloud.hosts().size();
+    int hostsBefore = cluster.cloud.hosts().size();
     cluster.run(BOOT_S * 1.9 - 2);
-    assertEquals(rented, cluster.cloud.hosts().size());
+    assertEquals(hostsBefore, cluster.cloud.hosts().size());
   }
 
-  /** All kinds are late for a while: the fleet stays bounded, and work starts when that is over. */
+  /**
+   * Machines of all kinds boot late for a while. The fleet must stay bounded, and tasks must start
+   * once boots are fast again.
+   */
   @Test
   void fleetStaysBoundedWhereAllBootsAreLate() {
     setBootTime("a", (long) (BOOT_S * 20 * 1000));
@@ -79,7 +84,10 @@
         cluster.cloud.liveHostCount() <= 6, cluster.cloud.liveHostCount() + " machines live");
   }
 
-  /** Machines are up at once, long before any list has them; the leader ends meanwhile. */
+  /**
+   * Machines boot at once, long before any machine list contains them, and the leader crashes
+   * meanwhile.
+   */
   @Test
   void earlyBootsSurviveFailover() {
     setBootTime("a", 100);
--- a/src/test/java/eiderfork/controller/MachineConsolidationTest.java
+++ b/src/test/java/eiderfork/controller/MachineConsolidationTest.java
@@ -9,15 +9,18 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Machines that the fleet could do without are emptied, wherever their replicas may go. */
+/**
+ * Tests that machines the fleet does not need are drained, in whatever zone their replicas can be
+ * placed.
+ */
 class MachineConsolidationTest {
-  /** Long enough for replicas to settle, headroom to fade and a machine to be given back. */
-  private static final double LATER_S = 160;
+  /** Long enough for replicas to settle, headroom to decay and a machine to be returned. */
+  private static final double CONSOLIDATION_S = 160;
 
   private final SimulatedCluster cluster = new SimulatedCluster(5);
 
-  /** One ordinary machine with GPUs in each zone, and no others. */
-  private void oneMachineInEachZone() {
+  /** Limits the stock to one on-demand machine with GPUs in each zone. */
+  private void stockOneMachineInEachZone() {
     cluster.cloud.defaultStock = 0;
     cluster.cloud.stockByKind.put(new MachineKind("g4", "a", false), 1);
     cluster.cloud.stockByKind.put(new MachineKind("g4", "b", false), 1);
@@ -32,35 +35,38 @@
     return job;
   }
 
-  private void oneMachineHolds(long replicas) {
+  private void assertConsolidatedToOneMachine(long replicas) {
     assertEquals(2, cluster.cloud.liveHostCount());
-    cluster.run(LATER_S);
+    cluster.run(CONSOLIDATION_S);
     assertEquals(1, cluster.cloud.liveHostCount());
     assertEquals(replicas, cluster.checker.totalRunningTasks());
     assertEquals(List.of(), cluster.checker.violations);
   }
 
-  /** Half-empty machines of one zone once stood beside free GPUs of another. */
+  /** Half-empty machines in one zone were once kept although another zone had free GPUs. */
   @Test
   void unconstrainedReplicasMoveToAnotherZone() {
-    oneMachineInEachZone();
+    stockOneMachineInEachZone();
     submit(1, 2, new Resources(1, 1, 4));
-    Job leaves = submit(2, 2, new Resources(1, 1, 4));
+    Job cancelledJob = submit(2, 2, new Resources(1, 1, 4));
     submit(3, 1, new Resources(1, 1, 4));
-    cluster.cancel(leaves.uid());
+    cluster.cancel(cancelledJob.uid());
     cluster.run(3);
-    oneMachineHolds(3);
+    assertConsolidatedToOneMachine(3);
   }
 
-  /** Machines with GPUs that nobody wanted were kept for their processors' sake. */
+  /**
+   * GPU machines whose GPUs no job needed were once kept for their CPUs, because their tasks were
+   * not to use CPUs that free GPUs of other machines need.
+   */
   @Test
   void gpuMachineIsDrainedThoughItsTasksUseCpusOfOtherGpus() {
-    oneMachineInEachZone();
+    stockOneMachineInEachZone();
     submit(1, 2, new Resources(4, 1, 4));
-    Job leaves = submit(2, 2, new Resources(4, 1, 4));
+    Job cancelledJob = submit(2, 2, new Resources(4, 1, 4));
     submit(3, 1, new Resources(8, 0, 4));
-    cluster.cancel(leaves.uid());
+    cluster.cancel(cancelledJob.uid());
     cluster.run(3);
-    oneMachineHolds(3);
+    assertConsolidatedToOneMachine(3);
   }
 }
--- a/src/test/java/eiderfork/controller/RateLimitTest.java
+++ b/src/test/java/eiderfork/controller/RateLimitTest.java
@@ -96,7 +96,7 @@
     ClusterVersion version = new ClusterVersion(context, store, election);
     JobRegistry jobs = new JobRegistry(context, store, election, version);
     MachineRegistry fleet = new MachineRegistry(context, jobs);
-    UserRequestHandler users =
+    UserRequestHandler handler =
         new UserRequestHandler(
             context,
             election,
@@ -110,14 +110,14 @@
             () -> {});
     List<UserResponse> responses = new ArrayList<>();
     for (int i = 0; i < 500; i++) {
-      users.handle(new Input.Query(i, "run-%06d".formatted(i)), true, responses::add);
+      handler.handle(new Input.Query(i, "run-%06d".formatted(i)), true, responses::add);
     }
     assertTrue(responses.size() > 300, "queries refused at once: " + responses.size());
     assertTrue(
         responses.stream()
             .allMatch(response -> response.status() == 503 && response.retryAfterS() > 0));
     context.drainEffects();
-    users.handle(
+    handler.handle(
         new Input.Submit(1, TestFixtures.job(999, JobKind.SERVICE, 1, 1), new byte[0]),
         true,
         responses::add);
--- a/src/test/java/eiderfork/controller/UserRequestHandlerTest.java
+++ b/src/test/java/eiderfork/controller/UserRequestHandlerTest.java
@@ -42,7 +42,7 @@
   private final LeaderElection election = new LeaderElection(context, store, null);
   private final ClusterVersion version = new ClusterVersion(context, store, election);
   private final JobRegistry jobs = new JobRegistry(context, store, election, version);
-  private final UserRequestHandler requests =
+  private final UserRequestHandler handler =
       new UserRequestHandler(
           context,
           election,
@@ -77,7 +77,7 @@
   /** Cancels the job, replies to the reads and returns the write of the cancellation. */
   private StoreRequest.Transaction cancelUntilWrite(
       StoredRecord.Allocation allocation, long allocVersion) {
-    requests.handle(new Input.Abort(1, JOB.uid()), true, responses::add);
+    handler.handle(new Input.Abort(1, JOB.uid()), true, responses::add);
     assertEquals(new StoreRequest.Get(StoreKeys.job(JOB.uid())), nextRequest(null, 0));
     Reply job = new Reply.Value(new StoredRecord.JobSpec(JOB), 3);
     assertEquals(new StoreRequest.Get(StoreKeys.alloc(JOB.uid())), nextRequest(job, lastCallId));
@@ -132,7 +132,7 @@
    * cluster version is read.
    */
   private void submitGang() {
-    requests.handle(new Input.Submit(1, GANG, new byte[0]), true, responses::add);
+    handler.handle(new Input.Submit(1, GANG, new byte[0]), true, responses::add);
     assertEquals(new StoreRequest.Get(StoreKeys.job(GANG.uid())), nextRequest(null, 0));
     Reply absent = new Reply.Value(null, 0);
     assertEquals(
