--- a/src/test/java/eiderfork/controller/RateLimitTest.java
+++ b/src/test/java/eiderfork/controller/RateLimitTest.java
@@ -53,7 +53,7 @@
     for (int i = 0; i < 20; i++) {
       long baseMs = Math.min(1000, 100L << Math.min(i, 16));
       long delayMs = backoff.nextPauseMs(random);
-      assertTrue(delayMs >= baseMs / 2 && delayMs <= baseMs, "delay " + i + ": " + delayMs + " ms");
+      assertTrue(delayMs >= baseMs / 2 && delayMs <= baseMs, i + ": delay in ms is " + delayMs);
     }
   }
 
