--- a/src/test/java/eiderfork/controller/JobArchiverTest.java
+++ b/src/test/java/eiderfork/controller/JobArchiverTest.java
@@ -430,7 +430,7 @@
     cluster.cancel(service.uid());
     cluster.run(4);
     assertEquals(JobStatus.Phase.ABORTED, cluster.checker.finalPhase(service.uid()));
-    assertFalse(isArchived(cluster, service), "its task may still run");
+    assertFalse(isArchived(cluster, service), "archived although its task may still run");
     cluster.run(60);
     assertArchivedCompletely(cluster, service);
     assertNoViolations(cluster);
