--- a/src/test/java/eiderfork/controller/ArrayParallelismTest.java
+++ b/src/test/java/eiderfork/controller/ArrayParallelismTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Arrays of thousands of short tasks: how many machines they get, and how they end. */
+/** Tests how many machines an array of thousands of short tasks gets, and that it completes. */
 class ArrayParallelismTest {
   private static final int TASKS = 3000;
 
@@ -50,10 +50,11 @@
   }
 
   /**
-   * Capacity for all tasks at once would take 94 machines, which once stood idle after the array.
+   * Capacity for all tasks at once takes 94 machines. That many were once rented, and they were
+   * idle after the array had completed.
    */
   @Test
-  void anArrayOfShortTasksIsPlannedInWaves() {
+  void arrayOfShortTasksGetsCapacityForWavesOfTasks() {
     SimulatedCluster cluster = new SimulatedCluster(5, settings(400));
     cluster.cloud.defaultStock = 100;
     cluster.submit(array(1));
@@ -64,36 +65,38 @@
     assertEquals(List.of(), cluster.checker.violations);
   }
 
-  /** A leader that ends while the array runs, twice, loses and repeats nothing. */
+  /** Two leader crashes while the array runs lose no task and repeat no work. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
-  void twoLeaderCrashesLoseNothing(long seed) {
+  void twoLeaderCrashesLoseAndRepeatNoWork(long seed) {
     SimulatedCluster cluster = new SimulatedCluster(seed, settings(400));
     cluster.cloud.defaultStock = 6;
     cluster.submit(array(1));
     cluster.schedule(17_300 + seed * 170, () -> cluster.crashNode(cluster.leader(), 3000));
     cluster.schedule(41_000 + seed * 230, () -> cluster.crashNode(cluster.leader(), 3000));
     cluster.run(25);
-    int early = cluster.checker.completedTasks(array(1).uid());
-    assertTrue(early > 100, early + " done");
+    int completedEarly = cluster.checker.completedTasks(array(1).uid());
+    assertTrue(completedEarly > 100, completedEarly + " tasks completed");
     cluster.run(200);
     assertTrue(cluster.checker.allTasksCompleted(array(1).uid()));
     assertTrue(cluster.isDoneInStore(array(1)));
-    // Tasks whose end is not written yet are started again, and end at once with their result.
+    // Tasks whose completion is not in the store yet start again, and end at once with their
+    // result.
     assertTrue(
         cluster.checker.startCount < TASKS + TASKS / 5, cluster.checker.startCount + " starts");
     assertEquals(List.of(), cluster.checker.violations);
   }
 
-  /** Half of the store limit, and machines that die while the array runs. */
+  /** The store's limit for the size of a value is halved, and machines fail during the array. */
   @Test
-  void anArrayFinishesUnderHalfOfTheStoreLimitWhileMachinesDie() {
+  void arrayCompletesWithHalvedValueLimitWhileMachinesFail() {
     Settings base = settings(400);
     Settings.StoreLimits limits = base.storeLimits();
-    Settings.StoreLimits half =
+    Settings.StoreLimits halvedLimits =
         new Settings.StoreLimits(
             limits.requestsPerS(), limits.writesPerS(), 2, limits.transactionOps());
-    SimulatedCluster cluster = new SimulatedCluster(9, TestFixtures.withNextLimits(base, half));
+    SimulatedCluster cluster =
+        new SimulatedCluster(9, TestFixtures.withNextLimits(base, halvedLimits));
     cluster.cloud.defaultStock = 6;
     cluster.submit(array(1));
     cluster.schedule(
@@ -107,14 +110,16 @@
     assertEquals(List.of(), cluster.checker.violations);
   }
 
-  /** An array whose tasks take a good part of its objective gets capacity for all of them. */
+  /** An array whose tasks take much of the time of its objective gets capacity for all of them. */
   @Test
-  void anArrayOfLongTasksIsPlannedAsAWhole() {
+  void arrayOfLongTasksGetsCapacityForAllTasks() {
     SimulatedCluster cluster = new SimulatedCluster(6, settings(20));
     Job job = TestFixtures.job(1, JobKind.ARRAY, 40, 0);
     cluster.submit(job);
     cluster.run(25);
     assertTrue(cluster.checker.allTasksCompleted(job.uid()));
-    assertTrue(cluster.cloud.hosts().size() >= 5, "capacity for one after the other only");
+    assertTrue(
+        cluster.cloud.hosts().size() >= 5,
+        "there was capacity only to run the tasks one after the other");
   }
 }
--- a/src/test/java/eiderfork/controller/FailingJobsTest.java
+++ b/src/test/java/eiderfork/controller/FailingJobsTest.java
@@ -12,12 +12,12 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Jobs that were submitted with a mistake and fail on every machine until they are cancelled. */
+/** Tests jobs with a fault of their own, which fail on every machine until they are cancelled. */
 class FailingJobsTest {
   private final SimulatedCluster cluster = new SimulatedCluster(11);
 
   @AfterEach
-  void assertNoBreaches() {
+  void assertNoViolations() {
     assertEquals(List.of(), cluster.checker.violations);
   }
 
@@ -26,7 +26,7 @@
     return job;
   }
 
-  private Job failing(int number, int tasks) {
+  private Job submitFailingArray(int number, int tasks) {
     Job job = TestFixtures.job(number, JobKind.ARRAY, tasks, 0);
     cluster.failingJobs.add(job.uid());
     return submit(job);
@@ -39,98 +39,111 @@
         .toList();
   }
 
-  private int starts() {
+  private int startCount() {
     return cluster.checker.startCount;
   }
 
-  /** Two such jobs came to the same machine first, and it was returned with all that ran there. */
+  /**
+   * When the first tasks of two failing jobs ran on the same machine, it was returned to the cloud
+   * with everything else that ran on it.
+   */
   @Test
   void severalFailingJobsDoNotMarkABusyMachineFaulty() {
     cluster.cloud.defaultStock = 1;
-    Job good = submit(TestFixtures.job(1, JobKind.SERVICE, 4, 1));
+    Job healthyService = submit(TestFixtures.job(1, JobKind.SERVICE, 4, 1));
     cluster.run(20);
-    List<String> hosts = busyMachines();
+    List<String> machinesBefore = busyMachines();
     for (int i = 2; i <= 4; i++) {
-      failing(i, 1);
+      submitFailingArray(i, 1);
     }
     cluster.run(30);
-    assertEquals(4, cluster.checker.runningTasks(good.uid()));
-    assertEquals(hosts, busyMachines(), "its machine was given up");
+    assertEquals(4, cluster.checker.runningTasks(healthyService.uid()));
+    assertEquals(machinesBefore, busyMachines(), "machines that run tasks");
   }
 
-  /** Eight tasks that failed together on one machine counted as eight tries: 32 s of delay. */
+  /**
+   * Eight tasks that failed at the same time on one machine counted as eight tries, which delayed
+   * the job by 32 s.
+   */
   @Test
   void failuresOnOneFaultyMachineDoNotDelayTheJobElsewhere() {
     submit(TestFixtures.job(1, JobKind.SERVICE, 1, 4));
     cluster.run(20);
-    String bad = cluster.workers().get(0).machine.name();
-    cluster.failingMachines.add(bad);
+    String faultyMachine = cluster.workers().get(0).machine.name();
+    cluster.failingMachines.add(faultyMachine);
     Job array = submit(TestFixtures.job(2, JobKind.ARRAY, 8, 0));
     cluster.run(25);
     assertTrue(cluster.checker.allTasksCompleted(array.uid()));
   }
 
   @Test
-  void failingJobIsTriedOneTaskAtATimeWithGrowingBackoff() {
+  void failingJobIsRetriedOneTaskAtATimeWithGrowingBackoff() {
     submit(TestFixtures.job(1, JobKind.SERVICE, 8, 2));
     cluster.run(30);
-    failing(2, 40);
+    submitFailingArray(2, 40);
     cluster.run(30);
-    int before = starts();
+    int startsBefore = startCount();
     cluster.run(120);
-    // Each try takes 5 s and waits for 32 s at last; 40 tasks at a time were hundreds of starts.
-    assertTrue(starts() - before <= 12, starts() - before + " starts in two minutes");
+    // Each try takes 5 s, and the backoff grows to 32 s. Trying 40 tasks at a time caused
+    // hundreds of starts.
+    assertTrue(
+        startCount() - startsBefore <= 12, startCount() - startsBefore + " starts in two minutes");
   }
 
   @Test
   void failingJobDoesNotScaleOutAfterItsFirstTries() {
     submit(TestFixtures.job(1, JobKind.SERVICE, 1, 1));
     cluster.run(20);
-    Job bad = failing(2, 60);
+    Job failingJob = submitFailingArray(2, 60);
     cluster.run(60);
-    int rented = cluster.cloud.hosts().size();
+    int rentedBefore = cluster.cloud.hosts().size();
     cluster.run(200);
-    assertEquals(rented, cluster.cloud.hosts().size(), "machines were rented for it again");
-    cluster.cancel(bad.uid());
+    assertEquals(
+        rentedBefore,
+        cluster.cloud.hosts().size(),
+        "machines were rented again for the failing job");
+    cluster.cancel(failingJob.uid());
     cluster.run(5);
-    assertEquals(Phase.ABORTED, cluster.checker.finalPhase(bad.uid()));
+    assertEquals(Phase.ABORTED, cluster.checker.finalPhase(failingJob.uid()));
   }
 
-  /** A new leader knows nothing of the failures; it used to begin with all tasks again. */
+  /** A new leader does not know the earlier failures, and used to start all tasks again. */
   @Test
   void failoverDoesNotRestartAllTasksOfAFailingJob() {
     submit(TestFixtures.job(1, JobKind.SERVICE, 8, 2));
     cluster.run(30);
-    failing(2, 40);
+    submitFailingArray(2, 40);
     cluster.run(70);
-    int before = starts();
+    int startsBefore = startCount();
     for (int i = 0; i < 4; i++) {
       cluster.crashNode(cluster.leader(), 3000);
       cluster.run(20);
     }
-    assertTrue(starts() - before <= 16, starts() - before + " starts over four takeovers");
+    assertTrue(
+        startCount() - startsBefore <= 16,
+        startCount() - startsBefore + " starts during four failovers");
   }
 
-  /** The leader ends while the tasks of a try are under way or have just failed. */
+  /** The leader crashes while the tasks of a try run or have just failed. */
   @Test
   void failoverDuringATryLeavesNothingRunning() {
     submit(TestFixtures.job(1, JobKind.SERVICE, 2, 1));
     cluster.run(20);
-    Job bad = failing(2, 6);
+    Job failingJob = submitFailingArray(2, 6);
     for (int i = 0; i < 6; i++) {
       cluster.run(3.7);
       cluster.crashNode(cluster.leader(), 2000);
     }
     cluster.run(10);
-    cluster.cancel(bad.uid());
+    cluster.cancel(failingJob.uid());
     cluster.run(10);
-    assertEquals(Phase.ABORTED, cluster.checker.finalPhase(bad.uid()));
-    assertEquals(0, cluster.checker.runningTasks(bad.uid()));
+    assertEquals(Phase.ABORTED, cluster.checker.finalPhase(failingJob.uid()));
+    assertEquals(0, cluster.checker.runningTasks(failingJob.uid()));
   }
 
-  /** Some tasks that fail everywhere hold up neither the others nor each other. */
+  /** Tasks that fail on every machine delay neither the other tasks of the job nor each other. */
   @Test
-  void aJobWithSomeFailingTasksFinishesTheOthers() {
+  void jobWithSomeFailingTasksCompletesTheOthers() {
     submit(TestFixtures.job(1, JobKind.SERVICE, 3, 2));
     cluster.run(20);
     Job array = TestFixtures.job(2, JobKind.ARRAY, 30, 0);
@@ -145,16 +158,19 @@
     assertTrue(cluster.checker.allTasksCompleted(array.uid()));
   }
 
-  /** What looked like a mistake was the fault of two machines, as the trial task shows. */
+  /**
+   * Failures that seemed to be the fault of the job were those of two machines, as the success of
+   * its trial task shows.
+   */
   @Test
   void suspectedJobResumesOnceATaskSucceeds() {
     submit(TestFixtures.job(1, JobKind.SERVICE, 3, 2));
     cluster.run(20);
-    Job bad = failing(2, 24);
+    Job failingJob = submitFailingArray(2, 24);
     cluster.run(60);
-    assertFalse(cluster.checker.allTasksCompleted(bad.uid()));
+    assertFalse(cluster.checker.allTasksCompleted(failingJob.uid()));
     cluster.failingJobs.clear();
     cluster.run(60);
-    assertTrue(cluster.checker.allTasksCompleted(bad.uid()));
+    assertTrue(cluster.checker.allTasksCompleted(failingJob.uid()));
   }
 }
--- a/src/test/java/eiderfork/controller/GangTest.java
+++ b/src/test/java/eiderfork/controller/GangTest.java
@@ -18,13 +18,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Gangs run whole or not at all, whatever happens to a part of them. */
+/** Tests that a gang starts, saves and ends as a whole, also if some of its tasks fail. */
 class GangTest {
   private final SimulatedCluster cluster = new SimulatedCluster(11);
   private final List<Job> jobs = new ArrayList<>();
 
-  /** Machines of both zones are up, and every node knows that all others run this version. */
-  private void startReferenceService() {
+  /**
+   * Starts a service, and waits until machines of both zones are up and every node knows that all
+   * others run its version.
+   */
+  private void startServiceAndWaitForMachines() {
     submit(TestFixtures.job(1, JobKind.SERVICE, 4, 2));
     cluster.run(30);
   }
@@ -40,15 +43,15 @@
         .filter(
             worker ->
                 !worker.isDead
-                    && worker.taskIds().stream().anyMatch(t -> t.jobUid().equals(job.uid())))
+                    && worker.taskIds().stream().anyMatch(id -> id.jobUid().equals(job.uid())))
         .sorted(Comparator.comparing(worker -> worker.machine.name()))
         .toList();
   }
 
-  private boolean anyTask(Job job, TaskStatus.State state) {
+  private boolean hasTaskInState(Job job, TaskStatus.State state) {
     return cluster.workers().stream()
         .flatMap(worker -> worker.tasks().stream())
-        .anyMatch(t -> t.attempt.task().jobUid().equals(job.uid()) && t.state == state);
+        .anyMatch(task -> task.attempt.task().jobUid().equals(job.uid()) && task.state == state);
   }
 
   private void assertAllServed() {
@@ -56,8 +59,8 @@
   }
 
   @Test
-  void aGangStartsAndEndsWhole() {
-    startReferenceService();
+  void gangStartsAndCompletesAsAWhole() {
+    startServiceAndWaitForMachines();
     Job gang = submit(TestFixtures.gang(2, 6, 2, 6, true));
     cluster.run(15);
     assertEquals(1, cluster.gangs.startCount);
@@ -71,22 +74,22 @@
     cluster.cloud.types = cluster.cloud.types.subList(1, 2);
     submit(TestFixtures.job(1, JobKind.SERVICE, 1, 0));
     cluster.run(25);
-    // Two machines of eight processors, one of which a replica holds, are there for either.
+    // There are two machines of eight CPUs for the gangs; a replica uses one of these CPUs.
     for (int i = 2; i <= 5; i++) {
       submit(TestFixtures.gang(i, 6, 1, 5, true));
     }
     cluster.run(4);
     for (Job gang : jobs.subList(1, jobs.size())) {
       long running = cluster.checker.runningTasks(gang.uid());
-      assertTrue(running == 0 || running == 6, running + " of a gang hold room");
+      assertTrue(running == 0 || running == 6, running + " tasks of a gang run");
     }
     assertAllServed();
-    assertEquals(4, cluster.gangs.startCount, "none was broken off");
+    assertEquals(4, cluster.gangs.startCount, "starts of all gangs");
   }
 
-  /** The best machine for one task may be in a zone without capacity for the others. */
+  /** The best machine for one task may be in a zone that has no capacity for the other tasks. */
   @Test
-  void singleZoneGangIsPlacedWhereAllOfItFits() {
+  void singleZoneGangIsPlacedInAZoneThatFitsAllItsTasks() {
     for (String zone : List.of("a", "b")) {
       cluster.cloud.stockByKind.put(new MachineKind("g4", zone, false), zone.equals("a") ? 1 : 3);
       cluster.cloud.stockByKind.put(new MachineKind("g4", zone, true), 0);
@@ -99,16 +102,17 @@
     Job gang = submit(TestFixtures.gang(2, 5, 5, 4, true));
     cluster.run(12);
     assertTrue(
-        cluster.checker.allTasksCompleted(gang.uid()), "three machines of the one zone hold it");
+        cluster.checker.allTasksCompleted(gang.uid()),
+        "the gang did not complete in the zone with three machines");
     assertAllServed();
   }
 
   @ParameterizedTest
   @ValueSource(ints = {0, 50, 100, 200, 300, 500, 700, 900, 1200, 1600, 2500})
-  void leaderCrashDuringTheStartOfAGangChangesNothing(int afterMs) {
-    startReferenceService();
+  void leaderCrashDuringGangStartDoesNotRestartTheGang(int crashAfterMs) {
+    startServiceAndWaitForMachines();
     Job gang = submit(TestFixtures.gang(2, 6, 2, 8, true));
-    cluster.schedule(afterMs, () -> cluster.crashNode(cluster.leader(), 3000));
+    cluster.schedule(crashAfterMs, () -> cluster.crashNode(cluster.leader(), 3000));
     cluster.run(25);
     assertTrue(cluster.checker.allTasksCompleted(gang.uid()));
     assertAllServed();
@@ -118,7 +122,7 @@
   @ParameterizedTest
   @ValueSource(ints = {-1, 0, 300, 1000, 3000, 5000, 9000, 10_500, 12_000})
   void gangThatLosesAMachineRestartsFromItsCheckpoint(int crashAfterMs) {
-    startReferenceService();
+    startServiceAndWaitForMachines();
     Job gang = submit(TestFixtures.gang(2, 6, 4, 12, true));
     cluster.run(6);
     assertEquals(1, cluster.gangs.startCount);
@@ -133,71 +137,82 @@
   }
 
   /**
-   * While a hung machine may resume, no task of the next attempt starts, here or in another zone.
+   * No task of the next attempt starts while a hung machine may resume, neither in the same zone
+   * nor in another one.
    */
   @ParameterizedTest
   @ValueSource(ints = {3000, 7000, 9500, 10_500, 14_000, 25_000})
-  void hungTaskCountsUntilItsLeaseHasExpired(int hangMs) {
-    startReferenceService();
+  void nextAttemptDoesNotStartWhileAHungTaskMayResume(int hangMs) {
+    startServiceAndWaitForMachines();
     Job gang = submit(TestFixtures.gang(2, 6, 4, 12, true));
     cluster.run(6);
-    FakeWorker hung = workersWith(gang).get(0);
-    hung.isHanging = true;
-    cluster.schedule(hangMs, () -> hung.isHanging = false);
+    FakeWorker hungWorker = workersWith(gang).get(0);
+    hungWorker.isHanging = true;
+    cluster.schedule(hangMs, () -> hungWorker.isHanging = false);
     cluster.run(70);
     assertTrue(cluster.checker.allTasksCompleted(gang.uid()));
     assertAllServed();
   }
 
-  /** What the leader knew of a lost member goes with it; its successor must not wait for it. */
+  /**
+   * A member fails, and the leader crashes, so that its knowledge of the failure is lost. The next
+   * leader must not wait for that member.
+   */
   @Test
-  void newLeaderStopsTheRestOfABrokenGang() {
-    startReferenceService();
+  void newLeaderStopsRemainingTasksOfAnIncompleteGang() {
+    startServiceAndWaitForMachines();
     Job gang = submit(TestFixtures.gang(2, 6, 4, 30, true));
     cluster.run(6);
-    FakeWorker refusing = workersWith(gang).get(0);
-    cluster.failingMachines.add(refusing.machine.name());
-    refusing.tasks().stream()
-        .filter(t -> t.attempt.task().jobUid().equals(gang.uid()))
+    FakeWorker failingWorker = workersWith(gang).get(0);
+    cluster.failingMachines.add(failingWorker.machine.name());
+    failingWorker.tasks().stream()
+        .filter(task -> task.attempt.task().jobUid().equals(gang.uid()))
         .findFirst()
-        .ifPresent(t -> refusing.end(t, TaskStatus.Cause.ERROR));
+        .ifPresent(task -> failingWorker.end(task, TaskStatus.Cause.ERROR));
     cluster.schedule(600, () -> cluster.crashNode(cluster.leader(), 3000));
     cluster.run(60);
     assertTrue(cluster.checker.allTasksCompleted(gang.uid()));
     assertAllServed();
   }
 
-  /** A gang that has to leave a machine saves, if all of its tasks receive that in time. */
+  /**
+   * A gang on a machine with a termination notice saves its progress if all of its tasks receive
+   * the stop command in time.
+   */
   @ParameterizedTest
   @ValueSource(ints = {-1, 0, 100, 300, 600, 1200})
-  void gangWithATerminationNoticeIsSavedAsAWhole(int crashAfterMs) {
-    startReferenceService();
+  void gangWithATerminationNoticeSavesAsAWhole(int crashAfterMs) {
+    startServiceAndWaitForMachines();
     Job gang = submit(TestFixtures.gang(2, 6, 4, 25, true, "blue", true));
     cluster.run(6);
     assertEquals(1, cluster.gangs.startCount);
-    FakeWorker noticed = workersWith(gang).get(0);
-    noticed.terminationNoticeS = 12.0;
-    noticed.hasUnsentChanges = true;
+    FakeWorker terminatingWorker = workersWith(gang).get(0);
+    terminatingWorker.terminationNoticeS = 12.0;
+    terminatingWorker.hasUnsentChanges = true;
     if (crashAfterMs >= 0) {
       cluster.schedule(crashAfterMs, () -> cluster.crashNode(cluster.leader(), 3000));
     }
-    cluster.schedule(12_000, () -> cluster.failMachine(noticed.machine.name()));
+    cluster.schedule(12_000, () -> cluster.failMachine(terminatingWorker.machine.name()));
     cluster.run(60);
     assertEquals(1, cluster.gangs.savedGangs);
     assertTrue(
-        cluster.gangs.savedProgressMs.get(gang.uid()) % 2000 != 0, "not only the checkpoint");
+        cluster.gangs.savedProgressMs.get(gang.uid()) % 2000 != 0,
+        "only the last regular checkpoint was saved");
     assertAllServed();
   }
 
-  /** With less time than it takes to save, going on loses no more and may end before. */
+  /**
+   * If the notice is shorter than a save takes, running on loses no more progress than stopping,
+   * and the gang may complete before the machine is terminated.
+   */
   @Test
-  void gangIsNotStoppedForANoticeTooShortToSave() {
-    startReferenceService();
+  void gangIsNotStoppedIfTheNoticeIsTooShortToSave() {
+    startServiceAndWaitForMachines();
     Job gang = submit(TestFixtures.gang(2, 4, 4, 7, true, "blue", true));
     cluster.run(4);
-    FakeWorker noticed = workersWith(gang).get(0);
-    noticed.terminationNoticeS = 0.5;
-    noticed.hasUnsentChanges = true;
+    FakeWorker terminatingWorker = workersWith(gang).get(0);
+    terminatingWorker.terminationNoticeS = 0.5;
+    terminatingWorker.hasUnsentChanges = true;
     cluster.run(8);
     assertEquals(1, cluster.gangs.startCount);
     assertTrue(cluster.checker.allTasksCompleted(gang.uid()));
@@ -205,26 +220,29 @@
 
   @ParameterizedTest
   @ValueSource(ints = {0, 100, 300, 600, 900, 1500, 4000, 6500, 8000})
-  void cancelledGangStopsAtOnce(int afterMs) {
-    startReferenceService();
+  void cancelledGangStopsWithinFourSeconds(int cancelAfterMs) {
+    startServiceAndWaitForMachines();
     Job gang = submit(TestFixtures.gang(2, 6, 4, 6, true));
-    cluster.schedule(afterMs, () -> cluster.cancel(gang.uid()));
-    cluster.run(afterMs / 1000.0 + 4);
+    cluster.schedule(cancelAfterMs, () -> cluster.cancel(gang.uid()));
+    cluster.run(cancelAfterMs / 1000.0 + 4);
     assertEquals(0, cluster.checker.runningTasks(gang.uid()));
     assertTrue(cluster.checker.finalPhase(gang.uid()) != null);
     assertAllServed();
   }
 
-  /** One task's end is known, another's machine dies before it reports it: all are done. */
+  /**
+   * The completion of one task is known, and the machine of another is lost before it reports: the
+   * whole gang is done, because its tasks end together.
+   */
   @ParameterizedTest
   @ValueSource(ints = {-1, 0, 200, 600, 1500})
-  void gangIsDoneOnceOneTaskIs(int crashAfterMs) {
-    startReferenceService();
+  void gangIsDoneOnceOneTaskIsDone(int crashAfterMs) {
+    startServiceAndWaitForMachines();
     Job gang = submit(TestFixtures.gang(2, 6, 4, 6, true));
     cluster.run(5);
-    FakeWorker unheard = workersWith(gang).get(0);
-    cluster.cutLinksFrom(unheard.machine.name(), 60_000);
-    cluster.cutLinksTo(unheard.machine.name(), 60_000);
+    FakeWorker cutOffWorker = workersWith(gang).get(0);
+    cluster.cutLinksFrom(cutOffWorker.machine.name(), 60_000);
+    cluster.cutLinksTo(cutOffWorker.machine.name(), 60_000);
     cluster.run(3);
     assertTrue(cluster.checker.allTasksCompleted(gang.uid()));
     if (crashAfterMs >= 0) {
@@ -237,9 +255,12 @@
     assertEquals(1, cluster.gangs.startCount);
   }
 
-  /** Ten GPUs at most: a gang of six waits whole until there is quota for all of it. */
+  /**
+   * The red team may use ten GPUs, and its service uses six: all of a gang that needs six waits
+   * until there is quota for the whole gang.
+   */
   @Test
-  void limitAppliesToTheWholeGang() {
+  void teamLimitAppliesToTheWholeGang() {
     Job service =
         submit(TestFixtures.job(1, JobKind.SERVICE, 6, 1, "red", Priority.HIGH, false, false));
     cluster.run(25);
@@ -253,7 +274,7 @@
   }
 
   @Test
-  void aGangThatNeedsMoreThanItsTeamsLimitIsRefused() {
+  void gangThatNeedsMoreThanItsTeamsLimitIsRefused() {
     Job gang = TestFixtures.gang(2, 11, 1, 4, false, "red", false);
     cluster.run(8);
     cluster.submit(gang);
@@ -261,47 +282,51 @@
     assertTrue(cluster.checker.wasRefused(gang.uid()));
   }
 
-  /** Arrays are preempted for a gang only where all of it fits then. */
+  /** Arrays are preempted for a gang only if the whole gang fits afterwards. */
   @Test
-  void preemptionMakesRoomForTheWholeGangOrNotAtAll() {
+  void arraysArePreemptedOnlyIfTheWholeGangFits() {
     cluster.cloud.defaultStock = 1;
     cluster.cloud.types = cluster.cloud.types.subList(1, 2);
     Job array = submit(array(1, 4, 60));
     cluster.run(25);
-    long before = cluster.checker.runningTasks(array.uid());
-    assertEquals(4, before);
-    Job large = TestFixtures.gang(2, 40, 1, 4, true);
-    cluster.submit(large);
+    long runningBefore = cluster.checker.runningTasks(array.uid());
+    assertEquals(4, runningBefore);
+    Job largeGang = TestFixtures.gang(2, 40, 1, 4, true);
+    cluster.submit(largeGang);
     cluster.run(5);
     assertEquals(
-        before, cluster.checker.runningTasks(array.uid()), "nothing is stopped for a part");
-    // What the large gang could not get is no proof for a smaller one behind it.
+        runningBefore,
+        cluster.checker.runningTasks(array.uid()),
+        "tasks were stopped for a gang that does not fit");
+    // A smaller gang behind the large one may fit, although the large one does not.
     Job gang = submit(TestFixtures.gang(3, 7, 1, 4, true));
     cluster.run(12);
     assertTrue(cluster.checker.allTasksCompleted(gang.uid()));
   }
 
-  /** A gang that could be preempted for a part of another keeps running. */
+  /** A gang keeps running if preempting it makes room for only a part of another gang. */
   @Test
-  void noGangIsPreemptedForAPartOfAnother() {
+  void gangIsNotPreemptedForPartOfAnotherGang() {
     cluster.cloud.defaultStock = 0;
     cluster.cloud.stockByKind.put(new MachineKind("c8", "a", false), 2);
     cluster.run(5);
-    Job low = TestFixtures.gang(1, 4, 4, 60, true);
-    submit(TestFixtures.withPriority(low, Priority.LOW));
+    Job lowPriorityGang = TestFixtures.gang(1, 4, 4, 60, true);
+    submit(TestFixtures.withPriority(lowPriorityGang, Priority.LOW));
     cluster.run(20);
     assertEquals(1, cluster.gangs.startCount);
-    Job large = TestFixtures.gang(2, 17, 1, 4, true);
-    cluster.submit(large);
+    Job largeGang = TestFixtures.gang(2, 17, 1, 4, true);
+    cluster.submit(largeGang);
     cluster.run(12);
     assertEquals(0, cluster.gangs.savedGangs);
-    assertEquals(4, cluster.checker.runningTasks(low.uid()));
-    cluster.cancel(large.uid());
+    assertEquals(4, cluster.checker.runningTasks(lowPriorityGang.uid()));
+    cluster.cancel(largeGang.uid());
     assertAllServed();
     assertEquals(1, cluster.gangs.startCount);
   }
 
-  /** A gang is preempted as a whole for more urgent work, and resumes from its checkpoint. */
+  /**
+   * A gang is preempted as a whole for work of higher priority, and resumes from its checkpoint.
+   */
   @ParameterizedTest
   @ValueSource(ints = {-1, 0, 150, 400, 900, 1600})
   void gangPreemptedForAnUrgentServiceSavesAsAWhole(int crashAfterMs) {
@@ -333,24 +358,27 @@
     return TestFixtures.withTaskShape(template, new Resources(7, 0, 4), runS, "c8");
   }
 
-  /** Everything that the protocol lets go wrong, at once, while gangs come and are cancelled. */
+  /**
+   * All faults that the protocol tolerates occur at the same time, while gangs are submitted and
+   * cancelled.
+   */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16})
   void invariantsHoldUnderCombinedFaults(long seed) {
-    SimulatedCluster troubled = new SimulatedCluster(seed);
-    ExpectedOutcome.assertAllJobsServed(troubled, play(troubled, seed));
+    SimulatedCluster faultyCluster = new SimulatedCluster(seed);
+    ExpectedOutcome.assertAllJobsServed(faultyCluster, play(faultyCluster, seed));
   }
 
-  /** Plays this seed's history of gangs under faults, and returns the gangs. */
-  static List<Job> play(SimulatedCluster troubled, long seed) {
+  /** Runs this seed's history of gangs with faults, and returns the gangs. */
+  static List<Job> play(SimulatedCluster cluster, long seed) {
     List<Job> gangs = new ArrayList<>();
-    troubled.lossProbability = 0.01;
-    troubled.duplicateProbability = 0.02;
-    troubled.lateTransactionProbability = 0.05;
-    troubled.lostStoreReplyProbability = 0.05;
-    troubled.repeatedHeartbeatProbability = 0.1;
-    troubled.nextLeaderHeartbeatProbability = 0.1;
-    troubled.commandDelayMs = seed % 3 * 900;
+    cluster.lossProbability = 0.01;
+    cluster.duplicateProbability = 0.02;
+    cluster.lateTransactionProbability = 0.05;
+    cluster.lostStoreReplyProbability = 0.05;
+    cluster.repeatedHeartbeatProbability = 0.1;
+    cluster.nextLeaderHeartbeatProbability = 0.1;
+    cluster.commandDelayMs = seed % 3 * 900;
     for (int i = 1; i <= 14; i++) {
       boolean red = i % 5 == 0;
       Job gang =
@@ -363,16 +391,16 @@
               red ? "red" : "blue",
               i % 3 == 0);
       gangs.add(gang);
-      troubled.schedule(4000 + i * 4000L, () -> troubled.submit(gang));
+      cluster.schedule(4000 + i * 4000L, () -> cluster.submit(gang));
       if (i % 4 == 0) {
-        troubled.schedule(6000 + i * 4500L, () -> troubled.cancel(gang.uid()));
+        cluster.schedule(6000 + i * 4500L, () -> cluster.cancel(gang.uid()));
       }
     }
     for (int i = 0; i < 10; i++) {
       int kind = (int) ((i + seed) % 6);
-      troubled.schedule(12_000 + i * 6500L, () -> injectFault(troubled, kind));
+      cluster.schedule(12_000 + i * 6500L, () -> injectFault(cluster, kind));
     }
-    troubled.run(85);
+    cluster.run(85);
     return gangs;
   }
 
@@ -405,10 +433,10 @@
     }
   }
 
-  /** Without the store nothing is decided, and a running gang keeps running. */
+  /** During a store outage the leader makes no decisions, and a running gang keeps running. */
   @Test
-  void gangKeepsRunningDuringAnOutage() {
-    startReferenceService();
+  void gangKeepsRunningDuringAStoreOutage() {
+    startServiceAndWaitForMachines();
     Job gang = submit(TestFixtures.gang(2, 6, 2, 15, true));
     cluster.run(5);
     cluster.store.startOutage(cluster.nowMs);
@@ -417,6 +445,6 @@
     cluster.run(6);
     assertEquals(1, cluster.gangs.startCount);
     assertTrue(cluster.checker.allTasksCompleted(gang.uid()));
-    assertFalse(anyTask(gang, TaskStatus.State.RUNNING));
+    assertFalse(hasTaskInState(gang, TaskStatus.State.RUNNING));
   }
 }
--- a/src/test/java/eiderfork/controller/GpuHeadroomTest.java
+++ b/src/test/java/eiderfork/controller/GpuHeadroomTest.java
@@ -11,9 +11,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Arrays without GPUs leave free GPUs the CPUs that GPU work needs. */
+/**
+ * Tests that arrays without GPUs leave enough CPUs next to free GPUs for the work that needs both.
+ */
 class GpuHeadroomTest {
-  /** The cloud has this many machines of type {@code g4}, all of one zone and none of them spot. */
+  /** Returns a cluster whose cloud has this many {@code g4} machines, in one zone and not spot. */
   private static SimulatedCluster clusterWithGpuMachines(long seed, int machines) {
     SimulatedCluster cluster = new SimulatedCluster(seed);
     cluster.cloud.stockByKind.put(new MachineKind("g4", "a", false), machines);
@@ -23,38 +25,40 @@
     return cluster;
   }
 
-  private static Job array(int number, int tasks, Resources demand, double runS) {
+  private static Job array(int number, int tasks, Resources taskResources, double runS) {
     Job template = TestFixtures.job(number, JobKind.ARRAY, tasks, 0);
     return TestFixtures.withTaskShape(
-        TestFixtures.withPriority(template, Priority.LOW), demand, runS, "g4");
+        TestFixtures.withPriority(template, Priority.LOW), taskResources, runS, "g4");
   }
 
   /**
-   * An array without GPUs once used the CPUs of 132 free GPUs, for which arrays of the same
-   * priority waited for minutes: work is not preempted for work of its own priority.
+   * An array without GPUs once used the CPUs next to 132 free GPUs. Arrays of the same priority
+   * waited for these GPUs for minutes, since work is not preempted for work of its own priority.
    */
   @Test
   void cpuArraysLeaveTheCpusToArraysThatWaitForGpus() {
     SimulatedCluster cluster = clusterWithGpuMachines(3, 2);
-    Job first = array(1, 8, new Resources(3, 1, 4), 20);
-    cluster.submit(first);
+    Job runningGpuArray = array(1, 8, new Resources(3, 1, 4), 20);
+    cluster.submit(runningGpuArray);
     cluster.run(14);
-    // All GPUs are in use; more GPU work is pending, and an array without GPUs comes.
+    // All GPUs are in use when more GPU work and then an array without GPUs are submitted.
     Job gpuArray = array(2, 8, new Resources(3, 1, 4), 20);
     cluster.submit(gpuArray);
     Job cpuArray = array(3, 40, new Resources(2, 0, 2), 60);
     cluster.submit(cpuArray);
     cluster.run(45);
-    assertTrue(cluster.checker.allTasksCompleted(first.uid()));
+    assertTrue(cluster.checker.allTasksCompleted(runningGpuArray.uid()));
     assertEquals(
         8,
         cluster.checker.runningTasks(gpuArray.uid())
             + cluster.checker.completedTasks(gpuArray.uid()));
-    assertTrue(cluster.checker.runningTasks(cpuArray.uid()) > 0, "it has what no other job needs");
+    assertTrue(
+        cluster.checker.runningTasks(cpuArray.uid()) > 0,
+        "no task of the array without GPUs runs on CPUs that no other job needs");
     assertEquals(List.of(), cluster.checker.violations);
   }
 
-  /** Small tasks that came later once used the CPUs that a large task still lacked. */
+  /** Small tasks submitted later once took the CPUs for which a large GPU task was waiting. */
   @Test
   void cpuArraysDoNotUseWhatPendingGpuWorkStillLacks() {
     SimulatedCluster cluster = clusterWithGpuMachines(5, 1);
@@ -66,7 +70,9 @@
     Job cpuArray = array(3, 8, new Resources(1, 0, 1), 100);
     cluster.submit(cpuArray);
     cluster.run(35);
-    assertTrue(cluster.checker.allTasksCompleted(gpuArray.uid()), "it waited for the other array");
+    assertTrue(
+        cluster.checker.allTasksCompleted(gpuArray.uid()),
+        "the GPU array waited for the array without GPUs");
     assertEquals(List.of(), cluster.checker.violations);
   }
 
--- a/src/test/java/eiderfork/controller/QuotaBorrowingTest.java
+++ b/src/test/java/eiderfork/controller/QuotaBorrowingTest.java
@@ -10,54 +10,56 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What batch work borrows, and how it is reclaimed, without failures. */
+/** Tests how batch work borrows quota, and how the quota is reclaimed, without failures. */
 class QuotaBorrowingTest {
   private final QuotaCluster scenario = QuotaCluster.withBorrowing(3);
   private final SimulatedCluster cluster = scenario.cluster;
 
-  private void assertRulesAndGuaranteesHold() {
+  private void assertInvariantsAndGuaranteesHold() {
     ExpectedOutcome.assertNoViolations(cluster);
     assertEquals(List.of(), scenario.guaranteeChecker.unexplained);
   }
 
-  /** Replicas of the lowest priority get their team's guarantee from a borrower's array. */
+  /** Replicas of the lowest priority reclaim their team's guarantee from a borrower's array. */
   @Test
-  void aTeamGetsItsGuaranteeBackFromABorrower() {
+  void teamReclaimsItsGuaranteeFromABorrower() {
     Job night = scenario.fillWithNightArray(120, 10);
     Job desk = scenario.submit(QuotaCluster.replicas(2, 8, QuotaCluster.DESK));
     cluster.run(QuotaCluster.RECLAIM_S);
     assertEquals(8, scenario.runningTasks(desk));
     assertEquals(8, scenario.runningTasks(night));
-    assertEquals(8, cluster.progress.stopCount(), "no more than is needed");
-    assertRulesAndGuaranteesHold();
+    assertEquals(8, cluster.progress.stopCount(), "stopped tasks");
+    assertInvariantsAndGuaranteesHold();
   }
 
-  /** Without lending nothing is reclaimed by guarantees. */
+  /** If lending is disabled, no quota is reclaimed for guarantees. */
   @Test
-  void withoutLendingTheTeamWaits() {
-    QuotaCluster off = QuotaCluster.withoutBorrowing(3);
-    Job night = off.fillWithNightArray(120, 10);
-    Job desk = off.submit(QuotaCluster.replicas(2, 8, QuotaCluster.DESK));
-    off.cluster.run(20);
-    assertEquals(0, off.runningTasks(desk));
-    assertEquals(16, off.runningTasks(night));
-    assertTrue(!off.guaranteeChecker.unexplained.isEmpty(), "the checker sees it");
+  void teamWaitsForItsGuaranteeWithoutLending() {
+    QuotaCluster noLending = QuotaCluster.withoutBorrowing(3);
+    Job night = noLending.fillWithNightArray(120, 10);
+    Job desk = noLending.submit(QuotaCluster.replicas(2, 8, QuotaCluster.DESK));
+    noLending.cluster.run(20);
+    assertEquals(0, noLending.runningTasks(desk));
+    assertEquals(16, noLending.runningTasks(night));
+    assertTrue(
+        !noLending.guaranteeChecker.unexplained.isEmpty(),
+        "the checker did not record the shortfall");
   }
 
-  /** Arrays reclaim, too, but for no more than their team is guaranteed. */
+  /** An array reclaims quota, too, but no more than its team's guarantee. */
   @Test
-  void anArrayGetsItsTeamsGuaranteeAndNoMore() {
+  void arrayReclaimsNoMoreThanItsTeamsGuarantee() {
     Job night = scenario.fillWithNightArray(200, 10);
     Job lab = scenario.submit(QuotaCluster.array(2, 12, 200, 10, QuotaCluster.LAB));
     cluster.run(QuotaCluster.RECLAIM_S + 10);
     assertEquals(4, scenario.runningTasks(lab));
     assertEquals(12, scenario.runningTasks(night));
-    assertRulesAndGuaranteesHold();
+    assertInvariantsAndGuaranteesHold();
   }
 
-  /** No team loses its guarantee: the last four GPUs stay with the lender. */
+  /** No team loses its guarantee: the night team keeps its last four GPUs. */
   @Test
-  void theLenderKeepsItsGuarantee() {
+  void borrowerKeepsItsOwnGuarantee() {
     Job night = scenario.fillWithNightArray(200, 10);
     scenario.submit(QuotaCluster.replicas(2, 8, QuotaCluster.DESK));
     Job lab = scenario.submit(QuotaCluster.array(3, 8, 200, 10, QuotaCluster.LAB));
@@ -67,12 +69,15 @@
     cluster.run(30);
     assertEquals(4, scenario.runningTasks(night));
     assertEquals(4, scenario.runningTasks(lab));
-    assertRulesAndGuaranteesHold();
+    assertInvariantsAndGuaranteesHold();
   }
 
-  /** Of two tasks on a machine only one is borrowed. Both would have to go, so neither does. */
+  /**
+   * Only one of two tasks on a machine runs on borrowed quota. Both would have to be preempted, so
+   * neither is.
+   */
   @Test
-  void theSecondVictimOnAMachineIsJudgedAfterTheFirst() {
+  void guaranteeIsCheckedForEachVictimOnAMachine() {
     QuotaCluster scenario = QuotaCluster.withBorrowing(3, 40);
     Job night = scenario.submit(QuotaCluster.array(1, 5, 200, 10, QuotaCluster.NIGHT));
     scenario.cluster.run(20);
@@ -92,24 +97,25 @@
     ExpectedOutcome.assertNoViolations(scenario.cluster);
   }
 
-  /** A gang near its checkpoint is preempted right after it, and resumes from there. */
+  /** A gang that is near its next checkpoint is preempted right after it, and resumes from it. */
   @Test
-  void aGangNearItsCheckpointIsReclaimedRightAfterIt() {
+  void gangNearItsCheckpointIsPreemptedRightAfterIt() {
     Job gang = scenario.submit(QuotaCluster.gang(1, 16, 300, 20, QuotaCluster.NIGHT));
     cluster.run(25);
     assertEquals(16, scenario.runningTasks(gang));
     Job desk = scenario.submit(QuotaCluster.replicas(2, 8, QuotaCluster.DESK));
     cluster.run(15);
     assertEquals(8, scenario.runningTasks(desk));
-    assertEquals(0, scenario.runningTasks(gang), "it needs all of its tasks");
+    assertEquals(
+        0, scenario.runningTasks(gang), "running tasks of the gang, which can only run as a whole");
     cluster.cancel(desk.uid());
     cluster.run(30);
-    assertRulesAndGuaranteesHold();
+    assertInvariantsAndGuaranteesHold();
   }
 
-  /** Tasks that were reclaimed before are not the first to be reclaimed again. */
+  /** Tasks that were preempted by an earlier reclaim are not the first to be preempted again. */
   @Test
-  void reclaimsAreSpreadOverTheTasks() {
+  void reclaimsAreSpreadOverTasks() {
     scenario.fillWithNightArray(600, 10);
     for (int peak = 0; peak < 4; peak++) {
       Job desk = scenario.submit(QuotaCluster.replicas(10 + peak, 4, QuotaCluster.DESK));
@@ -118,13 +124,15 @@
       cluster.cancel(desk.uid());
       cluster.run(100);
     }
-    assertTrue(cluster.progress.maxStopsPerTask() <= 2, "stops of one task");
-    assertRulesAndGuaranteesHold();
+    assertTrue(cluster.progress.maxStopsPerTask() <= 2, "a task was stopped more than twice");
+    assertInvariantsAndGuaranteesHold();
   }
 
-  /** Capacity that is withheld from a borrowing gang is free for a team within its guarantee. */
+  /**
+   * Capacity that is withheld from a borrowing gang is available to a team within its guarantee.
+   */
   @Test
-  void aBorrowingGangDoesNotClaimWithheldCapacity() {
+  void borrowingGangDoesNotClaimWithheldCapacity() {
     QuotaCluster scenario = QuotaCluster.withBorrowing(3, 40);
     Job night = scenario.fillWithNightArray(600, 10);
     Job desk = scenario.submit(QuotaCluster.replicas(2, 8, QuotaCluster.DESK));
@@ -135,16 +143,22 @@
     Job lab = QuotaCluster.array(4, 4, 60, 10, QuotaCluster.LAB);
     scenario.cluster.schedule(3000, () -> scenario.submit(lab));
     scenario.cluster.run(8);
-    assertEquals(0, scenario.runningTasks(gang), "the capacity is withheld from it");
+    assertEquals(
+        0,
+        scenario.runningTasks(gang),
+        "running tasks of the gang, from which the capacity is withheld");
     assertEquals(4, scenario.runningTasks(lab));
-    assertEquals(8, scenario.cluster.progress.stopCount(), "there was free capacity");
+    assertEquals(
+        8,
+        scenario.cluster.progress.stopCount(),
+        "stopped tasks, although there was free capacity");
     assertEquals(8, scenario.runningTasks(night));
     ExpectedOutcome.assertNoViolations(scenario.cluster);
   }
 
-  /** An urgent gang beyond its team's guarantee gets the capacity that is freed for it. */
+  /** An urgent gang that exceeds its team's guarantee gets the capacity that is freed for it. */
   @Test
-  void aBorrowingGangStartsWhereCapacityWasFreedForIt() {
+  void borrowingGangStartsWhereCapacityWasFreedForIt() {
     QuotaCluster scenario = QuotaCluster.withBorrowing(3, 40);
     Job night = scenario.fillWithNightArray(600, 10);
     Job gang = QuotaCluster.job(2, JobKind.GANG, 6, 100, 10, QuotaCluster.LAB, Priority.PRODUCTION);
@@ -155,9 +169,9 @@
     ExpectedOutcome.assertNoViolations(scenario.cluster);
   }
 
-  /** A save that hangs is ended, and the preemptor gets the capacity. */
+  /** A save that hangs is stopped, and the preemptor gets the capacity. */
   @Test
-  void aSaveThatHangsIsEnded() {
+  void hangingSaveIsStopped() {
     Job night = scenario.fillWithNightArray(200, 30);
     cluster
         .workers()
--- a/src/test/java/eiderfork/controller/QuotaLimitTest.java
+++ b/src/test/java/eiderfork/controller/QuotaLimitTest.java
@@ -11,24 +11,24 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A team's limit holds whatever is unreachable, and all quota under it is used. */
+/** Tests that usage never exceeds a team's limit during failures, and reaches it if jobs wait. */
 class QuotaLimitTest {
-  /** The red team may use ten GPUs. */
-  private static Job red(int number, JobKind kind, int tasks, double gpus) {
+  /** Returns a job of the red team, which may use ten GPUs. */
+  private static Job redJob(int number, JobKind kind, int tasks, double gpus) {
     return TestFixtures.job(number, kind, tasks, gpus, "red", Priority.HIGH, false, false);
   }
 
-  /** Fills the team's limit and has more of it wait. */
+  /** Submits services that use all of the red team's limit, and then as many that wait. */
   private static List<Job> fillTeamLimit(SimulatedCluster cluster) {
     List<Job> jobs = new ArrayList<>();
     for (int i = 1; i <= 5; i++) {
-      jobs.add(red(i, JobKind.SERVICE, 1, 2));
+      jobs.add(redJob(i, JobKind.SERVICE, 1, 2));
     }
     jobs.forEach(cluster::submit);
     cluster.run(25);
     assertEquals(5, cluster.checker.totalRunningTasks());
     for (int i = 6; i <= 10; i++) {
-      Job next = red(i, JobKind.SERVICE, 1, 2);
+      Job next = redJob(i, JobKind.SERVICE, 1, 2);
       jobs.add(next);
       cluster.submit(next);
     }
@@ -41,9 +41,9 @@
   }
 
   /**
-   * A team is at its limit, jobs of it are cancelled whose machines hang or are cut off, and the
-   * leader changes. The cancelled tasks count until their machines report or their leases expire: a
-   * new leader takes that over from the alloc records.
+   * A team is at its limit, its jobs on machines that hang or are cut off are cancelled, and the
+   * leader crashes. The cancelled tasks count towards the limit until their machines report or
+   * their leases expire; a new leader restores this from the alloc records.
    */
   @ParameterizedTest
   @ValueSource(ints = {-1500, -700, -300, -100, 0, 50, 150, 400, 900, 2000, 4000, 8000})
@@ -51,11 +51,11 @@
     for (boolean hang : new boolean[] {true, false}) {
       SimulatedCluster cluster = new SimulatedCluster(5);
       List<Job> jobs = fillTeamLimit(cluster);
-      List<FakeWorker> unheard = busyWorkers(cluster);
+      List<FakeWorker> unreachableWorkers = busyWorkers(cluster);
       cluster.schedule(
           2000,
           () -> {
-            for (FakeWorker worker : unheard) {
+            for (FakeWorker worker : unreachableWorkers) {
               if (hang) {
                 worker.isHanging = true;
                 cluster.schedule(8000, () -> worker.isHanging = false);
@@ -69,20 +69,19 @@
       cluster.schedule(2050 + crashAfterMs, () -> cluster.crashNode(cluster.leader(), 3000));
       cluster.run(40);
       ExpectedOutcome.assertAllJobsServed(cluster, jobs);
-      assertEquals(
-          5, cluster.checker.totalRunningTasks(), "what waited has the room of the cancelled");
+      assertEquals(5, cluster.checker.totalRunningTasks(), "running tasks after the cancellations");
     }
   }
 
-  /** The same, and the machines stay away for longer than a lease, some for good. */
+  /** The same, but the machines are unreachable for longer than a lease, and some never return. */
   @ParameterizedTest
   @ValueSource(ints = {0, 300, 1500, 6000, 12_000})
   void quotaIsReleasedOnceTheLeasesHaveExpired(int crashAfterMs) {
     SimulatedCluster cluster = new SimulatedCluster(6);
     List<Job> jobs = fillTeamLimit(cluster);
-    List<FakeWorker> unheard = busyWorkers(cluster);
-    for (int i = 0; i < unheard.size(); i++) {
-      FakeWorker worker = unheard.get(i);
+    List<FakeWorker> unreachableWorkers = busyWorkers(cluster);
+    for (int i = 0; i < unreachableWorkers.size(); i++) {
+      FakeWorker worker = unreachableWorkers.get(i);
       if (i % 2 == 0) {
         worker.isHanging = true;
         cluster.schedule(24_000, () -> worker.isHanging = false);
@@ -97,36 +96,40 @@
     assertEquals(5, cluster.checker.totalRunningTasks());
   }
 
-  /** A team is at its limit when the leader changes, and a cancellation falls into that spell. */
+  /**
+   * A team is at its limit, the leader crashes, and two jobs of the team are cancelled while there
+   * is no leader.
+   */
   @ParameterizedTest
   @ValueSource(ints = {0, 500, 1000, 1500, 2000, 2500, 3000, 3300, 3400, 3500, 3700, 4000, 5000})
-  void cancellationWithoutALeaderReleasesQuotaOnce(int abortAfterMs) {
+  void cancellationWithoutALeaderReleasesQuotaOnce(int cancelAfterMs) {
     SimulatedCluster cluster = new SimulatedCluster(8);
     List<Job> jobs = fillTeamLimit(cluster);
-    FakeWorker deaf = busyWorkers(cluster).get(0);
-    cluster.cutLinksTo(deaf.machine.name(), 9000);
-    cluster.cutLinksFrom(deaf.machine.name(), 9000);
+    FakeWorker unreachableWorker = busyWorkers(cluster).get(0);
+    cluster.cutLinksTo(unreachableWorker.machine.name(), 9000);
+    cluster.cutLinksFrom(unreachableWorker.machine.name(), 9000);
     cluster.crashNode(cluster.leader(), 6000);
-    cluster.schedule(abortAfterMs, () -> cluster.cancel(jobs.get(0).uid()));
-    cluster.schedule(abortAfterMs + 100, () -> cluster.cancel(jobs.get(1).uid()));
+    cluster.schedule(cancelAfterMs, () -> cluster.cancel(jobs.get(0).uid()));
+    cluster.schedule(cancelAfterMs + 100, () -> cluster.cancel(jobs.get(1).uid()));
     cluster.run(40);
     ExpectedOutcome.assertNoViolations(cluster);
     assertEquals(5, cluster.checker.totalRunningTasks());
   }
 
   /**
-   * A team's tasks end at its limit while the writes of their ends lag and leaders end: a settled
-   * reservation counts until its settlement is committed, since a new leader starts it again.
+   * Tasks of a team at its limit end while the transactions that record this are late and leaders
+   * crash: a settled reservation counts towards the limit until its settlement is committed,
+   * because a new leader would start the task again.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void uncommittedSettlementsCountForTheLimit(long seed) {
+  void uncommittedSettlementsCountTowardsTheLimit(long seed) {
     SimulatedCluster cluster = new SimulatedCluster(seed);
     cluster.run(3);
     cluster.lateTransactionProbability = 0.4;
     List<Job> jobs = new ArrayList<>();
     for (int i = 1; i <= 16; i++) {
-      Job job = red(i, JobKind.ARRAY, 5, 1);
+      Job job = redJob(i, JobKind.ARRAY, 5, 1);
       jobs.add(job);
       cluster.schedule(i * 100L, () -> cluster.submit(job));
     }
@@ -144,31 +147,32 @@
   }
 
   /**
-   * A start is under way to a machine whose reports still lack it when the job is cancelled. It
-   * counts until a report shows a token above the start's, for the command may be executed yet.
+   * A job is cancelled while its start command is on the way to a machine whose reports do not show
+   * the task yet. It counts towards the limit until a report shows a token higher than that of the
+   * command, because the command may still be executed.
    */
   @ParameterizedTest
   @ValueSource(ints = {100, 200, 300, 400, 500, 600, 700, 800, 900, 1000, 1100, 1200, 1300, 1400})
-  void startInFlightCountsUntilItCannotBeExecuted(int abortAfterMs) {
-    for (int lateMs : new int[] {700, 1100, 1500, 1900}) {
+  void startCommandInFlightCountsUntilItCannotBeExecuted(int cancelAfterMs) {
+    for (int commandDelayMs : new int[] {700, 1100, 1500, 1900}) {
       SimulatedCluster cluster = new SimulatedCluster(11);
       List<Job> jobs = new ArrayList<>();
       for (int i = 1; i <= 4; i++) {
-        jobs.add(red(i, JobKind.SERVICE, 1, 2));
+        jobs.add(redJob(i, JobKind.SERVICE, 1, 2));
       }
       jobs.forEach(cluster::submit);
       cluster.run(25);
-      cluster.commandDelayMs = lateMs;
-      Job last = red(5, JobKind.SERVICE, 1, 2);
-      Job waiting = red(6, JobKind.SERVICE, 1, 2);
+      cluster.commandDelayMs = commandDelayMs;
+      Job last = redJob(5, JobKind.SERVICE, 1, 2);
+      Job waiting = redJob(6, JobKind.SERVICE, 1, 2);
       jobs.add(last);
       jobs.add(waiting);
       cluster.submit(last);
       cluster.schedule(40, () -> cluster.submit(waiting));
-      cluster.schedule(abortAfterMs, () -> cluster.cancel(last.uid()));
-      // From here on no answer to a report stops what the late command starts.
+      cluster.schedule(cancelAfterMs, () -> cluster.cancel(last.uid()));
+      // From here on no reports arrive, so no response stops the task that the late command starts.
       cluster.schedule(
-          abortAfterMs + lateMs / 2,
+          cancelAfterMs + commandDelayMs / 2,
           () ->
               cluster
                   .workers()
@@ -178,17 +182,17 @@
     }
   }
 
-  /** One-task jobs come four a second for minutes, a quarter of them cancelled. */
+  /** Jobs of one task arrive at four per second for two minutes; a quarter of them is cancelled. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2})
-  void limitHoldsWithFourShortJobsASecond(long seed) {
+  void limitHoldsAtFourShortJobsPerSecond(long seed) {
     SimulatedCluster cluster = new SimulatedCluster(seed);
     cluster.delayProbability = 0.01;
     List<Job> jobs = new ArrayList<>();
     for (int i = 1; i <= 480; i++) {
       Job job =
           i % 2 == 0
-              ? red(i, JobKind.ARRAY, 1, 1)
+              ? redJob(i, JobKind.ARRAY, 1, 1)
               : TestFixtures.job(i, JobKind.ARRAY, 1, i % 4 == 1 ? 1 : 0);
       jobs.add(job);
       cluster.schedule(10_000 + i * 250L, () -> cluster.submit(job));
@@ -201,7 +205,7 @@
     ExpectedOutcome.assertAllJobsServed(cluster, jobs);
   }
 
-  /** There is more work than capacity, urgent and not, over slow links. */
+  /** There is more work, of all priorities, than capacity, and messages are delayed. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void limitHoldsWithMoreWorkThanCapacityOverSlowLinks(long seed) {
--- a/src/test/java/eiderfork/controller/QuotaReclaimFailureTest.java
+++ b/src/test/java/eiderfork/controller/QuotaReclaimFailureTest.java
@@ -18,84 +18,86 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Controllers and machines fail at every moment of a reclaim. A team requests its guarantee while
- * another borrows it; the moments go from before the request until the capacity is used.
+ * Tests failures of controllers and machines at all stages of a reclaim. A team requests its
+ * guarantee while another borrows it; the times of the fault range from before the request until
+ * the team uses the capacity.
  */
 class QuotaReclaimFailureTest {
-  private static final int FIRST_MOMENT_MS = -400;
-  private static final int LAST_MOMENT_MS = 5200;
-  private static final int MOMENT_STEP_MS = 350;
+  private static final int FIRST_FAULT_MS = -400;
+  private static final int LAST_FAULT_MS = 5200;
+  private static final int FAULT_STEP_MS = 350;
 
-  /** The replicas that request their team's guarantee. */
+  /** The number of replicas that request their team's guarantee. */
   private static final int DESK_REPLICAS = 8;
 
   private static final int FAULT_DURATION_MS = 6000;
 
-  /** What fails, and whether that may cost borrowers more tasks than are reclaimed. */
+  /** The faults, and whether more tasks than are reclaimed may be stopped because of them. */
   enum Fault {
-    LEADER_KILLED(false, scenario -> scenario.cluster.crashNode(scenario.leader(), 3000)),
-    LEADER_KILLED_AND_BACK_AT_ONCE(
+    LEADER_CRASH(false, scenario -> scenario.cluster.crashNode(scenario.leader(), 3000)),
+    LEADER_CRASH_AND_QUICK_RESTART(
         false, scenario -> scenario.cluster.crashNode(scenario.leader(), 200)),
-    LEADER_AND_NEXT_KILLED(false, QuotaReclaimFailureTest::killTwoLeaders),
-    ALL_KILLED(
+    LEADER_AND_SUCCESSOR_CRASH(false, QuotaReclaimFailureTest::crashTwoLeaders),
+    ALL_CONTROLLERS_CRASH(
         false,
         scenario ->
             scenario.cluster.nodeNames().forEach(node -> scenario.cluster.crashNode(node, 1500))),
-    FOUR_CHANGES(false, scenario -> changeLeaders(scenario, 4, 1400)),
-    LEADER_STANDS_STILL(
+    FOUR_LEADER_CRASHES(false, scenario -> crashLeaders(scenario, 4, 1400)),
+    LEADER_FROZEN(
         false, scenario -> scenario.cluster.freezeNode(scenario.leader(), FAULT_DURATION_MS)),
     LEADER_ISOLATED(
         false, scenario -> scenario.cluster.isolateNode(scenario.leader(), FAULT_DURATION_MS)),
-    LEADER_REFUSED(
+    LEADER_REFUSED_BY_STORE(
         false,
         scenario -> scenario.cluster.refuseStoreRequests(scenario.leader(), FAULT_DURATION_MS)),
-    LEADER_ISOLATED_COMMANDS_LATE(true, QuotaReclaimFailureTest::isolateWithDelayedCommands),
-    STATE_OUT(false, QuotaReclaimFailureTest::storeOutage),
-    WRITES_LATE(
+    LEADER_ISOLATED_AND_COMMANDS_DELAYED(true, QuotaReclaimFailureTest::isolateWithDelayedCommands),
+    STORE_OUTAGE(false, QuotaReclaimFailureTest::storeOutage),
+    LATE_TRANSACTIONS(
         false,
         scenario ->
             injectForFaultDuration(
                 scenario, () -> scenario.cluster.lateTransactionProbability = 1)),
-    ANSWERS_LOST(
+    STORE_REPLIES_LOST(
         false,
         scenario ->
             injectForFaultDuration(scenario, () -> scenario.cluster.lostStoreReplyProbability = 1)),
-    ANSWERS_LOST_AND_LEADER_KILLED(
+    STORE_REPLIES_LOST_AND_LEADER_CRASH(
         false,
         scenario -> {
           injectForFaultDuration(scenario, () -> scenario.cluster.lostStoreReplyProbability = 1);
           scenario.cluster.schedule(300, () -> scenario.cluster.crashNode(scenario.leader(), 2000));
         }),
-    REPORTS_HELD_FOR_THE_NEXT_LEADER(
+    HEARTBEATS_DELAYED_UNTIL_NEXT_LEADER(
         false,
         scenario -> {
           scenario.cluster.nextLeaderHeartbeatProbability = 1;
           scenario.cluster.delayNextHeartbeats(2500);
           scenario.cluster.schedule(200, () -> scenario.cluster.crashNode(scenario.leader(), 2000));
         }),
-    BORROWERS_HANG(true, scenario -> hangWorkers(scenario, 2)),
-    BORROWERS_HANG_AND_LEADER_KILLED(
+    WORKERS_HANG(true, scenario -> hangWorkers(scenario, 2)),
+    WORKERS_HANG_AND_LEADER_CRASH(
         true,
         scenario -> {
           hangWorkers(scenario, 2);
           scenario.cluster.schedule(500, () -> scenario.cluster.crashNode(scenario.leader(), 2000));
         }),
-    BORROWERS_DEAF(
+    LINKS_TO_WORKERS_CUT(
         true,
         scenario ->
             busyMachines(scenario, 2)
-                .forEach(m -> scenario.cluster.cutLinksTo(m, FAULT_DURATION_MS))),
-    BORROWERS_MUTE(
+                .forEach(machine -> scenario.cluster.cutLinksTo(machine, FAULT_DURATION_MS))),
+    LINKS_FROM_WORKERS_CUT(
         true,
         scenario ->
             busyMachines(scenario, 2)
-                .forEach(m -> scenario.cluster.cutLinksFrom(m, FAULT_DURATION_MS))),
-    BORROWERS_CUT_AND_LEADER_KILLED(
+                .forEach(machine -> scenario.cluster.cutLinksFrom(machine, FAULT_DURATION_MS))),
+    WORKER_ISOLATED_AND_LEADER_CRASH(
         true,
         scenario -> {
-          busyMachines(scenario, 1).forEach(m -> scenario.cluster.cutLinksTo(m, FAULT_DURATION_MS));
           busyMachines(scenario, 1)
-              .forEach(m -> scenario.cluster.cutLinksFrom(m, FAULT_DURATION_MS));
+              .forEach(machine -> scenario.cluster.cutLinksTo(machine, FAULT_DURATION_MS));
+          busyMachines(scenario, 1)
+              .forEach(machine -> scenario.cluster.cutLinksFrom(machine, FAULT_DURATION_MS));
           scenario.cluster.schedule(500, () -> scenario.cluster.crashNode(scenario.leader(), 2000));
         }),
     SAVES_HANG(
@@ -105,42 +107,49 @@
                 .cluster
                 .workers()
                 .forEach(
-                    m -> scenario.cluster.progress.machinesWithHangingSaves.add(m.machine.name()))),
-    SAVES_HANG_AND_LEADER_KILLED(
+                    worker ->
+                        scenario.cluster.progress.machinesWithHangingSaves.add(
+                            worker.machine.name()))),
+    SAVES_HANG_AND_LEADER_CRASH(
         true,
         scenario -> {
           scenario
               .cluster
               .workers()
               .forEach(
-                  m -> scenario.cluster.progress.machinesWithHangingSaves.add(m.machine.name()));
+                  worker ->
+                      scenario.cluster.progress.machinesWithHangingSaves.add(
+                          worker.machine.name()));
           scenario.cluster.schedule(500, () -> scenario.cluster.crashNode(scenario.leader(), 2000));
         });
 
-    /** Machines may lose tasks, or not answer, so that others are preempted in their place. */
-    final boolean canMachinesFail;
+    /**
+     * True if machines may lose tasks, or not respond, so that other tasks are preempted in place
+     * of theirs.
+     */
+    final boolean mayStopMoreTasks;
 
     final Consumer<QuotaCluster> inject;
 
-    Fault(boolean canMachinesFail, Consumer<QuotaCluster> inject) {
-      this.canMachinesFail = canMachinesFail;
+    Fault(boolean mayStopMoreTasks, Consumer<QuotaCluster> inject) {
+      this.mayStopMoreTasks = mayStopMoreTasks;
       this.inject = inject;
     }
   }
 
-  private static void killTwoLeaders(QuotaCluster scenario) {
+  private static void crashTwoLeaders(QuotaCluster scenario) {
     scenario.cluster.crashNode(scenario.leader(), 4000);
     scenario.cluster.schedule(2500, () -> scenario.cluster.crashNode(scenario.leader(), 3000));
   }
 
-  private static void changeLeaders(QuotaCluster scenario, int times, long eachMs) {
-    for (int i = 0; i < times; i++) {
+  private static void crashLeaders(QuotaCluster scenario, int count, long intervalMs) {
+    for (int i = 0; i < count; i++) {
       scenario.cluster.schedule(
-          i * eachMs, () -> scenario.cluster.crashNode(scenario.leader(), 400));
+          i * intervalMs, () -> scenario.cluster.crashNode(scenario.leader(), 400));
     }
   }
 
-  /** Commands of the isolated leader arrive after those of the next one. */
+  /** Isolates the leader; its commands arrive after those of the next leader. */
   private static void isolateWithDelayedCommands(QuotaCluster scenario) {
     scenario.cluster.commandDelayMs = 2500;
     scenario.cluster.isolateNode(scenario.leader(), FAULT_DURATION_MS);
@@ -153,8 +162,8 @@
         FAULT_DURATION_MS, () -> scenario.cluster.store.endOutage(scenario.cluster.nowMs));
   }
 
-  private static void injectForFaultDuration(QuotaCluster scenario, Runnable begin) {
-    begin.run();
+  private static void injectForFaultDuration(QuotaCluster scenario, Runnable startFault) {
+    startFault.run();
     scenario.cluster.schedule(
         FAULT_DURATION_MS,
         () -> {
@@ -163,39 +172,40 @@
         });
   }
 
-  private static List<String> busyMachines(QuotaCluster scenario, int machines) {
+  private static List<String> busyMachines(QuotaCluster scenario, int maxCount) {
     return scenario.cluster.workers().stream()
         .filter(worker -> !worker.taskIds().isEmpty())
-        .limit(machines)
+        .limit(maxCount)
         .map(worker -> worker.machine.name())
         .toList();
   }
 
-  private static void hangWorkers(QuotaCluster scenario, int machines) {
-    List<FakeWorker> hung = scenario.cluster.workers().stream().limit(machines).toList();
-    hung.forEach(worker -> worker.isHanging = true);
+  private static void hangWorkers(QuotaCluster scenario, int maxCount) {
+    List<FakeWorker> hungWorkers = scenario.cluster.workers().stream().limit(maxCount).toList();
+    hungWorkers.forEach(worker -> worker.isHanging = true);
     scenario.cluster.schedule(
-        FAULT_DURATION_MS, () -> hung.forEach(worker -> worker.isHanging = false));
+        FAULT_DURATION_MS, () -> hungWorkers.forEach(worker -> worker.isHanging = false));
   }
 
-  /** All moments at which a fault is injected. */
-  private static List<Integer> moments() {
-    List<Integer> moments = new ArrayList<>();
-    for (int ms = FIRST_MOMENT_MS; ms <= LAST_MOMENT_MS; ms += MOMENT_STEP_MS) {
-      moments.add(ms);
+  /** Returns the times at which a fault is injected, relative to the request. */
+  private static List<Integer> faultTimesMs() {
+    List<Integer> timesMs = new ArrayList<>();
+    for (int ms = FIRST_FAULT_MS; ms <= LAST_FAULT_MS; ms += FAULT_STEP_MS) {
+      timesMs.add(ms);
     }
-    return moments;
+    return timesMs;
   }
 
-  private static QuotaCluster runWithFault(Fault fault, int afterMs, double checkpointS) {
-    QuotaCluster scenario = QuotaCluster.withBorrowing(7 + afterMs);
-    scenario.fillWithNightArray(400, checkpointS);
-    long requestAtMs = Math.max(0, -FIRST_MOMENT_MS);
+  private static QuotaCluster runWithFault(
+      Fault fault, int faultTimeMs, double checkpointIntervalS) {
+    QuotaCluster scenario = QuotaCluster.withBorrowing(7 + faultTimeMs);
+    scenario.fillWithNightArray(400, checkpointIntervalS);
+    long requestAtMs = Math.max(0, -FIRST_FAULT_MS);
     scenario.cluster.schedule(
         requestAtMs,
         () -> scenario.submit(QuotaCluster.replicas(2, DESK_REPLICAS, QuotaCluster.DESK)));
     scenario.cluster.schedule(
-        requestAtMs + afterMs,
+        requestAtMs + faultTimeMs,
         () -> {
           scenario.guaranteeChecker.expectDisruption(FAULT_DURATION_MS + 4000);
           fault.inject.accept(scenario);
@@ -204,71 +214,84 @@
     return scenario;
   }
 
-  private static void assertInvariants(Fault fault, QuotaCluster scenario, String when) {
-    assertEquals(List.of(), scenario.cluster.checker.violations, when);
+  private static void assertInvariants(Fault fault, QuotaCluster scenario, String context) {
+    assertEquals(List.of(), scenario.cluster.checker.violations, context);
     assertEquals(
-        DESK_REPLICAS, scenario.cluster.checker.runningTasks("run-000002"), () -> when + ": desk");
+        DESK_REPLICAS,
+        scenario.cluster.checker.runningTasks("run-000002"),
+        () -> context + ": running tasks of desk");
     assertEquals(
         16 - DESK_REPLICAS,
         scenario.cluster.checker.runningTasks("run-000001"),
-        () -> when + ": night");
-    assertEquals(List.of(), scenario.guaranteeChecker.unexplained, when);
-    if (!fault.canMachinesFail) {
-      assertEquals(0, scenario.cluster.progress.interruptedSaves, () -> when + ": saves cut short");
-      assertEquals(DESK_REPLICAS, scenario.cluster.progress.stopCount(), () -> when + ": stops");
+        () -> context + ": running tasks of night");
+    assertEquals(List.of(), scenario.guaranteeChecker.unexplained, context);
+    if (!fault.mayStopMoreTasks) {
+      assertEquals(
+          0, scenario.cluster.progress.interruptedSaves, () -> context + ": interrupted saves");
+      assertEquals(
+          DESK_REPLICAS, scenario.cluster.progress.stopCount(), () -> context + ": stopped tasks");
     }
-    long mostStops = fault.canMachinesFail ? 2 : 1;
+    long mostStops = fault.mayStopMoreTasks ? 2 : 1;
     assertTrue(
         scenario.cluster.progress.maxStopsPerTask() <= mostStops,
-        () -> when + ": stops of one task");
+        () -> context + ": stops of one task");
   }
 
   @ParameterizedTest
   @EnumSource(Fault.class)
-  void whateverFailsTheTeamGetsItsGuaranteeAndNoTaskIsStoppedTwice(Fault fault) {
-    for (int afterMs : moments()) {
+  void teamGetsItsGuaranteeWithFewStopsUnderEachFault(Fault fault) {
+    for (int faultTimeMs : faultTimesMs()) {
       assertInvariants(
-          fault, runWithFault(fault, afterMs, 15), fault + " after " + afterMs + " ms");
+          fault, runWithFault(fault, faultTimeMs, 15), fault + " after " + faultTimeMs + " ms");
     }
   }
 
-  /** The same for borrowers that never save. */
+  /** The same holds for borrowers without checkpoints, which never save. */
   @ParameterizedTest
-  @EnumSource(names = {"LEADER_KILLED", "LEADER_ISOLATED", "ANSWERS_LOST_AND_LEADER_KILLED"})
-  void borrowersThatCannotSaveAreStoppedOnce(Fault fault) {
-    for (int afterMs : moments()) {
-      assertInvariants(fault, runWithFault(fault, afterMs, 0), fault + " after " + afterMs + " ms");
+  @EnumSource(names = {"LEADER_CRASH", "LEADER_ISOLATED", "STORE_REPLIES_LOST_AND_LEADER_CRASH"})
+  void borrowersWithoutCheckpointsAreStoppedOnce(Fault fault) {
+    for (int faultTimeMs : faultTimesMs()) {
+      assertInvariants(
+          fault, runWithFault(fault, faultTimeMs, 0), fault + " after " + faultTimeMs + " ms");
     }
   }
 
-  /** Members of the version before, which has no lending, lead and are replaced. */
+  /**
+   * One node runs the previous version, which has no lending. It may lead until it restarts with
+   * the current version after 20 s.
+   */
   @ParameterizedTest
   @ValueSource(ints = {0, 1, 2})
-  void membersWithoutLendingAreAmongThem(int older) {
-    for (int afterMs : moments()) {
-      QuotaCluster scenario = QuotaCluster.withBorrowing(40 + afterMs);
-      scenario.cluster.olderVersionNodes.add("roost-" + older);
+  void teamGetsItsGuaranteeDuringAnUpgradeToLending(int olderNode) {
+    for (int faultTimeMs : faultTimesMs()) {
+      QuotaCluster scenario = QuotaCluster.withBorrowing(40 + faultTimeMs);
+      scenario.cluster.olderVersionNodes.add("roost-" + olderNode);
       scenario.cluster.olderVersion = ClusterVersion.BITMAP_ALLOCS - 1;
-      scenario.cluster.crashNode("roost-" + older, 50);
+      scenario.cluster.crashNode("roost-" + olderNode, 50);
       scenario.fillWithNightArray(400, 15);
       scenario.submit(QuotaCluster.replicas(2, DESK_REPLICAS, QuotaCluster.DESK));
       scenario.cluster.schedule(
-          Math.max(0, afterMs), () -> scenario.cluster.crashNode(scenario.leader(), 1500));
+          Math.max(0, faultTimeMs), () -> scenario.cluster.crashNode(scenario.leader(), 1500));
       scenario.cluster.schedule(20_000, () -> scenario.cluster.olderVersionNodes.clear());
-      scenario.cluster.schedule(20_050, () -> scenario.cluster.crashNode("roost-" + older, 500));
+      scenario.cluster.schedule(
+          20_050, () -> scenario.cluster.crashNode("roost-" + olderNode, 500));
       scenario.cluster.run(50);
-      String when = "roost-" + older + " older, after " + afterMs + " ms";
-      assertEquals(List.of(), scenario.cluster.checker.violations, when);
-      assertEquals(DESK_REPLICAS, scenario.cluster.checker.runningTasks("run-000002"), when);
+      String context =
+          "roost-" + olderNode + " runs the older version, after " + faultTimeMs + " ms";
+      assertEquals(List.of(), scenario.cluster.checker.violations, context);
+      assertEquals(DESK_REPLICAS, scenario.cluster.checker.runningTasks("run-000002"), context);
     }
   }
 
-  /** A save that outlasts its leader goes on under the next one, and nothing else is stopped. */
+  /**
+   * A save that is not complete when the leader fails continues under the next one, and no other
+   * task is stopped.
+   */
   @ParameterizedTest
-  @EnumSource(names = {"LEADER_KILLED", "LEADER_ISOLATED", "ALL_KILLED"})
-  void aSaveThatOutlastsItsLeaderGoesOn(Fault fault) {
-    for (int afterMs : moments()) {
-      QuotaCluster scenario = QuotaCluster.withBorrowing(81 + afterMs);
+  @EnumSource(names = {"LEADER_CRASH", "LEADER_ISOLATED", "ALL_CONTROLLERS_CRASH"})
+  void saveContinuesUnderTheNextLeader(Fault fault) {
+    for (int faultTimeMs : faultTimesMs()) {
+      QuotaCluster scenario = QuotaCluster.withBorrowing(81 + faultTimeMs);
       Job night =
           QuotaCluster.job(
               1,
@@ -284,106 +307,118 @@
       scenario.cluster.run(30);
       assertEquals(16, scenario.runningTasks(night));
       scenario.submit(QuotaCluster.replicas(2, DESK_REPLICAS, QuotaCluster.DESK));
-      scenario.cluster.schedule(Math.max(0, afterMs), () -> fault.inject.accept(scenario));
+      scenario.cluster.schedule(Math.max(0, faultTimeMs), () -> fault.inject.accept(scenario));
       scenario.cluster.run(30);
-      String when = fault + " after " + afterMs + " ms";
-      assertEquals(List.of(), scenario.cluster.checker.violations, when);
-      assertEquals(DESK_REPLICAS, scenario.cluster.checker.runningTasks("run-000002"), when);
-      assertEquals(DESK_REPLICAS, scenario.cluster.progress.stopCount(), when);
-      assertEquals(0, scenario.cluster.progress.interruptedSaves, when);
+      String context = fault + " after " + faultTimeMs + " ms";
+      assertEquals(List.of(), scenario.cluster.checker.violations, context);
+      assertEquals(DESK_REPLICAS, scenario.cluster.checker.runningTasks("run-000002"), context);
+      assertEquals(DESK_REPLICAS, scenario.cluster.progress.stopCount(), context);
+      assertEquals(0, scenario.cluster.progress.interruptedSaves, context);
     }
   }
 
   /**
-   * The peak ends while borrowers save: they get the capacity back, and nothing else is stopped.
+   * The demand peak ends while borrowers save: they get the capacity back, and no other task is
+   * stopped.
    */
   @ParameterizedTest
   @ValueSource(ints = {-1, 0, 300, 1000, 2500})
-  void aPeakThatEndsWhileBorrowersSave(int crashAfterMs) {
-    for (int endsAfterMs = 100; endsAfterMs <= LAST_MOMENT_MS; endsAfterMs += MOMENT_STEP_MS) {
-      QuotaCluster scenario = QuotaCluster.withBorrowing(11 + endsAfterMs);
+  void borrowersGetCapacityBackIfThePeakEndsDuringTheirSave(int crashAfterMs) {
+    for (int peakEndsAfterMs = 100;
+        peakEndsAfterMs <= LAST_FAULT_MS;
+        peakEndsAfterMs += FAULT_STEP_MS) {
+      QuotaCluster scenario = QuotaCluster.withBorrowing(11 + peakEndsAfterMs);
       Job night = scenario.fillWithNightArray(400, 15);
       Job desk = scenario.submit(QuotaCluster.replicas(2, DESK_REPLICAS, QuotaCluster.DESK));
-      scenario.cluster.schedule(endsAfterMs, () -> scenario.cluster.cancel(desk.uid()));
+      scenario.cluster.schedule(peakEndsAfterMs, () -> scenario.cluster.cancel(desk.uid()));
       if (crashAfterMs >= 0) {
         scenario.cluster.schedule(
-            endsAfterMs + crashAfterMs, () -> scenario.cluster.crashNode(scenario.leader(), 2000));
+            peakEndsAfterMs + crashAfterMs,
+            () -> scenario.cluster.crashNode(scenario.leader(), 2000));
       }
       scenario.cluster.run(60);
-      String when = "ends after " + endsAfterMs + " ms";
-      assertEquals(List.of(), scenario.cluster.checker.violations, when);
-      assertEquals(16, scenario.runningTasks(night), when);
-      assertTrue(scenario.cluster.progress.stopCount() <= DESK_REPLICAS, () -> when + ": stops");
-      assertEquals(Phase.ABORTED, scenario.cluster.checker.finalPhase(desk.uid()), when);
+      String context = "peak ends after " + peakEndsAfterMs + " ms";
+      assertEquals(List.of(), scenario.cluster.checker.violations, context);
+      assertEquals(16, scenario.runningTasks(night), context);
+      assertTrue(
+          scenario.cluster.progress.stopCount() <= DESK_REPLICAS,
+          () -> context + ": stopped tasks");
+      assertEquals(Phase.ABORTED, scenario.cluster.checker.finalPhase(desk.uid()), context);
     }
   }
 
-  /** A borrower is cancelled while it saves; a follower confirms, and the store is unavailable. */
+  /**
+   * A borrower is cancelled while it saves; a follower confirms the cancellation, and then the
+   * store becomes unavailable.
+   */
   @ParameterizedTest
   @ValueSource(ints = {0, 200, 500, 900, 1400, 2000, 2600, 3400})
-  void aBorrowerThatIsCancelledWhileItSavesEndsInTime(int afterMs) {
+  void borrowerCancelledDuringItsSaveEndsInTime(int cancelAfterMs) {
     for (boolean crash : new boolean[] {false, true}) {
-      QuotaCluster scenario = QuotaCluster.withBorrowing(23 + afterMs);
+      QuotaCluster scenario = QuotaCluster.withBorrowing(23 + cancelAfterMs);
       scenario
           .cluster
           .workers()
-          .forEach(m -> scenario.cluster.progress.machinesWithHangingSaves.add(m.machine.name()));
+          .forEach(
+              worker ->
+                  scenario.cluster.progress.machinesWithHangingSaves.add(worker.machine.name()));
       Job night = scenario.fillWithNightArray(400, 15);
       Job desk = scenario.submit(QuotaCluster.replicas(2, DESK_REPLICAS, QuotaCluster.DESK));
       scenario.cluster.schedule(
-          afterMs,
+          cancelAfterMs,
           () -> {
             String follower =
                 scenario.cluster.nodeNames().stream()
-                    .filter(n -> !n.equals(scenario.leader()))
+                    .filter(node -> !node.equals(scenario.leader()))
                     .findFirst()
                     .orElseThrow();
             scenario.cluster.cancelOnce(follower, night.uid());
           });
       scenario.cluster.schedule(
-          afterMs + 400, () -> scenario.cluster.store.startOutage(scenario.cluster.nowMs));
+          cancelAfterMs + 400, () -> scenario.cluster.store.startOutage(scenario.cluster.nowMs));
       if (crash) {
         scenario.cluster.schedule(
-            afterMs + 600, () -> scenario.cluster.crashNode(scenario.leader(), 1500));
+            cancelAfterMs + 600, () -> scenario.cluster.crashNode(scenario.leader(), 1500));
       }
       scenario.cluster.schedule(
-          afterMs + 36_000, () -> scenario.cluster.store.endOutage(scenario.cluster.nowMs));
+          cancelAfterMs + 36_000, () -> scenario.cluster.store.endOutage(scenario.cluster.nowMs));
       scenario.cluster.run(75);
       scenario.cluster.cancel(night.uid());
       scenario.cluster.run(15);
-      assertEquals(List.of(), scenario.cluster.checker.violations, "after " + afterMs + " ms");
+      assertEquals(
+          List.of(), scenario.cluster.checker.violations, "after " + cancelAfterMs + " ms");
       assertEquals(0, scenario.runningTasks(night));
-      assertEquals(DESK_REPLICAS, scenario.runningTasks(desk), "after " + afterMs + " ms");
+      assertEquals(DESK_REPLICAS, scenario.runningTasks(desk), "after " + cancelAfterMs + " ms");
     }
   }
 
-  /** Two teams reclaim their guarantees from one borrower, and the leader ends in between. */
+  /** Two teams reclaim their guarantees from one borrower, and the leader crashes meanwhile. */
   @ParameterizedTest
   @ValueSource(ints = {0, 50, 300, 1000})
-  void twoTeamsReclaimAtOnce(int apartMs) {
-    for (int afterMs : moments()) {
-      QuotaCluster scenario = QuotaCluster.withBorrowing(31 + afterMs + apartMs);
+  void twoTeamsReclaimFromOneBorrowerAtOnce(int intervalMs) {
+    for (int faultTimeMs : faultTimesMs()) {
+      QuotaCluster scenario = QuotaCluster.withBorrowing(31 + faultTimeMs + intervalMs);
       Job night = scenario.fillWithNightArray(400, 15);
       scenario.cluster.schedule(
           500, () -> scenario.submit(QuotaCluster.replicas(2, 8, QuotaCluster.DESK)));
       scenario.cluster.schedule(
-          500 + apartMs,
+          500 + intervalMs,
           () -> scenario.submit(QuotaCluster.array(3, 10, 400, 15, QuotaCluster.LAB)));
       scenario.cluster.schedule(
-          500 + afterMs, () -> scenario.cluster.crashNode(scenario.leader(), 2000));
+          500 + faultTimeMs, () -> scenario.cluster.crashNode(scenario.leader(), 2000));
       scenario.cluster.run(45);
-      String when = "after " + afterMs + " ms";
-      assertEquals(List.of(), scenario.cluster.checker.violations, when);
-      assertEquals(8, scenario.cluster.checker.runningTasks("run-000002"), when);
-      assertEquals(4, scenario.cluster.checker.runningTasks("run-000003"), when);
-      assertEquals(4, scenario.runningTasks(night), when);
+      String context = "after " + faultTimeMs + " ms";
+      assertEquals(List.of(), scenario.cluster.checker.violations, context);
+      assertEquals(8, scenario.cluster.checker.runningTasks("run-000002"), context);
+      assertEquals(4, scenario.cluster.checker.runningTasks("run-000003"), context);
+      assertEquals(4, scenario.runningTasks(night), context);
     }
   }
 
-  /** A team lends and borrows at once: it reclaims its own quota while it holds another's. */
+  /** A team both lends and borrows: it reclaims its own quota while it uses another team's. */
   @ParameterizedTest
   @ValueSource(ints = {-1, 200, 900, 1800, 3000})
-  void aTeamThatLendsAndBorrowsAtOnce(int crashAfterMs) {
+  void teamReclaimsItsQuotaWhileItBorrows(int crashAfterMs) {
     QuotaCluster scenario = QuotaCluster.withBorrowing(51);
     Job night = scenario.submit(QuotaCluster.array(1, 10, 400, 15, QuotaCluster.NIGHT));
     Job lab = scenario.submit(QuotaCluster.array(2, 6, 400, 15, QuotaCluster.LAB));
@@ -404,18 +439,18 @@
         QuotaCluster.LAB_GPUS, scenario.cluster.checker.usedResources(QuotaCluster.LAB).gpus());
   }
 
-  /** Every team is at its limit; nothing is stopped for what could not start anyway. */
+  /** No task is stopped for a job that could not start anyway because its team is at its limit. */
   @ParameterizedTest
   @ValueSource(ints = {-1, 300, 1500})
-  void atItsLimitATeamReclaimsNothing(int crashAfterMs) {
+  void teamAtItsLimitReclaimsNothing(int crashAfterMs) {
     QuotaCluster scenario = QuotaCluster.withBorrowing(61);
     Job desk = scenario.submit(QuotaCluster.replicas(1, 12, QuotaCluster.DESK));
     Job night = scenario.submit(QuotaCluster.array(2, 4, 400, 15, QuotaCluster.NIGHT));
     scenario.cluster.run(25);
-    assertEquals(12, scenario.runningTasks(desk), "its limit");
-    Job more =
+    assertEquals(12, scenario.runningTasks(desk), "running tasks at the limit");
+    Job waiting =
         QuotaCluster.job(3, JobKind.SERVICE, 4, 0, 0, QuotaCluster.DESK, Priority.PRODUCTION);
-    scenario.submit(more);
+    scenario.submit(waiting);
     if (crashAfterMs >= 0) {
       scenario.cluster.schedule(
           crashAfterMs, () -> scenario.cluster.crashNode(scenario.leader(), 2000));
@@ -423,23 +458,23 @@
     scenario.cluster.run(30);
     ExpectedOutcome.assertNoViolations(scenario.cluster);
     assertEquals(4, scenario.runningTasks(night));
-    assertEquals(0, scenario.runningTasks(more));
+    assertEquals(0, scenario.runningTasks(waiting));
     assertEquals(0, scenario.cluster.progress.stopCount());
   }
 
-  /** A gang that borrows loses a member while it is reclaimed. */
+  /** A gang that borrows loses a member while the quota that it borrows is reclaimed. */
   @ParameterizedTest
   @ValueSource(ints = {-1, 100, 800, 2000})
-  void aBorrowingGangLosesAMember(int crashAfterMs) {
-    for (int afterMs = 0; afterMs <= LAST_MOMENT_MS; afterMs += MOMENT_STEP_MS) {
-      QuotaCluster scenario = QuotaCluster.withBorrowing(71 + afterMs);
+  void teamGetsItsGuaranteeIfTheBorrowingGangLosesAMember(int crashAfterMs) {
+    for (int faultTimeMs = 0; faultTimeMs <= LAST_FAULT_MS; faultTimeMs += FAULT_STEP_MS) {
+      QuotaCluster scenario = QuotaCluster.withBorrowing(71 + faultTimeMs);
       Job night = scenario.submit(QuotaCluster.array(1, 4, 400, 15, QuotaCluster.NIGHT));
       Job gang = scenario.submit(QuotaCluster.gang(2, 12, 400, 30, QuotaCluster.LAB));
       scenario.cluster.run(25);
       assertEquals(12, scenario.runningTasks(gang));
       Job desk = scenario.submit(QuotaCluster.replicas(3, 8, QuotaCluster.DESK));
       scenario.cluster.schedule(
-          afterMs,
+          faultTimeMs,
           () -> {
             List<FakeWorker> members = scenario.workersWith(gang, TaskStatus.State.RUNNING);
             if (!members.isEmpty()) {
@@ -448,13 +483,13 @@
           });
       if (crashAfterMs >= 0) {
         scenario.cluster.schedule(
-            afterMs + crashAfterMs, () -> scenario.cluster.crashNode(scenario.leader(), 2000));
+            faultTimeMs + crashAfterMs, () -> scenario.cluster.crashNode(scenario.leader(), 2000));
       }
       scenario.cluster.run(70);
-      String when = "after " + afterMs + " ms";
-      assertEquals(List.of(), scenario.cluster.checker.violations, when);
-      assertEquals(8, scenario.runningTasks(desk), when);
-      assertEquals(4, scenario.runningTasks(night), when);
+      String context = "after " + faultTimeMs + " ms";
+      assertEquals(List.of(), scenario.cluster.checker.violations, context);
+      assertEquals(8, scenario.runningTasks(desk), context);
+      assertEquals(4, scenario.runningTasks(night), context);
     }
   }
 }
--- a/src/test/java/eiderfork/controller/QuotaReclaimFlappingTest.java
+++ b/src/test/java/eiderfork/controller/QuotaReclaimFlappingTest.java
@@ -11,15 +11,17 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Demand that comes and goes does not preempt borrowed work again and again. */
+/** Tests that demand which rises and falls repeatedly does not preempt borrowed work each time. */
 class QuotaReclaimFlappingTest {
   private static final double BOOT_S = 40;
   private static final double FLAPPING_S = 1200;
   private static final int GPUS_PER_MACHINE = 4;
 
-  /** A gang that is the only borrower is not preempted by each of the peaks of every minute. */
+  /**
+   * Demand peaks once per minute, and not every peak preempts the gang that is the only borrower.
+   */
   @Test
-  void aGangIsNotPreemptedAtEachPeak() {
+  void gangIsNotPreemptedAtEachPeak() {
     QuotaCluster scenario = QuotaCluster.withBorrowing(19, BOOT_S);
     scenario.submit(QuotaCluster.array(1, 4, 4 * FLAPPING_S, 15, QuotaCluster.NIGHT));
     Job gang = scenario.submit(QuotaCluster.gang(2, 8, 4 * FLAPPING_S, 15, QuotaCluster.LAB));
@@ -38,7 +40,10 @@
     ExpectedOutcome.assertNoViolations(scenario.cluster);
   }
 
-  /** Columns: the period of the peaks in seconds, their share of it, and how often leaders end. */
+  /**
+   * Columns: the period of the demand peaks in seconds, the share of the period that a peak takes,
+   * and the number of leader crashes.
+   */
   @ParameterizedTest
   @CsvSource({
     "1, 0.5, 0",
@@ -57,38 +62,40 @@
     "90, 0.5, 2",
     "180, 0.5, 2"
   })
-  void reclaimsStayWithinTheStatedBound(double periodS, double share, int leaderEnds) {
+  void stopsPerMachineStayWithinTheBound(double periodS, double peakShare, int leaderCrashes) {
     QuotaCluster scenario = QuotaCluster.withBorrowing(17 + (long) periodS, BOOT_S);
     Job night = scenario.fillWithNightArray(4 * FLAPPING_S, 15);
-    Map<String, Integer> stops = new HashMap<>();
+    Map<String, Integer> stopsByMachine = new HashMap<>();
     scenario.cluster.progress.onStop =
         (worker, attempt) -> {
           if (attempt.task().jobUid().equals(night.uid())) {
-            stops.merge(worker.machine.name(), 1, Integer::sum);
+            stopsByMachine.merge(worker.machine.name(), 1, Integer::sum);
           }
         };
-    int peaks = (int) (FLAPPING_S / periodS);
-    for (int i = 0; i < peaks; i++) {
+    int peakCount = (int) (FLAPPING_S / periodS);
+    for (int i = 0; i < peakCount; i++) {
       Job peak = QuotaCluster.replicas(100 + i, 8, QuotaCluster.DESK);
-      long beginsMs = (long) (i * periodS * 1000);
-      scenario.cluster.schedule(beginsMs, () -> scenario.submit(peak));
+      long peakStartMs = (long) (i * periodS * 1000);
+      scenario.cluster.schedule(peakStartMs, () -> scenario.submit(peak));
       scenario.cluster.schedule(
-          beginsMs + (long) (periodS * share * 1000), () -> scenario.cluster.cancel(peak.uid()));
+          peakStartMs + (long) (periodS * peakShare * 1000),
+          () -> scenario.cluster.cancel(peak.uid()));
     }
-    for (int i = 1; i <= leaderEnds; i++) {
-      long endsMs = (long) (FLAPPING_S * 1000 * i / (leaderEnds + 1));
-      scenario.cluster.schedule(endsMs, () -> scenario.cluster.crashNode(scenario.leader(), 2000));
+    for (int i = 1; i <= leaderCrashes; i++) {
+      long crashAtMs = (long) (FLAPPING_S * 1000 * i / (leaderCrashes + 1));
+      scenario.cluster.schedule(
+          crashAtMs, () -> scenario.cluster.crashNode(scenario.leader(), 2000));
     }
     scenario.cluster.run(FLAPPING_S);
-    double reversals = ReclaimCooldowns.maxReversals(FLAPPING_S, BOOT_S) + leaderEnds;
-    for (Map.Entry<String, Integer> each : stops.entrySet()) {
+    double maxReversals = ReclaimCooldowns.maxReversals(FLAPPING_S, BOOT_S) + leaderCrashes;
+    for (Map.Entry<String, Integer> entry : stopsByMachine.entrySet()) {
       assertTrue(
-          each.getValue() <= GPUS_PER_MACHINE * reversals,
-          () -> each + " stops, at most " + GPUS_PER_MACHINE * reversals);
+          entry.getValue() <= GPUS_PER_MACHINE * maxReversals,
+          () -> "stops on a machine: " + entry + ", at most " + GPUS_PER_MACHINE * maxReversals);
     }
     ExpectedOutcome.assertNoViolations(scenario.cluster);
     scenario.cluster.run(400);
-    assertEquals(16, scenario.runningTasks(night), "it has all of its capacity back");
+    assertEquals(16, scenario.runningTasks(night), "running tasks after the last peak");
     ExpectedOutcome.assertNoViolations(scenario.cluster);
   }
 }
--- a/src/test/java/eiderfork/controller/SchedulingWorkTest.java
+++ b/src/test/java/eiderfork/controller/SchedulingWorkTest.java
@@ -10,13 +10,16 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Counts the work of scheduling, without timing it, with a fleet of hundreds of machines. */
+/**
+ * Tests the cost of scheduling in a fleet of hundreds of machines by the number of machines that it
+ * examines, not by time.
+ */
 class SchedulingWorkTest {
   private static final int JOBS = 150;
   private static final int TASKS = 16;
 
   @Test
-  void theWorkOfARoundGrowsWithJobsTimesMachinesAndNotWithTasks() {
+  void examinedMachinesPerRoundGrowWithJobsTimesMachinesNotWithTasks() {
     SimulatedCluster cluster = new SimulatedCluster(3);
     cluster.cloud.defaultStock = 40;
     cluster.run(3);
@@ -36,23 +39,23 @@
     long machines = cluster.cloud.liveHostCount();
     long running = jobs.stream().mapToLong(job -> cluster.checker.runningTasks(job.uid())).sum();
     assertTrue(machines >= 150, machines + " machines");
-    // Four kinds of the larger type, 40 machines each, with four tasks on a machine.
+    // There are four kinds of the larger type with 40 machines each, and four tasks on a machine.
     assertEquals(4 * 40 * 4, running);
-    // A round examines each machine once for a job and once more for a task, and a plan does so
-    // with the machines that it requests.
-    long wanted = JOBS * TASKS / 4;
-    long bound = JOBS * (machines + wanted) + 2 * JOBS * TASKS;
-    assertTrue(maxExamined <= bound, maxExamined + " examined of " + bound);
+    // A round examines each machine once for each job, and one more for each task; a plan does the
+    // same with the machines that it requests.
+    long requestedMachines = JOBS * TASKS / 4;
+    long bound = JOBS * (machines + requestedMachines) + 2 * JOBS * TASKS;
+    assertTrue(maxExamined <= bound, maxExamined + " machines examined, more than " + bound);
     assertEquals(List.of(), cluster.checker.violations);
   }
 
   /**
-   * With hundreds of services that waited for a full fleet, every round once searched each machine
-   * for replicas to migrate, for each task, and each other machine for each replica: a simulated
-   * day of 867 machines did not end.
+   * When hundreds of services waited because the fleet was full, each round searched all machines
+   * for replicas to migrate, for each task, and all other machines for each such replica. As a
+   * result, the simulation of a day with 867 machines did not finish.
    */
   @Test
-  void jobsOfOneSizeThatWaitForAFullFleetShareOneSearch() {
+  void waitingJobsOfEqualSizeShareOneSearchOfAFullFleet() {
     SimulatedCluster cluster = new SimulatedCluster(4);
     cluster.cloud.defaultStock = 40;
     cluster.run(3);
@@ -68,7 +71,8 @@
     cluster.run(40);
     long machines = cluster.cloud.liveHostCount();
     long waiting = 300 * 8 - cluster.checker.totalRunningTasks();
-    assertTrue(machines >= 100 && waiting > 1000, machines + " machines, " + waiting + " wait");
+    assertTrue(
+        machines >= 100 && waiting > 1000, machines + " machines, " + waiting + " waiting tasks");
     int maxExamined = 0;
     for (int i = 0; i < 200; i++) {
       cluster.run(0.05);
@@ -77,7 +81,8 @@
       }
     }
     assertTrue(
-        maxExamined <= 20 * machines, maxExamined + " examined with " + machines + " machines");
+        maxExamined <= 20 * machines,
+        maxExamined + " machines examined with " + machines + " machines");
     assertEquals(List.of(), cluster.checker.violations);
   }
 }
--- a/src/test/java/eiderfork/controller/ZoneBalanceTest.java
+++ b/src/test/java/eiderfork/controller/ZoneBalanceTest.java
@@ -15,7 +15,7 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
-/** Machines are requested in all zones evenly. */
+/** Tests that machines are requested evenly in all zones. */
 class ZoneBalanceTest {
   private static final ImmutableList<String> ZONES = ImmutableList.of("a", "b", "c");
   private static final int MACHINES_PER_ZONE = 12;
@@ -29,43 +29,43 @@
     return cluster;
   }
 
-  private static List<Job> submitSpread(SimulatedCluster cluster, int jobs) {
-    List<Job> all = new ArrayList<>();
-    for (int i = 0; i < jobs; i++) {
+  private static List<Job> submitSpreadServices(SimulatedCluster cluster, int count) {
+    List<Job> jobs = new ArrayList<>();
+    for (int i = 0; i < count; i++) {
       Job job = TestFixtures.job(i, JobKind.SERVICE, 4, 0, "blue", Priority.HIGH, true, false);
-      all.add(job);
+      jobs.add(job);
       cluster.submit(job);
     }
-    return all;
+    return jobs;
   }
 
   @Test
   void machinesAreRentedEvenlyInAllZones() {
     SimulatedCluster cluster = clusterOfThreeZones();
-    submitSpread(cluster, 30);
+    submitSpreadServices(cluster, 30);
     cluster.run(30);
-    Map<String, Long> byZone =
+    Map<String, Long> machinesByZone =
         cluster.workers().stream()
             .collect(Collectors.groupingBy(worker -> worker.machine.zone(), Collectors.counting()));
-    assertEquals(3, byZone.size(), byZone::toString);
-    long most = byZone.values().stream().mapToLong(Long::longValue).max().orElseThrow();
-    long least = byZone.values().stream().mapToLong(Long::longValue).min().orElseThrow();
-    assertTrue(most - least <= 2, byZone::toString);
+    assertEquals(3, machinesByZone.size(), machinesByZone::toString);
+    long most = machinesByZone.values().stream().mapToLong(Long::longValue).max().orElseThrow();
+    long least = machinesByZone.values().stream().mapToLong(Long::longValue).min().orElseThrow();
+    assertTrue(most - least <= 2, machinesByZone::toString);
   }
 
   /**
-   * Two zones were filled first; of services that must be spread only the half that one zone may
-   * hold then found capacity in the third.
+   * When two zones were filled first, services that must be spread found capacity in the third zone
+   * for only half of their replicas, which is the most that one zone may hold.
    */
   @Test
   void spreadServicesFillThreeZones() {
     SimulatedCluster cluster = clusterOfThreeZones();
-    // Nine of ten processors.
-    List<Job> jobs = submitSpread(cluster, 65);
+    // The replicas need nine tenths of all CPUs.
+    List<Job> jobs = submitSpreadServices(cluster, 65);
     cluster.run(60);
-    long missing =
+    long missingTasks =
         jobs.stream().mapToLong(job -> job.tasks() - cluster.checker.runningTasks(job.uid())).sum();
-    assertEquals(0, missing, "tasks without capacity");
+    assertEquals(0, missingTasks, "tasks without capacity");
     assertEquals(List.of(), cluster.checker.violations);
   }
 }
