--- a/src/test/java/eiderfork/controller/QuotaReclaimFlappingTest.java
+++ b/src/test/java/eiderfork/controller/QuotaReclaimFlappingTest.java
@@ -91,7 +91,7 @@
     for (Map.Entry<String, Integer> entry : stopsByMachine.entrySet()) {
       assertTrue(
           entry.getValue() <= GPUS_PER_MACHINE * maxReversals,
-          () -> "stops on a machine: " + entry + ", at most " + GPUS_PER_MACHINE * maxReversals);
+          () -> entry + " stops on a machine, at most " + GPUS_PER_MACHINE * maxReversals);
     }
     ExpectedOutcome.assertNoViolations(scenario.cluster);
     scenario.cluster.run(400);
