--- a/src/test/java/eiderfork/controller/ControllerTest.java
+++ b/src/test/java/eiderfork/controller/ControllerTest.java
@@ -92,7 +92,8 @@
             new Attempt(new TaskId("run-000001", 0), 1), TaskStatus.State.RUNNING, null, false);
     ImmutableList<TaskStatus> tasks = hasTask ? ImmutableList.of(task) : ImmutableList.of();
     long fencingToken = (4L << LeaderElection.TOKEN_SEQUENCE_BITS) + 1;
-    return new Input.WorkerHeartbeat(ticket, new Heartbeat(machine, 1, 5, fencingToken, null, tasks));
+    return new Input.WorkerHeartbeat(
+        ticket, new Heartbeat(machine, 1, 5, fencingToken, null, tasks));
   }
 
   /**
--- a/src/test/java/eiderfork/controller/JobArchiverTest.java
+++ b/src/test/java/eiderfork/controller/JobArchiverTest.java
@@ -86,7 +86,8 @@
   }
 
   private static void cancelLateAsOlderVersion(SimulatedCluster cluster, Job job) {
-    StoreRequest.Condition neverStarted = new StoreRequest.Condition(StoreKeys.alloc(job.uid()), 0);
+    StoreRequest.Condition neverStarted =
+        new StoreRequest.Condition(StoreKeys.allocation(job.uid()), 0);
     write(
         cluster,
         neverStarted,
--- a/src/test/java/eiderfork/controller/LargeCellTest.java
+++ b/src/test/java/eiderfork/controller/LargeCellTest.java
@@ -193,7 +193,7 @@
     int maxExamined = 0;
     for (int i = 0; i < 160; i++) {
       cluster.run(0.05);
-      maxExamined = Math.max(maxExamined, leader.machinesExaminedInRound());
+      maxExamined = Math.max(maxExamined, leader.roundMachineExaminations());
     }
     assertEquals(4, cluster.checker.runningTasks(lateJob.uid()));
     assertTrue(maxExamined < MACHINES / 4, maxExamined + " machines examined for four tasks");
--- a/src/test/java/eiderfork/controller/RollingUpgradeTest.java
+++ b/src/test/java/eiderfork/controller/RollingUpgradeTest.java
@@ -291,7 +291,8 @@
     cluster.submit(array);
     cluster.run(22);
     assertInstanceOf(
-        StoredRecord.Allocation.class, cluster.store.getAsStored(StoreKeys.alloc(array.uid())));
+        StoredRecord.Allocation.class,
+        cluster.store.getAsStored(StoreKeys.allocation(array.uid())));
     assertTrue(cluster.checker.runningTasks(array.uid()) >= 100, "fewer than 100 tasks run");
     for (String node : cluster.nodeNames()) {
       upgrade(cluster, node);
--- a/src/test/java/eiderfork/controller/StandbyFailoverTest.java
+++ b/src/test/java/eiderfork/controller/StandbyFailoverTest.java
@@ -138,7 +138,8 @@
     assertTrue(leaderController(cluster).recoveredFromReplica());
     jobs.subList(0, 4).forEach(job -> cluster.cancel(job.uid()));
     ExpectedOutcome.assertAllJobsServed(cluster, jobs);
-    assertEquals(List.of(), cluster.store.keys(StoreKeys.SCALE_OUT_INTENT_PREFIX), "unsettled rent intents");
+    assertEquals(
+        List.of(), cluster.store.keys(StoreKeys.SCALE_OUT_INTENT_PREFIX), "unsettled rent intents");
   }
 
   /**
--- a/src/test/java/eiderfork/controller/UserRequestHandlerTest.java
+++ b/src/test/java/eiderfork/controller/UserRequestHandlerTest.java
@@ -80,7 +80,8 @@
     handler.handle(new Input.Cancel(1, JOB.uid()), true, responses::add);
     assertEquals(new StoreRequest.Get(StoreKeys.job(JOB.uid())), nextRequest(null, 0));
     Reply job = new Reply.Value(new StoredRecord.JobSpec(JOB), 3);
-    assertEquals(new StoreRequest.Get(StoreKeys.alloc(JOB.uid())), nextRequest(job, lastCallId));
+    assertEquals(
+        new StoreRequest.Get(StoreKeys.allocation(JOB.uid())), nextRequest(job, lastCallId));
     return (StoreRequest.Transaction)
         nextRequest(new Reply.Value(allocation, allocVersion), lastCallId);
   }
@@ -104,9 +105,9 @@
   @Test
   void jobThatCompletesMeanwhileIsNotCancelled() {
     cancelUntilWrite(alloc(false), 9);
-    Reply conflict = new Reply.Conflict(ImmutableList.of(StoreKeys.alloc(JOB.uid())));
+    Reply conflict = new Reply.Conflict(ImmutableList.of(StoreKeys.allocation(JOB.uid())));
     assertEquals(
-        new StoreRequest.Get(StoreKeys.alloc(JOB.uid())), nextRequest(conflict, lastCallId));
+        new StoreRequest.Get(StoreKeys.allocation(JOB.uid())), nextRequest(conflict, lastCallId));
     context.completeCall(lastCallId, new Reply.Value(alloc(true), 10));
     assertEquals(JobStatus.Phase.DONE, responses.get(0).job().phase());
   }
@@ -117,9 +118,9 @@
     cancelUntilWrite(StoredRecord.Allocation.EMPTY, 0);
     Reply conflict =
         new Reply.Conflict(
-            ImmutableList.of(StoreKeys.cancellation(JOB.uid()), StoreKeys.ended(JOB.uid())));
+            ImmutableList.of(StoreKeys.cancellation(JOB.uid()), StoreKeys.archivedJob(JOB.uid())));
     assertEquals(
-        new StoreRequest.Get(StoreKeys.ended(JOB.uid())), nextRequest(conflict, lastCallId));
+        new StoreRequest.Get(StoreKeys.archivedJob(JOB.uid())), nextRequest(conflict, lastCallId));
     StoredRecord ended = new StoredRecord.ArchivedJob(JobStatus.Phase.DONE, 2);
     context.completeCall(lastCallId, new Reply.Value(ended, 12));
     assertEquals(JobStatus.Phase.DONE, responses.get(0).job().phase());
@@ -136,7 +137,7 @@
     assertEquals(new StoreRequest.Get(StoreKeys.job(GANG.uid())), nextRequest(null, 0));
     Reply absent = new Reply.Value(null, 0);
     assertEquals(
-        new StoreRequest.Get(StoreKeys.ended(GANG.uid())), nextRequest(absent, lastCallId));
+        new StoreRequest.Get(StoreKeys.archivedJob(GANG.uid())), nextRequest(absent, lastCallId));
     assertEquals(new StoreRequest.Get(StoreKeys.MACHINE_TYPES), nextRequest(absent, lastCallId));
     MachineType type =
         new MachineType("g4", new Resources(16, 4, 64), 9, 2, 8, 3, 4, ImmutableList.of("a"));
@@ -183,7 +184,7 @@
     nextRequest(new Reply.Value(null, 0), lastCallId);
     // Without an alloc record the job may have been archived between the reads.
     assertEquals(
-        new StoreRequest.Get(StoreKeys.ended(GANG.uid())),
+        new StoreRequest.Get(StoreKeys.archivedJob(GANG.uid())),
         nextRequest(new Reply.Value(null, 0), lastCallId));
     context.completeCall(lastCallId, new Reply.Value(null, 0));
     assertEquals(200, responses.get(0).status());
