--- a/src/main/java/eiderfork/controller/cluster/PeerMonitor.java
+++ b/src/main/java/eiderfork/controller/cluster/PeerMonitor.java
@@ -27,7 +27,10 @@
   private final Map<String, ReceivedStatus> lastStatuses = new LinkedHashMap<>();
   private final Map<String, Boolean> pingPending = new LinkedHashMap<>();
 
-  /** When each peer first replied to a ping with {@link #acknowledgedTerm} or a later term. */
+  /**
+   * The time at which each peer first replied to a ping with {@link #acknowledgedTerm} or a later
+   * term.
+   */
   private final Map<String, Long> termAcknowledgedMs = new LinkedHashMap<>();
 
   /** The term of this node's leadership to which the acknowledgements belong. */
--- a/src/main/java/eiderfork/controller/election/CandidacyPolicy.java
+++ b/src/main/java/eiderfork/controller/election/CandidacyPolicy.java
@@ -18,7 +18,7 @@
 
   private final ControllerContext context;
 
-  /** Whether the node order prefers other nodes as leaders. */
+  /** True if the node order prefers other nodes as leaders. */
   private final boolean yieldsByNodeOrder;
 
   /** The node that workers try after this one. */
--- a/src/main/java/eiderfork/controller/election/LeaderElection.java
+++ b/src/main/java/eiderfork/controller/election/LeaderElection.java
@@ -91,7 +91,7 @@
   private long term;
   private String leader;
 
-  /** Whether a request sent as follower or candidate is in flight. */
+  /** True if a request sent as follower or candidate is in flight. */
   private boolean requestPending;
 
   private long nextAttemptMs;
