--- a/src/main/java/eiderfork/wire/AvroAllocationCodec.java
+++ b/src/main/java/eiderfork/wire/AvroAllocationCodec.java
@@ -8,7 +8,10 @@
 import org.apache.avro.generic.GenericData;
 import org.apache.avro.generic.GenericRecord;
 
-/** A form of an allocation that is an Avro record, stored as Base64 in a field of its own. */
+/**
+ * An encoding of an allocation as an Avro record, stored as Base64 text in a JSON field that
+ * identifies the encoding.
+ */
 abstract class AvroAllocationCodec {
   private static final String LAST_ATTEMPT = "last";
   private static final String DONE = "done";
@@ -18,7 +21,7 @@
   private final Schema seriesSchema;
 
   /**
-   * @param jsonField the field that only this form has
+   * @param jsonField the JSON field that only this encoding has
    */
   AvroAllocationCodec(String jsonField, String schemaResource) {
     this.jsonField = jsonField;
@@ -26,10 +29,13 @@
     seriesSchema = schema.getField("series").schema().getElementType();
   }
 
-  /** Puts the tasks into the record, and adds the attempt and machine of each run of them. */
-  abstract void putTasks(GenericRecord record, Allocation allocation, RunColumns runs);
+  /**
+   * Puts the tasks into the record, and adds the attempt and the machine of each run of reserved
+   * tasks to the columns.
+   */
+  abstract void putTasks(GenericRecord record, Allocation allocation, RunColumns runColumns);
 
-  /** Reads the allocation that a record holds. */
+  /** Converts a record to the allocation that it encodes. */
   abstract Allocation toAllocation(GenericRecord record) throws MalformedMessageException;
 
   final Schema schema() {
@@ -48,20 +54,20 @@
     GenericRecord record = new GenericData.Record(schema);
     record.put(LAST_ATTEMPT, allocation.lastAttempt());
     record.put(DONE, allocation.done());
-    RunColumns runs = new RunColumns(allocation.lastAttempt());
-    putTasks(record, allocation, runs);
-    runs.writeTo(record, seriesSchema);
+    RunColumns runColumns = new RunColumns(allocation.lastAttempt());
+    putTasks(record, allocation, runColumns);
+    runColumns.writeTo(record, seriesSchema);
     byte[] bytes = AvroCodec.encode(record);
     String text = Base64.getEncoder().withoutPadding().encodeToString(bytes);
     return JsonReader.newObject().put(jsonField, text);
   }
 
-  /** Whether the value has this form. */
-  final boolean isFormOf(JsonNode node) {
+  /** Returns whether the value has this encoding. */
+  final boolean isEncodingOf(JsonNode node) {
     return node.has(jsonField);
   }
 
-  /** The length of the text in a value of this form. */
+  /** Returns the length of the Base64 text in a value of this encoding. */
   final int textLength(JsonNode node) {
     return node.path(jsonField).asText().length();
   }
--- a/src/main/java/eiderfork/wire/AvroCodec.java
+++ b/src/main/java/eiderfork/wire/AvroCodec.java
@@ -14,28 +14,29 @@
 import org.apache.avro.io.DecoderFactory;
 import org.apache.avro.io.EncoderFactory;
 
-/** Avro records as bytes, by the schemas beside this class. */
+/** Encodes and decodes Avro records with the schemas in this package. */
 final class AvroCodec {
-  /** The most bytes of a text or a byte string; no message or record is as long as a whole. */
+  /** The maximum length of a string or byte array; every message and stored record is shorter. */
   private static final int MAX_LENGTH_BYTES = 8 << 20;
 
-  /** The most items of a list; no message or record has room for more. */
+  /** The maximum number of items in an array; no message or stored record has room for more. */
   private static final int MAX_ITEMS = 1 << 20;
 
   static {
-    // Avro reads these once, and allocates what a length claims before it reads on.
-    limit(SystemLimitException.MAX_BYTES_LENGTH_PROPERTY, MAX_LENGTH_BYTES);
-    limit(SystemLimitException.MAX_STRING_LENGTH_PROPERTY, MAX_LENGTH_BYTES);
-    limit(SystemLimitException.MAX_COLLECTION_LENGTH_PROPERTY, MAX_ITEMS);
+    // Avro allocates memory for an encoded length before it reads the data, so that a few bytes
+    // could exhaust the heap. It reads these properties only once.
+    setLimit(SystemLimitException.MAX_BYTES_LENGTH_PROPERTY, MAX_LENGTH_BYTES);
+    setLimit(SystemLimitException.MAX_STRING_LENGTH_PROPERTY, MAX_LENGTH_BYTES);
+    setLimit(SystemLimitException.MAX_COLLECTION_LENGTH_PROPERTY, MAX_ITEMS);
   }
 
   private AvroCodec() {}
 
-  private static void limit(String property, int limit) {
+  private static void setLimit(String property, int limit) {
     System.setProperty(property, Integer.toString(limit));
   }
 
-  /** Loads a schema from the resource of this name. */
+  /** Loads a schema from a resource of this package. */
   static Schema loadSchema(String resource) {
     try (InputStream in = AvroCodec.class.getResourceAsStream(resource)) {
       return new Schema.Parser().parse(in);
@@ -44,7 +45,7 @@
     }
   }
 
-  /** Writes a record by its schema. */
+  /** Encodes a record with its own schema. */
   static byte[] encode(GenericRecord record) {
     try {
       ByteArrayOutputStream out = new ByteArrayOutputStream();
@@ -56,24 +57,26 @@
     }
   }
 
-  /** Reads a record. */
+  /** Decodes a record that was written with the same schema. */
   static GenericRecord decode(Schema schema, byte[] bytes) throws MalformedMessageException {
     return decode(schema, schema, bytes);
   }
 
-  /** Reads what was written with one schema as a record of another. */
-  static GenericRecord decode(Schema writer, Schema schema, byte[] bytes)
+  /** Decodes bytes that were written with one schema as a record of another. */
+  static GenericRecord decode(Schema writerSchema, Schema readerSchema, byte[] bytes)
       throws MalformedMessageException {
     try {
       var decoder = DecoderFactory.get().binaryDecoder(bytes, null);
-      return new GenericDatumReader<GenericRecord>(writer, schema).read(null, decoder);
+      return new GenericDatumReader<GenericRecord>(writerSchema, readerSchema).read(null, decoder);
     } catch (IOException | RuntimeException e) {
-      // The decoder trusts the lengths that it reads, so other bytes fail in many ways.
-      throw new MalformedMessageException("not an Avro record of the form " + schema.getName());
+      // The decoder does not validate lengths, so malformed input causes various runtime
+      // exceptions.
+      throw new MalformedMessageException(
+          "not an Avro record of the form " + readerSchema.getName());
     }
   }
 
-  /** The strings of a list field. */
+  /** Converts the items of an array field to strings. */
   static ImmutableList<String> toStrings(List<?> list) {
     return list.stream().map(Object::toString).collect(ImmutableList.toImmutableList());
   }
--- a/src/main/java/eiderfork/wire/BitmapAllocationCodec.java
+++ b/src/main/java/eiderfork/wire/BitmapAllocationCodec.java
@@ -10,9 +10,9 @@
 import org.apache.avro.generic.GenericRecord;
 
 /**
- * The bitmap form of an allocation, whose size {@code BitmapAllocationSize} bounds. Arrays of
- * thousands of short tasks take a few bits for each running task, where the packed form takes some
- * bytes.
+ * The bitmap encoding of an allocation; {@code BitmapAllocationSize} bounds its size. For array
+ * jobs with thousands of short tasks it takes a few bits per running task, while the packed
+ * encoding takes several bytes.
  */
 final class BitmapAllocationCodec extends AvroAllocationCodec {
   static final BitmapAllocationCodec INSTANCE = new BitmapAllocationCodec();
@@ -22,18 +22,18 @@
   }
 
   @Override
-  void putTasks(GenericRecord record, Allocation allocation, RunColumns runs) {
+  void putTasks(GenericRecord record, Allocation allocation, RunColumns runColumns) {
     List<Integer> startSteps = new ArrayList<>();
     CompressedBitmap reserved = new CompressedBitmap();
     CompressedBitmap finished = new CompressedBitmap();
     int lastStart = 0;
-    ReservedRange run = null;
+    ReservedRange runStart = null;
     for (ReservedRange range : allocation.reserved()) {
-      if (run == null || !isSameRun(run, range)) {
+      if (runStart == null || !isSameRun(runStart, range)) {
         startSteps.add(range.from() - lastStart);
-        runs.add(range.attempt(), range.machine());
+        runColumns.add(range.attempt(), range.machine());
         lastStart = range.from();
-        run = range;
+        runStart = range;
       }
       reserved.addRange(range.from(), range.to());
     }
@@ -43,8 +43,8 @@
     record.put("finished", finished.encode());
   }
 
-  private static boolean isSameRun(ReservedRange run, ReservedRange range) {
-    return run.attempt() == range.attempt() && run.machine().equals(range.machine());
+  private static boolean isSameRun(ReservedRange first, ReservedRange second) {
+    return first.attempt() == second.attempt() && first.machine().equals(second.machine());
   }
 
   @Override
@@ -65,7 +65,7 @@
       throws MalformedMessageException {
     List<?> startSteps = (List<?>) record.get("start");
     int runCount = startSteps.size();
-    List<RunColumns.Run> runs = RunColumns.readRuns(record, lastAttempt(record), runCount);
+    List<RunColumns.Run> runs = RunColumns.decodeRuns(record, lastAttempt(record), runCount);
     int[] starts = decodeStarts(startSteps, reserved);
     ImmutableList.Builder<ReservedRange> ranges = ImmutableList.builder();
     for (int i = 0; i < runCount; i++) {
@@ -74,7 +74,12 @@
     return ranges.build();
   }
 
-  /** Where each run starts, and where the last one ends; every reserved task has to be in one. */
+  /**
+   * Returns the first task of each run, followed by the exclusive end of the last run.
+   *
+   * @throws MalformedMessageException if a run does not start at a reserved task, or a reserved
+   *     task is not in a run
+   */
   private static int[] decodeStarts(List<?> startSteps, BitSet reserved)
       throws MalformedMessageException {
     int[] starts = new int[startSteps.size() + 1];
@@ -96,7 +101,9 @@
     return starts;
   }
 
-  /** Adds the ranges of reserved tasks from {@code start}, and before {@code end}. */
+  /**
+   * Adds the ranges of reserved tasks from {@code start} (inclusive) to {@code end} (exclusive).
+   */
   private static void addRanges(
       ImmutableList.Builder<ReservedRange> ranges,
       BitSet reserved,
--- a/src/main/java/eiderfork/wire/CloudCodec.java
+++ b/src/main/java/eiderfork/wire/CloudCodec.java
@@ -12,39 +12,43 @@
 import eiderfork.model.StoredRecord;
 import java.util.List;
 
-/** The requests to the cloud and its responses. */
+/** The controller's side of the cloud's protocol: encodes requests and decodes responses. */
 public final class CloudCodec {
-  /** Where the cloud lists its machine types. */
+  /** The path that lists the machine types. */
   public static final String TYPES_PATH = "/flavors";
 
-  /** Where machines are rented and listed. */
+  /** The path that rents and lists machines. */
   public static final String HOSTS_PATH = "/hosts";
 
-  /** Where machines are returned. */
+  /** The path that returns machines. */
   public static final String RETURN_PATH = "/hosts/return";
 
-  /** The most entries of a page of the machine list. */
+  /** The maximum number of entries in a page of the machine list. */
   private static final int MAX_PAGE_ENTRIES = 500;
 
   private CloudCodec() {}
 
-  /** The path of the page of the machine list that begins after this machine. */
+  /**
+   * Returns the path and query of a page of the machine list.
+   *
+   * @param after the name of the last machine of the previous page; empty for the first page
+   */
   public static String hostsPath(String after) {
     return HOSTS_PATH + "?Page=" + MAX_PAGE_ENTRIES + (after.isEmpty() ? "" : "&After=" + after);
   }
 
-  /** The body of a request to rent machines. */
-  public static byte[] encodeRent(StoredRecord.ScaleOutIntent rent) {
+  /** Encodes the body of a request to rent machines. */
+  public static byte[] encodeRent(StoredRecord.ScaleOutIntent intent) {
     ObjectNode node = JsonReader.newObject();
-    node.put(ProtocolFields.REQUEST_NAME, rent.requestName());
-    node.put(ProtocolFields.MACHINE_TYPE, rent.type());
-    node.put(ProtocolFields.ZONE, rent.zone());
-    node.put(ProtocolFields.SPOT, rent.spot());
-    node.put(ProtocolFields.COUNT, rent.count());
+    node.put(ProtocolFields.REQUEST_NAME, intent.requestName());
+    node.put(ProtocolFields.MACHINE_TYPE, intent.type());
+    node.put(ProtocolFields.ZONE, intent.zone());
+    node.put(ProtocolFields.SPOT, intent.spot());
+    node.put(ProtocolFields.COUNT, intent.count());
     return JsonReader.toBytes(node);
   }
 
-  /** The body of a request to return machines. */
+  /** Encodes the body of a request to return machines. */
   public static byte[] encodeReturn(List<String> machines) {
     ObjectNode node = JsonReader.newObject();
     ArrayNode names = node.putArray(ProtocolFields.MACHINES);
@@ -53,9 +57,9 @@
   }
 
   /**
-   * Reads the list of machine types.
+   * Decodes the response that lists the machine types.
    *
-   * @throws MalformedMessageException where it does not follow the protocol
+   * @throws MalformedMessageException if the body does not follow the protocol
    */
   public static Reply decodeTypes(int status, byte[] body) throws MalformedMessageException {
     if (status != HttpStatus.OK) {
@@ -120,9 +124,9 @@
   }
 
   /**
-   * Reads the response to a rent.
+   * Decodes the response to a request to rent machines.
    *
-   * @throws MalformedMessageException where it does not follow the protocol
+   * @throws MalformedMessageException if the body does not follow the protocol
    */
   public static Reply decodeRentReply(int status, byte[] body) throws MalformedMessageException {
     if (status == HttpStatus.OK) {
@@ -136,15 +140,15 @@
     return new Reply.Refused(status);
   }
 
-  /** Reads the response to a return. */
+  /** Decodes the response to a request to return machines. */
   public static Reply decodeReturnReply(int status) {
     return status == HttpStatus.OK ? new Reply.Returned() : new Reply.Refused(status);
   }
 
   /**
-   * Reads a page of the machine list.
+   * Decodes a page of the machine list.
    *
-   * @throws MalformedMessageException where it does not follow the protocol
+   * @throws MalformedMessageException if the body does not follow the protocol
    */
   public static Reply decodeHosts(int status, byte[] body) throws MalformedMessageException {
     if (status != HttpStatus.OK) {
--- a/src/main/java/eiderfork/wire/CloudServerCodec.java
+++ b/src/main/java/eiderfork/wire/CloudServerCodec.java
@@ -9,11 +9,11 @@
 import eiderfork.model.StoredRecord;
 import java.util.List;
 
-/** The cloud's side of its protocol, for emulations. */
+/** The cloud's side of its protocol, for the emulated cloud. */
 public final class CloudServerCodec {
   private CloudServerCodec() {}
 
-  /** The machine types. */
+  /** Encodes the response that lists the machine types. */
   public static byte[] encodeTypes(List<MachineType> types) {
     ObjectNode node = JsonReader.newObject();
     node.set(ProtocolFields.MACHINE_TYPES, CloudCodec.typesToJson(types));
@@ -21,9 +21,9 @@
   }
 
   /**
-   * Reads a request to rent machines.
+   * Decodes a request to rent machines.
    *
-   * @throws MalformedMessageException where it does not follow the protocol
+   * @throws MalformedMessageException if the body does not follow the protocol
    */
   public static StoredRecord.ScaleOutIntent decodeRent(byte[] body)
       throws MalformedMessageException {
@@ -37,24 +37,24 @@
   }
 
   /**
-   * Reads the names in a request to return machines.
+   * Decodes the machine names in a request to return machines.
    *
-   * @throws MalformedMessageException where it does not follow the protocol
+   * @throws MalformedMessageException if the body does not follow the protocol
    */
   public static ImmutableList<String> decodeReturn(byte[] body) throws MalformedMessageException {
     return CloudCodec.decodeTexts(
         JsonReader.array(JsonReader.parse(body), ProtocolFields.MACHINES));
   }
 
-  /** The response to a rent or a return: the machines that it names. */
+  /** Encodes the response to a request to rent or return machines. */
   public static byte[] encodeMachines(List<String> names) {
     ObjectNode node = JsonReader.newObject();
     names.forEach(node.putArray(ProtocolFields.MACHINES)::add);
     return JsonReader.toBytes(node);
   }
 
-  /** A page of the machine list. */
-  public static byte[] encodeHosts(List<ListedMachine> entries, boolean more) {
+  /** Encodes a page of the machine list. */
+  public static byte[] encodeHosts(List<ListedMachine> entries, boolean hasMore) {
     ObjectNode node = JsonReader.newObject();
     ArrayNode list = node.putArray(ProtocolFields.MACHINES);
     for (ListedMachine entry : entries) {
@@ -67,7 +67,7 @@
       host.put(ProtocolFields.STATE, ProtocolNames.HOST_STATES.inverse().get(entry.state()));
       host.put(ProtocolFields.AGE_S, entry.ageS());
     }
-    node.put(ProtocolFields.HAS_MORE, more);
+    node.put(ProtocolFields.HAS_MORE, hasMore);
     return JsonReader.toBytes(node);
   }
 }
--- a/src/main/java/eiderfork/wire/CompressedBitmap.java
+++ b/src/main/java/eiderfork/wire/CompressedBitmap.java
@@ -11,14 +11,20 @@
 import java.nio.ByteBuffer;
 import java.util.BitSet;
 
-/** A set of tasks as a compressed bitmap: stretches of words that are all alike take one word. */
+/**
+ * A set of task numbers as an EWAH-compressed bitmap, in which a sequence of words that are all
+ * zeros or all ones takes one word.
+ */
 final class CompressedBitmap {
-  /** The sizes in bits and words that the serialized form begins with. */
+  /** The number of integers before the words: the size in bits and the number of words. */
   private static final int HEADER_INTS = 2;
 
   private final EWAHCompressedBitmap32 bitmap = new EWAHCompressedBitmap32();
 
-  /** Adds tasks {@code from} to {@code to}, both included; they follow all that were added. */
+  /**
+   * Adds the tasks {@code from} to {@code to}, both inclusive, which must be greater than all tasks
+   * added before.
+   */
   void addRange(int from, int to) {
     bitmap.setSizeInBits(from, false);
     bitmap.setSizeInBits(to + 1, true);
@@ -34,7 +40,12 @@
     }
   }
 
-  /** Reads the tasks, none of which is beyond the largest job. */
+  /**
+   * Decodes a set of task numbers.
+   *
+   * @throws MalformedMessageException if the bytes are no bitmap, or a task number is not below
+   *     {@link Job#MAX_TASKS}
+   */
   static BitSet decode(ByteBuffer buffer) throws MalformedMessageException {
     byte[] bytes = new byte[buffer.remaining()];
     buffer.get(bytes);
@@ -44,16 +55,16 @@
       bitmap.deserialize(new DataInputStream(new ByteArrayInputStream(bytes)));
       return toTasks(bitmap);
     } catch (IOException | RuntimeException e) {
-      // The library trusts what it reads, so other bytes fail in many ways.
+      // The library does not validate its input, so malformed bytes cause various exceptions.
       throw new MalformedMessageException("not a bitmap");
     }
   }
 
   private static BitSet toTasks(EWAHCompressedBitmap32 bitmap) throws MalformedMessageException {
     BitSet tasks = new BitSet();
-    var numbers = bitmap.intIterator();
-    while (numbers.hasNext()) {
-      int task = numbers.next();
+    var taskNumbers = bitmap.intIterator();
+    while (taskNumbers.hasNext()) {
+      int task = taskNumbers.next();
       if (task < 0 || task >= Job.MAX_TASKS) {
         throw new MalformedMessageException("task " + task + " is not that of a job");
       }
@@ -62,13 +73,13 @@
     return tasks;
   }
 
-  /** The library allocates as many words as the bytes say that there are. */
+  /** Checks the encoded number of words, for which the library allocates memory before reading. */
   private static void checkLength(byte[] bytes) throws MalformedMessageException {
     if (bytes.length < (HEADER_INTS + 1) * Integer.BYTES) {
       throw new MalformedMessageException("not a bitmap");
     }
-    int words = ByteBuffer.wrap(bytes).getInt(Integer.BYTES);
-    if (words < 0 || words != bytes.length / Integer.BYTES - HEADER_INTS - 1) {
+    int wordCount = ByteBuffer.wrap(bytes).getInt(Integer.BYTES);
+    if (wordCount < 0 || wordCount != bytes.length / Integer.BYTES - HEADER_INTS - 1) {
       throw new MalformedMessageException("not a bitmap of its length");
     }
   }
--- a/src/main/java/eiderfork/wire/ForwardingCodec.java
+++ b/src/main/java/eiderfork/wire/ForwardingCodec.java
@@ -10,24 +10,24 @@
 import org.apache.avro.generic.GenericData;
 import org.apache.avro.generic.GenericRecord;
 
-/** Users' requests that one controller forwards to another, and their answers, in Avro. */
+/** Encodes and decodes user requests that controllers forward to each other, and their answers. */
 public final class ForwardingCodec {
-  /** Where a controller takes a forwarded request. */
+  /** The path that takes one forwarded request. */
   public static final String REQUEST_PATH = "/peer/request";
 
-  /** Where a controller takes several forwarded queries together. */
+  /** The path that takes a batch of forwarded queries. */
   public static final String QUERIES_PATH = "/peer/queries";
 
   private static final String SUBMISSION = "SUBMIT";
   private static final String QUERY = "QUERY";
   private static final String CANCELLATION = "ABORT";
 
-  /** The ticket of a request that was not given one yet. */
+  /** The ticket of a decoded request, to which the receiver has not assigned one yet. */
   private static final long NO_TICKET = 0;
 
   private ForwardingCodec() {}
 
-  /** Writes a user's request. */
+  /** Encodes a user request. */
   public static byte[] encodeRequest(Input request) {
     GenericRecord record = new GenericData.Record(PeerSchemas.REQUEST);
     if (request instanceof Input.Submit submission) {
@@ -48,9 +48,9 @@
   }
 
   /**
-   * Reads a user's request.
+   * Decodes a user request.
    *
-   * @throws MalformedMessageException where it can't be read
+   * @throws MalformedMessageException if the message can't be decoded
    */
   public static Input decodeRequest(byte[] bytes) throws MalformedMessageException {
     GenericRecord record = AvroCodec.decode(PeerSchemas.REQUEST, bytes);
@@ -71,7 +71,7 @@
     return new Input.Submit(NO_TICKET, UserCodec.decodeJob(body), body);
   }
 
-  /** Writes the ids of jobs that are queried together. */
+  /** Encodes a batch of queries, each given by the id of its job. */
   public static byte[] encodeQueries(List<String> uids) {
     GenericRecord record = new GenericData.Record(PeerSchemas.QUERIES);
     record.put("uids", uids);
@@ -79,16 +79,16 @@
   }
 
   /**
-   * Reads the ids of jobs that are queried together.
+   * Decodes a batch of queries to the ids of their jobs.
    *
-   * @throws MalformedMessageException where they can't be read
+   * @throws MalformedMessageException if the message can't be decoded
    */
   public static ImmutableList<String> decodeQueries(byte[] bytes) throws MalformedMessageException {
     GenericRecord record = AvroCodec.decode(PeerSchemas.QUERIES, bytes);
     return AvroCodec.toStrings((List<?>) record.get("uids"));
   }
 
-  /** Writes the answers to queries, in the order of the queries. */
+  /** Encodes the answers to a batch of queries, in the order of the queries. */
   public static byte[] encodeAnswers(List<UserResponse> answers) {
     GenericRecord record = new GenericData.Record(PeerSchemas.ANSWERS);
     record.put("answers", answers.stream().map(ForwardingCodec::toRecord).toList());
@@ -96,9 +96,9 @@
   }
 
   /**
-   * Reads the answers to queries.
+   * Decodes the answers to a batch of queries.
    *
-   * @throws MalformedMessageException where they can't be read
+   * @throws MalformedMessageException if the message can't be decoded
    */
   public static Reply decodeAnswers(byte[] bytes) throws MalformedMessageException {
     GenericRecord record = AvroCodec.decode(PeerSchemas.ANSWERS, bytes);
@@ -109,7 +109,7 @@
     return new Reply.ForwardedResponses(answers.build());
   }
 
-  /** Writes the answer to a request. */
+  /** Encodes the answer to one request. */
   public static byte[] encodeAnswer(UserResponse response) {
     return AvroCodec.encode(toRecord(response));
   }
@@ -128,9 +128,9 @@
   }
 
   /**
-   * Reads the answer to a request.
+   * Decodes the answer to one request.
    *
-   * @throws MalformedMessageException where it can't be read
+   * @throws MalformedMessageException if the message can't be decoded
    */
   public static Reply decodeAnswer(byte[] bytes) throws MalformedMessageException {
     return new Reply.ForwardedResponse(toResponse(AvroCodec.decode(PeerSchemas.ANSWER, bytes)));
--- a/src/main/java/eiderfork/wire/JsonReader.java
+++ b/src/main/java/eiderfork/wire/JsonReader.java
@@ -8,7 +8,7 @@
 import java.io.IOException;
 import java.util.function.Function;
 
-/** JSON trees, and their fields, with errors that name the field. */
+/** Parses and writes JSON, and reads typed fields; errors name the field. */
 final class JsonReader {
   private static final ObjectMapper MAPPER = new ObjectMapper();
 
@@ -26,7 +26,7 @@
     }
   }
 
-  /** The object that the bytes hold, with nothing after it. */
+  /** Parses bytes that hold exactly one JSON object. */
   static ObjectNode parse(byte[] bytes) throws MalformedMessageException {
     try (var parser = MAPPER.getFactory().createParser(bytes)) {
       JsonNode node = MAPPER.readTree(parser);
@@ -63,7 +63,7 @@
     return node.hasNonNull(name) ? text(node, name) : null;
   }
 
-  /** A decimal number of at least 0. */
+  /** Returns the value of a required field: a finite, non-negative number. */
   static double amount(JsonNode node, String name) throws MalformedMessageException {
     JsonNode value = requiredField(node, name);
     if (!value.isNumber()
@@ -78,6 +78,10 @@
     return node.hasNonNull(name) ? (Double) amount(node, name) : null;
   }
 
+  /**
+   * Returns the value of a required field: a non-negative integer, or {@code Long.MAX_VALUE} if it
+   * is larger.
+   */
   static long integer(JsonNode node, String name) throws MalformedMessageException {
     JsonNode value = requiredField(node, name);
     if (!value.isIntegralNumber() || value.bigIntegerValue().signum() < 0) {
@@ -101,6 +105,11 @@
     return array;
   }
 
+  /**
+   * Returns the constant for the text of a required field.
+   *
+   * @param byName returns the constant for a text, or null if there is none
+   */
   static <T> T oneOf(JsonNode node, String name, Function<String, T> byName)
       throws MalformedMessageException {
     T value = byName.apply(text(node, name));
--- a/src/main/java/eiderfork/wire/MachineHintCodec.java
+++ b/src/main/java/eiderfork/wire/MachineHintCodec.java
@@ -8,9 +8,12 @@
 import org.apache.avro.generic.GenericData;
 import org.apache.avro.generic.GenericRecord;
 
-/** What a leader sends to its standby beside what is committed, in Avro. */
+/**
+ * Encodes and decodes machine hints: uncommitted state that the leader sends to its standbys, in
+ * Avro.
+ */
 public final class MachineHintCodec {
-  /** Where a standby takes hints. */
+  /** The path that takes hints on a standby. */
   public static final String HINTS_PATH = "/peer/hints";
 
   private static final Schema MACHINE_SCHEMA =
@@ -20,7 +23,7 @@
 
   private MachineHintCodec() {}
 
-  /** Writes hints for a standby. */
+  /** Encodes a batch of hints for a standby. */
   public static byte[] encodeHints(MachineHintBatch batch) {
     GenericRecord record = new GenericData.Record(PeerSchemas.HINTS);
     record.put("term", batch.term());
@@ -45,9 +48,9 @@
   }
 
   /**
-   * Reads hints for a standby.
+   * Decodes a batch of hints for a standby.
    *
-   * @throws MalformedMessageException where they can't be read
+   * @throws MalformedMessageException if the message can't be decoded
    */
   public static MachineHintBatch decodeHints(byte[] bytes) throws MalformedMessageException {
     GenericRecord record = AvroCodec.decode(PeerSchemas.HINTS, bytes);
--- a/src/main/java/eiderfork/wire/MachineNameColumns.java
+++ b/src/main/java/eiderfork/wire/MachineNameColumns.java
@@ -8,8 +8,9 @@
 import org.apache.avro.generic.GenericRecord;
 
 /**
- * The columns {@code series}, {@code seriesIndex} and {@code number} of an Avro record, which hold
- * a list of machine names in a compact form.
+ * The columns {@code series}, {@code seriesIndex} and {@code number} of an Avro record, which
+ * encode a list of machine names compactly: each name as the index of its series and the difference
+ * of its number from that of the previous name.
  */
 final class MachineNameColumns {
   private final List<NumberedName.Series> series = new ArrayList<>();
@@ -17,7 +18,7 @@
   private final List<Long> numbers = new ArrayList<>();
   private long lastNumber;
 
-  /** Adds one name to the end of the list. */
+  /** Appends a name. */
   void add(String machine) {
     NumberedName name = NumberedName.of(machine);
     if (!series.contains(name.series())) {
@@ -28,22 +29,26 @@
     lastNumber = name.number();
   }
 
-  /** Puts the columns into a record whose list of series has elements of this schema. */
+  /**
+   * Puts the columns into a record.
+   *
+   * @param seriesSchema the schema of the elements of the field {@code series}
+   */
   void writeTo(GenericRecord record, Schema seriesSchema) {
-    record.put("series", series.stream().map(each -> seriesRecord(each, seriesSchema)).toList());
+    record.put("series", series.stream().map(entry -> toRecord(entry, seriesSchema)).toList());
     record.put("seriesIndex", seriesIndexes);
     record.put("number", numbers);
   }
 
-  private static GenericRecord seriesRecord(NumberedName.Series series, Schema schema) {
+  private static GenericRecord toRecord(NumberedName.Series series, Schema schema) {
     GenericRecord record = new GenericData.Record(schema);
     record.put("prefix", series.prefix());
     record.put("digits", series.digits());
     return record;
   }
 
-  /** Reads the names; there have to be as many as {@code size}. */
-  static List<String> readNames(GenericRecord record, int size) throws MalformedMessageException {
+  /** Decodes the names, of which there must be {@code size}. */
+  static List<String> decodeNames(GenericRecord record, int size) throws MalformedMessageException {
     List<?> series = (List<?>) record.get("series");
     List<?> seriesIndexes = readColumn(record, "seriesIndex", size);
     List<?> numbers = readColumn(record, "number", size);
@@ -55,12 +60,12 @@
         throw new MalformedMessageException("series " + seriesIndex + " is not listed");
       }
       number += (Long) numbers.get(i);
-      names.add(readName((GenericRecord) series.get(seriesIndex), number));
+      names.add(decodeName((GenericRecord) series.get(seriesIndex), number));
     }
     return names;
   }
 
-  /** A column, which has to have one entry for each run of tasks. */
+  /** Returns a column, which must have {@code size} entries, one for each run of tasks. */
   static List<?> readColumn(GenericRecord record, String name, int size)
       throws MalformedMessageException {
     List<?> column = (List<?>) record.get(name);
@@ -70,7 +75,7 @@
     return column;
   }
 
-  private static String readName(GenericRecord series, long number)
+  private static String decodeName(GenericRecord series, long number)
       throws MalformedMessageException {
     int digits = (Integer) series.get("digits");
     NumberedName name =
--- a/src/main/java/eiderfork/wire/PackedAllocationCodec.java
+++ b/src/main/java/eiderfork/wire/PackedAllocationCodec.java
@@ -14,13 +14,13 @@
 import org.apache.avro.generic.GenericRecord;
 
 /**
- * The packed form of an allocation: columns of variable-length integers, whose size {@code
- * PackedAllocationSize} bounds. It takes about half of what the plain form takes.
+ * The packed encoding of an allocation: columns of variable-length integers. {@code
+ * PackedAllocationSize} bounds its size, which is about half that of the plain encoding.
  */
 final class PackedAllocationCodec extends AvroAllocationCodec {
   static final PackedAllocationCodec INSTANCE = new PackedAllocationCodec();
 
-  /** A record of the finished ranges alone, for its size. */
+  /** A schema with only the field {@code finished}, to measure its encoded size. */
   private final Schema finishedSchema;
 
   private PackedAllocationCodec() {
@@ -35,14 +35,14 @@
   }
 
   @Override
-  void putTasks(GenericRecord record, Allocation allocation, RunColumns runs) {
+  void putTasks(GenericRecord record, Allocation allocation, RunColumns runColumns) {
     List<Integer> gaps = new ArrayList<>();
     List<Integer> lengths = new ArrayList<>();
     int next = 0;
     for (ReservedRange range : allocation.reserved()) {
       gaps.add(range.from() - next);
       lengths.add(range.to() - range.from());
-      runs.add(range.attempt(), range.machine());
+      runColumns.add(range.attempt(), range.machine());
       next = range.to() + 1;
     }
     record.put("gap", gaps);
@@ -50,7 +50,7 @@
     putFinished(record, allocation.finished());
   }
 
-  /** Finished tasks are gaps and lengths, or a bitmap where that is shorter. */
+  /** Puts the finished tasks as alternating gaps and lengths, or as a bitmap if that is shorter. */
   private void putFinished(GenericRecord record, List<TaskRange> finished) {
     List<Integer> gapsAndLengths = new ArrayList<>();
     int next = 0;
@@ -81,7 +81,7 @@
       throws MalformedMessageException {
     List<?> gaps = (List<?>) record.get("gap");
     List<?> lengths = MachineNameColumns.readColumn(record, "length", gaps.size());
-    List<RunColumns.Run> runs = RunColumns.readRuns(record, lastAttempt(record), gaps.size());
+    List<RunColumns.Run> runs = RunColumns.decodeRuns(record, lastAttempt(record), gaps.size());
     ImmutableList.Builder<ReservedRange> reserved = ImmutableList.builder();
     int next = 0;
     for (int i = 0; i < gaps.size(); i++) {
--- a/src/main/java/eiderfork/wire/PeerSchemas.java
+++ b/src/main/java/eiderfork/wire/PeerSchemas.java
@@ -6,7 +6,7 @@
 
 /** The Avro schemas of the messages between controllers. */
 final class PeerSchemas {
-  /** One union of all messages, in the order of the constants below. */
+  /** The union of all messages, in the order of the constants below. */
   private static final Schema UNION = AvroCodec.loadSchema("peer.avpr.json");
 
   static final Schema STATUS = UNION.getTypes().get(0);
@@ -19,8 +19,8 @@
   private PeerSchemas() {}
 
   /**
-   * The versions that a record's schema has had, the newest first: each version added a field with
-   * a default at the end.
+   * Returns the versions of a record's schema, newest first. Each version appended one field with a
+   * default.
    */
   static ImmutableList<Schema> versions(Schema schema) {
     ImmutableList.Builder<Schema> versions = ImmutableList.builder();
--- a/src/main/java/eiderfork/wire/PeerStatusCodec.java
+++ b/src/main/java/eiderfork/wire/PeerStatusCodec.java
@@ -8,9 +8,9 @@
 import org.apache.avro.generic.GenericData;
 import org.apache.avro.generic.GenericRecord;
 
-/** The status that controllers exchange in pings, in Avro. */
+/** Encodes and decodes the status that controllers exchange in pings, in Avro. */
 public final class PeerStatusCodec {
-  /** Where a controller takes pings. */
+  /** The path that takes pings. */
   public static final String PING_PATH = "/peer/ping";
 
   private static final ImmutableList<Schema> STATUS_VERSIONS =
@@ -21,7 +21,7 @@
 
   private PeerStatusCodec() {}
 
-  /** Writes a controller's status. */
+  /** Encodes a controller's status. */
   public static byte[] encodeStatus(PeerStatus status) {
     GenericRecord record = new GenericData.Record(PeerSchemas.STATUS);
     record.put("node", status.node());
@@ -47,9 +47,9 @@
   }
 
   /**
-   * Reads a controller's status, also of an earlier version.
+   * Decodes a controller's status, which may be of an earlier version.
    *
-   * @throws MalformedMessageException where it can't be read
+   * @throws MalformedMessageException if the message can't be decoded
    */
   public static PeerStatus decodeStatus(byte[] bytes) throws MalformedMessageException {
     GenericRecord record = decodeAnyVersion(bytes);
@@ -64,15 +64,15 @@
   }
 
   private static GenericRecord decodeAnyVersion(byte[] bytes) throws MalformedMessageException {
-    MalformedMessageException newestError = null;
+    MalformedMessageException newestVersionError = null;
     for (Schema version : STATUS_VERSIONS) {
       try {
         return AvroCodec.decode(version, PeerSchemas.STATUS, bytes);
       } catch (MalformedMessageException e) {
-        newestError = newestError == null ? e : newestError;
+        newestVersionError = newestVersionError == null ? e : newestVersionError;
       }
     }
-    throw newestError;
+    throw newestVersionError;
   }
 
   private static CancellationGossip toGossip(Object field) {
--- a/src/main/java/eiderfork/wire/PlainAllocationCodec.java
+++ b/src/main/java/eiderfork/wire/PlainAllocationCodec.java
@@ -18,9 +18,9 @@
 import java.util.TreeMap;
 
 /**
- * The plain form of an allocation, which every version reads, and whose size {@code
- * PlainAllocationSize} bounds. Reservations go by attempt and machine, as a text of tasks and
- * ranges of tasks. Finished tasks are such a text, or a bitmap where that is shorter.
+ * The plain encoding of an allocation, which all versions can read; {@code PlainAllocationSize}
+ * bounds its size. Reservations are grouped by attempt and machine, each group as a list of tasks
+ * and ranges such as {@code 0-3,7}. Finished tasks are such a list, or a bitmap if that is shorter.
  */
 final class PlainAllocationCodec {
   private static final String LAST_ATTEMPT = "last";
@@ -29,10 +29,10 @@
   private static final String FINISHED = "ended";
   private static final String FINISHED_BITMAP = "endedBits";
 
-  /** The reservations in the form that version 0.1 wrote. */
-  private static final String FIRST_FORM_RESERVED = "on";
+  /** The field with the reservations in the legacy encoding, which version 0.1 wrote. */
+  private static final String LEGACY_RESERVED = "on";
 
-  private static final String FIRST_FORM_FINISHED = "finished";
+  private static final String LEGACY_FINISHED = "finished";
 
   private PlainAllocationCodec() {}
 
@@ -87,11 +87,10 @@
   }
 
   static Allocation fromJson(JsonNode node) throws MalformedMessageException {
-    boolean isFirstForm = node.has(FIRST_FORM_RESERVED);
-    List<ReservedRange> reserved =
-        isFirstForm ? decodeFirstFormReserved(node) : decodeReserved(node);
+    boolean isLegacy = node.has(LEGACY_RESERVED);
+    List<ReservedRange> reserved = isLegacy ? decodeLegacyReserved(node) : decodeReserved(node);
     ImmutableList<TaskRange> finished =
-        isFirstForm ? decodeFirstFormFinished(node) : decodeFinished(node);
+        isLegacy ? decodeLegacyFinished(node) : decodeFinished(node);
     reserved.sort(Comparator.comparingInt(ReservedRange::from));
     return new Allocation(
         JsonReader.integer(node, LAST_ATTEMPT),
@@ -148,15 +147,17 @@
         return new TaskRange(from, to);
       }
     } catch (NumberFormatException e) {
-      // Reported below, like a range that is none.
+      // Reported below, like an invalid range.
     }
     throw new MalformedMessageException("tasks " + text + " are no run");
   }
 
-  /** In the first form there are triples of from, to and attempt under each machine. */
-  private static List<ReservedRange> decodeFirstFormReserved(JsonNode node) {
+  /**
+   * Decodes legacy reservations: under each machine, triples of first task, last task and attempt.
+   */
+  private static List<ReservedRange> decodeLegacyReserved(JsonNode node) {
     List<ReservedRange> reserved = new ArrayList<>();
-    for (var byMachine : node.path(FIRST_FORM_RESERVED).properties()) {
+    for (var byMachine : node.path(LEGACY_RESERVED).properties()) {
       JsonNode numbers = byMachine.getValue();
       for (int i = 0; i + 2 < numbers.size(); i += 3) {
         int from = numbers.get(i).asInt();
@@ -168,9 +169,9 @@
     return reserved;
   }
 
-  private static ImmutableList<TaskRange> decodeFirstFormFinished(JsonNode node) {
+  private static ImmutableList<TaskRange> decodeLegacyFinished(JsonNode node) {
     ImmutableList.Builder<TaskRange> finished = ImmutableList.builder();
-    JsonNode numbers = node.path(FIRST_FORM_FINISHED);
+    JsonNode numbers = node.path(LEGACY_FINISHED);
     for (int i = 0; i + 1 < numbers.size(); i += 2) {
       finished.add(new TaskRange(numbers.get(i).asInt(), numbers.get(i + 1).asInt()));
     }
--- a/src/main/java/eiderfork/wire/ProtocolNames.java
+++ b/src/main/java/eiderfork/wire/ProtocolNames.java
@@ -8,7 +8,7 @@
 import eiderfork.model.TaskStatus.Cause;
 import eiderfork.model.TaskStatus.State;
 
-/** The values of fields in the protocol, and the constants of the model that they stand for. */
+/** The values of enumerated fields in the protocol, and the model constants that they map to. */
 final class ProtocolNames {
   static final ImmutableBiMap<String, JobKind> JOB_KINDS =
       ImmutableBiMap.of("array", JobKind.ARRAY, "group", JobKind.GANG, "standing", JobKind.SERVICE);
--- a/src/main/java/eiderfork/wire/RunColumns.java
+++ b/src/main/java/eiderfork/wire/RunColumns.java
@@ -7,7 +7,7 @@
 
 /**
  * The columns of an Avro record that hold the attempt and the machine of each run of reserved
- * tasks. Attempts are stored as how far they are behind the last one.
+ * tasks. An attempt is stored as the difference to the last attempt of the allocation.
  */
 final class RunColumns {
   private final long lastAttempt;
@@ -18,26 +18,30 @@
     this.lastAttempt = lastAttempt;
   }
 
-  /** The attempt and the machine of a run. */
+  /** The attempt and the machine of a run of reserved tasks. */
   record Run(long attempt, String machine) {}
 
-  /** Adds a run to the end. */
+  /** Appends a run. */
   void add(long attempt, String machine) {
     attempts.add(lastAttempt - attempt);
     machines.add(machine);
   }
 
-  /** Puts the columns into a record whose list of series has elements of this schema. */
+  /**
+   * Puts the columns into a record.
+   *
+   * @param seriesSchema the schema of the elements of the field {@code series}
+   */
   void writeTo(GenericRecord record, Schema seriesSchema) {
     machines.writeTo(record, seriesSchema);
     record.put("attempt", attempts);
   }
 
-  /** Reads the runs; there have to be as many as {@code size}. */
-  static List<Run> readRuns(GenericRecord record, long lastAttempt, int size)
+  /** Decodes the runs, of which there must be {@code size}. */
+  static List<Run> decodeRuns(GenericRecord record, long lastAttempt, int size)
       throws MalformedMessageException {
     List<?> attempts = MachineNameColumns.readColumn(record, "attempt", size);
-    List<String> machines = MachineNameColumns.readNames(record, size);
+    List<String> machines = MachineNameColumns.decodeNames(record, size);
     List<Run> runs = new ArrayList<>(size);
     for (int i = 0; i < size; i++) {
       runs.add(new Run(lastAttempt - (Long) attempts.get(i), machines.get(i)));
--- a/src/main/java/eiderfork/wire/StoreCodec.java
+++ b/src/main/java/eiderfork/wire/StoreCodec.java
@@ -8,19 +8,19 @@
 import eiderfork.controller.message.StoreRequest;
 import eiderfork.model.StoredRecord;
 
-/** The requests to the store and its responses. */
+/** The controller's side of the store's protocol: encodes requests and decodes responses. */
 public final class StoreCodec {
-  /** The most items in a page. */
+  /** The maximum number of items in a page. */
   private static final int MAX_PAGE_ITEMS = 1000;
 
   private static final String LEASES_PATH = "/leases";
 
   private StoreCodec() {}
 
-  /** A request line and body; the body is null for none. */
+  /** An HTTP request; the body is null if there is none. */
   public record Request(String method, String path, byte[] body) {}
 
-  /** Writes a request to the store. */
+  /** Encodes a request to the store. */
   public static Request encodeRequest(StoreRequest request) {
     if (request instanceof StoreRequest.Transaction transaction) {
       return new Request("POST", "/multi", encodeTransaction(transaction));
@@ -38,8 +38,8 @@
     } else if (request instanceof StoreRequest.RenewLease renew) {
       byte[] body = JsonReader.toBytes(JsonReader.newObject());
       return new Request("POST", LEASES_PATH + "/" + renew.leaseId() + "/renew", body);
-    } else if (request instanceof StoreRequest.RevokeLease release) {
-      return new Request("DELETE", LEASES_PATH + "/" + release.leaseId(), null);
+    } else if (request instanceof StoreRequest.RevokeLease revoke) {
+      return new Request("DELETE", LEASES_PATH + "/" + revoke.leaseId(), null);
     }
     throw new IllegalArgumentException("unknown request " + request);
   }
@@ -81,9 +81,9 @@
   }
 
   /**
-   * Reads the store's response to a request.
+   * Decodes the store's response to a request.
    *
-   * @throws MalformedMessageException where it does not follow the protocol
+   * @throws MalformedMessageException if the body does not follow the protocol
    */
   public static Reply decodeReply(StoreRequest request, int status, byte[] body)
       throws MalformedMessageException {
@@ -106,7 +106,7 @@
     return decodeOk(request, JsonReader.parse(body));
   }
 
-  /** A 404 that is not the store's own is no information about the key. */
+  /** Decodes the store's own 404, which has a revision; any other says nothing about the key. */
   private static Reply decodeMissingKey(byte[] body) throws MalformedMessageException {
     JsonReader.integer(JsonReader.parse(body), ProtocolFields.REVISION);
     return new Reply.Value(null, 0);
--- a/src/main/java/eiderfork/wire/StoreServerCodec.java
+++ b/src/main/java/eiderfork/wire/StoreServerCodec.java
@@ -7,24 +7,24 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** The store's side of its protocol, for emulations. Values are kept as JSON texts. */
+/** The store's side of its protocol, for the emulated store. Values are JSON texts. */
 public final class StoreServerCodec {
   private StoreServerCodec() {}
 
-  /** A change of a key; the value is null where the key is removed, and lease 0 is none. */
+  /** A change of a key; the value is null if the key is removed, and the lease is 0 for none. */
   public record RawChange(String key, String value, long lease) {}
 
   /** A compare-and-swap transaction. */
   public record RawTransaction(
       ImmutableList<StoreRequest.Condition> conditions, ImmutableList<RawChange> changes) {}
 
-  /** A stored key; the value is null in the log where the key was removed. */
+  /** A stored key and value; in a watch log, the value is null if the key was removed. */
   public record RawItem(String key, String value, long version) {}
 
   /**
-   * Reads a transaction.
+   * Decodes a transaction.
    *
-   * @throws MalformedMessageException where it does not follow the protocol
+   * @throws MalformedMessageException if the body does not follow the protocol
    */
   public static RawTransaction decodeTransaction(byte[] body) throws MalformedMessageException {
     JsonNode node = JsonReader.parse(body);
@@ -53,25 +53,25 @@
   }
 
   /**
-   * Reads how long a lease is to last.
+   * Decodes the time to live of a requested lease, in milliseconds.
    *
-   * @throws MalformedMessageException where the request does not follow the protocol
+   * @throws MalformedMessageException if the body does not follow the protocol
    */
   public static long decodeLeaseMs(byte[] body) throws MalformedMessageException {
     return JsonReader.integer(JsonReader.parse(body), ProtocolFields.LEASE_TTL_MS);
   }
 
-  /** The JSON text of a record, as controllers store it. */
+  /** Encodes a record as the JSON text that controllers store. */
   public static String encodeRecord(StoredRecord record) {
     return StoredRecordCodec.toJson(record).toString();
   }
 
-  /** The response to a transaction that was applied, or to the read of a missing key. */
+  /** Encodes the response to an applied transaction or to the read of a missing key. */
   public static byte[] encodeRevision(long revision) {
     return utf8Bytes("{\"Ledger\":" + revision + "}");
   }
 
-  /** The response to a transaction of which these conditions failed. */
+  /** Encodes the response to a transaction in which the conditions on these keys failed. */
   public static byte[] encodeConflict(List<String> keys, long revision) {
     StringBuilder text = new StringBuilder("{\"failed\":[");
     for (int i = 0; i < keys.size(); i++) {
@@ -80,13 +80,13 @@
     return utf8Bytes(text.append("],\"Ledger\":").append(revision).append('}').toString());
   }
 
-  /** The response to the read of a key. */
+  /** Encodes the response to the read of a key. */
   public static byte[] encodeItem(RawItem item) {
     return utf8Bytes(appendItem(new StringBuilder(), item).toString());
   }
 
-  private static StringBuilder appendItem(StringBuilder to, RawItem item) {
-    return to.append("{\"Path\":\"")
+  private static StringBuilder appendItem(StringBuilder text, RawItem item) {
+    return text.append("{\"Path\":\"")
         .append(item.key())
         .append("\",\"V\":")
         .append(item.value())
@@ -95,17 +95,17 @@
         .append('}');
   }
 
-  /** A page of a range of keys. */
-  public static byte[] encodePage(List<RawItem> items, boolean more, long revision) {
+  /** Encodes a page of a scan. */
+  public static byte[] encodePage(List<RawItem> items, boolean hasMore, long revision) {
     StringBuilder text = new StringBuilder("{\"Items\":[");
     for (int i = 0; i < items.size(); i++) {
       appendItem(i == 0 ? text : text.append(','), items.get(i));
     }
-    text.append("],\"HasNext\":").append(more).append(",\"Ledger\":").append(revision);
+    text.append("],\"HasNext\":").append(hasMore).append(",\"Ledger\":").append(revision);
     return utf8Bytes(text.append('}').toString());
   }
 
-  /** The response to a watch. */
+  /** Encodes the response to a watch. */
   public static byte[] encodeWatchLog(List<RawItem> changes, long revision) {
     StringBuilder text = new StringBuilder("{\"Ledger\":").append(revision).append(",\"Log\":[");
     for (int i = 0; i < changes.size(); i++) {
@@ -123,7 +123,7 @@
     return utf8Bytes(text.append("]}").toString());
   }
 
-  /** The response to a granted or renewed lease. */
+  /** Encodes the response to the grant or renewal of a lease. */
   public static byte[] encodeLease(long lease) {
     return utf8Bytes("{\"Tether\":" + lease + "}");
   }
--- a/src/main/java/eiderfork/wire/StoredRecordCodec.java
+++ b/src/main/java/eiderfork/wire/StoredRecordCodec.java
@@ -7,7 +7,7 @@
 import eiderfork.model.JobStatus;
 import eiderfork.model.StoredRecord;
 
-/** The values under the keys of the store. */
+/** Encodes and decodes the values of keys in the store. */
 final class StoredRecordCodec {
   private StoredRecordCodec() {}
 
@@ -19,15 +19,15 @@
     } else if (record instanceof StoredRecord.PackedAllocation packed) {
       return PackedAllocationCodec.INSTANCE.toJson(packed.alloc());
     } else if (record instanceof StoredRecord.BitmapAllocation bitmap) {
-      return shorterToJson(bitmap.alloc());
+      return toShorterJson(bitmap.alloc());
     }
     ObjectNode node = JsonReader.newObject();
     putFields(node, record);
     return node;
   }
 
-  /** The packed or the bitmap form, whichever is shorter. */
-  private static ObjectNode shorterToJson(StoredRecord.Allocation allocation) {
+  /** Returns the packed or the bitmap encoding, whichever is shorter. */
+  private static ObjectNode toShorterJson(StoredRecord.Allocation allocation) {
     ObjectNode packed = PackedAllocationCodec.INSTANCE.toJson(allocation);
     ObjectNode bitmap = BitmapAllocationCodec.INSTANCE.toJson(allocation);
     int packedLength = PackedAllocationCodec.INSTANCE.textLength(packed);
@@ -44,22 +44,22 @@
     } else if (record instanceof StoredRecord.Cancellation cancellation) {
       node.put("uid", cancellation.uid());
     } else if (record instanceof StoredRecord.ScaleOutIntent intent) {
-      putIntent(node, intent);
+      putScaleOutIntent(node, intent);
     } else if (record instanceof StoredRecord.ScaleInIntent intent) {
       intent.machines().forEach(node.putArray("machines")::add);
-    } else if (record instanceof StoredRecord.ProxiedLeases proxied) {
-      proxied.machines().forEach(node.putArray("machines")::add);
+    } else if (record instanceof StoredRecord.ProxiedLeases proxiedLeases) {
+      proxiedLeases.machines().forEach(node.putArray("machines")::add);
     } else if (record instanceof StoredRecord.ArchivedJob archived) {
       node.put("state", ProtocolNames.JOB_STATES.inverse().get(archived.phase()));
       node.put("done", archived.doneTasks());
-    } else if (record instanceof StoredRecord.StoredVersion stored) {
-      node.put("version", stored.version());
-    } else if (record instanceof StoredRecord.MachineTypes stored) {
-      node.set("types", CloudCodec.typesToJson(stored.types()));
+    } else if (record instanceof StoredRecord.StoredVersion clusterVersion) {
+      node.put("version", clusterVersion.version());
+    } else if (record instanceof StoredRecord.MachineTypes machineTypes) {
+      node.set("types", CloudCodec.typesToJson(machineTypes.types()));
     }
   }
 
-  private static void putIntent(ObjectNode node, StoredRecord.ScaleOutIntent intent) {
+  private static void putScaleOutIntent(ObjectNode node, StoredRecord.ScaleOutIntent intent) {
     node.put("charter", intent.requestName());
     node.put("type", intent.type());
     node.put("zone", intent.zone());
@@ -68,8 +68,11 @@
   }
 
   /**
-   * The record under a key, or null where this version does not know the key. What can't be read is
-   * {@link StoredRecord.Unreadable}, except under the keys of the election.
+   * Decodes the value of a key; returns null if this version does not know the key.
+   *
+   * <p>A value that can't be decoded becomes {@link StoredRecord.Unreadable}.
+   *
+   * @throws MalformedMessageException if the value of an election key can't be decoded
    */
   static StoredRecord fromJson(String key, JsonNode node) throws MalformedMessageException {
     try {
@@ -136,10 +139,10 @@
 
   private static StoredRecord.Allocation decodeAllocation(JsonNode node)
       throws MalformedMessageException {
-    if (PackedAllocationCodec.INSTANCE.isFormOf(node)) {
+    if (PackedAllocationCodec.INSTANCE.isEncodingOf(node)) {
       return PackedAllocationCodec.INSTANCE.fromJson(node);
     }
-    if (BitmapAllocationCodec.INSTANCE.isFormOf(node)) {
+    if (BitmapAllocationCodec.INSTANCE.isEncodingOf(node)) {
       return BitmapAllocationCodec.INSTANCE.fromJson(node);
     }
     return PlainAllocationCodec.fromJson(node);
--- a/src/main/java/eiderfork/wire/TaskRanges.java
+++ b/src/main/java/eiderfork/wire/TaskRanges.java
@@ -5,7 +5,7 @@
 import java.util.BitSet;
 import java.util.List;
 
-/** Ranges of tasks as sets of bits, and back. */
+/** Converts ranges of tasks to sets of bits and back. */
 final class TaskRanges {
   private TaskRanges() {}
 
@@ -15,7 +15,7 @@
     return bits;
   }
 
-  /** The longest ranges of set bits, in ascending order. */
+  /** Returns the maximal ranges of set bits, in ascending order. */
   static ImmutableList<TaskRange> fromBits(BitSet bits) {
     ImmutableList.Builder<TaskRange> ranges = ImmutableList.builder();
     int from = bits.nextSetBit(0);
--- a/src/main/java/eiderfork/wire/UserClientCodec.java
+++ b/src/main/java/eiderfork/wire/UserClientCodec.java
@@ -4,19 +4,19 @@
 import eiderfork.model.Job;
 import eiderfork.model.JobStatus;
 
-/** The users' side of their protocol, for emulations. */
+/** The user's side of its protocol, for emulated users. */
 public final class UserClientCodec {
   private UserClientCodec() {}
 
-  /** The body of a submission. */
+  /** Encodes the body of a submission. */
   public static byte[] encodeSubmission(Job job) {
     return JsonReader.toBytes(UserCodec.toJson(job));
   }
 
   /**
-   * Reads the response to a user; counts that it does not have are 0.
+   * Decodes a job's status from a response to a user; missing task counts become 0.
    *
-   * @throws MalformedMessageException where it does not follow the protocol
+   * @throws MalformedMessageException if the body does not follow the protocol
    */
   public static JobStatus decodeStatus(byte[] body) throws MalformedMessageException {
     JsonNode node = JsonReader.parse(body);
--- a/src/main/java/eiderfork/wire/UserCodec.java
+++ b/src/main/java/eiderfork/wire/UserCodec.java
@@ -10,30 +10,30 @@
 import eiderfork.model.Resources;
 import java.util.regex.Pattern;
 
-/** Users' requests and their responses. */
+/** The controller's side of the users' protocol: decodes requests and encodes responses. */
 public final class UserCodec {
-  /** Where jobs are submitted and queried. */
+  /** The path that submits jobs, and the start of the paths that query and cancel them. */
   public static final String JOBS_PATH = "/v2/runs";
 
-  /** The end of the path where a job is cancelled. */
+  /** The end of the path that cancels a job. */
   public static final String CANCEL_SUFFIX = "/abort";
 
-  /** Where the load balancer checks the health. */
+  /** The path of the load balancer's health checks. */
   public static final String HEALTH_PATH = "/healthz";
 
   private static final Pattern JOB_ID_PATTERN = Pattern.compile("run-[0-9]{1,18}");
 
   private UserCodec() {}
 
-  /** Whether the text has the form of a job's id. */
+  /** Returns whether the text has the form of a job id. */
   public static boolean isJobId(String text) {
     return JOB_ID_PATTERN.matcher(text).matches();
   }
 
   /**
-   * Reads a submission.
+   * Decodes a submission.
    *
-   * @throws MalformedMessageException where it does not follow the protocol
+   * @throws MalformedMessageException if the body does not follow the protocol
    */
   public static Job decodeJob(byte[] body) throws MalformedMessageException {
     return decodeJob(JsonReader.parse(body));
@@ -118,7 +118,7 @@
     return node;
   }
 
-  /** The body of the response to a user. */
+  /** Encodes the body of a response to a user. */
   public static byte[] encodeAnswer(UserResponse response) {
     ObjectNode node = JsonReader.newObject();
     JobStatus job = response.job();
@@ -133,7 +133,7 @@
     return JsonReader.toBytes(node);
   }
 
-  /** The body of the response to a health check. */
+  /** Encodes the body of the response to a health check. */
   public static byte[] encodeHealth(boolean healthy, String reason) {
     ObjectNode node = JsonReader.newObject();
     node.put("healthy", healthy);
@@ -141,7 +141,7 @@
     return JsonReader.toBytes(node);
   }
 
-  /** The body of a response to a request that is rejected. */
+  /** Encodes the body of the response to a rejected request. */
   public static byte[] encodeError(String error) {
     return JsonReader.toBytes(JsonReader.newObject().put("error", error));
   }
--- a/src/main/java/eiderfork/wire/WorkerClientCodec.java
+++ b/src/main/java/eiderfork/wire/WorkerClientCodec.java
@@ -11,19 +11,20 @@
 import eiderfork.model.TaskStatus;
 import eiderfork.model.WorkerCommand;
 
-/** The worker's side of its protocol, for emulations. */
+/** The worker's side of its protocol, for emulated workers. */
 public final class WorkerClientCodec {
   private WorkerClientCodec() {}
 
   /**
-   * Commands under a fencing token.
+   * Commands to a worker with the leader's fencing token.
    *
-   * @param incarnation 0 where they come with the response to a heartbeat
+   * @param incarnation the incarnation of the worker that the commands are for; 0 in the response
+   *     to a heartbeat
    */
   public record FencedCommands(
       long fencingToken, long incarnation, ImmutableList<WorkerCommand> commands) {}
 
-  /** The body of a heartbeat. */
+  /** Encodes the body of a heartbeat. */
   public static byte[] encodeHeartbeat(Heartbeat heartbeat) {
     Machine machine = heartbeat.machine();
     ObjectNode node = JsonReader.newObject();
@@ -40,49 +41,51 @@
     }
     ArrayNode tasks = node.putArray(ProtocolFields.TASKS);
     for (TaskStatus task : heartbeat.tasks()) {
-      ObjectNode one = tasks.addObject();
-      one.put(ProtocolFields.TASK, task.attempt().task().toString());
-      one.put(ProtocolFields.ATTEMPT, task.attempt().number());
-      one.put(ProtocolFields.STATE, ProtocolNames.TASK_STATES.inverse().get(task.state()));
+      ObjectNode taskNode = tasks.addObject();
+      taskNode.put(ProtocolFields.TASK, task.attempt().task().toString());
+      taskNode.put(ProtocolFields.ATTEMPT, task.attempt().number());
+      taskNode.put(ProtocolFields.STATE, ProtocolNames.TASK_STATES.inverse().get(task.state()));
       if (task.cause() != null) {
-        one.put(ProtocolFields.END_CAUSE, ProtocolNames.END_CAUSES.inverse().get(task.cause()));
+        taskNode.put(
+            ProtocolFields.END_CAUSE, ProtocolNames.END_CAUSES.inverse().get(task.cause()));
       }
     }
     return JsonReader.toBytes(node);
   }
 
   /**
-   * Reads the response to a heartbeat, or direct commands.
+   * Decodes the commands in the response to a heartbeat or in a direct request.
    *
-   * @throws MalformedMessageException where it does not follow the protocol
+   * @throws MalformedMessageException if the body does not follow the protocol
    */
   public static FencedCommands decodeCommands(byte[] body) throws MalformedMessageException {
     JsonNode node = JsonReader.parse(body);
     ImmutableList.Builder<WorkerCommand> commands = ImmutableList.builder();
-    for (JsonNode call : JsonReader.array(node, ProtocolFields.COMMANDS)) {
-      TaskId task = TaskId.parse(JsonReader.text(call, ProtocolFields.TASK));
-      Attempt attempt = new Attempt(task, JsonReader.integer(call, ProtocolFields.ATTEMPT));
-      switch (JsonReader.text(call, ProtocolFields.COMMAND)) {
+    for (JsonNode commandNode : JsonReader.array(node, ProtocolFields.COMMANDS)) {
+      TaskId task = TaskId.parse(JsonReader.text(commandNode, ProtocolFields.TASK));
+      Attempt attempt = new Attempt(task, JsonReader.integer(commandNode, ProtocolFields.ATTEMPT));
+      switch (JsonReader.text(commandNode, ProtocolFields.COMMAND)) {
         case "run" -> commands.add(new WorkerCommand.Run(attempt));
         case "kill" ->
             commands.add(
-                new WorkerCommand.Kill(attempt, JsonReader.amount(call, ProtocolFields.GRACE_S)));
+                new WorkerCommand.Kill(
+                    attempt, JsonReader.amount(commandNode, ProtocolFields.GRACE_S)));
         case "clear" -> commands.add(new WorkerCommand.Clear(attempt));
         default -> throw new MalformedMessageException("unknown command");
       }
     }
-    long session =
+    long incarnation =
         node.hasNonNull(ProtocolFields.INCARNATION)
             ? JsonReader.integer(node, ProtocolFields.INCARNATION)
             : 0;
     return new FencedCommands(
-        JsonReader.integer(node, ProtocolFields.FENCING_TOKEN), session, commands.build());
+        JsonReader.integer(node, ProtocolFields.FENCING_TOKEN), incarnation, commands.build());
   }
 
   /**
-   * Reads the node that a worker is redirected to; null for none.
+   * Decodes the leader that a redirect names; returns null if it names none.
    *
-   * @throws MalformedMessageException where the answer does not follow the protocol
+   * @throws MalformedMessageException if the body does not follow the protocol
    */
   public static String decodeLeader(byte[] body) throws MalformedMessageException {
     return JsonReader.textOrNull(JsonReader.parse(body), ProtocolFields.LEADER);
--- a/src/main/java/eiderfork/wire/WorkerCodec.java
+++ b/src/main/java/eiderfork/wire/WorkerCodec.java
@@ -14,25 +14,25 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Heartbeats of workers, and the commands to them. */
+/** The controller's side of the workers' protocol: decodes heartbeats and encodes commands. */
 public final class WorkerCodec {
   private static final Logger LOG = LoggerFactory.getLogger(WorkerCodec.class);
 
-  /** Where workers send heartbeats. */
+  /** The path that takes heartbeats on a controller. */
   public static final String HEARTBEAT_PATH = "/v1/report";
 
-  /** Where a worker takes direct commands. */
+  /** The path that takes direct commands on a worker. */
   public static final String COMMANDS_PATH = "/do";
 
-  /** Where a worker returns its heartbeat on request. */
+  /** The path that returns the current heartbeat of a worker. */
   public static final String INSPECT_PATH = "/inspect";
 
   private WorkerCodec() {}
 
   /**
-   * Reads a worker's heartbeat.
+   * Decodes a worker's heartbeat.
    *
-   * @throws MalformedMessageException where it does not follow the protocol
+   * @throws MalformedMessageException if the body does not follow the protocol
    */
   public static Heartbeat decodeHeartbeat(byte[] body) throws MalformedMessageException {
     JsonNode node = JsonReader.parse(body);
@@ -74,7 +74,7 @@
     return new TaskStatus(attempt, state, cause, isSaved);
   }
 
-  /** A task in a state that this version does not know still occupies its machine. */
+  /** Maps an unknown state to {@code OTHER}, since the task still occupies its machine. */
   private static TaskStatus.State decodeState(TaskId id, String name) {
     TaskStatus.State state = ProtocolNames.TASK_STATES.get(name);
     if (state == null) {
@@ -84,7 +84,7 @@
     return state;
   }
 
-  /** A cause that this version does not know still ends the task, which is tried again. */
+  /** Maps an unknown cause to {@code STOPPED}, so that the ended task is retried. */
   private static TaskStatus.Cause decodeCause(TaskId id, String name) {
     TaskStatus.Cause cause = ProtocolNames.END_CAUSES.get(name);
     if (cause == null) {
@@ -94,7 +94,7 @@
     return cause;
   }
 
-  /** The body of the response to a heartbeat. */
+  /** Encodes the body of the response to a heartbeat. */
   public static byte[] encodeHeartbeatResponse(long fencingToken, List<WorkerCommand> commands) {
     ObjectNode node = JsonReader.newObject();
     node.put(ProtocolFields.FENCING_TOKEN, fencingToken);
@@ -102,7 +102,7 @@
     return JsonReader.toBytes(node);
   }
 
-  /** The body of direct commands. */
+  /** Encodes the body of a direct request with commands. */
   public static byte[] encodeCommands(
       long fencingToken, long incarnation, List<WorkerCommand> commands) {
     ObjectNode node = JsonReader.newObject();
@@ -112,14 +112,14 @@
     return JsonReader.toBytes(node);
   }
 
-  private static void putCommands(ArrayNode calls, List<WorkerCommand> commands) {
+  private static void putCommands(ArrayNode array, List<WorkerCommand> commands) {
     for (WorkerCommand command : commands) {
-      ObjectNode call = calls.addObject();
-      call.put(ProtocolFields.COMMAND, commandName(command));
-      call.put(ProtocolFields.TASK, command.attempt().task().toString());
-      call.put(ProtocolFields.ATTEMPT, command.attempt().number());
+      ObjectNode node = array.addObject();
+      node.put(ProtocolFields.COMMAND, commandName(command));
+      node.put(ProtocolFields.TASK, command.attempt().task().toString());
+      node.put(ProtocolFields.ATTEMPT, command.attempt().number());
       if (command instanceof WorkerCommand.Kill kill) {
-        call.put(ProtocolFields.GRACE_S, kill.graceS());
+        node.put(ProtocolFields.GRACE_S, kill.graceS());
       }
     }
   }
@@ -131,7 +131,7 @@
     return command instanceof WorkerCommand.Kill ? "kill" : "clear";
   }
 
-  /** The body of a redirect; {@code leader} is null where the leader is not known. */
+  /** Encodes the body of a redirect; {@code leader} is null if the leader is unknown. */
   public static byte[] encodeRedirect(String leader) {
     ObjectNode node = JsonReader.newObject();
     if (leader != null) {
--- a/src/main/java/eiderfork/wire/package-info.java
+++ b/src/main/java/eiderfork/wire/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The messages of the protocol and of the nodes among themselves, in JSON and Avro. Only this
- * package knows the protocol's names.
+ * Codecs for the messages of the protocol, in JSON, and for the messages between controllers, in
+ * Avro. No other package uses the field names and values of the protocol.
  */
 package eiderfork.wire;
--- a/src/test/java/eiderfork/wire/AllocationCodecTest.java
+++ b/src/test/java/eiderfork/wire/AllocationCodecTest.java
@@ -13,31 +13,36 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The packed and the bitmap form of alloc records. */
+/** Tests the packed and the bitmap encoding of allocation records. */
 class AllocationCodecTest {
-  private static final String[] NAMES = {"n-%06d", "m%d", "eider", "host-%03d-x", "n-%04d"};
+  private static final String[] MACHINE_NAME_FORMATS = {
+    "n-%06d", "m%d", "eider", "host-%03d-x", "n-%04d"
+  };
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void packedAndBitmapFormsRoundTrip(long seed) throws MalformedMessageException {
+  void packedAndBitmapEncodingsRoundTrip(long seed) throws MalformedMessageException {
     Random random = new Random(seed);
-    ImmutableList.Builder<StoredRecord.ReservedRange> spans = ImmutableList.builder();
+    ImmutableList.Builder<StoredRecord.ReservedRange> reserved = ImmutableList.builder();
     ImmutableList.Builder<StoredRecord.TaskRange> finished = ImmutableList.builder();
-    long last = 1 + random.nextInt(400);
+    long lastAttempt = 1 + random.nextInt(400);
     int next = 0;
     while (next < 300) {
       int from = next + random.nextInt(4);
       int to = from + random.nextInt(3);
       if (random.nextBoolean()) {
-        String machine = NAMES[random.nextInt(NAMES.length)].formatted(random.nextInt(999));
-        spans.add(new StoredRecord.ReservedRange(from, to, 1 + random.nextLong(last), machine));
+        String machine =
+            MACHINE_NAME_FORMATS[random.nextInt(MACHINE_NAME_FORMATS.length)].formatted(
+                random.nextInt(999));
+        reserved.add(
+            new StoredRecord.ReservedRange(from, to, 1 + random.nextLong(lastAttempt), machine));
       } else {
         finished.add(new StoredRecord.TaskRange(from, to));
       }
       next = to + 2;
     }
     StoredRecord.Allocation allocation =
-        new StoredRecord.Allocation(last, seed % 2 == 0, spans.build(), finished.build());
+        new StoredRecord.Allocation(lastAttempt, seed % 2 == 0, reserved.build(), finished.build());
     assertEquals(
         allocation,
         StoredRecordCodec.fromJson(
@@ -48,22 +53,26 @@
             "alloc/run-1", BitmapAllocationCodec.INSTANCE.toJson(allocation)));
   }
 
-  /** What production may have left in 4 KiB fits 2 KiB with room to spare. */
+  /**
+   * An allocation that production stored with a value limit of 4 KiB has to fit a limit of 2 KiB,
+   * with a reserve.
+   */
   @Test
-  void tasksOnDistinctMachinesAreSmallInPackedForm() {
-    ImmutableList.Builder<StoredRecord.ReservedRange> spans = ImmutableList.builder();
+  void packedEncodingOfTasksOnManyMachinesIsSmall() {
+    ImmutableList.Builder<StoredRecord.ReservedRange> reserved = ImmutableList.builder();
     Random random = new Random(1);
     for (int i = 0; i < 180; i++) {
-      spans.add(new StoredRecord.ReservedRange(i, i, 3, "n-%06d".formatted(random.nextInt(400))));
+      reserved.add(
+          new StoredRecord.ReservedRange(i, i, 3, "n-%06d".formatted(random.nextInt(400))));
     }
     StoredRecord.Allocation allocation =
-        new StoredRecord.Allocation(3, false, spans.build(), ImmutableList.of());
+        new StoredRecord.Allocation(3, false, reserved.build(), ImmutableList.of());
     int bytes = JsonReader.toBytes(PackedAllocationCodec.INSTANCE.toJson(allocation)).length;
     assertTrue(JsonReader.toBytes(StoredRecordCodec.toJson(allocation)).length > 2048);
     assertTrue(bytes < 1700, bytes + " bytes");
   }
 
-  /** Whatever one byte of it becomes, it is read as some record or said to be unreadable. */
+  /** A flipped bit leads to some decoded record or to an unreadable one, never to an exception. */
   @Test
   void corruptBitmapDoesNotThrow() throws MalformedMessageException {
     StoredRecord.Allocation allocation =
@@ -77,16 +86,16 @@
     byte[] bytes = Base64.getDecoder().decode(text);
     for (int i = 0; i < bytes.length; i++) {
       for (int bit = 0; bit < Byte.SIZE; bit++) {
-        byte[] spoiled = bytes.clone();
-        spoiled[i] ^= (byte) (1 << bit);
-        String encoded = Base64.getEncoder().withoutPadding().encodeToString(spoiled);
+        byte[] corrupted = bytes.clone();
+        corrupted[i] ^= (byte) (1 << bit);
+        String encoded = Base64.getEncoder().withoutPadding().encodeToString(corrupted);
         var node = JsonReader.newObject().put("bitmaps", encoded);
         assertNotNull(StoredRecordCodec.fromJson("alloc/run-1", node));
       }
     }
   }
 
-  /** A record that can't be read, or is of a later version, freezes its job and nothing else. */
+  /** An allocation that is corrupt or of a later version only freezes its own job. */
   @ParameterizedTest
   @ValueSource(
       strings = {
@@ -101,7 +110,7 @@
         "{\"packed2\":\"AAAA\"}",
         "{}"
       })
-  void unreadableValuesAreReported(String value) throws MalformedMessageException {
+  void invalidValuesDecodeToUnreadableRecords(String value) throws MalformedMessageException {
     StoredRecord record =
         StoredRecordCodec.fromJson("alloc/run-1", JsonReader.parse(value.getBytes()));
     assertInstanceOf(StoredRecord.Unreadable.class, record);
--- a/src/test/java/eiderfork/wire/ArchivedJobCodecTest.java
+++ b/src/test/java/eiderfork/wire/ArchivedJobCodecTest.java
@@ -8,7 +8,7 @@
 import eiderfork.model.StoredRecord;
 import org.junit.jupiter.api.Test;
 
-/** The records of archived jobs. */
+/** Tests the codec of the records of archived jobs. */
 class ArchivedJobCodecTest {
   @Test
   void recordRoundTrips() throws MalformedMessageException {
@@ -18,10 +18,11 @@
     assertEquals(
         cancelled, StoredRecordCodec.fromJson("ended/run-2", StoredRecordCodec.toJson(cancelled)));
     assertTrue(
-        StoredRecordCodec.toJson(cancelled).toString().length() < 40, "there are millions of them");
+        StoredRecordCodec.toJson(cancelled).toString().length() < 40,
+        "the store holds millions of these records");
   }
 
-  /** An answer by it would be taken back later. */
+  /** A non-final state in an archive would lead to an answer that a later answer contradicts. */
   @Test
   void nonFinalStateIsUnreadable() throws MalformedMessageException {
     var node = JsonReader.parse("{\"state\":\"running\",\"done\":3}".getBytes());
--- a/src/test/java/eiderfork/wire/AvroCodecTest.java
+++ b/src/test/java/eiderfork/wire/AvroCodecTest.java
@@ -16,23 +16,23 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Bytes that are no record of ours. */
+/** Tests that malformed Avro messages are rejected without allocating much memory. */
 class AvroCodecTest {
-  /** Less than any controller's heap has to spare. */
+  /** Less than the free heap of any controller. */
   private static final long MAX_ALLOCATED_BYTES = 16L << 20;
 
   private static final ThreadMXBean THREADS = (ThreadMXBean) ManagementFactory.getThreadMXBean();
 
-  /** The schemas and the decoder are loaded before anything is measured. */
+  /** Loads the schemas and the decoder, so that this is not measured. */
   @BeforeAll
-  static void load() {
+  static void loadClasses() {
     assertThrows(
         MalformedMessageException.class, () -> PeerStatusCodec.decodeStatus(new byte[] {1}));
     assertThrows(
         MalformedMessageException.class, () -> ForwardingCodec.decodeQueries(new byte[] {1}));
   }
 
-  private static byte[] length(long length) throws IOException {
+  private static byte[] encodeLength(long length) throws IOException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     BinaryEncoder encoder = EncoderFactory.get().directBinaryEncoder(out, null);
     encoder.writeLong(length);
@@ -45,19 +45,19 @@
     return THREADS.getCurrentThreadAllocatedBytes() - before;
   }
 
-  /** A few bytes that claim a long list made the process run out of memory, and end. */
+  /** Guards against a crash: a few bytes that announced a long list exhausted the heap. */
   @ParameterizedTest
   @ValueSource(longs = {50_000_000, 500_000_000})
-  void aListThatClaimsToBeLongTakesNoMemory(long claimed) throws IOException {
-    byte[] bytes = length(claimed);
+  void excessiveListLengthAllocatesLittle(long claimedLength) throws IOException {
+    byte[] bytes = encodeLength(claimedLength);
     assertMalformedCheaply(() -> ForwardingCodec.decodeQueries(bytes));
   }
 
-  /** The same for a text. */
+  /** The same for a string. */
   @ParameterizedTest
   @ValueSource(longs = {50_000_000, 500_000_000})
-  void aTextThatClaimsToBeLongTakesNoMemory(long claimed) throws IOException {
-    byte[] bytes = length(claimed);
+  void excessiveStringLengthAllocatesLittle(long claimedLength) throws IOException {
+    byte[] bytes = encodeLength(claimedLength);
     assertMalformedCheaply(() -> PeerStatusCodec.decodeStatus(bytes));
   }
 
@@ -71,7 +71,7 @@
     assertTrue(allocated < MAX_ALLOCATED_BYTES, allocated + " bytes");
   }
 
-  /** What a peer may send in one response is still read. */
+  /** The limits still admit lists that a peer may send in one message. */
   @Test
   void longListsAreRead() throws MalformedMessageException {
     var uids = Collections.nCopies(100_000, "run-123456789012345678");
--- a/src/test/java/eiderfork/wire/ProductionCompatibilityTest.java
+++ b/src/test/java/eiderfork/wire/ProductionCompatibilityTest.java
@@ -28,11 +28,12 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The version in production and this one run side by side during an upgrade, and each works on what
- * the other stored and sent. Fixtures: {@code production/README.md} among the test resources.
+ * Tests compatibility with the version in production: during an upgrade both versions run side by
+ * side, and each reads the records and messages of the other. Fixtures: {@code
+ * production/README.md} among the test resources.
  */
 class ProductionCompatibilityTest {
-  private static final CancellationGossip NEWS =
+  private static final CancellationGossip GOSSIP =
       new CancellationGossip(77, 9000, 3, ImmutableList.of("run-1", "run-2"), true, 78, 12);
 
   private static String resource(String name) throws IOException {
@@ -42,17 +43,17 @@
     }
   }
 
-  private static Map<String, String> lines(String name) throws IOException {
-    Map<String, String> lines = new LinkedHashMap<>();
+  private static Map<String, String> readEntries(String name) throws IOException {
+    Map<String, String> entries = new LinkedHashMap<>();
     for (String line : resource(name).lines().toList()) {
       int space = line.indexOf(' ');
-      lines.put(line.substring(0, space), line.substring(space + 1));
+      entries.put(line.substring(0, space), line.substring(space + 1));
     }
-    return lines;
+    return entries;
   }
 
   private static byte[] message(String kind) throws IOException {
-    return HexFormat.of().parseHex(lines("peer.txt").get(kind));
+    return HexFormat.of().parseHex(readEntries("peer.txt").get(kind));
   }
 
   private static StoredRecord stored(String key, String value) throws MalformedMessageException {
@@ -62,7 +63,7 @@
 
   @Test
   void storedRecordsAreReadAndWrittenByteForByte() throws Exception {
-    Map<String, String> records = lines("records.txt");
+    Map<String, String> records = readEntries("records.txt");
     assertEquals(12, records.size());
     for (Map.Entry<String, String> entry : records.entrySet()) {
       StoredRecord record = stored(entry.getKey(), entry.getValue());
@@ -75,7 +76,7 @@
 
   @Test
   void storedRecordsHaveTheSameMeaning() throws Exception {
-    Map<String, String> records = lines("records.txt");
+    Map<String, String> records = readEntries("records.txt");
     StoredRecord.JobSpec gang =
         (StoredRecord.JobSpec) stored("job/run-000413", records.get("job/run-000413"));
     assertEquals(JobKind.GANG, gang.job().kind());
@@ -96,9 +97,9 @@
 
   @Test
   void messagesAreDecoded() throws Exception {
-    // A view without a version is the first version's, and says of cancellations what it says.
+    // A status without a version comes from the first version; its gossip is decoded all the same.
     assertEquals(
-        new PeerStatus("roost-1", 4, true, 12, 56, 1, NEWS),
+        new PeerStatus("roost-1", 4, true, 12, 56, 1, GOSSIP),
         PeerStatusCodec.decodeStatus(message("view")));
     Input.Submit submit = (Input.Submit) ForwardingCodec.decodeRequest(message("submit"));
     assertEquals("run-000412", submit.job().uid());
@@ -107,12 +108,13 @@
         new Input.Cancel(0, "run-000412"), ForwardingCodec.decodeRequest(message("abort")));
     UserResponse ok =
         new UserResponse(200, new JobStatus("run-000412", JobStatus.Phase.RUNNING, 4, 3), 0, null);
-    UserResponse later = new UserResponse(503, null, 2, "the machine types are not known yet");
+    UserResponse unavailable =
+        new UserResponse(503, null, 2, "the machine types are not known yet");
     assertEquals(new Reply.ForwardedResponse(ok), ForwardingCodec.decodeAnswer(message("answer")));
     assertEquals(
         List.of("run-000412", "run-000413"), ForwardingCodec.decodeQueries(message("queries")));
     assertEquals(
-        new Reply.ForwardedResponses(ImmutableList.of(ok, later)),
+        new Reply.ForwardedResponses(ImmutableList.of(ok, unavailable)),
         ForwardingCodec.decodeAnswers(message("answers")));
   }
 
@@ -140,14 +142,17 @@
     return HexFormat.of().formatHex(bytes);
   }
 
-  /** Production reads a view by its own schema and passes over what follows. */
+  /** Production decodes a status with its own schema and ignores the fields that follow. */
   @Test
   void productionDecodesTheFieldsItKnowsOfThisStatus() throws Exception {
-    Schema productions = new Schema.Parser().parse(resource("peer.avpr.json")).getTypes().get(0);
-    byte[] sent = PeerStatusCodec.encodeStatus(new PeerStatus("roost-1", 4, true, 12, 56, 2, NEWS));
+    Schema productionSchema =
+        new Schema.Parser().parse(resource("peer.avpr.json")).getTypes().get(0);
+    byte[] sent =
+        PeerStatusCodec.encodeStatus(new PeerStatus("roost-1", 4, true, 12, 56, 2, GOSSIP));
     var decoder = DecoderFactory.get().binaryDecoder(sent, null);
     GenericRecord read =
-        new GenericDatumReader<GenericRecord>(productions, productions).read(null, decoder);
+        new GenericDatumReader<GenericRecord>(productionSchema, productionSchema)
+            .read(null, decoder);
     assertEquals("roost-1", read.get("node").toString());
     assertEquals(4L, read.get("term"));
     assertEquals(true, read.get("leading"));
@@ -161,11 +166,11 @@
   }
 
   /**
-   * Production takes a record without the field {@code ended} for unreadable, and freezes the job:
-   * the packed form must not look like one that it reads.
+   * Production treats a record without the field {@code ended} as unreadable and freezes the job.
+   * It must not mistake the packed encoding for one that it can read.
    */
   @Test
-  void packedFormHasNoFieldThatProductionReads() throws Exception {
+  void packedEncodingHasNoFieldThatProductionReads() throws Exception {
     Job job = ((Input.Submit) ForwardingCodec.decodeRequest(message("submit"))).job();
     StoredRecord.Allocation allocation =
         new StoredRecord.Allocation(
--- a/src/test/java/eiderfork/wire/ProtocolCodecTest.java
+++ b/src/test/java/eiderfork/wire/ProtocolCodecTest.java
@@ -31,7 +31,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The codecs against the shapes that the protocol prints. */
+/** Tests the codecs with the message formats of the protocol. */
 class ProtocolCodecTest {
   private static final String JOB =
       """
@@ -94,8 +94,8 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"\"DueS\":null,", ""})
-  void jobWithoutDeadlineHasNone(String instead) throws MalformedMessageException {
-    Job job = UserCodec.decodeJob(bytes(JOB.replace("\"DueS\":900.0,", instead)));
+  void jobWithoutDeadlineHasNone(String replacement) throws MalformedMessageException {
+    Job job = UserCodec.decodeJob(bytes(JOB.replace("\"DueS\":900.0,", replacement)));
     assertNull(job.deadlineS());
   }
 
@@ -116,7 +116,7 @@
     assertEquals(TaskStatus.Cause.DONE, heartbeat.tasks().get(1).cause());
   }
 
-  /** Taken for absent, a task in a state of a later version would be started a second time. */
+  /** Ignoring a task in a state of a later version would start the task a second time. */
   @Test
   void taskInUnknownStateStillOccupiesItsMachine() throws MalformedMessageException {
     Heartbeat heartbeat =
@@ -196,7 +196,7 @@
   }
 
   @Test
-  void foreign404IsNotAMissingKey() {
+  void notFoundWithoutRevisionIsNotAMissingKey() {
     assertThrows(
         MalformedMessageException.class,
         () ->
@@ -221,7 +221,7 @@
   }
 
   @Test
-  void decodesAllocationsOfTheFirstForm() throws MalformedMessageException {
+  void decodesLegacyAllocations() throws MalformedMessageException {
     StoredRecord.Allocation allocation =
         new StoredRecord.Allocation(
             7,
@@ -236,7 +236,7 @@
   }
 
   @Test
-  void noCapacityIsNotARefusal() throws MalformedMessageException {
+  void distinguishesNoCapacityFromOtherErrors() throws MalformedMessageException {
     assertEquals(
         new Reply.NoCapacity(),
         CloudCodec.decodeRentReply(503, bytes("{\"error\":\"no capacity\"}")));
@@ -247,15 +247,16 @@
   @Test
   void statusOfTheFirstVersionHasNoGossip() throws MalformedMessageException {
     PeerStatus status = new PeerStatus("roost-1", 4, true, 12, 56, 1, CancellationGossip.NONE);
-    byte[] first = {14, 'r', 'o', 'o', 's', 't', '-', '1', 8, 1, 24, 112};
-    assertEquals(status, PeerStatusCodec.decodeStatus(first));
+    byte[] firstVersion = {14, 'r', 'o', 'o', 's', 't', '-', '1', 8, 1, 24, 112};
+    assertEquals(status, PeerStatusCodec.decodeStatus(firstVersion));
     assertThrows(
         MalformedMessageException.class,
-        () -> PeerStatusCodec.decodeStatus(Arrays.copyOf(first, 11)));
+        () -> PeerStatusCodec.decodeStatus(Arrays.copyOf(firstVersion, 11)));
   }
 
   /**
-   * The longest submission that is forwarded, with the longest id, was refused for its envelope.
+   * Guards against rejected forwards: the longest submission with the longest job id exceeded the
+   * size limit of a request once it was wrapped for forwarding.
    */
   @Test
   void forwardedSubmissionsFitARequest() throws MalformedMessageException {
