--- a/src/main/java/eiderfork/config/InvalidSettingsException.java
+++ b/src/main/java/eiderfork/config/InvalidSettingsException.java
@@ -1,21 +1,21 @@
 package eiderfork.config;
 
-/** Settings that can't be used, with the file, the field and the reason. */
+/** Thrown for invalid settings; names the file, the field and the reason. */
 public final class InvalidSettingsException extends Exception {
   private final String file;
   private final String field;
   private final String reason;
 
   /**
-   * Names what can't be used, and why.
+   * Creates the exception.
    *
-   * @param field empty for the file as a whole
+   * @param field the path of the field; empty if the reason concerns the whole file
    */
   public InvalidSettingsException(String file, String field, String reason) {
     this(file, field, reason, null);
   }
 
-  /** Names what can't be used, and why, with the exception that showed it. */
+  /** Creates the exception with a cause. */
   public InvalidSettingsException(String file, String field, String reason, Throwable cause) {
     super(file + ": " + (field.isEmpty() ? "" : field + ": ") + reason, cause);
     this.file = file;
@@ -23,17 +23,17 @@
     this.reason = reason;
   }
 
-  /** The file. */
+  /** Returns the path of the file. */
   public String file() {
     return file;
   }
 
-  /** The path of the field; empty for the file as a whole. */
+  /** Returns the path of the field; empty if the reason concerns the whole file. */
   public String field() {
     return field;
   }
 
-  /** Why it can't be used. */
+  /** Returns the reason why the field or file is invalid. */
   public String reason() {
     return reason;
   }
--- a/src/main/java/eiderfork/config/OperatorSettings.java
+++ b/src/main/java/eiderfork/config/OperatorSettings.java
@@ -1,24 +1,27 @@
 package eiderfork.config;
 
 /**
- * The operators' settings, each of which has a default.
+ * The settings that operators can override; each has a default.
  *
- * @param updateWindowShare how long the ends of a job's tasks are collected for one write, as a
- *     share of the heartbeat interval, of which no more than a second counts
- * @param leaderLeaseShare the lease of the key {@code leader}, as a share of the workers' lease, of
- *     which no more than ten seconds count
- * @param headroomDeviations the headroom for services, in standard deviations of their arrivals
- *     within a boot time
- * @param idleBootShare how long an idle machine is kept, as a share of its type's boot time
+ * @param updateWindowShare the time for which a job's ended tasks are collected for one write, as a
+ *     share of the heartbeat interval, which counts up to one second
+ * @param leaderLeaseShare the duration of the lease of the key {@code leader}, as a share of the
+ *     workers' lease, which counts up to ten seconds
+ * @param headroomDeviations the spare capacity for services, in standard deviations of their
+ *     arrivals within a boot time
+ * @param idleBootShare the time for which an idle machine is kept, as a share of the boot time of
+ *     its type
  * @param isSpotAllowed whether spot machines may be rented
- * @param endedJobRetentionS how long jobs that have ended stay in the leader's memory before they
+ * @param endedJobRetentionS the time for which ended jobs stay in the leader's memory before they
  *     are archived
- * @param maxEndedJobs past this number the jobs that ended first are archived sooner
- * @param standbyCount how many nodes keep a replica of the store to take over with
- * @param isLendingEnabled whether batch jobs may borrow quota, which guarantees reclaim
- * @param loanCooldownBoots how long reclaimed capacity is not lent again at first, as a share of
- *     the machine's boot time
- * @param traceFile where failovers are traced, as lines of JSON; null for nowhere
+ * @param maxEndedJobs the maximum number of ended jobs in memory; beyond it, the jobs that ended
+ *     first are archived sooner
+ * @param standbyCount the number of nodes that keep a replica of the store with which they can take
+ *     over
+ * @param isLendingEnabled whether batch jobs may borrow unused quota, which its owner can reclaim
+ * @param loanCooldownBoots the initial time for which reclaimed capacity is not lent again, as a
+ *     multiple of the machine's boot time
+ * @param traceFile the file to which failover traces are written as JSON lines; null to write none
  */
 public record OperatorSettings(
     double updateWindowShare,
@@ -32,7 +35,7 @@
     boolean isLendingEnabled,
     double loanCooldownBoots,
     String traceFile) {
-  /** The settings where the operators set nothing. */
+  /** The defaults. */
   public static final OperatorSettings DEFAULTS =
       new OperatorSettings(0.2, 0.33, 1.0, 0.5, true, 3600, 10_000, 0, false, 1.0, null);
 }
--- a/src/main/java/eiderfork/config/OperatorSettingsParser.java
+++ b/src/main/java/eiderfork/config/OperatorSettingsParser.java
@@ -9,7 +9,7 @@
 import us.bpsm.edn.parser.Parser;
 import us.bpsm.edn.parser.Parsers;
 
-/** Reads the operators' settings: an EDN map, each entry of which is optional. */
+/** Parses the operators' settings: an EDN map in which each entry is optional. */
 public final class OperatorSettingsParser {
   private static final Set<String> KNOWN_ENTRIES =
       Set.of(
@@ -38,18 +38,18 @@
   }
 
   /**
-   * Reads and checks an operators' file.
+   * Reads and validates a file of operators' settings.
    *
-   * @throws InvalidSettingsException where the file or an entry can't be used
+   * @throws InvalidSettingsException if the file can't be read or an entry is invalid
    */
   public static OperatorSettings read(Path path) throws InvalidSettingsException {
     return parse(SettingsSource.read(path));
   }
 
   /**
-   * Checks the text of an operators' file; {@code file} is only named in errors.
+   * Parses and validates the text of a file; {@code file} is only used in error messages.
    *
-   * @throws InvalidSettingsException where the text or an entry can't be used
+   * @throws InvalidSettingsException if the text can't be parsed or an entry is invalid
    */
   public static OperatorSettings parse(String file, String text) throws InvalidSettingsException {
     return parse(new SettingsSource(file, text));
@@ -88,14 +88,15 @@
         wholeNumber("standbys", defaults.standbyCount(), MAX_STANDBYS),
         flag("lending", defaults.isLendingEnabled()),
         loanCooldown(defaults.loanCooldownBoots()),
-        text("trace-file"));
+        textOrNull("trace-file"));
   }
 
   private void rejectUnknownEntries() throws InvalidSettingsException {
     for (Object key : entries.keySet()) {
       String name = key instanceof Keyword keyword ? keyword.getName() : String.valueOf(key);
       if (!(key instanceof Keyword) || !KNOWN_ENTRIES.contains(name)) {
-        throw source.invalidField(name, "unknown; known are " + new TreeSet<>(KNOWN_ENTRIES));
+        throw source.invalidField(
+            name, "unknown entry; the known entries are " + new TreeSet<>(KNOWN_ENTRIES));
       }
     }
   }
@@ -125,7 +126,7 @@
     return (int) value;
   }
 
-  /** Only allowed together with lending, without which it has no effect. */
+  /** Reads the cooldown, which is rejected without lending, where it would have no effect. */
   private double loanCooldown(double fallback) throws InvalidSettingsException {
     boolean isLendingEnabled = flag("lending", OperatorSettings.DEFAULTS.isLendingEnabled());
     if (!isLendingEnabled && entry("loan-cooldown") != null) {
@@ -134,10 +135,10 @@
     return number("loan-cooldown", fallback, MIN_LOAN_COOLDOWN, MAX_LOAN_COOLDOWN);
   }
 
-  private String text(String name) throws InvalidSettingsException {
+  private String textOrNull(String name) throws InvalidSettingsException {
     Object value = entry(name);
     if (value != null && !(value instanceof String text && !text.isEmpty())) {
-      throw source.invalidField(name, "not a text");
+      throw source.invalidField(name, "not a non-empty string");
     }
     return (String) value;
   }
--- a/src/main/java/eiderfork/config/Settings.java
+++ b/src/main/java/eiderfork/config/Settings.java
@@ -5,15 +5,16 @@
 import eiderfork.model.Team;
 
 /**
- * The settings of a controller: the platform's, and the operators'.
+ * The settings of a controller: those of the platform and those of the operators.
  *
- * @param publicEndpoint where users, workers and the load balancer connect
- * @param peerListenEndpoint where other controllers connect
- * @param peerEndpoints where the other controllers listen, by name
+ * @param publicEndpoint the endpoint for users, workers and the load balancer
+ * @param peerListenEndpoint the endpoint for other controllers
+ * @param peerEndpoints the endpoints of the other controllers, by name
  * @param peerZones the zones of the other controllers, by name
- * @param storeLimits the store's limits now
- * @param nextStoreLimits its limits after a change that comes without notice; the same where no
- *     change is announced
+ * @param storeLimits the current limits of the store
+ * @param nextStoreLimits the limits of the store after an announced change, which may happen at any
+ *     time; equal to the current limits if no change is announced
+ * @param operator the operators' settings
  */
 public record Settings(
     String nodeName,
@@ -33,7 +34,7 @@
     ControllerResources controllerResources,
     OperatorSettings operator) {
 
-  /** A host and port. */
+  /** A host name or address, and a port. */
   public record Endpoint(String host, int port) {
     @Override
     public String toString() {
@@ -44,26 +45,29 @@
   /**
    * A service-level objective for a class of jobs.
    *
-   * @param withinS the time that waiting or finishing may take; 0 for other kinds
-   * @param deadlineFactor how many times their deadline jobs may take; 1 for other kinds
-   * @param share the share of the jobs or tasks that should be in time
+   * @param withinS the time limit for waiting or finishing; 0 for other kinds
+   * @param deadlineFactor the time limit as a multiple of a job's own deadline; 1 for other kinds
+   * @param share the share of jobs or tasks that should meet the time limit
    */
   public record Objective(
       Kind kind, String jobClass, double withinS, double deadlineFactor, double share) {
-    /** What an objective is about. */
+    /** The measure that an objective limits. */
     public enum Kind {
-      /** How soon tasks start. */
+      /** The time until tasks start. */
       WAIT,
-      /** How soon jobs finish. */
+      /** The time until jobs finish. */
       FINISHED,
-      /** Whether jobs finish within a multiple of their own deadline. */
+      /** The time until jobs finish, relative to their own deadlines. */
       DEADLINE,
-      /** Any other, which has no influence on scheduling. */
+      /** Any other measure; it has no effect on scheduling. */
       OTHER
     }
   }
 
-  /** The shortest time of the objectives of this kind for a class; the largest double for none. */
+  /**
+   * Returns the shortest time limit of the objectives of this kind for a class, or {@code
+   * Double.MAX_VALUE} if there are none.
+   */
   public double shortestObjectiveS(Objective.Kind kind, String jobClass) {
     double shortestS = Double.MAX_VALUE;
     for (Objective objective : objectives) {
@@ -74,7 +78,10 @@
     return shortestS;
   }
 
-  /** How many times their deadline jobs of a class may take, the strictest objective first. */
+  /**
+   * Returns the deadline factors of the objectives for a class in ascending order, or only 1 if
+   * there are none.
+   */
   public ImmutableList<Double> deadlineFactors(String jobClass) {
     ImmutableList<Double> factors =
         objectives.stream()
@@ -87,30 +94,30 @@
   }
 
   /**
-   * The timing of workers.
+   * The time limits and intervals of workers.
    *
-   * @param heartbeatS the interval of heartbeats
-   * @param leaseS how long a lease lasts
-   * @param cancelDeadlineS how soon the tasks of a cancelled job must have ended
+   * @param heartbeatS the interval between heartbeats
+   * @param leaseS the duration of a lease
+   * @param cancelDeadlineS the time within which the tasks of a cancelled job must have ended
    */
   public record WorkerTimings(double heartbeatS, double leaseS, double cancelDeadlineS) {}
 
   /**
    * The limits of the store.
    *
-   * @param writesPerS the changes in a second, of all transactions
-   * @param valueKb the largest value
-   * @param transactionOps the most changes in a transaction
+   * @param writesPerS the maximum number of changes per second, over all transactions
+   * @param valueKb the maximum size of a value
+   * @param transactionOps the maximum number of changes in a transaction
    */
   public record StoreLimits(
       double requestsPerS, double writesPerS, double valueKb, int transactionOps) {}
 
-  /** The largest value that the store takes both now and with its next limits. */
+  /** Returns the maximum size of a value under both the current and the next limits. */
   public double safeValueKb() {
     return Math.min(storeLimits.valueKb(), nextStoreLimits.valueKb());
   }
 
-  /** The most changes in a transaction that the store takes both now and with its next limits. */
+  /** Returns the maximum number of changes in a transaction under both current and next limits. */
   public int safeTransactionOps() {
     return Math.min(storeLimits.transactionOps(), nextStoreLimits.transactionOps());
   }
@@ -118,13 +125,17 @@
   /**
    * The resources of a controller.
    *
-   * @param cpuShare the share of one core
+   * @param cpuShare the CPU time available, as a share of one core
+   * @param sockets the maximum number of open sockets
    */
   public record ControllerResources(double cpuShare, int sockets, double memoryMb) {
-    /** One socket in so many is for outbound connections, the others are for workers and users. */
+    /**
+     * The socket limit divided by this is the limit of outbound connections; the other sockets are
+     * for workers and users.
+     */
     private static final int OUTBOUND_DIVISOR = 8;
 
-    /** The most outbound connections that may be open at a time. */
+    /** Returns the maximum number of concurrent outbound connections. */
     public int maxOutboundConnections() {
       return Math.max(1, sockets / OUTBOUND_DIVISOR);
     }
@@ -133,7 +144,7 @@
   /**
    * The limits of the cloud.
    *
-   * @param listLagS how old its list of machines may be
+   * @param listLagS the maximum age of its list of machines
    */
   public record CloudLimits(double requestsPerS, double listLagS) {}
 }
--- a/src/main/java/eiderfork/config/SettingsParser.java
+++ b/src/main/java/eiderfork/config/SettingsParser.java
@@ -7,15 +7,15 @@
 import eiderfork.model.Team;
 import java.nio.file.Path;
 
-/** Reads the platform's settings; unknown fields are ignored. */
+/** Parses the platform's settings, a TOML file; unknown fields are ignored. */
 public final class SettingsParser {
-  /** The leader key and the term counter are written in one transaction. */
+  /** The number of changes that acquire leadership: the leader key and the term counter. */
   private static final int MIN_TRANSACTION_OPS = 2;
 
-  /** A machine's name is no longer than a key may be. */
+  /** The maximum length of a machine name, which is that of a store key. */
   private static final int MAX_MACHINE_NAME_BYTES = 200;
 
-  /** What a controller of a small deployment uses, with some reserve. */
+  /** The memory that a controller of a small deployment uses, with a reserve. */
   private static final double MIN_MEMORY_MB = 96;
 
   private static final double DEFAULT_MEMORY_MB = 256;
@@ -42,9 +42,9 @@
   }
 
   /**
-   * Reads and checks a settings file.
+   * Reads and validates a settings file.
    *
-   * @throws InvalidSettingsException where the file or a field can't be used
+   * @throws InvalidSettingsException if the file can't be read or a field is invalid
    */
   public static Settings read(Path path, OperatorSettings operator)
       throws InvalidSettingsException {
@@ -52,9 +52,9 @@
   }
 
   /**
-   * Checks the text of a settings file; {@code file} is only named in errors.
+   * Parses and validates the text of a settings file; {@code file} is only used in error messages.
    *
-   * @throws InvalidSettingsException where the text or a field can't be used
+   * @throws InvalidSettingsException if the text can't be parsed or a field is invalid
    */
   public static Settings parse(String file, String text, OperatorSettings operator)
       throws InvalidSettingsException {
@@ -68,7 +68,7 @@
     return new SettingsParser(root, operator).readSettings(peers);
   }
 
-  /** The other controllers, by name. */
+  /** The endpoints and zones of the other controllers, by name. */
   private record Peers(
       ImmutableMap<String, Settings.Endpoint> endpoints, ImmutableMap<String, String> zones) {
     static Peers read(TomlTable root) throws InvalidSettingsException {
@@ -113,28 +113,31 @@
     double heartbeatS = workers.positive("report_s");
     double leaseS = workers.positive("lease_s");
     double cancelDeadlineS = workers.positive("cancel_s");
-    workers.require(leaseS >= 2 * heartbeatS, "lease_s", "shorter than two reports (report_s)");
+    workers.require(
+        leaseS >= 2 * heartbeatS, "lease_s", "shorter than two heartbeat intervals (report_s)");
     workers.require(
         cancelDeadlineS > leaseS + 2 * heartbeatS,
         "cancel_s",
-        "no longer than a lease and two reports (lease_s, report_s), in which a machine that is cut"
-            + " off ends its tasks");
+        "not longer than a lease and two heartbeat intervals (lease_s, report_s), the time within"
+            + " which a partitioned machine ends its tasks");
     return new Settings.WorkerTimings(heartbeatS, leaseS, cancelDeadlineS);
   }
 
-  /** The limits that a table has, checked for what this program writes. */
+  /** Reads the store limits of a table, and checks that the controller can work within them. */
   private static Settings.StoreLimits readStoreLimits(TomlTable table)
       throws InvalidSettingsException {
     double valueKb = table.positive("value_kb");
     table.require(
         PlainAllocationSize.canFitOneReservation(Job.MAX_TASKS, MAX_MACHINE_NAME_BYTES, valueKb),
         "value_kb",
-        "too small for the record of any job");
+        "too small for an allocation record with one reservation");
     double transactionOps = table.positive("txn_ops");
     table.require(
         transactionOps >= MIN_TRANSACTION_OPS,
         "txn_ops",
-        "fewer changes than taking the lead writes at once (" + MIN_TRANSACTION_OPS + ")");
+        "fewer changes than the transaction that acquires leadership needs ("
+            + MIN_TRANSACTION_OPS
+            + ")");
     return new Settings.StoreLimits(
         table.positive("rps"), table.positive("write_rps"), valueKb, (int) transactionOps);
   }
@@ -144,7 +147,7 @@
     resources.require(
         memoryMb >= MIN_MEMORY_MB,
         "memory_mb",
-        "less than a controller may take (" + (int) MIN_MEMORY_MB + ")");
+        "less than the minimum for a controller (" + (int) MIN_MEMORY_MB + ")");
     return memoryMb;
   }
 
@@ -170,7 +173,7 @@
       objectives.add(
           new Settings.Objective(
               objectiveKind(objective.text("kind")),
-              // Objectives for the teams' guarantees have no class.
+              // Objectives for the quota guarantees of teams have no class.
               objective.textOrEmpty("class"),
               objective.number("within_s", 0),
               objective.number("times", 1),
--- a/src/main/java/eiderfork/config/SettingsSource.java
+++ b/src/main/java/eiderfork/config/SettingsSource.java
@@ -6,12 +6,12 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** The text of a settings file, and the errors that name the file. */
+/** The text of a settings file, with methods that create errors naming the file. */
 public final class SettingsSource {
   private final String file;
   private final String text;
 
-  /** Takes a text; the file is only named in errors. */
+  /** Creates a source from a text; the file is only used in error messages. */
   public SettingsSource(String file, String text) {
     this.file = file;
     this.text = text;
@@ -20,7 +20,7 @@
   /**
    * Reads a file.
    *
-   * @throws InvalidSettingsException where it can't be read
+   * @throws InvalidSettingsException if the file can't be read
    */
   public static SettingsSource read(Path path) throws InvalidSettingsException {
     String file = path.toString();
@@ -31,25 +31,25 @@
     }
   }
 
-  /** The text of the file. */
+  /** Returns the text of the file. */
   public String text() {
     return text;
   }
 
-  /** The error for a field that can't be used. */
+  /** Returns an error for an invalid field. */
   public InvalidSettingsException invalidField(String field, String reason) {
     return new InvalidSettingsException(file, field, reason);
   }
 
-  /** The error for a text that can't be read as what it should be. */
+  /** Returns an error for a text that can't be parsed. */
   public InvalidSettingsException invalidText(String reason, Exception cause) {
     return new InvalidSettingsException(file, "", reason, cause);
   }
 
   /**
-   * Checks a field.
+   * Checks a condition on a field.
    *
-   * @throws InvalidSettingsException with this reason, where it is not valid
+   * @throws InvalidSettingsException with this reason if {@code isValid} is false
    */
   public void require(boolean isValid, String field, String reason)
       throws InvalidSettingsException {
@@ -59,18 +59,18 @@
   }
 
   /**
-   * Checks that a field is above 0.
+   * Checks that a field is greater than 0.
    *
-   * @throws InvalidSettingsException where it is not
+   * @throws InvalidSettingsException if it is not
    */
   public void requirePositive(double value, String field) throws InvalidSettingsException {
     require(value > 0, field, "not above 0");
   }
 
   /**
-   * Checks that a field is not below a bound.
+   * Checks that a field is not less than a minimum.
    *
-   * @throws InvalidSettingsException where it is
+   * @throws InvalidSettingsException if it is less
    */
   public void requireAtLeast(double value, double min, String field)
       throws InvalidSettingsException {
@@ -80,7 +80,7 @@
   /**
    * Checks that a field has one of the known values.
    *
-   * @throws InvalidSettingsException where it has not
+   * @throws InvalidSettingsException if its value is not known
    */
   public void requireOneOf(String value, Set<String> known, String field)
       throws InvalidSettingsException {
--- a/src/main/java/eiderfork/config/TomlTable.java
+++ b/src/main/java/eiderfork/config/TomlTable.java
@@ -7,7 +7,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A table of a TOML file, and its place in the file for errors. */
+/** A table of a TOML file, with its path in the file for error messages. */
 final class TomlTable {
   private static final int MAX_PORT = 65_535;
 
@@ -21,7 +21,7 @@
     this.path = path;
   }
 
-  /** The file as a table. */
+  /** Parses a file and returns its root table. */
   static TomlTable parse(SettingsSource source) throws InvalidSettingsException {
     try {
       return new TomlTable(source, new TomlMapper().readTree(source.text()), "");
@@ -42,7 +42,7 @@
     return node.has(name);
   }
 
-  /** A table in this one. */
+  /** Returns a nested table, which is required. */
   TomlTable table(String name) throws InvalidSettingsException {
     JsonNode value = node.path(name);
     if (!value.isObject()) {
@@ -52,9 +52,9 @@
   }
 
   /**
-   * The tables of an array, none where there is no array.
+   * Returns the tables of an array, or an empty list if there is no array.
    *
-   * @param elementPath how errors call each of them
+   * @param elementPath the path of each table in error messages
    */
   List<TomlTable> tables(String name, String elementPath) {
     List<TomlTable> tables = new ArrayList<>();
@@ -64,7 +64,7 @@
     return tables;
   }
 
-  /** This table with the fields of another where it has none. */
+  /** Returns a copy of this table, with missing fields taken from another table. */
   TomlTable withDefaults(TomlTable defaults) {
     ObjectNode merged = defaults.node.deepCopy();
     merged.setAll((ObjectNode) node);
@@ -74,24 +74,24 @@
   String text(String name) throws InvalidSettingsException {
     JsonNode value = node.path(name);
     if (!value.isTextual() || value.textValue().isEmpty()) {
-      throw invalid(name, value.isMissingNode() ? "missing" : "not a text");
+      throw invalid(name, value.isMissingNode() ? "missing" : "not a non-empty string");
     }
     return value.textValue();
   }
 
-  /** The text, or an empty one for a missing field. */
+  /** Returns the text of a field, or an empty string if it is missing. */
   String textOrEmpty(String name) {
     return node.path(name).asText("");
   }
 
-  /** A number of at least 0. */
+  /** Returns a non-negative number, or the fallback if the field is missing. */
   double number(String name, double fallback) throws InvalidSettingsException {
     JsonNode value = node.path(name);
     if (value.isMissingNode()) {
       return fallback;
     }
     if (!value.isNumber() || !(value.doubleValue() >= 0)) {
-      throw invalid(name, "not a number of at least 0");
+      throw invalid(name, "not a non-negative number");
     }
     return value.doubleValue();
   }
@@ -104,7 +104,7 @@
     return value;
   }
 
-  /** An address of the form host:port. */
+  /** Returns a required endpoint, which has the form {@code host:port}. */
   Settings.Endpoint endpoint(String name) throws InvalidSettingsException {
     String value = text(name);
     int colon = value.lastIndexOf(':');
@@ -123,7 +123,7 @@
     }
   }
 
-  /** Checks a field. */
+  /** Checks a condition on a field; the reason is that of the error if it does not hold. */
   void require(boolean isValid, String name, String reason) throws InvalidSettingsException {
     source.require(isValid, fieldPath(name), reason);
   }
--- a/src/main/java/eiderfork/config/package-info.java
+++ b/src/main/java/eiderfork/config/package-info.java
@@ -1,2 +1,2 @@
-/** The platform's settings and the operators' own, read and checked. */
+/** Parses and validates the settings of the platform and of the operators. */
 package eiderfork.config;
--- a/src/test/java/eiderfork/config/SettingsTest.java
+++ b/src/test/java/eiderfork/config/SettingsTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Settings that can't be used end the start with file, field and reason; others are taken. */
+/** Tests the parsing of settings, and that errors name the file, the field and the reason. */
 class SettingsTest {
   static final String VALID =
       """
@@ -91,7 +91,8 @@
         "s.toml: public_addr: not an address of the form host:port",
         rejectionMessage(VALID.replace("127.0.0.1:8080", "here")));
     assertEquals(
-        "s.toml: host_name: not a text", rejectionMessage(VALID.replace("\"roost-0\"", "4")));
+        "s.toml: host_name: not a non-empty string",
+        rejectionMessage(VALID.replace("\"roost-0\"", "4")));
     assertTrue(rejectionMessage("= = =").startsWith("s.toml: not TOML"));
   }
 
@@ -104,9 +105,10 @@
     "memory_mb = 148.0,memory_mb = 64.0,deployment.resources.memory_mb",
     "memory_mb = 148.0,memory_mb = -1,deployment.resources.memory_mb"
   })
-  void rejectsInconsistentFigures(String good, String bad, String field) {
-    assertTrue(VALID.contains(good));
-    assertTrue(rejectionMessage(VALID.replace(good, bad)).startsWith("s.toml: " + field + ": "));
+  void rejectsInvalidOrInconsistentValues(String valid, String invalid, String field) {
+    assertTrue(VALID.contains(valid));
+    assertTrue(
+        rejectionMessage(VALID.replace(valid, invalid)).startsWith("s.toml: " + field + ": "));
   }
 
   private static final String NEXT_LIMITS =
@@ -125,7 +127,7 @@
     assertEquals(new Settings.StoreLimits(150, 15, 2, 5), settings.nextStoreLimits());
     assertEquals(2.0, settings.safeValueKb());
     Settings without = SettingsParser.parse("s.toml", VALID, OperatorSettings.DEFAULTS);
-    assertEquals(without.storeLimits(), without.nextStoreLimits(), "they stay");
+    assertEquals(without.storeLimits(), without.nextStoreLimits(), "no announced change");
   }
 
   @ParameterizedTest
@@ -135,10 +137,10 @@
     "txn_ops = 5,txn_ops = 1,deployment.state.next.txn_ops",
     "write_rps = 15.0,write_rps = 0.0,deployment.state.next.write_rps"
   })
-  void rejectsInvalidNextStoreLimits(String good, String bad, String field) {
-    assertTrue(NEXT_LIMITS.contains(good));
+  void rejectsInvalidNextStoreLimits(String valid, String invalid, String field) {
+    assertTrue(NEXT_LIMITS.contains(valid));
     assertTrue(
-        rejectionMessage(VALID + NEXT_LIMITS.replace(good, bad))
+        rejectionMessage(VALID + NEXT_LIMITS.replace(valid, invalid))
             .startsWith("s.toml: " + field + ": "));
     assertTrue(
         rejectionMessage(VALID.replace("txn_ops = 16", "txn_ops = 16\nnext = 3"))
@@ -174,12 +176,12 @@
     Settings settings =
         SettingsParser.parse("s.toml", VALID + objectives, OperatorSettings.DEFAULTS);
     assertEquals(List.of(1.0, 1.5), settings.deadlineFactors("batch"));
-    assertEquals(List.of(1.0), settings.deadlineFactors("web"), "the deadline itself");
+    assertEquals(List.of(1.0), settings.deadlineFactors("web"), "the job's own deadline");
     assertEquals(8.0, settings.shortestObjectiveS(Settings.Objective.Kind.WAIT, "web"));
     assertEquals(
         Double.MAX_VALUE,
         settings.shortestObjectiveS(Settings.Objective.Kind.WAIT, "batch"),
-        "no aim");
+        "no objective");
     assertTrue(
         rejectionMessage(VALID + objectives.replace("times = 1.5", "times = \"often\""))
             .startsWith("s.toml: deployment.objectives.times: "));
@@ -187,22 +189,22 @@
 
   @Test
   void readsOperatorSettingsWithDefaults() throws InvalidSettingsException {
-    OperatorSettings own =
+    OperatorSettings operator =
         OperatorSettingsParser.parse("o.edn", "{:headroom 2.5 :spot false} ; ours");
-    assertEquals(2.5, own.headroomDeviations());
-    assertFalse(own.isSpotAllowed());
-    assertEquals(OperatorSettings.DEFAULTS.updateWindowShare(), own.updateWindowShare());
-    assertEquals(3600, own.endedJobRetentionS());
+    assertEquals(2.5, operator.headroomDeviations());
+    assertFalse(operator.isSpotAllowed());
+    assertEquals(OperatorSettings.DEFAULTS.updateWindowShare(), operator.updateWindowShare());
+    assertEquals(3600, operator.endedJobRetentionS());
     OperatorSettings archive =
         OperatorSettingsParser.parse("o.edn", "{:ended-jobs-stay-s 60 :most-ended-jobs 500}");
     assertEquals(60, archive.endedJobRetentionS());
     assertEquals(500, archive.maxEndedJobs());
-    assertEquals(0, own.standbyCount(), "off unless set");
+    assertEquals(0, operator.standbyCount(), "disabled by default");
     OperatorSettings standby =
         OperatorSettingsParser.parse("o.edn", "{:standbys 2 :trace-file \"/tmp/t\"}");
     assertEquals(2, standby.standbyCount());
     assertEquals("/tmp/t", standby.traceFile());
-    assertFalse(own.isLendingEnabled(), "off unless set");
+    assertFalse(operator.isLendingEnabled(), "disabled by default");
     OperatorSettings lending =
         OperatorSettingsParser.parse("o.edn", "{:lending true :loan-cooldown 2}");
     assertTrue(lending.isLendingEnabled());
@@ -217,11 +219,11 @@
     "{:lending false :loan-cooldown 1}, o.edn: loan-cooldown: needs :lending true",
     "{:loan-cooldown 1}, o.edn: loan-cooldown: needs :lending true"
   })
-  void namesFileFieldAndReasonOfInvalidLendingEntries(String text, String reason) {
+  void namesFileFieldAndReasonOfInvalidLendingEntries(String text, String message) {
     InvalidSettingsException invalid =
         assertThrows(
             InvalidSettingsException.class, () -> OperatorSettingsParser.parse("o.edn", text));
-    assertEquals(reason, invalid.getMessage());
+    assertEquals(message, invalid.getMessage());
   }
 
   @Test
