--- a/src/main/java/eiderfork/cli/ClassDataTrainingCommand.java
+++ b/src/main/java/eiderfork/cli/CdsTrainingCommand.java
@@ -1,6 +1,6 @@
 package eiderfork.cli;
 
-import eiderfork.net.ClassDataTraining;
+import eiderfork.net.CdsTrainingRun;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 
@@ -9,10 +9,10 @@
     name = "train",
     hidden = true,
     description = "Runs a controller against stand-ins on loopback for a moment.")
-final class ClassDataTrainingCommand implements Callable<Integer> {
+final class CdsTrainingCommand implements Callable<Integer> {
   @Override
   public Integer call() throws Exception {
-    ClassDataTraining.run();
+    CdsTrainingRun.run();
     return 0;
   }
 }
--- a/src/main/java/eiderfork/cli/CommandLineInterface.java
+++ b/src/main/java/eiderfork/cli/CommandLineInterface.java
@@ -29,7 +29,7 @@
     CommandLine line = new CommandLine(new CommandLineInterface());
     line.addSubcommand(new Serve());
     line.addSubcommand(new Check());
-    line.addSubcommand(new ClassDataTrainingCommand());
+    line.addSubcommand(new CdsTrainingCommand());
     line.addSubcommand(new LoadTestCommand());
     line.setExecutionExceptionHandler(
         (e, parsed, result) -> {
--- a/src/main/java/eiderfork/net/ClassDataTraining.java
+++ b/src/main/java/eiderfork/net/CdsTrainingRun.java
@@ -20,7 +20,7 @@
  * classes that this loads into the class-data archive, since loading them is most of a start on a
  * small share of a core.
  */
-public final class ClassDataTraining {
+public final class CdsTrainingRun {
   private static final int STUB_BACKLOG = 16;
   private static final int ROUNDS = 8;
   private static final long ROUND_PAUSE_MS = 150;
@@ -90,8 +90,8 @@
   private final int stubPort;
   private final int publicPort;
 
-  private ClassDataTraining() throws IOException, InterruptedException {
-    HttpServer stubs = new HttpServer(new TrainingStubs()::handle, STUB_BACKLOG);
+  private CdsTrainingRun() throws IOException, InterruptedException {
+    HttpServer stubs = new HttpServer(new CdsTrainingStubs()::handle, STUB_BACKLOG);
     stubPort = localPort(stubs.listen(group, new Endpoint(HOST, 0)));
     publicPort = findFreePort();
   }
@@ -104,7 +104,7 @@
   public static void run() throws Exception {
     for (int attempt = 1; ; attempt++) {
       try {
-        new ClassDataTraining().runOnce();
+        new CdsTrainingRun().runOnce();
         return;
       } catch (IOException e) {
         // Another program may have taken a free port before its use here.
@@ -133,7 +133,7 @@
   }
 
   private void playRound(int round) throws InterruptedException {
-    post("/v1/report", HEARTBEAT.formatted(stubPort, round, TrainingStubs.FENCING_TOKEN));
+    post("/v1/report", HEARTBEAT.formatted(stubPort, round, CdsTrainingStubs.FENCING_TOKEN));
     post("/v2/runs", JOB.formatted(round));
     get("/v2/runs/run-" + round);
     get("/healthz");
--- a/src/main/java/eiderfork/net/TrainingStubs.java
+++ b/src/main/java/eiderfork/net/CdsTrainingStubs.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /** The store, the cloud and a worker of a training run: the least that a controller works with. */
-final class TrainingStubs {
+final class CdsTrainingStubs {
   /** A fencing token of the first term. */
   static final long FENCING_TOKEN = (1L << 24) + 1;
 
