--- a/src/main/java/eiderfork/cli/CdsTrainingCommand.java
+++ b/src/main/java/eiderfork/cli/CdsTrainingCommand.java
@@ -4,11 +4,11 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 
-/** Used by the build: what a training run loads goes into the class-data archive. */
+/** Hidden command for the build, which archives the classes loaded by the CDS training run. */
 @Command(
     name = "train",
     hidden = true,
-    description = "Runs a controller against stand-ins on loopback for a moment.")
+    description = "Runs a controller briefly against stub services on loopback.")
 final class CdsTrainingCommand implements Callable<Integer> {
   @Override
   public Integer call() throws Exception {
--- a/src/main/java/eiderfork/cli/CommandLineInterface.java
+++ b/src/main/java/eiderfork/cli/CommandLineInterface.java
@@ -20,7 +20,7 @@
 final class CommandLineInterface {
   private CommandLineInterface() {}
 
-  /** Runs the command that the arguments name; its exit code. */
+  /** Runs the command given by the arguments and returns its exit code. */
   static int run(String[] args) {
     return commandLine().execute(args);
   }
@@ -39,7 +39,7 @@
     return line;
   }
 
-  /** The version that the package carries. */
+  /** Provides the version from the manifest of the jar file. */
   static final class Version implements IVersionProvider {
     @Override
     public String[] getVersion() {
@@ -48,7 +48,7 @@
     }
   }
 
-  /** The settings that a command works on. */
+  /** Arguments that select the settings files. */
   static final class SettingsArguments {
     @Parameters(paramLabel = "SETTINGS", description = "The platform's settings file (TOML).")
     private Path settings;
@@ -76,8 +76,8 @@
     }
   }
 
-  /** Checks the settings without running anything. */
-  @Command(name = "check", description = "Checks the settings and says what is wrong with them.")
+  /** Validates the settings without running a controller. */
+  @Command(name = "check", description = "Validates the settings without starting a controller.")
   static final class Check implements Callable<Integer> {
     @CommandLine.Mixin private SettingsArguments arguments;
 
--- a/src/main/java/eiderfork/cli/LoadTestCommand.java
+++ b/src/main/java/eiderfork/cli/LoadTestCommand.java
@@ -12,30 +12,30 @@
 /** Runs a load test on loopback. */
 @Command(
     name = "scale",
-    description = "Plays a scale run: real controllers among emulated services and workers.")
+    description = "Runs a load test: real controllers with emulated services and workers.")
 final class LoadTestCommand implements Callable<Integer> {
   private static final int EXIT_FAILED = 1;
 
-  @Parameters(paramLabel = "FILE", description = "The run's file (TOML).")
+  @Parameters(paramLabel = "FILE", description = "The load test's settings file (TOML).")
   private Path file;
 
   @Option(
       names = "--report",
       paramLabel = "OUT",
-      description = "Where the summary goes as JSON; its text goes beside it as OUT.txt.")
+      description = "Writes the summary as JSON to OUT and as text to OUT.txt.")
   private Path report;
 
   @Option(
       names = "--deploy",
       paramLabel = "FILE",
       defaultValue = "deploy/service.toml",
-      description = "Says how controllers are started (default: ${DEFAULT-VALUE}).")
+      description = "Describes how controllers are started (default: ${DEFAULT-VALUE}).")
   private Path deploy;
 
   @Option(
       names = "--logs",
       paramLabel = "DIR",
-      description = "Keeps the controllers' settings and logs there.")
+      description = "Keeps the controllers' settings and logs in DIR.")
   private Path logs;
 
   @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
--- a/src/main/java/eiderfork/cli/Main.java
+++ b/src/main/java/eiderfork/cli/Main.java
@@ -12,8 +12,8 @@
 
 /**
  * The entry point. {@code serve SETTINGS} and {@code serve --operator FILE SETTINGS} are parsed
- * here; everything else goes through the command line's library, whose classes can't be in the
- * class-data archive and would take half of the processor time of a start.
+ * here; all other arguments are parsed by picocli, whose classes can't be in the class data sharing
+ * (CDS) archive and would take half of the CPU time of a start.
  */
 public final class Main {
   private static final int EXIT_FAILED = 1;
@@ -25,13 +25,16 @@
 
   private Main() {}
 
-  /** Runs the command that the arguments name and ends the process with its exit code. */
+  /** Runs the command given by the arguments and exits the process with its exit code. */
   public static void main(String[] args) {
     configureLogging(System.getenv("LOG_LEVEL"));
     System.exit(isPlainServe(args) ? servePlain(args) : CommandLineInterface.run(args));
   }
 
-  /** Whether the arguments are {@code serve SETTINGS} or {@code serve --operator FILE SETTINGS}. */
+  /**
+   * Returns whether the arguments are {@code serve SETTINGS} or {@code serve --operator FILE
+   * SETTINGS}.
+   */
   private static boolean isPlainServe(String[] args) {
     boolean withFile = args.length == 4 && args[1].equals("--operator");
     return (args.length == 2 || withFile)
@@ -50,7 +53,9 @@
     }
   }
 
-  /** Reads the settings; {@code operatorFile} is null for the operators' defaults. */
+  /**
+   * Reads the settings; if {@code operatorFile} is null, the operators' settings are the defaults.
+   */
   static Settings readSettings(Path settingsFile, Path operatorFile)
       throws InvalidSettingsException {
     OperatorSettings operator =
@@ -68,21 +73,21 @@
     }
   }
 
-  /** The line on stderr for an exception that ends a command. */
+  /** Returns the error message for an exception that ends a command. */
   static String errorLine(Exception e) {
     return "eiderfork: " + (e instanceof InvalidSettingsException ? e.getMessage() : e.toString());
   }
 
-  /** The exit code for an exception that ends a command. */
+  /** Returns the exit code for an exception that ends a command. */
   static int exitCode(Exception e) {
     return e instanceof InvalidSettingsException ? EXIT_INVALID_SETTINGS : EXIT_FAILED;
   }
 
   private static void configureLogging(String level) {
-    String wanted = level == null ? DEFAULT_LOG_LEVEL : level.toLowerCase(Locale.ROOT);
+    String logLevel = level == null ? DEFAULT_LOG_LEVEL : level.toLowerCase(Locale.ROOT);
     System.setProperty(
         "org.slf4j.simpleLogger.defaultLogLevel",
-        LOG_LEVELS.contains(wanted) ? wanted : DEFAULT_LOG_LEVEL);
+        LOG_LEVELS.contains(logLevel) ? logLevel : DEFAULT_LOG_LEVEL);
     System.setProperty("org.slf4j.simpleLogger.log.io.netty", "error");
     System.setProperty("org.slf4j.simpleLogger.showShortLogName", "true");
     System.setProperty("org.slf4j.simpleLogger.showThreadName", "false");
--- a/src/main/java/eiderfork/cli/package-info.java
+++ b/src/main/java/eiderfork/cli/package-info.java
@@ -1,2 +1,2 @@
-/** The command line. */
+/** Command line interface. */
 package eiderfork.cli;
--- a/src/main/java/eiderfork/net/CallSender.java
+++ b/src/main/java/eiderfork/net/CallSender.java
@@ -17,28 +17,31 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Makes the controller's calls to other parties, and gives it their replies as inputs. */
+/**
+ * Sends the controller's calls to the store, the cloud, workers and peers, and passes the replies
+ * to it as inputs.
+ */
 final class CallSender {
   private static final Logger LOG = LoggerFactory.getLogger(CallSender.class);
 
   private final Settings settings;
   private final EventLoop loop;
   private final HttpClient client;
-  private final InputHandler inputs;
+  private final InputHandler inputHandler;
 
-  CallSender(Settings settings, EventLoop loop, HttpClient client, InputHandler inputs) {
+  CallSender(Settings settings, EventLoop loop, HttpClient client, InputHandler inputHandler) {
     this.settings = settings;
     this.loop = loop;
     this.client = client;
-    this.inputs = inputs;
+    this.inputHandler = inputHandler;
   }
 
-  /** Reads the response to a call. */
+  /** Decodes the response to a call. */
   private interface ReplyDecoder {
     Reply decode(int status, byte[] body) throws MalformedMessageException;
   }
 
-  /** Makes the call. */
+  /** Sends the call over HTTP; its reply is passed to the input handler. */
   void send(Effect.Call effect) {
     if (effect instanceof Effect.CallStore call) {
       callStore(call);
@@ -96,7 +99,9 @@
     send(call, worker, "GET", WorkerCodec.INSPECT_PATH, null, CallSender::decodeWorkerReply);
   }
 
-  /** Workers answer 409 where they refuse commands, and report all the same. */
+  /**
+   * Decodes a worker's response; one with status 409 rejects the commands but carries a heartbeat.
+   */
   private static Reply decodeWorkerReply(int status, byte[] body) throws MalformedMessageException {
     if (status != HttpStatus.OK && status != HttpStatus.CONFLICT) {
       return new Reply.Refused(status);
@@ -134,7 +139,7 @@
     }
   }
 
-  /** Reads the body of a peer's response with status 200. */
+  /** Decodes the body of a peer's response with status 200. */
   private interface PeerReplyDecoder {
     Reply decode(byte[] body) throws MalformedMessageException;
   }
@@ -154,7 +159,8 @@
   /**
    * Sends a request.
    *
-   * @param endpoint null where the address is not known or none; the call stays unanswered then
+   * @param endpoint null if the address is unknown or malformed; the call then completes as
+   *     unanswered
    */
   private void send(
       Effect.Call call,
@@ -164,7 +170,7 @@
       byte[] body,
       ReplyDecoder decoder) {
     if (endpoint == null) {
-      // Not at once: the controller is in the middle of another input.
+      // Deferred, because the controller is still handling another input.
       loop.execute(() -> handleReply(call, new Reply.Unanswered()));
       return;
     }
@@ -196,7 +202,7 @@
   }
 
   private void handleReply(Effect.Call call, Reply reply) {
-    inputs.handle(new Input.CallCompleted(call.callId(), reply));
+    inputHandler.handle(new Input.CallCompleted(call.callId(), reply));
   }
 
   private static Reply decode(int status, byte[] response, ReplyDecoder decoder)
@@ -208,7 +214,7 @@
     };
   }
 
-  /** The endpoint that a worker's address names, or null where it is malformed. */
+  /** Parses a worker's address; returns null if it is malformed. */
   private static Endpoint parseEndpoint(String address) {
     int colon = address.lastIndexOf(':');
     try {
--- a/src/main/java/eiderfork/net/CdsTrainingRun.java
+++ b/src/main/java/eiderfork/net/CdsTrainingRun.java
@@ -16,9 +16,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Runs a controller for a moment against stubs, through its ordinary paths. The build puts the
- * classes that this loads into the class-data archive, since loading them is most of a start on a
- * small share of a core.
+ * Training run for class data sharing (CDS): runs a controller briefly against stub services,
+ * through its ordinary code paths. The build puts the classes that this loads into the CDS archive,
+ * because loading them takes most of the startup time on a small share of a core.
  */
 public final class CdsTrainingRun {
   private static final int STUB_BACKLOG = 16;
@@ -26,9 +26,9 @@
   private static final long ROUND_PAUSE_MS = 150;
   private static final int MAX_ATTEMPTS = 5;
   private static final long REQUEST_TIMEOUT_MS = 1000;
-  private static final long AWAIT_S = 2;
+  private static final long RESPONSE_WAIT_S = 2;
 
-  /** A job is cancelled this many rounds after its submission. */
+  /** Number of rounds between the submission of a job and its cancellation. */
   private static final int CANCEL_AFTER_ROUNDS = 3;
 
   private static final String HOST = "127.0.0.1";
@@ -91,15 +91,15 @@
   private final int publicPort;
 
   private CdsTrainingRun() throws IOException, InterruptedException {
-    HttpServer stubs = new HttpServer(new CdsTrainingStubs()::handle, STUB_BACKLOG);
-    stubPort = localPort(stubs.listen(group, new Endpoint(HOST, 0)));
+    HttpServer stubServer = new HttpServer(new CdsTrainingStubs()::handle, STUB_BACKLOG);
+    stubPort = localPort(stubServer.listen(group, new Endpoint(HOST, 0)));
     publicPort = findFreePort();
   }
 
   /**
-   * Runs the training.
+   * Performs the training run.
    *
-   * @throws Exception where the controller or a stub fails
+   * @throws Exception if the controller or a stub fails
    */
   public static void run() throws Exception {
     for (int attempt = 1; ; attempt++) {
@@ -107,7 +107,7 @@
         new CdsTrainingRun().runOnce();
         return;
       } catch (IOException e) {
-        // Another program may have taken a free port before its use here.
+        // Another process may have bound the free port that was found.
         if (attempt >= MAX_ATTEMPTS) {
           throw e;
         }
@@ -120,7 +120,7 @@
       node.start();
       for (int round = 1; round <= ROUNDS; round++) {
         Thread.sleep(ROUND_PAUSE_MS);
-        playRound(round);
+        sendRequests(round);
       }
     } finally {
       group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
@@ -132,7 +132,7 @@
     return SettingsParser.parse("training-run", text, OperatorSettings.DEFAULTS);
   }
 
-  private void playRound(int round) throws InterruptedException {
+  private void sendRequests(int round) throws InterruptedException {
     post("/v1/report", HEARTBEAT.formatted(stubPort, round, CdsTrainingStubs.FENCING_TOKEN));
     post("/v2/runs", JOB.formatted(round));
     get("/v2/runs/run-" + round);
@@ -157,7 +157,7 @@
         body,
         REQUEST_TIMEOUT_MS,
         (status, responseBody) -> done.countDown());
-    done.await(AWAIT_S, TimeUnit.SECONDS);
+    done.await(RESPONSE_WAIT_S, TimeUnit.SECONDS);
   }
 
   private static int localPort(Channel channel) {
--- a/src/main/java/eiderfork/net/CdsTrainingStubs.java
+++ b/src/main/java/eiderfork/net/CdsTrainingStubs.java
@@ -4,7 +4,10 @@
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** The store, the cloud and a worker of a training run: the least that a controller works with. */
+/**
+ * Stubs of the store, the cloud and a worker for {@link CdsTrainingRun}, with the minimum of
+ * responses that a controller needs.
+ */
 final class CdsTrainingStubs {
   /** A fencing token of the first term. */
   static final long FENCING_TOKEN = (1L << 24) + 1;
@@ -24,12 +27,15 @@
       {"Roost":"n-1","Addr":"127.0.0.1:1","Breed":"t","Shore":"a","Driftwood":false,
       "Tenure":1,"Tally":%d,"Warrant":%d,"Hatchlings":[]}""";
 
-  /** The worker's own heartbeats count from here, past those that are sent to the controller. */
-  private static final long FIRST_SEQUENCE = 1000;
+  /**
+   * Sequence numbers of the heartbeats in the worker's responses start after this, above those of
+   * the heartbeats that the training run sends to the controller.
+   */
+  private static final long SEQUENCE_OFFSET = 1000;
 
   private final AtomicLong revision = new AtomicLong(1);
 
-  /** Answers a request to any of the services. */
+  /** Responds to a request to any of the services. */
   void handle(HttpServer.Exchange exchange) {
     String path = exchange.path();
     if (path.startsWith("/keys") || path.startsWith("/leases") || path.startsWith("/multi")) {
@@ -37,10 +43,10 @@
     } else if (path.startsWith("/hosts") || path.startsWith("/flavors")) {
       respondAsCloud(exchange, path);
     } else if (!path.startsWith("/follow")) {
-      long sequence = FIRST_SEQUENCE + revision.incrementAndGet();
+      long sequence = SEQUENCE_OFFSET + revision.incrementAndGet();
       respond(exchange, HttpStatus.OK, HEARTBEAT.formatted(sequence, FENCING_TOKEN));
     }
-    // A watch stays open, as one without changes does.
+    // A watch request gets no response, like a watch without changes.
   }
 
   private void respondAsStore(HttpServer.Exchange exchange, String path) {
--- a/src/main/java/eiderfork/net/ControllerNode.java
+++ b/src/main/java/eiderfork/net/ControllerNode.java
@@ -13,8 +13,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A controller node on the network: one event loop that feeds a controller and carries out its
- * effects.
+ * A controller with its network connections: a single event loop passes inputs to the controller
+ * and executes its effects.
  */
 public final class ControllerNode implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(ControllerNode.class);
@@ -23,7 +23,7 @@
   private static final long METRICS_LOG_INTERVAL_S = 60;
   private static final long HEAP_CHECK_INTERVAL_S = 1;
 
-  /** The exit code where the controller failed. */
+  /** Exit code of the process after an unexpected exception in the controller. */
   private static final int EXIT_CONTROLLER_FAILED = 70;
 
   private final Settings settings;
@@ -33,21 +33,21 @@
   private final HttpClient client;
   private final Controller controller;
   private final EventLoopMetrics metrics = new EventLoopMetrics();
-  private final FailoverTracer tracer;
-  private final RequestRouter requests;
-  private final CallSender calls;
-  private final ResponseSender responses;
+  private final FailoverTracer failoverTracer;
+  private final RequestRouter requestRouter;
+  private final CallSender callSender;
+  private final ResponseSender responseSender;
 
-  /** Makes a node that does nothing until it is started. */
+  /** Creates a node; it opens no ports and handles no inputs before {@link #start}. */
   public ControllerNode(Settings settings) {
     this.settings = settings;
     client = new HttpClient(loop, settings.controllerResources().maxOutboundConnections());
-    tracer = FailoverTracer.of(settings.nodeName(), settings.operator().traceFile());
+    failoverTracer = FailoverTracer.of(settings.nodeName(), settings.operator().traceFile());
     controller = new Controller(settings, ThreadLocalRandom.current(), nowMs());
     OpenExchanges openExchanges = new OpenExchanges();
-    requests = new RequestRouter(openExchanges, metrics, this::handle);
-    calls = new CallSender(settings, loop, client, this::handle);
-    responses = new ResponseSender(openExchanges, metrics);
+    requestRouter = new RequestRouter(openExchanges, metrics, this::handle);
+    callSender = new CallSender(settings, loop, client, this::handle);
+    responseSender = new ResponseSender(openExchanges, metrics);
   }
 
   private static long nowMs() {
@@ -57,8 +57,10 @@
   /** Opens the listening ports and starts the controller. */
   public void start() throws InterruptedException {
     int sockets = settings.controllerResources().sockets();
-    new HttpServer(requests::onPublicRequest, sockets).listen(group, settings.publicEndpoint());
-    new HttpServer(requests::onPeerRequest, sockets).listen(group, settings.peerListenEndpoint());
+    new HttpServer(requestRouter::onPublicRequest, sockets)
+        .listen(group, settings.publicEndpoint());
+    new HttpServer(requestRouter::onPeerRequest, sockets)
+        .listen(group, settings.peerListenEndpoint());
     scheduleTicks();
     scheduleHousekeeping();
     LOG.info("listening node={} endpoint={}", settings.nodeName(), settings.publicEndpoint());
@@ -72,10 +74,13 @@
   private void scheduleHousekeeping() {
     long leaseS = (long) settings.workerTimings().leaseS();
     loop.scheduleWithFixedDelay(client::closeExpired, 1, leaseS, TimeUnit.SECONDS);
-    HeapMonitor heap =
+    HeapMonitor heapMonitor =
         new HeapMonitor(HeapMonitor.PROCESS_HEAP, settings.controllerResources().memoryMb());
     loop.scheduleWithFixedDelay(
-        heap::collectIfNeeded, HEAP_CHECK_INTERVAL_S, HEAP_CHECK_INTERVAL_S, TimeUnit.SECONDS);
+        heapMonitor::collectIfNeeded,
+        HEAP_CHECK_INTERVAL_S,
+        HEAP_CHECK_INTERVAL_S,
+        TimeUnit.SECONDS);
     loop.scheduleWithFixedDelay(
         () -> LOG.info("event-loop-metrics {}", metrics.takeSummary()),
         METRICS_LOG_INTERVAL_S,
@@ -90,7 +95,7 @@
 
   @Override
   public void close() {
-    tracer.close();
+    failoverTracer.close();
     group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
   }
 
@@ -102,7 +107,7 @@
       }
       metrics.recordInput(input, System.nanoTime() - startedNs);
     } catch (RuntimeException e) {
-      // The state in memory can't be trusted any more; a fresh process rebuilds it.
+      // The in-memory state may be inconsistent; a new process rebuilds it.
       LOG.error("controller-failed input={}", input, e);
       Runtime.getRuntime().halt(EXIT_CONTROLLER_FAILED);
     }
@@ -110,11 +115,11 @@
 
   private void execute(Effect effect) {
     if (effect instanceof Effect.Call call) {
-      calls.send(call);
+      callSender.send(call);
     } else if (effect instanceof Effect.Response response) {
-      responses.send(response);
+      responseSender.send(response);
     } else if (effect instanceof Effect.FailoverCompleted failover) {
-      tracer.trace(failover);
+      failoverTracer.trace(failover);
     } else {
       throw new IllegalArgumentException("unknown effect " + effect);
     }
--- a/src/main/java/eiderfork/net/EventLoopMetrics.java
+++ b/src/main/java/eiderfork/net/EventLoopMetrics.java
@@ -6,30 +6,30 @@
 import java.util.TreeMap;
 
 /**
- * How long the event loop takes over its inputs, by their kind, and how much peers exchange: for a
- * log line that shows what a controller's processor time is used for.
+ * Handling times of the event loop by kind of input, and the number and size of messages from
+ * peers, for a log line that shows where a controller's CPU time goes.
  */
 final class EventLoopMetrics {
   private static final double NANOS_PER_MS = 1e6;
   private static final double BYTES_PER_KB = 1024;
 
   private static final class InputStats {
-    private long inputs;
-    private long nanos;
-    private long maxNanos;
+    private long count;
+    private long totalNs;
+    private long maxNs;
 
-    void add(long inputNanos) {
-      inputs++;
-      nanos += inputNanos;
-      maxNanos = Math.max(maxNanos, inputNanos);
+    void add(long durationNs) {
+      count++;
+      totalNs += durationNs;
+      maxNs = Math.max(maxNs, durationNs);
     }
 
     double meanMs() {
-      return nanos / NANOS_PER_MS / inputs;
+      return totalNs / NANOS_PER_MS / count;
     }
 
     double maxMs() {
-      return maxNanos / NANOS_PER_MS;
+      return maxNs / NANOS_PER_MS;
     }
   }
 
@@ -38,24 +38,24 @@
   private long peerBytesIn;
   private long peerBytesOut;
 
-  /** An input took that long, including its effects. */
-  void recordInput(Input input, long nanos) {
+  /** Records the time spent on an input, including the execution of its effects. */
+  void recordInput(Input input, long inputDurationNs) {
     String kind = input.loggedName();
-    statsByKind.computeIfAbsent(kind, k -> new InputStats()).add(nanos);
+    statsByKind.computeIfAbsent(kind, k -> new InputStats()).add(inputDurationNs);
   }
 
-  /** A peer sent a request of that size. */
+  /** Records the body size of a request from a peer. */
   void recordPeerRequest(int bytes) {
     peerRequests++;
     peerBytesIn += bytes;
   }
 
-  /** A peer was sent a response of that size. */
+  /** Records the body size of a response to a peer. */
   void recordPeerResponse(int bytes) {
     peerBytesOut += bytes;
   }
 
-  /** What was recorded since the last call, as keys and values. */
+  /** Returns the metrics recorded since the last call as key=value pairs, and resets them. */
   String takeSummary() {
     StringBuilder summary = new StringBuilder();
     statsByKind.forEach((kind, stats) -> append(summary, kind, stats));
@@ -76,7 +76,7 @@
             Locale.ROOT,
             "%1$s=%2$d %1$sMeanMs=%3$.2f %1$sMaxMs=%4$.0f ",
             kind,
-            stats.inputs,
+            stats.count,
             stats.meanMs(),
             stats.maxMs()));
   }
--- a/src/main/java/eiderfork/net/FailoverSpanTracer.java
+++ b/src/main/java/eiderfork/net/FailoverSpanTracer.java
@@ -13,43 +13,44 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** Traces failovers as spans: one for the whole, with a child span for each phase. */
+/** Records each failover as a root span with a child span for each phase. */
 final class FailoverSpanTracer implements FailoverTracer {
-  private static final String NAME = "eiderfork";
+  private static final String INSTRUMENTATION_NAME = "eiderfork";
 
   private final SdkTracerProvider provider;
   private final Tracer tracer;
 
-  FailoverSpanTracer(String node, String file) {
+  FailoverSpanTracer(String nodeName, String file) {
     provider =
         SdkTracerProvider.builder()
-            .setResource(Resource.create(Attributes.of(AttributeKey.stringKey("host.name"), node)))
+            .setResource(
+                Resource.create(Attributes.of(AttributeKey.stringKey("host.name"), nodeName)))
             .addSpanProcessor(SimpleSpanProcessor.create(new JsonLinesSpanExporter(Path.of(file))))
             .build();
-    tracer = provider.get(NAME);
+    tracer = provider.get(INSTRUMENTATION_NAME);
   }
 
   @Override
-  public void trace(Effect.FailoverCompleted takeover) {
-    List<Effect.FailoverPhase> phases = takeover.phases();
-    // Phases are in steady time, spans in wall-clock time.
-    long offsetMs = System.currentTimeMillis() - System.nanoTime() / 1_000_000;
-    Span whole =
+  public void trace(Effect.FailoverCompleted failover) {
+    List<Effect.FailoverPhase> phases = failover.phases();
+    // Phases have monotonic timestamps, spans need wall-clock timestamps.
+    long wallClockOffsetMs = System.currentTimeMillis() - System.nanoTime() / 1_000_000;
+    Span rootSpan =
         tracer
             .spanBuilder("takeover")
             .setNoParent()
-            .setAttribute("term", takeover.term())
-            .setStartTimestamp(offsetMs + phases.get(0).fromMs(), TimeUnit.MILLISECONDS)
+            .setAttribute("term", failover.term())
+            .setStartTimestamp(wallClockOffsetMs + phases.get(0).fromMs(), TimeUnit.MILLISECONDS)
             .startSpan();
     for (Effect.FailoverPhase phase : phases) {
       tracer
           .spanBuilder(phase.name())
-          .setParent(Context.root().with(whole))
-          .setStartTimestamp(offsetMs + phase.fromMs(), TimeUnit.MILLISECONDS)
+          .setParent(Context.root().with(rootSpan))
+          .setStartTimestamp(wallClockOffsetMs + phase.fromMs(), TimeUnit.MILLISECONDS)
           .startSpan()
-          .end(offsetMs + phase.toMs(), TimeUnit.MILLISECONDS);
+          .end(wallClockOffsetMs + phase.toMs(), TimeUnit.MILLISECONDS);
     }
-    whole.end(offsetMs + phases.get(phases.size() - 1).toMs(), TimeUnit.MILLISECONDS);
+    rootSpan.end(wallClockOffsetMs + phases.get(phases.size() - 1).toMs(), TimeUnit.MILLISECONDS);
   }
 
   @Override
--- a/src/main/java/eiderfork/net/FailoverTracer.java
+++ b/src/main/java/eiderfork/net/FailoverTracer.java
@@ -2,29 +2,29 @@
 
 import eiderfork.controller.message.Effect;
 
-/** Traces failovers, where the operators' settings name a file for that. */
+/** Traces failovers to a file, if the operators' settings configure one. */
 interface FailoverTracer extends AutoCloseable {
-  /** The tracer of a node that traces nothing. */
+  /** Tracer that discards everything. */
   FailoverTracer NONE =
       new FailoverTracer() {
         @Override
-        public void trace(Effect.FailoverCompleted takeover) {}
+        public void trace(Effect.FailoverCompleted failover) {}
 
         @Override
         public void close() {}
       };
 
   /**
-   * A tracer to this file.
+   * Returns a tracer that appends to the file.
    *
-   * @param file null for nowhere; no class of the tracing library is loaded then
+   * @param file null to disable tracing; no class of the tracing library is loaded then
    */
-  static FailoverTracer of(String node, String file) {
-    return file == null ? NONE : new FailoverSpanTracer(node, file);
+  static FailoverTracer of(String nodeName, String file) {
+    return file == null ? NONE : new FailoverSpanTracer(nodeName, file);
   }
 
-  /** Traces a failover with its phases. */
-  void trace(Effect.FailoverCompleted takeover);
+  /** Records a completed failover with its phases. */
+  void trace(Effect.FailoverCompleted failover);
 
   @Override
   void close();
--- a/src/main/java/eiderfork/net/HeapMonitor.java
+++ b/src/main/java/eiderfork/net/HeapMonitor.java
@@ -4,28 +4,28 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps the Java heap within what the machine's memory leaves for it. The limit in the command line
- * is the same for all deployments and so has to suit the largest; up to that limit the serial
- * collector would let garbage fill the heap before it collects the old generation.
+ * Keeps the Java heap within the memory that the machine has left for it. The maximum heap size on
+ * the command line is the same for all deployments and is sized for the largest; the serial
+ * collector would let garbage fill the heap up to that size before it collects the old generation.
  */
 final class HeapMonitor {
   private static final Logger LOG = LoggerFactory.getLogger(HeapMonitor.class);
 
-  /** What is used besides the heap: code, classes, buffers, stacks, the operating system. */
+  /** Memory used outside the heap: code, classes, buffers, stacks and the operating system. */
   private static final double NON_HEAP_MB = 72;
 
-  /** The share of the heap's limit at which it is first collected. */
-  private static final double INITIAL_THRESHOLD_SHARE = 0.75;
+  /** Share of the heap limit below which the heap is never collected explicitly. */
+  private static final double MIN_THRESHOLD_SHARE = 0.75;
 
-  /** How much larger than after a collection the heap may be before the next one. */
+  /** Ratio of the heap size that triggers the next collection to the size after the last one. */
   private static final double GROWTH_FACTOR = 1.25;
 
   /** A heap that can be collected. */
   interface Heap {
-    /** The memory that the heap has from the operating system. */
+    /** Returns the memory committed for the heap by the operating system. */
     double committedMb();
 
-    /** Collects all garbage and returns free memory. */
+    /** Runs a full collection and returns free memory to the operating system. */
     void collect();
   }
 
@@ -50,15 +50,15 @@
   private double thresholdMb;
 
   /**
-   * @param machineMb the memory of the machine
+   * @param machineMb total memory of the machine
    */
   HeapMonitor(Heap heap, double machineMb) {
     this.heap = heap;
     maxHeapMb = machineMb - NON_HEAP_MB;
-    thresholdMb = maxHeapMb * INITIAL_THRESHOLD_SHARE;
+    thresholdMb = maxHeapMb * MIN_THRESHOLD_SHARE;
   }
 
-  /** Collects the heap where it is above the threshold; to be called about once a second. */
+  /** Collects the heap if its size exceeds the threshold; intended to be called every second. */
   void collectIfNeeded() {
     double beforeMb = heap.committedMb();
     if (beforeMb <= thresholdMb) {
@@ -66,7 +66,7 @@
     }
     heap.collect();
     double afterMb = heap.committedMb();
-    thresholdMb = Math.max(maxHeapMb * INITIAL_THRESHOLD_SHARE, afterMb * GROWTH_FACTOR);
+    thresholdMb = Math.max(maxHeapMb * MIN_THRESHOLD_SHARE, afterMb * GROWTH_FACTOR);
     LOG.info("heap-collected beforeMb={} afterMb={}", Math.round(beforeMb), Math.round(afterMb));
     if (afterMb > maxHeapMb) {
       LOG.warn("heap-over-limit heapMb={} limitMb={}", Math.round(afterMb), Math.round(maxHeapMb));
--- a/src/main/java/eiderfork/net/HttpClient.java
+++ b/src/main/java/eiderfork/net/HttpClient.java
@@ -27,28 +27,35 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** Sends HTTP requests, on idle connections where there are any. All on one event loop. */
+/**
+ * HTTP client that reuses idle connections. Not thread-safe; connections and callbacks run on a
+ * single event loop.
+ */
 public final class HttpClient {
   /**
-   * The largest response taken. A page of the store holds half a mebibyte of values; only a watch
-   * that lags far behind is answered with more.
+   * Maximum size of a response body. A page of the store holds half a mebibyte of values; only the
+   * response to a watch that lags far behind is larger.
    */
   static final int MAX_BODY_BYTES = 8 * 1024 * 1024;
 
-  /** The status that stands for no response in time or at all. */
+  /** Pseudo status: no response arrived before the timeout, or the connection failed. */
   public static final int STATUS_NONE = 0;
 
-  /** The status that stands for a response that is too large. */
+  /** Pseudo status: the response body exceeds the maximum size. */
   public static final int STATUS_OVERSIZED = -1;
 
-  /** At least one turn of the event loop, in which it reads what has arrived. */
-  private static final long LAST_READ_MS = 1;
+  /** Delay of at least one event loop iteration, in which responses that have arrived are read. */
+  private static final long READ_GRACE_MS = 1;
 
   private static final byte[] EMPTY_BODY = new byte[0];
 
-  /** Takes a response. */
+  /** Callback for the response to a request. */
   public interface ResponseListener {
-    /** Takes the HTTP status, {@link #STATUS_NONE} or {@link #STATUS_OVERSIZED}, and the body. */
+    /**
+     * Handles a response.
+     *
+     * @param status the HTTP status, {@link #STATUS_NONE} or {@link #STATUS_OVERSIZED}
+     */
     void onResponse(int status, byte[] body);
   }
 
@@ -56,29 +63,30 @@
   private final Bootstrap bootstrap;
   private final IdleConnections idleConnections;
 
-  /**
-   * Makes a client that keeps up to {@code maxIdle} connections open while no request uses them.
-   */
-  public HttpClient(EventLoop loop, int maxIdle) {
-    this(loop, maxIdle, channel -> {});
+  /** Creates a client that keeps up to {@code maxIdleConnections} idle connections open. */
+  public HttpClient(EventLoop loop, int maxIdleConnections) {
+    this(loop, maxIdleConnections, channel -> {});
   }
 
-  /** Makes a client that shows each new connection before anything is sent on it. */
-  public HttpClient(EventLoop loop, int maxIdle, Consumer<Channel> onOpened) {
+  /**
+   * Creates a client that passes each new channel to {@code onNewChannel} before anything is sent
+   * on it.
+   */
+  public HttpClient(EventLoop loop, int maxIdleConnections, Consumer<Channel> onNewChannel) {
     this.loop = loop;
-    idleConnections = new IdleConnections(maxIdle);
+    idleConnections = new IdleConnections(maxIdleConnections);
     bootstrap =
         new Bootstrap()
             .group(loop)
             .channel(NioSocketChannel.class)
             .option(ChannelOption.TCP_NODELAY, true)
-            // A response may have arrived although the request can't be written any more.
+            // A response may have arrived even if writing the request fails.
             .option(ChannelOption.AUTO_CLOSE, false)
             .handler(
                 new ChannelInitializer<SocketChannel>() {
                   @Override
                   protected void initChannel(SocketChannel channel) {
-                    onOpened.accept(channel);
+                    onNewChannel.accept(channel);
                     channel
                         .pipeline()
                         .addLast(new HttpClientCodec())
@@ -89,9 +97,10 @@
   }
 
   /**
-   * Sends a request, which has {@code timeoutMs} until its response is given up.
+   * Sends a request; the listener gets {@link #STATUS_NONE} if there is no response within {@code
+   * timeoutMs}.
    *
-   * @param body null for none
+   * @param body the JSON body, or null for none
    */
   public void send(
       Endpoint endpoint,
@@ -111,28 +120,30 @@
   }
 
   /**
-   * The loop may be late: a response that arrived in time is read before the request is given up.
+   * Defers the failure of the request by one event loop iteration: if the loop is late, a response
+   * that arrived in time has yet to be read.
    */
   private void onTimeout(PendingRequest request) {
-    request.timeoutTask = loop.schedule(request::giveUp, LAST_READ_MS, TimeUnit.MILLISECONDS);
+    request.timeoutTask = loop.schedule(request::fail, READ_GRACE_MS, TimeUnit.MILLISECONDS);
   }
 
   private void connect(PendingRequest request) {
-    ChannelFuture connected = bootstrap.connect(request.endpoint.host(), request.endpoint.port());
-    request.channel = connected.channel();
-    connected.addListener(
+    ChannelFuture connectFuture =
+        bootstrap.connect(request.endpoint.host(), request.endpoint.port());
+    request.channel = connectFuture.channel();
+    connectFuture.addListener(
         done -> {
           if (request.isCompleted) {
-            connected.channel().close();
+            connectFuture.channel().close();
           } else if (done.isSuccess()) {
-            request.sendOn(connected.channel());
+            request.sendOn(connectFuture.channel());
           } else {
             request.complete(STATUS_NONE, EMPTY_BODY);
           }
         });
   }
 
-  /** Closes connections that no request used for a while. */
+  /** Closes connections that have been idle for too long. */
   public void closeExpired() {
     idleConnections.closeExpired();
   }
@@ -144,7 +155,7 @@
     private final byte[] body;
     private final ResponseListener listener;
     private Channel channel;
-    private ChannelFuture written;
+    private ChannelFuture writeFuture;
     private ScheduledFuture<?> timeoutTask;
     private boolean isCompleted;
 
@@ -160,7 +171,7 @@
     void sendOn(Channel openChannel) {
       channel = openChannel;
       channel.pipeline().get(ResponseHandler.class).pending = this;
-      written = channel.writeAndFlush(toHttp());
+      writeFuture = channel.writeAndFlush(toHttp());
     }
 
     private FullHttpRequest toHttp() {
@@ -179,7 +190,7 @@
       return request;
     }
 
-    void giveUp() {
+    void fail() {
       if (channel != null) {
         channel.close();
       }
@@ -215,7 +226,7 @@
     private void complete(
         PendingRequest request, ChannelHandlerContext context, FullHttpResponse response) {
       byte[] body = ByteBufUtil.getBytes(response.content());
-      if (HttpUtil.isKeepAlive(response) && request.written.isSuccess()) {
+      if (HttpUtil.isKeepAlive(response) && request.writeFuture.isSuccess()) {
         idleConnections.add(request.endpoint, context.channel());
       } else {
         context.close();
--- a/src/main/java/eiderfork/net/HttpResponseWriter.java
+++ b/src/main/java/eiderfork/net/HttpResponseWriter.java
@@ -9,15 +9,15 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpVersion;
 
-/** Writes a server's responses. */
+/** Encodes and writes the responses of {@link HttpServer}. */
 final class HttpResponseWriter {
   private HttpResponseWriter() {}
 
   /**
    * Writes a response.
    *
-   * @param retryAfterS 0 for none
-   * @param isLast whether it is the last one of its connection
+   * @param retryAfterS the {@code Retry-After} header in seconds; 0 for no header
+   * @param isLast whether to announce that the connection closes after this response
    */
   static ChannelFuture write(
       ChannelHandlerContext context, int status, byte[] body, int retryAfterS, boolean isLast) {
--- a/src/main/java/eiderfork/net/HttpServer.java
+++ b/src/main/java/eiderfork/net/HttpServer.java
@@ -21,50 +21,52 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Serves HTTP on one address. */
+/** HTTP server that passes complete requests to a handler. */
 public final class HttpServer {
   private static final Logger LOG = LoggerFactory.getLogger(HttpServer.class);
 
-  /** A request, and the connection that its response goes to. */
+  /** A request and the means to respond to it. */
   public static final class Exchange {
     private final String method;
     private final String path;
     private final byte[] body;
     private final ChannelHandlerContext context;
-    private final LingeringCloseHandler closer;
+    private final LingeringCloseHandler closeHandler;
     private final boolean isLast;
 
     private Exchange(
-        ChannelHandlerContext context, LingeringCloseHandler closer, FullHttpRequest request) {
+        ChannelHandlerContext context,
+        LingeringCloseHandler closeHandler,
+        FullHttpRequest request) {
       this.context = context;
-      this.closer = closer;
+      this.closeHandler = closeHandler;
       method = request.method().name();
       path = request.uri();
       body = ByteBufUtil.getBytes(request.content());
       isLast = !HttpUtil.isKeepAlive(request);
     }
 
-    /** The HTTP method. */
+    /** Returns the HTTP method. */
     public String method() {
       return method;
     }
 
-    /** The path with the query. */
+    /** Returns the path, including the query. */
     public String path() {
       return path;
     }
 
-    /** The body; empty for none. */
+    /** Returns the body; empty if there is none. */
     public byte[] body() {
       return body;
     }
 
-    /** Answers the request; {@code retryAfterS} 0 is none. */
+    /** Sends the response; {@code retryAfterS} is 0 for no {@code Retry-After} header. */
     public void respond(int status, byte[] response, int retryAfterS) {
-      ChannelFuture written =
+      ChannelFuture writeFuture =
           HttpResponseWriter.write(context, status, response, retryAfterS, isLast);
       if (isLast) {
-        closer.closeAfter(written);
+        closeHandler.closeAfter(writeFuture);
       }
     }
   }
@@ -74,11 +76,11 @@
   private final LingeringConnections lingering;
 
   /**
-   * Makes a server that hands each request to {@code requestHandler}.
+   * Creates a server that passes each request to {@code requestHandler}.
    *
-   * @param sockets how many sockets the process has. So many connections may wait to be accepted,
-   *     as every worker and user may connect to this node at the same moment; a share of them may
-   *     wait for their peers' end
+   * @param sockets number of sockets available to the process. The accept backlog has this size,
+   *     because every worker and user may connect to this node at the same moment; a share of the
+   *     sockets may be in lingering close
    */
   public HttpServer(Consumer<Exchange> requestHandler, int sockets) {
     this(requestHandler, sockets, LingerLimits.of(sockets));
@@ -90,12 +92,15 @@
     lingering = new LingeringConnections(limits);
   }
 
-  /** How many connections wait for their peers' end. */
+  /** Returns the number of connections in lingering close. */
   int lingeringConnections() {
     return lingering.count();
   }
 
-  /** Listens on the endpoint, any free port for port 0; not to be called on the group's loop. */
+  /**
+   * Listens on the endpoint; port 0 selects any free port. Blocks, so it must not be called on an
+   * event loop of the group.
+   */
   public Channel listen(EventLoopGroup group, Endpoint endpoint) throws InterruptedException {
     return new ServerBootstrap()
         .group(group)
@@ -116,35 +121,35 @@
   }
 
   private void initialize(SocketChannel channel) {
-    LingeringCloseHandler closer = new LingeringCloseHandler(channel, lingering);
+    LingeringCloseHandler closeHandler = new LingeringCloseHandler(channel, lingering);
     channel
         .pipeline()
-        .addLast(closer)
+        .addLast(closeHandler)
         .addLast(new HttpServerCodec())
-        .addLast(new RequestAggregator(closer))
-        .addLast(new RequestChannelHandler(closer));
+        .addLast(new RequestAggregator(closeHandler))
+        .addLast(new RequestChannelHandler(closeHandler));
   }
 
   private final class RequestChannelHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
-    private final LingeringCloseHandler closer;
+    private final LingeringCloseHandler closeHandler;
 
-    RequestChannelHandler(LingeringCloseHandler closer) {
-      this.closer = closer;
+    RequestChannelHandler(LingeringCloseHandler closeHandler) {
+      this.closeHandler = closeHandler;
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
       if (!request.decoderResult().isSuccess()) {
-        closer.stopServing(CloseReason.MALFORMED_REQUEST);
+        closeHandler.stopServing(CloseReason.MALFORMED_REQUEST);
         byte[] error = UserCodec.encodeError("not HTTP");
-        closer.closeAfter(
+        closeHandler.closeAfter(
             HttpResponseWriter.write(context, HttpStatus.BAD_REQUEST, error, 0, true));
         return;
       }
       if (!HttpUtil.isKeepAlive(request)) {
-        closer.stopServing(CloseReason.REQUESTED);
+        closeHandler.stopServing(CloseReason.REQUESTED);
       }
-      requestHandler.accept(new Exchange(context, closer, request));
+      requestHandler.accept(new Exchange(context, closeHandler, request));
     }
 
     @Override
@@ -153,7 +158,7 @@
           "connection-failed remote={} cause=\"{}\"",
           context.channel().remoteAddress(),
           cause.toString());
-      closer.abort();
+      closeHandler.abort();
     }
   }
 }
--- a/src/main/java/eiderfork/net/IdleConnections.java
+++ b/src/main/java/eiderfork/net/IdleConnections.java
@@ -9,15 +9,15 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Connections that are kept open while no request uses them. */
+/** Pool of idle connections that are kept open for later requests. */
 final class IdleConnections {
-  /** One endpoint may have one part in so many of all idle connections. */
-  private static final int PER_ENDPOINT_DIVISOR = 8;
+  /** Divides the limit on all idle connections to get the limit for one endpoint. */
+  private static final int MAX_PER_ENDPOINT_DIVISOR = 8;
 
-  /** However few connections may be idle in all, one endpoint may have this many. */
-  private static final int MIN_PER_ENDPOINT = 4;
+  /** Lower bound of the limit for one endpoint, however low the limit on all connections is. */
+  private static final int MIN_LIMIT_PER_ENDPOINT = 4;
 
-  private static final long TIMEOUT_MS = 20_000;
+  private static final long IDLE_TIMEOUT_MS = 20_000;
   private static final long NANOS_PER_MS = 1_000_000;
 
   private record IdleConnection(Endpoint endpoint, Channel channel, long idleSinceMs) {}
@@ -29,10 +29,10 @@
 
   IdleConnections(int maxCount) {
     this.maxCount = maxCount;
-    maxPerEndpoint = Math.max(MIN_PER_ENDPOINT, maxCount / PER_ENDPOINT_DIVISOR);
+    maxPerEndpoint = Math.max(MIN_LIMIT_PER_ENDPOINT, maxCount / MAX_PER_ENDPOINT_DIVISOR);
   }
 
-  /** How many endpoints are remembered. */
+  /** Returns the number of endpoints that have idle connections. */
   int endpointCount() {
     return byEndpoint.size();
   }
@@ -41,7 +41,7 @@
     return System.nanoTime() / NANOS_PER_MS;
   }
 
-  /** Takes the connection to an endpoint that was used last, or null for none. */
+  /** Removes and returns the most recently used open connection to an endpoint; null if none. */
   Channel take(Endpoint endpoint) {
     Deque<IdleConnection> idle = byEndpoint.get(endpoint);
     while (idle != null && !idle.isEmpty()) {
@@ -54,7 +54,10 @@
     return null;
   }
 
-  /** Keeps a connection for later requests, or closes it where there are enough. */
+  /**
+   * Adds a connection. Closes it instead if its endpoint has reached its limit; closes the oldest
+   * one if the pool exceeds its limit.
+   */
   void add(Endpoint endpoint, Channel channel) {
     Deque<IdleConnection> idle = byEndpoint.computeIfAbsent(endpoint, k -> new ArrayDeque<>());
     if (idle.size() >= maxPerEndpoint) {
@@ -69,11 +72,11 @@
     }
   }
 
-  /** Closes connections that no request used for a while. */
+  /** Closes connections that have been idle for longer than the timeout. */
   void closeExpired() {
     long nowMs = nowMs();
     while (!oldestFirst.isEmpty()
-        && nowMs - oldestFirst.iterator().next().idleSinceMs > TIMEOUT_MS) {
+        && nowMs - oldestFirst.iterator().next().idleSinceMs > IDLE_TIMEOUT_MS) {
       closeOldest();
     }
   }
--- a/src/main/java/eiderfork/net/InputHandler.java
+++ b/src/main/java/eiderfork/net/InputHandler.java
@@ -2,8 +2,8 @@
 
 import eiderfork.controller.message.Input;
 
-/** Takes the inputs of a controller; on its event loop only. */
+/** Handles the inputs of a controller; must be called on its event loop. */
 interface InputHandler {
-  /** Gives the input to the controller and carries its effects out. */
+  /** Passes the input to the controller and executes the resulting effects. */
   void handle(Input input);
 }
--- a/src/main/java/eiderfork/net/JsonLinesSpanExporter.java
+++ b/src/main/java/eiderfork/net/JsonLinesSpanExporter.java
@@ -14,7 +14,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Appends spans to a file, each as one line of JSON. */
+/** Appends spans to a file in JSON Lines format. */
 final class JsonLinesSpanExporter implements SpanExporter {
   private static final Logger LOG = LoggerFactory.getLogger(JsonLinesSpanExporter.class);
 
@@ -37,7 +37,7 @@
           StandardOpenOption.APPEND);
       return CompletableResultCode.ofSuccess();
     } catch (IOException e) {
-      // A controller works without its trace.
+      // A failed trace must not stop the controller.
       LOG.warn("trace-write-failed file={} cause=\"{}\"", file, e.toString());
       return CompletableResultCode.ofFailure();
     }
--- a/src/main/java/eiderfork/net/LingerLimits.java
+++ b/src/main/java/eiderfork/net/LingerLimits.java
@@ -1,26 +1,27 @@
 package eiderfork.net;
 
 /**
- * How long a server's connection may wait for its peer's end after the last response.
+ * Limits on the lingering close of a server's connections, in which the server waits for the peer
+ * to close after the last response.
  *
- * @param timeoutMs the longest time
- * @param maxDiscardedBytes the most bytes that are read and discarded
- * @param maxConnections the most connections of a server that may wait at once
+ * @param timeoutMs maximum wait for the peer to close
+ * @param maxDiscardedBytes maximum number of bytes read and discarded per connection
+ * @param maxConnections maximum number of connections of a server in lingering close
  */
 record LingerLimits(long timeoutMs, long maxDiscardedBytes, int maxConnections) {
-  /** The protocol's limit on a user's wait for a response; nobody reads it later. */
-  private static final long USER_TIMEOUT_MS = 5000;
+  /** The protocol's limit on a user's wait for a response; a user reads no response after it. */
+  private static final long USER_RESPONSE_TIMEOUT_MS = 5000;
 
-  /** The longest bodies that are taken, so many of which are discarded at most. */
+  /** Limit on the discarded bytes of a connection, in request bodies of the maximum size. */
   private static final int MAX_DISCARDED_BODIES = 64;
 
-  /** One socket in so many may wait for a peer's end. */
+  /** Divides the number of sockets to get the limit on connections in lingering close. */
   private static final int SOCKETS_DIVISOR = 8;
 
-  /** The limits of a server whose process has so many sockets. */
+  /** Returns the limits of a server whose process has the given number of sockets. */
   static LingerLimits of(int sockets) {
     return new LingerLimits(
-        USER_TIMEOUT_MS,
+        USER_RESPONSE_TIMEOUT_MS,
         (long) MAX_DISCARDED_BODIES * RequestAggregator.MAX_BODY_BYTES,
         Math.max(1, sockets / SOCKETS_DIVISOR));
   }
--- a/src/main/java/eiderfork/net/LingeringCloseHandler.java
+++ b/src/main/java/eiderfork/net/LingeringCloseHandler.java
@@ -12,17 +12,18 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Closes a server's connection in stages, as RFC 9112, section 9.6 describes: after the last
- * response the server ends its own direction only, and reads and discards what still comes until
- * the peer closes or a limit is reached. A close with unread bytes would reset the connection, and
- * a peer that is still sending would not look at its response.
+ * Closes a server's connection in stages (lingering close, RFC 9112, section 9.6): after the last
+ * response the server closes only its write side, then reads and discards input until the peer
+ * closes or a limit is reached. Closing with unread bytes would reset the connection, and a peer
+ * that is still sending would lose its response.
  *
- * <p>Stands first in the pipeline, so that bytes after the last request are not parsed.
+ * <p>Must be the first handler in the pipeline, so that bytes after the last request are not
+ * parsed.
  */
 final class LingeringCloseHandler extends ChannelInboundHandlerAdapter {
   private static final Logger LOG = LoggerFactory.getLogger(LingeringCloseHandler.class);
 
-  /** How a connection that this server wanted to close came to its end. */
+  /** Final state of a connection that this server decided to close. */
   private enum Outcome {
     PEER_CLOSED,
     RESPONSE_NOT_WRITTEN,
@@ -35,11 +36,11 @@
   private final SocketChannel channel;
   private final LingeringConnections lingering;
 
-  /** Null while requests are served. */
+  /** Null as long as requests are served. */
   private CloseReason reason;
 
   private Outcome outcome = Outcome.PEER_CLOSED;
-  private SocketAddress remote;
+  private SocketAddress remoteAddress;
   private long readBytes;
   private long discardedBytes;
   private ScheduledFuture<?> timeout;
@@ -49,20 +50,20 @@
     this.lingering = lingering;
   }
 
-  /** Whether requests on this connection are still served. */
+  /** Returns whether requests on this connection are still served. */
   boolean isServing() {
     return reason == null;
   }
 
-  /** Discards what comes from now on; a response may still be due. */
-  void stopServing(CloseReason why) {
+  /** Discards all further input; a response may still be pending. */
+  void stopServing(CloseReason closeReason) {
     if (isServing()) {
-      reason = why;
-      remote = channel.remoteAddress();
+      reason = closeReason;
+      remoteAddress = channel.remoteAddress();
     }
   }
 
-  /** Closes the connection after its last response, which is being written. */
+  /** Starts the lingering close when the last response has been written. */
   void closeAfter(ChannelFuture lastResponse) {
     lastResponse.addListener(
         written -> {
@@ -74,13 +75,13 @@
         });
   }
 
-  /** Closes the connection at once, without a response. */
+  /** Closes the connection immediately, without a response. */
   void abort() {
     stopServing(CloseReason.FAILED);
     close(Outcome.CLOSED_AT_ONCE);
   }
 
-  /** Closes the connection since too many others wait for their peers' end as well. */
+  /** Closes the connection because too many connections are in lingering close. */
   void evict() {
     channel.eventLoop().execute(() -> close(Outcome.TOO_MANY_CONNECTIONS));
   }
@@ -91,14 +92,14 @@
         .addListener(
             done -> {
               if (done.isSuccess()) {
-                awaitPeer();
+                awaitPeerClose();
               } else {
                 close(Outcome.CLOSED_AT_ONCE);
               }
             });
   }
 
-  private void awaitPeer() {
+  private void awaitPeerClose() {
     if (!channel.isActive()) {
       return;
     }
@@ -112,9 +113,9 @@
     lingering.add(this);
   }
 
-  private void close(Outcome how) {
+  private void close(Outcome closeOutcome) {
     if (channel.isOpen()) {
-      outcome = how;
+      outcome = closeOutcome;
       channel.close();
     }
   }
@@ -147,7 +148,7 @@
     if (!isServing()) {
       LOG.debug(
           "connection-closed remote={} reason={} outcome={} readBytes={} discardedBytes={}",
-          remote,
+          remoteAddress,
           reason,
           outcome,
           readBytes,
--- a/src/main/java/eiderfork/net/LingeringConnections.java
+++ b/src/main/java/eiderfork/net/LingeringConnections.java
@@ -5,8 +5,8 @@
 import java.util.Set;
 
 /**
- * The connections of a server that wait for their peers' end. Past their limit the oldest one is
- * closed. May be used by any thread.
+ * The connections of a server in lingering close. If their number exceeds the limit, the oldest one
+ * is closed. Thread-safe.
  */
 final class LingeringConnections {
   private final LingerLimits limits;
@@ -25,13 +25,13 @@
   }
 
   void add(LingeringCloseHandler connection) {
-    LingeringCloseHandler oldest = addAndTakeSurplus(connection);
+    LingeringCloseHandler oldest = addAndTakeExcess(connection);
     if (oldest != null) {
       oldest.evict();
     }
   }
 
-  private synchronized LingeringCloseHandler addAndTakeSurplus(LingeringCloseHandler connection) {
+  private synchronized LingeringCloseHandler addAndTakeExcess(LingeringCloseHandler connection) {
     oldestFirst.add(connection);
     if (oldestFirst.size() <= limits.maxConnections()) {
       return null;
--- a/src/main/java/eiderfork/net/OpenExchanges.java
+++ b/src/main/java/eiderfork/net/OpenExchanges.java
@@ -2,35 +2,37 @@
 
 import it.unimi.dsi.fastutil.longs.Long2ObjectOpenHashMap;
 
-/** The requests to this node that are not answered yet, by the tickets that their inputs carry. */
+/** Requests to this node without a response yet, by the ticket in their input. */
 final class OpenExchanges {
   private final Long2ObjectOpenHashMap<HttpServer.Exchange> exchanges =
       new Long2ObjectOpenHashMap<>();
 
-  /** Users' requests that a peer forwarded; they are answered in the peers' format. */
+  /** Users' requests forwarded by a peer; their responses are encoded in the peer protocol. */
   private final Long2ObjectOpenHashMap<HttpServer.Exchange> forwardedExchanges =
       new Long2ObjectOpenHashMap<>();
 
   private long lastTicket;
 
-  /** A ticket for a request. */
+  /** Registers a request and returns its ticket. */
   long open(HttpServer.Exchange exchange) {
     exchanges.put(++lastTicket, exchange);
     return lastTicket;
   }
 
-  /** A ticket for a user's request that a peer forwarded. */
+  /** Registers a user's request forwarded by a peer and returns its ticket. */
   long openForwarded(HttpServer.Exchange exchange) {
     forwardedExchanges.put(++lastTicket, exchange);
     return lastTicket;
   }
 
-  /** The request that the ticket was given for, which is answered now. */
+  /** Removes and returns the request with this ticket. */
   HttpServer.Exchange take(long ticket) {
     return exchanges.remove(ticket);
   }
 
-  /** The forwarded request that the ticket was given for, or null where it was none. */
+  /**
+   * Removes and returns the forwarded request with this ticket; null if it is not a forwarded one.
+   */
   HttpServer.Exchange takeForwarded(long ticket) {
     return forwardedExchanges.remove(ticket);
   }
--- a/src/main/java/eiderfork/net/RequestAggregator.java
+++ b/src/main/java/eiderfork/net/RequestAggregator.java
@@ -14,35 +14,35 @@
 import java.util.List;
 
 /**
- * Puts requests together with their bodies, and refuses those whose body is too large or whose
- * expectation can't be met before the rest of them is read.
+ * Aggregates requests with their bodies. Rejects a request with an oversized body or an unsupported
+ * expectation before the rest of it is read.
  */
 final class RequestAggregator extends HttpObjectAggregator {
-  /** The protocol's limit on a request body. */
+  /** Maximum size of a request body in the protocol. */
   static final int MAX_BODY_BYTES = 64 * 1024;
 
   private static final byte[] EMPTY_BODY = new byte[0];
 
-  private final LingeringCloseHandler closer;
+  private final LingeringCloseHandler closeHandler;
 
-  RequestAggregator(LingeringCloseHandler closer) {
+  RequestAggregator(LingeringCloseHandler closeHandler) {
     super(MAX_BODY_BYTES);
-    this.closer = closer;
+    this.closeHandler = closeHandler;
   }
 
-  /** Drops what the decoder had already read behind the last request. */
+  /** Drops messages that the decoder had already parsed after the last request. */
   @Override
   protected void decode(ChannelHandlerContext context, HttpObject message, List<Object> out)
       throws Exception {
-    if (closer.isServing()) {
+    if (closeHandler.isServing()) {
       super.decode(context, message, out);
     }
   }
 
   /**
-   * No response for an expectation that is refused; {@link #handleOversizedMessage} gives the final
-   * one. The base class would answer an oversized body with 413, which users repeat, and would take
-   * the body for another request.
+   * Returns null for a rejected expectation, because {@link #handleOversizedMessage} writes the
+   * final response. The base class would respond to an oversized body with 413, which users retry,
+   * and would parse the body as another request.
    */
   @Override
   protected Object newContinueResponse(
@@ -68,15 +68,15 @@
   @Override
   protected void handleOversizedMessage(ChannelHandlerContext context, HttpMessage message) {
     if (hasUnsupportedExpectation(message)) {
-      closer.stopServing(CloseReason.UNSUPPORTED_EXPECTATION);
-      writeLast(context, HttpResponseStatus.EXPECTATION_FAILED.code(), EMPTY_BODY);
+      closeHandler.stopServing(CloseReason.UNSUPPORTED_EXPECTATION);
+      writeLastResponse(context, HttpResponseStatus.EXPECTATION_FAILED.code(), EMPTY_BODY);
     } else {
-      closer.stopServing(CloseReason.OVERSIZED_BODY);
-      writeLast(context, HttpStatus.BAD_REQUEST, UserCodec.encodeError("over 64 KiB"));
+      closeHandler.stopServing(CloseReason.OVERSIZED_BODY);
+      writeLastResponse(context, HttpStatus.BAD_REQUEST, UserCodec.encodeError("over 64 KiB"));
     }
   }
 
-  private void writeLast(ChannelHandlerContext context, int status, byte[] body) {
-    closer.closeAfter(HttpResponseWriter.write(context, status, body, 0, true));
+  private void writeLastResponse(ChannelHandlerContext context, int status, byte[] body) {
+    closeHandler.closeAfter(HttpResponseWriter.write(context, status, body, 0, true));
   }
 }
--- a/src/main/java/eiderfork/net/RequestRouter.java
+++ b/src/main/java/eiderfork/net/RequestRouter.java
@@ -14,19 +14,19 @@
 import eiderfork.wire.UserCodec;
 import eiderfork.wire.WorkerCodec;
 
-/** Turns the requests to this node into inputs, and rejects those that are none. */
+/** Decodes the requests to this node into inputs, and rejects invalid requests. */
 final class RequestRouter {
   private final OpenExchanges openExchanges;
   private final EventLoopMetrics metrics;
-  private final InputHandler inputs;
+  private final InputHandler inputHandler;
 
-  RequestRouter(OpenExchanges openExchanges, EventLoopMetrics metrics, InputHandler inputs) {
+  RequestRouter(OpenExchanges openExchanges, EventLoopMetrics metrics, InputHandler inputHandler) {
     this.openExchanges = openExchanges;
     this.metrics = metrics;
-    this.inputs = inputs;
+    this.inputHandler = inputHandler;
   }
 
-  /** Takes a request of a worker, a user or the load balancer. */
+  /** Handles a request from a worker, a user or the load balancer. */
   void onPublicRequest(HttpServer.Exchange exchange) {
     try {
       routePublicRequest(exchange, pathWithoutQuery(exchange.path()));
@@ -58,24 +58,24 @@
   private void onHeartbeat(HttpServer.Exchange exchange) throws MalformedMessageException {
     if (hasMethod(exchange, "POST")) {
       Heartbeat heartbeat = WorkerCodec.decodeHeartbeat(exchange.body());
-      inputs.handle(new Input.WorkerHeartbeat(openExchanges.open(exchange), heartbeat));
+      inputHandler.handle(new Input.WorkerHeartbeat(openExchanges.open(exchange), heartbeat));
     }
   }
 
   private void onHealthCheck(HttpServer.Exchange exchange) {
     if (hasMethod(exchange, "GET")) {
-      inputs.handle(new Input.HealthCheck(openExchanges.open(exchange)));
+      inputHandler.handle(new Input.HealthCheck(openExchanges.open(exchange)));
     }
   }
 
   private void onSubmission(HttpServer.Exchange exchange) throws MalformedMessageException {
     if (hasMethod(exchange, "POST")) {
       Job job = UserCodec.decodeJob(exchange.body());
-      inputs.handle(new Input.Submit(openExchanges.open(exchange), job, exchange.body()));
+      inputHandler.handle(new Input.Submit(openExchanges.open(exchange), job, exchange.body()));
     }
   }
 
-  /** Takes a query or a cancellation of the job that the rest of the path names. */
+  /** Handles a query or a cancellation of the job given by {@code rest}, the end of the path. */
   private void onJobRequest(HttpServer.Exchange exchange, String rest) {
     boolean isCancellation = rest.endsWith(UserCodec.CANCEL_SUFFIX);
     String uid =
@@ -86,14 +86,14 @@
       if (!UserCodec.isJobId(uid)) {
         reject(exchange, HttpStatus.NOT_FOUND, "no such job");
       } else if (isCancellation) {
-        inputs.handle(new Input.Cancel(openExchanges.open(exchange), uid));
+        inputHandler.handle(new Input.Cancel(openExchanges.open(exchange), uid));
       } else {
-        inputs.handle(new Input.Query(openExchanges.open(exchange), uid));
+        inputHandler.handle(new Input.Query(openExchanges.open(exchange), uid));
       }
     }
   }
 
-  /** Whether the request has this method; rejects it where it has not. */
+  /** Returns whether the request has the expected method; if not, rejects it. */
   private static boolean hasMethod(HttpServer.Exchange exchange, String expected) {
     if (exchange.method().equals(expected)) {
       return true;
@@ -102,7 +102,7 @@
     return false;
   }
 
-  /** Takes a request of another controller. */
+  /** Handles a request from another controller. */
   void onPeerRequest(HttpServer.Exchange exchange) {
     metrics.recordPeerRequest(exchange.body().length);
     try {
@@ -117,19 +117,19 @@
     switch (exchange.path()) {
       case PeerStatusCodec.PING_PATH -> {
         PeerStatus status = PeerStatusCodec.decodeStatus(body);
-        inputs.handle(new Input.PeerPing(openExchanges.open(exchange), status));
+        inputHandler.handle(new Input.PeerPing(openExchanges.open(exchange), status));
       }
       case ForwardingCodec.QUERIES_PATH -> {
         ImmutableList<String> uids = ForwardingCodec.decodeQueries(body);
-        inputs.handle(new Input.PeerQueries(openExchanges.open(exchange), uids));
+        inputHandler.handle(new Input.PeerQueries(openExchanges.open(exchange), uids));
       }
       case MachineHintCodec.HINTS_PATH -> {
         MachineHintBatch hints = MachineHintCodec.decodeHints(body);
-        inputs.handle(new Input.PeerHints(openExchanges.open(exchange), hints));
+        inputHandler.handle(new Input.PeerHints(openExchanges.open(exchange), hints));
       }
       case ForwardingCodec.REQUEST_PATH -> {
         Input request = ForwardingCodec.decodeRequest(body);
-        inputs.handle(new Input.PeerRequest(openExchanges.openForwarded(exchange), request));
+        inputHandler.handle(new Input.PeerRequest(openExchanges.openForwarded(exchange), request));
       }
       default -> reject(exchange, HttpStatus.NOT_FOUND, "no such path");
     }
--- a/src/main/java/eiderfork/net/ResponseSender.java
+++ b/src/main/java/eiderfork/net/ResponseSender.java
@@ -8,7 +8,7 @@
 import eiderfork.wire.UserCodec;
 import eiderfork.wire.WorkerCodec;
 
-/** Answers requests to this node as the controller's effects say. */
+/** Sends the responses that the controller emits as effects. */
 final class ResponseSender {
   private static final byte[] EMPTY_BODY = new byte[0];
 
@@ -20,7 +20,7 @@
     this.metrics = metrics;
   }
 
-  /** Sends the response. */
+  /** Sends the response to the request with the effect's ticket. */
   void send(Effect.Response effect) {
     if (effect instanceof Effect.RespondToUser response) {
       respondToUser(response);
@@ -65,8 +65,8 @@
     respondToPeer(openExchanges.take(effect.ticket()), body);
   }
 
-  private void respondToPeer(HttpServer.Exchange peer, byte[] body) {
+  private void respondToPeer(HttpServer.Exchange exchange, byte[] body) {
     metrics.recordPeerResponse(body.length);
-    peer.respond(HttpStatus.OK, body, 0);
+    exchange.respond(HttpStatus.OK, body, 0);
   }
 }
--- a/src/main/java/eiderfork/net/package-info.java
+++ b/src/main/java/eiderfork/net/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Netty servers and clients that turn a controller's effects into messages and messages into
- * inputs.
+ * Netty-based HTTP server and client: decode messages into inputs of a controller and send its
+ * effects as messages.
  */
 package eiderfork.net;
