--- a/src/test/java/eiderfork/ci/KnownRedExtension.java
+++ b/src/test/java/eiderfork/ci/KnownRedExtension.java
@@ -8,13 +8,13 @@
 import org.opentest4j.TestAbortedException;
 
 /**
- * Lets the build pass over tests that fail and that {@code KNOWN-RED.txt} lists, and prints them.
- * They are run all the same; every other failure still fails the build.
+ * JUnit extension that reports failures of the tests listed in {@code KNOWN-RED.txt} as aborted and
+ * prints them. The listed tests still run, and all other failures fail the build.
  */
 public final class KnownRedExtension implements TestExecutionExceptionHandler {
   private final KnownRedList list;
 
-  /** Reads the list at the root of the sources. */
+  /** Creates an extension with the list at the root of the source tree. */
   public KnownRedExtension() throws IOException {
     this(KnownRedList.read(Path.of("KNOWN-RED.txt")));
   }
@@ -28,21 +28,25 @@
       throws Throwable {
     String className = context.getRequiredTestClass().getSimpleName();
     String method = context.getRequiredTestMethod().getName();
-    Throwable outcome = passedOver(className, method, context.getDisplayName(), failure);
-    if (outcome != failure) {
-      System.out.println(outcome.getMessage());
+    Throwable reported = toReportedException(className, method, context.getDisplayName(), failure);
+    if (reported != failure) {
+      System.out.println(reported.getMessage());
     }
-    throw outcome;
+    throw reported;
   }
 
-  /** What becomes of a failure: itself, or an abortion where its test is listed. */
-  Throwable passedOver(String className, String method, String displayName, Throwable failure) {
+  /**
+   * Returns the exception to report for a failure: a {@link TestAbortedException} if the test is
+   * listed, else the failure itself.
+   */
+  Throwable toReportedException(
+      String className, String method, String displayName, Throwable failure) {
     Optional<KnownRedList.Entry> entry = list.find(className, method, displayName);
     if (entry.isEmpty() || failure instanceof TestAbortedException) {
       return failure;
     }
-    String listed = "KNOWN RED " + entry.get().test() + " | " + entry.get().rest();
+    String entryText = "KNOWN RED " + entry.get().test() + " | " + entry.get().details();
     return new TestAbortedException(
-        listed + " | now: " + displayName + " " + failure.getMessage(), failure);
+        entryText + " | now: " + displayName + " " + failure.getMessage(), failure);
   }
 }
--- a/src/test/java/eiderfork/ci/KnownRedList.java
+++ b/src/test/java/eiderfork/ci/KnownRedList.java
@@ -9,15 +9,16 @@
 import java.util.regex.Pattern;
 
 /**
- * The tests that are known to fail for a real fault, as {@code KNOWN-RED.txt} lists them: one line
- * each with test, command and seed, what was seen and issue, separated by bars. The test is {@code
- * Class#method}, or {@code Class#method[argument]} for one invocation of a parameterized test.
+ * List of the tests that are known to fail because of a real fault, as read from {@code
+ * KNOWN-RED.txt}. Each line has four fields separated by {@code |}: the test, the command and seed,
+ * the observed failure, and the issue. The test is {@code Class#method}, or {@code
+ * Class#method[argument]} for one invocation of a parameterized test.
  */
 record KnownRedList(List<Entry> entries) {
-  /** One listed test and the rest of its line. */
-  record Entry(String test, String rest) {}
+  /** A listed test and the other fields of its line. */
+  record Entry(String test, String details) {}
 
-  /** A line of the list that can't be read. */
+  /** Thrown if a line of the list is malformed. */
   static final class MalformedListException extends RuntimeException {
     private static final long serialVersionUID = 1;
 
@@ -26,15 +27,15 @@
     }
   }
 
-  private static final int FIELDS = 4;
-  private static final Pattern TEST = Pattern.compile("[A-Z]\\w*#\\w+(\\[[^\\]]+\\])?");
+  private static final int FIELD_COUNT = 4;
+  private static final Pattern TEST_PATTERN = Pattern.compile("[A-Z]\\w*#\\w+(\\[[^\\]]+\\])?");
 
-  /** Reads a list; a file that does not exist lists nothing. */
+  /** Reads a list from a file; the list is empty if the file does not exist. */
   static KnownRedList read(Path file) throws IOException {
     return parse(Files.exists(file) ? Files.readAllLines(file) : List.of());
   }
 
-  /** Takes a list's lines; empty ones and those that begin with # say nothing. */
+  /** Parses the lines of a list; blank lines and lines that start with # are ignored. */
   static KnownRedList parse(List<String> lines) {
     List<Entry> entries = new ArrayList<>();
     for (int i = 0; i < lines.size(); i++) {
@@ -43,28 +44,30 @@
         continue;
       }
       String[] fields = line.split("\\s*\\|\\s*", -1);
-      if (fields.length != FIELDS) {
+      if (fields.length != FIELD_COUNT) {
         throw new MalformedListException(
-            i + 1, "four fields are wanted: test | command | seen | issue");
+            i + 1, "expected four fields: test | command | seen | issue");
       }
-      if (!TEST.matcher(fields[0]).matches()) {
+      if (!TEST_PATTERN.matcher(fields[0]).matches()) {
         throw new MalformedListException(
-            i + 1, "the test is Class#method or Class#method[argument]");
+            i + 1, "the test must be Class#method or Class#method[argument]");
       }
       for (String field : fields) {
         if (field.isEmpty()) {
           throw new MalformedListException(i + 1, "a field is empty");
         }
       }
-      entries.add(new Entry(fields[0], String.join(" | ", List.of(fields).subList(1, FIELDS))));
+      entries.add(
+          new Entry(fields[0], String.join(" | ", List.of(fields).subList(1, FIELD_COUNT))));
     }
     return new KnownRedList(List.copyOf(entries));
   }
 
   /**
-   * The entry of a test that fails.
+   * Returns the entry for a failed test, if it is listed.
    *
-   * @param displayName of a parameterized test its number and argument, as "[3] 17"
+   * @param displayName the display name; for a parameterized test its index and argument, such as
+   *     "[3] 17"
    */
   Optional<Entry> find(String className, String method, String displayName) {
     String test = className + "#" + method;
--- a/src/test/java/eiderfork/ci/KnownRedTest.java
+++ b/src/test/java/eiderfork/ci/KnownRedTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.opentest4j.TestAbortedException;
 
-/** The build passes over the failures that are listed, and over no others. */
+/** Tests that listed failures, and only those, are reported as aborted. */
 class KnownRedTest {
   private static final KnownRedList LIST =
       KnownRedList.parse(
@@ -24,51 +24,52 @@
 
   private static final Throwable FAILURE = new AssertionError("two places");
 
-  private static Throwable outcome(String className, String method, String displayName) {
-    return new KnownRedExtension(LIST).passedOver(className, method, displayName, FAILURE);
+  private static Throwable reported(String className, String method, String displayName) {
+    return new KnownRedExtension(LIST).toReportedException(className, method, displayName, FAILURE);
   }
 
   @Test
-  void listedFailuresArePassedOver() {
-    assertInstanceOf(TestAbortedException.class, outcome("LeaseTest", "lapses", "lapses()"));
-    assertInstanceOf(TestAbortedException.class, outcome("LeaseTest", "lapses", "[2] 9"));
-    assertInstanceOf(TestAbortedException.class, outcome("HistoryTest", "rulesHold", "[1] 17"));
+  void listedFailuresAreReportedAsAborted() {
+    assertInstanceOf(TestAbortedException.class, reported("LeaseTest", "lapses", "lapses()"));
+    assertInstanceOf(TestAbortedException.class, reported("LeaseTest", "lapses", "[2] 9"));
+    assertInstanceOf(TestAbortedException.class, reported("HistoryTest", "rulesHold", "[1] 17"));
   }
 
   @Test
-  void everyOtherFailureStands() {
-    assertSame(FAILURE, outcome("HistoryTest", "rulesHold", "[17] 1"));
-    assertSame(FAILURE, outcome("HistoryTest", "rulesHold", "[3] 171"));
-    assertSame(FAILURE, outcome("HistoryTest", "lapses", "lapses()"));
-    assertSame(FAILURE, outcome("LeaseTest", "renews", "renews()"));
+  void unlistedFailuresAreReported() {
+    assertSame(FAILURE, reported("HistoryTest", "rulesHold", "[17] 1"));
+    assertSame(FAILURE, reported("HistoryTest", "rulesHold", "[3] 171"));
+    assertSame(FAILURE, reported("HistoryTest", "lapses", "lapses()"));
+    assertSame(FAILURE, reported("LeaseTest", "renews", "renews()"));
   }
 
   @Test
-  void withoutAListNothingIsPassedOver() throws IOException {
+  void missingFileIsAnEmptyList() throws IOException {
     assertTrue(KnownRedList.read(Path.of("target", "no-such-list")).entries().isEmpty());
   }
 
-  /** The last entry's line is gone, and the list is empty or has only its head. */
+  /** Without entries the file is empty or has only its header. */
   @Test
-  void aListWithoutEntriesPassesNothingOver() {
+  void emptyListChangesNoFailure() {
     for (List<String> lines : List.of(List.<String>of(), List.of("# test | command", ""))) {
       KnownRedExtension extension = new KnownRedExtension(KnownRedList.parse(lines));
-      assertSame(FAILURE, extension.passedOver("LeaseTest", "lapses", "lapses()", FAILURE));
+      assertSame(
+          FAILURE, extension.toReportedException("LeaseTest", "lapses", "lapses()", FAILURE));
     }
   }
 
   @Test
-  void aLineThatCanNotBeReadIsTold() {
+  void malformedLineIsReported() {
     for (String line :
         List.of(
             "LeaseTest#lapses | mvn test | a lease too short",
             "LeaseTest | mvn test | a lease too short | 4",
             "LeaseTest#lapses | mvn test |  | 4")) {
-      KnownRedList.MalformedListException told =
+      KnownRedList.MalformedListException thrown =
           assertThrows(
               KnownRedList.MalformedListException.class,
               () -> KnownRedList.parse(List.of("# head", line)));
-      assertEquals(0, told.getMessage().indexOf("KNOWN-RED.txt, line 2: "));
+      assertEquals(0, thrown.getMessage().indexOf("KNOWN-RED.txt, line 2: "));
     }
   }
 }
--- a/src/test/java/eiderfork/cli/ControllerStartTest.java
+++ b/src/test/java/eiderfork/cli/ControllerStartTest.java
@@ -16,9 +16,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A real process on loopback, without the services around it. */
+/** Starts a controller as a process on loopback, without the services that it depends on. */
 class ControllerStartTest {
-  @TempDir Path folder;
+  @TempDir Path tempDir;
 
   private Process start(String... args) throws IOException {
     String[] command = new String[args.length + 4];
@@ -28,18 +28,18 @@
     command[3] = Main.class.getName();
     System.arraycopy(args, 0, command, 4, args.length);
     return new ProcessBuilder(command)
-        .redirectOutput(folder.resolve("out").toFile())
-        .redirectError(folder.resolve("err").toFile())
+        .redirectOutput(tempDir.resolve("out").toFile())
+        .redirectError(tempDir.resolve("err").toFile())
         .start();
   }
 
   private String streamText(String stream) throws IOException {
-    return Files.readString(folder.resolve(stream));
+    return Files.readString(tempDir.resolve(stream));
   }
 
   @Test
   void invalidSettingsEndTheStartWithOneLine() throws Exception {
-    Path file = Files.writeString(folder.resolve("s.toml"), "host_name = 4\n");
+    Path file = Files.writeString(tempDir.resolve("s.toml"), "host_name = 4\n");
     Process process = start("serve", file.toString());
     assertTrue(process.waitFor(30, TimeUnit.SECONDS));
     assertEquals(2, process.exitValue());
@@ -66,7 +66,7 @@
     }
   }
 
-  /** Starts a controller whose store and cloud do not exist. */
+  /** Starts a controller whose store and cloud endpoints refuse connections. */
   private Process startWithoutServices(int port) throws IOException {
     String settings =
         """
@@ -95,7 +95,7 @@
         sockets = 600
         """
             .formatted(port, findFreePort(), findFreePort(), findFreePort());
-    Path file = Files.writeString(folder.resolve("s.toml"), settings);
+    Path file = Files.writeString(tempDir.resolve("s.toml"), settings);
     return start("serve", file.toString());
   }
 
@@ -110,9 +110,9 @@
       assertEquals(400, send(port, "POST", "/v2/runs", "{").statusCode());
       assertEquals(400, send(port, "POST", "/v2/runs", "[]").statusCode());
       assertEquals(400, send(port, "POST", "/v1/report", "{\"Roost\":7}").statusCode());
-      HttpResponse<String> later = send(port, "GET", "/v2/runs/run-000001", null);
-      assertEquals(503, later.statusCode());
-      assertTrue(later.headers().firstValue("retry-after").isPresent());
+      HttpResponse<String> unavailable = send(port, "GET", "/v2/runs/run-000001", null);
+      assertEquals(503, unavailable.statusCode());
+      assertTrue(unavailable.headers().firstValue("retry-after").isPresent());
       assertTrue(process.isAlive());
     } finally {
       process.destroyForcibly();
@@ -120,7 +120,7 @@
   }
 
   @Test
-  void refusesABodyBeyondTheLimit() throws Exception {
+  void rejectsOversizedBody() throws Exception {
     int port = findFreePort();
     Process process = startWithoutServices(port);
     try {
--- a/src/test/java/eiderfork/net/EventLoopMetricsTest.java
+++ b/src/test/java/eiderfork/net/EventLoopMetricsTest.java
@@ -9,26 +9,26 @@
 import eiderfork.model.Machine;
 import org.junit.jupiter.api.Test;
 
-/** The summary of the event loop's work. */
+/** Tests the summary of the event loop's metrics, which is written to the log. */
 class EventLoopMetricsTest {
   @Test
   void summaryHasEachKindOnceWithMeanAndMaximum() {
-    EventLoopMetrics meter = new EventLoopMetrics();
-    meter.recordInput(new Input.Tick(), 1_000_000);
-    meter.recordInput(new Input.Tick(), 5_000_000);
-    meter.recordInput(new Input.Query(1, "run-1"), 500_000);
-    meter.recordPeerRequest(2048);
-    meter.recordPeerResponse(512);
+    EventLoopMetrics metrics = new EventLoopMetrics();
+    metrics.recordInput(new Input.Tick(), 1_000_000);
+    metrics.recordInput(new Input.Tick(), 5_000_000);
+    metrics.recordInput(new Input.Query(1, "run-1"), 500_000);
+    metrics.recordPeerRequest(2048);
+    metrics.recordPeerResponse(512);
     assertEquals(
         "Query=1 QueryMeanMs=0.50 QueryMaxMs=1 Tick=2 TickMeanMs=3.00 TickMaxMs=5 "
             + "peerRequests=1 peerInKb=2.0 peerOutKb=0.5",
-        meter.takeSummary());
-    assertEquals("peerRequests=0 peerInKb=0.0 peerOutKb=0.0", meter.takeSummary());
+        metrics.takeSummary());
+    assertEquals("peerRequests=0 peerInKb=0.0 peerOutKb=0.0", metrics.takeSummary());
   }
 
   /**
-   * Log searches and dashboards match these names and the printed form of an input, so that they
-   * must not follow a rename in the code.
+   * Log searches and dashboards match these names and the printed form of an input, so they must
+   * not change when a class or component is renamed.
    */
   @Test
   void loggedNamesAndPrintedFormsOfInputsAreFixed() {
@@ -65,8 +65,8 @@
   }
 
   private static void assertLogged(String name, String printed, Input input) {
-    EventLoopMetrics meter = new EventLoopMetrics();
-    meter.recordInput(input, 1_000_000);
+    EventLoopMetrics metrics = new EventLoopMetrics();
+    metrics.recordInput(input, 1_000_000);
     assertEquals(
         name
             + "=1 "
@@ -74,7 +74,7 @@
             + "MeanMs=1.00 "
             + name
             + "MaxMs=1 peerRequests=0 peerInKb=0.0 peerOutKb=0.0",
-        meter.takeSummary());
+        metrics.takeSummary());
     assertEquals(name, input.loggedName());
     assertEquals(printed, input.toString());
   }
--- a/src/test/java/eiderfork/net/FailoverTracerTest.java
+++ b/src/test/java/eiderfork/net/FailoverTracerTest.java
@@ -15,9 +15,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Takeovers as lines of JSON. */
+/** Tests that failovers are written as spans in JSON Lines format. */
 class FailoverTracerTest {
-  private static final Effect.FailoverCompleted TAKEOVER =
+  private static final Effect.FailoverCompleted FAILOVER =
       new Effect.FailoverCompleted(
           5,
           ImmutableList.of(
@@ -30,7 +30,7 @@
   void eachPhaseIsAChildSpanOfTheFailover() throws Exception {
     Path file = folder.resolve("takeovers.jsonl");
     try (FailoverTracer tracer = FailoverTracer.of("roost-1", file.toString())) {
-      tracer.trace(TAKEOVER);
+      tracer.trace(FAILOVER);
     }
     List<JsonNode> spans = new ArrayList<>();
     for (String line : Files.readAllLines(file)) {
@@ -39,17 +39,17 @@
     assertEquals(
         List.of("election", "copy", "takeover"),
         spans.stream().map(span -> span.get("name").textValue()).toList());
-    JsonNode whole = spans.get(2);
-    assertFalse(whole.has("parent_span_id"));
-    assertEquals(whole.get("span_id"), spans.get(0).get("parent_span_id"));
-    assertEquals(whole.get("trace_id"), spans.get(1).get("trace_id"));
-    assertEquals(50_000_000, lastedNanos(whole));
-    assertEquals(20_000_000, lastedNanos(spans.get(1)));
-    assertEquals(5, whole.get("attributes").get("term").asLong());
-    assertEquals("roost-1", whole.get("attributes").get("host.name").textValue());
+    JsonNode rootSpan = spans.get(2);
+    assertFalse(rootSpan.has("parent_span_id"));
+    assertEquals(rootSpan.get("span_id"), spans.get(0).get("parent_span_id"));
+    assertEquals(rootSpan.get("trace_id"), spans.get(1).get("trace_id"));
+    assertEquals(50_000_000, durationNs(rootSpan));
+    assertEquals(20_000_000, durationNs(spans.get(1)));
+    assertEquals(5, rootSpan.get("attributes").get("term").asLong());
+    assertEquals("roost-1", rootSpan.get("attributes").get("host.name").textValue());
   }
 
-  private static long lastedNanos(JsonNode span) {
+  private static long durationNs(JsonNode span) {
     return span.get("end_unix_nanos").asLong() - span.get("start_unix_nanos").asLong();
   }
 
@@ -58,12 +58,12 @@
     assertSame(FailoverTracer.NONE, FailoverTracer.of("roost-1", null));
   }
 
-  /** Tracing never ends a controller. */
+  /** A failure to write the trace must not stop the controller. */
   @Test
   void unwritableFileIsIgnored() {
     try (FailoverTracer tracer =
         FailoverTracer.of("roost-1", folder.resolve("none/takeovers.jsonl").toString())) {
-      tracer.trace(TAKEOVER);
+      tracer.trace(FAILOVER);
     }
   }
 }
--- a/src/test/java/eiderfork/net/HeapMonitorTest.java
+++ b/src/test/java/eiderfork/net/HeapMonitorTest.java
@@ -5,12 +5,12 @@
 
 import org.junit.jupiter.api.Test;
 
-/** When the heap is collected, by what the machine's memory leaves for it. */
+/** Tests when the heap is collected, depending on the memory of the machine. */
 class HeapMonitorTest {
-  /** A heap of which a collection leaves what is alive. */
+  /** A heap whose size after a collection is that of its live objects. */
   private static final class FakeHeap implements HeapMonitor.Heap {
     double committedMb;
-    double aliveMb;
+    double liveMb;
     int collections;
 
     @Override
@@ -21,51 +21,54 @@
     @Override
     public void collect() {
       collections++;
-      committedMb = aliveMb;
+      committedMb = liveMb;
     }
   }
 
   private final FakeHeap heap = new FakeHeap();
 
-  private void grow(HeapMonitor watch, double toMb) {
+  private void grow(HeapMonitor monitor, double toMb) {
     heap.committedMb = toMb;
-    watch.collectIfNeeded();
+    monitor.collectIfNeeded();
   }
 
-  /** With one limit for all deployments garbage would fill what a small machine does not have. */
+  /**
+   * The maximum heap size is the same for all deployments, so without explicit collections garbage
+   * would exceed the memory of a small machine.
+   */
   @Test
   void collectsBeforeSmallMachineIsFull() {
-    HeapMonitor watch = new HeapMonitor(heap, 148);
-    heap.aliveMb = 20;
+    HeapMonitor monitor = new HeapMonitor(heap, 148);
+    heap.liveMb = 20;
     heap.committedMb = 24;
-    double mostMb = 0;
+    double maxCommittedMb = 0;
     for (int i = 0; i < 80; i++) {
-      grow(watch, heap.committedMb + 1);
-      mostMb = Math.max(mostMb, heap.committedMb);
+      grow(monitor, heap.committedMb + 1);
+      maxCommittedMb = Math.max(maxCommittedMb, heap.committedMb);
     }
     assertEquals(2, heap.collections);
-    assertTrue(mostMb < 148 - 72, mostMb + " MB");
+    assertTrue(maxCommittedMb < 148 - 72, maxCommittedMb + " MB");
   }
 
   @Test
   void collectsLaterOnLargeMachine() {
-    HeapMonitor watch = new HeapMonitor(heap, 414);
-    grow(watch, 200);
+    HeapMonitor monitor = new HeapMonitor(heap, 414);
+    grow(monitor, 200);
     assertEquals(0, heap.collections);
   }
 
-  /** What is alive can't be collected away, and trying again each second would stop everything. */
+  /** A collection can't free live objects, and one every second would halt all other work. */
   @Test
   void doesNotCollectLiveHeapRepeatedly() {
-    HeapMonitor watch = new HeapMonitor(heap, 148);
-    heap.aliveMb = 100;
-    grow(watch, 100);
+    HeapMonitor monitor = new HeapMonitor(heap, 148);
+    heap.liveMb = 100;
+    grow(monitor, 100);
     assertEquals(1, heap.collections);
     for (int i = 0; i < 60; i++) {
-      grow(watch, 110);
+      grow(monitor, 110);
     }
     assertEquals(1, heap.collections);
-    grow(watch, 130);
+    grow(monitor, 130);
     assertEquals(2, heap.collections);
   }
 }
--- a/src/test/java/eiderfork/net/HttpClientConnectionTest.java
+++ b/src/test/java/eiderfork/net/HttpClientConnectionTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Requests to a server that closes, or keeps, its connections as the test says. */
+/** Tests requests to a server whose connections are opened, read and closed by the test. */
 class HttpClientConnectionTest {
   private static final long TIMEOUT_MS = 20_000;
   private static final int SMALL_BUFFER_BYTES = 4096;
@@ -35,7 +35,7 @@
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private final EventLoop loop = group.next();
   private final HttpClient client = new HttpClient(loop, 16, this::onOpened);
-  private final List<Channel> opened = new ArrayList<>();
+  private final List<Channel> openedChannels = new ArrayList<>();
   private ServerSocket server;
 
   @BeforeEach
@@ -54,7 +54,7 @@
 
   private void onOpened(Channel channel) {
     ((SocketChannel) channel).config().setSendBufferSize(SMALL_BUFFER_BYTES);
-    opened.add(channel);
+    openedChannels.add(channel);
   }
 
   private CompletableFuture<Integer> send(byte[] body, long timeoutMs) {
@@ -94,16 +94,16 @@
     connection.getOutputStream().write((head + "\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
   }
 
-  /** Keeps the event loop busy, so that what the server does meanwhile is seen all at once. */
-  private CountDownLatch holdLoop() throws InterruptedException {
-    CountDownLatch held = new CountDownLatch(1);
+  /** Blocks the event loop until the latch is released; the loop then sees all pending events. */
+  private CountDownLatch blockLoop() throws InterruptedException {
+    CountDownLatch blocked = new CountDownLatch(1);
     CountDownLatch released = new CountDownLatch(1);
     loop.execute(
         () -> {
-          held.countDown();
+          blocked.countDown();
           awaitUninterrupted(released);
         });
-    held.await();
+    blocked.await();
     return released;
   }
 
@@ -115,22 +115,22 @@
     }
   }
 
-  /** An early refusal was thrown away, since the rest of the request could not be written. */
+  /** A response sent before the end of the request was lost when writing the rest failed. */
   @Test
-  void aResponseBeforeTheEndOfTheRequestIsUsed() throws Exception {
+  void responseBeforeEndOfRequestIsUsed() throws Exception {
     CompletableFuture<Integer> status = send(LARGE_BODY, TIMEOUT_MS);
     Socket connection = server.accept();
     readHead(connection);
-    CountDownLatch released = holdLoop();
+    CountDownLatch released = blockLoop();
     respond(connection, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\nConnection: close");
     connection.close();
     released.countDown();
     assertEquals(400, await(status));
   }
 
-  /** The next request stood behind a body that nobody read any more. */
+  /** The next request was queued behind a body that the server no longer read. */
   @Test
-  void aConnectionWithAnUnfinishedRequestIsNotUsedAgain() throws Exception {
+  void connectionWithUnfinishedRequestIsNotReused() throws Exception {
     CompletableFuture<Integer> first = send(LARGE_BODY, TIMEOUT_MS);
     try (Socket refusing = server.accept()) {
       readHead(refusing);
@@ -145,9 +145,9 @@
     }
   }
 
-  /** A response that had come in time was given up, since the event loop was late to read it. */
+  /** A response that arrived in time was discarded because the event loop read it too late. */
   @Test
-  void aResponseThatCameInTimeIsUsedByALateLoop() throws Exception {
+  void responseInTimeIsUsedByLateEventLoop() throws Exception {
     long timeoutMs = 300;
     CountDownLatch responded = new CountDownLatch(1);
     CompletableFuture<Integer> busy =
@@ -167,25 +167,27 @@
     }
   }
 
-  /** Whether a kept connection's end came before or after the request can't be known. */
+  /** The client can't know whether the server closed an idle connection before the request. */
   @Test
-  void aRequestOnAConnectionThatEndsIsUnanswered() throws Exception {
+  void requestOnConnectionClosedByServerIsUnanswered() throws Exception {
     CompletableFuture<Integer> first = send(NO_BODY, TIMEOUT_MS);
-    Socket kept = server.accept();
-    readHead(kept);
-    respond(kept, "HTTP/1.1 200 OK\r\nContent-Length: 0");
+    Socket idleConnection = server.accept();
+    readHead(idleConnection);
+    respond(idleConnection, "HTTP/1.1 200 OK\r\nContent-Length: 0");
     assertEquals(200, await(first));
-    CountDownLatch released = holdLoop();
+    CountDownLatch released = blockLoop();
     CompletableFuture<Integer> second = send(NO_BODY, TIMEOUT_MS);
-    kept.close();
+    idleConnection.close();
     released.countDown();
     assertEquals(HttpClient.STATUS_NONE, await(second));
-    assertEquals(1, opened.size());
+    assertEquals(1, openedChannels.size());
   }
 
-  /** A response that ends with its connection is whole; the next request opens another. */
+  /**
+   * The end of the connection completes a response without a length; the next request reconnects.
+   */
   @Test
-  void aResponseThatClosesItsConnectionIsUsed() throws Exception {
+  void responseDelimitedByConnectionCloseIsUsed() throws Exception {
     for (int i = 0; i < 3; i++) {
       CompletableFuture<Integer> status = send(NO_BODY, TIMEOUT_MS);
       try (Socket connection = server.accept()) {
@@ -197,9 +199,9 @@
     }
   }
 
-  /** A response that is cut short is none. */
+  /** A response shorter than its Content-Length counts as no response. */
   @Test
-  void aResponseThatIsCutShortIsNone() throws Exception {
+  void truncatedResponseIsDiscarded() throws Exception {
     CompletableFuture<Integer> status = send(NO_BODY, TIMEOUT_MS);
     try (Socket connection = server.accept()) {
       readHead(connection);
--- a/src/test/java/eiderfork/net/HttpClientTest.java
+++ b/src/test/java/eiderfork/net/HttpClientTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Requests to a server on loopback. */
+/** Tests requests to a server on loopback. */
 class HttpClientTest {
   private static final long TIMEOUT_MS = 10_000;
 
@@ -31,9 +31,9 @@
     group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
   }
 
-  private Endpoint serve(java.util.function.Consumer<HttpServer.Exchange> consumer)
+  private Endpoint serve(java.util.function.Consumer<HttpServer.Exchange> handler)
       throws Exception {
-    Channel channel = new HttpServer(consumer, 16).listen(group, new Endpoint("127.0.0.1", 0));
+    Channel channel = new HttpServer(handler, 16).listen(group, new Endpoint("127.0.0.1", 0));
     return new Endpoint("127.0.0.1", ((InetSocketAddress) channel.localAddress()).getPort());
   }
 
@@ -47,42 +47,45 @@
   }
 
   /**
-   * A watch's answer has no limit; taken for one that was lost, it was asked for again for ever.
+   * The response to a watch may be of any size; when an oversized one was treated as lost, the same
+   * request was repeated forever.
    */
   @Test
   void oversizedResponseIsDistinctFromNone() throws Exception {
-    Endpoint server = serve(it -> it.respond(200, new byte[HttpClient.MAX_BODY_BYTES + 1], 0));
+    Endpoint server =
+        serve(exchange -> exchange.respond(200, new byte[HttpClient.MAX_BODY_BYTES + 1], 0));
     HttpClient client = new HttpClient(loop, 16);
     assertEquals(HttpClient.STATUS_OVERSIZED, send(client, server).get(10, TimeUnit.SECONDS));
-    Endpoint whole = serve(it -> it.respond(200, new byte[HttpClient.MAX_BODY_BYTES], 0));
-    assertEquals(200, send(client, whole).get(10, TimeUnit.SECONDS));
+    Endpoint serverAtLimit =
+        serve(exchange -> exchange.respond(200, new byte[HttpClient.MAX_BODY_BYTES], 0));
+    assertEquals(200, send(client, serverAtLimit).get(10, TimeUnit.SECONDS));
   }
 
-  /** Past four at a time, connections to the store were opened anew for each request. */
+  /** Beyond four concurrent requests to the store, each one opened a new connection. */
   @Test
   void idleConnectionsPerEndpointAreAShareOfAll() throws Exception {
-    List<HttpServer.Exchange> held = new ArrayList<>();
-    Endpoint server = serve(held::add);
-    Set<Channel> opened = ConcurrentHashMap.newKeySet();
-    HttpClient client = new HttpClient(loop, 160, opened::add);
+    List<HttpServer.Exchange> openExchanges = new ArrayList<>();
+    Endpoint server = serve(openExchanges::add);
+    Set<Channel> openedChannels = ConcurrentHashMap.newKeySet();
+    HttpClient client = new HttpClient(loop, 160, openedChannels::add);
     for (int round = 0; round < 3; round++) {
-      List<CompletableFuture<Integer>> answers = new ArrayList<>();
+      List<CompletableFuture<Integer>> statuses = new ArrayList<>();
       for (int i = 0; i < 20; i++) {
-        answers.add(send(client, server));
+        statuses.add(send(client, server));
       }
-      while (loop.submit(held::size).get() < 20) {
+      while (loop.submit(openExchanges::size).get() < 20) {
         Thread.sleep(1);
       }
       loop.submit(
               () -> {
-                held.forEach(it -> it.respond(200, new byte[0], 0));
-                held.clear();
+                openExchanges.forEach(exchange -> exchange.respond(200, new byte[0], 0));
+                openExchanges.clear();
               })
           .get();
-      for (CompletableFuture<Integer> answer : answers) {
-        assertEquals(200, answer.get(10, TimeUnit.SECONDS));
+      for (CompletableFuture<Integer> status : statuses) {
+        assertEquals(200, status.get(10, TimeUnit.SECONDS));
       }
     }
-    assertTrue(opened.size() == 20, opened.size() + " connections");
+    assertTrue(openedChannels.size() == 20, openedChannels.size() + " connections");
   }
 }
--- a/src/test/java/eiderfork/net/HttpServerTest.java
+++ b/src/test/java/eiderfork/net/HttpServerTest.java
@@ -23,21 +23,21 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Each sender gets its response before its connection is closed. */
+/** Tests that each client gets its response before the server closes its connection. */
 @Timeout(60)
 class HttpServerTest {
   private static final int SOCKETS = 16;
   private static final int OVERSIZED_BYTES = 70_000;
-  private static final int PIECE_BYTES = 1_000;
+  private static final int WRITE_BYTES = 1_000;
 
-  /** More than the server reads before it refuses. */
+  /** More than the server reads before it rejects a request. */
   private static final int LARGE_BYTES = 1_000_000;
 
   private static final long LONG_MS = 60_000;
   private static final long SHORT_MS = 100;
   private static final long MANY_BYTES = 1L << 30;
 
-  /** More than any socket's buffers hold. */
+  /** Larger than the buffers of any socket. */
   private static final int ENDLESS_BYTES = 64 << 20;
 
   private static final String OVERSIZED_HEAD = head("Content-Length: " + OVERSIZED_BYTES);
@@ -62,16 +62,16 @@
     return listen(new HttpServer(handler, SOCKETS));
   }
 
-  private Endpoint serveAndKeepRequests() throws Exception {
+  private Endpoint serveWithoutResponding() throws Exception {
     return serve(requests::add);
   }
 
-  /** Waits until the server has answered and has done all that follows from it. */
+  /** Waits until the server has responded and completed the subsequent event loop tasks. */
   private void awaitResponse(RawConnection connection) throws Exception {
-    while (connection.received() == 0) {
+    while (connection.availableBytes() == 0) {
       Thread.sleep(1);
     }
-    finishTurns();
+    awaitLoopIterations();
   }
 
   private void awaitRequest() throws Exception {
@@ -81,11 +81,11 @@
   }
 
   private void respondToAll(int status) throws Exception {
-    loop.submit(() -> requests.forEach(it -> it.respond(status, new byte[0], 0))).get();
+    loop.submit(() -> requests.forEach(exchange -> exchange.respond(status, new byte[0], 0))).get();
   }
 
-  private void finishTurns() throws Exception {
-    for (int turn = 0; turn < 3; turn++) {
+  private void awaitLoopIterations() throws Exception {
+    for (int iteration = 0; iteration < 3; iteration++) {
       loop.submit(() -> {}).get();
     }
   }
@@ -99,28 +99,31 @@
     assertTrue(response.startsWith("HTTP/1.1 " + status + " "), response);
   }
 
-  private static void sendInPieces(RawConnection connection, int bytes) throws IOException {
-    for (int sent = 0; sent < bytes; sent += PIECE_BYTES) {
-      connection.send(" ".repeat(PIECE_BYTES));
+  private static void sendInSmallWrites(RawConnection connection, int bytes) throws IOException {
+    for (int sent = 0; sent < bytes; sent += WRITE_BYTES) {
+      connection.send(" ".repeat(WRITE_BYTES));
     }
   }
 
-  /** A sender in the middle of its body was cut off by a reset, and never saw the 400. */
+  /** A reset while the client was still sending its body lost the 400 response. */
   @Test
-  void aSenderThatReadsOnlyAfterItsBodyGetsThe400() throws Exception {
-    try (RawConnection connection = new RawConnection(serveAndKeepRequests())) {
+  void clientThatReadsOnlyAfterItsBodyGets400() throws Exception {
+    try (RawConnection connection = new RawConnection(serveWithoutResponding())) {
       connection.send(OVERSIZED_HEAD);
-      connection.send(" ".repeat(PIECE_BYTES));
+      connection.send(" ".repeat(WRITE_BYTES));
       awaitResponse(connection);
-      sendInPieces(connection, OVERSIZED_BYTES - PIECE_BYTES);
+      sendInSmallWrites(connection, OVERSIZED_BYTES - WRITE_BYTES);
       assertLastResponse(400, connection);
     }
   }
 
-  /** The kernel keeps the response for a sender that has sent all; so it was before, too. */
+  /**
+   * The kernel keeps the response for a client that has sent everything; this needs no lingering
+   * close.
+   */
   @Test
-  void aBodyThatIsInFlightAsAWholeGetsThe400() throws Exception {
-    Endpoint server = serveAndKeepRequests();
+  void clientThatSendsWholeOversizedBodyAtOnceGets400() throws Exception {
+    Endpoint server = serveWithoutResponding();
     for (int i = 0; i < 20; i++) {
       try (RawConnection connection = new RawConnection(server)) {
         connection.send(head("Content-Length: " + LARGE_BYTES) + " ".repeat(LARGE_BYTES));
@@ -129,13 +132,13 @@
     }
   }
 
-  /** The same for a body whose length shows only as it comes. */
+  /** A chunked body, whose length is unknown until it has been received, is rejected as well. */
   @Test
-  void aChunkedBodyBeyondTheLimitGetsThe400() throws Exception {
-    try (RawConnection connection = new RawConnection(serveAndKeepRequests())) {
+  void oversizedChunkedBodyGets400() throws Exception {
+    try (RawConnection connection = new RawConnection(serveWithoutResponding())) {
       connection.send(CHUNKED_HEAD);
-      String chunk = Integer.toHexString(PIECE_BYTES) + "\r\n" + " ".repeat(PIECE_BYTES) + "\r\n";
-      connection.send(chunk.repeat(OVERSIZED_BYTES / PIECE_BYTES));
+      String chunk = Integer.toHexString(WRITE_BYTES) + "\r\n" + " ".repeat(WRITE_BYTES) + "\r\n";
+      connection.send(chunk.repeat(OVERSIZED_BYTES / WRITE_BYTES));
       awaitResponse(connection);
       for (int i = 0; i < 20; i++) {
         connection.send(chunk);
@@ -145,46 +148,46 @@
     }
   }
 
-  /** A sender that ends its direction with the body still got a reset. */
+  /** A client that shut down its output after the body got a reset instead of the response. */
   @Test
-  void aSenderThatEndsItsOutputGetsThe400() throws Exception {
-    try (RawConnection connection = new RawConnection(serveAndKeepRequests())) {
-      connection.send(OVERSIZED_HEAD + " ".repeat(PIECE_BYTES));
+  void clientThatShutsDownItsOutputGets400() throws Exception {
+    try (RawConnection connection = new RawConnection(serveWithoutResponding())) {
+      connection.send(OVERSIZED_HEAD + " ".repeat(WRITE_BYTES));
       awaitResponse(connection);
-      sendInPieces(connection, OVERSIZED_BYTES - PIECE_BYTES);
-      connection.endOutput();
+      sendInSmallWrites(connection, OVERSIZED_BYTES - WRITE_BYTES);
+      connection.shutdownOutput();
       assertLastResponse(400, connection);
     }
   }
 
-  /** An oversized body that was only announced got 413, which users repeat for a minute. */
+  /** An oversized body with Expect: 100-continue got 413, which users retry for a minute. */
   @Test
-  void anAnnouncedBodyBeyondTheLimitGetsThe400WithoutBeingAskedFor() throws Exception {
-    try (RawConnection connection = new RawConnection(serveAndKeepRequests())) {
+  void oversizedBodyWithExpectContinueGets400WithoutContinue() throws Exception {
+    try (RawConnection connection = new RawConnection(serveWithoutResponding())) {
       connection.send(head("Content-Length: " + OVERSIZED_BYTES, "Expect: 100-continue"));
       assertLastResponse(400, connection);
     }
   }
 
-  /** The body that followed such a refusal was read, and served, as a request. */
+  /** The body sent after a rejected expectation was parsed and served as a request. */
   @ParameterizedTest
   @ValueSource(strings = {"100-continue", "200-other"})
-  void aBodyThatFollowsARefusedExpectationIsNotServed(String expectation) throws Exception {
-    try (RawConnection connection = new RawConnection(serveAndKeepRequests())) {
+  void bodyAfterRejectedExpectationIsNotServed(String expectation) throws Exception {
+    try (RawConnection connection = new RawConnection(serveWithoutResponding())) {
       connection.send(head("Content-Length: " + OVERSIZED_BYTES, "Expect: " + expectation));
       awaitResponse(connection);
       connection.send(SMALL_REQUEST);
-      sendInPieces(connection, OVERSIZED_BYTES - PIECE_BYTES);
+      sendInSmallWrites(connection, OVERSIZED_BYTES - WRITE_BYTES);
       assertLastResponse(expectation.equals("100-continue") ? 400 : 417, connection);
-      finishTurns();
+      awaitLoopIterations();
       assertEquals(0, requests.size());
     }
   }
 
-  /** A body of unknown length is asked for, and refused as soon as it is too long. */
+  /** A chunked body with Expect: 100-continue is requested, then rejected when it is too long. */
   @Test
-  void anAnnouncedChunkedBodyBeyondTheLimitGetsThe400() throws Exception {
-    try (RawConnection connection = new RawConnection(serveAndKeepRequests())) {
+  void oversizedChunkedBodyWithExpectContinueGets400() throws Exception {
+    try (RawConnection connection = new RawConnection(serveWithoutResponding())) {
       connection.send(head("Transfer-Encoding: chunked", "Expect: 100-continue"));
       assertStatus(100, connection.readResponse());
       connection.send(Integer.toHexString(LARGE_BYTES) + "\r\n" + " ".repeat(LARGE_BYTES));
@@ -193,9 +196,9 @@
     }
   }
 
-  /** A body within the limit that is announced is asked for and served. */
+  /** A body within the limit with Expect: 100-continue is requested and served. */
   @Test
-  void anAnnouncedBodyWithinTheLimitIsServed() throws Exception {
+  void bodyWithinLimitWithExpectContinueIsServed() throws Exception {
     Endpoint server = serve(exchange -> exchange.respond(201, exchange.body(), 0));
     try (RawConnection connection = new RawConnection(server)) {
       connection.send(head("Content-Length: 2", "Expect: 100-continue"));
@@ -205,7 +208,7 @@
     }
   }
 
-  /** What is not HTTP got its 400 cut off by what stood behind it. */
+  /** Bytes after a malformed request caused a reset that lost its 400 response. */
   @ParameterizedTest
   @ValueSource(
       strings = {
@@ -213,45 +216,45 @@
         "POST /v2/runs HTTP/1.1\r\nContent-Length: many\r\n\r\n",
         "POST /v2/runs HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nmany\r\n"
       })
-  void malformedRequestsGetThe400(String start) throws Exception {
-    try (RawConnection connection = new RawConnection(serveAndKeepRequests())) {
+  void malformedRequestsGet400(String start) throws Exception {
+    try (RawConnection connection = new RawConnection(serveWithoutResponding())) {
       connection.send(start);
       awaitResponse(connection);
-      sendInPieces(connection, OVERSIZED_BYTES);
+      sendInSmallWrites(connection, OVERSIZED_BYTES);
       assertLastResponse(400, connection);
       assertEquals(0, requests.size());
     }
   }
 
-  /** A request line or a header of any length is refused like other malformed requests. */
+  /** An overlong request line or header is rejected like other malformed requests. */
   @ParameterizedTest
   @ValueSource(strings = {"GET /", "GET / HTTP/1.1\r\nName: "})
-  void overlongLinesGetThe400(String start) throws Exception {
-    try (RawConnection connection = new RawConnection(serveAndKeepRequests())) {
+  void overlongLinesGet400(String start) throws Exception {
+    try (RawConnection connection = new RawConnection(serveWithoutResponding())) {
       connection.send(start + "x".repeat(OVERSIZED_BYTES));
       awaitResponse(connection);
-      sendInPieces(connection, OVERSIZED_BYTES);
+      sendInSmallWrites(connection, OVERSIZED_BYTES);
       assertLastResponse(400, connection);
     }
   }
 
-  /** Bytes behind the last request of a connection made its close a reset. */
+  /** Bytes after the last request of a connection turned its close into a reset. */
   @Test
-  void bytesBehindTheLastRequestDoNotCostItsResponse() throws Exception {
+  void bytesAfterLastRequestDoNotLoseItsResponse() throws Exception {
     Endpoint server = serve(exchange -> exchange.respond(201, new byte[0], 0));
     try (RawConnection connection = new RawConnection(server)) {
       connection.send(head("Connection: close", "Content-Length: 2") + "{}");
       awaitResponse(connection);
-      sendInPieces(connection, OVERSIZED_BYTES);
+      sendInSmallWrites(connection, OVERSIZED_BYTES);
       assertLastResponse(201, connection);
     }
   }
 
-  /** Requests behind the last one of a connection, or behind a refused one, were served. */
+  /** Requests after one with Connection: close, or after a rejected one, were served. */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void requestsBehindTheLastOneAreNotServed(boolean together) throws Exception {
-    try (RawConnection connection = new RawConnection(serveAndKeepRequests())) {
+  void requestsAfterLastOneAreNotServed(boolean together) throws Exception {
+    try (RawConnection connection = new RawConnection(serveWithoutResponding())) {
       String last = head("Connection: close", "Content-Length: 2") + "{}";
       connection.send(last + (together ? SMALL_REQUEST : ""));
       awaitRequest();
@@ -259,42 +262,42 @@
         connection.send(SMALL_REQUEST);
       }
       connection.send(OVERSIZED_HEAD);
-      finishTurns();
+      awaitLoopIterations();
       respondToAll(201);
       assertLastResponse(201, connection);
       assertEquals(1, requests.size());
     }
   }
 
-  /** A request that stands in the same bytes as the end of a refused body. */
+  /** A request in the same read as the end of a rejected body must be discarded with it. */
   @Test
-  void requestsBehindARefusedBodyAreNotServed() throws Exception {
-    try (RawConnection connection = new RawConnection(serveAndKeepRequests())) {
+  void requestsAfterRejectedBodyAreNotServed() throws Exception {
+    try (RawConnection connection = new RawConnection(serveWithoutResponding())) {
       connection.send(OVERSIZED_HEAD + " ".repeat(OVERSIZED_BYTES) + SMALL_REQUEST);
       assertLastResponse(400, connection);
-      finishTurns();
+      awaitLoopIterations();
       assertEquals(0, requests.size());
     }
   }
 
-  /** Others are served while a refused sender stalls. */
+  /** Other clients are served while a client with a rejected request stalls. */
   @Test
-  void aStalledSenderDoesNotKeepOthersWaiting() throws Exception {
+  void stalledClientDoesNotBlockOthers() throws Exception {
     Endpoint server = serve(exchange -> exchange.respond(201, new byte[0], 0));
     try (RawConnection stalled = new RawConnection(server);
         RawConnection other = new RawConnection(server)) {
-      stalled.send(OVERSIZED_HEAD + " ".repeat(PIECE_BYTES));
+      stalled.send(OVERSIZED_HEAD + " ".repeat(WRITE_BYTES));
       awaitResponse(stalled);
       other.send(SMALL_REQUEST);
       assertStatus(201, other.readResponse());
-      sendInPieces(stalled, OVERSIZED_BYTES - PIECE_BYTES);
+      sendInSmallWrites(stalled, OVERSIZED_BYTES - WRITE_BYTES);
       assertLastResponse(400, stalled);
     }
   }
 
-  /** A connection that is not at its end stays open. */
+  /** A connection stays open as long as no request asks for its close. */
   @Test
-  void otherConnectionsStayOpen() throws Exception {
+  void keepAliveConnectionsStayOpen() throws Exception {
     Endpoint server = serve(exchange -> exchange.respond(201, new byte[0], 0));
     try (RawConnection connection = new RawConnection(server)) {
       for (int i = 0; i < 3; i++) {
@@ -306,7 +309,7 @@
     }
   }
 
-  // Limits of the wait for a peer's end.
+  // Limits on lingering connections.
 
   private HttpServer limitedServer(LingerLimits limits) {
     return new HttpServer(requests::add, SOCKETS, limits);
@@ -317,10 +320,10 @@
     return new Endpoint("127.0.0.1", ((InetSocketAddress) channel.localAddress()).getPort());
   }
 
-  /** Sends an oversized request's first part, and waits for its refusal. */
-  private RawConnection refused(Endpoint server) throws Exception {
+  /** Sends the first part of an oversized request and waits for its rejection. */
+  private RawConnection sendRejectedRequest(Endpoint server) throws Exception {
     RawConnection connection = new RawConnection(server);
-    connection.send(OVERSIZED_HEAD + " ".repeat(PIECE_BYTES));
+    connection.send(OVERSIZED_HEAD + " ".repeat(WRITE_BYTES));
     awaitResponse(connection);
     return connection;
   }
@@ -333,78 +336,78 @@
     }
   }
 
-  private static void assertCutOff(RawConnection connection, int pieceBytes) {
+  private static void assertConnectionReset(RawConnection connection, int writeBytes) {
     assertThrows(
         IOException.class,
         () -> {
-          for (int sent = 0; sent < ENDLESS_BYTES; sent += pieceBytes) {
-            connection.send(" ".repeat(pieceBytes));
+          for (int sent = 0; sent < ENDLESS_BYTES; sent += writeBytes) {
+            connection.send(" ".repeat(writeBytes));
           }
         });
   }
 
-  /** A sender that reads its response and goes costs no socket any more. */
+  /** A connection is released when the client closes it after reading the response. */
   @Test
-  void theWaitEndsWithThePeer() throws Exception {
+  void lingeringEndsWhenPeerCloses() throws Exception {
     HttpServer server = limitedServer(new LingerLimits(LONG_MS, MANY_BYTES, SOCKETS));
-    try (RawConnection connection = refused(listen(server))) {
+    try (RawConnection connection = sendRejectedRequest(listen(server))) {
       awaitLingering(server, 1);
       assertStatus(400, connection.readResponse());
     }
     awaitLingering(server, 0);
   }
 
-  /** A sender that never closes would hold a socket for ever. */
+  /** A client that never closes would occupy a socket forever. */
   @Test
-  void aSilentPeerIsClosedInTime() throws Exception {
+  void idlePeerIsClosedAfterTimeout() throws Exception {
     HttpServer server = limitedServer(new LingerLimits(SHORT_MS, MANY_BYTES, SOCKETS));
-    try (RawConnection connection = refused(listen(server))) {
+    try (RawConnection connection = sendRejectedRequest(listen(server))) {
       awaitLingering(server, 0);
       assertLastResponse(400, connection);
-      assertCutOff(connection, 1);
+      assertConnectionReset(connection, 1);
     }
   }
 
-  /** A sender that trickles would hold a socket for ever. */
+  /** A client that keeps sending slowly would occupy a socket forever. */
   @Test
-  void aTricklingPeerIsClosedInTime() throws Exception {
+  void slowSendingPeerIsClosedAfterTimeout() throws Exception {
     HttpServer server = limitedServer(new LingerLimits(SHORT_MS, MANY_BYTES, SOCKETS));
-    try (RawConnection connection = refused(listen(server))) {
-      assertCutOff(connection, 1);
+    try (RawConnection connection = sendRejectedRequest(listen(server))) {
+      assertConnectionReset(connection, 1);
       awaitLingering(server, 0);
     }
   }
 
-  /** A sender that never ends would keep the event loop reading. */
+  /** A client that sends without end would keep the event loop busy reading. */
   @Test
-  void anEndlessBodyIsCutOff() throws Exception {
+  void endlessBodyIsCutOff() throws Exception {
     HttpServer server = limitedServer(new LingerLimits(LONG_MS, OVERSIZED_BYTES, SOCKETS));
-    try (RawConnection connection = refused(listen(server))) {
-      assertCutOff(connection, LARGE_BYTES);
+    try (RawConnection connection = sendRejectedRequest(listen(server))) {
+      assertConnectionReset(connection, LARGE_BYTES);
       awaitLingering(server, 0);
     }
   }
 
-  /** Senders that never close would together hold every socket. */
+  /** Many clients that never close would occupy all sockets. */
   @Test
-  void pastTheShareOfSocketsTheOldestIsClosed() throws Exception {
+  void oldestLingeringConnectionIsClosedBeyondLimit() throws Exception {
     HttpServer server = limitedServer(new LingerLimits(LONG_MS, MANY_BYTES, 2));
     Endpoint endpoint = listen(server);
-    try (RawConnection oldest = refused(endpoint);
-        RawConnection second = refused(endpoint);
-        RawConnection third = refused(endpoint)) {
+    try (RawConnection oldest = sendRejectedRequest(endpoint);
+        RawConnection second = sendRejectedRequest(endpoint);
+        RawConnection third = sendRejectedRequest(endpoint)) {
       awaitLingering(server, 2);
-      assertCutOff(oldest, 1);
+      assertConnectionReset(oldest, 1);
       for (RawConnection other : List.of(second, third)) {
-        sendInPieces(other, OVERSIZED_BYTES - PIECE_BYTES);
+        sendInSmallWrites(other, OVERSIZED_BYTES - WRITE_BYTES);
         assertLastResponse(400, other);
       }
     }
   }
 
-  /** The limit on the wait begins with the response, however late that is. */
+  /** The lingering timeout starts when the response has been written, however late that is. */
   @Test
-  void aLateResponseIsNotCutOff() throws Exception {
+  void lateResponseIsNotCutOff() throws Exception {
     HttpServer server = limitedServer(new LingerLimits(SHORT_MS, MANY_BYTES, SOCKETS));
     try (RawConnection connection = new RawConnection(listen(server))) {
       connection.send(head("Connection: close", "Content-Length: 2") + "{}");
--- a/src/test/java/eiderfork/net/IdleConnectionsTest.java
+++ b/src/test/java/eiderfork/net/IdleConnectionsTest.java
@@ -8,7 +8,7 @@
 import io.netty.channel.embedded.EmbeddedChannel;
 import org.junit.jupiter.api.Test;
 
-/** Connections that are kept open for later requests. */
+/** Tests the pool of idle connections. */
 class IdleConnectionsTest {
   private static final int MAX_COUNT = 16;
 
@@ -18,9 +18,9 @@
     return new Endpoint("10.1.0." + number, 9000);
   }
 
-  /** Each address that a command was ever sent to kept a little memory for ever. */
+  /** Memory leaked for each address that a command was ever sent to. */
   @Test
-  void addressesWithoutConnectionsAreForgotten() {
+  void endpointsWithoutConnectionsAreRemoved() {
     for (int i = 0; i < 100; i++) {
       idle.add(worker(i), new EmbeddedChannel());
       idle.take(worker(i)).close();
@@ -28,7 +28,7 @@
     assertEquals(0, idle.endpointCount());
   }
 
-  /** A connection that its other end closed is never taken, and not kept either. */
+  /** A connection closed by its peer is never reused, and is removed from the pool. */
   @Test
   void closedConnectionsAreNotTaken() {
     EmbeddedChannel open = new EmbeddedChannel();
--- a/src/test/java/eiderfork/net/RawConnection.java
+++ b/src/test/java/eiderfork/net/RawConnection.java
@@ -7,7 +7,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
 
-/** A client's connection whose bytes the test sends and reads one by one. */
+/** Client connection on which a test sends and reads raw bytes. */
 final class RawConnection implements AutoCloseable {
   private static final int READ_TIMEOUT_MS = 20_000;
 
@@ -27,17 +27,17 @@
     socket.getOutputStream().write(bytes);
   }
 
-  /** Ends the client's own direction, as the end of its last request. */
-  void endOutput() throws IOException {
+  /** Closes the write side of the connection, as a client does after its last request. */
+  void shutdownOutput() throws IOException {
     socket.shutdownOutput();
   }
 
-  /** How many bytes were received and not read yet. */
-  int received() throws IOException {
+  /** Returns the number of bytes that can be read without blocking. */
+  int availableBytes() throws IOException {
     return socket.getInputStream().available();
   }
 
-  /** Reads one response, head and body. */
+  /** Reads one response with its head and body. */
   String readResponse() throws IOException {
     StringBuilder head = new StringBuilder();
     while (head.indexOf("\r\n\r\n") < 0) {
@@ -63,7 +63,11 @@
         .orElse(0);
   }
 
-  /** Reads the rest up to the server's end; fails with {@link IOException} where it was reset. */
+  /**
+   * Reads until the server closes its side.
+   *
+   * @throws IOException if the connection was reset
+   */
   String readToEnd() throws IOException {
     InputStream in = socket.getInputStream();
     return new String(in.readAllBytes(), StandardCharsets.US_ASCII);
