--- a/src/main/java/eiderfork/loadtest/ByteCounter.java
+++ b/src/main/java/eiderfork/loadtest/ByteCounter.java
@@ -6,7 +6,7 @@
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelPromise;
 
-/** Counts what the workers of a cell send and receive, with HTTP's heads, without those of TCP. */
+/** Counts the bytes that a cell's workers send and receive, including HTTP but not TCP headers. */
 @ChannelHandler.Sharable
 final class ByteCounter extends ChannelDuplexHandler {
   private final CellCounters counters;
--- a/src/main/java/eiderfork/loadtest/CellCounters.java
+++ b/src/main/java/eiderfork/loadtest/CellCounters.java
@@ -1,8 +1,8 @@
 package eiderfork.loadtest;
 
 /**
- * Event counts of a cell since the start; written on the cell's event loop only. The names are
- * those of the report's JSON.
+ * Event counts of a cell since the start; written on the cell's event loop only. The field names
+ * are keys of the JSON report.
  */
 final class CellCounters implements Cloneable {
   long stateRequests;
@@ -27,7 +27,7 @@
   long pollFailures;
   long cancellations;
 
-  /** A copy, for the difference over a phase. */
+  /** Returns a copy, used to compute the difference over a phase. */
   @Override
   public CellCounters clone() {
     try {
@@ -37,7 +37,7 @@
     }
   }
 
-  /** What was added to a copy that was made before. */
+  /** Returns the increase of each counter since an earlier copy. */
   CellCounters minus(CellCounters before) {
     CellCounters difference = new CellCounters();
     difference.stateRequests = stateRequests - before.stateRequests;
--- a/src/main/java/eiderfork/loadtest/CellLayout.java
+++ b/src/main/java/eiderfork/loadtest/CellLayout.java
@@ -6,7 +6,7 @@
 import eiderfork.model.Resources;
 import eiderfork.model.Team;
 
-/** What a cell consists of by the run's file: its zones, machine types and teams. */
+/** The zones, machine types and teams of a cell, derived from the load test's settings. */
 final class CellLayout {
   /** A team's limit and guarantee, as multiples of an equal share of the cell. */
   private static final double LIMIT_SHARES = 2;
@@ -33,16 +33,16 @@
       zones.add(zone(i));
     }
     ImmutableList.Builder<MachineType> types = ImmutableList.builder();
-    for (LoadTestSettings.MachineKind it : settings.machineTypes()) {
+    for (LoadTestSettings.MachineKind kind : settings.machineTypes()) {
       types.add(
           new MachineType(
-              it.name(),
-              new Resources(it.cpus(), it.gpus(), it.ramGb()),
-              it.cacheGb(),
-              it.fetchGbPerS(),
-              it.price(),
-              it.price(),
-              it.bootS(),
+              kind.name(),
+              new Resources(kind.cpus(), kind.gpus(), kind.ramGb()),
+              kind.cacheGb(),
+              kind.fetchGbPerS(),
+              kind.price(),
+              kind.price(),
+              kind.bootS(),
               zones.build()));
     }
     return types.build();
@@ -52,9 +52,9 @@
   ImmutableMap<String, Team> teams() {
     double cpus = 0;
     double gpus = 0;
-    for (LoadTestSettings.MachineKind it : settings.machineTypes()) {
-      cpus += it.cpus() * it.share() * settings.cells().workers();
-      gpus += it.gpus() * it.share() * settings.cells().workers();
+    for (LoadTestSettings.MachineKind kind : settings.machineTypes()) {
+      cpus += kind.cpus() * kind.share() * settings.cells().workers();
+      gpus += kind.gpus() * kind.share() * settings.cells().workers();
     }
     double cpuShare = Math.ceil(cpus / settings.cells().teams());
     double gpuShare = Math.ceil(gpus / settings.cells().teams());
--- a/src/main/java/eiderfork/loadtest/ControllerProcess.java
+++ b/src/main/java/eiderfork/loadtest/ControllerProcess.java
@@ -10,11 +10,11 @@
 
 /** A real controller in a process of its own, which can be killed and restarted. */
 final class ControllerProcess {
-  /** The kernel counts processor time in hundredths of a second. */
+  /** Ticks per second in which the kernel reports processor time. */
   private static final double TICKS_PER_S = 100;
 
-  /** Where a process's user time stands behind the name in its line of figures. */
-  private static final int USER_TICKS = 11;
+  /** Index of the user time in {@code /proc/PID/stat}, counted after the process name. */
+  private static final int USER_TICKS_FIELD = 11;
 
   private final String name;
   private final String zone;
@@ -24,11 +24,11 @@
   private final List<String> command;
   private Process process;
 
-  /** The load test is ending; nothing is started any more. */
+  /** True once the load test is ending; the process is not started again. */
   private boolean closed;
 
-  private double pastCpuS;
-  private double lastCpuS;
+  private double endedProcessesCpuS;
+  private double currentProcessCpuS;
 
   ControllerProcess(
       String name,
@@ -64,8 +64,8 @@
     if (closed || process != null && process.isAlive()) {
       return;
     }
-    pastCpuS += lastCpuS;
-    lastCpuS = 0;
+    endedProcessesCpuS += currentProcessCpuS;
+    currentProcessCpuS = 0;
     process =
         new ProcessBuilder(command)
             .redirectOutput(ProcessBuilder.Redirect.DISCARD)
@@ -73,7 +73,7 @@
             .start();
   }
 
-  /** Ends the process for good: it counts neither as an unexpected exit nor is it restarted. */
+  /** Kills the process permanently: it is not restarted, nor counted as an unexpected exit. */
   void close() throws InterruptedException {
     synchronized (this) {
       closed = true;
@@ -81,7 +81,7 @@
     killAndWait();
   }
 
-  /** Ends the process without notice. */
+  /** Kills the process forcibly. */
   synchronized void kill() {
     if (process != null) {
       cpuS();
@@ -89,7 +89,7 @@
     }
   }
 
-  /** Ends the process and waits until it is gone. */
+  /** Kills the process and waits for its exit. */
   private void killAndWait() throws InterruptedException {
     kill();
     Process ended;
@@ -111,17 +111,18 @@
       try {
         String line = Files.readString(Path.of("/proc/" + process.pid() + "/stat"));
         String[] fields = line.substring(line.lastIndexOf(')') + 2).split(" ");
-        long ticks = Long.parseLong(fields[USER_TICKS]) + Long.parseLong(fields[USER_TICKS + 1]);
-        lastCpuS = ticks / TICKS_PER_S;
+        long ticks =
+            Long.parseLong(fields[USER_TICKS_FIELD]) + Long.parseLong(fields[USER_TICKS_FIELD + 1]);
+        currentProcessCpuS = ticks / TICKS_PER_S;
       } catch (IOException e) {
-        // It ended in between; what was read last counts.
-        return pastCpuS + lastCpuS;
+        // The process exited in the meantime; use the last reading.
+        return endedProcessesCpuS + currentProcessCpuS;
       }
     }
-    return pastCpuS + lastCpuS;
+    return endedProcessesCpuS + currentProcessCpuS;
   }
 
-  /** The resident memory of the process in megabytes; 0 where there is none. */
+  /** The resident memory of the process in megabytes; 0 if it is not running. */
   synchronized double memoryMb() {
     if (!isAlive()) {
       return 0;
--- a/src/main/java/eiderfork/loadtest/ControllerSettingsWriter.java
+++ b/src/main/java/eiderfork/loadtest/ControllerSettingsWriter.java
@@ -6,9 +6,9 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Writes the platform's settings file for the controllers of a cell. */
+/** Writes the deployment settings file of a cell's controllers. */
 final class ControllerSettingsWriter {
-  /** Sockets beside one for each worker. */
+  /** Sockets in addition to one per worker. */
   private static final int SPARE_SOCKETS = 6000;
 
   /** A controller with its zone and addresses. */
@@ -62,7 +62,7 @@
     put(text, "rps", run.cloud().rps());
     put(text, "list_lag_s", run.cloud().listLagS());
     text.append("[deployment.resources]\n");
-    // Nothing holds the process to its share of a core.
+    // No CPU limit is enforced on the process.
     put(text, "cpu_share", 1.0);
     put(text, "memory_mb", HostResourceLimits.controllerMb(run.cells().workers()));
     text.append("sockets = ").append(run.cells().workers() + SPARE_SOCKETS).append('\n');
--- a/src/main/java/eiderfork/loadtest/CpuTimes.java
+++ b/src/main/java/eiderfork/loadtest/CpuTimes.java
@@ -4,9 +4,9 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** The processor time of the whole machine up to a moment, in the kernel's ticks. */
+/** The machine's cumulative processor times, in kernel ticks. */
 record CpuTimes(long idle, long all) {
-  /** Where idle time stands in the line of all processors. */
+  /** Index of the idle time in the first line of {@code /proc/stat}. */
   private static final int IDLE_FIELD = 4;
 
   static CpuTimes read() throws IOException {
--- a/src/main/java/eiderfork/loadtest/EmulatedCell.java
+++ b/src/main/java/eiderfork/loadtest/EmulatedCell.java
@@ -44,24 +44,24 @@
   private static final long TICK_MS = 50;
   private static final long SECOND_MS = 1000;
 
-  /** Addresses beyond the workers' number, for machines that replace others. */
+  /** Addresses beyond the number of workers, as a share of it, for replacement machines. */
   private static final double SPARE_ADDRESS_SHARE = 0.3;
 
   /** Replicas of services that were accepted more recently than this do not count as missing. */
   private static final long REPLICA_START_GRACE_MS = 15_000;
 
-  /** Upper bound of the recorded latencies; longer ones count as this. */
+  /** Upper bound of the recorded latencies; longer ones are recorded as this value. */
   private static final long MAX_RECORDED_MS = 3_600_000;
 
   private static final int TOKEN_SEQUENCE_BITS = 24;
 
   private static final String LOOPBACK = "127.0.0.1";
 
-  /** A service that should run, and how many of its replicas do. */
+  /** A service that should be running, with the number of its running replicas. */
   private static final class ServiceReplicas {
     final Job job;
 
-    /** When its user got the acceptance; its tasks may start before that. */
+    /** Time at which the user received the acceptance; tasks may start before it. */
     long acceptedMs = Long.MAX_VALUE;
 
     int running;
@@ -83,7 +83,7 @@
   final Histogram rampStartMs = new Histogram(MAX_RECORDED_MS, 3);
   final Histogram acceptMs = new Histogram(MAX_RECORDED_MS, 3);
 
-  /** By how much the cell's own ticks come late. */
+  /** Delay of the cell's own ticks; shows when the emulation itself is overloaded. */
   final Histogram lagMs = new Histogram(MAX_RECORDED_MS, 3);
 
   final List<RecoveryTimer> recoveries = new ArrayList<>();
@@ -99,10 +99,10 @@
   private final CellLayout layout;
   private final ImmutableMap<String, Team> teams;
   private final Map<String, EmulatedWorker> workers = new LinkedHashMap<>();
-  private final Map<String, EmulatedWorker> byAddress = new HashMap<>();
+  private final Map<String, EmulatedWorker> workersByAddress = new HashMap<>();
   private final Deque<String> freeAddresses = new ArrayDeque<>();
   private final Map<String, ServiceReplicas> services = new HashMap<>();
-  private final Map<String, BitSet> everStarted = new HashMap<>();
+  private final Map<String, BitSet> startedTasksByJob = new HashMap<>();
   private final Set<String> liveJobs = new HashSet<>();
   private int runningTasks;
   private int nextRack;
@@ -161,7 +161,7 @@
     HttpServer server =
         new HttpServer(
             exchange -> {
-              EmulatedWorker worker = byAddress.get(address[0]);
+              EmulatedWorker worker = workersByAddress.get(address[0]);
               if (worker != null) {
                 worker.handle(exchange);
               }
@@ -176,7 +176,7 @@
   }
 
   /**
-   * Calls something on the cell's event loop and waits for the result.
+   * Runs a task on the cell's event loop and waits for its result.
    *
    * @throws IllegalStateException if the call failed; its cause is the failure
    */
@@ -188,7 +188,7 @@
     }
   }
 
-  /** Starts to offer load. */
+  /** Starts the load and the periodic checks. */
   void startLoad() {
     loop.execute(
         () -> {
@@ -226,7 +226,7 @@
     checker.tick(SteadyClock.nowMs());
   }
 
-  /** Which controller most workers report to. */
+  /** Returns the index of the controller that most workers send their heartbeats to. */
   int leader() {
     int[] votes = new int[controllers.size()];
     int most = 0;
@@ -265,19 +265,19 @@
     return store.keyCount();
   }
 
-  /** Replicas of services that should have been running for a while and are not. */
+  /** The number of service replicas that are not running although their grace period is over. */
   int missingReplicas() {
     long nowMs = SteadyClock.nowMs();
     int missing = 0;
-    for (ServiceReplicas it : services.values()) {
-      if (it.acceptedMs < nowMs - REPLICA_START_GRACE_MS) {
-        missing += it.job.tasks() - it.running;
+    for (ServiceReplicas service : services.values()) {
+      if (service.acceptedMs < nowMs - REPLICA_START_GRACE_MS) {
+        missing += service.job.tasks() - service.running;
       }
     }
     return missing;
   }
 
-  /** Starts to measure how long the effects of a fault last. */
+  /** Starts to measure how long the effects of a fault last; ends earlier measurements. */
   void startRecoveryTimer(LoadTestSettings.Fault fault) {
     recoveries.forEach(RecoveryTimer::stop);
     recoveries.add(new RecoveryTimer(fault, term(), missingReplicas(), SteadyClock.nowMs()));
@@ -288,10 +288,10 @@
   }
 
   /** Partitions workers from everything else, or heals the partition. */
-  void setPartitioned(Predicate<EmulatedWorker> which, boolean cut) {
+  void setPartitioned(Predicate<EmulatedWorker> selected, boolean partitioned) {
     for (EmulatedWorker worker : workers.values()) {
-      if (which.test(worker)) {
-        worker.setPartitioned(cut);
+      if (selected.test(worker)) {
+        worker.setPartitioned(partitioned);
       }
     }
   }
@@ -300,12 +300,12 @@
     return worker.rack == 0;
   }
 
-  /** Whether a worker is in one of every three racks. */
+  /** Returns whether a worker is in every third rack. */
   static boolean isInFirstThird(EmulatedWorker worker) {
     return worker.rack % 3 == 0;
   }
 
-  /** Stops all machines of the first zone. */
+  /** Stops all machines of the first zone and refuses new ones there. */
   void closeZone() {
     cloud.closeZone(layout.zone(0));
   }
@@ -330,15 +330,15 @@
     int racks = settings.cells().racksPerZone() * settings.cells().zones();
     EmulatedWorker worker = new EmulatedWorker(machine, type, nextRack++ % racks, this);
     workers.put(machine.name(), worker);
-    byAddress.put(machine.address(), worker);
+    workersByAddress.put(machine.address(), worker);
   }
 
   @Override
-  public void machineGone(Machine machine) {
+  public void machineRemoved(Machine machine) {
     EmulatedWorker worker = workers.remove(machine.name());
     if (worker != null) {
       worker.stop();
-      byAddress.remove(machine.address());
+      workersByAddress.remove(machine.address());
       freeAddresses.add(machine.address());
     }
   }
@@ -357,7 +357,8 @@
     if (service != null) {
       service.running++;
     }
-    BitSet started = everStarted.computeIfAbsent(attempt.task().jobUid(), uid -> new BitSet());
+    BitSet started =
+        startedTasksByJob.computeIfAbsent(attempt.task().jobUid(), uid -> new BitSet());
     if (!started.get(attempt.task().index())) {
       started.set(attempt.task().index());
       histogram(entry).recordValue(Math.min(MAX_RECORDED_MS, nowMs - entry.submittedMs()));
@@ -385,8 +386,8 @@
     return checker.isFinished(task);
   }
 
-  /** A user is about to submit a job for the first time. */
-  void submitting(JobCatalog.Entry entry) {
+  /** Called before a user submits a job for the first time. */
+  void submissionStarted(JobCatalog.Entry entry) {
     catalog.add(entry);
     checker.submitted(entry.job());
     counters.submissions++;
@@ -413,6 +414,6 @@
 
   void jobFinished(String uid) {
     liveJobs.remove(uid);
-    everStarted.remove(uid);
+    startedTasksByJob.remove(uid);
   }
 }
--- a/src/main/java/eiderfork/loadtest/EmulatedCloud.java
+++ b/src/main/java/eiderfork/loadtest/EmulatedCloud.java
@@ -24,8 +24,8 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * A cloud API: creates machines within its capacity, boots them, lists them with a lag, deletes
- * them.
+ * A cloud API that creates machines within its capacity, boots and deletes them, and lists them
+ * with a delay.
  */
 final class EmulatedCloud {
   private static final byte[] ERROR_BODY =
@@ -33,21 +33,21 @@
   private static final byte[] NO_CAPACITY_BODY =
       "{\"error\":\"no capacity\"}".getBytes(StandardCharsets.UTF_8);
 
-  /** How long a machine that failed is still listed as running. */
+  /** Time for which a failed machine is still listed as running. */
   private static final long FAILURE_DETECTION_MS = 30_000;
 
   private static final int MAX_MACHINES_PER_REQUEST = 50;
 
   /** Supplies addresses to the cloud and is notified of its machines. */
   interface MachineListener {
-    /** An address for a new machine; null where none is left. */
+    /** Returns an address for a new machine, or null if none is left. */
     String allocateAddress();
 
-    /** A machine is up. */
+    /** Called when a machine has booted. */
     void machineUp(Machine machine, MachineType type);
 
-    /** A machine is gone; its address may be used again. */
-    void machineGone(Machine machine);
+    /** Called when a machine has failed or was deleted; its address may be reused. */
+    void machineRemoved(Machine machine);
   }
 
   private static final class CloudMachine {
@@ -102,9 +102,10 @@
     for (int i = 0; i < offered.size(); i++) {
       MachineType type = offered.get(i);
       types.put(type.name(), type);
-      double all = settings.machineTypes().get(i).share() * settings.cells().workers();
+      double machines = settings.machineTypes().get(i).share() * settings.cells().workers();
       for (String zone : type.zones()) {
-        remainingCapacity.put(type.name() + " " + zone, (int) Math.ceil(all / type.zones().size()));
+        remainingCapacity.put(
+            type.name() + " " + zone, (int) Math.ceil(machines / type.zones().size()));
       }
     }
   }
@@ -133,24 +134,25 @@
   }
 
   private void handleScaleOut(HttpServer.Exchange exchange, StoredRecord.ScaleOutIntent request) {
-    ImmutableList<String> before = machinesByRequest.get(request.requestName());
-    if (before == null) {
-      before = createMachines(request);
+    ImmutableList<String> machineNames = machinesByRequest.get(request.requestName());
+    if (machineNames == null) {
+      machineNames = createMachines(request);
     }
-    if (before.isEmpty()) {
+    if (machineNames.isEmpty()) {
       exchange.respond(503, NO_CAPACITY_BODY, 0);
     } else {
-      machinesByRequest.put(request.requestName(), before);
-      exchange.respond(200, CloudServerCodec.encodeMachines(before), 0);
+      machinesByRequest.put(request.requestName(), machineNames);
+      exchange.respond(200, CloudServerCodec.encodeMachines(machineNames), 0);
     }
   }
 
   private ImmutableList<String> createMachines(StoredRecord.ScaleOutIntent request) {
-    String kind = request.type() + " " + request.zone();
-    // Spot machines share the capacity of ordinary ones and are never reclaimed here.
-    int left = closedZones.contains(request.zone()) ? 0 : remainingCapacity.getOrDefault(kind, 0);
+    String capacityKey = request.type() + " " + request.zone();
+    // Spot machines use the same capacity as on-demand ones and are never reclaimed here.
+    int available =
+        closedZones.contains(request.zone()) ? 0 : remainingCapacity.getOrDefault(capacityKey, 0);
     ImmutableList.Builder<String> names = ImmutableList.builder();
-    int count = Math.min(Math.min(left, request.count()), MAX_MACHINES_PER_REQUEST);
+    int count = Math.min(Math.min(available, request.count()), MAX_MACHINES_PER_REQUEST);
     for (int i = 0; i < count; i++) {
       String address = machineListener.allocateAddress();
       if (address == null) {
@@ -159,7 +161,7 @@
       String name = String.format("n-%06d", ++lastNumber);
       Machine machine = new Machine(name, address, request.type(), request.zone(), request.spot());
       cloudMachines.put(name, new CloudMachine(machine));
-      remainingCapacity.merge(kind, -1, Integer::sum);
+      remainingCapacity.merge(capacityKey, -1, Integer::sum);
       names.add(name);
       MachineType type = types.get(request.type());
       long bootMs = (long) (1000 * type.bootS() * (0.6 + 0.9 * random.nextDouble()));
@@ -186,7 +188,7 @@
     cloudMachine.deletedMs = SteadyClock.nowMs();
     remainingCapacity.merge(
         cloudMachine.machine.type() + " " + cloudMachine.machine.zone(), 1, Integer::sum);
-    machineListener.machineGone(cloudMachine.machine);
+    machineListener.machineRemoved(cloudMachine.machine);
   }
 
   /** Stops all machines of a zone and refuses new ones until it is opened again. */
@@ -196,7 +198,7 @@
     for (CloudMachine cloudMachine : all) {
       if (cloudMachine.machine.zone().equals(zone) && cloudMachine.deletedMs == Long.MAX_VALUE) {
         cloudMachine.failedMs = Math.min(cloudMachine.failedMs, SteadyClock.nowMs());
-        machineListener.machineGone(cloudMachine.machine);
+        machineListener.machineRemoved(cloudMachine.machine);
       }
     }
   }
--- a/src/main/java/eiderfork/loadtest/EmulatedStore.java
+++ b/src/main/java/eiderfork/loadtest/EmulatedStore.java
@@ -28,7 +28,7 @@
  * A key-value store with compare-and-swap transactions, leases, watches, and rate and size limits.
  */
 final class EmulatedStore {
-  /** How many changes a watch may lag behind. */
+  /** Number of changes kept for watches; a watch that lags further behind gets status 410. */
   private static final int MAX_LOGGED_CHANGES = 10_000;
 
   private static final int MAX_PAGE_ITEMS = 1000;
@@ -137,7 +137,7 @@
   private void handleRange(HttpServer.Exchange exchange, QueryStringDecoder query) {
     String prefix = parameter(query, "Starts", "");
     String after = parameter(query, "After", "");
-    int most = Math.min(MAX_PAGE_ITEMS, Integer.parseInt(parameter(query, "Page", "1000")));
+    int maxItems = Math.min(MAX_PAGE_ITEMS, Integer.parseInt(parameter(query, "Page", "1000")));
     var range = after.isEmpty() ? values.tailMap(prefix, true) : values.tailMap(after, false);
     List<RawItem> items = new ArrayList<>();
     int bytes = 0;
@@ -147,7 +147,7 @@
         break;
       }
       bytes += entry.getKey().length() + entry.getValue().value.length();
-      if (items.size() == most || bytes > MAX_PAGE_BYTES && !items.isEmpty()) {
+      if (items.size() == maxItems || bytes > MAX_PAGE_BYTES && !items.isEmpty()) {
         more = true;
         break;
       }
@@ -265,20 +265,22 @@
                 && respondIfDue(watch, nowMs));
   }
 
-  private void handleGrant(HttpServer.Exchange exchange, long lifeMs) {
-    Lease lease = new Lease(lifeMs);
-    lease.expiresMs = SteadyClock.nowMs() + lifeMs;
+  private void handleGrant(HttpServer.Exchange exchange, long ttlMs) {
+    Lease lease = new Lease(ttlMs);
+    lease.expiresMs = SteadyClock.nowMs() + ttlMs;
     leases.put(++lastLeaseId, lease);
     respond(exchange, 200, StoreServerCodec.encodeLease(lastLeaseId));
   }
 
-  private void handleLease(HttpServer.Exchange exchange, String rest) {
-    boolean renews = rest.endsWith("/renew");
-    long id = Long.parseLong(renews ? rest.substring(0, rest.indexOf('/')) : rest);
+  private void handleLease(HttpServer.Exchange exchange, String idAndAction) {
+    boolean isRenewal = idAndAction.endsWith("/renew");
+    long id =
+        Long.parseLong(
+            isRenewal ? idAndAction.substring(0, idAndAction.indexOf('/')) : idAndAction);
     Lease lease = leases.get(id);
     if (lease == null) {
       respond(exchange, 404, EMPTY_JSON);
-    } else if (renews) {
+    } else if (isRenewal) {
       lease.expiresMs = SteadyClock.nowMs() + lease.ttlMs;
       respond(exchange, 200, StoreServerCodec.encodeLease(id));
     } else {
@@ -300,14 +302,14 @@
   /** Expires leases and responds to watches whose deadline has passed. */
   void tick() {
     long nowMs = SteadyClock.nowMs();
-    List<Long> over = new ArrayList<>();
+    List<Long> expired = new ArrayList<>();
     leases.forEach(
         (id, lease) -> {
           if (nowMs > lease.expiresMs) {
-            over.add(id);
+            expired.add(id);
           }
         });
-    over.forEach(this::expireLease);
+    expired.forEach(this::expireLease);
     watches.removeIf(watch -> nowMs >= watch.deadlineMs && respondIfDue(watch, nowMs));
   }
 
--- a/src/main/java/eiderfork/loadtest/EmulatedUsers.java
+++ b/src/main/java/eiderfork/loadtest/EmulatedUsers.java
@@ -36,7 +36,7 @@
   private final HttpClient client;
   private final int[] failedHealthChecks;
 
-  /** Jobs due by class; the fraction belongs to the next one. */
+  /** Number of jobs to submit by class; the fraction is carried over to the next tick. */
   private final Map<String, Double> dueSubmissions = new HashMap<>();
 
   private final List<String> finishedJobs = new ArrayList<>();
@@ -91,12 +91,12 @@
 
   // The load.
 
-  /** Starts the load; what would have been due before is not submitted. */
+  /** Starts the load; nothing is submitted for the time before. */
   void start() {
     lastTickMs = SteadyClock.nowMs();
   }
 
-  /** Submits what is due {@code elapsedS} seconds after the start of the load. */
+  /** Sends the submissions and queries due {@code elapsedS} seconds after the start of the load. */
   void tick(double elapsedS) {
     long nowMs = SteadyClock.nowMs();
     double seconds = (nowMs - lastTickMs) / 1000.0;
@@ -157,7 +157,7 @@
     boolean service = job.kind() == JobKind.SERVICE;
     long taskMs = service ? 0 : (long) (1000 * jobClass.runS());
     JobCatalog.Entry entry = new JobCatalog.Entry(job, jobClass, SteadyClock.nowMs(), taskMs);
-    cell.submitting(entry);
+    cell.submissionStarted(entry);
     trySubmit(entry, UserClientCodec.encodeSubmission(job));
   }
 
@@ -177,7 +177,7 @@
             onAccepted(entry);
           } else if (status == 400 || status == 422) {
             cell.counters.userRefusals++;
-            cell.checker.refusedForGood(uid, cell.checker.isAccepted(uid));
+            cell.checker.permanentlyRejected(uid, cell.checker.isAccepted(uid));
           } else {
             cell.counters.userRefusals++;
             cell.loop.schedule(() -> trySubmit(entry, body), RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
@@ -187,9 +187,9 @@
 
   private void onAccepted(JobCatalog.Entry entry) {
     String uid = entry.job().uid();
-    double standS = entry.jobClass().runS();
-    if (entry.job().kind() == JobKind.SERVICE && standS > 0) {
-      cell.loop.schedule(() -> cancel(entry), (long) (1000 * standS), TimeUnit.MILLISECONDS);
+    double lifetimeS = entry.jobClass().runS();
+    if (entry.job().kind() == JobKind.SERVICE && lifetimeS > 0) {
+      cell.loop.schedule(() -> cancel(entry), (long) (1000 * lifetimeS), TimeUnit.MILLISECONDS);
     }
     schedulePoll(uid);
   }
@@ -212,7 +212,7 @@
         });
   }
 
-  /** Queries a finished job; only the checker looks at the response. */
+  /** Queries a finished job; only the invariant checker uses the response. */
   private void query(String uid) {
     query(uid, status -> {});
   }
@@ -232,7 +232,7 @@
             return;
           }
           if (status == 404) {
-            cell.checker.refusedForGood(uid, acceptedBefore);
+            cell.checker.permanentlyRejected(uid, acceptedBefore);
           }
           cell.counters.pollFailures++;
           onComplete.accept(null);
--- a/src/main/java/eiderfork/loadtest/EmulatedWorker.java
+++ b/src/main/java/eiderfork/loadtest/EmulatedWorker.java
@@ -22,8 +22,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A worker that runs no work: it keeps the protocol's incarnations, leases and fencing tokens, and
- * its tasks are timers.
+ * A worker that follows the protocol's incarnations, leases and fencing tokens but runs no
+ * programs: its tasks are timers.
  */
 final class EmulatedWorker {
   private static final long MIN_HEARTBEAT_INTERVAL_MS = 500;
@@ -34,7 +34,7 @@
   private static final class Task {
     TaskStatus.State state = TaskStatus.State.FETCHING;
     TaskStatus.Cause cause;
-    Resources need = Resources.NONE;
+    Resources allocation = Resources.NONE;
   }
 
   final Machine machine;
@@ -55,7 +55,7 @@
   private boolean heartbeatInFlight;
   private boolean changed;
   private ScheduledFuture<?> nextHeartbeat;
-  private boolean setPartitioned;
+  private boolean partitioned;
   private boolean stopped;
 
   EmulatedWorker(Machine machine, MachineType type, int rack, EmulatedCell cell) {
@@ -79,10 +79,10 @@
 
   /** Drops all messages from and to this worker while {@code true}. */
   void setPartitioned(boolean value) {
-    setPartitioned = value;
+    partitioned = value;
   }
 
-  /** The machine stops, and all its tasks with it. */
+  /** Stops the machine and all tasks on it. */
   void stop() {
     stopped = true;
     dropTasks();
@@ -137,10 +137,10 @@
   }
 
   private Heartbeat heartbeat() {
-    ImmutableList.Builder<TaskStatus> list = ImmutableList.builder();
+    ImmutableList.Builder<TaskStatus> statuses = ImmutableList.builder();
     tasks.forEach(
-        (attempt, task) -> list.add(new TaskStatus(attempt, task.state, task.cause, false)));
-    return new Heartbeat(machine, incarnation, ++sequence, fencingToken, null, list.build());
+        (attempt, task) -> statuses.add(new TaskStatus(attempt, task.state, task.cause, false)));
+    return new Heartbeat(machine, incarnation, ++sequence, fencingToken, null, statuses.build());
   }
 
   private void sendHeartbeat() {
@@ -151,7 +151,7 @@
     lastHeartbeatMs = sentMs;
     changed = false;
     heartbeatInFlight = true;
-    if (setPartitioned) {
+    if (partitioned) {
       cell.loop.schedule(
           () -> onHeartbeatResponse(sentMs, incarnation, 0, EMPTY_JSON),
           RESPONSE_TIMEOUT_MS,
@@ -161,7 +161,7 @@
     byte[] body = WorkerClientCodec.encodeHeartbeat(heartbeat());
     cell.counters.reports++;
     cell.counters.reportedTasks += tasks.size();
-    long ofSession = incarnation;
+    long sentIncarnation = incarnation;
     client.send(
         cell.controllers().get(controllerNumber).publicAddress(),
         "POST",
@@ -169,7 +169,7 @@
         body,
         RESPONSE_TIMEOUT_MS,
         (status, responseBody) ->
-            onHeartbeatResponse(sentMs, ofSession, setPartitioned ? 0 : status, responseBody));
+            onHeartbeatResponse(sentMs, sentIncarnation, partitioned ? 0 : status, responseBody));
   }
 
   private void onHeartbeatResponse(
@@ -197,9 +197,9 @@
   }
 
   private void onRedirect(String leader) {
-    int named = cell.controllerIndex(leader);
-    if (named >= 0 && named != controllerNumber) {
-      controllerNumber = named;
+    int leaderNumber = cell.controllerIndex(leader);
+    if (leaderNumber >= 0 && leaderNumber != controllerNumber) {
+      controllerNumber = leaderNumber;
       scheduleHeartbeat(cell.random.nextInt((int) MIN_HEARTBEAT_INTERVAL_MS));
     } else {
       tryNextController();
@@ -221,9 +221,9 @@
     commands.commands().forEach(this::execute);
   }
 
-  private void observeFencingToken(long newer) {
-    if (newer > fencingToken) {
-      fencingToken = newer;
+  private void observeFencingToken(long observed) {
+    if (observed > fencingToken) {
+      fencingToken = observed;
       cell.fencingTokenObserved(fencingToken);
       if (SteadyClock.nowMs() - fencingTokenReportedMs > cell.workerLeaseMs() / 2) {
         fencingTokenReportedMs = SteadyClock.nowMs();
@@ -235,7 +235,7 @@
   // Direct requests.
 
   void handle(HttpServer.Exchange exchange) {
-    if (stopped || setPartitioned) {
+    if (stopped || partitioned) {
       return;
     }
     if (exchange.path().equals(WorkerCodec.INSPECT_PATH)) {
@@ -289,8 +289,8 @@
     } else if (!allocated.plus(entry.job().taskResources()).fitsIn(type.capacity())) {
       end(attempt, task, TaskStatus.Cause.NO_ROOM);
     } else {
-      task.need = entry.job().taskResources();
-      allocated = allocated.plus(task.need);
+      task.allocation = entry.job().taskResources();
+      allocated = allocated.plus(task.allocation);
       long waitMs = Math.max(1, imageReadyMs(entry) - SteadyClock.nowMs());
       cell.loop.schedule(() -> start(attempt, task, entry), waitMs, TimeUnit.MILLISECONDS);
     }
@@ -338,18 +338,18 @@
     boolean wasRunning = task.state == TaskStatus.State.RUNNING;
     task.state = TaskStatus.State.ENDED;
     task.cause = cause;
-    allocated = allocated.minus(task.need);
-    task.need = Resources.NONE;
+    allocated = allocated.minus(task.allocation);
+    task.allocation = Resources.NONE;
     changed = true;
     if (wasRunning) {
       cell.taskStopped(this, attempt, cause == TaskStatus.Cause.DONE);
     }
   }
 
-  /** What runs on this machine now. */
+  /** The attempts that are running on this machine. */
   List<Attempt> runningAttempts() {
     return tasks.entrySet().stream()
-        .filter(it -> it.getValue().state == TaskStatus.State.RUNNING)
+        .filter(entry -> entry.getValue().state == TaskStatus.State.RUNNING)
         .map(Map.Entry::getKey)
         .toList();
   }
--- a/src/main/java/eiderfork/loadtest/FaultInjector.java
+++ b/src/main/java/eiderfork/loadtest/FaultInjector.java
@@ -20,19 +20,21 @@
   private final List<PendingRestart> restarts = new ArrayList<>();
   private final List<Repair> repairs = new ArrayList<>();
 
-  FaultInjector(List<LoadTestSettings.Fault> troubles, List<EmulatedCell> cells) {
-    this.pendingFaults = new ArrayList<>(troubles);
+  FaultInjector(List<LoadTestSettings.Fault> faults, List<EmulatedCell> cells) {
+    this.pendingFaults = new ArrayList<>(faults);
     this.pendingFaults.sort(Comparator.comparingDouble(LoadTestSettings.Fault::atS));
     this.cells = cells;
   }
 
-  /** Injects and repairs what is due {@code elapsedS} seconds after the start of the load. */
+  /**
+   * Injects faults due {@code elapsedS} seconds after the start of the load and runs due repairs.
+   */
   void tick(double elapsedS) throws IOException, InterruptedException {
     injectDue(elapsedS);
     repairDue();
   }
 
-  /** Whether a controller was killed by a fault and has not been restarted yet. */
+  /** Returns whether a controller was killed by a fault and has not been restarted yet. */
   boolean isDown(ControllerProcess controller) {
     return restarts.stream().anyMatch(restart -> restart.controller == controller);
   }
@@ -66,12 +68,12 @@
   }
 
   private void partition(
-      LoadTestSettings.Fault fault, EmulatedCell cell, Predicate<EmulatedWorker> which) {
+      LoadTestSettings.Fault fault, EmulatedCell cell, Predicate<EmulatedWorker> selected) {
     injectAndRepair(
         fault,
         cell,
-        () -> cell.setPartitioned(which, true),
-        () -> cell.setPartitioned(which, false));
+        () -> cell.setPartitioned(selected, true),
+        () -> cell.setPartitioned(selected, false));
   }
 
   private void injectAndRepair(
--- a/src/main/java/eiderfork/loadtest/FreePorts.java
+++ b/src/main/java/eiderfork/loadtest/FreePorts.java
@@ -6,15 +6,15 @@
 import java.net.ServerSocket;
 
 /**
- * Finds ports for controllers. They lie below those that the system gives to outgoing connections:
- * such a connection took the port of a controller that was down.
+ * Finds free ports for controllers, below the system's ephemeral port range: an outgoing connection
+ * could otherwise take the port of a controller that is down.
  */
 final class FreePorts {
   private static final String LOOPBACK = "127.0.0.1";
   private static final int FIRST = 20_000;
   private static final int LAST = 32_000;
 
-  /** Runs side by side begin at different ports. */
+  /** Number of possible start ports and the distance between them; separates concurrent runs. */
   private static final int SPREAD = 100;
 
   private int next = FIRST + (int) (ProcessHandle.current().pid() % SPREAD) * SPREAD;
@@ -25,7 +25,7 @@
       try (ServerSocket socket = new ServerSocket(port, 1, InetAddress.getByName(LOOPBACK))) {
         return new Endpoint(LOOPBACK, socket.getLocalPort());
       } catch (java.net.BindException e) {
-        // Another program has it.
+        // Another process uses the port.
         continue;
       }
     }
--- a/src/main/java/eiderfork/loadtest/HostResourceLimits.java
+++ b/src/main/java/eiderfork/loadtest/HostResourceLimits.java
@@ -4,7 +4,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** Rejects load tests that need more of this host than they may use. */
+/** Rejects load tests that would need too many processes or too much memory on this host. */
 final class HostResourceLimits {
   /** Memory of a controller process: a base, and an amount per worker, in megabytes. */
   private static final double CONTROLLER_BASE_MB = 176;
@@ -17,9 +17,9 @@
   private HostResourceLimits() {}
 
   /**
-   * Why the run may not start on a machine with that much memory; null where it may.
+   * Returns why the load test may not start on a machine with this much memory, or null if it may.
    *
-   * @param workers of each cell
+   * @param workers the number of workers per cell
    */
   static String rejectionReason(int controllers, int workers, double ownMb, double machineMb) {
     if (controllers + 1 > MAX_PROCESSES) {
@@ -34,7 +34,7 @@
     return null;
   }
 
-  /** What a controller of a cell with so many workers is given, in megabytes. */
+  /** The memory limit of a controller whose cell has this many workers, in megabytes. */
   static double controllerMb(int workers) {
     return CONTROLLER_BASE_MB + CONTROLLER_MB_PER_WORKER * workers;
   }
--- a/src/main/java/eiderfork/loadtest/InvariantChecker.java
+++ b/src/main/java/eiderfork/loadtest/InvariantChecker.java
@@ -15,30 +15,29 @@
 import java.util.Set;
 
 /**
- * Checks the protocol's invariants from outside: it sees what a cell's workers did and which
- * responses its users got, and nothing of the controllers. Times are milliseconds of one steady
- * clock.
+ * Checks the protocol's invariants from outside: it observes what a cell's workers do and which
+ * responses its users get, but not the controllers. Times are milliseconds of one steady clock.
  */
 final class InvariantChecker {
   /** An invariant of the protocol. */
   enum Rule {
-    /** A task started on one machine while it was on another. */
+    /** A task started on one machine while it was running on another. */
     RAN_TWICE,
     /** A team's tasks used more than its limit. */
     QUOTA,
-    /** An accepted job was not known later. */
+    /** An accepted job was later reported as unknown or rejected. */
     FORGOTTEN,
-    /** A job that was over was called something else later, or cancelled by nobody. */
+    /** A job left its final phase, or was aborted although no user cancelled it. */
     WENT_BACK,
-    /** A task of a cancelled job was on a machine after the time that it had to end. */
+    /** A task of a cancelled job ran or started after the cancellation deadline. */
     RAN_CANCELLED,
-    /** A job was called done before all of its tasks were. */
+    /** A job was reported as done before all of its tasks were. */
     NOT_DONE,
-    /** A job that nobody submitted was known. */
+    /** A status was reported for a job that no user submitted. */
     INVENTED
   }
 
-  /** A violated invariant, with what violated it. */
+  /** A violated invariant with a description of the violation. */
   record Breach(Rule rule, String what) {}
 
   private static final class TrackedJob {
@@ -71,7 +70,7 @@
     this.teams = teams;
   }
 
-  /** The first breaches that were noticed. */
+  /** The first breaches detected, at most {@value #MAX_KEPT_BREACHES}. */
   List<Breach> breaches() {
     return List.copyOf(breaches);
   }
@@ -93,13 +92,13 @@
     jobs.putIfAbsent(job.uid(), new TrackedJob(job));
   }
 
-  /** A user got the response that the job is accepted. */
+  /** Records that a user received the acceptance of a job. */
   void accepted(String uid) {
     jobs.get(uid).accepted = true;
   }
 
-  /** A repeated submission or a query got a final refusal. */
-  void refusedForGood(String uid, boolean acceptedBefore) {
+  /** Records that a repeated submission or a query was rejected with a final error. */
+  void permanentlyRejected(String uid, boolean acceptedBefore) {
     if (acceptedBefore) {
       recordBreach(Rule.FORGOTTEN, uid + " was denied after it had been accepted");
     }
@@ -114,7 +113,7 @@
     jobs.get(uid).cancelRequested = true;
   }
 
-  /** A user who asked at {@code requestedMs} got this status. */
+  /** Checks a status received in response to a request sent at {@code requestedMs}. */
   void statusReceived(JobStatus status, long requestedMs, long nowMs) {
     TrackedJob job = jobs.get(status.uid());
     if (job == null) {
@@ -149,9 +148,10 @@
   void started(String machine, Attempt attempt, long nowMs) {
     TaskId task = attempt.task();
     TrackedJob job = jobs.get(task.jobUid());
-    String other = machineByTask.put(task, machine);
-    if (other != null) {
-      recordBreach(Rule.RAN_TWICE, task + " started on " + machine + " while on " + other);
+    String previousMachine = machineByTask.put(task, machine);
+    if (previousMachine != null) {
+      recordBreach(
+          Rule.RAN_TWICE, task + " started on " + machine + " while on " + previousMachine);
       return;
     }
     job.running.add(task);
@@ -164,7 +164,7 @@
     }
   }
 
-  /** An attempt is not on its machine any more; {@code done} where it completed. */
+  /** Records that an attempt left its machine; {@code done} is true if it completed. */
   void stopped(String machine, Attempt attempt, boolean done) {
     TaskId task = attempt.task();
     TrackedJob job = jobs.get(task.jobUid());
@@ -183,7 +183,7 @@
     return job != null && job.finished.get(task.index());
   }
 
-  /** Looks for tasks that should have ended by now. */
+  /** Checks for tasks of cancelled jobs that still run after the cancellation deadline. */
   void tick(long nowMs) {
     cancelled
         .values()
--- a/src/main/java/eiderfork/loadtest/JobCatalog.java
+++ b/src/main/java/eiderfork/loadtest/JobCatalog.java
@@ -4,9 +4,9 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The jobs that users of a cell have uploaded, from which workers read how long tasks run. */
+/** The jobs submitted by the users of a cell; workers look up task run times here. */
 final class JobCatalog {
-  /** A job, when its user first tried to submit it, and how long a task runs; 0 without end. */
+  /** A job, the time of its first submission, and the run time of its tasks (0 if unlimited). */
   record Entry(Job job, LoadTestSettings.JobClass jobClass, long submittedMs, long taskMs) {}
 
   private final Map<String, Entry> entries = new HashMap<>();
@@ -15,7 +15,7 @@
     entries.put(entry.job().uid(), entry);
   }
 
-  /** Null for a job that nobody has submitted. */
+  /** Returns the entry of a job, or null if no user has submitted it. */
   Entry get(String uid) {
     return entries.get(uid);
   }
--- a/src/main/java/eiderfork/loadtest/LoadTest.java
+++ b/src/main/java/eiderfork/loadtest/LoadTest.java
@@ -43,28 +43,28 @@
   }
 
   /**
-   * Plays a run.
+   * Runs a load test.
    *
-   * @param path the run's file
-   * @param deploy the file that says how controllers are started
-   * @param logs where the controllers' settings and logs go; null for a folder that is removed
-   * @param progress takes a line every few seconds; null for none
-   * @return the summary as text and as JSON, and whether all was well
-   * @throws InvalidSettingsException where the file can't be used or asks too much of this machine
-   * @throws IOException where a controller does not start
+   * @param path the load test's settings file
+   * @param deploy the deployment file with the command that starts a controller
+   * @param logs the directory for the controllers' settings and logs; null for a temporary one
+   * @param progress receives a progress line every few seconds; null for none
+   * @return the report as text and as JSON, and whether the load test passed
+   * @throws InvalidSettingsException if the file is invalid or needs too much of this machine
+   * @throws IOException if a controller does not start
    */
   public static Outcome play(Path path, Path deploy, Path logs, PrintStream progress)
       throws InvalidSettingsException, IOException, InterruptedException {
     LoadTestSettings settings = LoadTestFile.read(path);
     double ownMb = Runtime.getRuntime().maxMemory() / 1024.0 / 1024.0;
-    String objection =
+    String rejectionReason =
         HostResourceLimits.rejectionReason(
             settings.controllerCount(),
             settings.cells().workers(),
             ownMb,
             HostResourceLimits.machineMb());
-    if (objection != null) {
-      throw new InvalidSettingsException(path.toString(), "cells", objection);
+    if (rejectionReason != null) {
+      throw new InvalidSettingsException(path.toString(), "cells", rejectionReason);
     }
     Path directory = logs == null ? Files.createTempDirectory("eiderfork-scale") : logs;
     Files.createDirectories(directory);
@@ -72,7 +72,7 @@
     Thread cleanUp = new Thread(() -> run.cleanUp(logs == null));
     Runtime.getRuntime().addShutdownHook(cleanUp);
     try {
-      LoadTestReport report = run.play();
+      LoadTestReport report = run.execute();
       return new Outcome(report.toText(), report.toJson(), report.isGood());
     } finally {
       run.cleanUp(logs == null);
@@ -81,7 +81,7 @@
     }
   }
 
-  /** The summary of a run, and whether no rule was broken and no process ended by itself. */
+  /** The report, and whether no invariant was violated and no process exited unexpectedly. */
   public record Outcome(String text, String json, boolean good) {}
 
   private static List<String> runCommand(Path deploy) throws InvalidSettingsException, IOException {
@@ -92,7 +92,7 @@
     return List.of(run.textValue().trim().split(" +"));
   }
 
-  /** Ends every controller, also when the load test is interrupted. */
+  /** Kills every controller; also runs as a shutdown hook when the load test is interrupted. */
   private void cleanUp(boolean removesDirectory) {
     killAll();
     if (!removesDirectory) {
@@ -104,7 +104,7 @@
       }
       Files.delete(directory);
     } catch (IOException e) {
-      System.err.println("eiderfork: " + directory + " can't be removed: " + e.getMessage());
+      System.err.println("eiderfork: " + directory + " could not be removed: " + e.getMessage());
     }
   }
 
@@ -128,7 +128,7 @@
     return SteadyClock.nowMs();
   }
 
-  private LoadTestReport play() throws IOException, InterruptedException {
+  private LoadTestReport execute() throws IOException, InterruptedException {
     FreePorts ports = new FreePorts();
     for (int i = 0; i < settings.cells().count(); i++) {
       EmulatedCell cell = new EmulatedCell(settings, i);
@@ -144,16 +144,16 @@
     startMs = nowMs();
     cells.forEach(EmulatedCell::startLoad);
     recorder.start();
-    playPhases();
+    runPhases();
     return recorder.report(file, settings);
   }
 
   private static void awaitHealthy(ControllerProcess controller)
       throws IOException, InterruptedException {
-    long untilMs = nowMs() + START_TIMEOUT_MS;
-    while (nowMs() < untilMs) {
+    long deadlineMs = nowMs() + START_TIMEOUT_MS;
+    while (nowMs() < deadlineMs) {
       if (!controller.isAlive()) {
-        throw new IOException(controller.name() + " ended while it was started");
+        throw new IOException(controller.name() + " exited during startup");
       }
       try {
         URI health = URI.create("http://" + controller.publicAddress() + "/healthz");
@@ -162,33 +162,33 @@
           return;
         }
       } catch (IOException e) {
-        // It does not listen yet.
+        // The controller is not listening yet.
       }
       Thread.sleep(SAMPLE_INTERVAL_MS / 5);
     }
-    throw new IOException(controller.name() + " does not answer");
+    throw new IOException(controller.name() + " did not become healthy in time");
   }
 
-  private void playPhases() throws IOException, InterruptedException {
-    LoadTestSettings.Phases at = settings.phases();
-    playUntil("ramp", at.rampS());
-    playUntil("steady", at.peakAtS());
-    playUntil("peak", at.peakAtS() + at.peakS());
-    playUntil("after", settings.runS());
+  private void runPhases() throws IOException, InterruptedException {
+    LoadTestSettings.Phases phases = settings.phases();
+    runPhaseUntil("ramp", phases.rampS());
+    runPhaseUntil("steady", phases.peakAtS());
+    runPhaseUntil("peak", phases.peakAtS() + phases.peakS());
+    runPhaseUntil("after", settings.runS());
   }
 
-  private void playUntil(String phase, double endS) throws IOException, InterruptedException {
+  private void runPhaseUntil(String phase, double endS) throws IOException, InterruptedException {
     double untilS = Math.min(endS, settings.runS());
     if (elapsedS() >= untilS) {
       return;
     }
-    long toldMs = 0;
+    long lastProgressMs = 0;
     while (elapsedS() < untilS) {
       Thread.sleep(SAMPLE_INTERVAL_MS);
       sample();
       faults.tick(elapsedS());
-      if (progress != null && nowMs() - toldMs > PROGRESS_INTERVAL_MS) {
-        toldMs = nowMs();
+      if (progress != null && nowMs() - lastProgressMs > PROGRESS_INTERVAL_MS) {
+        lastProgressMs = nowMs();
         printProgress(phase);
       }
     }
--- a/src/main/java/eiderfork/loadtest/LoadTestFile.java
+++ b/src/main/java/eiderfork/loadtest/LoadTestFile.java
@@ -13,11 +13,13 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 
-/** Reads and checks the file of a scale run; unknown and impossible entries are refused. */
+/**
+ * Reads and validates the settings file of a load test; unknown and invalid entries are rejected.
+ */
 public final class LoadTestFile {
   private static final Set<String> JOB_KINDS = Set.of("service", "array");
   private static final Set<String> PRIORITIES = Set.of("production", "high", "standard", "low");
-  private static final Set<String> TROUBLES =
+  private static final Set<String> FAULT_KINDS =
       Set.of("leader", "rack", "third", "workers", "zone", "controllers");
 
   private final SettingsSource source;
@@ -27,18 +29,18 @@
   }
 
   /**
-   * Reads the file of a scale run.
+   * Reads the settings file of a load test.
    *
-   * @throws InvalidSettingsException with file, field and reason where it can't be used
+   * @throws InvalidSettingsException with file, field and reason if the file is invalid
    */
   public static LoadTestSettings read(Path path) throws InvalidSettingsException {
     return parse(SettingsSource.read(path));
   }
 
   /**
-   * Checks the text of a file; {@code file} is only named in errors.
+   * Parses and validates settings text; {@code file} is used in error messages only.
    *
-   * @throws InvalidSettingsException with file, field and reason where it can't be used
+   * @throws InvalidSettingsException with file, field and reason if the file is invalid
    */
   public static LoadTestSettings parse(String file, String text) throws InvalidSettingsException {
     return parse(new SettingsSource(file, text));
@@ -65,7 +67,7 @@
 
   private static String firstLine(JsonProcessingException e) {
     String message = e.getOriginalMessage().lines().findFirst().orElse("can't be read");
-    // The mapper's own words name its switches.
+    // Jackson's message for a missing field also names its configuration options.
     return message.startsWith("Missing creator property") ? "missing" : message;
   }
 
@@ -76,32 +78,34 @@
         .replace(".[", "[");
   }
 
-  private void check(LoadTestSettings it) throws InvalidSettingsException {
-    source.requirePositive(it.runS(), "run_s");
-    source.requireAtLeast(it.preloadedEndedJobs(), 0, "preloaded_ended_jobs");
-    source.requireAtLeast(it.preloadedArchivedJobs(), 0, "preloaded_archived_jobs");
-    checkCells(it.cells());
-    source.requirePositive(it.workers().reportS(), "workers.report_s");
-    source.requireAtLeast(it.workers().leaseS(), 2 * it.workers().reportS(), "workers.lease_s");
+  private void check(LoadTestSettings settings) throws InvalidSettingsException {
+    source.requirePositive(settings.runS(), "run_s");
+    source.requireAtLeast(settings.preloadedEndedJobs(), 0, "preloaded_ended_jobs");
+    source.requireAtLeast(settings.preloadedArchivedJobs(), 0, "preloaded_archived_jobs");
+    checkCells(settings.cells());
+    source.requirePositive(settings.workers().reportS(), "workers.report_s");
     source.requireAtLeast(
-        it.workers().cancelS(),
-        it.workers().leaseS() + 2 * it.workers().reportS(),
+        settings.workers().leaseS(), 2 * settings.workers().reportS(), "workers.lease_s");
+    source.requireAtLeast(
+        settings.workers().cancelS(),
+        settings.workers().leaseS() + 2 * settings.workers().reportS(),
         "workers.cancel_s");
-    source.requirePositive(it.state().rps(), "state.rps");
-    source.requirePositive(it.state().writeRps(), "state.write_rps");
-    source.requirePositive(it.state().valueKb(), "state.value_kb");
-    source.requireAtLeast(it.state().txnOps(), 2, "state.txn_ops");
-    source.requireAtLeast(it.state().answerMs(), 0, "state.answer_ms");
-    source.requirePositive(it.cloud().rps(), "cloud.rps");
-    source.requirePositive(it.cloud().listLagS(), "cloud.list_lag_s");
-    source.requireAtLeast(it.phases().rampS(), 0, "phases.ramp_s");
-    source.requireAtLeast(it.phases().peakAtS(), it.phases().rampS(), "phases.peak_at_s");
-    source.requireAtLeast(it.phases().peakS(), 0, "phases.peak_s");
-    source.requirePositive(it.users().pollS(), "users.poll_s");
-    source.requireAtLeast(it.users().lateQuestionsPerS(), 0, "users.late_questions_per_s");
-    checkTypes(it.machineTypes());
-    checkClasses(it.classes());
-    checkTroubles(it);
+    source.requirePositive(settings.state().rps(), "state.rps");
+    source.requirePositive(settings.state().writeRps(), "state.write_rps");
+    source.requirePositive(settings.state().valueKb(), "state.value_kb");
+    source.requireAtLeast(settings.state().txnOps(), 2, "state.txn_ops");
+    source.requireAtLeast(settings.state().answerMs(), 0, "state.answer_ms");
+    source.requirePositive(settings.cloud().rps(), "cloud.rps");
+    source.requirePositive(settings.cloud().listLagS(), "cloud.list_lag_s");
+    source.requireAtLeast(settings.phases().rampS(), 0, "phases.ramp_s");
+    source.requireAtLeast(
+        settings.phases().peakAtS(), settings.phases().rampS(), "phases.peak_at_s");
+    source.requireAtLeast(settings.phases().peakS(), 0, "phases.peak_s");
+    source.requirePositive(settings.users().pollS(), "users.poll_s");
+    source.requireAtLeast(settings.users().lateQuestionsPerS(), 0, "users.late_questions_per_s");
+    checkTypes(settings.machineTypes());
+    checkClasses(settings.classes());
+    checkFaults(settings);
   }
 
   private void checkCells(LoadTestSettings.Cells cells) throws InvalidSettingsException {
@@ -131,32 +135,32 @@
     source.requireAtLeast(classes.size(), 1, "classes");
     for (int i = 0; i < classes.size(); i++) {
       String at = "classes[" + i + "].";
-      LoadTestSettings.JobClass it = classes.get(i);
-      source.requireOneOf(it.kind(), JOB_KINDS, at + "kind");
-      source.requireOneOf(it.priority(), PRIORITIES, at + "priority");
-      source.requireAtLeast(it.tasks(), 1, at + "tasks");
-      source.requireAtLeast(it.images(), 1, at + "images");
-      source.requireAtLeast(it.first(), 0, at + "first");
-      source.requireAtLeast(it.perS(), 0, at + "per_s");
-      source.requireAtLeast(it.peakPerS(), 0, at + "peak_per_s");
-      if (it.kind().equals("array")) {
-        source.requirePositive(it.runS(), at + "run_s");
+      LoadTestSettings.JobClass jobClass = classes.get(i);
+      source.requireOneOf(jobClass.kind(), JOB_KINDS, at + "kind");
+      source.requireOneOf(jobClass.priority(), PRIORITIES, at + "priority");
+      source.requireAtLeast(jobClass.tasks(), 1, at + "tasks");
+      source.requireAtLeast(jobClass.images(), 1, at + "images");
+      source.requireAtLeast(jobClass.first(), 0, at + "first");
+      source.requireAtLeast(jobClass.perS(), 0, at + "per_s");
+      source.requireAtLeast(jobClass.peakPerS(), 0, at + "peak_per_s");
+      if (jobClass.kind().equals("array")) {
+        source.requirePositive(jobClass.runS(), at + "run_s");
       }
     }
   }
 
-  private void checkTroubles(LoadTestSettings settings) throws InvalidSettingsException {
-    List<LoadTestSettings.Fault> troubles = settings.troubles();
-    for (int i = 0; i < troubles.size(); i++) {
+  private void checkFaults(LoadTestSettings settings) throws InvalidSettingsException {
+    List<LoadTestSettings.Fault> faults = settings.troubles();
+    for (int i = 0; i < faults.size(); i++) {
       String at = "troubles[" + i + "].";
-      LoadTestSettings.Fault it = troubles.get(i);
-      source.requireOneOf(it.kind(), TROUBLES, at + "kind");
-      source.requireAtLeast(it.forS(), 0, at + "for_s");
-      source.requireAtLeast(it.cell(), 0, at + "cell");
-      if (it.cell() >= settings.cells().count()) {
+      LoadTestSettings.Fault fault = faults.get(i);
+      source.requireOneOf(fault.kind(), FAULT_KINDS, at + "kind");
+      source.requireAtLeast(fault.forS(), 0, at + "for_s");
+      source.requireAtLeast(fault.cell(), 0, at + "cell");
+      if (fault.cell() >= settings.cells().count()) {
         throw source.invalidField(at + "cell", "there are fewer cells");
       }
-      if (it.atS() < 0 || it.atS() > settings.runS()) {
+      if (fault.atS() < 0 || fault.atS() > settings.runS()) {
         throw source.invalidField(at + "at_s", "not within run_s");
       }
     }
--- a/src/main/java/eiderfork/loadtest/LoadTestRecorder.java
+++ b/src/main/java/eiderfork/loadtest/LoadTestRecorder.java
@@ -13,7 +13,7 @@
 final class LoadTestRecorder {
   private static final double NANOS_PER_S = 1e9;
 
-  /** Counters at one moment, for the difference over a phase. */
+  /** Counters at one point in time, used to compute differences over a phase. */
   private record Snapshot(
       CellCounters counters, double[] cpuS, long atMs, double ownCpuS, CpuTimes machine) {}
 
@@ -37,7 +37,7 @@
     maxMemoryMb.merge(controller, controller.memoryMb(), Math::max);
   }
 
-  /** Records that a controller ended although nothing killed it. */
+  /** Records that a controller exited without having been killed by a fault. */
   void recordUnexpectedExit(ControllerProcess controller) {
     unexpectedExits.merge(controller, 1, Integer::sum);
   }
@@ -141,11 +141,11 @@
         unexpectedExits.getOrDefault(controller, 0));
   }
 
-  private Histogram mergeHistograms(Function<EmulatedCell, Histogram> of)
+  private Histogram mergeHistograms(Function<EmulatedCell, Histogram> histogram)
       throws InterruptedException {
     Histogram sum = null;
     for (EmulatedCell cell : cells) {
-      Histogram copy = cell.call(() -> of.apply(cell).copy());
+      Histogram copy = cell.call(() -> histogram.apply(cell).copy());
       if (sum == null) {
         sum = copy;
       } else {
--- a/src/main/java/eiderfork/loadtest/LoadTestReport.java
+++ b/src/main/java/eiderfork/loadtest/LoadTestReport.java
@@ -12,10 +12,10 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What a scale run measured. All of it ran on loopback, with emulated services, workers and users.
+ * Measurements of a load test, which runs on loopback with emulated services, workers and users.
  *
- * @param emulatorLagP99Ms by how much the emulation itself ran late; large values say that the
- *     machine and not the service gave out
+ * @param emulatorLagP99Ms the delay of the emulation's own ticks; large values mean that the
+ *     machine was the bottleneck, not the service
  */
 record LoadTestReport(
     String file,
@@ -31,12 +31,12 @@
     List<InvariantChecker.Breach> breaches) {
 
   /**
-   * What happened in a cell during a phase.
+   * Figures of a cell during a phase.
    *
    * @param leaderCores cores that the leader's process used, on average
-   * @param followerCores the same of the cell's other controllers, each
+   * @param followerCores the same for each of the cell's other controllers, on average
    * @param memoryMb the largest resident memory of the leader that was seen
-   * @param idleShare the part of the machine's processor time that nobody used
+   * @param idleShare the idle share of the machine's processor time
    */
   record Phase(
       String name,
@@ -53,7 +53,7 @@
       double idleShare,
       CellCounters counters) {}
 
-  /** Times in milliseconds of all cells together. */
+  /** Latencies of all cells together, in milliseconds. */
   record Latency(String what, long count, double p50, double p99, double max) {
     static Latency of(String what, Histogram histogram) {
       return new Latency(
@@ -68,7 +68,7 @@
   /** A controller's processor time over the run and the largest resident memory seen. */
   record ProcessFigures(String name, double cpuS, double memoryMb, int endedByItself) {}
 
-  /** Whether no rule was broken and no controller ended by itself. */
+  /** Returns whether no invariant was violated and no controller exited unexpectedly. */
   boolean isGood() {
     return breachCount == 0 && processes.stream().allMatch(it -> it.endedByItself() == 0);
   }
--- a/src/main/java/eiderfork/loadtest/LoadTestSettings.java
+++ b/src/main/java/eiderfork/loadtest/LoadTestSettings.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /**
- * What a scale run is made of; read from a TOML file by {@link LoadTestFile}. Times are in seconds.
+ * Settings of a load test, read from a TOML file by {@link LoadTestFile}. Times are in seconds.
  *
- * @param seed of all random numbers of the emulation
- * @param runS how long load is offered, all troubles included
+ * @param seed the seed of the emulation's random numbers
+ * @param runS the duration of the load, including all faults
  * @param cells the regions, each with its own controllers, store, cloud and users
  * @param preloadedEndedJobs jobs per cell that the store holds as done from the start
- * @param preloadedArchivedJobs further ones that are archived already
+ * @param preloadedArchivedJobs further jobs per cell that the store holds as archived
  */
 public record LoadTestSettings(
     long seed,
@@ -26,7 +26,7 @@
     List<JobClass> classes,
     List<Fault> troubles) {
 
-  /** How many cells there are, and what each of them is made of; teams are in all of them. */
+  /** The number of cells and the size of each; every cell has all teams. */
   public record Cells(
       int count, int zones, int racksPerZone, int controllers, int workers, int teams) {}
 
@@ -37,30 +37,30 @@
   public record StoreLimits(
       double rps, double writeRps, double valueKb, int txnOps, double answerMs) {}
 
-  /** A cell's cloud. */
+  /** The limits of a cell's cloud API. */
   public record CloudLimits(double rps, double listLagS) {}
 
   /**
-   * When the load changes.
+   * The times at which the load changes.
    *
-   * @param rampS in this time the classes' first jobs are submitted
-   * @param peakAtS when the peak begins, counted from the start
-   * @param peakS how long the peak lasts
+   * @param rampS the time over which each class's first jobs are submitted
+   * @param peakAtS the start of the peak, counted from the start of the load
+   * @param peakS the duration of the peak
    */
   public record Phases(double rampS, double peakAtS, double peakS) {}
 
   /**
-   * What users do beside submitting.
+   * The queries that users send.
    *
-   * @param pollS how often a user asks after a job that is not over
-   * @param lateQuestionsPerS questions a second and cell after jobs that are over
+   * @param pollS the mean interval at which a user queries an unfinished job
+   * @param lateQuestionsPerS queries of finished jobs per second and cell
    */
   public record Users(double pollS, double lateQuestionsPerS) {}
 
   /**
    * A machine type.
    *
-   * @param share the part of the cell's workers that the cloud has of this type
+   * @param share the cloud's capacity of this type, as a share of the cell's workers
    */
   public record MachineKind(
       String name,
@@ -80,9 +80,9 @@
    * @param first jobs submitted during the ramp
    * @param perS jobs a second after the ramp
    * @param peakPerS further jobs a second during the peak
-   * @param runS how long an array's task runs, or a service stands until it is cancelled; 0 for the
+   * @param runS the run time of an array's task, or of a service until it is cancelled; 0 for the
    *     whole run
-   * @param urgent whether its start times are recorded apart
+   * @param urgent true if its start times are recorded separately
    */
   public record JobClass(
       String name,
@@ -101,18 +101,19 @@
       boolean urgent) {}
 
   /**
-   * A failure.
+   * A fault to inject.
    *
    * @param kind {@code leader}: the leader's process is killed; {@code rack}, {@code third}, {@code
    *     workers}: the workers of a rack, of every third rack, or all of them are partitioned;
-   *     {@code zone}: a zone's machines are gone and its controllers down; {@code controllers}: all
-   *     controllers of the cell are killed
+   *     {@code zone}: a zone's machines are stopped and its controllers killed; {@code
+   *     controllers}: all controllers of the cell are killed
    * @param cell the cell's number from 0
-   * @param forS how long workers are cut off, or a zone down; killed controllers come back after it
+   * @param forS the duration of the partition or zone outage; killed controllers are restarted
+   *     after it
    */
   public record Fault(String kind, double atS, int cell, double forS) {}
 
-  /** How many controller processes the run starts. */
+  /** The number of controller processes that the load test starts. */
   public int controllerCount() {
     return cells.count() * cells.controllers();
   }
--- a/src/main/java/eiderfork/loadtest/PreloadedJobs.java
+++ b/src/main/java/eiderfork/loadtest/PreloadedJobs.java
@@ -11,9 +11,9 @@
 import eiderfork.wire.StoreServerCodec;
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** Jobs of one task that have ended before the run, as a leader of this version stores them. */
+/** Stores single-task jobs that ended before the load test, as a leader of this version would. */
 final class PreloadedJobs {
-  /** Above all ids that users of a run draw. */
+  /** Lowest preloaded id; above all ids that emulated users generate. */
   private static final long FIRST_ID = 2_000_000_000_000_000L;
 
   private static final long IDS = 1_000_000_000_000_000L;
--- a/src/main/java/eiderfork/loadtest/RecoveryTimer.java
+++ b/src/main/java/eiderfork/loadtest/RecoveryTimer.java
@@ -7,8 +7,8 @@
  */
 final class RecoveryTimer {
   /**
-   * The effects of a fault, in seconds from its injection; negative for what did not happen. The
-   * names are those of the report's JSON.
+   * The effects of a fault, in seconds from its injection; negative for effects that did not occur.
+   * The component names are keys of the JSON report.
    */
   record Result(
       String kind,
--- a/src/main/java/eiderfork/loadtest/SteadyClock.java
+++ b/src/main/java/eiderfork/loadtest/SteadyClock.java
@@ -1,6 +1,6 @@
 package eiderfork.loadtest;
 
-/** The steady time of the emulation. */
+/** The monotonic clock of the emulation. */
 final class SteadyClock {
   private SteadyClock() {}
 
--- a/src/test/java/eiderfork/loadtest/ControllerProcessTest.java
+++ b/src/test/java/eiderfork/loadtest/ControllerProcessTest.java
@@ -10,13 +10,16 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The life of a controller's process in a scale run. */
+/** Starting and closing the controller process of a load test. */
 class ControllerProcessTest {
   @TempDir Path directory;
 
-  /** An interrupted run left two processes behind: it started again what its own end had killed. */
+  /**
+   * Guards against processes left running by an interrupted load test: its periodic check restarted
+   * controllers that the shutdown had just killed.
+   */
   @Test
-  void nothingIsStartedOnceTheRunIsOver() throws IOException, InterruptedException {
+  void closedProcessIsNotRestarted() throws IOException, InterruptedException {
     ControllerProcess controller =
         new ControllerProcess(
             "controller",
--- a/src/test/java/eiderfork/loadtest/InvariantCheckerTest.java
+++ b/src/test/java/eiderfork/loadtest/InvariantCheckerTest.java
@@ -14,7 +14,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Each breach that the checker is there for is noticed, and an ordinary life is none. */
+/** Tests that each kind of breach is detected and a regular job lifecycle reports none. */
 class InvariantCheckerTest {
   private static final long CANCEL_MS = 1000;
 
@@ -52,108 +52,108 @@
     checker.accepted(uid);
   }
 
-  private void tell(String uid, JobStatus.Phase stance, long requestedMs, long nowMs) {
-    checker.statusReceived(new JobStatus(uid, stance, 0, 0), requestedMs, nowMs);
+  private void receiveStatus(String uid, JobStatus.Phase phase, long requestedMs, long nowMs) {
+    checker.statusReceived(new JobStatus(uid, phase, 0, 0), requestedMs, nowMs);
   }
 
-  private List<InvariantChecker.Rule> broken() {
+  private List<InvariantChecker.Rule> brokenRules() {
     return checker.breaches().stream().map(InvariantChecker.Breach::rule).toList();
   }
 
   @Test
-  void anOrdinaryLifeBreaksNothing() {
+  void regularLifecycleBreaksNoRule() {
     accept("run-1", 1);
     checker.started("a", attempt("run-1", 0, 1), 0);
     checker.stopped("a", attempt("run-1", 0, 1), false);
     checker.started("b", attempt("run-1", 0, 2), 10);
-    tell("run-1", JobStatus.Phase.RUNNING, 11, 12);
+    receiveStatus("run-1", JobStatus.Phase.RUNNING, 11, 12);
     checker.stopped("b", attempt("run-1", 0, 2), true);
-    tell("run-1", JobStatus.Phase.DONE, 20, 21);
-    tell("run-1", JobStatus.Phase.DONE, 30, 31);
-    // Asked before the end was told, answered after it.
-    tell("run-1", JobStatus.Phase.RUNNING, 15, 32);
+    receiveStatus("run-1", JobStatus.Phase.DONE, 20, 21);
+    receiveStatus("run-1", JobStatus.Phase.DONE, 30, 31);
+    // Requested before the final status was received, answered after it.
+    receiveStatus("run-1", JobStatus.Phase.RUNNING, 15, 32);
     checker.tick(10_000);
-    assertEquals(List.of(), broken());
+    assertEquals(List.of(), brokenRules());
   }
 
   @Test
-  void aTaskOnTwoMachines() {
+  void detectsTaskOnTwoMachines() {
     accept("run-1", 1);
     checker.started("a", attempt("run-1", 0, 1), 0);
     checker.started("b", attempt("run-1", 0, 2), 10);
-    assertEquals(List.of(InvariantChecker.Rule.RAN_TWICE), broken());
+    assertEquals(List.of(InvariantChecker.Rule.RAN_TWICE), brokenRules());
   }
 
   @Test
-  void aTeamOverItsLimit() {
+  void detectsTeamOverItsLimit() {
     accept("run-1", 3);
     checker.started("a", attempt("run-1", 0, 1), 0);
     checker.started("a", attempt("run-1", 1, 1), 0);
-    assertEquals(List.of(), broken());
+    assertEquals(List.of(), brokenRules());
     checker.started("a", attempt("run-1", 2, 1), 0);
-    assertEquals(List.of(InvariantChecker.Rule.QUOTA), broken());
+    assertEquals(List.of(InvariantChecker.Rule.QUOTA), brokenRules());
   }
 
   @Test
-  void aJobLost() {
+  void detectsForgottenJob() {
     checker.submitted(job("run-1", 1));
-    checker.refusedForGood("run-1", checker.isAccepted("run-1"));
-    assertEquals(List.of(), broken());
+    checker.permanentlyRejected("run-1", checker.isAccepted("run-1"));
+    assertEquals(List.of(), brokenRules());
     checker.accepted("run-1");
-    checker.refusedForGood("run-1", checker.isAccepted("run-1"));
-    assertEquals(List.of(InvariantChecker.Rule.FORGOTTEN), broken());
+    checker.permanentlyRejected("run-1", checker.isAccepted("run-1"));
+    assertEquals(List.of(InvariantChecker.Rule.FORGOTTEN), brokenRules());
   }
 
   @Test
-  void aJobThatGoesBack() {
+  void detectsJobLeavingItsFinalPhase() {
     accept("run-1", 1);
     checker.cancelRequested("run-1");
-    tell("run-1", JobStatus.Phase.ABORTED, 0, 5);
-    tell("run-1", JobStatus.Phase.RUNNING, 6, 7);
-    assertEquals(List.of(InvariantChecker.Rule.WENT_BACK), broken());
+    receiveStatus("run-1", JobStatus.Phase.ABORTED, 0, 5);
+    receiveStatus("run-1", JobStatus.Phase.RUNNING, 6, 7);
+    assertEquals(List.of(InvariantChecker.Rule.WENT_BACK), brokenRules());
   }
 
   @Test
-  void aJobCancelledByNobody() {
+  void detectsAbortWithoutCancelRequest() {
     accept("run-1", 1);
-    tell("run-1", JobStatus.Phase.ABORTED, 0, 5);
-    assertEquals(List.of(InvariantChecker.Rule.WENT_BACK), broken());
+    receiveStatus("run-1", JobStatus.Phase.ABORTED, 0, 5);
+    assertEquals(List.of(InvariantChecker.Rule.WENT_BACK), brokenRules());
   }
 
   @Test
-  void aJobDoneTooSoon() {
+  void detectsJobDoneBeforeItsTasks() {
     accept("run-1", 2);
     checker.started("a", attempt("run-1", 0, 1), 0);
     checker.stopped("a", attempt("run-1", 0, 1), true);
-    tell("run-1", JobStatus.Phase.DONE, 5, 6);
-    assertEquals(List.of(InvariantChecker.Rule.NOT_DONE), broken());
+    receiveStatus("run-1", JobStatus.Phase.DONE, 5, 6);
+    assertEquals(List.of(InvariantChecker.Rule.NOT_DONE), brokenRules());
   }
 
   @Test
-  void aCancelledTaskThatRunsOn() {
+  void detectsCancelledTaskStillRunning() {
     accept("run-1", 1);
     checker.started("a", attempt("run-1", 0, 1), 0);
     checker.cancelRequested("run-1");
-    tell("run-1", JobStatus.Phase.ABORTED, 0, 5);
+    receiveStatus("run-1", JobStatus.Phase.ABORTED, 0, 5);
     checker.tick(5 + CANCEL_MS);
-    assertEquals(List.of(), broken());
+    assertEquals(List.of(), brokenRules());
     checker.tick(6 + CANCEL_MS);
-    assertEquals(List.of(InvariantChecker.Rule.RAN_CANCELLED), broken());
+    assertEquals(List.of(InvariantChecker.Rule.RAN_CANCELLED), brokenRules());
   }
 
   @Test
-  void aCancelledTaskThatStartsLate() {
+  void detectsCancelledTaskStartedLate() {
     accept("run-1", 1);
     checker.cancelRequested("run-1");
-    tell("run-1", JobStatus.Phase.ABORTED, 0, 5);
+    receiveStatus("run-1", JobStatus.Phase.ABORTED, 0, 5);
     checker.tick(6 + CANCEL_MS);
     checker.started("a", attempt("run-1", 0, 1), 7 + CANCEL_MS);
-    assertEquals(List.of(InvariantChecker.Rule.RAN_CANCELLED), broken());
+    assertEquals(List.of(InvariantChecker.Rule.RAN_CANCELLED), brokenRules());
   }
 
   @Test
-  void aJobThatNobodySubmitted() {
-    tell("run-9", JobStatus.Phase.PENDING, 0, 1);
-    assertEquals(List.of(InvariantChecker.Rule.INVENTED), broken());
+  void detectsUnknownJob() {
+    receiveStatus("run-9", JobStatus.Phase.PENDING, 0, 1);
+    assertEquals(List.of(InvariantChecker.Rule.INVENTED), brokenRules());
   }
 }
--- a/src/test/java/eiderfork/loadtest/LoadTestTest.java
+++ b/src/test/java/eiderfork/loadtest/LoadTestTest.java
@@ -9,16 +9,16 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A run that goes wrong leaves nothing behind. */
+/** A failed load test leaves no process behind. */
 class LoadTestTest {
   @TempDir Path directory;
 
-  /** What was started before must not stay when a controller does not start. */
+  /** If one controller fails to start, those started before it are killed. */
   @Test
-  void aControllerThatDoesNotStartEndsTheRunAndLeavesNoProcess() throws IOException {
+  void failedControllerStartEndsTheLoadTestAndLeavesNoProcess() throws IOException {
     Path pids = directory.resolve("pids");
     Path script = directory.resolve("controller.sh");
-    // The first process ends at once; the others would stay.
+    // The first process exits immediately; the others would keep running.
     Files.writeString(
         script,
         """
