--- a/src/main/java/eiderfork/config/OperatorSettingsParser.java
+++ b/src/main/java/eiderfork/config/OperatorSettingsParser.java
@@ -138,7 +138,7 @@
   private String textOrNull(String name) throws InvalidSettingsException {
     Object value = entry(name);
     if (value != null && !(value instanceof String text && !text.isEmpty())) {
-      throw source.invalidField(name, "not a non-empty string");
+      throw source.invalidField(name, "must be a non-empty string");
     }
     return (String) value;
   }
--- a/src/main/java/eiderfork/config/TomlTable.java
+++ b/src/main/java/eiderfork/config/TomlTable.java
@@ -74,7 +74,7 @@
   String text(String name) throws InvalidSettingsException {
     JsonNode value = node.path(name);
     if (!value.isTextual() || value.textValue().isEmpty()) {
-      throw invalid(name, value.isMissingNode() ? "missing" : "not a non-empty string");
+      throw invalid(name, value.isMissingNode() ? "missing" : "must be a non-empty string");
     }
     return value.textValue();
   }
--- a/src/main/java/eiderfork/controller/jobs/UserRequestHandler.java
+++ b/src/main/java/eiderfork/controller/jobs/UserRequestHandler.java
@@ -215,8 +215,8 @@
       submit(submit.job(), onComplete);
     } else if (request instanceof Input.Query query) {
       queries.query(query.uid(), onComplete);
-    } else if (request instanceof Input.Cancel abort) {
-      canceller.cancel(abort.uid(), canAnswerFromMemory(), onComplete);
+    } else if (request instanceof Input.Cancel cancellation) {
+      canceller.cancel(cancellation.uid(), canAnswerFromMemory(), onComplete);
     }
   }
 
--- a/src/main/java/eiderfork/loadtest/FreePorts.java
+++ b/src/main/java/eiderfork/loadtest/FreePorts.java
@@ -7,7 +7,7 @@
 
 /**
  * Finds free ports for controllers, below the system's ephemeral port range: an outgoing connection
- * could otherwise take the port of a controller that is down.
+ * took the port of a controller that was down.
  */
 final class FreePorts {
   private static final String LOOPBACK = "127.0.0.1";
--- a/src/test/java/eiderfork/config/SettingsTest.java
+++ b/src/test/java/eiderfork/config/SettingsTest.java
@@ -91,7 +91,7 @@
         "s.toml: public_addr: not an address of the form host:port",
         rejectionMessage(VALID.replace("127.0.0.1:8080", "here")));
     assertEquals(
-        "s.toml: host_name: not a non-empty string",
+        "s.toml: host_name: must be a non-empty string",
         rejectionMessage(VALID.replace("\"roost-0\"", "4")));
     assertTrue(rejectionMessage("= = =").startsWith("s.toml: not TOML"));
   }
--- a/src/test/java/eiderfork/loadtest/ControllerProcessTest.java
+++ b/src/test/java/eiderfork/loadtest/ControllerProcessTest.java
@@ -15,8 +15,8 @@
   @TempDir Path directory;
 
   /**
-   * Guards against processes left running by an interrupted load test: its periodic check restarted
-   * controllers that the shutdown had just killed.
+   * An interrupted load test left two processes running: its periodic check restarted controllers
+   * that the shutdown had just killed.
    */
   @Test
   void closedProcessIsNotRestarted() throws IOException, InterruptedException {
